--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  RETRY_MS = 2000,
-  COMMIT_TIMEOUT_MS = 3000
+  WRITE_RETRY_MS = 2000,
+  WRITE_TIMEOUT_MS = 3000
 };
 
 typedef struct
@@ -16,7 +16,7 @@
   list_t link;
   uint64_t sequence;
   size_t count;
-  buf_t lines; /* One bill a line, a JSON array.  */
+  buf_t lines; /* One JSON array per bill, each on a line.  */
 } batch_t;
 
 struct billing
@@ -24,17 +24,19 @@
   rows_t *rows;
   char *name;
   uint64_t epoch;
-  uint64_t sequence; /* Of the newest batch.  */
+  uint64_t sequence; /* Sequence number of the next new batch, or of
+                        the newest batch while that accepts bills.  */
   uv_timer_t timer;
-  list_t batches; /* The oldest first; the last one grows.  */
-  size_t waiting;
-  uint64_t dropped;
-  bool pending; /* The oldest batch is on its way.  */
-  bool flushing;
+  list_t batches; /* Oldest first; new bills are added to the last
+                        one.  */
+  size_t queued_count;
+  uint64_t dropped_count;
+  bool write_pending; /* A write of the oldest batch is in progress.  */
+  bool is_flushing;
 };
 
 static batch_t *
-first_batch (const billing_t *billing)
+oldest_batch (const billing_t *billing)
 {
   return list_empty (&billing->batches)
              ? NULL
@@ -44,18 +46,18 @@
 static void
 batch_destroy (billing_t *billing, batch_t *batch)
 {
-  billing->waiting -= batch->count;
+  billing->queued_count -= batch->count;
   list_remove (&batch->link);
   buf_free (&batch->lines);
   free (batch);
 }
 
-static void write_first (billing_t *billing);
+static void write_oldest_batch (billing_t *billing);
 
 static void
 on_timer (uv_timer_t *timer)
 {
-  write_first (timer->data);
+  write_oldest_batch (timer->data);
 }
 
 static void
@@ -64,32 +66,34 @@
   billing_t *billing = arg;
 
   (void)result;
-  billing->pending = false;
-  /* A conflict: the row is there, by an earlier try whose reply was lost.  */
+  billing->write_pending = false;
+  /* A conflict means that the row exists: an earlier write was applied and its
+     reply was lost.  */
   if (code == VH_OK || code == VH_E_CONFLICT)
-    batch_destroy (billing, first_batch (billing));
+    batch_destroy (billing, oldest_batch (billing));
   else
     log_event (EVENT_BILLS_WRITE, field_number (FIELD_CODE, code),
-               field_number (FIELD_COUNT, billing->waiting));
-  const batch_t *next = first_batch (billing);
-  uint64_t wait_ms = BILLING_WAIT_MS;
+               field_number (FIELD_COUNT, billing->queued_count));
+  const batch_t *next = oldest_batch (billing);
+  uint64_t delay_ms = BILLING_INTERVAL_MS;
   if (code != VH_OK && code != VH_E_CONFLICT)
-    wait_ms = RETRY_MS;
-  else if (next != NULL && (billing->flushing || next->count >= BILLING_BATCH))
-    wait_ms = 0;
-  uv_timer_start (&billing->timer, on_timer, wait_ms, 0);
+    delay_ms = WRITE_RETRY_MS;
+  else if (next != NULL
+           && (billing->is_flushing || next->count >= BILLING_BATCH_BILLS))
+    delay_ms = 0;
+  uv_timer_start (&billing->timer, on_timer, delay_ms, 0);
 }
 
 static void
-write_first (billing_t *billing)
+write_oldest_batch (billing_t *billing)
 {
-  batch_t *batch = first_batch (billing);
+  batch_t *batch = oldest_batch (billing);
   buf_t key = BUF_NULL;
 
-  if (batch == NULL || billing->pending)
+  if (batch == NULL || billing->write_pending)
     return;
-  /* A batch that was sent once must stay as it was: it may have been
-     written.  */
+  /* No bills may be added to a batch once a write of it was started, because
+     that write may be applied even if it fails here.  */
   if (batch->link.next == &billing->batches)
     billing->sequence++;
   buf_printf (&key, "bill/%s/%016llx/%llu", billing->name,
@@ -99,20 +103,21 @@
                          .key = buf_str (&key),
                          .value = buf_str (&batch->lines),
                          .conditional = true };
-  billing->pending = true;
-  billing->rows->ops->commit (billing->rows, &write, 1, COMMIT_TIMEOUT_MS,
+  billing->write_pending = true;
+  billing->rows->ops->commit (billing->rows, &write, 1, WRITE_TIMEOUT_MS,
                               on_written, billing);
   buf_free (&key);
 }
 
-/* The batch that takes the next bill.  */
+/* Return the batch to which the next bill is added; create one if needed.  */
 static batch_t *
 open_batch (billing_t *billing)
 {
   if (!list_empty (&billing->batches))
     {
       batch_t *last = CONTAINER_OF (billing->batches.prev, batch_t, link);
-      if (last->sequence == billing->sequence && last->count < BILLING_BATCH)
+      if (last->sequence == billing->sequence
+          && last->count < BILLING_BATCH_BILLS)
         return last;
       if (last->sequence == billing->sequence)
         billing->sequence++;
@@ -123,15 +128,15 @@
   return batch;
 }
 
-/* Make room by the oldest batch that is not on its way.  */
+/* Drop the oldest batch that is not being written.  */
 static void
-drop_oldest (billing_t *billing)
+drop_oldest_batch (billing_t *billing)
 {
-  batch_t *batch = first_batch (billing);
+  batch_t *batch = oldest_batch (billing);
 
-  if (billing->pending)
+  if (billing->write_pending)
     batch = CONTAINER_OF (batch->link.next, batch_t, link);
-  billing->dropped += batch->count;
+  billing->dropped_count += batch->count;
   log_event (EVENT_BILLS_DROPPED, field_number (FIELD_COUNT, batch->count));
   batch_destroy (billing, batch);
 }
@@ -139,7 +144,8 @@
 static void
 append_bill (buf_t *out, const bill_t *bill)
 {
-  const str_t texts[] = { bill->id, bill->team, bill->route, bill->model };
+  const str_t texts[]
+      = { bill->attempt_id, bill->team, bill->route, bill->model };
 
   buf_append_char (out, '[');
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
@@ -148,40 +154,41 @@
       buf_append_json (out, texts[i]);
       buf_append_str (out, STR ("\","));
     }
-  buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt,
-              (unsigned long long)bill->events, bill->runs, bill->whole);
+  buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt_tokens,
+              (unsigned long long)bill->events, bill->possible_runs,
+              bill->is_complete);
 }
 
 void
 billing_add (billing_t *billing, const bill_t *bill)
 {
-  if (billing->waiting >= BILLING_KEPT)
-    drop_oldest (billing);
+  if (billing->queued_count >= BILLING_QUEUED_BILLS_MAX)
+    drop_oldest_batch (billing);
   batch_t *batch = open_batch (billing);
   append_bill (&batch->lines, bill);
   batch->count++;
-  billing->waiting++;
-  if (batch->count >= BILLING_BATCH && !billing->pending)
-    write_first (billing);
+  billing->queued_count++;
+  if (batch->count >= BILLING_BATCH_BILLS && !billing->write_pending)
+    write_oldest_batch (billing);
 }
 
 void
 billing_flush (billing_t *billing)
 {
-  billing->flushing = true;
-  write_first (billing);
+  billing->is_flushing = true;
+  write_oldest_batch (billing);
 }
 
 size_t
-billing_waiting (const billing_t *billing)
+billing_queued_count (const billing_t *billing)
 {
-  return billing->waiting;
+  return billing->queued_count;
 }
 
 uint64_t
-billing_dropped (const billing_t *billing)
+billing_dropped_count (const billing_t *billing)
 {
-  return billing->dropped;
+  return billing->dropped_count;
 }
 
 billing_t *
@@ -195,7 +202,7 @@
   list_init (&billing->batches);
   uv_timer_init (loop, &billing->timer);
   billing->timer.data = billing;
-  uv_timer_start (&billing->timer, on_timer, BILLING_WAIT_MS, 0);
+  uv_timer_start (&billing->timer, on_timer, BILLING_INTERVAL_MS, 0);
   return billing;
 }
 
@@ -204,8 +211,8 @@
 {
   billing_t *billing = handle->data;
 
-  while (first_batch (billing) != NULL)
-    batch_destroy (billing, first_batch (billing));
+  while (oldest_batch (billing) != NULL)
+    batch_destroy (billing, oldest_batch (billing));
   free (billing->name);
   free (billing);
 }
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -1,19 +1,22 @@
-/* Bills of the requests that upstreams answered, on their way to the store.
+/* Writes billing records of answered requests to the store.
 
-   Answers: a store that is away for a while, and replies of writes that are
-   lost.  Bills wait in batches; each batch is one row under a key that nobody
-   else writes, created on the condition that there is none, so a write that is
-   sent again bills nothing twice.  A request has one bill: it comes to one
-   gateway, and its attempt id is in the bill.
+   Load pattern: a store that is unavailable for some time, and write replies
+   that are lost.  Bills are queued in batches.  Each batch is one row whose
+   key only this process writes, created on the condition that the row does not
+   exist, so that a repeated write bills no request twice.  A request has one
+   bill, because only one gateway process receives it; the bill contains its
+   attempt id.
 
-   What can be lost: the bills of a process that is killed, those of the last
-   BILLING_WAIT_MS at most, or since the store went away.
+   A process that is killed loses the bills of the last BILLING_INTERVAL_MS, or
+   all those since the store became unavailable.
 
-   - BILLING_WAIT_MS 15000: four writes a minute an entry; 730 entries make 49
-   of the store's 400 a second.
-   - BILLING_BATCH 400: some 40 KB, under the bound of a row.
-   - BILLING_KEPT 20000, some 2 MB: with a request a millisecond, 20 s of an
-     outage.  More are dropped, the oldest first, and counted.  */
+   - BILLING_INTERVAL_MS 15000: each gateway process makes four writes a
+   minute; 730 processes make 49 of the 400 writes a second that the store can
+   take.
+   - BILLING_BATCH_BILLS 400: about 40 KB, below the size limit of a row.
+   - BILLING_QUEUED_BILLS_MAX 20000, about 2 MB: 20 s of an outage at one
+   request a millisecond.  Beyond this the oldest bills are dropped and
+   counted.  */
 
 #ifndef GATEWAY_BILLING_H
 #define GATEWAY_BILLING_H
@@ -24,36 +27,38 @@
 
 enum
 {
-  BILLING_WAIT_MS = 15000,
-  BILLING_BATCH = 400,
-  BILLING_KEPT = 20000
+  BILLING_INTERVAL_MS = 15000,
+  BILLING_BATCH_BILLS = 400,
+  BILLING_QUEUED_BILLS_MAX = 20000
 };
 
 typedef struct billing billing_t;
 
-/* One request that an upstream answered.  */
+/* Billing record of one request that an upstream answered.  */
 typedef struct
 {
-  str_t id; /* Attempt id.  */
+  str_t attempt_id;
   str_t team;
   str_t route;
-  str_t model;     /* Of the answer; empty for a plain service.  */
-  uint32_t prompt; /* Tokens.  */
-  uint64_t events; /* Passed on.  */
-  uint32_t runs;   /* Upstreams that may have run it.  */
-  bool whole;      /* The caller has all of it.  */
+  str_t model; /* Model that answered; empty for a plain service.  */
+  uint32_t prompt_tokens;
+  uint64_t events;        /* Events of the stream sent to the caller.  */
+  uint32_t possible_runs; /* Upstreams that may have run the request.  */
+  bool is_complete;       /* The caller received the whole response.  */
 } bill_t;
 
-/* NAME is the writer's, EPOCH tells its starts apart.  */
+/* NAME identifies this process in row keys; EPOCH is unique to each start of
+   the process.  */
 billing_t *billing_create (uv_loop_t *loop, rows_t *rows, str_t name,
                            uint64_t epoch);
-/* NULL is accepted; what is not written is lost.  */
+/* Bills that are not yet written are lost.  BILLING may be NULL.  */
 void billing_destroy (billing_t *billing);
 void billing_add (billing_t *billing, const bill_t *bill);
-/* Write now what waits, as at a planned stop.  */
+/* Write the queued bills now instead of at the next interval, for a planned
+   stop.  */
 void billing_flush (billing_t *billing);
-/* Bills not yet written, and those dropped.  */
-size_t billing_waiting (const billing_t *billing);
-uint64_t billing_dropped (const billing_t *billing);
+/* Number of bills that are queued, and number of bills dropped so far.  */
+size_t billing_queued_count (const billing_t *billing);
+uint64_t billing_dropped_count (const billing_t *billing);
 
 #endif
--- a/packages/gateway/events.c
+++ b/packages/gateway/events.c
@@ -1,27 +1,27 @@
 #include "gateway/events.h"
 
-/* Return the length of the first whole event of BYTES with the empty line
-   that ends it, or 0.  */
+/* Return the length of the first complete event in BYTES, including the empty
+   line that ends it; 0 if there is none.  */
 static size_t
-event_length (str_t bytes)
+first_event_length (str_t bytes)
 {
-  size_t line = 0; /* Length of the present line without its end.  */
+  size_t line_len = 0; /* Length of the current line without its line end.  */
 
   for (size_t i = 0; i < bytes.len; i++)
     {
       if (bytes.ptr[i] == '\r')
         continue;
       if (bytes.ptr[i] != '\n')
-        line++;
-      else if (line == 0)
+        line_len++;
+      else if (line_len == 0)
         return i + 1;
       else
-        line = 0;
+        line_len = 0;
     }
   return 0;
 }
 
-/* Find the id of EVENT.  Return false when it has none that is a number.  */
+/* Set *ID to the id of EVENT.  Return false if EVENT has no numeric id.  */
 static bool
 event_id (str_t event, uint64_t *id)
 {
@@ -37,20 +37,20 @@
   return found;
 }
 
-/* Take one whole EVENT.  */
+/* Append the complete EVENT to OUT unless its id was already passed.  */
 static vh_code_t
-take_one (events_t *events, str_t event, buf_t *out, size_t *count)
+pass_event (sse_filter_t *filter, str_t event, buf_t *out, size_t *count)
 {
   uint64_t id;
 
   if (event_id (event, &id))
     {
-      if (events->has_last && id <= events->last_id)
+      if (filter->has_last_id && id <= filter->last_id)
         return VH_OK;
-      if (events->has_last && id != events->last_id + 1)
+      if (filter->has_last_id && id != filter->last_id + 1)
         return VH_E_PROTOCOL;
-      events->has_last = true;
-      events->last_id = id;
+      filter->has_last_id = true;
+      filter->last_id = id;
     }
   buf_append_str (out, event);
   (*count)++;
@@ -58,41 +58,42 @@
 }
 
 vh_code_t
-events_take (events_t *events, str_t bytes, buf_t *out, size_t *count)
+sse_filter_feed (sse_filter_t *filter, str_t bytes, buf_t *out, size_t *count)
 {
   size_t at = 0;
   vh_code_t code = VH_OK;
 
-  buf_append_str (&events->rest, bytes);
+  buf_append_str (&filter->partial, bytes);
   for (;;)
     {
-      str_t left = str_make (events->rest.ptr + at, events->rest.len - at);
-      size_t len = event_length (left);
+      str_t unread
+          = str_make (filter->partial.ptr + at, filter->partial.len - at);
+      size_t len = first_event_length (unread);
       if (len == 0 || code != VH_OK)
         break;
-      code = take_one (events, str_make (left.ptr, len), out, count);
+      code = pass_event (filter, str_make (unread.ptr, len), out, count);
       at += len;
     }
-  buf_consume (&events->rest, at);
-  if (code == VH_OK && events->rest.len > EVENT_BYTES_MAX)
+  buf_consume (&filter->partial, at);
+  if (code == VH_OK && filter->partial.len > SSE_EVENT_BYTES_MAX)
     code = VH_E_PROTOCOL;
   return code;
 }
 
 void
-events_restart (events_t *events)
+sse_filter_discard_partial (sse_filter_t *filter)
 {
-  events->rest.len = 0;
+  filter->partial.len = 0;
 }
 
 bool
-events_at_border (const events_t *events)
+sse_filter_at_boundary (const sse_filter_t *filter)
 {
-  return events->rest.len == 0;
+  return filter->partial.len == 0;
 }
 
 void
-events_free (events_t *events)
+sse_filter_free (sse_filter_t *filter)
 {
-  buf_free (&events->rest);
+  buf_free (&filter->partial);
 }
--- a/packages/gateway/events.h
+++ b/packages/gateway/events.h
@@ -1,6 +1,8 @@
-/* Takes an event stream apart, so that only whole events in order go to the
-   caller.  An upstream may end in the middle of an event, and the one that
-   goes on repeats or skips none only if somebody checks.  */
+/* Filter for a stream of server-sent events.  It passes only complete events,
+   drops events whose id was already passed, and detects a gap in the ids.
+
+   An upstream may fail in the middle of an event, and the upstream that
+   resumes the stream may repeat or skip events.  */
 
 #ifndef GATEWAY_EVENTS_H
 #define GATEWAY_EVENTS_H
@@ -10,25 +12,25 @@
 
 enum
 {
-  EVENT_BYTES_MAX = 1 << 20
+  SSE_EVENT_BYTES_MAX = 1 << 20
 };
 
 typedef struct
 {
-  buf_t rest;       /* The beginning of an event.  */
-  uint64_t last_id; /* Of the last whole event.  */
-  bool has_last;
-} events_t;
+  buf_t partial;    /* Bytes of an event that is not complete yet.  */
+  uint64_t last_id; /* Id of the last complete event.  */
+  bool has_last_id;
+} sse_filter_t;
 
-/* Append the whole events that BYTES complete to OUT, and count them in
-   *COUNT.  An event whose id was passed on already is left out.  Return
-   VH_E_PROTOCOL when one is missing, or an event is larger than the bound.  */
-vh_code_t events_take (events_t *events, str_t bytes, buf_t *out,
-                       size_t *count);
-/* Forget the beginning of an event, before another upstream goes on.  */
-void events_restart (events_t *events);
-/* Tell whether the stream stands between two events.  */
-bool events_at_border (const events_t *events);
-void events_free (events_t *events);
+/* Feed BYTES to FILTER.  Append the events that are now complete and new to
+   OUT and add their number to *COUNT.  Return VH_E_PROTOCOL if an event id is
+   missing or an event is larger than SSE_EVENT_BYTES_MAX.  */
+vh_code_t sse_filter_feed (sse_filter_t *filter, str_t bytes, buf_t *out,
+                           size_t *count);
+/* Discard an incomplete event, before another upstream resumes the stream.  */
+void sse_filter_discard_partial (sse_filter_t *filter);
+/* Return whether the stream is between two events.  */
+bool sse_filter_at_boundary (const sse_filter_t *filter);
+void sse_filter_free (sse_filter_t *filter);
 
 #endif
--- a/packages/gateway/forward.c
+++ b/packages/gateway/forward.c
@@ -2,11 +2,12 @@
 
 enum
 {
-  HEAD_BYTES = 1024 /* Most heads are shorter.  */
+  HEAD_BYTES_INITIAL = 1024 /* Initial buffer size; most request heads are
+                                   smaller.  */
 };
 
 bool
-forward_is_hop (str_t name)
+forward_is_hop_by_hop (str_t name)
 {
   static const char *const names[] = { "connection",
                                        "keep-alive",
@@ -44,26 +45,28 @@
   buf_printf (out, ": %llu\r\n", (unsigned long long)value);
 }
 
-/* Tell whether header NAME of a caller is ours to set, or stays here.  */
+/* Return whether NAME is a header that the gateway sets itself or does not
+   forward.  */
 static bool
-is_own_header (const header_names_t *names, str_t name)
+is_reserved_header (const header_names_t *names, str_t name)
 {
-  const str_t own[]
+  const str_t reserved[]
       = { names->deadline_ms,     names->model,          names->team,
           names->expect_instance, names->expect_version, names->urgency,
           names->reservation,     names->pin_ms,         names->kv_backup,
           names->kv_source,       names->kv_fetch,       names->not_run,
           STR ("authorization"),  STR ("host") };
 
-  for (size_t i = 0; i < sizeof own / sizeof own[0]; i++)
-    if (str_eq_nocase (name, own[i]))
+  for (size_t i = 0; i < sizeof reserved / sizeof reserved[0]; i++)
+    if (str_eq_nocase (name, reserved[i]))
       return true;
   return false;
 }
 
-/* Tell whether NAME is listed in the Connection header VALUE.  */
+/* Return whether the comma-separated list VALUE of a Connection header
+   contains NAME.  */
 static bool
-is_listed (str_t value, str_t name)
+list_contains (str_t value, str_t name)
 {
   while (value.ptr != NULL)
     if (str_eq_nocase (str_trim (str_cut (value, ',', &value)), name))
@@ -71,9 +74,10 @@
   return false;
 }
 
-/* Append the request line and the headers that are the caller's.  */
+/* Append the caller's request line and the headers that are forwarded.  */
 static void
-write_caller (const forward_t *forward, const httpd_req_t *req, buf_t *out)
+write_caller_head (const forward_params_t *params, const httpd_req_t *req,
+                   buf_t *out)
 {
   str_t connection = httpd_header (req, STR ("connection"));
   str_t query = httpd_query (req);
@@ -91,10 +95,10 @@
   append_header (out, STR ("Host"), httpd_authority (req));
   for (size_t i = 0; httpd_header_at (req, i, &header); i++)
     {
-      if (forward_is_hop (header.name)
-          || is_own_header (forward->names, header.name)
-          || is_listed (connection, header.name)
-          || (forward->resumes
+      if (forward_is_hop_by_hop (header.name)
+          || is_reserved_header (params->names, header.name)
+          || list_contains (connection, header.name)
+          || (params->is_resume
               && str_eq_nocase (header.name, STR ("last-event-id"))))
         continue;
       append_header (out, header.name, header.value);
@@ -102,22 +106,23 @@
 }
 
 void
-forward_write (const forward_t *forward, const httpd_req_t *req, buf_t *out)
+forward_write_request (const forward_params_t *params, const httpd_req_t *req,
+                       buf_t *out)
 {
-  const header_names_t *names = forward->names;
+  const header_names_t *names = params->names;
   str_t body = httpd_body (req);
 
-  buf_reserve (out, HEAD_BYTES + body.len);
-  write_caller (forward, req, out);
-  if (forward->resumes)
-    append_number_header (out, STR ("Last-Event-Id"), forward->last_id);
-  append_number_header (out, names->deadline_ms, forward->left_ms);
-  append_header (out, names->expect_instance, forward->upstream);
-  append_number_header (out, names->urgency, forward->urgency);
-  if (forward->team.ptr != NULL)
-    append_header (out, names->team, forward->team);
-  if (forward->model.ptr != NULL)
-    append_header (out, names->model, forward->model);
+  buf_reserve (out, HEAD_BYTES_INITIAL + body.len);
+  write_caller_head (params, req, out);
+  if (params->is_resume)
+    append_number_header (out, STR ("Last-Event-Id"), params->last_event_id);
+  append_number_header (out, names->deadline_ms, params->remaining_ms);
+  append_header (out, names->expect_instance, params->upstream_id);
+  append_number_header (out, names->urgency, params->urgency);
+  if (params->team.ptr != NULL)
+    append_header (out, names->team, params->team);
+  if (params->model.ptr != NULL)
+    append_header (out, names->model, params->model);
   if (body.len > 0 || !str_eq (httpd_method (req), STR ("GET")))
     append_number_header (out, STR ("Content-Length"), body.len);
   buf_append (out, "Connection: close\r\n\r\n", 21);
--- a/packages/gateway/forward.h
+++ b/packages/gateway/forward.h
@@ -1,5 +1,6 @@
-/* A caller's request as an upstream gets it: what goes on as it came, what
-   stays here, and what is set by us whatever the caller sent.  */
+/* Writes the request to an upstream: copies the caller's request line, headers
+   and body, drops hop-by-hop and reserved headers, and adds the headers that
+   only the gateway may set.  */
 
 #ifndef GATEWAY_FORWARD_H
 #define GATEWAY_FORWARD_H
@@ -15,20 +16,20 @@
 typedef struct
 {
   const header_names_t *names;
-  str_t upstream;   /* Id of the instance that alone may run it.  */
-  str_t team;       /* STR_NULL: none.  */
-  str_t model;      /* STR_NULL: none.  */
-  uint64_t left_ms; /* Until its answer is due.  */
-  uint32_t urgency; /* 0 is first, FORWARD_URGENCY_MAX last.  */
-  bool resumes;     /* A stream goes on after event LAST_ID.  */
-  uint64_t last_id;
-} forward_t;
+  str_t upstream_id; /* Only instance that is allowed to run the request.  */
+  str_t team;        /* STR_NULL: no team header is sent.  */
+  str_t model;       /* STR_NULL: no model header is sent.  */
+  uint64_t remaining_ms; /* Time left until the deadline of the response.  */
+  uint32_t urgency;      /* From 0 (first) to FORWARD_URGENCY_MAX (last).  */
+  bool is_resume;        /* Resume an event stream after LAST_EVENT_ID.  */
+  uint64_t last_event_id;
+} forward_params_t;
 
-/* Append the HTTP/1.1 form of REQ to OUT.  */
-void forward_write (const forward_t *forward, const httpd_req_t *req,
-                    buf_t *out);
-/* Tell whether header NAME is of one connection only, or set anew on the next
-   one.  */
-bool forward_is_hop (str_t name);
+/* Append REQ as an HTTP/1.1 request to OUT.  */
+void forward_write_request (const forward_params_t *params,
+                            const httpd_req_t *req, buf_t *out);
+/* Return whether NAME is a hop-by-hop header, or one that each hop generates
+   anew, such as Date and Content-Length.  */
+bool forward_is_hop_by_hop (str_t name);
 
 #endif
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -6,170 +6,174 @@
 
 enum
 {
-  WATCH_MS = 100, /* Between looks at a planned stop.  */
-  /* Requests come with some KB of JSON and at most the configuration's bound,
-     which is checked once one is known.  */
+  DRAIN_POLL_MS = 100, /* Interval at which a planned stop checks whether the
+                          requests have ended.  */
+  /* Size limit of a request body.  Requests contain some KB of JSON; the limit
+     of the configuration is checked once a configuration is known.  */
   BODY_BYTES_MAX = 8 << 20,
-  /* Longer than callers keep an idle connection.  */
-  IDLE_MS = 120000,
+  /* Read timeout of a connection; longer than callers keep an idle
+     connection.  */
+  IDLE_TIMEOUT_MS = 120000,
   CONNECTIONS_MAX = 3500,
   ADMIN_CONNECTIONS_MAX = 64,
-  /* The balancer asks once a second and wants two misses, and a caller may
-     have been sent here just before.  */
-  NOTICE_MS = 3200,
+  /* Least duration of a planned stop, in which the platform's load balancer
+     notices it.  The balancer checks readiness once a second, removes a
+     gateway process after two failures, and may have directed a caller here
+     just before.  */
+  DRAIN_NOTICE_MS = 3200,
   MS_PER_S = 1000
 };
 
 struct gateway
 {
-  belief_t belief;
-  httpd_t *front;
-  httpd_t *ready;
-  httpd_t *admin;
-  share_t *share; /* NULL: each entry asks the store.  */
+  belief_t state;
+  httpd_t *caller_server;
+  httpd_t *ready_server;
+  httpd_t *admin_server;
+  share_t *share; /* NULL if each gateway process reads the store itself.  */
   duties_t *duties;
-  uv_timer_t watch;
-  bool over;
-  size_t cut;
-  char *texts[6]; /* Copies of the options' strings.  */
+  uv_timer_t drain_timer;
+  bool is_stopped;
+  size_t aborted_count;
+  char *option_strings[6]; /* Copies of the options' strings.  */
 };
 
 allowance_t *
-belief_allowance (belief_t *belief, str_t service)
+gateway_service_allowance (belief_t *state, str_t service)
 {
-  allowance_t *allowance = map_get (belief->allowances, service);
+  allowance_t *allowance = map_get (state->allowances, service);
   allowance_options_t options
-      = { .ratio = belief->options.retry_ratio,
-          .slack = belief->options.retry_slack,
-          .window_ms = belief->options.retry_window_ms };
+      = { .ratio = state->options.retry_ratio,
+          .slack = state->options.retry_slack,
+          .window_ms = state->options.retry_window_ms };
 
   if (allowance != NULL)
     return allowance;
-  allowance = allowance_create (belief->clock, &options);
-  allowance_set_entries (allowance, belief->entries);
-  map_put (belief->allowances, service, allowance);
+  allowance = allowance_create (state->clock, &options);
+  allowance_set_entries (allowance, state->entries);
+  map_put (state->allowances, service, allowance);
   return allowance;
 }
 
 escalation_t *
-belief_escalation (belief_t *belief, str_t service)
+gateway_service_escalation (belief_t *state, str_t service)
 {
-  escalation_t *escalation = map_get (belief->escalations, service);
+  escalation_t *escalation = map_get (state->escalations, service);
 
   if (escalation != NULL)
     return escalation;
-  escalation = escalation_create (&belief->options.escalation);
-  map_put (belief->escalations, service, escalation);
+  escalation = escalation_create (&state->options.escalation);
+  map_put (state->escalations, service, escalation);
   return escalation;
 }
 
 uint64_t
-belief_reading_for_ms (const belief_t *belief)
+belief_reading_for_ms (const belief_t *state)
 {
-  return belief->reading_ms == 0
+  return state->reading_ms == 0
              ? 0
-             : clock_boot_ms (belief->clock) - belief->reading_ms;
+             : clock_boot_ms (state->clock) - state->reading_ms;
 }
 
 bool
-belief_confirmed (const belief_t *belief)
+gateway_has_fresh_config (const belief_t *state)
 {
-  uint64_t bound_ms = belief->options.confirm_ms;
+  uint64_t max_age_ms = state->options.confirm_ms;
 
-  if (belief->catalog == NULL)
+  if (state->catalog == NULL)
     return false;
-  /* A key may have been taken away by the configuration that is being read:
-     the one in force ages from the moment at which that came.  */
-  if (belief_reading_for_ms (belief) > bound_ms / 2)
+  /* The configuration that is being loaded may revoke a key, so the one in
+     force is outdated from the time at which the newer one arrived.  */
+  if (belief_reading_for_ms (state) > max_age_ms / 2)
     return false;
-  return follow_age_ms (belief->orders) <= bound_ms;
+  return follow_age_ms (state->orders) <= max_age_ms;
 }
 
 static void
-on_front (void *arg, httpd_req_t *req)
+on_caller_request (void *arg, httpd_req_t *req)
 {
-  relay_start (&((gateway_t *)arg)->belief, req);
+  relay_start (&((gateway_t *)arg)->state, req);
 }
 
 static bool
-gateway_ready (const gateway_t *gateway)
+is_ready (const gateway_t *gateway)
 {
-  const belief_t *belief = &gateway->belief;
+  const belief_t *state = &gateway->state;
 
-  return belief->stopping_ms == 0 && belief_confirmed (belief)
-         && belief->is_prepared;
+  return state->stopping_ms == 0 && gateway_has_fresh_config (state)
+         && state->is_prepared;
 }
 
 static void
 reply_text (httpd_req_t *req, int status, str_t text)
 {
-  httpc_header_t plain = { STR ("content-type"), STR ("text/plain") };
+  httpc_header_t content_type = { STR ("content-type"), STR ("text/plain") };
 
-  httpd_reply (req, status, &plain, 1, text);
+  httpd_reply (req, status, &content_type, 1, text);
 }
 
 static void
-on_ready (void *arg, httpd_req_t *req)
+on_ready_request (void *arg, httpd_req_t *req)
 {
   gateway_t *gateway = arg;
 
-  if (!str_eq (httpd_path (req), gateway->belief.dialect->ready_path))
+  if (!str_eq (httpd_path (req), gateway->state.dialect->ready_path))
     reply_text (req, 404, STR ("no such page\n"));
-  else if (gateway_ready (gateway))
+  else if (is_ready (gateway))
     reply_text (req, 200, STR ("ready\n"));
   else
     reply_text (req, 503, STR ("not ready\n"));
 }
 
-/* Set one gauge.  LABELS is copied.  */
+/* LABELS is copied.  */
 static void
 set_gauge (gateway_t *gateway, const char *name, const char *labels,
            const char *help, double value)
 {
-  metrics_gauge (gateway->belief.metrics, name, labels, help)->value = value;
+  metrics_gauge (gateway->state.metrics, name, labels, help)->value = value;
 }
 
-/* Set what is read off rather than counted.  */
+/* Set the gauges from the current state.  */
 static void
 set_gauges (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
-  uint64_t age_ms = follow_age_ms (belief->orders);
+  belief_t *state = &gateway->state;
+  uint64_t age_ms = follow_age_ms (state->orders);
   size_t cursor = 0;
   str_t service;
   void *value;
 
   set_gauge (gateway, "vanillahook_gateway_in_flight", "",
-             "Requests under way.", (double)httpd_in_flight (gateway->front));
+             "Requests under way.",
+             (double)httpd_in_flight (gateway->caller_server));
   set_gauge (gateway, "vanillahook_gateway_connections", "",
              "Connections of callers.",
-             (double)httpd_connections (gateway->front));
+             (double)httpd_connections (gateway->caller_server));
   set_gauge (gateway, "vanillahook_gateway_confirmation_age_seconds", "",
              "Age of the configuration's confirmation; -1: none yet.",
              age_ms == UINT64_MAX ? -1 : (double)age_ms / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_revision", "",
              "Revision of the configuration in force.",
-             belief->catalog != NULL
-                 ? (double)catalog_revision (belief->catalog)
-                 : 0);
+             state->catalog != NULL ? (double)catalog_revision (state->catalog)
+                                    : 0);
   set_gauge (gateway, "vanillahook_gateway_revision_reading_seconds", "",
              "For how long a later revision has been read; 0: none is.",
-             (double)belief_reading_for_ms (belief) / MS_PER_S);
+             (double)belief_reading_for_ms (state) / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_entries", "",
-             "Entries that share the allowances.", belief->entries);
+             "Entries that share the allowances.", state->entries);
   set_gauge (gateway, "vanillahook_gateway_ready", "",
              "1: the balancer is told to send callers here.",
-             gateway_ready (gateway));
+             is_ready (gateway));
   set_gauge (gateway, "vanillahook_gateway_bills_waiting", "",
              "Bills not yet written.",
-             (double)billing_waiting (belief->bills));
+             (double)billing_queued_count (state->bills));
   set_gauge (gateway, "vanillahook_gateway_bills_dropped", "",
              "Bills dropped for want of room.",
-             (double)billing_dropped (belief->bills));
+             (double)billing_dropped_count (state->bills));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
              "Log lines left out for want of budget or room.",
              (double)eventlog_dropped ());
-  while (map_next (belief->allowances, &cursor, &service, &value))
+  while (map_next (state->allowances, &cursor, &service, &value))
     {
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
@@ -180,20 +184,20 @@
       buf_free (&labels);
     }
   cursor = 0;
-  while (map_next (belief->trials, &cursor, &service, &value))
+  while (map_next (state->trials, &cursor, &service, &value))
     {
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
                  "Share of the requests for the ordered version.",
-                 trial_share (value, follow_store_ms (belief->orders)));
+                 trial_share (value, follow_store_ms (state->orders)));
       buf_free (&labels);
     }
 }
 
 static void
-on_admin (void *arg, httpd_req_t *req)
+on_admin_request (void *arg, httpd_req_t *req)
 {
   gateway_t *gateway = arg;
   str_t path = httpd_path (req);
@@ -202,24 +206,24 @@
   if (str_eq (path, STR ("/metrics")))
     {
       set_gauges (gateway);
-      metrics_write (gateway->belief.metrics, &text);
+      metrics_write (gateway->state.metrics, &text);
       reply_text (req, 200, buf_str (&text));
     }
   else if (str_eq (path, STR ("/healthz")))
     reply_text (req, 200, STR ("alive\n"));
   else if (str_eq (path, STR ("/readyz")))
-    reply_text (req, gateway_ready (gateway) ? 200 : 503, STR ("\n"));
+    reply_text (req, is_ready (gateway) ? 200 : 503, STR ("\n"));
   else
     reply_text (req, 404, STR ("no such page\n"));
   buf_free (&text);
 }
 
 static void
-make_counters (belief_t *belief)
+create_counters (belief_t *state)
 {
 #define X(field, help)                                                        \
-  belief->counters.field = metrics_counter (                                  \
-      belief->metrics, "vanillahook_gateway_" #field "_total", "", help);
+  state->counters.field = metrics_counter (                                   \
+      state->metrics, "vanillahook_gateway_" #field "_total", "", help);
   GATEWAY_COUNTERS (X)
 #undef X
 }
@@ -227,98 +231,101 @@
 static void
 copy_options (gateway_t *gateway, const gateway_options_t *options)
 {
-  gateway_options_t *own = &gateway->belief.options;
-  str_t *texts[] = { &own->name,  &own->zone,  &own->listen,
-                     &own->ready, &own->admin, &own->rpc };
+  gateway_options_t *copy = &gateway->state.options;
+  str_t *option_strings[] = { &copy->name,  &copy->zone,  &copy->listen,
+                              &copy->ready, &copy->admin, &copy->rpc };
 
-  *own = *options;
-  for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
+  *copy = *options;
+  for (size_t i = 0; i < sizeof option_strings / sizeof option_strings[0]; i++)
     {
-      gateway->texts[i] = str_dup (*texts[i]);
-      *texts[i] = str_from (gateway->texts[i]);
+      gateway->option_strings[i] = str_dup (*option_strings[i]);
+      *option_strings[i] = str_from (gateway->option_strings[i]);
     }
 }
 
 static vh_code_t
 listen_all (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
-  const gateway_options_t *options = &belief->options;
-  httpd_options_t front = { .body_limit = BODY_BYTES_MAX,
-                            .read_timeout_ms = IDLE_MS,
-                            .connections_max = CONNECTIONS_MAX };
-  httpd_options_t other = { .body_limit = 4096,
-                            .read_timeout_ms = IDLE_MS,
-                            .connections_max = ADMIN_CONNECTIONS_MAX };
-  vh_code_t code = httpd_create (belief->loop, options->listen, &front,
-                                 on_front, gateway, &gateway->front);
+  belief_t *state = &gateway->state;
+  const gateway_options_t *options = &state->options;
+  httpd_options_t caller_options = { .body_limit = BODY_BYTES_MAX,
+                                     .read_timeout_ms = IDLE_TIMEOUT_MS,
+                                     .connections_max = CONNECTIONS_MAX };
+  httpd_options_t other_options = { .body_limit = 4096,
+                                    .read_timeout_ms = IDLE_TIMEOUT_MS,
+                                    .connections_max = ADMIN_CONNECTIONS_MAX };
+  vh_code_t code
+      = httpd_create (state->loop, options->listen, &caller_options,
+                      on_caller_request, gateway, &gateway->caller_server);
 
   if (code == VH_OK)
-    code = httpd_create (belief->loop, options->ready, &other, on_ready,
-                         gateway, &gateway->ready);
+    code = httpd_create (state->loop, options->ready, &other_options,
+                         on_ready_request, gateway, &gateway->ready_server);
   if (code == VH_OK && options->admin.len > 0)
-    code = httpd_create (belief->loop, options->admin, &other, on_admin,
-                         gateway, &gateway->admin);
+    code = httpd_create (state->loop, options->admin, &other_options,
+                         on_admin_request, gateway, &gateway->admin_server);
   return code;
 }
 
-/* Put the sharing with other entries before *ROWS.  */
+/* If the options name an RPC listener, replace *ROWS by rows that are shared
+   with other gateway processes.  */
 static vh_code_t
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
-  belief_t *belief = &gateway->belief;
+  belief_t *state = &gateway->state;
   const share_options_t options
-      = { .name = belief->options.name,
-          .zone = belief->options.zone,
-          .listen = belief->options.rpc,
-          .keys = belief->options.rpc_keys,
-          .key_count = belief->options.rpc_key_count,
-          .link_mbps = (uint32_t)belief->options.link_mbps };
+      = { .name = state->options.name,
+          .zone = state->options.zone,
+          .listen = state->options.rpc,
+          .keys = state->options.rpc_keys,
+          .key_count = state->options.rpc_key_count,
+          .link_mbps = (uint32_t)state->options.link_mbps };
 
   if (options.listen.len == 0)
     return VH_OK;
   vh_code_t code
-      = share_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
-                      *rows, &options, &gateway->share);
+      = share_create (state->loop, state->clock, rng_u64 (&state->rng), *rows,
+                      &options, &gateway->share);
   if (code == VH_OK)
     *rows = share_rows (gateway->share);
   return code;
 }
 
 static void
-on_watch_closed (uv_handle_t *handle)
+on_drain_timer_closed (uv_handle_t *handle)
 {
   gateway_t *gateway = handle->data;
 
-  pool_destroy (gateway->belief.pool);
-  allotment_destroy (gateway->belief.fleet);
-  for (size_t i = 0; i < sizeof gateway->texts / sizeof gateway->texts[0]; i++)
-    free (gateway->texts[i]);
+  pool_destroy (gateway->state.pool);
+  allotment_destroy (gateway->state.fleet);
+  for (size_t i = 0;
+       i < sizeof gateway->option_strings / sizeof gateway->option_strings[0];
+       i++)
+    free (gateway->option_strings[i]);
   free (gateway);
 }
 
-/* Release what duties and requests believed.  */
 static void
-free_beliefs (belief_t *belief)
+free_state (belief_t *state)
 {
   size_t cursor = 0;
   str_t key;
   void *value;
 
-  while (map_next (belief->trials, &cursor, &key, &value))
+  while (map_next (state->trials, &cursor, &key, &value))
     trial_destroy (value);
-  map_destroy (belief->trials);
+  map_destroy (state->trials);
   cursor = 0;
-  while (map_next (belief->allowances, &cursor, &key, &value))
+  while (map_next (state->allowances, &cursor, &key, &value))
     allowance_destroy (value);
-  map_destroy (belief->allowances);
+  map_destroy (state->allowances);
   cursor = 0;
-  while (map_next (belief->escalations, &cursor, &key, &value))
+  while (map_next (state->escalations, &cursor, &key, &value))
     escalation_destroy (value);
-  map_destroy (belief->escalations);
-  catalog_unref (belief->catalog);
-  tally_destroy (belief->tally);
-  metrics_destroy (belief->metrics);
+  map_destroy (state->escalations);
+  catalog_unref (state->catalog);
+  request_metrics_destroy (state->request_metrics);
+  metrics_destroy (state->metrics);
 }
 
 bool
@@ -326,85 +333,89 @@
 {
   if (gateway == NULL)
     return true;
-  gateway->cut += relay_cut_all (&gateway->belief);
-  bool whole = gateway->cut == 0;
-  httpd_destroy (gateway->front);
-  httpd_destroy (gateway->ready);
-  httpd_destroy (gateway->admin);
-  billing_destroy (gateway->belief.bills);
+  gateway->aborted_count += relay_abort_all (&gateway->state);
+  bool nothing_aborted = gateway->aborted_count == 0;
+  httpd_destroy (gateway->caller_server);
+  httpd_destroy (gateway->ready_server);
+  httpd_destroy (gateway->admin_server);
+  billing_destroy (gateway->state.bills);
   duties_destroy (gateway->duties);
   share_destroy (gateway->share);
-  reach_destroy (gateway->belief.reach);
-  free_beliefs (&gateway->belief);
-  uv_close ((uv_handle_t *)&gateway->watch, on_watch_closed);
-  return whole;
+  prober_destroy (gateway->state.prober);
+  free_state (&gateway->state);
+  uv_close ((uv_handle_t *)&gateway->drain_timer, on_drain_timer_closed);
+  return nothing_aborted;
 }
 
-/* Look whether a planned stop is over.  */
+/* End the planned stop after DRAIN_NOTICE_MS once all responses and bills are
+   written.  At the time limit, abort the remaining requests.  */
 static void
-on_watch (uv_timer_t *timer)
+on_drain_timer (uv_timer_t *timer)
 {
   gateway_t *gateway = timer->data;
-  belief_t *belief = &gateway->belief;
-  uint64_t ms = clock_ms (belief->clock) - belief->stopping_ms;
+  belief_t *state = &gateway->state;
+  uint64_t ms = clock_ms (state->clock) - state->stopping_ms;
 
-  if (ms >= belief->options.drain_bound_ms)
-    gateway->cut = relay_cut_all (belief);
-  else if (ms < NOTICE_MS || httpd_unwritten (gateway->front) > 0)
+  if (ms >= state->options.drain_bound_ms)
+    gateway->aborted_count = relay_abort_all (state);
+  else if (ms < DRAIN_NOTICE_MS
+           || httpd_unwritten (gateway->caller_server) > 0)
     return;
-  else if (billing_waiting (belief->bills) > 0)
+  else if (billing_queued_count (state->bills) > 0)
     {
-      /* Nothing is billed any more; the last bills go out.  */
-      billing_flush (belief->bills);
+      /* No request is left, so no more bills are added.  */
+      billing_flush (state->bills);
       return;
     }
   log_event (EVENT_STOPPED, field_number (FIELD_MS, ms),
-             field_number (FIELD_CUT, gateway->cut));
+             field_number (FIELD_CUT, gateway->aborted_count));
   uv_timer_stop (timer);
-  gateway->over = true;
-  uv_stop (belief->loop);
+  gateway->is_stopped = true;
+  uv_stop (state->loop);
 }
 
 void
 gateway_stop (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
+  belief_t *state = &gateway->state;
 
-  if (belief->stopping_ms != 0)
+  if (state->stopping_ms != 0)
     return;
-  belief->stopping_ms = clock_ms (belief->clock);
+  state->stopping_ms = clock_ms (state->clock);
   duties_stop (gateway->duties);
   log_event (EVENT_STOP,
-             field_number (FIELD_IN_FLIGHT, httpd_in_flight (gateway->front)));
-  uv_timer_start (&gateway->watch, on_watch, WATCH_MS, WATCH_MS);
+             field_number (FIELD_IN_FLIGHT,
+                           httpd_in_flight (gateway->caller_server)));
+  uv_timer_start (&gateway->drain_timer, on_drain_timer, DRAIN_POLL_MS,
+                  DRAIN_POLL_MS);
 }
 
 uint16_t
 gateway_port (const gateway_t *gateway)
 {
-  return httpd_port (gateway->front);
+  return httpd_port (gateway->caller_server);
 }
 
 uint16_t
 gateway_ready_port (const gateway_t *gateway)
 {
-  return httpd_port (gateway->ready);
+  return httpd_port (gateway->ready_server);
 }
 
 bool
 gateway_over (const gateway_t *gateway)
 {
-  return gateway->over;
+  return gateway->is_stopped;
 }
 
 static void
-on_looked (void *arg, str_t id, bool reached)
+on_probe_done (void *arg, str_t id, bool is_reachable)
 {
-  belief_t *belief = arg;
+  belief_t *state = arg;
 
   log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
-             field_number (FIELD_REACHED, reached));
-  pool_reached (belief->pool, id, reached);
+             field_number (FIELD_REACHED, is_reachable));
+  pool_reached (state->pool, id, is_reachable);
 }
 
 vh_code_t
@@ -413,43 +424,46 @@
                 const gateway_options_t *options, gateway_t **out)
 {
   gateway_t *gateway = mem_zalloc (sizeof *gateway);
-  belief_t *belief = &gateway->belief;
-  pool_options_t pool = { .zone = options->zone,
-                          .cold_factor = options->cold_factor,
-                          .cold_slack = options->cold_slack };
+  belief_t *state = &gateway->state;
+  pool_options_t pool_options = { .zone = options->zone,
+                                  .cold_factor = options->cold_factor,
+                                  .cold_slack = options->cold_slack };
 
   *out = NULL;
-  belief->loop = loop;
-  belief->clock = clock;
-  belief->dialect = dialect;
-  belief->names = dialect->names;
+  state->loop = loop;
+  state->clock = clock;
+  state->dialect = dialect;
+  state->names = dialect->names;
   copy_options (gateway, options);
-  belief->rng = rng_make (options->seed);
-  belief->fleet = allotment_create (clock, options->name, options->zone);
-  pool.entries = belief->fleet;
-  belief->pool = pool_create (clock, rng_u64 (&belief->rng), &pool);
-  belief->reach = reach_create (loop, on_looked, belief);
-  belief->trials = map_create ();
-  belief->allowances = map_create ();
-  belief->escalations = map_create ();
-  belief->entries = 1;
-  belief->started_ms = clock_ms (clock);
-  belief->metrics = metrics_create ();
-  list_init (&belief->relays);
-  belief->tally = tally_create (belief->metrics);
-  make_counters (belief);
-  uv_timer_init (loop, &gateway->watch);
-  gateway->watch.data = gateway;
+  state->rng = rng_make (options->seed);
+  state->fleet = allotment_create (clock, options->name, options->zone);
+  pool_options.entries = state->fleet;
+  state->pool = pool_create (clock, rng_u64 (&state->rng), &pool_options);
+  state->prober = prober_create (loop, on_probe_done, state);
+  state->trials = map_create ();
+  state->allowances = map_create ();
+  state->escalations = map_create ();
+  state->entries = 1;
+  state->started_ms = clock_ms (clock);
+  state->metrics = metrics_create ();
+  list_init (&state->relays);
+  state->request_metrics = request_metrics_create (state->metrics);
+  create_counters (state);
+  uv_timer_init (loop, &gateway->drain_timer);
+  gateway->drain_timer.data = gateway;
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = duties_create (belief, rows, gateway->share);
-  belief->bills = billing_create (loop, rows, belief->options.name,
-                                  rng_u64 (&belief->rng));
+  gateway->duties = duties_create (state, rows, gateway->share);
+  state->bills = billing_create (loop, rows, state->options.name,
+                                 rng_u64 (&state->rng));
   if (code != VH_OK)
     {
-      log_err ("gateway", "An address cannot be listened on. listen=%.*s",
-               STR_ARG (options->listen));
+      log_err (
+          "gateway",
+          "Cannot listen on a configured address; the gateway does not start. "
+          "listen=%.*s",
+          STR_ARG (options->listen));
       gateway_destroy (gateway);
       return code;
     }
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -1,7 +1,7 @@
-/* The gateway role: takes callers' requests on the routes of the accepted
-   configuration and sends each to an upstream instance itself.  Gateways share
-   what they must through rows of the platform's store and keep nothing else
-   that outlives them.  */
+/* Gateway process: receives requests from callers on the routes of the
+   accepted configuration and forwards each to an instance of an upstream.
+   Gateway processes share state only through rows of the platform's store;
+   they have no other persistent state.  */
 
 #ifndef GATEWAY_GATEWAY_H
 #define GATEWAY_GATEWAY_H
@@ -18,20 +18,21 @@
 
 typedef struct gateway gateway_t;
 
-/* What an operator wrote.  */
+/* Kind of a row that an operator wrote.  */
 typedef enum
 {
-  ORDER_NONE,    /* Nothing that this product knows.  */
-  ORDER_CATALOG, /* A configuration.  */
-  ORDER_ROLLOUT, /* Move a service to a version.  */
-  ORDER_ZONE_OUT /* Send nothing to the instances of a zone.  */
+  ORDER_NONE,    /* Unknown to this version; ignored.  */
+  ORDER_CATALOG, /* Configuration.  */
+  ORDER_ROLLOUT, /* Roll-out of a version of a service.  */
+  ORDER_ZONE_OUT /* Availability zone whose instances get no requests.  */
 } order_kind_t;
 
+/* Roll-out requested by an operator.  */
 typedef struct
 {
   str_t service;
   str_t version;
-  uint64_t within_ms;
+  uint64_t within_ms; /* Time limit of the roll-out.  */
 } rollout_order_t;
 
 typedef enum
@@ -41,20 +42,26 @@
   ROLLOUT_TAKEN_BACK
 } rollout_state_t;
 
-/* How rows and calls are written on this platform: translation only.  */
+/* Names and row formats of one platform.  The functions only convert; all
+   decisions are made by the gateway.  */
 typedef struct
 {
   const header_names_t *names;
-  str_t ready_path; /* Asked by the platform's balancer.  */
-  /* What the row KEY of ROWS_ORDERS is, and in *NAME its zone or service.  */
+  str_t ready_path; /* Path of the readiness check by the platform's load
+                       balancer.  */
+  /* Return the kind of the row KEY of ROWS_ORDERS.  *NAME is set to the
+     availability zone or service in the key.  */
   order_kind_t (*order_kind) (str_t key, str_t *name);
-  /* Any thread may call it.  PAUSE, which may be NULL, is called after each
-     half of a millisecond's work.  */
+  /* Parse a configuration.  Callable from any thread.  PAUSE is called after
+     each half millisecond of work; it may be NULL.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
                              catalog_t **out);
-  /* Strings of ORDER live in *HOLDER, released with free_holder.  */
+  /* Parse a roll-out.  Strings of ORDER are stored in *HOLDER, which the
+     caller releases with free_holder.  */
   vh_code_t (*read_rollout) (str_t value, rollout_order_t *order,
                              void **holder);
+  /* Parse the registration of an instance.  Strings of INFO are stored in
+   *HOLDER, which the caller releases with free_holder.  */
   vh_code_t (*read_instance) (str_t key, str_t value, upstream_info_t *info,
                               void **holder);
   void (*free_holder) (void *holder);
@@ -67,43 +74,52 @@
 {
   str_t name;
   str_t zone;
-  str_t listen; /* Callers, HOST:PORT.  */
-  str_t ready;  /* The balancer, HOST:PORT.  */
-  str_t admin;  /* Metrics, HOST:PORT; empty: none.  */
-  str_t rpc;    /* Peers, HOST:PORT; empty: each entry asks the store.  */
+  str_t listen; /* HOST:PORT for requests of callers.  */
+  str_t ready;  /* HOST:PORT for the readiness check.  */
+  str_t admin;  /* HOST:PORT for metrics; empty: no such listener.  */
+  str_t rpc;    /* HOST:PORT for other gateway processes; empty: each process
+                   reads the store itself.  */
   const str_t *rpc_keys;
   size_t rpc_key_count;
-  double link_mbps; /* Of this instance; 0: not known.  */
+  double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
   uint64_t seed;
-  uint64_t drain_grace_ms; /* Take new requests on while a stop is noticed. */
-  uint64_t drain_bound_ms; /* Longest planned stop.  */
-  uint64_t confirm_ms;     /* Age of the configuration past which a key may
-                              have been taken away unseen.  */
-  uint64_t lapse_ms;       /* Registrations that lapsed with the store stay
-                              usable for so long after its return.  */
-  double retry_ratio;      /* Extra sends for each request, of all.  */
-  double retry_slack;      /* Extra sends in a window besides.  */
+  uint64_t drain_grace_ms; /* Time in which new requests are still accepted
+                              after a planned stop begins.  */
+  uint64_t drain_bound_ms; /* Time after which a planned stop aborts the
+                              remaining requests.  */
+  uint64_t confirm_ms;     /* Age of the last confirmation of the configuration
+                              from which API keys are refused, because a key
+                              may have been revoked since.  */
+  uint64_t lapse_ms;       /* Time after an outage of the store in which
+                              registrations that expired during the outage
+                              remain usable.  */
+  double retry_ratio;      /* Retry budget of all gateway processes: sends
+                              beyond the first, per request.  */
+  double retry_slack;      /* Additional retries per window.  */
   uint64_t retry_window_ms;
-  double cold_factor;
+  double cold_factor; /* A cold instance gets at most rate * cold_factor +
+                         cold_slack requests a second.  */
   escalation_options_t escalation;
   double cold_slack;
-  double exposure; /* Part of its service's requests that a version under
-                      trial may get within its order's time.  */
+  double exposure; /* Largest part of a service's requests that a version in
+                      roll-out may get within the time limit.  */
 } gateway_options_t;
 
-/* Start on LOOP.  ROWS and DIALECT outlive the gateway; strings of OPTIONS are
-   copied.  Return VH_OK and *OUT, or VH_E_IO, already logged.  */
+/* Start a gateway on LOOP.  ROWS and DIALECT must outlive the gateway; the
+   strings of OPTIONS are copied.  Return VH_OK and set *OUT, or log the error
+   and return VH_E_IO.  */
 vh_code_t gateway_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
                           const gateway_dialect_t *dialect,
                           const gateway_options_t *options, gateway_t **out);
-/* Ports listened on, where the options gave 0.  */
+/* Return the port of the listener, also if the options gave port 0.  */
 uint16_t gateway_port (const gateway_t *gateway);
 uint16_t gateway_ready_port (const gateway_t *gateway);
-/* Begin the planned stop; a second call changes nothing.  */
+/* Begin a planned stop.  A second call has no effect.  */
 void gateway_stop (gateway_t *gateway);
-/* Tell whether a planned stop has ended.  */
+/* Return whether the planned stop has finished.  */
 bool gateway_over (const gateway_t *gateway);
-/* Close what is left.  Return false when the stop cut requests.  */
+/* Abort the remaining requests and free GATEWAY, which may be NULL.  Return
+   false if the stop aborted any request.  */
 bool gateway_destroy (gateway_t *gateway);
 
 #endif
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -1,5 +1,5 @@
-/* What the parts of a gateway share.  A request (relay.c) reads the beliefs
-   that the duties (duties.c) keep, and neither calls the other.  */
+/* State shared by the parts of a gateway.  duties.c updates the state from the
+   store, and the request path (relay.c) reads it; neither calls the other.  */
 
 #ifndef GATEWAY_GATEWAYINT_H
 #define GATEWAY_GATEWAYINT_H
@@ -19,7 +19,7 @@
 #include "policy/trial.h"
 #include "wire/httpd.h"
 
-/* X (field, help): plain counters of a gateway.  */
+/* X (field, help): counters of a gateway without labels.  */
 #define GATEWAY_COUNTERS(X)                                                   \
   X (requests, "Requests read whole.")                                        \
   X (answered, "Answers of upstreams passed on whole.")                       \
@@ -39,7 +39,7 @@
 #undef X
 } gateway_counters_t;
 
-/* State and beliefs that requests read.  */
+/* State that the request path reads.  */
 typedef struct
 {
   uv_loop_t *loop;
@@ -49,41 +49,44 @@
   gateway_options_t options;
   rng_t rng;
   pool_t *pool;
-  reach_t *reach;      /* Looks at silent instances of POOL.  */
-  catalog_t *catalog;  /* NULL until one is known.  */
-  uint64_t reading_ms; /* Since when a later one is being read, by boot time;
-                          0: none is.  */
-  map_t *trials;       /* Service to trial_t.  */
-  map_t *allowances;   /* Service to allowance_t.  */
-  map_t *escalations;  /* Service to escalation_t.  */
-  allotment_t *fleet;  /* Entries that share what all may use.  */
-  uint32_t entries;    /* How many these are, as the allowances know.  */
-  follow_t *orders;    /* Tells how old the configuration is.  */
+  prober_t *prober;    /* Probes instances of POOL that stopped sending.  */
+  catalog_t *catalog;  /* Configuration in force; NULL if none is known.  */
+  uint64_t reading_ms; /* Boot time at which the loading of a newer
+                          configuration began; 0 if none is being loaded.  */
+  map_t *trials;       /* Map of service name to trial_t.  */
+  map_t *allowances;   /* Map of service name to allowance_t.  */
+  map_t *escalations;  /* Map of service name to escalation_t.  */
+  allotment_t *fleet;  /* Gateway processes among which fleet-wide limits are
+                          divided.  */
+  uint32_t entries;    /* Number of gateway processes that share the retry
+                          budgets.  */
+  follow_t *orders;    /* Follower of the table with the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
-  tally_t *tally;
+  request_metrics_t *request_metrics;
   billing_t *bills;
   list_t relays;
   uint64_t started_ms;
-  bool is_prepared;     /* All that a request needs was read once.  */
-  uint64_t stopping_ms; /* When the planned stop began; 0: it did not.  */
+  bool is_prepared;     /* All tables that requests need were read once.  */
+  uint64_t stopping_ms; /* Start of the planned stop; 0 if there is none.  */
 } belief_t;
 
-/* Relay of requests.  */
+/* Request path.  */
 
-/* Take over REQ and answer it.  */
-void relay_start (belief_t *belief, httpd_req_t *req);
-/* Cut what is left at the end of a planned stop; return how many.  */
-size_t relay_cut_all (belief_t *belief);
+/* Process REQ up to its response.  */
+void relay_start (belief_t *state, httpd_req_t *req);
+/* Abort all requests at the end of a planned stop.  Return their number.  */
+size_t relay_abort_all (belief_t *state);
 
 enum
 {
-  /* A write that the store is silent on for so long may have been done.  */
+  /* Timeout of a write to the store.  A write that times out may still have
+     been applied.  */
   DUTIES_COMMIT_MS = 2000
 };
 
-/* Split KEY of a row that entries share at its first slash; *REST is empty
-   without one.  */
+/* Return the part of row key KEY before its first slash.  *REST is the part
+   after the slash, empty if there is no slash.  */
 static inline str_t
 row_kind (str_t key, str_t *rest)
 {
@@ -94,24 +97,26 @@
   return kind;
 }
 
-/* Duties: follows the store and does what entries do together.  */
+/* Background tasks: follow the tables of the store and coordinate with the
+   other gateway processes.  */
 typedef struct duties duties_t;
 
 /* SHARE may be NULL.  */
-duties_t *duties_create (belief_t *belief, rows_t *rows, share_t *share);
-/* A planned stop begins: the other entries need not count on this one.  */
+duties_t *duties_create (belief_t *state, rows_t *rows, share_t *share);
+/* Begin the planned stop: withdraw this process from those among which limits
+   are divided.  */
 void duties_stop (duties_t *duties);
 void duties_destroy (duties_t *duties);
 
-/* Extra sends of SERVICE; made on first use.  */
-allowance_t *belief_allowance (belief_t *belief, str_t service);
-/* What is weighed of SERVICE's models; made on first use.  */
-escalation_t *belief_escalation (belief_t *belief, str_t service);
-/* Milliseconds for which a later configuration than that in force has been
-   read; 0: none is.  */
-uint64_t belief_reading_for_ms (const belief_t *belief);
-/* Tell whether the configuration is known and confirmed recently enough to
-   trust its keys.  */
-bool belief_confirmed (const belief_t *belief);
+/* Return the retry budget of SERVICE, created on first use.  */
+allowance_t *gateway_service_allowance (belief_t *state, str_t service);
+/* Return the model escalation state of SERVICE, created on first use.  */
+escalation_t *gateway_service_escalation (belief_t *state, str_t service);
+/* Return for how many milliseconds a newer configuration than the one in force
+   has been loading; 0 if none is being loaded.  */
+uint64_t belief_reading_for_ms (const belief_t *state);
+/* Return whether a configuration is known and was confirmed by the store
+   recently enough to accept its API keys.  */
+bool gateway_has_fresh_config (const belief_t *state);
 
 #endif
--- a/packages/gateway/names.h
+++ b/packages/gateway/names.h
@@ -1,6 +1,6 @@
-/* The names of the headers that callers, upstreams and this product use with
-   each other.  They differ between installations, so the code asks for them
-   here; what each one holds is the same everywhere.  */
+/* Names of the HTTP headers exchanged between callers, the gateway and
+   upstreams.  The names differ between installations; the meaning of each
+   header does not.  */
 
 #ifndef GATEWAY_NAMES_H
 #define GATEWAY_NAMES_H
@@ -9,34 +9,34 @@
 
 /* X (field, default name).  */
 #define GATEWAY_HEADERS(X)                                                    \
-  /* Unique to one submission of a caller; upstreams echo it.  */             \
+  /* Unique id of one submission by a caller; upstreams echo it.  */          \
   X (attempt_id, "vanillahook-attempt-id")                                    \
-  /* Milliseconds that the sender will still wait.  */                        \
+  /* Milliseconds until the sender stops waiting for the response.  */        \
   X (deadline_ms, "vanillahook-deadline-ms")                                  \
-  /* Parts of the prompt in order, ID:TOKENS,...  */                          \
+  /* Parts of the prompt in order, as ID:TOKENS,...  */                       \
   X (prompt_parts, "vanillahook-prompt-parts")                                \
-  /* Prompt tokens and most tokens of the answer, N,N.  */                    \
+  /* Prompt tokens and maximum output tokens, as N,N.  */                     \
   X (token_counts, "vanillahook-token-counts")                                \
-  /* The model asked for; `*' leaves it to us.  */                            \
+  /* Requested model; `*' lets the gateway choose.  */                        \
   X (model, "vanillahook-model")                                              \
-  /* Mac of an upstream over its answer.  */                                  \
+  /* Message authentication code of an upstream over its response.  */        \
   X (answer_mac, "vanillahook-answer-mac")                                    \
-  /* Team that a request runs for.  */                                        \
+  /* Team on whose behalf a request runs.  */                                 \
   X (team, "vanillahook-team")                                                \
-  /* Instance that alone may run the request.  */                             \
+  /* Only instance that is allowed to run the request.  */                    \
   X (expect_instance, "vanillahook-expect-instance")                          \
   X (expect_version, "vanillahook-expect-version")                            \
-  /* Running, waiting and slots of an upstream, N,N,N.  */                    \
+  /* Running requests, waiting requests and slots of an upstream: N,N,N.  */  \
   X (load, "vanillahook-load")                                                \
-  /* Present: the upstream did not run the request and never will.  */        \
+  /* Present if the upstream did not run the request and never will.  */      \
   X (not_run, "vanillahook-not-run")                                          \
-  /* Milliseconds for which an upstream stays cold.  */                       \
+  /* Milliseconds until the upstream has finished warming up.  */             \
   X (cold_ms, "vanillahook-cold-ms")                                          \
   X (urgency, "vanillahook-urgency")                                          \
   X (session, "vanillahook-session-id")                                       \
-  /* A model's own opinion of its answer, 0 to 100.  */                       \
+  /* Confidence of a model in its own answer, 0 to 100.  */                   \
   X (confidence, "vanillahook-confidence")                                    \
-  /* Orders to an engine that only this product may give.  */                 \
+  /* Engine directives that only the gateway may set.  */                     \
   X (reservation, "vanillahook-reservation")                                  \
   X (pin_ms, "vanillahook-pin-ms")                                            \
   X (kv_backup, "vanillahook-kv-backup")                                      \
@@ -50,7 +50,7 @@
 #undef X
 } header_names_t;
 
-/* The product's own names.  */
+/* Header names used unless an installation defines its own.  */
 extern const header_names_t header_names_default;
 
 #endif
--- a/packages/gateway/reach.c
+++ b/packages/gateway/reach.c
@@ -6,128 +6,129 @@
 
 #include <stdlib.h>
 
-struct reach
+struct prober
 {
   uv_loop_t *loop;
-  reach_cb_t cb;
+  prober_cb_t cb;
   void *arg;
-  list_t looks;
+  list_t probes;
 };
 
 typedef struct
 {
   list_t link;
-  reach_t *reach;
+  prober_t *prober;
   char *id;
   uv_tcp_t tcp;
   uv_connect_t connect;
-  bound_t waiting;
+  bound_t timer;
   unsigned open_handles;
-} look_t;
+} probe_t;
 
 static void
-on_part_closed (void *arg)
+on_handle_closed (void *arg)
 {
-  look_t *look = arg;
+  probe_t *probe = arg;
 
-  if (--look->open_handles > 0)
+  if (--probe->open_handles > 0)
     return;
-  free (look->id);
-  free (look);
+  free (probe->id);
+  free (probe);
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_tcp_closed (uv_handle_t *handle)
 {
-  on_part_closed (handle->data);
+  on_handle_closed (handle->data);
 }
 
 static void
-look_close (look_t *look)
+probe_close (probe_t *probe)
 {
-  list_remove (&look->link);
-  look->reach = NULL;
-  bound_close (&look->waiting, on_part_closed);
-  uv_close ((uv_handle_t *)&look->tcp, on_closed);
+  list_remove (&probe->link);
+  probe->prober = NULL;
+  bound_close (&probe->timer, on_handle_closed);
+  uv_close ((uv_handle_t *)&probe->tcp, on_tcp_closed);
 }
 
 static void
-look_end (look_t *look, bool reached)
+probe_finish (probe_t *probe, bool is_reachable)
 {
-  reach_t *reach = look->reach;
+  prober_t *prober = probe->prober;
 
-  look_close (look);
-  reach->cb (reach->arg, str_from (look->id), reached);
+  probe_close (probe);
+  prober->cb (prober->arg, str_from (probe->id), is_reachable);
 }
 
 static void
 on_connected (uv_connect_t *connect, int status)
 {
-  look_t *look = connect->data;
+  probe_t *probe = connect->data;
 
-  if (look->reach != NULL)
-    look_end (look, status == 0);
+  if (probe->prober != NULL)
+    probe_finish (probe, status == 0);
 }
 
 static void
 on_timeout (void *arg)
 {
-  look_end (arg, false);
+  probe_finish (arg, false);
 }
 
 static bool
-is_under_way (reach_t *reach, str_t id)
+is_probing (prober_t *prober, str_t id)
 {
-  LIST_EACH (at, &reach->looks)
-    if (str_eq (str_from (CONTAINER_OF (at, look_t, link)->id), id))
+  LIST_EACH (node, &prober->probes)
+    if (str_eq (str_from (CONTAINER_OF (node, probe_t, link)->id), id))
       return true;
   return false;
 }
 
 void
-reach_look (reach_t *reach, str_t id, str_t address, uint64_t timeout_ms)
+prober_start (prober_t *prober, str_t id, str_t address, uint64_t timeout_ms)
 {
   struct sockaddr_storage addr;
   socklen_t addr_len;
 
-  if (is_under_way (reach, id))
+  if (is_probing (prober, id))
     return;
-  look_t *look = mem_zalloc (sizeof *look);
-  look->reach = reach;
-  look->id = str_dup (id);
-  look->open_handles = 2;
-  list_append (&reach->looks, &look->link);
-  uv_tcp_init (reach->loop, &look->tcp);
-  bound_init (&look->waiting, reach->loop, on_timeout, look);
-  look->tcp.data = look;
-  look->connect.data = look;
-  /* An address that cannot be dialled is told on a later turn too.  */
+  probe_t *probe = mem_zalloc (sizeof *probe);
+  probe->prober = prober;
+  probe->id = str_dup (id);
+  probe->open_handles = 2;
+  list_append (&prober->probes, &probe->link);
+  uv_tcp_init (prober->loop, &probe->tcp);
+  bound_init (&probe->timer, prober->loop, on_timeout, probe);
+  probe->tcp.data = probe;
+  probe->connect.data = probe;
+  /* A failure to start the connection is also reported on a later loop
+     iteration.  */
   if (!addr_parse (address, &addr, &addr_len)
-      || uv_tcp_connect (&look->connect, &look->tcp, (struct sockaddr *)&addr,
-                         on_connected)
+      || uv_tcp_connect (&probe->connect, &probe->tcp,
+                         (struct sockaddr *)&addr, on_connected)
              != 0)
     timeout_ms = 0;
-  bound_start (&look->waiting, timeout_ms);
+  bound_start (&probe->timer, timeout_ms);
 }
 
-reach_t *
-reach_create (uv_loop_t *loop, reach_cb_t cb, void *arg)
+prober_t *
+prober_create (uv_loop_t *loop, prober_cb_t cb, void *arg)
 {
-  reach_t *reach = mem_zalloc (sizeof *reach);
+  prober_t *prober = mem_zalloc (sizeof *prober);
 
-  reach->loop = loop;
-  reach->cb = cb;
-  reach->arg = arg;
-  list_init (&reach->looks);
-  return reach;
+  prober->loop = loop;
+  prober->cb = cb;
+  prober->arg = arg;
+  list_init (&prober->probes);
+  return prober;
 }
 
 void
-reach_destroy (reach_t *reach)
+prober_destroy (prober_t *prober)
 {
-  if (reach == NULL)
+  if (prober == NULL)
     return;
-  LIST_EACH (at, &reach->looks)
-    look_close (CONTAINER_OF (at, look_t, link));
-  free (reach);
+  LIST_EACH (node, &prober->probes)
+    probe_close (CONTAINER_OF (node, probe_t, link));
+  free (prober);
 }
--- a/packages/gateway/reach.h
+++ b/packages/gateway/reach.h
@@ -1,13 +1,15 @@
-/* Looks whether an instance still takes connections.
+/* Connection probes: test whether an instance still accepts TCP connections.
 
-   Answers: an engine that has said nothing for a while.  A full one, between
-   the prompts of others, and one that lost its power look the same to whoever
-   waits for an event.  To give up a full one costs the work it has done, done
-   again by engines that are as full; to wait for a dead one costs its streams
-   their objective.  A connection tells them apart within a round trip: the
-   kernel of a living machine takes it however busy the engine is.
+   Load pattern: an engine that has sent nothing for some time.  An engine that
+   is busy with the prompts of other requests and one that lost power look the
+   same to a client that waits for an event.  Abandoning a busy engine repeats
+   the work that it has done, on engines that are as busy; waiting for a dead
+   one makes its streams miss their objective.  A TCP connection tells the two
+   apart within a round trip, because the kernel of a running machine accepts
+   it however busy the engine is.
 
-   One look at an instance is under way at a time; it carries no request.  */
+   At most one probe of an instance is in progress at a time.  A probe sends no
+   request.  */
 
 #ifndef GATEWAY_REACH_H
 #define GATEWAY_REACH_H
@@ -17,17 +19,19 @@
 #include <stdbool.h>
 #include <uv.h>
 
-typedef struct reach reach_t;
+typedef struct prober prober_t;
 
-/* The instance ID takes connections, or not.  */
-typedef void (*reach_cb_t) (void *arg, str_t id, bool reached);
+/* Result of a probe: IS_REACHABLE if instance ID accepted the connection.  */
+typedef void (*prober_cb_t) (void *arg, str_t id, bool is_reachable);
 
-reach_t *reach_create (uv_loop_t *loop, reach_cb_t cb, void *arg);
-/* Drop what is under way without its callbacks; NULL is accepted.  */
-void reach_destroy (reach_t *reach);
-/* Look at instance ID at ADDRESS (HOST:PORT, numeric), which counts as out of
-   reach after TIMEOUT_MS.  Nothing happens while a look at it is under way.
-   The callback comes on a later turn.  */
-void reach_look (reach_t *reach, str_t id, str_t address, uint64_t timeout_ms);
+prober_t *prober_create (uv_loop_t *loop, prober_cb_t cb, void *arg);
+/* Cancel the probes in progress without calling their callbacks.  PROBER may
+   be NULL.  */
+void prober_destroy (prober_t *prober);
+/* Probe instance ID at ADDRESS (HOST:PORT, numeric).  The instance counts as
+   unreachable after TIMEOUT_MS.  Does nothing while a probe of the same
+   instance is in progress.  The callback runs on a later loop iteration.  */
+void prober_start (prober_t *prober, str_t id, str_t address,
+                   uint64_t timeout_ms);
 
 #endif
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -1,10 +1,10 @@
-/* One request on its way: who sends it and what it may, which upstream gets
-   it, what comes back, and what the caller is told.
+/* Request processing: admission, sends to upstreams, timeouts and
+   disconnection of the caller.
 
-   What a caller is told follows from what may have happened.  As long as no
-   byte of the request left, or each upstream that had it said that it did not
-   run it, the answer is 503 with Retry-After; after that only an upstream's
-   own answer, 502 or 504.  */
+   The status of a failure tells the caller whether the request may have run.
+   If no byte of the request was sent, or each upstream that received it
+   reported that it did not run it, the response is 503 with Retry-After.
+   Otherwise it is the upstream's own response, 502 or 504.  */
 
 #include "gateway/relayint.h"
 
@@ -14,125 +14,135 @@
 
 enum
 {
-  /* A SYN that was lost is sent again by the kernel after a second; another
-     upstream is asked long before.  Links have at most some milliseconds.  */
-  CONNECT_MS = 250,
-  /* Objectives after which a first event is no longer waited for: callers
-     leave at about four.  */
-  PATIENCE = 2,
-  /* Longest pauses between events that are on time after which a stream is no
-     longer waited for, though its engine takes connections: only a connection
-     that has gone silent by itself is left then.  Callers leave at eight.  */
-  PAUSES = 3,
-  /* Time for a look at a silent engine: links have at most some
-     milliseconds, and a busy machine's kernel answers at once.  */
-  LOOK_MS = 250,
-  LOOK_SLACK_MS = 10,
-  /* Of rank 0; what bears none counts as 5 at an engine.  */
-  URGENCY_FIRST = 3,
-  /* Time that an answer needs on its way back to the caller.  */
-  RETURN_MS = 5,
-  /* The first read of the store takes a tenth of a second; when it takes so
-     long the store is away.  */
-  START_MS = 800,
-  START_LOOK_MS = 10,
-  /* The balancer has named other entries by then.  */
-  RETRY_DRAINING_MS = 50
+  /* The kernel repeats a lost SYN after a second; another upstream is tried
+     long before.  Network latency is at most some milliseconds.  */
+  CONNECT_TIMEOUT_MS = 250,
+  /* Timeout of the first event of a stream, in multiples of the route's
+     objective.  Callers disconnect after about four objectives.  */
+  FIRST_EVENT_TIMEOUT_OBJECTIVES = 2,
+  /* Timeout between two events of a stream whose engine accepts connections,
+     in multiples of the route's longest pause that is on time.  The remaining
+     cause of such a silence is a single dead connection.  Callers disconnect
+     after eight pauses.  */
+  EVENT_TIMEOUT_PAUSES = 3,
+  /* Timeout of a connection probe.  Network latency is at most some
+     milliseconds, and the kernel of a busy machine accepts connections at
+     once.  */
+  PROBE_TIMEOUT_MS = 250,
+  /* Margin after the timeout of a probe in which its result arrives.  */
+  PROBE_RESULT_DELAY_MS = 10,
+  /* Urgency of requests of priority 0.  Engines give a request without an
+     urgency header the urgency 5.  */
+  URGENCY_HIGHEST = 3,
+  /* Time that a response takes to reach the caller.  */
+  RESPONSE_TRANSIT_MS = 5,
+  /* Time after the start of the process in which requests wait for the first
+     read of the store.  The read takes a tenth of a second; if it takes longer
+     than this limit, the store is unavailable.  */
+  STARTUP_WAIT_MS = 800,
+  STARTUP_POLL_MS = 10,
+  /* Mean Retry-After during a planned stop.  By then the platform's load
+     balancer directs callers to other gateway processes.  */
+  RETRY_AFTER_DRAINING_MS = 50
 };
 
-/* Part of the objective after which a plain service that has not answered is
-   given up for another, if the request may run twice.  */
-static const double first_answer_part = 0.7;
+/* Part of the route's objective after which a request to a plain service that
+   has not answered is sent to another instance, if the request is
+   repeatable.  */
+static const double first_response_timeout_part = 0.7;
 
-/* Arm the timer for the next moment at which something is due.  */
-static void arm_bound (relay_t *relay, uint64_t now_ms);
+/* Set the timer to the next timeout, probe or deadline.  */
+static void arm_timer (relay_t *relay, uint64_t now_ms);
 
-/* How soon an engine is to begin the request.  Engines read one prompt after
-   the other: without this a short question waits behind the long drafts that
-   came before it.  Ranks go from 0 on, most of them few.  */
+/* Return the urgency with which engines order the request.  Engines read one
+   prompt at a time: without an urgency a short request waits behind the long
+   prompts that arrived before it.  Most installations use few priorities, from
+   0 on.  */
 static uint32_t
-urgency_of (const relay_t *relay)
+request_urgency (const relay_t *relay)
 {
-  uint32_t urgency = URGENCY_FIRST + relay->terms.rank;
+  uint32_t urgency = URGENCY_HIGHEST + relay->attrs.priority;
 
   return urgency < FORWARD_URGENCY_MAX ? urgency : FORWARD_URGENCY_MAX;
 }
 
-/* Send the request to the best upstream, or give it up.  */
 void
 relay_send (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
-  uint64_t now_ms = clock_ms (belief->clock);
-  pool_want_t want;
+  belief_t *state = relay->state;
+  uint64_t now_ms = clock_ms (state->clock);
+  pool_want_t criteria;
   buf_t request = BUF_NULL;
 
-  if (now_ms + RETURN_MS >= relay->terms.due_ms)
+  if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_ms)
     {
-      relay_give_up (relay, VH_E_DEADLINE, "deadline", 0);
+      relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
     }
-  relay_want (relay, &want);
-  vh_code_t code = pool_choose (belief->pool, &want, &relay->upstream);
+  relay_selection_criteria (relay, &criteria);
+  vh_code_t code = pool_choose (state->pool, &criteria, &relay->upstream);
   if (code == VH_E_NO_UPSTREAM && relay->tried_count > 0)
     {
-      /* All were tried.  One that was full still is, and each refused send is
-         load on it; one that failed may do better.  */
-      if (relay->shed)
+      /* All upstreams were tried.  An upstream that was full is assumed to be
+         full still, and each refused send loads it further; an upstream that
+         failed may succeed on a second send.  */
+      if (relay->was_refused)
         {
           relay->upstream = NULL;
-          relay_give_up (relay, VH_E_FULL, relay->reason, RETRY_FULL_MS);
+          relay_fail (relay, VH_E_FULL, relay->failure_reason,
+                      RETRY_AFTER_FULL_MS);
           return;
         }
-      want.tried_count = 0;
-      code = pool_choose (belief->pool, &want, &relay->upstream);
+      criteria.tried_count = 0;
+      code = pool_choose (state->pool, &criteria, &relay->upstream);
     }
   if (code != VH_OK)
     {
       relay->upstream = NULL;
-      relay_give_up (relay, code, code == VH_E_FULL ? "full" : "no-upstream",
-                     code == VH_E_FULL ? RETRY_FULL_MS : RETRY_UNAVAILABLE_MS);
+      relay_fail (relay, code, code == VH_E_FULL ? "full" : "no-upstream",
+                  code == VH_E_FULL ? RETRY_AFTER_FULL_MS
+                                    : RETRY_AFTER_UNAVAILABLE_MS);
       return;
     }
   log_event (
       EVENT_SENT, field_text (FIELD_ID, str_from (relay->attempt_id)),
-      field_text (FIELD_ROUTE, relay->terms.route->name),
+      field_text (FIELD_ROUTE, relay->attrs.route->name),
       field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
       field_text (FIELD_VERSION, upstream_version (relay->upstream)),
-      field_text (FIELD_MODEL, relay_model_or (relay, STR ("-"))),
+      field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
       field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
       field_number (FIELD_SENDS, relay->sends + 1),
-      field_number (FIELD_LEFT_MS, relay->terms.due_ms - now_ms),
-      field_number (FIELD_REVISION, catalog_revision (relay->terms.catalog)));
-  relay->on_trial.any = true;
-  relay->on_trial.arm = relay_arm (relay);
-  relay->prompt_left = relay->terms.prompt;
-  pool_started (belief->pool, relay->upstream, relay->terms.prompt);
-  relay->phase = PHASE_SENT;
+      field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
+      field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
+  relay->trial_sends.any = true;
+  relay->trial_sends.arm = relay_trial_arm (relay);
+  relay->unread_prompt_tokens = relay->attrs.prompt_tokens;
+  pool_started (state->pool, relay->upstream, relay->attrs.prompt_tokens);
+  relay->phase = PHASE_AWAITING_RESPONSE;
   relay->sent_ms = now_ms;
-  relay->last_ms = now_ms;
-  relay->send_events = 0;
-  relay->load = upstream_running (relay->upstream);
-  relay->is_loaded = false;
-  relay->is_ok = false;
-  relay->broke = false;
-  relay->unsent = false;
+  relay->last_activity_ms = now_ms;
+  relay->send_event_count = 0;
+  relay->upstream_load = upstream_running (relay->upstream);
+  relay->is_upstream_loaded = false;
+  relay->is_success = false;
+  relay->connection_lost = false;
+  relay->connect_failed = false;
   relay->sends++;
-  counter_add (belief->counters.sends, 1);
-  const forward_t forward = {
-    .names = belief->names,
-    .upstream = upstream_id (relay->upstream),
-    .team = relay->terms.team != NULL ? relay->terms.team->name : STR_NULL,
+  counter_add (state->counters.sends, 1);
+  const forward_params_t params = {
+    .names = state->names,
+    .upstream_id = upstream_id (relay->upstream),
+    .team = relay->attrs.team != NULL ? relay->attrs.team->name : STR_NULL,
     .model
-    = relay_model_or (relay, httpd_header (relay->req, belief->names->model)),
-    .left_ms = relay->terms.due_ms - now_ms,
-    .urgency = urgency_of (relay),
-    .resumes = relay->events.has_last,
-    .last_id = relay->events.last_id,
+    = relay_model_name (relay, httpd_header (relay->req, state->names->model)),
+    .remaining_ms = relay->attrs.deadline_ms - now_ms,
+    .urgency = request_urgency (relay),
+    .is_resume = relay->sse.has_last_id,
+    .last_event_id = relay->sse.last_id,
   };
-  forward_write (&forward, relay->req, &request);
-  relay->call = call_start (belief->loop, upstream_address (relay->upstream),
-                            &request, CONNECT_MS,
+  forward_write_request (&params, relay->req, &request);
+  relay->call = call_start (state->loop, upstream_address (relay->upstream),
+                            &request, CONNECT_TIMEOUT_MS,
                             str_eq (httpd_method (relay->req), STR ("HEAD")),
                             &relay_call_events, relay);
   if (relay->call == NULL)
@@ -140,251 +150,262 @@
       relay_send_failed (relay, "address", false);
       return;
     }
-  arm_bound (relay, now_ms);
+  arm_timer (relay, now_ms);
 }
 
-/* Time.  */
+/* Timeouts.  */
 
-/* Tell whether the present send may be given up for another.  */
+/* Return whether the current send may be abandoned for a send to another
+   upstream.  */
 static bool
-may_move (const relay_t *relay)
+may_switch_upstream (const relay_t *relay)
 {
-  return relay_may_send_again (relay)
-         && relay->runs + 1 < relay->terms.route->attempts_max
-         && !relay->paused;
+  return relay_may_retry (relay)
+         && relay->possible_runs + 1 < relay->attrs.route->attempts_max
+         && !relay->is_paused;
 }
 
-/* When a silent upstream is given up for another, though it is there.  */
+/* Return the time at which the current send times out although the upstream
+   is reachable.  */
 static uint64_t
-patience_due (const relay_t *relay)
+send_timeout_due_ms (const relay_t *relay)
 {
-  const route_t *route = relay->terms.route;
+  const route_t *route = relay->attrs.route;
 
   if (route->kind != ROUTE_STREAM)
     return relay->sent_ms
-           + (uint64_t)((double)route->objective_ms * first_answer_part);
+           + (uint64_t)((double)route->objective_ms
+                        * first_response_timeout_part);
   return relay->event_count == 0
-             ? relay->sent_ms + route->objective_ms * PATIENCE
-             : relay->last_ms + route->pause_ms * PAUSES;
+             ? relay->sent_ms
+                   + route->objective_ms * FIRST_EVENT_TIMEOUT_OBJECTIVES
+             : relay->last_activity_ms
+                   + route->pause_ms * EVENT_TIMEOUT_PAUSES;
 }
 
-/* When a silent upstream is to be looked at, or given up for another;
-   UINT64_MAX: never.
+/* Return the time at which an upstream that sends nothing is to be probed or
+   abandoned; UINT64_MAX if never.
 
-   A stream waits for an engine that is there, however long its own events
-   take: the work that the engine has done for it would be done again
-   elsewhere, by engines that are as full.  The streams of one that is not
-   there move at once.  */
+   A stream stays at an engine that is reachable until the event timeout,
+   because another engine, equally full, would have to repeat the work done so
+   far.  Streams of an unreachable engine move to another at once.  */
 static uint64_t
-silence_due (const relay_t *relay)
+silence_check_due_ms (const relay_t *relay)
 {
-  if (!may_move (relay))
+  if (!may_switch_upstream (relay))
     return UINT64_MAX;
-  uint64_t patience_ms = patience_due (relay);
-  if (relay->terms.route->kind != ROUTE_STREAM)
-    return patience_ms;
-  uint64_t look_ms = pool_silence_due (relay->upstream);
-  return look_ms < patience_ms ? look_ms : patience_ms;
+  uint64_t timeout_at_ms = send_timeout_due_ms (relay);
+  if (relay->attrs.route->kind != ROUTE_STREAM)
+    return timeout_at_ms;
+  uint64_t probe_ms = pool_silence_due (relay->upstream);
+  return probe_ms < timeout_at_ms ? probe_ms : timeout_at_ms;
 }
 
-/* Tell whether the silent upstream is looked at before anything else.  */
+/* Return whether the upstream is to be probed before the send is
+   abandoned.  */
 static bool
-should_look (const relay_t *relay, uint64_t now_ms)
+should_probe (const relay_t *relay, uint64_t now_ms)
 {
-  return relay->terms.route->kind == ROUTE_STREAM
-         && now_ms < patience_due (relay) && !upstream_lost (relay->upstream);
+  return relay->attrs.route->kind == ROUTE_STREAM
+         && now_ms < send_timeout_due_ms (relay)
+         && !upstream_lost (relay->upstream);
 }
 
-/* Look at the upstream and go on when that is over, or the deadline comes.  */
+/* Probe the upstream.  The timer fires when the probe has ended, or at the
+   deadline if that is earlier.  */
 static void
-look_at_upstream (relay_t *relay, uint64_t now_ms)
+probe_upstream (relay_t *relay, uint64_t now_ms)
 {
-  uint64_t look_ms = LOOK_MS + LOOK_SLACK_MS;
-  uint64_t left_ms = relay->terms.due_ms - now_ms;
+  uint64_t probe_ms = PROBE_TIMEOUT_MS + PROBE_RESULT_DELAY_MS;
+  uint64_t left_ms = relay->attrs.deadline_ms - now_ms;
 
-  reach_look (relay->belief->reach, upstream_id (relay->upstream),
-              upstream_address (relay->upstream), LOOK_MS);
-  bound_start (&relay->bound, look_ms < left_ms ? look_ms : left_ms);
+  prober_start (relay->state->prober, upstream_id (relay->upstream),
+                upstream_address (relay->upstream), PROBE_TIMEOUT_MS);
+  bound_start (&relay->timer, probe_ms < left_ms ? probe_ms : left_ms);
 }
 
-static void begin (relay_t *relay);
+static void admit_when_ready (relay_t *relay);
 
-/* Something is due.  */
 static void
-on_due (void *arg)
+on_timer (void *arg)
 {
   relay_t *relay = arg;
-  uint64_t now_ms = clock_ms (relay->belief->clock);
+  uint64_t now_ms = clock_ms (relay->state->clock);
 
-  if (relay->phase == PHASE_EARLY)
+  if (relay->phase == PHASE_AWAITING_CONFIG)
     {
-      begin (relay);
+      admit_when_ready (relay);
       return;
     }
-  if (now_ms >= relay->terms.due_ms)
+  if (now_ms >= relay->attrs.deadline_ms)
     {
       if (relay->call != NULL && call_sent (relay->call))
-        relay->runs++;
-      relay_give_up (relay, VH_E_DEADLINE, "deadline", 0);
+        relay->possible_runs++;
+      relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
     }
-  if (relay->phase == PHASE_HELD)
+  if (relay->phase == PHASE_AWAITING_UPSTREAM)
     {
-      relay_go_on (relay);
+      relay_resume_stream (relay);
       return;
     }
-  if (now_ms >= silence_due (relay))
+  if (now_ms >= silence_check_due_ms (relay))
     {
-      if (should_look (relay, now_ms))
+      if (should_probe (relay, now_ms))
         {
-          look_at_upstream (relay, now_ms);
+          probe_upstream (relay, now_ms);
           return;
         }
-      if (relay_may_take_extra (relay) && relay_has_place (relay))
+      if (relay_has_retry_budget (relay) && relay_has_alternative (relay))
         {
-          relay->broke = upstream_lost (relay->upstream);
-          relay_send_failed (relay, relay->broke ? "lost" : "silent", true);
+          relay->connection_lost = upstream_lost (relay->upstream);
+          relay_send_failed (relay, relay->connection_lost ? "lost" : "silent",
+                             true);
           return;
         }
-      /* Nothing may be sent again now: wait on for this upstream.  */
-      relay->last_ms = now_ms;
+      /* No retry is possible now: keep waiting for this upstream.  */
+      relay->last_activity_ms = now_ms;
       relay->sent_ms = now_ms;
-      pool_heard (relay->belief->pool, relay->upstream);
+      pool_heard (relay->state->pool, relay->upstream);
     }
-  arm_bound (relay, now_ms);
+  arm_timer (relay, now_ms);
 }
 
 static void
-arm_bound (relay_t *relay, uint64_t now_ms)
+arm_timer (relay_t *relay, uint64_t now_ms)
 {
-  uint64_t due_ms = silence_due (relay);
+  uint64_t due_ms = silence_check_due_ms (relay);
 
-  if (due_ms > relay->terms.due_ms)
-    due_ms = relay->terms.due_ms;
-  bound_start (&relay->bound, due_ms > now_ms ? due_ms - now_ms : 0);
+  if (due_ms > relay->attrs.deadline_ms)
+    due_ms = relay->attrs.deadline_ms;
+  bound_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
 }
 
-/* The caller.  */
+/* Events of the caller's connection.  */
 
 static void
-on_drained (void *arg)
+on_write_drained (void *arg)
 {
   relay_t *relay = arg;
 
-  if (relay->paused && relay->call != NULL)
+  if (relay->is_paused && relay->call != NULL)
     {
-      relay->paused = false;
+      relay->is_paused = false;
       call_resume (relay->call);
     }
 }
 
-/* The caller left: the upstream is told in the same turn.  */
+/* The caller disconnected: cancel the call to the upstream on the same loop
+   iteration.  */
 static void
-on_left (void *arg)
+on_caller_disconnected (void *arg)
 {
   relay_t *relay = arg;
 
-  relay_tell_end (relay, EVENT_LEFT, 0, relay->reason, 0);
-  counter_add (relay->belief->counters.left, 1);
-  relay_end_send (relay, SEND_DROPPED);
+  relay_record_end (relay, EVENT_LEFT, 0, relay->failure_reason, 0);
+  counter_add (relay->state->counters.left, 1);
+  relay_finish_send (relay, SEND_DROPPED);
   relay_destroy (relay);
 }
 
 /* Arrival.  */
 
 static void
-refuse (relay_t *relay, vh_code_t code)
+reject (relay_t *relay, vh_code_t code)
 {
   const code_info_t *info = code_info (code);
-  uint64_t retry_ms = info->http_status == 503 ? RETRY_UNAVAILABLE_MS : 0;
+  uint64_t retry_ms
+      = info->http_status == 503 ? RETRY_AFTER_UNAVAILABLE_MS : 0;
 
-  relay_reply (relay, info->http_status, code, info->type, retry_ms);
+  relay_reply_error (relay, info->http_status, code, info->type, retry_ms);
 }
 
-/* Begin with RELAY, or refuse it.  */
+/* Send the request to an upstream, or reject it.  */
 static void
 admit (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
-  terms_t *terms = &relay->terms;
-  vh_code_t code
-      = terms_read (terms, belief, relay->req, str_from (relay->attempt_id));
-
-  if (code == VH_OK && belief->stopping_ms != 0
-      && terms->arrived_ms - belief->stopping_ms
-             >= belief->options.drain_grace_ms)
+  belief_t *state = relay->state;
+  request_attrs_t *attrs = &relay->attrs;
+  vh_code_t code = request_attrs_resolve (attrs, state, relay->req,
+                                          str_from (relay->attempt_id));
+
+  if (code == VH_OK && state->stopping_ms != 0
+      && attrs->arrived_ms - state->stopping_ms
+             >= state->options.drain_grace_ms)
     {
-      relay_reply (relay, 503, VH_E_DRAINING, "draining", RETRY_DRAINING_MS);
+      relay_reply_error (relay, 503, VH_E_DRAINING, "draining",
+                         RETRY_AFTER_DRAINING_MS);
       return;
     }
   if (code != VH_OK)
     {
-      refuse (relay, code);
+      reject (relay, code);
       return;
     }
-  relay->events.has_last = terms->resumes;
-  relay->events.last_id = terms->last_id;
-  allowance_request (belief_allowance (belief, terms->service->name));
+  relay->sse.has_last_id = attrs->is_resume;
+  relay->sse.last_id = attrs->last_event_id;
+  allowance_request (gateway_service_allowance (state, attrs->service->name));
   relay_send (relay);
 }
 
-/* Tell whether RELAY waits until this process, which has just started, knows
-   what it needs.  All entries were lost at once and their callers come back
-   together, each for the last time: a refusal for the tenth of a second that
-   the first read takes would be final.  Later, or with the store away, who
-   knows nothing says so at once.  */
+/* Return whether the request waits for the first read of the store by this
+   process.  After a crash of all gateway processes the callers return at the
+   same time, each for its last retry: a rejection during the tenth of a second
+   that the first read takes would be final.  After STARTUP_WAIT_MS the
+   process rejects requests at once if it still has no configuration.  */
 static bool
-may_wait_for_start (const relay_t *relay)
+should_wait_for_startup (const relay_t *relay)
 {
-  const belief_t *belief = relay->belief;
+  const belief_t *state = relay->state;
 
-  return !belief->is_prepared
-         && clock_ms (belief->clock) - belief->started_ms < START_MS;
+  return !state->is_prepared
+         && clock_ms (state->clock) - state->started_ms < STARTUP_WAIT_MS;
 }
 
-/* Admit RELAY, now or when it need not wait for the start any more.  */
+/* Admit the request now, or check again after STARTUP_POLL_MS.  */
 static void
-begin (relay_t *relay)
+admit_when_ready (relay_t *relay)
 {
-  if (may_wait_for_start (relay))
-    bound_start (&relay->bound, START_LOOK_MS);
+  if (should_wait_for_startup (relay))
+    bound_start (&relay->timer, STARTUP_POLL_MS);
   else
     admit (relay);
 }
 
 void
-relay_start (belief_t *belief, httpd_req_t *req)
+relay_start (belief_t *state, httpd_req_t *req)
 {
   relay_t *relay = mem_zalloc (sizeof *relay);
-  str_t id = httpd_header (req, belief->names->attempt_id);
+  str_t attempt_id = httpd_header (req, state->names->attempt_id);
 
-  list_append (&belief->relays, &relay->link);
-  relay->belief = belief;
+  list_append (&state->relays, &relay->link);
+  relay->state = state;
   relay->req = req;
-  relay->terms.arrived_ms = clock_ms (belief->clock);
-  relay->attempt_id = str_dup (id.ptr != NULL ? id : STR ("-"));
-  bound_init (&relay->bound, belief->loop, on_due, relay);
-  counter_add (belief->counters.requests, 1);
-  if (id.ptr == NULL || id.len == 0)
+  relay->attrs.arrived_ms = clock_ms (state->clock);
+  relay->attempt_id
+      = str_dup (attempt_id.ptr != NULL ? attempt_id : STR ("-"));
+  bound_init (&relay->timer, state->loop, on_timer, relay);
+  counter_add (state->counters.requests, 1);
+  if (attempt_id.ptr == NULL || attempt_id.len == 0)
     {
-      refuse (relay, VH_E_BAD_HEADER);
+      reject (relay, VH_E_BAD_HEADER);
       return;
     }
-  httpd_watch (req, on_drained, on_left, relay);
-  begin (relay);
+  httpd_watch (req, on_write_drained, on_caller_disconnected, relay);
+  admit_when_ready (relay);
 }
 
 size_t
-relay_cut_all (belief_t *belief)
+relay_abort_all (belief_t *state)
 {
   size_t count = 0;
 
-  LIST_EACH (at, &belief->relays)
+  LIST_EACH (at, &state->relays)
     {
       relay_t *relay = CONTAINER_OF (at, relay_t, link);
       if (relay->call != NULL && call_sent (relay->call))
-        relay->runs++;
-      relay_give_up (relay, VH_E_DRAINING, "stopping", RETRY_DRAINING_MS);
+        relay->possible_runs++;
+      relay_fail (relay, VH_E_DRAINING, "stopping", RETRY_AFTER_DRAINING_MS);
       count++;
     }
   return count;
--- a/packages/gateway/relay_hear.c
+++ b/packages/gateway/relay_hear.c
@@ -4,153 +4,148 @@
 
 enum
 {
-  /* Bytes kept for a slow caller before its upstream is held back.  */
-  BUFFER_HIGH = 65536,
-  /* Callers may not ask for more than this with one request.  */
+  /* Bytes buffered for a slow caller above which reading from the upstream is
+     paused.  */
+  CALLER_BUFFER_BYTES_HIGH = 65536,
+  /* Most sends for one request, whatever the route allows.  */
   SENDS_MAX = POOL_TRIED_MAX,
-  /* Of an answer with a length, which is gathered.  */
-  WHOLE_BYTES_MAX = 8 << 20,
-  /* Events after the first by which the pace of a stream is known: they come
-     in clumps of some.  */
-  PACE_EVENTS = 8,
-  /* Of an upstream's answer; more are not passed on.  */
-  HEADERS_MAX = 64,
-  /* Between looks for an upstream with room for a stream that was broken off:
-     a few times within the pause that is on time.  */
-  HELD_LOOK_MS = 150
+  /* Size limit of a response body that is not streamed, which is buffered.  */
+  RESPONSE_BODY_BYTES_MAX = 8 << 20,
+  /* Events after the first over which the mean interval of a stream is
+     measured, because events arrive in bursts.  */
+  INTERVAL_SAMPLE_EVENTS = 8,
+  /* Response headers beyond this number are not forwarded.  */
+  RESPONSE_HEADERS_MAX = 64,
+  /* Interval of the search for an upstream that resumes an interrupted stream:
+     a few searches within the longest pause that is on time.  */
+  RESUME_POLL_MS = 150
 };
 
 bool
-relay_may_send_again (const relay_t *relay)
+relay_may_retry (const relay_t *relay)
 {
-  return relay->terms.may_repeat
-         && relay->runs < relay->terms.route->attempts_max
+  return relay->attrs.is_repeatable
+         && relay->possible_runs < relay->attrs.route->attempts_max
          && relay->sends < SENDS_MAX;
 }
 
-/* The extra sends of the request's service.  */
 static allowance_t *
-allowance_of (const relay_t *relay)
+service_retry_budget (const relay_t *relay)
 {
-  return belief_allowance (relay->belief, relay->terms.service->name);
+  return gateway_service_allowance (relay->state, relay->attrs.service->name);
 }
 
 bool
-relay_may_take_extra (const relay_t *relay)
+relay_has_retry_budget (const relay_t *relay)
 {
-  return allowance_left (allowance_of (relay)) >= 1;
+  return allowance_left (service_retry_budget (relay)) >= 1;
 }
 
-/* Take one of the extra sends, or tell why not.  */
+/* Take one send from the retry budget.  Return false if none is left.  */
 static bool
-take_extra (relay_t *relay)
+take_retry (relay_t *relay)
 {
-  allowance_t *allowance = allowance_of (relay);
+  allowance_t *allowance = service_retry_budget (relay);
 
   if (!allowance_take (allowance, 0))
     return false;
-  counter_add (relay->belief->counters.resends, 1);
+  counter_add (relay->state->counters.resends, 1);
   return true;
 }
 
-/* Whole extra sends that the service has left here.  */
+/* Return the retry budget left in this process, rounded down.  */
 static uint64_t
-extra_left (const relay_t *relay)
+retries_left (const relay_t *relay)
 {
-  double left = allowance_left (allowance_of (relay));
+  double left = allowance_left (service_retry_budget (relay));
 
   return left > 0 ? (uint64_t)left : 0;
 }
 
 static void
-remember_tried (relay_t *relay)
+add_tried_upstream (relay_t *relay)
 {
   if (relay->tried_count < POOL_TRIED_MAX)
     relay->tried[relay->tried_count++] = relay->upstream;
 }
 
-/* Send the rest of a stream that was broken off to another upstream, as soon
-   as one has room and an extra send is left.  The caller has part of the
-   answer, which is lost to it when it ends here: at an entry that took a sound
-   upstream for lost, all of its streams there were cut because the others were
-   full in that moment.  */
 void
-relay_go_on (relay_t *relay)
+relay_resume_stream (relay_t *relay)
 {
-  if (relay_may_take_extra (relay) && relay_has_place (relay)
-      && take_extra (relay))
+  if (relay_has_retry_budget (relay) && relay_has_alternative (relay)
+      && take_retry (relay))
     {
-      counter_add (relay->belief->counters.resumes, 1);
+      counter_add (relay->state->counters.resumes, 1);
       relay_send (relay);
       return;
     }
-  relay->phase = PHASE_HELD;
-  bound_start (&relay->bound, HELD_LOOK_MS);
+  relay->phase = PHASE_AWAITING_UPSTREAM;
+  bound_start (&relay->timer, RESUME_POLL_MS);
 }
 
-/* The present send failed for REASON; RAN unless the upstream said that it
-   did not run the request.  Send it again where that is allowed.  */
 void
-relay_send_failed (relay_t *relay, const char *reason, bool ran)
+relay_send_failed (relay_t *relay, const char *reason, bool may_have_run)
 {
-  uint64_t now_ms = clock_ms (relay->belief->clock);
+  uint64_t now_ms = clock_ms (relay->state->clock);
 
   log_event (EVENT_SEND_FAILED,
              field_text (FIELD_ID, str_from (relay->attempt_id)),
              field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
              field_text (FIELD_REASON, str_from (reason)),
-             field_number (FIELD_RAN, ran),
+             field_number (FIELD_RAN, may_have_run),
              field_number (FIELD_EVENTS, relay->event_count),
-             field_number (FIELD_MS, now_ms - relay->terms.arrived_ms),
-             field_number (FIELD_EXTRA, extra_left (relay)));
-  relay->reason = reason;
-  if (ran)
-    relay->runs++;
-  remember_tried (relay);
-  relay->shed = !ran;
-  if (ran && relay_arm (relay) == TRIAL_NEW)
-    relay->on_trial.failed = true;
-  relay_end_send (relay, ran ? SEND_FAILED : SEND_REFUSED);
-  relay->head.len = 0;
-  relay->body.len = 0;
-  events_restart (&relay->events);
-  bool allowed = ran ? relay_may_send_again (relay) : relay->sends < SENDS_MAX;
-  if (allowed && relay->started)
-    relay_go_on (relay);
-  else if (allowed && take_extra (relay))
+             field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
+             field_number (FIELD_EXTRA, retries_left (relay)));
+  relay->failure_reason = reason;
+  if (may_have_run)
+    relay->possible_runs++;
+  add_tried_upstream (relay);
+  relay->was_refused = !may_have_run;
+  if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
+    relay->trial_sends.failed = true;
+  relay_finish_send (relay, may_have_run ? SEND_FAILED : SEND_REFUSED);
+  relay->response_headers.len = 0;
+  relay->response_body.len = 0;
+  sse_filter_discard_partial (&relay->sse);
+  bool may_resend
+      = may_have_run ? relay_may_retry (relay) : relay->sends < SENDS_MAX;
+  if (may_resend && relay->response_started)
+    relay_resume_stream (relay);
+  else if (may_resend && take_retry (relay))
     relay_send (relay);
   else
-    relay_give_up (relay, ran ? VH_E_UPSTREAM_CUT : VH_E_FULL, reason, 0);
+    relay_fail (relay, may_have_run ? VH_E_UPSTREAM_CUT : VH_E_FULL, reason,
+                0);
 }
 
-/* Remember HEAD for the caller.  */
+/* Copy the status of HEAD and the headers to forward into RELAY.  */
 static void
-keep_head (relay_t *relay, const call_head_t *head)
+store_response_head (relay_t *relay, const call_head_t *head)
 {
-  relay->status = head->status;
-  relay->head.len = 0;
+  relay->response_status = head->status;
+  relay->response_headers.len = 0;
   for (size_t i = 0; i < head->header_count; i++)
     {
       const httpc_header_t *header = &head->headers[i];
-      if (header->name.len == 0 || forward_is_hop (header->name))
+      if (header->name.len == 0 || forward_is_hop_by_hop (header->name))
         continue;
-      buf_append_str (&relay->head, header->name);
-      buf_append_char (&relay->head, '\0');
-      buf_append_str (&relay->head, header->value);
-      buf_append_char (&relay->head, '\0');
+      buf_append_str (&relay->response_headers, header->name);
+      buf_append_char (&relay->response_headers, '\0');
+      buf_append_str (&relay->response_headers, header->value);
+      buf_append_char (&relay->response_headers, '\0');
     }
 }
 
-/* The headers of the remembered head, in LIST of HEADERS_MAX; return how
-   many.  */
+/* Fill LIST, which has room for RESPONSE_HEADERS_MAX, with the stored headers.
+   Return their number.  */
 static size_t
-kept_headers (const relay_t *relay, httpc_header_t *list)
+stored_headers (const relay_t *relay, httpc_header_t *list)
 {
-  const char *at = relay->head.ptr;
-  const char *end = relay->head.ptr + relay->head.len;
+  const char *at = relay->response_headers.ptr;
+  const char *end = relay->response_headers.ptr + relay->response_headers.len;
   size_t count = 0;
 
-  while (at < end && count < HEADERS_MAX)
+  while (at < end && count < RESPONSE_HEADERS_MAX)
     {
       list[count].name = str_from (at);
       at += list[count].name.len + 1;
@@ -160,105 +155,109 @@
   return count;
 }
 
-/* Begin the caller's answer with the remembered head.  */
+/* Send the stored response head to the caller and start streaming.  */
 static void
-start_stream (relay_t *relay)
+start_streaming (relay_t *relay)
 {
-  httpc_header_t headers[HEADERS_MAX];
-  size_t count = kept_headers (relay, headers);
+  httpc_header_t headers[RESPONSE_HEADERS_MAX];
+  size_t count = stored_headers (relay, headers);
 
-  relay->started = true;
-  if (relay->belief->stopping_ms != 0)
+  relay->response_started = true;
+  if (relay->state->stopping_ms != 0)
     httpd_close_after (relay->req);
-  httpd_start (relay->req, relay->status, headers, count);
+  httpd_start (relay->req, relay->response_status, headers, count);
 }
 
-/* Pass on the whole answer that was gathered.  */
+/* Send the buffered response to the caller and destroy RELAY.  */
 static void
-pass_whole (relay_t *relay)
+send_buffered_response (relay_t *relay)
 {
-  httpc_header_t headers[HEADERS_MAX];
-  size_t count = kept_headers (relay, headers);
-
-  counter_add (relay->belief->counters.answered, 1);
-  relay_tell_end (relay, relay->status >= 500 ? EVENT_PASSED : EVENT_ANSWERED,
-                  relay->status, relay->reason, 0);
-  if (relay->belief->stopping_ms != 0)
+  httpc_header_t headers[RESPONSE_HEADERS_MAX];
+  size_t count = stored_headers (relay, headers);
+
+  counter_add (relay->state->counters.answered, 1);
+  relay_record_end (
+      relay, relay->response_status >= 500 ? EVENT_PASSED : EVENT_ANSWERED,
+      relay->response_status, relay->failure_reason, 0);
+  if (relay->state->stopping_ms != 0)
     httpd_close_after (relay->req);
-  httpd_reply (relay->req, relay->status, headers, count,
-               buf_str (&relay->body));
+  httpd_reply (relay->req, relay->response_status, headers, count,
+               buf_str (&relay->response_body));
   relay_destroy (relay);
 }
 
-/* Take in what the head says of the upstream.  */
+/* Update the pool with the load and the warm-up time in HEAD.  */
 static void
-learn_from_head (relay_t *relay, const call_head_t *head)
+update_upstream_load (relay_t *relay, const call_head_t *head)
 {
-  const header_names_t *names = relay->belief->names;
-  str_t load = call_header (head, names->load);
-  str_t cold = call_header (head, names->cold_ms);
+  const header_names_t *names = relay->state->names;
+  str_t load_header = call_header (head, names->load);
+  str_t cold_header = call_header (head, names->cold_ms);
   uint64_t numbers[3] = { 0, 0, 0 };
   uint64_t cold_ms;
   size_t count = 0;
 
-  while (
-      load.ptr != NULL && count < 3
-      && str_to_u64 (str_trim (str_cut (load, ',', &load)), &numbers[count]))
+  while (load_header.ptr != NULL && count < 3
+         && str_to_u64 (str_trim (str_cut (load_header, ',', &load_header)),
+                        &numbers[count]))
     count++;
   if (count == 3)
     {
-      relay->load = (uint32_t)(numbers[0] + numbers[1]);
-      relay->is_loaded = numbers[0] * 2 >= numbers[2];
-      pool_load (relay->belief->pool, relay->upstream, (uint32_t)numbers[0],
+      relay->upstream_load = (uint32_t)(numbers[0] + numbers[1]);
+      relay->is_upstream_loaded = numbers[0] * 2 >= numbers[2];
+      pool_load (relay->state->pool, relay->upstream, (uint32_t)numbers[0],
                  (uint32_t)numbers[1], (uint32_t)numbers[2]);
     }
-  if (cold.ptr != NULL && str_to_u64 (cold, &cold_ms) && cold_ms > 0)
-    pool_cold (relay->belief->pool, relay->upstream, cold_ms);
+  if (cold_header.ptr != NULL && str_to_u64 (cold_header, &cold_ms)
+      && cold_ms > 0)
+    pool_cold (relay->state->pool, relay->upstream, cold_ms);
 }
 
-/* Tell whether HEAD is an answer to this very request.  */
+/* Return whether HEAD is a valid response of an upstream to this request.  */
 static bool
-is_own_answer (const relay_t *relay, const call_head_t *head)
+is_valid_response (const relay_t *relay, const call_head_t *head)
 {
-  const header_names_t *names = relay->belief->names;
+  const header_names_t *names = relay->state->names;
   str_t echoed = call_header (head, names->attempt_id);
 
   if (echoed.ptr != NULL && !str_eq (echoed, str_from (relay->attempt_id)))
     return false;
   if (head->status < 200 || head->status > 599)
     return false;
-  /* Callers ask for bodies without a coding, so a coded one was not made by
-     the upstream; and no success is without its mac.  */
+  /* Callers do not accept encoded bodies, so an encoded body does not come
+     from the upstream.  A success has a message authentication code.  */
   if (call_header (head, STR ("content-encoding")).ptr != NULL)
     return false;
   return head->status >= 300
          || call_header (head, names->answer_mac).ptr != NULL;
 }
 
-/* Drop the answer of a smaller model that doubts itself, while the caller has
-   none of it.  Return true when the request went on to a larger one.  */
+/* Escalate to a larger model if the confidence of the current one is too low
+   and the caller has received no part of its answer.  Return true if the
+   answer was dropped and the request sent to a larger model.  */
 static bool
 escalate (relay_t *relay, const call_head_t *head)
 {
-  str_t text = call_header (head, relay->belief->names->confidence);
+  str_t text = call_header (head, relay->state->names->confidence);
   uint64_t confidence;
-  size_t larger;
+  size_t larger_model;
 
-  if (relay->started || relay->terms.route->model_count == 0
-      || relay->model + 1 >= relay->terms.route->model_count
+  if (relay->response_started || relay->attrs.route->model_count == 0
+      || relay->model_index + 1 >= relay->attrs.route->model_count
       || text.ptr == NULL || !str_to_u64 (text, &confidence)
-      || (larger = relay_larger (relay, confidence)) == relay->model
-      || relay->runs + 1 >= relay->terms.route->attempts_max
-      || !take_extra (relay))
+      || (larger_model = relay_choose_larger_model (relay, confidence))
+             == relay->model_index
+      || relay->possible_runs + 1 >= relay->attrs.route->attempts_max
+      || !take_retry (relay))
     return false;
-  counter_add (relay->belief->counters.escalations, 1);
+  counter_add (relay->state->counters.escalations, 1);
   log_event (EVENT_LARGER, field_text (FIELD_ID, str_from (relay->attempt_id)),
              field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
              field_number (FIELD_CONFIDENCE, confidence),
-             field_number (FIELD_EXTRA, extra_left (relay)));
-  relay->runs++;
-  relay->model = larger;
-  relay_end_send (relay, SEND_DROPPED);
+             field_number (FIELD_EXTRA, retries_left (relay)));
+  relay->possible_runs++;
+  relay->model_index = larger_model;
+  relay_finish_send (relay, SEND_DROPPED);
   relay_send (relay);
   return true;
 }
@@ -267,80 +266,83 @@
 on_head (void *arg, const call_head_t *head)
 {
   relay_t *relay = arg;
-  const header_names_t *names = relay->belief->names;
+  const header_names_t *names = relay->state->names;
 
-  relay->last_ms = clock_ms (relay->belief->clock);
-  pool_heard (relay->belief->pool, relay->upstream);
-  if (!is_own_answer (relay, head))
+  relay->last_activity_ms = clock_ms (relay->state->clock);
+  pool_heard (relay->state->pool, relay->upstream);
+  if (!is_valid_response (relay, head))
     {
       relay_send_failed (relay, "foreign-answer", true);
       return;
     }
-  learn_from_head (relay, head);
-  if (relay->terms.route->model_count > 0 && !relay->started)
+  update_upstream_load (relay, head);
+  if (relay->attrs.route->model_count > 0 && !relay->response_started)
     escalation_heard (
-        belief_escalation (relay->belief, relay->terms.service->name),
-        relay_service_model (relay, relay->model), relay->terms.prompt,
-        relay->last_ms - relay->sent_ms, relay->terms.route->objective_ms);
+        gateway_service_escalation (relay->state, relay->attrs.service->name),
+        relay_service_model_index (relay, relay->model_index),
+        relay->attrs.prompt_tokens, relay->last_activity_ms - relay->sent_ms,
+        relay->attrs.route->objective_ms);
   if (head->status == 421 || call_header (head, names->not_run).ptr != NULL)
     {
       relay_send_failed (relay, head->status == 421 ? "misdirected" : "shed",
                          false);
       return;
     }
-  relay->is_ok = head->status < 300;
-  if (!relay->is_ok && head->status >= 500 && relay_may_send_again (relay)
-      && relay_may_take_extra (relay))
+  relay->is_success = head->status < 300;
+  if (!relay->is_success && head->status >= 500 && relay_may_retry (relay)
+      && relay_has_retry_budget (relay))
     {
       relay_send_failed (relay, "upstream-error", true);
       return;
     }
-  if (relay->started && !relay->is_ok)
+  if (relay->response_started && !relay->is_success)
     {
-      /* A stream that goes on elsewhere was refused with a plain failure.  */
+      /* The upstream failed to resume the stream.  */
       relay_send_failed (relay, "resume-failed", true);
       return;
     }
-  if (relay->is_ok)
-    relay_time_trial (relay, TIMING_FIRST,
-                      (double)(relay->last_ms - relay->sent_ms));
-  if (relay->is_ok && escalate (relay, head))
+  if (relay->is_success)
+    relay_record_timing (relay, TIMING_FIRST,
+                         (double)(relay->last_activity_ms - relay->sent_ms));
+  if (relay->is_success && escalate (relay, head))
     return;
-  relay->phase = PHASE_ANSWERING;
-  relay->head_ms = relay->last_ms;
-  if (relay->started)
+  relay->phase = PHASE_RECEIVING_RESPONSE;
+  relay->head_received_ms = relay->last_activity_ms;
+  if (relay->response_started)
     return;
-  keep_head (relay, head);
-  if (relay->terms.route->kind == ROUTE_STREAM && relay->is_ok)
-    start_stream (relay);
+  store_response_head (relay, head);
+  if (relay->attrs.route->kind == ROUTE_STREAM && relay->is_success)
+    start_streaming (relay);
 }
 
 static void
-take_events (relay_t *relay, str_t bytes)
+forward_events (relay_t *relay, str_t bytes)
 {
   buf_t out = BUF_NULL;
   size_t count = 0;
-  vh_code_t code = events_take (&relay->events, bytes, &out, &count);
+  vh_code_t code = sse_filter_feed (&relay->sse, bytes, &out, &count);
 
   if (out.len > 0)
     {
-      if (relay->prompt_left > 0)
+      if (relay->unread_prompt_tokens > 0)
         {
-          pool_first (relay->upstream, relay->prompt_left);
-          relay->prompt_left = 0;
+          pool_first (relay->upstream, relay->unread_prompt_tokens);
+          relay->unread_prompt_tokens = 0;
         }
       relay->event_count += count;
-      if (relay->send_events <= PACE_EVENTS
-          && relay->send_events + count > PACE_EVENTS)
-        relay_time_trial (relay, TIMING_GAP,
-                          (double)(relay->last_ms - relay->head_ms)
-                              / (double)(relay->send_events + count - 1));
-      relay->send_events += count;
-      counter_add (relay->belief->counters.events, count);
+      if (relay->send_event_count <= INTERVAL_SAMPLE_EVENTS
+          && relay->send_event_count + count > INTERVAL_SAMPLE_EVENTS)
+        relay_record_timing (
+            relay, TIMING_GAP,
+            (double)(relay->last_activity_ms - relay->head_received_ms)
+                / (double)(relay->send_event_count + count - 1));
+      relay->send_event_count += count;
+      counter_add (relay->state->counters.events, count);
       httpd_send (relay->req, buf_str (&out), false);
-      if (!relay->paused && httpd_buffered (relay->req) > BUFFER_HIGH)
+      if (!relay->is_paused
+          && httpd_buffered (relay->req) > CALLER_BUFFER_BYTES_HIGH)
         {
-          relay->paused = true;
+          relay->is_paused = true;
           call_pause (relay->call);
         }
     }
@@ -354,14 +356,14 @@
 {
   relay_t *relay = arg;
 
-  relay->last_ms = clock_ms (relay->belief->clock);
-  pool_heard (relay->belief->pool, relay->upstream);
-  if (relay->started)
-    take_events (relay, bytes);
-  else if (relay->body.len + bytes.len > WHOLE_BYTES_MAX)
+  relay->last_activity_ms = clock_ms (relay->state->clock);
+  pool_heard (relay->state->pool, relay->upstream);
+  if (relay->response_started)
+    forward_events (relay, bytes);
+  else if (relay->response_body.len + bytes.len > RESPONSE_BODY_BYTES_MAX)
     relay_send_failed (relay, "answer-too-large", true);
   else
-    buf_append_str (&relay->body, bytes);
+    buf_append_str (&relay->response_body, bytes);
 }
 
 static void
@@ -372,39 +374,44 @@
   relay->call = NULL;
   if (code == VH_E_CONNECT)
     {
-      /* Nothing left, so it costs no extra send.  */
-      relay->reason = "connect";
-      relay->unsent = true;
-      remember_tried (relay);
+      /* No byte of the request was sent, so the next send is not charged to
+         the retry budget.  */
+      relay->failure_reason = "connect";
+      relay->connect_failed = true;
+      add_tried_upstream (relay);
       relay->sends--;
-      relay_end_send (relay, SEND_FAILED);
+      relay_finish_send (relay, SEND_FAILED);
       if (relay->tried_count < POOL_TRIED_MAX)
         relay_send (relay);
       else
-        relay_give_up (relay, VH_E_NO_UPSTREAM, "connect",
-                       RETRY_UNAVAILABLE_MS);
+        relay_fail (relay, VH_E_NO_UPSTREAM, "connect",
+                    RETRY_AFTER_UNAVAILABLE_MS);
       return;
     }
-  if (code == VH_OK && relay->started && !events_at_border (&relay->events))
+  if (code == VH_OK && relay->response_started
+      && !sse_filter_at_boundary (&relay->sse))
     code = VH_E_UPSTREAM_CUT;
-  relay->broke = code == VH_E_UPSTREAM_CUT;
+  relay->connection_lost = code == VH_E_UPSTREAM_CUT;
   if (code != VH_OK)
     {
       relay_send_failed (relay, code == VH_E_PROTOCOL ? "garbled" : "cut",
                          true);
       return;
     }
-  relay_end_send (relay,
-                  relay->is_ok || relay->status < 500 ? SEND_OK : SEND_FAILED);
-  if (!relay->started)
+  relay_finish_send (relay, relay->is_success || relay->response_status < 500
+                                ? SEND_OK
+                                : SEND_FAILED);
+  if (!relay->response_started)
     {
-      pass_whole (relay);
+      send_buffered_response (relay);
       return;
     }
-  counter_add (relay->belief->counters.answered, 1);
-  relay_tell_end (relay, EVENT_ANSWERED, relay->status, relay->reason, 0);
-  /* The last bytes may wait behind a write: a caller that leaves meanwhile
-     must not be told to a relay that is gone.  */
+  counter_add (relay->state->counters.answered, 1);
+  relay_record_end (relay, EVENT_ANSWERED, relay->response_status,
+                    relay->failure_reason, 0);
+  /* The last bytes may still wait in the write queue.  The caller may
+     disconnect before they are written, and that callback must not use the
+     destroyed relay.  */
   httpd_watch (relay->req, NULL, NULL, NULL);
   httpd_send (relay->req, STR (""), true);
   relay_destroy (relay);
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -4,20 +4,19 @@
 
 enum
 {
-  /* Of instances that get the first share of a version: one that happens to
-     have a queue must not speak for all.  */
-  FEW_LEAST = 2
+  /* Least number of instances that get the requests of a new version.  A
+     single instance may have a queue by chance and would then stand for the
+     whole version.  */
+  NEW_VERSION_INSTANCES_MIN = 2
 };
 
-/* Index among the service's models of the route's model at INDEX;
-   SERVICE_MODELS_MAX when the service does not list it.  */
 size_t
-relay_service_model (const relay_t *relay, size_t index)
+relay_service_model_index (const relay_t *relay, size_t index)
 {
-  const service_t *service = relay->terms.service;
+  const service_t *service = relay->attrs.service;
 
   for (size_t i = 0; i < service->model_count; i++)
-    if (str_eq (service->models[i].name, relay->terms.route->models[index]))
+    if (str_eq (service->models[i].name, relay->attrs.route->models[index]))
       return i;
   return SERVICE_MODELS_MAX;
 }
@@ -25,164 +24,172 @@
 static double
 model_cost (const relay_t *relay, size_t index)
 {
-  return index < SERVICE_MODELS_MAX ? relay->terms.service->models[index].cost
+  return index < SERVICE_MODELS_MAX ? relay->attrs.service->models[index].cost
                                     : 0;
 }
 
-/* Tell whether VERSION of the request's service has an instance in service. */
+/* Return whether an instance in service runs VERSION of the request's
+   service.  */
 static bool
-has_version (const relay_t *relay, str_t version)
+has_instance_of_version (const relay_t *relay, str_t version)
 {
-  return pool_count (relay->belief->pool, relay->terms.service->name, ARM_NEW,
+  return pool_count (relay->state->pool, relay->attrs.service->name, ARM_NEW,
                      version, 1)
          > 0;
 }
 
-/* Load of the instances that get a version's share, over that of the old
-   version's: it must be seen to bear more than it will get on a calm day.  */
-static const double crowding = 1.25;
+/* Load of the instances that get the requests of a new version, relative to
+   the load of the old version's instances.  It is above 1 so that the new
+   version is tested with more load than it will get at normal traffic.  */
+static const double new_version_load_ratio = 1.25;
 
-/* How many instances of the version under TRIAL get its share of the requests.
- */
+/* Return how many instances of the version in TRIAL get its share of the
+   requests.  */
 static size_t
-few_of (const relay_t *relay, const trial_t *trial)
+new_version_instance_count (const relay_t *relay, const trial_t *trial)
 {
-  const belief_t *belief = relay->belief;
-  double share = trial_share (trial, follow_store_ms (belief->orders));
-  size_t old = pool_count (belief->pool, relay->terms.service->name, ARM_OLD,
-                           trial_version (trial), SIZE_MAX);
-  size_t few = (size_t)ceil (share * (double)old / crowding);
-  return few > FEW_LEAST ? few : FEW_LEAST;
+  const belief_t *state = relay->state;
+  double share = trial_share (trial, follow_store_ms (state->orders));
+  size_t old_instances = pool_count (state->pool, relay->attrs.service->name,
+                                     ARM_OLD, trial_version (trial), SIZE_MAX);
+  size_t count
+      = (size_t)ceil (share * (double)old_instances / new_version_load_ratio);
+  return count > NEW_VERSION_INSTANCES_MIN ? count : NEW_VERSION_INSTANCES_MIN;
 }
 
-/* Which versions WANT may go to.  */
+/* Set the versions that CRITERIA allows, according to the roll-out of the
+   service.  */
 static void
-choose_arm (const relay_t *relay, pool_want_t *want)
+choose_version_arm (const relay_t *relay, pool_want_t *criteria)
 {
-  belief_t *belief = relay->belief;
+  belief_t *state = relay->state;
   const trial_t *trial = relay_trial (relay);
 
-  want->arm = ARM_ANY;
+  criteria->arm = ARM_ANY;
   if (trial == NULL)
     return;
-  want->version = trial_version (trial);
+  criteria->version = trial_version (trial);
   switch (trial_phase (trial))
     {
     case TRIAL_ROLLED_BACK:
-      want->arm = ARM_OLD;
+      criteria->arm = ARM_OLD;
       break;
     case TRIAL_DONE:
-      if (has_version (relay, want->version))
-        want->arm = ARM_NEW;
+      if (has_instance_of_version (relay, criteria->version))
+        criteria->arm = ARM_NEW;
       break;
     case TRIAL_RUNNING:
-      if (trial_choose (trial, relay->terms.session,
-                        follow_store_ms (belief->orders), &relay->on_trial)
+      if (trial_choose (trial, relay->attrs.session_hash,
+                        follow_store_ms (state->orders), &relay->trial_sends)
               == TRIAL_NEW
-          && has_version (relay, want->version))
+          && has_instance_of_version (relay, criteria->version))
         {
-          want->arm = ARM_NEW;
-          want->few = few_of (relay, trial);
+          criteria->arm = ARM_NEW;
+          criteria->few = new_version_instance_count (relay, trial);
         }
       else
-        want->arm = ARM_OLD;
+        criteria->arm = ARM_OLD;
       break;
     }
 }
 
-/* What a send of RELAY to the route's model at INDEX asks of an upstream.  */
+/* Fill CRITERIA for a send to the model at INDEX in the route's list.  */
 static void
-want_for (const relay_t *relay, size_t index, pool_want_t *want)
+fill_criteria (const relay_t *relay, size_t index, pool_want_t *criteria)
 {
-  const terms_t *terms = &relay->terms;
+  const request_attrs_t *attrs = &relay->attrs;
 
-  *want = (pool_want_t){
-    .service = terms->service->name,
-    .cold_per_s = terms->service->cold_per_s,
-    .key = terms->key != 0 ? terms->key ^ (index + 1) : 0,
+  *criteria = (pool_want_t){
+    .service = attrs->service->name,
+    .cold_per_s = attrs->service->cold_per_s,
+    .key = attrs->prefix_hash != 0 ? attrs->prefix_hash ^ (index + 1) : 0,
     .tried = relay->tried,
     .tried_count = relay->tried_count,
   };
-  choose_arm (relay, want);
+  choose_version_arm (relay, criteria);
 }
 
 void
-relay_want (const relay_t *relay, pool_want_t *want)
+relay_selection_criteria (const relay_t *relay, pool_want_t *criteria)
 {
-  want_for (relay, relay->model, want);
+  fill_criteria (relay, relay->model_index, criteria);
 }
 
 bool
-relay_has_place (const relay_t *relay)
+relay_has_alternative (const relay_t *relay)
 {
   const upstream_t *tried[POOL_TRIED_MAX + 1];
-  pool_want_t want;
+  pool_want_t criteria;
   upstream_t *upstream;
 
-  relay_want (relay, &want);
+  relay_selection_criteria (relay, &criteria);
   for (size_t i = 0; i < relay->tried_count; i++)
     tried[i] = relay->tried[i];
   if (relay->upstream != NULL)
-    tried[want.tried_count++] = relay->upstream;
-  want.tried = tried;
-  return pool_choose (relay->belief->pool, &want, &upstream) != VH_E_FULL;
+    tried[criteria.tried_count++] = relay->upstream;
+  criteria.tried = tried;
+  return pool_choose (relay->state->pool, &criteria, &upstream) != VH_E_FULL;
 }
 
-/* Requests at the engine that would read the prompt if it went to the route's
-   model at INDEX now; all that an engine can carry when none would.  That is
-   the home of its shared parts also for a long prompt: sent to the idlest
-   engine, long reads spread over all of them.  */
+/* Return the number of requests at the engine that the request would be sent
+   to now for the model at INDEX in the route's list.  Without such an engine,
+   return the number of slots of the current upstream.
+
+   The engine is the one that caches the shared parts of the prompt, also for a
+   long prompt: if long prompts went to the least loaded engine, they would
+   slow down all engines.  */
 static double
-load_beside (const relay_t *relay, size_t index)
+load_for_model (const relay_t *relay, size_t index)
 {
-  pool_want_t want;
+  pool_want_t criteria;
   upstream_t *upstream;
 
-  want_for (relay, index, &want);
-  if (pool_choose (relay->belief->pool, &want, &upstream) != VH_OK)
+  fill_criteria (relay, index, &criteria);
+  if (pool_choose (relay->state->pool, &criteria, &upstream) != VH_OK)
     return upstream_slots (relay->upstream);
-  return upstream_load (relay->belief->pool, upstream);
+  return upstream_load (relay->state->pool, upstream);
 }
 
 size_t
-relay_larger (relay_t *relay, uint64_t opinion)
+relay_choose_larger_model (relay_t *relay, uint64_t confidence)
 {
-  const terms_t *terms = &relay->terms;
-  const route_t *route = terms->route;
+  const request_attrs_t *attrs = &relay->attrs;
+  const route_t *route = attrs->route;
   escalation_t *escalation
-      = belief_escalation (relay->belief, terms->service->name);
-  size_t model = relay_service_model (relay, relay->model);
-  uint32_t points = opinion < 100 ? (uint32_t)opinion : 100;
+      = gateway_service_escalation (relay->state, attrs->service->name);
+  size_t model = relay_service_model_index (relay, relay->model_index);
+  uint32_t confidence_points = confidence < 100 ? (uint32_t)confidence : 100;
   escalation_choice_t choices[SERVICE_MODELS_MAX];
   size_t count = 0;
 
-  if (relay->model == 0)
-    relay->first_opinion = points;
+  if (relay->model_index == 0)
+    relay->first_confidence = confidence_points;
   else
-    escalation_compared (escalation, model, relay->first_opinion, points);
-  for (size_t i = relay->model + 1;
+    escalation_compared (escalation, model, relay->first_confidence,
+                         confidence_points);
+  for (size_t i = relay->model_index + 1;
        i < route->model_count && count < SERVICE_MODELS_MAX; i++)
     {
-      size_t larger = relay_service_model (relay, i);
+      size_t larger_model = relay_service_model_index (relay, i);
       choices[count++]
-          = (escalation_choice_t){ .model = larger,
-                                   .cost = model_cost (relay, larger),
-                                   .beside = load_beside (relay, i) };
+          = (escalation_choice_t){ .model = larger_model,
+                                   .cost = model_cost (relay, larger_model),
+                                   .beside = load_for_model (relay, i) };
     }
   const escalation_case_t request
       = { .model = model,
           .cost = model_cost (relay, model),
-          .read = terms->prompt,
-          .generated = terms->generated,
+          .read = attrs->prompt_tokens,
+          .generated = attrs->output_tokens_max,
           .rank = route->priority,
-          .opinion = points,
-          .has_first = relay->model > 0,
-          .first = relay->first_opinion,
-          .elapsed_ms = relay->last_ms - terms->arrived_ms,
+          .opinion = confidence_points,
+          .has_first = relay->model_index > 0,
+          .first = relay->first_confidence,
+          .elapsed_ms = relay->last_activity_ms - attrs->arrived_ms,
           .objective_ms = route->objective_ms,
           .pause_ms = route->pause_ms,
           .choices = choices,
           .choice_count = count };
   size_t chosen = escalation_choose (escalation, &request);
-  return chosen < count ? relay->model + 1 + chosen : relay->model;
+  return chosen < count ? relay->model_index + 1 + chosen : relay->model_index;
 }
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -1,12 +1,13 @@
-/* What the parts of a request's way share.
+/* Declarations shared by the files that process a request.
 
-   relay.c        arrival, sending, time, the caller
-   relay_want.c   what a send asks of an upstream: version, model, load
-   relay_hear.c   what an upstream answered, and what follows from it
-   relay_end.c    what the caller is told, the log, the bill
+   relay.c           arrival, sending, timers, disconnection of the caller
+   relay_select.c    selection of the upstream: version, model and load
+   relay_response.c  response of the upstream, retries and escalation
+   relay_end.c       response to the caller, log line, metrics and bill
 
-   A request goes from the first to the last; relay_send and relay_send_failed
-   are the way back for another try.  */
+   A request passes through the files in this order; relay_send and
+   relay_send_failed return to the first for another send.  A send is one
+   transmission of the request to an upstream.  */
 
 #ifndef GATEWAY_RELAYINT_H
 #define GATEWAY_RELAYINT_H
@@ -21,123 +22,152 @@
 
 enum
 {
-  /* A refusal for want of room says to return after this, give or take half:
-     some slots are free again after it.  */
-  RETRY_FULL_MS = 400,
-  /* No configuration, or no instance: these come back within seconds.  */
-  RETRY_UNAVAILABLE_MS = 700
+  /* Mean Retry-After of a refusal because all upstreams are full, with a
+     jitter of half of it: some slots become free in this time.  */
+  RETRY_AFTER_FULL_MS = 400,
+  /* Mean Retry-After without a configuration or an instance: both return
+     within seconds.  */
+  RETRY_AFTER_UNAVAILABLE_MS = 700
 };
 
 typedef enum
 {
-  PHASE_EARLY,    /* Waits until this process knows what it needs.  */
-  PHASE_HELD,     /* A stream that was broken off waits for an upstream.  */
-  PHASE_SENT,     /* No head yet.  */
-  PHASE_ANSWERING /* The caller gets the answer of the present call.  */
-} phase_t;
+  PHASE_AWAITING_CONFIG,   /* This process has no configuration yet.  */
+  PHASE_AWAITING_UPSTREAM, /* Interrupted stream waits for an upstream with
+                              room.  */
+  PHASE_AWAITING_RESPONSE, /* Request sent; no response head received yet.  */
+  PHASE_RECEIVING_RESPONSE /* Response head received.  */
+} relay_phase_t;
 
 typedef struct
 {
   list_t link;
-  belief_t *belief;
+  belief_t *state;
   httpd_req_t *req;
-  terms_t terms;
+  request_attrs_t attrs;
   char *attempt_id;
-  size_t model;           /* Index into the route's models.  */
-  uint32_t first_opinion; /* Of the route's smallest model, once a larger one
-                             is asked.  */
-  bound_t bound; /* Until the next moment at which something is due.  */
-  /* The present send.  */
+  size_t model_index;        /* Index into the models of the route.  */
+  uint32_t first_confidence; /* Confidence of the smallest model of the route;
+                                valid if MODEL_INDEX > 0.  */
+  bound_t timer;             /* Fires when the next action is due.  */
+
+  /* State of the current send.  */
   call_t *call;
   upstream_t *upstream;
-  phase_t phase;
-  uint64_t sent_ms;
-  uint64_t head_ms; /* Of the answer's head.  */
-  uint64_t last_ms; /* Something came.  */
-  uint64_t send_events;
-  uint32_t load;  /* Of the upstream when it answered.  */
-  bool is_loaded; /* It ran requests in half of its slots then.  */
-  uint32_t prompt_left;
-  bool is_ok;  /* The head said 2xx.  */
-  bool broke;  /* Its connection ended early or the upstream is lost.  */
-  bool unsent; /* No connection could be made.  */
-  /* All sends.  */
+  relay_phase_t phase;
+  uint64_t sent_ms; /* Reset when a timeout is postponed because no
+                       retry is possible.  */
+  uint64_t head_received_ms;
+  uint64_t last_activity_ms; /* Time of the last bytes received from the
+                                upstream; at first and when a timeout is
+                                postponed, SENT_MS.  */
+  uint64_t send_event_count; /* Events received by this send.  */
+  uint32_t upstream_load;    /* Requests that ran or waited at the upstream
+                                when it answered.  */
+  bool is_upstream_loaded;   /* Half or more of the slots were then in use.  */
+  uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has yet to
+                                    read.  */
+  bool is_success;               /* The response status is 2xx.  */
+  bool connection_lost; /* The connection ended early, or the upstream is
+                           unreachable.  */
+  bool connect_failed;  /* No connection was established.  */
+
+  /* State of all sends.  */
   const upstream_t *tried[POOL_TRIED_MAX];
   size_t tried_count;
   size_t sends;
-  size_t runs;  /* Sends that may have run.  */
-  bool started; /* The caller has the head of an answer.  */
-  events_t events;
-  uint64_t event_count;
-  /* An answer with a length, until it is whole.  */
-  int status;
-  buf_t head; /* Pairs of NAME NUL VALUE NUL.  */
-  buf_t body;
-  bool paused;
-  bool shed;             /* The last upstream said that it did not run it.  */
-  trial_sent_t on_trial; /* Its sends while a version is under trial.  */
-  const char *reason;    /* Of the last failure, for the log.  */
+  size_t possible_runs;  /* Sends that the upstream may have run.  */
+  bool response_started; /* The response head was sent to the caller.  */
+  sse_filter_t sse;
+  uint64_t event_count; /* Events sent to the caller.  */
+
+  /* Response head, and the body of a response that is not streamed.  */
+  int response_status;
+  buf_t response_headers; /* Pairs of NAME NUL VALUE NUL.  */
+  buf_t response_body;
+  bool is_paused;   /* Reading from the upstream is paused, because the caller
+                       reads slowly.  */
+  bool was_refused; /* The last upstream reported that it did not run the
+                       request.  */
+  trial_sent_t trial_sends;   /* Sends of the request during a roll-out.  */
+  const char *failure_reason; /* Reason of the last failed send, for the log;
+                                 NULL if no send failed.  */
 } relay_t;
 
-/* Endings.  */
+/* End of a request.  */
 
-/* Let go of RELAY, whose caller was told.  */
+/* Remove and free RELAY, whose response is complete or aborted.  */
 void relay_destroy (relay_t *relay);
-/* Let go of the present send, of which OUTCOME is known.  */
-void relay_end_send (relay_t *relay, send_outcome_t outcome);
-/* Count the request under its route, team and outcome, bill it, and write one
-   line on how it ended.  */
-void relay_tell_end (const relay_t *relay, log_event_t event, int status,
-                     const char *reason, uint64_t retry_ms);
-/* Answer with an error of our own and end.  RETRY_MS 0: no Retry-After.  */
-void relay_reply (relay_t *relay, int status, vh_code_t code,
-                  const char *reason, uint64_t retry_ms);
-/* Give the request up: what the caller is told depends on whether it may have
-   run.  */
-void relay_give_up (relay_t *relay, vh_code_t code, const char *reason,
-                    uint64_t retry_ms);
-/* The model that is chosen here, or NONE where the route leaves no choice.  */
-str_t relay_model_or (const relay_t *relay, str_t none);
+/* End the current send, if any, and report its OUTCOME to the pool and the
+   roll-out.  */
+void relay_finish_send (relay_t *relay, send_outcome_t outcome);
+/* Record the end of the request: bill, metrics by route, team and outcome,
+   and one log line.  */
+void relay_record_end (const relay_t *relay, log_event_t event, int status,
+                       const char *reason, uint64_t retry_ms);
+/* Send an error response of the gateway and destroy RELAY.  A response that
+   has already started is aborted instead.  RETRY_MS is the mean Retry-After;
+   0 sends no such header.  */
+void relay_reply_error (relay_t *relay, int status, vh_code_t code,
+                        const char *reason, uint64_t retry_ms);
+/* Fail the request and destroy RELAY.  The status is 502 or 504 if an upstream
+   may have run the request, else 503 with a mean Retry-After of RETRY_MS; 0
+   stands for RETRY_AFTER_FULL_MS.  */
+void relay_fail (relay_t *relay, vh_code_t code, const char *reason,
+                 uint64_t retry_ms);
+/* Return the name of the current model, or FALLBACK if the route lists no
+   models.  */
+str_t relay_model_name (const relay_t *relay, str_t fallback);
 
 /* Roll-outs.  */
 
-/* The roll-out of the request's service, or NULL.  */
+/* Return the roll-out of the request's service in any phase, or NULL.  */
 trial_t *relay_trial (const relay_t *relay);
-/* The arm of the present send: new while its version is under trial.  */
-trial_arm_t relay_arm (const relay_t *relay);
-/* Tell the trial of the service how long the present send took for TIMING.  */
-void relay_time_trial (const relay_t *relay, trial_timing_t timing, double ms);
-
-/* What a send asks.  */
-
-/* What the next send of RELAY asks of an upstream.  */
-void relay_want (const relay_t *relay, pool_want_t *want);
-/* Tell whether the request has a place to go to besides its present upstream,
-   if it has one: the others are not all full.  Where there are none, a new
-   connection to the same one may do better.  */
-bool relay_has_place (const relay_t *relay);
-/* Index among the service's models of the route's model at INDEX;
-   SERVICE_MODELS_MAX when the service does not list it.  */
-size_t relay_service_model (const relay_t *relay, size_t index);
-/* The route's model that is to answer in place of the present one, which has
-   OPINION of its answer; the present one where that is kept.  */
-size_t relay_larger (relay_t *relay, uint64_t opinion);
-
-/* Sending and hearing.  */
-
-/* Send the request to the best upstream, or give it up.  */
+/* Return TRIAL_NEW if the upstream of the current send runs the version that
+   is being rolled out, else TRIAL_OLD.  */
+trial_arm_t relay_trial_arm (const relay_t *relay);
+/* Record in the running roll-out of the service that TIMING of the current
+   send took MS.  */
+void relay_record_timing (const relay_t *relay, trial_timing_t timing,
+                          double ms);
+
+/* Selection of the upstream.  */
+
+/* Fill CRITERIA for the upstream of the next send.  */
+void relay_selection_criteria (const relay_t *relay, pool_want_t *criteria);
+/* Return whether an upstream other than the current one has room for the
+   request.  Also true if no other upstream exists: a new connection to the
+   current one may succeed.  */
+bool relay_has_alternative (const relay_t *relay);
+/* Return the index in the service's list of the model at INDEX in the route's
+   list, or SERVICE_MODELS_MAX if the service does not list the model.  */
+size_t relay_service_model_index (const relay_t *relay, size_t index);
+/* Return the index in the route's list of the larger model that is to answer
+   instead of the current one, whose CONFIDENCE in its answer is 0 to 100; the
+   index of the current model if its answer is kept.  */
+size_t relay_choose_larger_model (relay_t *relay, uint64_t confidence);
+
+/* Sending and receiving.  */
+
+/* Send the request to the best upstream, or fail the request.  */
 void relay_send (relay_t *relay);
-/* What the call of a send tells, with the relay as its argument.  */
+/* Callbacks for the call of a send; the argument is the relay.  */
 extern const call_events_t relay_call_events;
-/* The present send failed for REASON; RAN unless the upstream said that it did
-   not run the request.  Send it again where that is allowed.  */
-void relay_send_failed (relay_t *relay, const char *reason, bool ran);
-/* Send the rest of a stream that was broken off to another upstream, as soon
-   as one has room and an extra send is left.  */
-void relay_go_on (relay_t *relay);
-/* Tell whether the request may run once more.  */
-bool relay_may_send_again (const relay_t *relay);
-/* Tell whether its service has an extra send left here.  */
-bool relay_may_take_extra (const relay_t *relay);
+/* Handle the failure of the current send.  MAY_HAVE_RUN is false only if the
+   upstream reported that it did not run the request.  Retries the request if
+   allowed, else fails it.  */
+void relay_send_failed (relay_t *relay, const char *reason, bool may_have_run);
+/* Resume an interrupted stream at another upstream, as soon as one has room
+   and the retry budget allows another send.
+
+   The caller has part of the response and loses it if the stream ends here.
+   When a gateway process took a healthy upstream for lost, all streams to it
+   were aborted because the other upstreams were full at that moment.  */
+void relay_resume_stream (relay_t *relay);
+/* Return whether the request may be run once more.  */
+bool relay_may_retry (const relay_t *relay);
+/* Return whether the retry budget of the service in this process allows
+   another send.  */
+bool relay_has_retry_budget (const relay_t *relay);
 
 #endif
--- a/packages/gateway/tally.h
+++ b/packages/gateway/tally.h
@@ -1,6 +1,6 @@
-/* What a gateway counts of its requests: totals by route, team, outcome and
-   reason, and the time to their end by route, with a bound on the number of
-   series.  */
+/* Metrics of finished requests: a counter by route, team, outcome and reason,
+   and a histogram of the request duration by route.  The number of time series
+   is bounded.  */
 
 #ifndef GATEWAY_TALLY_H
 #define GATEWAY_TALLY_H
@@ -10,19 +10,22 @@
 
 enum
 {
-  /* Routes and teams come with the configuration, hundreds of them at times;
-     what has no series of its own any more is counted under "other".  */
-  TALLY_ROUTES_MAX = 64,
-  TALLY_SERIES_MAX = 512
+  /* The configuration may define hundreds of routes and teams.  Routes beyond
+     the limit are counted under the route label `other'.  */
+  REQUEST_METRICS_ROUTES_MAX = 64,
+  /* Label combinations beyond the limit are counted by outcome alone.  */
+  REQUEST_METRICS_SERIES_MAX = 512
 };
 
-typedef struct tally tally_t;
+typedef struct request_metrics request_metrics_t;
 
 /* METRICS is borrowed.  */
-tally_t *tally_create (metrics_t *metrics);
-void tally_destroy (tally_t *tally);
-/* A request of TEAM on ROUTE ended with OUTCOME for REASON after MS.  */
-void tally_request (tally_t *tally, str_t route, str_t team,
-                    const char *outcome, const char *reason, uint64_t ms);
+request_metrics_t *request_metrics_create (metrics_t *metrics);
+void request_metrics_destroy (request_metrics_t *request_metrics);
+/* Count a request of TEAM on ROUTE that ended with OUTCOME for REASON,
+   DURATION_MS after its arrival.  */
+void request_metrics_record (request_metrics_t *request_metrics, str_t route,
+                             str_t team, const char *outcome,
+                             const char *reason, uint64_t duration_ms);
 
 #endif
--- a/packages/gateway/terms.c
+++ b/packages/gateway/terms.c
@@ -1,9 +1,9 @@
 #include "gateway/termsint.h"
 
-/* Hash of the parts of the prompt but the last, which no other request
-   shares; 0 when there are none.  */
+/* Return the hash of all parts of the prompt but the last, which is unique to
+   the request; 0 if there are no such parts.  */
 static uint64_t
-shared_key (str_t parts)
+shared_prefix_hash (str_t parts)
 {
   size_t end = parts.len;
 
@@ -14,123 +14,130 @@
   return end == 0 ? 0 : str_hash (str_make (parts.ptr, end - 1), 1);
 }
 
-/* Find who asks for what.  Return VH_OK, or the reason why not.  */
+/* Resolve the route and the team.  Return VH_OK, or the reason for rejecting
+   the request.  */
 static vh_code_t
-identify (terms_t *terms, const belief_t *belief, const httpd_req_t *req)
+resolve_route_and_team (request_attrs_t *attrs, const belief_t *state,
+                        const httpd_req_t *req)
 {
   str_t bearer = httpd_header (req, STR ("authorization"));
 
-  if (belief->catalog == NULL)
+  if (state->catalog == NULL)
     return VH_E_STORE_DOWN;
-  terms->catalog = belief->catalog;
-  catalog_ref (terms->catalog);
-  terms->route = catalog_route (terms->catalog, httpd_authority (req),
+  attrs->catalog = state->catalog;
+  catalog_ref (attrs->catalog);
+  attrs->route = catalog_route (attrs->catalog, httpd_authority (req),
                                 httpd_path (req));
-  if (terms->route == NULL)
-    return belief_confirmed (belief) ? VH_E_NO_ROUTE : VH_E_STORE_DOWN;
-  if (!terms->route->is_public && catalog_has_teams (terms->catalog))
+  if (attrs->route == NULL)
+    return gateway_has_fresh_config (state) ? VH_E_NO_ROUTE : VH_E_STORE_DOWN;
+  if (!attrs->route->is_public && catalog_has_teams (attrs->catalog))
     {
-      /* A key that was taken away must not be used by an entry that cannot
-         see it: a confirmation that is too old lets no key in.  */
-      if (!belief_confirmed (belief))
+      /* A gateway process without a recent confirmation of its configuration
+         may have missed that a key was revoked, so it accepts no key.  */
+      if (!gateway_has_fresh_config (state))
         return VH_E_STORE_DOWN;
       if (!str_starts (bearer, STR ("Bearer ")))
         return VH_E_NO_AUTH;
-      terms->team = catalog_team (
-          terms->catalog,
+      attrs->team = catalog_team (
+          attrs->catalog,
           str_trim (str_make (bearer.ptr + 7, bearer.len - 7)));
-      if (terms->team == NULL)
+      if (attrs->team == NULL)
         return VH_E_BAD_KEY;
     }
   return VH_OK;
 }
 
-/* Choose the service by the route's weights.  */
+/* Choose the service by the weights of the route's split, the same for all
+   requests of a session.  */
 static void
-choose_service (terms_t *terms)
+choose_service (request_attrs_t *attrs)
 {
-  const route_t *route = terms->route;
-  uint64_t total = 0;
-  size_t at = 0;
+  const route_t *route = attrs->route;
+  uint64_t weight_sum = 0;
+  size_t index = 0;
 
   for (size_t i = 0; i < route->split_count; i++)
-    total += route->splits[i].weight;
-  if (total > 0)
+    weight_sum += route->splits[i].weight;
+  if (weight_sum > 0)
     {
-      uint64_t point = terms->session % total;
-      while (point >= route->splits[at].weight)
-        point -= route->splits[at++].weight;
+      uint64_t offset = attrs->session_hash % weight_sum;
+      while (offset >= route->splits[index].weight)
+        offset -= route->splits[index++].weight;
     }
-  terms->service
+  attrs->service
       = route->split_count > 0
-            ? catalog_service (terms->catalog, route->splits[at].service)
+            ? catalog_service (attrs->catalog, route->splits[index].service)
             : NULL;
 }
 
-/* Read the numbers of the request.  Return VH_OK or VH_E_BAD_HEADER.  */
+/* Parse the request headers.  Return VH_OK or VH_E_BAD_HEADER.  */
 static vh_code_t
-read_numbers (terms_t *terms, const header_names_t *names,
-              const httpd_req_t *req, str_t attempt)
+parse_headers (request_attrs_t *attrs, const header_names_t *names,
+               const httpd_req_t *req, str_t attempt_id)
 {
   str_t deadline = httpd_header (req, names->deadline_ms);
-  str_t tokens = httpd_header (req, names->token_counts);
+  str_t token_counts = httpd_header (req, names->token_counts);
   str_t last_id = httpd_header (req, STR ("last-event-id"));
   str_t session = httpd_header (req, names->session);
-  uint64_t wait_ms = terms->route->timeout_ms;
-  uint64_t prompt = 0;
-  uint64_t given;
+  uint64_t timeout_ms = attrs->route->timeout_ms;
+  uint64_t prompt_tokens = 0;
+  uint64_t number;
   str_t rest;
 
   if (deadline.ptr != NULL)
     {
-      if (!str_to_u64 (str_trim (deadline), &given))
+      if (!str_to_u64 (str_trim (deadline), &number))
         return VH_E_BAD_HEADER;
-      if (given < wait_ms || wait_ms == 0)
-        wait_ms = given;
+      if (number < timeout_ms || timeout_ms == 0)
+        timeout_ms = number;
     }
-  terms->due_ms = terms->arrived_ms + wait_ms;
-  if (tokens.ptr != NULL
-      && str_to_u64 (str_trim (str_cut (tokens, ',', &rest)), &prompt))
+  attrs->deadline_ms = attrs->arrived_ms + timeout_ms;
+  if (token_counts.ptr != NULL
+      && str_to_u64 (str_trim (str_cut (token_counts, ',', &rest)),
+                     &prompt_tokens))
     {
-      terms->prompt = prompt < UINT32_MAX ? (uint32_t)prompt : UINT32_MAX;
-      if (rest.ptr != NULL && str_to_u64 (str_trim (rest), &given))
-        terms->generated = given < UINT32_MAX ? (uint32_t)given : UINT32_MAX;
+      attrs->prompt_tokens
+          = prompt_tokens < UINT32_MAX ? (uint32_t)prompt_tokens : UINT32_MAX;
+      if (rest.ptr != NULL && str_to_u64 (str_trim (rest), &number))
+        attrs->output_tokens_max
+            = number < UINT32_MAX ? (uint32_t)number : UINT32_MAX;
     }
-  terms->key = shared_key (httpd_header (req, names->prompt_parts));
-  terms->session
-      = session.ptr != NULL ? str_hash (session, 2) : str_hash (attempt, 2);
-  if (terms->route->kind == ROUTE_STREAM && last_id.ptr != NULL
-      && str_to_u64 (str_trim (last_id), &given))
+  attrs->prefix_hash
+      = shared_prefix_hash (httpd_header (req, names->prompt_parts));
+  attrs->session_hash
+      = session.ptr != NULL ? str_hash (session, 2) : str_hash (attempt_id, 2);
+  if (attrs->route->kind == ROUTE_STREAM && last_id.ptr != NULL
+      && str_to_u64 (str_trim (last_id), &number))
     {
-      terms->resumes = true;
-      terms->last_id = given;
+      attrs->is_resume = true;
+      attrs->last_event_id = number;
     }
-  terms->may_repeat
-      = terms->route->kind == ROUTE_IDEMPOTENT
-        || (terms->route->kind == ROUTE_STREAM && terms->route->resumable);
+  attrs->is_repeatable
+      = attrs->route->kind == ROUTE_IDEMPOTENT
+        || (attrs->route->kind == ROUTE_STREAM && attrs->route->resumable);
   return VH_OK;
 }
 
 vh_code_t
-terms_read (terms_t *terms, const belief_t *belief, const httpd_req_t *req,
-            str_t attempt)
+request_attrs_resolve (request_attrs_t *attrs, const belief_t *state,
+                       const httpd_req_t *req, str_t attempt_id)
 {
-  vh_code_t code = identify (terms, belief, req);
+  vh_code_t code = resolve_route_and_team (attrs, state, req);
 
   if (code == VH_OK)
-    code = read_numbers (terms, belief->names, req, attempt);
+    code = parse_headers (attrs, state->names, req, attempt_id);
   if (code != VH_OK)
     return code;
-  terms->rank = terms->team != NULL && terms->team->has_priority
-                    ? terms->team->priority
-                    : terms->route->priority;
-  choose_service (terms);
-  return terms->service != NULL ? VH_OK : VH_E_NO_UPSTREAM;
+  attrs->priority = attrs->team != NULL && attrs->team->has_priority
+                        ? attrs->team->priority
+                        : attrs->route->priority;
+  choose_service (attrs);
+  return attrs->service != NULL ? VH_OK : VH_E_NO_UPSTREAM;
 }
 
 void
-terms_free (terms_t *terms)
+request_attrs_free (request_attrs_t *attrs)
 {
-  catalog_unref (terms->catalog);
-  terms->catalog = NULL;
+  catalog_unref (attrs->catalog);
+  attrs->catalog = NULL;
 }
--- a/packages/gateway/termsint.h
+++ b/packages/gateway/termsint.h
@@ -1,5 +1,6 @@
-/* What a request asks for and may have: read once on its arrival, from its
-   head and the configuration in force then.  */
+/* Attributes of a request: the route, service, team, deadline, priority and
+   size.  They are resolved once on arrival, from the request headers and the
+   configuration in force at that time.  */
 
 #ifndef GATEWAY_TERMSINT_H
 #define GATEWAY_TERMSINT_H
@@ -8,28 +9,29 @@
 
 typedef struct
 {
-  catalog_t *catalog; /* The request keeps it to its end.  */
+  catalog_t *catalog; /* Counted reference, held until the request ends.  */
   const route_t *route;
   const service_t *service;
-  const team_t *team; /* NULL: the route needs no key.  */
+  const team_t *team; /* NULL if the route needs no API key.  */
   uint64_t arrived_ms;
-  uint64_t due_ms;    /* The last moment for an answer.  */
-  uint64_t key;       /* Hash of the shared prompt parts; 0: none.  */
-  uint64_t session;   /* Hash of the session, or of the attempt's id.  */
-  uint32_t prompt;    /* Tokens.  */
-  uint32_t generated; /* Tokens of the answer at most; 0: not told.  */
-  uint32_t rank;      /* Of its team or route; 0 is the highest.  */
-  bool may_repeat;
-  bool resumes; /* The caller has the events of a stream up to LAST_ID.  */
-  uint64_t last_id;
-} terms_t;
+  uint64_t deadline_ms;   /* Latest time of the response.  */
+  uint64_t prefix_hash;   /* Hash of the shared prompt parts; 0: none.  */
+  uint64_t session_hash;  /* Hash of the session id, or of the attempt id if
+                             the request has no session.  */
+  uint32_t prompt_tokens; /* 0: unknown.  */
+  uint32_t output_tokens_max; /* Most tokens of the answer; 0: unknown.  */
+  uint32_t priority;  /* Of the team or else the route; 0 is the highest.  */
+  bool is_repeatable; /* The request may be run more than once.  */
+  bool is_resume;     /* The caller has the events up to LAST_EVENT_ID.  */
+  uint64_t last_event_id;
+} request_attrs_t;
 
-/* Fill TERMS, whose arrived_ms is set, from REQ with attempt id ATTEMPT.
-   Return VH_OK or why the request is refused; what was found out until then
-   is filled either way.  */
-vh_code_t terms_read (terms_t *terms, const belief_t *belief,
-                      const httpd_req_t *req, str_t attempt);
-/* Let go of the configuration.  */
-void terms_free (terms_t *terms);
+/* Fill ATTRS, whose arrived_ms is already set, from REQ with attempt id
+   ATTEMPT_ID.  Return VH_OK, or the reason for rejecting the request; the
+   attributes resolved before the error are filled in that case too.  */
+vh_code_t request_attrs_resolve (request_attrs_t *attrs, const belief_t *state,
+                                 const httpd_req_t *req, str_t attempt_id);
+/* Release the reference to the configuration.  */
+void request_attrs_free (request_attrs_t *attrs);
 
 #endif
--- a/tests/test_billing.c
+++ b/tests/test_billing.c
@@ -1,4 +1,5 @@
-/* Bills on their way to the store: each once, whatever becomes of a write.  */
+/* Tests of billing: each bill is written exactly once although writes fail or
+   their replies are lost.  */
 
 #include "gateway/billing.h"
 #include "suite.h"
@@ -7,68 +8,69 @@
 
 enum
 {
-  LIMIT_MS = 9000
+  FLUSH_TIMEOUT_MS = 9000
 };
 
-/* A store whose writes are done and not answered, or refused.  */
+/* Store that applies writes but loses the reply, or refuses writes.  */
 typedef struct
 {
   rows_t base;
   uv_loop_t *loop;
   uv_timer_t timer;
-  vh_code_t next; /* Told for the call at hand.  */
-  bool does;      /* The write takes effect.  */
+  vh_code_t next_code; /* Result reported for the current write.  */
+  bool applies_writes; /* Writes take effect, even if their result is an
+                          error.  */
   char keys[32][96];
-  size_t lines[32];
-  size_t count;
-  size_t calls;
+  size_t line_counts[32];
+  size_t row_count;
+  size_t commit_count;
   rows_cb_t cb;
   void *arg;
-} store_t;
+} fake_store_t;
 
 static void
-on_answer (uv_timer_t *timer)
+on_reply (uv_timer_t *timer)
 {
-  store_t *store = timer->data;
+  fake_store_t *store = timer->data;
   static const rows_result_t none = { 0 };
 
-  store->cb (store->arg, store->next, &none);
+  store->cb (store->arg, store->next_code, &none);
 }
 
 static void
 commit (rows_t *rows, const rows_write_t *writes, size_t count,
         uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  store_t *store = (store_t *)rows;
+  fake_store_t *store = (fake_store_t *)rows;
   char key[96];
-  bool known = false;
+  bool exists = false;
 
   (void)timeout_ms;
   ck_assert_uint_eq (count, 1);
   ck_assert (writes->conditional && writes->expected == 0);
   snprintf (key, sizeof key, "%.*s", STR_ARG (writes->key));
-  for (size_t i = 0; i < store->count; i++)
-    known = known || strcmp (store->keys[i], key) == 0;
-  store->calls++;
-  if (known)
-    store->next = VH_E_CONFLICT;
-  else if (store->does)
+  for (size_t i = 0; i < store->row_count; i++)
+    exists = exists || strcmp (store->keys[i], key) == 0;
+  store->commit_count++;
+  if (exists)
+    store->next_code = VH_E_CONFLICT;
+  else if (store->applies_writes)
     {
-      strcpy (store->keys[store->count], key);
+      strcpy (store->keys[store->row_count], key);
       for (size_t i = 0; i < writes->value.len; i++)
-        store->lines[store->count] += writes->value.ptr[i] == '\n';
-      store->count++;
+        store->line_counts[store->row_count] += writes->value.ptr[i] == '\n';
+      store->row_count++;
     }
   store->cb = cb;
   store->arg = arg;
-  uv_timer_start (&store->timer, on_answer, 1, 0);
+  uv_timer_start (&store->timer, on_reply, 1, 0);
 }
 
 static void
 forget (rows_t *rows, const void *arg)
 {
   (void)arg;
-  uv_timer_stop (&((store_t *)rows)->timer);
+  uv_timer_stop (&((fake_store_t *)rows)->timer);
 }
 
 static const rows_ops_t ops = { .commit = commit, .forget = forget };
@@ -76,7 +78,7 @@
 typedef struct
 {
   uv_loop_t loop;
-  store_t store;
+  fake_store_t store;
   billing_t *bills;
 } fixture_t;
 
@@ -89,8 +91,8 @@
   f->store.loop = &f->loop;
   uv_timer_init (&f->loop, &f->store.timer);
   f->store.timer.data = &f->store;
-  f->store.next = VH_OK;
-  f->store.does = true;
+  f->store.next_code = VH_OK;
+  f->store.applies_writes = true;
   f->bills = billing_create (&f->loop, &f->store.base, STR ("g"), 7);
 }
 
@@ -104,84 +106,85 @@
 }
 
 static void
-add (fixture_t *f, size_t count)
+add_bills (fixture_t *f, size_t count)
 {
-  const bill_t bill = { .id = STR ("a \"b\"\n"), .whole = true };
+  const bill_t bill = { .attempt_id = STR ("a \"b\"\n"), .is_complete = true };
 
   for (size_t i = 0; i < count; i++)
     billing_add (f->bills, &bill);
 }
 
 static size_t
-billed (const fixture_t *f)
+stored_bill_count (const fixture_t *f)
 {
-  size_t sum = 0;
+  size_t total = 0;
 
-  for (size_t i = 0; i < f->store.count; i++)
-    sum += f->store.lines[i];
-  return sum;
+  for (size_t i = 0; i < f->store.row_count; i++)
+    total += f->store.line_counts[i];
+  return total;
 }
 
 static void
-flush (fixture_t *f)
+flush_and_wait (fixture_t *f)
 {
   uint64_t start_ms = uv_now (&f->loop);
 
   billing_flush (f->bills);
-  while (billing_waiting (f->bills) > 0
-         && uv_now (&f->loop) - start_ms < LIMIT_MS)
+  while (billing_queued_count (f->bills) > 0
+         && uv_now (&f->loop) - start_ms < FLUSH_TIMEOUT_MS)
     uv_run (&f->loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (billing_waiting (f->bills), 0);
+  ck_assert_uint_eq (billing_queued_count (f->bills), 0);
 }
 
-/* A write is done and its reply lost; more bills come before it is sent again.
-   Every bill is there once.  */
-START_TEST (a_lost_reply_bills_nothing_twice)
+/* A write is applied, its reply is lost, and more bills are added before the
+   write is repeated.  Each bill must be stored once.  */
+START_TEST (lost_reply_does_not_duplicate_bills)
 {
   fixture_t f;
 
   setup (&f);
-  add (&f, 10);
-  f.store.next = VH_E_STORE_LATE;
+  add_bills (&f, 10);
+  f.store.next_code = VH_E_STORE_LATE;
   billing_flush (f.bills);
-  while (f.store.calls == 0 || uv_is_active ((uv_handle_t *)&f.store.timer))
+  while (f.store.commit_count == 0
+         || uv_is_active ((uv_handle_t *)&f.store.timer))
     uv_run (&f.loop, UV_RUN_ONCE);
-  add (&f, 5);
-  f.store.next = VH_OK;
-  while (billing_waiting (f.bills) > 5)
+  add_bills (&f, 5);
+  f.store.next_code = VH_OK;
+  while (billing_queued_count (f.bills) > 5)
     uv_run (&f.loop, UV_RUN_ONCE);
-  f.store.next = VH_OK;
-  flush (&f);
-  ck_assert_uint_eq (billed (&f), 15);
+  f.store.next_code = VH_OK;
+  flush_and_wait (&f);
+  ck_assert_uint_eq (stored_bill_count (&f), 15);
   teardown (&f);
 }
 END_TEST
 
-/* The store is away: bills wait within their bound, and are written in batches
-   at its return.  */
-START_TEST (bills_wait_for_the_store)
+/* The store is unavailable.  Bills must be queued up to the limit, written in
+   batches once the store is back, and be dropped and counted beyond it.  */
+START_TEST (bills_are_queued_during_outage)
 {
   fixture_t f;
 
   setup (&f);
-  f.store.next = VH_E_STORE_DOWN;
-  f.store.does = false;
-  add (&f, 3 * BILLING_BATCH);
-  while (f.store.calls < 2)
+  f.store.next_code = VH_E_STORE_DOWN;
+  f.store.applies_writes = false;
+  add_bills (&f, 3 * BILLING_BATCH_BILLS);
+  while (f.store.commit_count < 2)
     uv_run (&f.loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (billing_waiting (f.bills), 3 * BILLING_BATCH);
+  ck_assert_uint_eq (billing_queued_count (f.bills), 3 * BILLING_BATCH_BILLS);
   while (uv_is_active ((uv_handle_t *)&f.store.timer))
     uv_run (&f.loop, UV_RUN_ONCE);
-  f.store.does = true;
-  f.store.next = VH_OK;
-  flush (&f);
-  ck_assert_uint_eq (billed (&f), 3 * BILLING_BATCH);
-  ck_assert_uint_eq (billing_dropped (f.bills), 0);
-  f.store.next = VH_E_STORE_DOWN;
-  f.store.does = false;
-  add (&f, BILLING_KEPT + 1);
-  ck_assert_uint_eq (billing_dropped (f.bills), BILLING_BATCH);
-  ck_assert_uint_le (billing_waiting (f.bills), BILLING_KEPT);
+  f.store.applies_writes = true;
+  f.store.next_code = VH_OK;
+  flush_and_wait (&f);
+  ck_assert_uint_eq (stored_bill_count (&f), 3 * BILLING_BATCH_BILLS);
+  ck_assert_uint_eq (billing_dropped_count (f.bills), 0);
+  f.store.next_code = VH_E_STORE_DOWN;
+  f.store.applies_writes = false;
+  add_bills (&f, BILLING_QUEUED_BILLS_MAX + 1);
+  ck_assert_uint_eq (billing_dropped_count (f.bills), BILLING_BATCH_BILLS);
+  ck_assert_uint_le (billing_queued_count (f.bills), BILLING_QUEUED_BILLS_MAX);
   teardown (&f);
 }
 END_TEST
@@ -193,8 +196,8 @@
   TCase *tcase = tcase_create ("billing");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, a_lost_reply_bills_nothing_twice);
-  tcase_add_test (tcase, bills_wait_for_the_store);
+  tcase_add_test (tcase, lost_reply_does_not_duplicate_bills);
+  tcase_add_test (tcase, bills_are_queued_during_outage);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
