--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -321,7 +321,7 @@
   buf_printf (value, "%.*s %s", STR_ARG (version), words[state]);
 }
 
-static const gateway_dialect_t test_adapter = {
+static const gateway_dialect_t test_dialect = {
   .names = &header_names_default,
   .ready_path = { "/ready", 6 },
   .order_kind = order_kind,
@@ -395,7 +395,7 @@
     }
   f->upstream_count = count;
   ck_assert_int_eq (gateway_create (&f->loop, clock_system (),
-                                    fake_rows_iface (f->rows), &test_adapter,
+                                    fake_rows_iface (f->rows), &test_dialect,
                                     &options, &f->gateway),
                     VH_OK);
 }
