--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -26,7 +26,7 @@
 
 struct gateway
 {
-  belief_t state;
+  gateway_state_t state;
   httpd_t *caller_server;
   httpd_t *ready_server;
   httpd_t *admin_server;
@@ -39,12 +39,12 @@
 };
 
 allowance_t *
-gateway_service_allowance (belief_t *state, str_t service)
+gateway_service_allowance (gateway_state_t *state, str_t service)
 {
   allowance_t *allowance = map_get (state->allowances, service);
   allowance_options_t options
       = { .ratio = state->options.retry_ratio,
-          .slack = state->options.retry_slack,
+          .slack = state->options.retry_fixed_budget,
           .window_ms = state->options.retry_window_ms };
 
   if (allowance != NULL)
@@ -56,7 +56,7 @@
 }
 
 escalation_t *
-gateway_service_escalation (belief_t *state, str_t service)
+gateway_service_escalation (gateway_state_t *state, str_t service)
 {
   escalation_t *escalation = map_get (state->escalations, service);
 
@@ -68,7 +68,7 @@
 }
 
 uint64_t
-belief_reading_for_ms (const belief_t *state)
+gateway_config_load_ms (const gateway_state_t *state)
 {
   return state->reading_ms == 0
              ? 0
@@ -76,7 +76,7 @@
 }
 
 bool
-gateway_has_fresh_config (const belief_t *state)
+gateway_has_fresh_config (const gateway_state_t *state)
 {
   uint64_t max_age_ms = state->options.confirm_ms;
 
@@ -84,7 +84,7 @@
     return false;
   /* The configuration that is being loaded may revoke a key, so the one in
      force is outdated from the time at which the newer one arrived.  */
-  if (belief_reading_for_ms (state) > max_age_ms / 2)
+  if (gateway_config_load_ms (state) > max_age_ms / 2)
     return false;
   return follow_age_ms (state->orders) <= max_age_ms;
 }
@@ -98,10 +98,10 @@
 static bool
 is_ready (const gateway_t *gateway)
 {
-  const belief_t *state = &gateway->state;
+  const gateway_state_t *state = &gateway->state;
 
   return state->stopping_ms == 0 && gateway_has_fresh_config (state)
-         && state->is_prepared;
+         && state->is_initialized;
 }
 
 static void
@@ -137,7 +137,7 @@
 static void
 set_gauges (gateway_t *gateway)
 {
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
   uint64_t age_ms = follow_age_ms (state->orders);
   size_t cursor = 0;
   str_t service;
@@ -158,7 +158,7 @@
                                     : 0);
   set_gauge (gateway, "vanillahook_gateway_revision_reading_seconds", "",
              "For how long a later revision has been read; 0: none is.",
-             (double)belief_reading_for_ms (state) / MS_PER_S);
+             (double)gateway_config_load_ms (state) / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_entries", "",
              "Entries that share the allowances.", state->entries);
   set_gauge (gateway, "vanillahook_gateway_ready", "",
@@ -219,7 +219,7 @@
 }
 
 static void
-create_counters (belief_t *state)
+create_counters (gateway_state_t *state)
 {
 #define X(field, help)                                                        \
   state->counters.field = metrics_counter (                                   \
@@ -246,7 +246,7 @@
 static vh_code_t
 listen_all (gateway_t *gateway)
 {
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
   const gateway_options_t *options = &state->options;
   httpd_options_t caller_options = { .body_limit = BODY_BYTES_MAX,
                                      .read_timeout_ms = IDLE_TIMEOUT_MS,
@@ -272,7 +272,7 @@
 static vh_code_t
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
   const share_options_t options
       = { .name = state->options.name,
           .zone = state->options.zone,
@@ -306,7 +306,7 @@
 }
 
 static void
-free_state (belief_t *state)
+free_state (gateway_state_t *state)
 {
   size_t cursor = 0;
   str_t key;
@@ -353,7 +353,7 @@
 on_drain_timer (uv_timer_t *timer)
 {
   gateway_t *gateway = timer->data;
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
   uint64_t ms = clock_ms (state->clock) - state->stopping_ms;
 
   if (ms >= state->options.drain_bound_ms)
@@ -375,9 +375,9 @@
 }
 
 void
-gateway_stop (gateway_t *gateway)
+gateway_begin_stop (gateway_t *gateway)
 {
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
 
   if (state->stopping_ms != 0)
     return;
@@ -403,7 +403,7 @@
 }
 
 bool
-gateway_over (const gateway_t *gateway)
+gateway_is_stopped (const gateway_t *gateway)
 {
   return gateway->is_stopped;
 }
@@ -411,7 +411,7 @@
 static void
 on_probe_done (void *arg, str_t id, bool is_reachable)
 {
-  belief_t *state = arg;
+  gateway_state_t *state = arg;
 
   log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
              field_number (FIELD_REACHED, is_reachable));
@@ -424,7 +424,7 @@
                 const gateway_options_t *options, gateway_t **out)
 {
   gateway_t *gateway = mem_zalloc (sizeof *gateway);
-  belief_t *state = &gateway->state;
+  gateway_state_t *state = &gateway->state;
   pool_options_t pool_options = { .zone = options->zone,
                                   .cold_factor = options->cold_factor,
                                   .cold_slack = options->cold_slack };
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -21,11 +21,12 @@
 /* Kind of a row that an operator wrote.  */
 typedef enum
 {
-  ORDER_NONE,    /* Unknown to this version; ignored.  */
-  ORDER_CATALOG, /* Configuration.  */
-  ORDER_ROLLOUT, /* Roll-out of a version of a service.  */
-  ORDER_ZONE_OUT /* Availability zone whose instances get no requests.  */
-} order_kind_t;
+  OPERATOR_ROW_UNKNOWN,       /* Unknown to this version; ignored.  */
+  OPERATOR_ROW_CATALOG,       /* Configuration.  */
+  OPERATOR_ROW_ROLLOUT,       /* Roll-out of a version of a service.  */
+  OPERATOR_ROW_ZONE_EXCLUSION /* Availability zone whose instances get no
+                                 requests.  */
+} operator_row_kind_t;
 
 /* Roll-out requested by an operator.  */
 typedef struct
@@ -33,13 +34,13 @@
   str_t service;
   str_t version;
   uint64_t within_ms; /* Time limit of the roll-out.  */
-} rollout_order_t;
+} rollout_spec_t;
 
 typedef enum
 {
   ROLLOUT_RUNNING,
   ROLLOUT_DONE,
-  ROLLOUT_TAKEN_BACK
+  ROLLOUT_ROLLED_BACK
 } rollout_state_t;
 
 /* Names and row formats of one platform.  The functions only convert; all
@@ -51,14 +52,14 @@
                        balancer.  */
   /* Return the kind of the row KEY of ROWS_ORDERS.  *NAME is set to the
      availability zone or service in the key.  */
-  order_kind_t (*order_kind) (str_t key, str_t *name);
+  operator_row_kind_t (*order_kind) (str_t key, str_t *name);
   /* Parse a configuration.  Callable from any thread.  PAUSE is called after
      each half millisecond of work; it may be NULL.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
                              catalog_t **out);
   /* Parse a roll-out.  Strings of ORDER are stored in *HOLDER, which the
      caller releases with free_holder.  */
-  vh_code_t (*read_rollout) (str_t value, rollout_order_t *order,
+  vh_code_t (*read_rollout) (str_t value, rollout_spec_t *order,
                              void **holder);
   /* Parse the registration of an instance.  Strings of INFO are stored in
    *HOLDER, which the caller releases with free_holder.  */
@@ -95,7 +96,7 @@
                               remain usable.  */
   double retry_ratio;      /* Retry budget of all gateway processes: sends
                               beyond the first, per request.  */
-  double retry_slack;      /* Additional retries per window.  */
+  double retry_fixed_budget; /* Additional retries per window.  */
   uint64_t retry_window_ms;
   double cold_factor; /* A cold instance gets at most rate * cold_factor +
                          cold_slack requests a second.  */
@@ -115,9 +116,9 @@
 uint16_t gateway_port (const gateway_t *gateway);
 uint16_t gateway_ready_port (const gateway_t *gateway);
 /* Begin a planned stop.  A second call has no effect.  */
-void gateway_stop (gateway_t *gateway);
+void gateway_begin_stop (gateway_t *gateway);
 /* Return whether the planned stop has finished.  */
-bool gateway_over (const gateway_t *gateway);
+bool gateway_is_stopped (const gateway_t *gateway);
 /* Abort the remaining requests and free GATEWAY, which may be NULL.  Return
    false if the stop aborted any request.  */
 bool gateway_destroy (gateway_t *gateway);
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -67,16 +67,16 @@
   billing_t *bills;
   list_t relays;
   uint64_t started_ms;
-  bool is_prepared;     /* All tables that requests need were read once.  */
+  bool is_initialized;  /* All tables that requests need were read once.  */
   uint64_t stopping_ms; /* Start of the planned stop; 0 if there is none.  */
-} belief_t;
+} gateway_state_t;
 
 /* Request path.  */
 
 /* Process REQ up to its response.  */
-void relay_start (belief_t *state, httpd_req_t *req);
+void relay_start (gateway_state_t *state, httpd_req_t *req);
 /* Abort all requests at the end of a planned stop.  Return their number.  */
-size_t relay_abort_all (belief_t *state);
+size_t relay_abort_all (gateway_state_t *state);
 
 enum
 {
@@ -88,7 +88,7 @@
 /* Return the part of row key KEY before its first slash.  *REST is the part
    after the slash, empty if there is no slash.  */
 static inline str_t
-row_kind (str_t key, str_t *rest)
+row_key_prefix (str_t key, str_t *rest)
 {
   str_t kind = str_cut (key, '/', rest);
 
@@ -102,21 +102,22 @@
 typedef struct duties duties_t;
 
 /* SHARE may be NULL.  */
-duties_t *duties_create (belief_t *state, rows_t *rows, share_t *share);
+duties_t *duties_create (gateway_state_t *state, rows_t *rows, share_t *share);
 /* Begin the planned stop: withdraw this process from those among which limits
    are divided.  */
 void duties_stop (duties_t *duties);
 void duties_destroy (duties_t *duties);
 
 /* Return the retry budget of SERVICE, created on first use.  */
-allowance_t *gateway_service_allowance (belief_t *state, str_t service);
+allowance_t *gateway_service_allowance (gateway_state_t *state, str_t service);
 /* Return the model escalation state of SERVICE, created on first use.  */
-escalation_t *gateway_service_escalation (belief_t *state, str_t service);
+escalation_t *gateway_service_escalation (gateway_state_t *state,
+                                          str_t service);
 /* Return for how many milliseconds a newer configuration than the one in force
    has been loading; 0 if none is being loaded.  */
-uint64_t belief_reading_for_ms (const belief_t *state);
+uint64_t gateway_config_load_ms (const gateway_state_t *state);
 /* Return whether a configuration is known and was confirmed by the store
    recently enough to accept its API keys.  */
-bool gateway_has_fresh_config (const belief_t *state);
+bool gateway_has_fresh_config (const gateway_state_t *state);
 
 #endif
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -69,7 +69,7 @@
 void
 relay_send (relay_t *relay)
 {
-  belief_t *state = relay->state;
+  gateway_state_t *state = relay->state;
   uint64_t now_ms = clock_ms (state->clock);
   pool_want_t criteria;
   buf_t request = BUF_NULL;
@@ -324,7 +324,7 @@
 static void
 admit (relay_t *relay)
 {
-  belief_t *state = relay->state;
+  gateway_state_t *state = relay->state;
   request_attrs_t *attrs = &relay->attrs;
   vh_code_t code = request_attrs_resolve (attrs, state, relay->req,
                                           str_from (relay->attempt_id));
@@ -356,9 +356,9 @@
 static bool
 should_wait_for_startup (const relay_t *relay)
 {
-  const belief_t *state = relay->state;
+  const gateway_state_t *state = relay->state;
 
-  return !state->is_prepared
+  return !state->is_initialized
          && clock_ms (state->clock) - state->started_ms < STARTUP_WAIT_MS;
 }
 
@@ -373,7 +373,7 @@
 }
 
 void
-relay_start (belief_t *state, httpd_req_t *req)
+relay_start (gateway_state_t *state, httpd_req_t *req)
 {
   relay_t *relay = mem_zalloc (sizeof *relay);
   str_t attempt_id = httpd_header (req, state->names->attempt_id);
@@ -396,7 +396,7 @@
 }
 
 size_t
-relay_abort_all (belief_t *state)
+relay_abort_all (gateway_state_t *state)
 {
   size_t count = 0;
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -142,7 +142,7 @@
 relay_record_end (const relay_t *relay, log_event_t event, int status,
                   const char *reason, uint64_t retry_ms)
 {
-  belief_t *state = relay->state;
+  gateway_state_t *state = relay->state;
   const log_event_info_t *info = log_event_info (event);
   uint64_t age_ms = follow_age_ms (state->orders);
   str_t route
@@ -175,7 +175,7 @@
 relay_reply_error (relay_t *relay, int status, vh_code_t code,
                    const char *reason, uint64_t retry_ms)
 {
-  belief_t *state = relay->state;
+  gateway_state_t *state = relay->state;
   buf_t body = BUF_NULL;
   buf_t retry = BUF_NULL;
   httpc_header_t headers[3] = {
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -48,7 +48,7 @@
 static size_t
 new_version_instance_count (const relay_t *relay, const trial_t *trial)
 {
-  const belief_t *state = relay->state;
+  const gateway_state_t *state = relay->state;
   double share = trial_share (trial, follow_store_ms (state->orders));
   size_t old_instances = pool_count (state->pool, relay->attrs.service->name,
                                      ARM_OLD, trial_version (trial), SIZE_MAX);
@@ -62,7 +62,7 @@
 static void
 choose_version_arm (const relay_t *relay, pool_want_t *criteria)
 {
-  belief_t *state = relay->state;
+  gateway_state_t *state = relay->state;
   const trial_t *trial = relay_trial (relay);
 
   criteria->arm = ARM_ANY;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -42,7 +42,7 @@
 typedef struct
 {
   list_t link;
-  belief_t *state;
+  gateway_state_t *state;
   httpd_req_t *req;
   request_attrs_t attrs;
   char *attempt_id;
--- a/packages/gateway/terms.c
+++ b/packages/gateway/terms.c
@@ -17,7 +17,7 @@
 /* Resolve the route and the team.  Return VH_OK, or the reason for rejecting
    the request.  */
 static vh_code_t
-resolve_route_and_team (request_attrs_t *attrs, const belief_t *state,
+resolve_route_and_team (request_attrs_t *attrs, const gateway_state_t *state,
                         const httpd_req_t *req)
 {
   str_t bearer = httpd_header (req, STR ("authorization"));
@@ -119,7 +119,7 @@
 }
 
 vh_code_t
-request_attrs_resolve (request_attrs_t *attrs, const belief_t *state,
+request_attrs_resolve (request_attrs_t *attrs, const gateway_state_t *state,
                        const httpd_req_t *req, str_t attempt_id)
 {
   vh_code_t code = resolve_route_and_team (attrs, state, req);
--- a/packages/gateway/termsint.h
+++ b/packages/gateway/termsint.h
@@ -29,7 +29,8 @@
 /* Fill ATTRS, whose arrived_ms is already set, from REQ with attempt id
    ATTEMPT_ID.  Return VH_OK, or the reason for rejecting the request; the
    attributes resolved before the error are filled in that case too.  */
-vh_code_t request_attrs_resolve (request_attrs_t *attrs, const belief_t *state,
+vh_code_t request_attrs_resolve (request_attrs_t *attrs,
+                                 const gateway_state_t *state,
                                  const httpd_req_t *req, str_t attempt_id);
 /* Release the reference to the configuration.  */
 void request_attrs_free (request_attrs_t *attrs);
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -818,7 +818,7 @@
   fake_upstream_script (f.upstreams[0], acts, 2);
   caller_start (&f, &stream, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, upstream_request_count (&f) == 1);
-  gateway_stop (f.gateway);
+  gateway_begin_stop (f.gateway);
   ck_assert_int_eq (gateway_fixture_ready_status (&f), 503);
   fake_upstream_script (f.upstreams[0], acts + 1, 1);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
@@ -834,7 +834,7 @@
   gateway_fixture_wait (&f, stream.closed);
   ck_assert (caller_response_contains (&stream, "data: e5\n"));
   ck_assert (caller_response_contains (&stream, "\r\n0\r\n\r\n"));
-  gateway_fixture_wait (&f, gateway_over (f.gateway));
+  gateway_fixture_wait (&f, gateway_is_stopped (f.gateway));
   caller_free (&f, &stream);
   gateway_fixture_teardown (&f);
 }
