--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -79,24 +79,25 @@
     .name = settings->name,
     .zone = settings->zone,
     .listen = settings->listen,
-    .ready = settings->ready,
-    .admin = settings->admin,
-    .rpc = settings->rpc,
+    .ready_listen = settings->ready,
+    .admin_listen = settings->admin,
+    .rpc_listen = settings->rpc,
     .rpc_keys = settings->rpc_keys,
     .rpc_key_count = settings->rpc_keys_count,
     .link_mbps = settings->link_mbps,
     .seed = make_seed (settings),
-    .drain_bound_ms = kill_ms - KILL_MARGIN_MS,
-    .confirm_ms = settings->revoke_ms > 0
-                      ? settings->revoke_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
-                      : settings->confirm_ms,
-    .lapse_ms = settings->lapse_ms,
+    .drain_timeout_ms = kill_ms - KILL_MARGIN_MS,
+    .config_max_age_ms
+    = settings->revoke_ms > 0
+          ? settings->revoke_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
+          : settings->confirm_ms,
+    .registration_grace_ms = settings->lapse_ms,
     .retry_ratio = settings->extra_ratio,
     .retry_fixed_budget = settings->extra_slack,
     .retry_window_ms = (uint64_t)(settings->extra_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
-    .exposure = settings->exposure_share,
+    .rollout_share_max = settings->exposure_share,
     .escalation = { .worth = settings->answer_worth,
                     .rank_part = settings->rank_part,
                     .late_part = settings->late_part,
@@ -104,8 +105,8 @@
                     .opinion_width = settings->opinion_width },
   };
 
-  options.drain_grace_ms = options.drain_bound_ms / 2 < GRACE_MS
-                               ? options.drain_bound_ms / 2
+  options.drain_grace_ms = options.drain_timeout_ms / 2 < GRACE_MS
+                               ? options.drain_timeout_ms / 2
                                : GRACE_MS;
   return options;
 }
--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -69,7 +69,7 @@
 
   /* While a later one waits the keys go on ageing.  */
   if (!loader_busy (duties->loader))
-    belief->reading_ms = 0;
+    belief->config_load_started_ms = 0;
   if (code != VH_OK)
     {
       log_event (EVENT_CONFIG_BAD, field_number (FIELD_CODE, code),
@@ -101,8 +101,8 @@
 
   log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
              field_number (FIELD_BYTES, row->value.len));
-  if (belief->reading_ms == 0)
-    belief->reading_ms = clock_boot_ms (belief->clock);
+  if (belief->config_load_started_ms == 0)
+    belief->config_load_started_ms = clock_boot_ms (belief->clock);
   loader_take (duties->loader, row->value, belief->catalog == NULL);
 }
 
@@ -113,7 +113,7 @@
   gateway_state_t *belief = duties->belief;
   str_t name;
 
-  switch (belief->dialect->order_kind (row->key, &name))
+  switch (belief->dialect->operator_row_kind (row->key, &name))
     {
     case OPERATOR_ROW_CATALOG:
       take_catalog (duties, row);
@@ -136,7 +136,7 @@
   duties_t *duties = arg;
   str_t name;
 
-  if (duties->belief->dialect->order_kind (key, &name)
+  if (duties->belief->dialect->operator_row_kind (key, &name)
       != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
@@ -180,8 +180,9 @@
   uint64_t keep_ms = 0;
 
   if (duties->returned_ms != 0
-      && now_ms - duties->returned_ms < belief->options.lapse_ms)
-    keep_ms = belief->options.lapse_ms - (now_ms - duties->returned_ms);
+      && now_ms - duties->returned_ms < belief->options.registration_grace_ms)
+    keep_ms = belief->options.registration_grace_ms
+              - (now_ms - duties->returned_ms);
   log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
              field_number (FIELD_KEEP_MS, keep_ms));
   pool_remove (belief->pool, key, keep_ms);
@@ -256,7 +257,7 @@
   else if (str_eq (kind, STR ("entry")) && rest.len > 0)
     {
       str_t more;
-      allotment_put (duties->belief->fleet, rest,
+      allotment_put (duties->belief->allotment, rest,
                      str_cut (row->value, ' ', &more));
       if (duties->share != NULL)
         take_entry (duties->share, rest, row->value);
@@ -271,7 +272,7 @@
 
   if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
-      allotment_leave (duties->belief->fleet, rest);
+      allotment_leave (duties->belief->allotment, rest);
       if (duties->share != NULL)
         share_remove (duties->share, rest);
     }
@@ -286,13 +287,13 @@
   str_t key;
   void *value;
 
-  allotment_expire (belief->fleet);
-  uint32_t entries = (uint32_t)allotment_size (belief->fleet);
-  if (entries == belief->entries)
+  allotment_expire (belief->allotment);
+  uint32_t entries = (uint32_t)allotment_size (belief->allotment);
+  if (entries == belief->gateway_count)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, entries),
-             field_number (FIELD_BEFORE, belief->entries));
-  belief->entries = entries;
+             field_number (FIELD_BEFORE, belief->gateway_count));
+  belief->gateway_count = entries;
   while (map_next (belief->allowances, &cursor, &key, &value))
     allowance_set_entries (value, entries);
 }
@@ -305,7 +306,7 @@
   (void)full;
   duties->own_read = true;
   set_prepared (duties);
-  allotment_read (duties->belief->fleet);
+  allotment_read (duties->belief->allotment);
   divide_shares (duties);
 }
 
@@ -335,7 +336,7 @@
   buf_append_str (&key, STR ("entry/"));
   buf_append_str (&key, duties->belief->options.name);
   buf_printf (&value, "%.*s %.*s %u", STR_ARG (duties->belief->options.zone),
-              STR_ARG (duties->belief->options.rpc),
+              STR_ARG (duties->belief->options.rpc_listen),
               (unsigned)duties->belief->options.link_mbps);
   rows_write_t write = { .table = ROWS_OWN,
                          .key = buf_str (&key),
@@ -431,7 +432,7 @@
   duties->rollouts = rollouts_create (belief, rows, share);
   duties->loader = loader_create (belief->loop, belief->dialect->read_catalog,
                                   on_catalog, duties);
-  belief->orders
+  belief->operator_rows
       = follow_create (belief->loop, belief->clock, rows,
                        rng_u64 (&belief->rng), &orders, &order_events, duties);
   /* With the orders, as it tells who reads them for this entry.  */
@@ -465,8 +466,8 @@
 {
   if (duties == NULL)
     return;
-  follow_destroy (duties->belief->orders);
-  duties->belief->orders = NULL;
+  follow_destroy (duties->belief->operator_rows);
+  duties->belief->operator_rows = NULL;
   loader_destroy (duties->loader);
   follow_destroy (duties->instances);
   follow_destroy (duties->own);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -50,7 +50,7 @@
   if (allowance != NULL)
     return allowance;
   allowance = allowance_create (state->clock, &options);
-  allowance_set_entries (allowance, state->entries);
+  allowance_set_entries (allowance, state->gateway_count);
   map_put (state->allowances, service, allowance);
   return allowance;
 }
@@ -70,15 +70,15 @@
 uint64_t
 gateway_config_load_ms (const gateway_state_t *state)
 {
-  return state->reading_ms == 0
+  return state->config_load_started_ms == 0
              ? 0
-             : clock_boot_ms (state->clock) - state->reading_ms;
+             : clock_boot_ms (state->clock) - state->config_load_started_ms;
 }
 
 bool
 gateway_has_fresh_config (const gateway_state_t *state)
 {
-  uint64_t max_age_ms = state->options.confirm_ms;
+  uint64_t max_age_ms = state->options.config_max_age_ms;
 
   if (state->catalog == NULL)
     return false;
@@ -86,7 +86,7 @@
      force is outdated from the time at which the newer one arrived.  */
   if (gateway_config_load_ms (state) > max_age_ms / 2)
     return false;
-  return follow_age_ms (state->orders) <= max_age_ms;
+  return follow_age_ms (state->operator_rows) <= max_age_ms;
 }
 
 static void
@@ -138,7 +138,7 @@
 set_gauges (gateway_t *gateway)
 {
   gateway_state_t *state = &gateway->state;
-  uint64_t age_ms = follow_age_ms (state->orders);
+  uint64_t age_ms = follow_age_ms (state->operator_rows);
   size_t cursor = 0;
   str_t service;
   void *value;
@@ -160,16 +160,16 @@
              "For how long a later revision has been read; 0: none is.",
              (double)gateway_config_load_ms (state) / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_entries", "",
-             "Entries that share the allowances.", state->entries);
+             "Entries that share the allowances.", state->gateway_count);
   set_gauge (gateway, "vanillahook_gateway_ready", "",
              "1: the balancer is told to send callers here.",
              is_ready (gateway));
   set_gauge (gateway, "vanillahook_gateway_bills_waiting", "",
              "Bills not yet written.",
-             (double)billing_queued_count (state->bills));
+             (double)billing_queued_count (state->billing));
   set_gauge (gateway, "vanillahook_gateway_bills_dropped", "",
              "Bills dropped for want of room.",
-             (double)billing_dropped_count (state->bills));
+             (double)billing_dropped_count (state->billing));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
              "Log lines left out for want of budget or room.",
              (double)eventlog_dropped ());
@@ -191,7 +191,7 @@
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
                  "Share of the requests for the ordered version.",
-                 trial_share (value, follow_store_ms (state->orders)));
+                 trial_share (value, follow_store_ms (state->operator_rows)));
       buf_free (&labels);
     }
 }
@@ -232,8 +232,9 @@
 copy_options (gateway_t *gateway, const gateway_options_t *options)
 {
   gateway_options_t *copy = &gateway->state.options;
-  str_t *option_strings[] = { &copy->name,  &copy->zone,  &copy->listen,
-                              &copy->ready, &copy->admin, &copy->rpc };
+  str_t *option_strings[]
+      = { &copy->name,         &copy->zone,         &copy->listen,
+          &copy->ready_listen, &copy->admin_listen, &copy->rpc_listen };
 
   *copy = *options;
   for (size_t i = 0; i < sizeof option_strings / sizeof option_strings[0]; i++)
@@ -259,10 +260,10 @@
                       on_caller_request, gateway, &gateway->caller_server);
 
   if (code == VH_OK)
-    code = httpd_create (state->loop, options->ready, &other_options,
+    code = httpd_create (state->loop, options->ready_listen, &other_options,
                          on_ready_request, gateway, &gateway->ready_server);
-  if (code == VH_OK && options->admin.len > 0)
-    code = httpd_create (state->loop, options->admin, &other_options,
+  if (code == VH_OK && options->admin_listen.len > 0)
+    code = httpd_create (state->loop, options->admin_listen, &other_options,
                          on_admin_request, gateway, &gateway->admin_server);
   return code;
 }
@@ -276,7 +277,7 @@
   const share_options_t options
       = { .name = state->options.name,
           .zone = state->options.zone,
-          .listen = state->options.rpc,
+          .listen = state->options.rpc_listen,
           .keys = state->options.rpc_keys,
           .key_count = state->options.rpc_key_count,
           .link_mbps = (uint32_t)state->options.link_mbps };
@@ -297,7 +298,7 @@
   gateway_t *gateway = handle->data;
 
   pool_destroy (gateway->state.pool);
-  allotment_destroy (gateway->state.fleet);
+  allotment_destroy (gateway->state.allotment);
   for (size_t i = 0;
        i < sizeof gateway->option_strings / sizeof gateway->option_strings[0];
        i++)
@@ -338,7 +339,7 @@
   httpd_destroy (gateway->caller_server);
   httpd_destroy (gateway->ready_server);
   httpd_destroy (gateway->admin_server);
-  billing_destroy (gateway->state.bills);
+  billing_destroy (gateway->state.billing);
   duties_destroy (gateway->duties);
   share_destroy (gateway->share);
   prober_destroy (gateway->state.prober);
@@ -356,15 +357,15 @@
   gateway_state_t *state = &gateway->state;
   uint64_t ms = clock_ms (state->clock) - state->stopping_ms;
 
-  if (ms >= state->options.drain_bound_ms)
+  if (ms >= state->options.drain_timeout_ms)
     gateway->aborted_count = relay_abort_all (state);
   else if (ms < DRAIN_NOTICE_MS
            || httpd_unwritten (gateway->caller_server) > 0)
     return;
-  else if (billing_queued_count (state->bills) > 0)
+  else if (billing_queued_count (state->billing) > 0)
     {
       /* No request is left, so no more bills are added.  */
-      billing_flush (state->bills);
+      billing_flush (state->billing);
       return;
     }
   log_event (EVENT_STOPPED, field_number (FIELD_MS, ms),
@@ -436,14 +437,14 @@
   state->names = dialect->names;
   copy_options (gateway, options);
   state->rng = rng_make (options->seed);
-  state->fleet = allotment_create (clock, options->name, options->zone);
-  pool_options.entries = state->fleet;
+  state->allotment = allotment_create (clock, options->name, options->zone);
+  pool_options.entries = state->allotment;
   state->pool = pool_create (clock, rng_u64 (&state->rng), &pool_options);
   state->prober = prober_create (loop, on_probe_done, state);
   state->trials = map_create ();
   state->allowances = map_create ();
   state->escalations = map_create ();
-  state->entries = 1;
+  state->gateway_count = 1;
   state->started_ms = clock_ms (clock);
   state->metrics = metrics_create ();
   list_init (&state->relays);
@@ -455,8 +456,8 @@
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
   gateway->duties = duties_create (state, rows, gateway->share);
-  state->bills = billing_create (loop, rows, state->options.name,
-                                 rng_u64 (&state->rng));
+  state->billing = billing_create (loop, rows, state->options.name,
+                                   rng_u64 (&state->rng));
   if (code != VH_OK)
     {
       log_err (
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -52,7 +52,7 @@
                        balancer.  */
   /* Return the kind of the row KEY of ROWS_ORDERS.  *NAME is set to the
      availability zone or service in the key.  */
-  operator_row_kind_t (*order_kind) (str_t key, str_t *name);
+  operator_row_kind_t (*operator_row_kind) (str_t key, str_t *name);
   /* Parse a configuration.  Callable from any thread.  PAUSE is called after
      each half millisecond of work; it may be NULL.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
@@ -75,35 +75,35 @@
 {
   str_t name;
   str_t zone;
-  str_t listen; /* HOST:PORT for requests of callers.  */
-  str_t ready;  /* HOST:PORT for the readiness check.  */
-  str_t admin;  /* HOST:PORT for metrics; empty: no such listener.  */
-  str_t rpc;    /* HOST:PORT for other gateway processes; empty: each process
-                   reads the store itself.  */
+  str_t listen;       /* HOST:PORT for requests of callers.  */
+  str_t ready_listen; /* HOST:PORT for the readiness check.  */
+  str_t admin_listen; /* HOST:PORT for metrics; empty: no such listener.  */
+  str_t rpc_listen;   /* HOST:PORT for other gateway processes; empty: each
+                  process   reads the store itself.  */
   const str_t *rpc_keys;
   size_t rpc_key_count;
   double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
   uint64_t seed;
-  uint64_t drain_grace_ms; /* Time in which new requests are still accepted
-                              after a planned stop begins.  */
-  uint64_t drain_bound_ms; /* Time after which a planned stop aborts the
-                              remaining requests.  */
-  uint64_t confirm_ms;     /* Age of the last confirmation of the configuration
-                              from which API keys are refused, because a key
-                              may have been revoked since.  */
-  uint64_t lapse_ms;       /* Time after an outage of the store in which
-                              registrations that expired during the outage
-                              remain usable.  */
-  double retry_ratio;      /* Retry budget of all gateway processes: sends
-                              beyond the first, per request.  */
+  uint64_t drain_grace_ms;    /* Time in which new requests are still accepted
+                                 after a planned stop begins.  */
+  uint64_t drain_timeout_ms;  /* Time after which a planned stop aborts the
+                               remaining requests.  */
+  uint64_t config_max_age_ms; /* Age of the last confirmation of the
+                          configuration from which API keys are refused,
+                          because a key may have been revoked since.  */
+  uint64_t registration_grace_ms; /* Time after an outage of the store in which
+                        registrations that expired during the outage
+                        remain usable.  */
+  double retry_ratio;        /* Retry budget of all gateway processes: sends
+                                beyond the first, per request.  */
   double retry_fixed_budget; /* Additional retries per window.  */
   uint64_t retry_window_ms;
   double cold_factor; /* A cold instance gets at most rate * cold_factor +
                          cold_slack requests a second.  */
   escalation_options_t escalation;
   double cold_slack;
-  double exposure; /* Largest part of a service's requests that a version in
-                      roll-out may get within the time limit.  */
+  double rollout_share_max; /* Largest part of a service's requests that a
+                      version in roll-out may get within the time limit.  */
 } gateway_options_t;
 
 /* Start a gateway on LOOP.  ROWS and DIALECT must outlive the gateway; the
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -49,22 +49,22 @@
   gateway_options_t options;
   rng_t rng;
   pool_t *pool;
-  prober_t *prober;    /* Probes instances of POOL that stopped sending.  */
-  catalog_t *catalog;  /* Configuration in force; NULL if none is known.  */
-  uint64_t reading_ms; /* Boot time at which the loading of a newer
+  prober_t *prober;   /* Probes instances of POOL that stopped sending.  */
+  catalog_t *catalog; /* Configuration in force; NULL if none is known.  */
+  uint64_t config_load_started_ms; /* Boot time at which the loading of a newer
                           configuration began; 0 if none is being loaded.  */
-  map_t *trials;       /* Map of service name to trial_t.  */
-  map_t *allowances;   /* Map of service name to allowance_t.  */
-  map_t *escalations;  /* Map of service name to escalation_t.  */
-  allotment_t *fleet;  /* Gateway processes among which fleet-wide limits are
-                          divided.  */
-  uint32_t entries;    /* Number of gateway processes that share the retry
-                          budgets.  */
-  follow_t *orders;    /* Follower of the table with the configuration.  */
+  map_t *trials;                   /* Map of service name to trial_t.  */
+  map_t *allowances;               /* Map of service name to allowance_t.  */
+  map_t *escalations;              /* Map of service name to escalation_t.  */
+  allotment_t *allotment;  /* Gateway processes among which fleet-wide limits
+                          are  divided.  */
+  uint32_t gateway_count;  /* Number of gateway processes that share the retry
+                        budgets.  */
+  follow_t *operator_rows; /* Follower of the table with the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   request_metrics_t *request_metrics;
-  billing_t *bills;
+  billing_t *billing;
   list_t relays;
   uint64_t started_ms;
   bool is_initialized;  /* All tables that requests need were read once.  */
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -89,7 +89,7 @@
   if (trial != NULL)
     trial_time (trial, relay_trial_arm (relay), route_hash (relay), timing,
                 relay->upstream_load, duration_ms,
-                follow_store_ms (relay->state->orders));
+                follow_store_ms (relay->state->operator_rows));
 }
 
 void
@@ -135,7 +135,7 @@
     .possible_runs = (uint32_t)relay->possible_runs + 1,
     .is_complete = is_complete,
   };
-  billing_add (relay->state->bills, &bill);
+  billing_add (relay->state->billing, &bill);
 }
 
 void
@@ -144,7 +144,7 @@
 {
   gateway_state_t *state = relay->state;
   const log_event_info_t *info = log_event_info (event);
-  uint64_t age_ms = follow_age_ms (state->orders);
+  uint64_t age_ms = follow_age_ms (state->operator_rows);
   str_t route
       = relay->attrs.route != NULL ? relay->attrs.route->name : STR ("-");
   str_t team = relay->attrs.team != NULL ? relay->attrs.team->name : STR ("-");
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -49,7 +49,7 @@
 new_version_instance_count (const relay_t *relay, const trial_t *trial)
 {
   const gateway_state_t *state = relay->state;
-  double share = trial_share (trial, follow_store_ms (state->orders));
+  double share = trial_share (trial, follow_store_ms (state->operator_rows));
   size_t old_instances = pool_count (state->pool, relay->attrs.service->name,
                                      ARM_OLD, trial_version (trial), SIZE_MAX);
   size_t count
@@ -80,7 +80,8 @@
       break;
     case TRIAL_RUNNING:
       if (trial_choose (trial, relay->attrs.session_hash,
-                        follow_store_ms (state->orders), &relay->trial_sends)
+                        follow_store_ms (state->operator_rows),
+                        &relay->trial_sends)
               == TRIAL_NEW
           && has_instance_of_version (relay, criteria->version))
         {
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -132,9 +132,10 @@
                        true);
       pool_withdraw (belief->pool, order.service, order.version, false);
       trial_destroy (map_remove (belief->trials, order.service));
-      trial = trial_create (order.service, order.version, row->version,
-                            order.within_ms, belief->options.exposure);
-      trial_set_seen (trial, follow_store_ms (belief->orders));
+      trial
+          = trial_create (order.service, order.version, row->version,
+                          order.within_ms, belief->options.rollout_share_max);
+      trial_set_seen (trial, follow_store_ms (belief->operator_rows));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -305,8 +306,8 @@
 static void
 judge_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
-  bool alone = follow_down (rollouts->belief->orders);
+  uint64_t now_ms = follow_store_ms (rollouts->belief->operator_rows);
+  bool alone = follow_down (rollouts->belief->operator_rows);
   buf_t why = BUF_NULL;
 
   /* One that cannot reach the store still judges what it saw.  */
@@ -340,7 +341,7 @@
 step_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
+  uint64_t now_ms = follow_store_ms (rollouts->belief->operator_rows);
 
   if (trial_start (trial) == 0)
     {
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -142,15 +142,15 @@
   void *holder;
   str_t name;
 
-  ck_assert_int_eq (dialect->order_kind (STR ("config"), &name),
+  ck_assert_int_eq (dialect->operator_row_kind (STR ("config"), &name),
                     OPERATOR_ROW_CATALOG);
-  ck_assert_int_eq (dialect->order_kind (STR ("rollout/x"), &name),
+  ck_assert_int_eq (dialect->operator_row_kind (STR ("rollout/x"), &name),
                     OPERATOR_ROW_ROLLOUT);
   ck_assert (str_eq (name, STR ("x")));
-  ck_assert_int_eq (dialect->order_kind (STR ("evacuate/z"), &name),
+  ck_assert_int_eq (dialect->operator_row_kind (STR ("evacuate/z"), &name),
                     OPERATOR_ROW_ZONE_EXCLUSION);
   ck_assert (str_eq (name, STR ("z")));
-  ck_assert_int_eq (dialect->order_kind (STR ("other"), &name),
+  ck_assert_int_eq (dialect->operator_row_kind (STR ("other"), &name),
                     OPERATOR_ROW_UNKNOWN);
   ck_assert_int_eq (
       dialect->read_rollout (
