--- a/packages/gateway/forward.h
+++ b/packages/gateway/forward.h
@@ -5,7 +5,7 @@
 #ifndef GATEWAY_FORWARD_H
 #define GATEWAY_FORWARD_H
 
-#include "gateway/names.h"
+#include "gateway/header_names.h"
 #include "wire/httpd.h"
 
 enum
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -9,7 +9,7 @@
 #include "base/clock.h"
 #include "base/metric.h"
 #include "gateway/catalog.h"
-#include "gateway/names.h"
+#include "gateway/header_names.h"
 #include "gateway/rows.h"
 #include "policy/escalation.h"
 #include "policy/pool.h"
--- a/packages/gateway/names.h
+++ b/packages/gateway/header_names.h
@@ -2,8 +2,8 @@
    upstreams.  The names differ between installations; the meaning of each
    header does not.  */
 
-#ifndef GATEWAY_NAMES_H
-#define GATEWAY_NAMES_H
+#ifndef GATEWAY_HEADER_NAMES_H
+#define GATEWAY_HEADER_NAMES_H
 
 #include "base/str.h"
 
--- a/packages/gateway/reach.c
+++ b/packages/gateway/prober.c
@@ -1,4 +1,4 @@
-#include "gateway/reach.h"
+#include "gateway/prober.h"
 
 #include "base/bound.h"
 #include "base/mem.h"
--- a/packages/gateway/reach.h
+++ b/packages/gateway/prober.h
@@ -11,8 +11,8 @@
    At most one probe of an instance is in progress at a time.  A probe sends no
    request.  */
 
-#ifndef GATEWAY_REACH_H
-#define GATEWAY_REACH_H
+#ifndef GATEWAY_PROBER_H
+#define GATEWAY_PROBER_H
 
 #include "base/str.h"
 
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -16,8 +16,8 @@
 
 #include "base/bound.h"
 #include "base/eventlog.h"
-#include "gateway/events.h"
-#include "gateway/termsint.h"
+#include "gateway/sse_filter.h"
+#include "gateway/request_attrsint.h"
 #include "wire/call.h"
 
 enum
--- a/packages/gateway/terms.c
+++ b/packages/gateway/request_attrs.c
@@ -1,4 +1,4 @@
-#include "gateway/termsint.h"
+#include "gateway/request_attrsint.h"
 
 /* Return the hash of all parts of the prompt but the last, which is unique to
    the request; 0 if there are no such parts.  */
--- a/packages/gateway/termsint.h
+++ b/packages/gateway/request_attrsint.h
@@ -2,8 +2,8 @@
    size.  They are resolved once on arrival, from the request headers and the
    configuration in force at that time.  */
 
-#ifndef GATEWAY_TERMSINT_H
-#define GATEWAY_TERMSINT_H
+#ifndef GATEWAY_REQUEST_ATTRSINT_H
+#define GATEWAY_REQUEST_ATTRSINT_H
 
 #include "gateway/gatewayint.h"
 
--- a/packages/gateway/tally.c
+++ b/packages/gateway/request_metrics.c
@@ -1,4 +1,4 @@
-#include "gateway/tally.h"
+#include "gateway/request_metrics.h"
 
 #include "base/map.h"
 #include "base/mem.h"
--- a/packages/gateway/tally.h
+++ b/packages/gateway/request_metrics.h
@@ -2,8 +2,8 @@
    and a histogram of the request duration by route.  The number of time series
    is bounded.  */
 
-#ifndef GATEWAY_TALLY_H
-#define GATEWAY_TALLY_H
+#ifndef GATEWAY_REQUEST_METRICS_H
+#define GATEWAY_REQUEST_METRICS_H
 
 #include "base/metric.h"
 #include "base/str.h"
--- a/packages/gateway/events.c
+++ b/packages/gateway/sse_filter.c
@@ -1,4 +1,4 @@
-#include "gateway/events.h"
+#include "gateway/sse_filter.h"
 
 /* Return the length of the first complete event in BYTES, including the empty
    line that ends it; 0 if there is none.  */
--- a/packages/gateway/events.h
+++ b/packages/gateway/sse_filter.h
@@ -4,8 +4,8 @@
    An upstream may fail in the middle of an event, and the upstream that
    resumes the stream may repeat or skip events.  */
 
-#ifndef GATEWAY_EVENTS_H
-#define GATEWAY_EVENTS_H
+#ifndef GATEWAY_SSE_FILTER_H
+#define GATEWAY_SSE_FILTER_H
 
 #include "base/code.h"
 #include "base/str.h"
--- a/tests/fake_upstream.c
+++ b/tests/fake_upstream.c
@@ -1,7 +1,7 @@
 #include "fake_upstream.h"
 
 #include "base/mem.h"
-#include "gateway/names.h"
+#include "gateway/header_names.h"
 #include "loopback.h"
 
 #include <check.h>
--- a/tests/test_events.c
+++ b/tests/test_events.c
@@ -1,6 +1,6 @@
 /* Tests of the server-sent event filter.  */
 
-#include "gateway/events.h"
+#include "gateway/sse_filter.h"
 #include "suite.h"
 
 #define STREAM "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\n\n"
