--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -144,14 +144,14 @@
 static void
 append_bill (buf_t *out, const bill_t *bill)
 {
-  const str_t texts[]
+  const str_t strings[]
       = { bill->attempt_id, bill->team, bill->route, bill->model };
 
   buf_append_char (out, '[');
-  for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
+  for (size_t i = 0; i < sizeof strings / sizeof strings[0]; i++)
     {
       buf_append_char (out, '"');
-      buf_append_json (out, texts[i]);
+      buf_append_json (out, strings[i]);
       buf_append_str (out, STR ("\","));
     }
   buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt_tokens,
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -252,18 +252,19 @@
   httpd_options_t caller_options = { .body_limit = BODY_BYTES_MAX,
                                      .read_timeout_ms = IDLE_TIMEOUT_MS,
                                      .connections_max = CONNECTIONS_MAX };
-  httpd_options_t other_options = { .body_limit = 4096,
-                                    .read_timeout_ms = IDLE_TIMEOUT_MS,
-                                    .connections_max = ADMIN_CONNECTIONS_MAX };
+  httpd_options_t internal_options
+      = { .body_limit = 4096,
+          .read_timeout_ms = IDLE_TIMEOUT_MS,
+          .connections_max = ADMIN_CONNECTIONS_MAX };
   vh_code_t code
       = httpd_create (state->loop, options->listen, &caller_options,
                       on_caller_request, gateway, &gateway->caller_server);
 
   if (code == VH_OK)
-    code = httpd_create (state->loop, options->ready_listen, &other_options,
+    code = httpd_create (state->loop, options->ready_listen, &internal_options,
                          on_ready_request, gateway, &gateway->ready_server);
   if (code == VH_OK && options->admin_listen.len > 0)
-    code = httpd_create (state->loop, options->admin_listen, &other_options,
+    code = httpd_create (state->loop, options->admin_listen, &internal_options,
                          on_admin_request, gateway, &gateway->admin_server);
   return code;
 }
@@ -355,11 +356,11 @@
 {
   gateway_t *gateway = timer->data;
   gateway_state_t *state = &gateway->state;
-  uint64_t ms = clock_ms (state->clock) - state->stopping_ms;
+  uint64_t elapsed_ms = clock_ms (state->clock) - state->stopping_ms;
 
-  if (ms >= state->options.drain_timeout_ms)
+  if (elapsed_ms >= state->options.drain_timeout_ms)
     gateway->aborted_count = relay_abort_all (state);
-  else if (ms < DRAIN_NOTICE_MS
+  else if (elapsed_ms < DRAIN_NOTICE_MS
            || httpd_unwritten (gateway->caller_server) > 0)
     return;
   else if (billing_queued_count (state->billing) > 0)
@@ -368,7 +369,7 @@
       billing_flush (state->billing);
       return;
     }
-  log_event (EVENT_STOPPED, field_number (FIELD_MS, ms),
+  log_event (EVENT_STOPPED, field_number (FIELD_MS, elapsed_ms),
              field_number (FIELD_CUT, gateway->aborted_count));
   uv_timer_stop (timer);
   gateway->is_stopped = true;
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -57,10 +57,9 @@
      each half millisecond of work; it may be NULL.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
                              catalog_t **out);
-  /* Parse a roll-out.  Strings of ORDER are stored in *HOLDER, which the
+  /* Parse a roll-out.  Strings of SPEC are stored in *HOLDER, which the
      caller releases with free_holder.  */
-  vh_code_t (*read_rollout) (str_t value, rollout_spec_t *order,
-                             void **holder);
+  vh_code_t (*read_rollout) (str_t value, rollout_spec_t *spec, void **holder);
   /* Parse the registration of an instance.  Strings of INFO are stored in
    *HOLDER, which the caller releases with free_holder.  */
   vh_code_t (*read_instance) (str_t key, str_t value, upstream_info_t *info,
@@ -94,12 +93,14 @@
   uint64_t registration_grace_ms; /* Time after an outage of the store in which
                         registrations that expired during the outage
                         remain usable.  */
-  double retry_ratio;        /* Retry budget of all gateway processes: sends
-                                beyond the first, per request.  */
-  double retry_fixed_budget; /* Additional retries per window.  */
+  double retry_ratio;        /* Retries per request that all gateway processes
+                              may make together.  */
+  double retry_fixed_budget; /* Retries per window that are allowed in
+                                 addition, however few requests arrive.  */
   uint64_t retry_window_ms;
-  double cold_factor; /* A cold instance gets at most rate * cold_factor +
-                         cold_slack requests a second.  */
+  double cold_factor; /* A cold instance, one that is still warming up, gets at
+                         most rate * cold_factor + cold_slack requests a
+                         second.  */
   escalation_options_t escalation;
   double cold_slack;
   double rollout_share_max; /* Largest part of a service's requests that a
@@ -112,7 +113,8 @@
 vh_code_t gateway_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
                           const gateway_dialect_t *dialect,
                           const gateway_options_t *options, gateway_t **out);
-/* Return the port of the listener, also if the options gave port 0.  */
+/* Return the port of the listener for callers, and of the one for the
+   readiness check.  If the options gave port 0, the kernel chose the port.  */
 uint16_t gateway_port (const gateway_t *gateway);
 uint16_t gateway_ready_port (const gateway_t *gateway);
 /* Begin a planned stop.  A second call has no effect.  */
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -60,7 +60,8 @@
                           are  divided.  */
   uint32_t gateway_count;  /* Number of gateway processes that share the retry
                         budgets.  */
-  follow_t *operator_rows; /* Follower of the table with the configuration.  */
+  follow_t *operator_rows; /* Follower of the table that operators write, which
+                             contains the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   request_metrics_t *request_metrics;
@@ -73,7 +74,8 @@
 
 /* Request path.  */
 
-/* Process REQ up to its response.  */
+/* Start processing REQ, which is answered on this or a later loop
+   iteration.  */
 void relay_start (gateway_state_t *state, httpd_req_t *req);
 /* Abort all requests at the end of a planned stop.  Return their number.  */
 size_t relay_abort_all (gateway_state_t *state);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -41,8 +41,9 @@
      than this limit, the store is unavailable.  */
   STARTUP_WAIT_MS = 800,
   STARTUP_POLL_MS = 10,
-  /* Mean Retry-After during a planned stop.  By then the platform's load
-     balancer directs callers to other gateway processes.  */
+  /* Mean Retry-After during a planned stop.  It is short because the
+     platform's load balancer already directs callers to other gateway
+     processes.  */
   RETRY_AFTER_DRAINING_MS = 50
 };
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -70,14 +70,14 @@
   if (trial == NULL || (outcome != SEND_OK && outcome != SEND_FAILED)
       || relay->connect_failed)
     return;
-  uint64_t wait_ms = relay->phase == PHASE_RECEIVING_RESPONSE
-                         ? relay->head_received_ms - relay->sent_ms
-                         : 0;
+  uint64_t first_response_ms = relay->phase == PHASE_RECEIVING_RESPONSE
+                                   ? relay->head_received_ms - relay->sent_ms
+                                   : 0;
   trial_observe (trial, relay_trial_arm (relay), route_hash (relay),
                  outcome == SEND_OK       ? TRIAL_ANSWERED
                  : relay->connection_lost ? TRIAL_BROKE
                                           : TRIAL_FAILED,
-                 wait_ms, relay->is_upstream_loaded);
+                 first_response_ms, relay->is_upstream_loaded);
 }
 
 void
@@ -177,14 +177,14 @@
 {
   gateway_state_t *state = relay->state;
   buf_t body = BUF_NULL;
-  buf_t retry = BUF_NULL;
+  buf_t retry_after = BUF_NULL;
   httpc_header_t headers[3] = {
     { STR ("content-type"), STR ("application/json") },
     { STR ("vanillahook-attempt"), str_from (relay->attempt_id) },
   };
   size_t count = 2;
   bool not_run = status != 502 && status != 504;
-  uint64_t wait_ms = 0;
+  uint64_t retry_after_ms = 0;
 
   relay_finish_send (relay, SEND_DROPPED);
   if (relay->response_started)
@@ -197,19 +197,19 @@
     }
   if (retry_ms > 0)
     {
-      wait_ms = retry_ms / 2 + rng_below (&state->rng, retry_ms);
-      buf_printf (&retry, "%.3f", (double)wait_ms / 1000);
+      retry_after_ms = retry_ms / 2 + rng_below (&state->rng, retry_ms);
+      buf_printf (&retry_after, "%.3f", (double)retry_after_ms / 1000);
       headers[count].name = STR ("retry-after");
-      headers[count++].value = buf_str (&retry);
+      headers[count++].value = buf_str (&retry_after);
     }
   code_write_error (code, not_run ? "not-run" : "unknown", &body);
   counter_add (not_run ? state->counters.refused : state->counters.failed, 1);
   relay_record_end (relay, not_run ? EVENT_REFUSED : EVENT_FAILED, status,
-                    reason, wait_ms);
+                    reason, retry_after_ms);
   if (state->stopping_ms != 0)
     httpd_close_after (relay->req);
   httpd_reply (relay->req, status, headers, count, buf_str (&body));
-  buf_free (&retry);
+  buf_free (&retry_after);
   buf_free (&body);
   relay_destroy (relay);
 }
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -141,16 +141,16 @@
 static size_t
 stored_headers (const relay_t *relay, httpc_header_t *list)
 {
-  const char *at = relay->response_headers.ptr;
+  const char *next = relay->response_headers.ptr;
   const char *end = relay->response_headers.ptr + relay->response_headers.len;
   size_t count = 0;
 
-  while (at < end && count < RESPONSE_HEADERS_MAX)
+  while (next < end && count < RESPONSE_HEADERS_MAX)
     {
-      list[count].name = str_from (at);
-      at += list[count].name.len + 1;
-      list[count].value = str_from (at);
-      at += list[count++].value.len + 1;
+      list[count].name = str_from (next);
+      next += list[count].name.len + 1;
+      list[count].value = str_from (next);
+      next += list[count++].value.len + 1;
     }
   return count;
 }
@@ -193,20 +193,20 @@
   const header_names_t *names = relay->state->names;
   str_t load_header = call_header (head, names->load);
   str_t cold_header = call_header (head, names->cold_ms);
-  uint64_t numbers[3] = { 0, 0, 0 };
+  uint64_t load_values[3] = { 0, 0, 0 };
   uint64_t cold_ms;
   size_t count = 0;
 
   while (load_header.ptr != NULL && count < 3
          && str_to_u64 (str_trim (str_cut (load_header, ',', &load_header)),
-                        &numbers[count]))
+                        &load_values[count]))
     count++;
   if (count == 3)
     {
-      relay->upstream_load = (uint32_t)(numbers[0] + numbers[1]);
-      relay->is_upstream_loaded = numbers[0] * 2 >= numbers[2];
-      pool_load (relay->state->pool, relay->upstream, (uint32_t)numbers[0],
-                 (uint32_t)numbers[1], (uint32_t)numbers[2]);
+      relay->upstream_load = (uint32_t)(load_values[0] + load_values[1]);
+      relay->is_upstream_loaded = load_values[0] * 2 >= load_values[2];
+      pool_load (relay->state->pool, relay->upstream, (uint32_t)load_values[0],
+                 (uint32_t)load_values[1], (uint32_t)load_values[2]);
     }
   if (cold_header.ptr != NULL && str_to_u64 (cold_header, &cold_ms)
       && cold_ms > 0)
@@ -238,13 +238,15 @@
 static bool
 escalate (relay_t *relay, const call_head_t *head)
 {
-  str_t text = call_header (head, relay->state->names->confidence);
+  str_t confidence_header
+      = call_header (head, relay->state->names->confidence);
   uint64_t confidence;
   size_t larger_model;
 
   if (relay->response_started || relay->attrs.route->model_count == 0
       || relay->model_index + 1 >= relay->attrs.route->model_count
-      || text.ptr == NULL || !str_to_u64 (text, &confidence)
+      || confidence_header.ptr == NULL
+      || !str_to_u64 (confidence_header, &confidence)
       || (larger_model = relay_choose_larger_model (relay, confidence))
              == relay->model_index
       || relay->possible_runs + 1 >= relay->attrs.route->attempts_max
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -49,7 +49,8 @@
   size_t model_index;        /* Index into the models of the route.  */
   uint32_t first_confidence; /* Confidence of the smallest model of the route;
                                 valid if MODEL_INDEX > 0.  */
-  bound_t timer;             /* Fires when the next action is due.  */
+  bound_t timer;             /* Timer of the next timeout, probe, poll or
+                                deadline.  */
 
   /* State of the current send.  */
   call_t *call;
@@ -62,9 +63,10 @@
                                 upstream; at first and when a timeout is
                                 postponed, SENT_MS.  */
   uint64_t send_event_count; /* Events received by this send.  */
-  uint32_t upstream_load;    /* Requests that ran or waited at the upstream
-                                when it answered.  */
-  bool is_upstream_loaded;   /* Half or more of the slots were then in use.  */
+  uint32_t upstream_load;    /* Requests that ran or waited at the upstream, by
+                                its response or else as known to the pool.  */
+  bool is_upstream_loaded;   /* Half or more of the upstream's slots were in
+                                use when it answered.  */
   uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has yet to
                                     read.  */
   bool is_success;               /* The response status is 2xx.  */
--- a/packages/gateway/sse_filter.c
+++ b/packages/gateway/sse_filter.c
@@ -60,21 +60,21 @@
 vh_code_t
 sse_filter_feed (sse_filter_t *filter, str_t bytes, buf_t *out, size_t *count)
 {
-  size_t at = 0;
+  size_t offset = 0;
   vh_code_t code = VH_OK;
 
   buf_append_str (&filter->partial, bytes);
   for (;;)
     {
-      str_t unread
-          = str_make (filter->partial.ptr + at, filter->partial.len - at);
+      str_t unread = str_make (filter->partial.ptr + offset,
+                               filter->partial.len - offset);
       size_t len = first_event_length (unread);
       if (len == 0 || code != VH_OK)
         break;
       code = pass_event (filter, str_make (unread.ptr, len), out, count);
-      at += len;
+      offset += len;
     }
-  buf_consume (&filter->partial, at);
+  buf_consume (&filter->partial, offset);
   if (code == VH_OK && filter->partial.len > SSE_EVENT_BYTES_MAX)
     code = VH_E_PROTOCOL;
   return code;
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -174,7 +174,7 @@
 /* Row formats of the tests: words separated by spaces.  */
 
 static operator_row_kind_t
-order_kind (str_t key, str_t *name)
+operator_row_kind (str_t key, str_t *name)
 {
   str_t kind = str_cut (key, '/', name);
 
@@ -274,16 +274,16 @@
 
 /* Parse a roll-out row: SERVICE VERSION WITHIN_MS.  */
 static vh_code_t
-read_rollout (str_t value, rollout_spec_t *order, void **holder)
+read_rollout (str_t value, rollout_spec_t *spec, void **holder)
 {
   str_t words[3];
 
   *holder = NULL;
   if (read_words (value, words, 3) != VH_OK
-      || !str_to_u64 (words[2], &order->within_ms))
+      || !str_to_u64 (words[2], &spec->within_ms))
     return VH_E_BAD_FIELD;
-  order->service = words[0];
-  order->version = words[1];
+  spec->service = words[0];
+  spec->version = words[1];
   return VH_OK;
 }
 
@@ -325,7 +325,7 @@
 static const gateway_dialect_t test_dialect = {
   .names = &header_names_default,
   .ready_path = { "/ready", 6 },
-  .operator_row_kind = order_kind,
+  .operator_row_kind = operator_row_kind,
   .read_catalog = read_catalog,
   .read_rollout = read_rollout,
   .read_instance = read_instance,
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -280,14 +280,14 @@
 {
   gateway_fixture_t f;
   caller_t caller;
-  size_t first;
+  size_t first_index;
 
   gateway_fixture_setup (&f, 2);
   script_all (&f, ACT_STREAM_PAUSE);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
-  first = fake_upstream_requests (f.upstreams[0]) > 0 ? 0 : 1;
-  fake_upstream_vanish (f.upstreams[first]);
+  first_index = fake_upstream_requests (f.upstreams[0]) > 0 ? 0 : 1;
+  fake_upstream_vanish (f.upstreams[first_index]);
   uint64_t start_ms = uv_hrtime () / 1000000;
   gateway_fixture_wait (&f, upstream_request_count (&f) == 2);
   ck_assert_uint_lt (uv_hrtime () / 1000000 - start_ms, PAUSE_MS + 200);
@@ -449,7 +449,7 @@
 END_TEST
 
 /* A gateway starts while the store is unavailable.  The first request must be
-   rejected about a second after the start, later ones at once.  */
+   rejected within about a second, later ones at once.  */
 START_TEST (start_without_store_rejects_soon)
 {
   gateway_fixture_t f;
@@ -568,7 +568,8 @@
 END_TEST
 
 /* The store loses its history and for some time returns an old state, with a
-   revoked key.  The configuration in force must not be replaced by it.  */
+   revoked key.  The configuration in force must not be replaced by the old
+   one.  */
 START_TEST (stale_read_does_not_revert_configuration)
 {
   gateway_fixture_t f;
@@ -866,8 +867,8 @@
   ck_abort_msg ("the status did not become %s", wanted);
 }
 
-/* A working version is rolled out.  It must receive requests, and the roll-out
-   must finish.  */
+/* A working version is rolled out.  It must receive requests, which begins
+   after the first half of the time limit, and the roll-out must finish.  */
 START_TEST (working_version_is_rolled_out)
 {
   static const act_t stream[] = { ACT_STREAM };
