--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -88,8 +88,8 @@
   uint64_t drain_timeout_ms;  /* Time after which a planned stop aborts the
                                remaining requests.  */
   uint64_t config_max_age_ms; /* Age of the last confirmation of the
-                          configuration from which API keys are refused,
-                          because a key may have been revoked since.  */
+                              configuration above which API keys are refused,
+                              because a key may have been revoked since.  */
   uint64_t registration_grace_ms; /* Time after an outage of the store in which
                         registrations that expired during the outage
                         remain usable.  */
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -85,7 +85,7 @@
 
   /* Response head, and the body of a response that is not streamed.  */
   int response_status;
-  buf_t response_headers; /* Pairs of NAME NUL VALUE NUL.  */
+  buf_t response_headers; /* Headers, each as NAME NUL VALUE NUL.  */
   buf_t response_body;
   bool is_paused;   /* Reading from the upstream is paused, because the caller
                        reads slowly.  */
--- a/packages/gateway/sse_filter.h
+++ b/packages/gateway/sse_filter.h
@@ -23,8 +23,8 @@
 } sse_filter_t;
 
 /* Feed BYTES to FILTER.  Append the events that are now complete and new to
-   OUT and add their number to *COUNT.  Return VH_E_PROTOCOL if an event id is
-   missing or an event is larger than SSE_EVENT_BYTES_MAX.  */
+   OUT and add their number to *COUNT.  Return VH_E_PROTOCOL if the event ids
+   have a gap or an event is larger than SSE_EVENT_BYTES_MAX.  */
 vh_code_t sse_filter_feed (sse_filter_t *filter, str_t bytes, buf_t *out,
                            size_t *count);
 /* Discard an incomplete event, before another upstream resumes the stream.  */
