--- /dev/null
+++ b/packages/gateway/prober.h
@@ -0,0 +1,37 @@
+/* Connection probes: test whether an instance still accepts TCP connections.
+
+   Load pattern: an engine that has sent nothing for some time.  An engine that
+   is busy with the prompts of other requests and one that lost power look the
+   same to a client that waits for an event.  Abandoning a busy engine repeats
+   the work that it has done, on engines that are as busy; waiting for a dead
+   one makes its streams miss their objective.  A TCP connection tells the two
+   apart within a round trip, because the kernel of a running machine accepts
+   it however busy the engine is.
+
+   At most one probe of an instance is in progress at a time.  A probe sends no
+   request.  */
+
+#ifndef GATEWAY_PROBER_H
+#define GATEWAY_PROBER_H
+
+#include "base/str.h"
+
+#include <stdbool.h>
+#include <uv.h>
+
+typedef struct prober prober_t;
+
+/* Result of a probe: IS_REACHABLE if instance ID accepted the connection.  */
+typedef void (*prober_cb_t) (void *arg, str_t id, bool is_reachable);
+
+prober_t *prober_create (uv_loop_t *loop, prober_cb_t cb, void *arg);
+/* Cancel the probes in progress without calling their callbacks.  PROBER may
+   be NULL.  */
+void prober_destroy (prober_t *prober);
+/* Probe instance ID at ADDRESS (HOST:PORT, numeric).  The instance counts as
+   unreachable after TIMEOUT_MS.  Does nothing while a probe of the same
+   instance is in progress.  The callback runs on a later loop iteration.  */
+void prober_start (prober_t *prober, str_t id, str_t address,
+                   uint64_t timeout_ms);
+
+#endif
--- /dev/null
+++ b/packages/gateway/relay_response.c
@@ -0,0 +1,422 @@
+#include "gateway/relayint.h"
+
+#include "gateway/forward.h"
+
+enum
+{
+  /* Bytes buffered for a slow caller above which reading from the upstream is
+     paused.  */
+  CALLER_BUFFER_BYTES_HIGH = 65536,
+  /* Most sends for one request, whatever the route allows.  */
+  SENDS_MAX = POOL_TRIED_MAX,
+  /* Size limit of a response body that is not streamed, which is buffered.  */
+  RESPONSE_BODY_BYTES_MAX = 8 << 20,
+  /* Events after the first over which the mean interval of a stream is
+     measured, because events arrive in bursts.  */
+  INTERVAL_SAMPLE_EVENTS = 8,
+  /* Response headers beyond this number are not forwarded.  */
+  RESPONSE_HEADERS_MAX = 64,
+  /* Interval of the search for an upstream that resumes an interrupted stream:
+     a few searches within the longest pause that is on time.  */
+  RESUME_POLL_MS = 150
+};
+
+bool
+relay_may_retry (const relay_t *relay)
+{
+  return relay->attrs.is_repeatable
+         && relay->possible_runs < relay->attrs.route->attempts_max
+         && relay->sends < SENDS_MAX;
+}
+
+static allowance_t *
+service_retry_budget (const relay_t *relay)
+{
+  return gateway_service_allowance (relay->state, relay->attrs.service->name);
+}
+
+bool
+relay_has_retry_budget (const relay_t *relay)
+{
+  return allowance_left (service_retry_budget (relay)) >= 1;
+}
+
+/* Take one send from the retry budget.  Return false if none is left.  */
+static bool
+take_retry (relay_t *relay)
+{
+  allowance_t *allowance = service_retry_budget (relay);
+
+  if (!allowance_take (allowance, 0))
+    return false;
+  counter_add (relay->state->counters.resends, 1);
+  return true;
+}
+
+/* Return the retry budget left in this process, rounded down.  */
+static uint64_t
+retries_left (const relay_t *relay)
+{
+  double left = allowance_left (service_retry_budget (relay));
+
+  return left > 0 ? (uint64_t)left : 0;
+}
+
+static void
+add_tried_upstream (relay_t *relay)
+{
+  if (relay->tried_count < POOL_TRIED_MAX)
+    relay->tried[relay->tried_count++] = relay->upstream;
+}
+
+void
+relay_resume_stream (relay_t *relay)
+{
+  if (relay_has_retry_budget (relay) && relay_has_alternative (relay)
+      && take_retry (relay))
+    {
+      counter_add (relay->state->counters.resumes, 1);
+      relay_send (relay);
+      return;
+    }
+  relay->phase = PHASE_AWAITING_UPSTREAM;
+  bound_start (&relay->timer, RESUME_POLL_MS);
+}
+
+void
+relay_send_failed (relay_t *relay, const char *reason, bool may_have_run)
+{
+  uint64_t now_ms = clock_ms (relay->state->clock);
+
+  log_event (EVENT_SEND_FAILED,
+             field_text (FIELD_ID, str_from (relay->attempt_id)),
+             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             field_text (FIELD_REASON, str_from (reason)),
+             field_number (FIELD_RAN, may_have_run),
+             field_number (FIELD_EVENTS, relay->event_count),
+             field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
+             field_number (FIELD_EXTRA, retries_left (relay)));
+  relay->failure_reason = reason;
+  if (may_have_run)
+    relay->possible_runs++;
+  add_tried_upstream (relay);
+  relay->was_refused = !may_have_run;
+  if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
+    relay->trial_sends.failed = true;
+  relay_finish_send (relay, may_have_run ? SEND_FAILED : SEND_REFUSED);
+  relay->response_headers.len = 0;
+  relay->response_body.len = 0;
+  sse_filter_discard_partial (&relay->sse);
+  bool may_resend
+      = may_have_run ? relay_may_retry (relay) : relay->sends < SENDS_MAX;
+  if (may_resend && relay->response_started)
+    relay_resume_stream (relay);
+  else if (may_resend && take_retry (relay))
+    relay_send (relay);
+  else
+    relay_fail (relay, may_have_run ? VH_E_UPSTREAM_CUT : VH_E_FULL, reason,
+                0);
+}
+
+/* Copy the status of HEAD and the headers to forward into RELAY.  */
+static void
+store_response_head (relay_t *relay, const call_head_t *head)
+{
+  relay->response_status = head->status;
+  relay->response_headers.len = 0;
+  for (size_t i = 0; i < head->header_count; i++)
+    {
+      const httpc_header_t *header = &head->headers[i];
+      if (header->name.len == 0 || forward_is_hop_by_hop (header->name))
+        continue;
+      buf_append_str (&relay->response_headers, header->name);
+      buf_append_char (&relay->response_headers, '\0');
+      buf_append_str (&relay->response_headers, header->value);
+      buf_append_char (&relay->response_headers, '\0');
+    }
+}
+
+/* Fill LIST, which has room for RESPONSE_HEADERS_MAX, with the stored headers.
+   Return their number.  */
+static size_t
+stored_headers (const relay_t *relay, httpc_header_t *list)
+{
+  const char *next = relay->response_headers.ptr;
+  const char *end = relay->response_headers.ptr + relay->response_headers.len;
+  size_t count = 0;
+
+  while (next < end && count < RESPONSE_HEADERS_MAX)
+    {
+      list[count].name = str_from (next);
+      next += list[count].name.len + 1;
+      list[count].value = str_from (next);
+      next += list[count++].value.len + 1;
+    }
+  return count;
+}
+
+/* Send the stored response head to the caller and start streaming.  */
+static void
+start_streaming (relay_t *relay)
+{
+  httpc_header_t headers[RESPONSE_HEADERS_MAX];
+  size_t count = stored_headers (relay, headers);
+
+  relay->response_started = true;
+  if (relay->state->stopping_ms != 0)
+    httpd_close_after (relay->req);
+  httpd_start (relay->req, relay->response_status, headers, count);
+}
+
+/* Send the buffered response to the caller and destroy RELAY.  */
+static void
+send_buffered_response (relay_t *relay)
+{
+  httpc_header_t headers[RESPONSE_HEADERS_MAX];
+  size_t count = stored_headers (relay, headers);
+
+  counter_add (relay->state->counters.answered, 1);
+  relay_record_end (
+      relay, relay->response_status >= 500 ? EVENT_PASSED : EVENT_ANSWERED,
+      relay->response_status, relay->failure_reason, 0);
+  if (relay->state->stopping_ms != 0)
+    httpd_close_after (relay->req);
+  httpd_reply (relay->req, relay->response_status, headers, count,
+               buf_str (&relay->response_body));
+  relay_destroy (relay);
+}
+
+/* Update the pool with the load and the warm-up time in HEAD.  */
+static void
+update_upstream_load (relay_t *relay, const call_head_t *head)
+{
+  const header_names_t *names = relay->state->names;
+  str_t load_header = call_header (head, names->load);
+  str_t cold_header = call_header (head, names->cold_ms);
+  uint64_t load_values[3] = { 0, 0, 0 };
+  uint64_t cold_ms;
+  size_t count = 0;
+
+  while (load_header.ptr != NULL && count < 3
+         && str_to_u64 (str_trim (str_cut (load_header, ',', &load_header)),
+                        &load_values[count]))
+    count++;
+  if (count == 3)
+    {
+      relay->upstream_load = (uint32_t)(load_values[0] + load_values[1]);
+      relay->is_upstream_loaded = load_values[0] * 2 >= load_values[2];
+      pool_load (relay->state->pool, relay->upstream, (uint32_t)load_values[0],
+                 (uint32_t)load_values[1], (uint32_t)load_values[2]);
+    }
+  if (cold_header.ptr != NULL && str_to_u64 (cold_header, &cold_ms)
+      && cold_ms > 0)
+    pool_cold (relay->state->pool, relay->upstream, cold_ms);
+}
+
+/* Return whether HEAD is a valid response of an upstream to this request.  */
+static bool
+is_valid_response (const relay_t *relay, const call_head_t *head)
+{
+  const header_names_t *names = relay->state->names;
+  str_t echoed = call_header (head, names->attempt_id);
+
+  if (echoed.ptr != NULL && !str_eq (echoed, str_from (relay->attempt_id)))
+    return false;
+  if (head->status < 200 || head->status > 599)
+    return false;
+  /* Callers do not accept encoded bodies, so an encoded body does not come
+     from the upstream.  A success has a message authentication code.  */
+  if (call_header (head, STR ("content-encoding")).ptr != NULL)
+    return false;
+  return head->status >= 300
+         || call_header (head, names->answer_mac).ptr != NULL;
+}
+
+/* Escalate to a larger model if the confidence of the current one is too low
+   and the caller has received no part of its answer.  Return true if the
+   answer was dropped and the request sent to a larger model.  */
+static bool
+escalate (relay_t *relay, const call_head_t *head)
+{
+  str_t confidence_header
+      = call_header (head, relay->state->names->confidence);
+  uint64_t confidence;
+  size_t larger_model;
+
+  if (relay->response_started || relay->attrs.route->model_count == 0
+      || relay->model_index + 1 >= relay->attrs.route->model_count
+      || confidence_header.ptr == NULL
+      || !str_to_u64 (confidence_header, &confidence)
+      || (larger_model = relay_choose_larger_model (relay, confidence))
+             == relay->model_index
+      || relay->possible_runs + 1 >= relay->attrs.route->attempts_max
+      || !take_retry (relay))
+    return false;
+  counter_add (relay->state->counters.escalations, 1);
+  log_event (EVENT_LARGER, field_text (FIELD_ID, str_from (relay->attempt_id)),
+             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             field_number (FIELD_CONFIDENCE, confidence),
+             field_number (FIELD_EXTRA, retries_left (relay)));
+  relay->possible_runs++;
+  relay->model_index = larger_model;
+  relay_finish_send (relay, SEND_DROPPED);
+  relay_send (relay);
+  return true;
+}
+
+static void
+on_head (void *arg, const call_head_t *head)
+{
+  relay_t *relay = arg;
+  const header_names_t *names = relay->state->names;
+
+  relay->last_activity_ms = clock_ms (relay->state->clock);
+  pool_heard (relay->state->pool, relay->upstream);
+  if (!is_valid_response (relay, head))
+    {
+      relay_send_failed (relay, "foreign-answer", true);
+      return;
+    }
+  update_upstream_load (relay, head);
+  if (relay->attrs.route->model_count > 0 && !relay->response_started)
+    escalation_heard (
+        gateway_service_escalation (relay->state, relay->attrs.service->name),
+        relay_service_model_index (relay, relay->model_index),
+        relay->attrs.prompt_tokens, relay->last_activity_ms - relay->sent_ms,
+        relay->attrs.route->objective_ms);
+  if (head->status == 421 || call_header (head, names->not_run).ptr != NULL)
+    {
+      relay_send_failed (relay, head->status == 421 ? "misdirected" : "shed",
+                         false);
+      return;
+    }
+  relay->is_success = head->status < 300;
+  if (!relay->is_success && head->status >= 500 && relay_may_retry (relay)
+      && relay_has_retry_budget (relay))
+    {
+      relay_send_failed (relay, "upstream-error", true);
+      return;
+    }
+  if (relay->response_started && !relay->is_success)
+    {
+      /* The upstream failed to resume the stream.  */
+      relay_send_failed (relay, "resume-failed", true);
+      return;
+    }
+  if (relay->is_success)
+    relay_record_timing (relay, TIMING_FIRST,
+                         (double)(relay->last_activity_ms - relay->sent_ms));
+  if (relay->is_success && escalate (relay, head))
+    return;
+  relay->phase = PHASE_RECEIVING_RESPONSE;
+  relay->head_received_ms = relay->last_activity_ms;
+  if (relay->response_started)
+    return;
+  store_response_head (relay, head);
+  if (relay->attrs.route->kind == ROUTE_STREAM && relay->is_success)
+    start_streaming (relay);
+}
+
+static void
+forward_events (relay_t *relay, str_t bytes)
+{
+  buf_t out = BUF_NULL;
+  size_t count = 0;
+  vh_code_t code = sse_filter_feed (&relay->sse, bytes, &out, &count);
+
+  if (out.len > 0)
+    {
+      if (relay->unread_prompt_tokens > 0)
+        {
+          pool_first (relay->upstream, relay->unread_prompt_tokens);
+          relay->unread_prompt_tokens = 0;
+        }
+      relay->event_count += count;
+      if (relay->send_event_count <= INTERVAL_SAMPLE_EVENTS
+          && relay->send_event_count + count > INTERVAL_SAMPLE_EVENTS)
+        relay_record_timing (
+            relay, TIMING_GAP,
+            (double)(relay->last_activity_ms - relay->head_received_ms)
+                / (double)(relay->send_event_count + count - 1));
+      relay->send_event_count += count;
+      counter_add (relay->state->counters.events, count);
+      httpd_send (relay->req, buf_str (&out), false);
+      if (!relay->is_paused
+          && httpd_buffered (relay->req) > CALLER_BUFFER_BYTES_HIGH)
+        {
+          relay->is_paused = true;
+          call_pause (relay->call);
+        }
+    }
+  buf_free (&out);
+  if (code != VH_OK)
+    relay_send_failed (relay, "events-out-of-order", true);
+}
+
+static void
+on_body (void *arg, str_t bytes)
+{
+  relay_t *relay = arg;
+
+  relay->last_activity_ms = clock_ms (relay->state->clock);
+  pool_heard (relay->state->pool, relay->upstream);
+  if (relay->response_started)
+    forward_events (relay, bytes);
+  else if (relay->response_body.len + bytes.len > RESPONSE_BODY_BYTES_MAX)
+    relay_send_failed (relay, "answer-too-large", true);
+  else
+    buf_append_str (&relay->response_body, bytes);
+}
+
+static void
+on_end (void *arg, vh_code_t code)
+{
+  relay_t *relay = arg;
+
+  relay->call = NULL;
+  if (code == VH_E_CONNECT)
+    {
+      /* No byte of the request was sent, so the next send is not charged to
+         the retry budget.  */
+      relay->failure_reason = "connect";
+      relay->connect_failed = true;
+      add_tried_upstream (relay);
+      relay->sends--;
+      relay_finish_send (relay, SEND_FAILED);
+      if (relay->tried_count < POOL_TRIED_MAX)
+        relay_send (relay);
+      else
+        relay_fail (relay, VH_E_NO_UPSTREAM, "connect",
+                    RETRY_AFTER_UNAVAILABLE_MS);
+      return;
+    }
+  if (code == VH_OK && relay->response_started
+      && !sse_filter_at_boundary (&relay->sse))
+    code = VH_E_UPSTREAM_CUT;
+  relay->connection_lost = code == VH_E_UPSTREAM_CUT;
+  if (code != VH_OK)
+    {
+      relay_send_failed (relay, code == VH_E_PROTOCOL ? "garbled" : "cut",
+                         true);
+      return;
+    }
+  relay_finish_send (relay, relay->is_success || relay->response_status < 500
+                                ? SEND_OK
+                                : SEND_FAILED);
+  if (!relay->response_started)
+    {
+      send_buffered_response (relay);
+      return;
+    }
+  counter_add (relay->state->counters.answered, 1);
+  relay_record_end (relay, EVENT_ANSWERED, relay->response_status,
+                    relay->failure_reason, 0);
+  /* The last bytes may still wait in the write queue.  The caller may
+     disconnect before they are written, and that callback must not use the
+     destroyed relay.  */
+  httpd_watch (relay->req, NULL, NULL, NULL);
+  httpd_send (relay->req, STR (""), true);
+  relay_destroy (relay);
+}
+
+const call_events_t relay_call_events = { on_head, on_body, on_end };
--- /dev/null
+++ b/packages/gateway/request_attrs.c
@@ -0,0 +1,143 @@
+#include "gateway/request_attrsint.h"
+
+/* Return the hash of all parts of the prompt but the last, which is unique to
+   the request; 0 if there are no such parts.  */
+static uint64_t
+shared_prefix_hash (str_t parts)
+{
+  size_t end = parts.len;
+
+  if (parts.ptr == NULL)
+    return 0;
+  while (end > 0 && parts.ptr[end - 1] != ',')
+    end--;
+  return end == 0 ? 0 : str_hash (str_make (parts.ptr, end - 1), 1);
+}
+
+/* Resolve the route and the team.  Return VH_OK, or the reason for rejecting
+   the request.  */
+static vh_code_t
+resolve_route_and_team (request_attrs_t *attrs, const gateway_state_t *state,
+                        const httpd_req_t *req)
+{
+  str_t bearer = httpd_header (req, STR ("authorization"));
+
+  if (state->catalog == NULL)
+    return VH_E_STORE_DOWN;
+  attrs->catalog = state->catalog;
+  catalog_ref (attrs->catalog);
+  attrs->route = catalog_route (attrs->catalog, httpd_authority (req),
+                                httpd_path (req));
+  if (attrs->route == NULL)
+    return gateway_has_fresh_config (state) ? VH_E_NO_ROUTE : VH_E_STORE_DOWN;
+  if (!attrs->route->is_public && catalog_has_teams (attrs->catalog))
+    {
+      /* A gateway process without a recent confirmation of its configuration
+         may have missed that a key was revoked, so it accepts no key.  */
+      if (!gateway_has_fresh_config (state))
+        return VH_E_STORE_DOWN;
+      if (!str_starts (bearer, STR ("Bearer ")))
+        return VH_E_NO_AUTH;
+      attrs->team = catalog_team (
+          attrs->catalog,
+          str_trim (str_make (bearer.ptr + 7, bearer.len - 7)));
+      if (attrs->team == NULL)
+        return VH_E_BAD_KEY;
+    }
+  return VH_OK;
+}
+
+/* Choose the service by the weights of the route's split, the same for all
+   requests of a session.  */
+static void
+choose_service (request_attrs_t *attrs)
+{
+  const route_t *route = attrs->route;
+  uint64_t weight_sum = 0;
+  size_t index = 0;
+
+  for (size_t i = 0; i < route->split_count; i++)
+    weight_sum += route->splits[i].weight;
+  if (weight_sum > 0)
+    {
+      uint64_t offset = attrs->session_hash % weight_sum;
+      while (offset >= route->splits[index].weight)
+        offset -= route->splits[index++].weight;
+    }
+  attrs->service
+      = route->split_count > 0
+            ? catalog_service (attrs->catalog, route->splits[index].service)
+            : NULL;
+}
+
+/* Parse the request headers.  Return VH_OK or VH_E_BAD_HEADER.  */
+static vh_code_t
+parse_headers (request_attrs_t *attrs, const header_names_t *names,
+               const httpd_req_t *req, str_t attempt_id)
+{
+  str_t deadline = httpd_header (req, names->deadline_ms);
+  str_t token_counts = httpd_header (req, names->token_counts);
+  str_t last_id = httpd_header (req, STR ("last-event-id"));
+  str_t session = httpd_header (req, names->session);
+  uint64_t timeout_ms = attrs->route->timeout_ms;
+  uint64_t prompt_tokens = 0;
+  uint64_t number;
+  str_t rest;
+
+  if (deadline.ptr != NULL)
+    {
+      if (!str_to_u64 (str_trim (deadline), &number))
+        return VH_E_BAD_HEADER;
+      if (number < timeout_ms || timeout_ms == 0)
+        timeout_ms = number;
+    }
+  attrs->deadline_ms = attrs->arrived_ms + timeout_ms;
+  if (token_counts.ptr != NULL
+      && str_to_u64 (str_trim (str_cut (token_counts, ',', &rest)),
+                     &prompt_tokens))
+    {
+      attrs->prompt_tokens
+          = prompt_tokens < UINT32_MAX ? (uint32_t)prompt_tokens : UINT32_MAX;
+      if (rest.ptr != NULL && str_to_u64 (str_trim (rest), &number))
+        attrs->output_tokens_max
+            = number < UINT32_MAX ? (uint32_t)number : UINT32_MAX;
+    }
+  attrs->prefix_hash
+      = shared_prefix_hash (httpd_header (req, names->prompt_parts));
+  attrs->session_hash
+      = session.ptr != NULL ? str_hash (session, 2) : str_hash (attempt_id, 2);
+  if (attrs->route->kind == ROUTE_STREAM && last_id.ptr != NULL
+      && str_to_u64 (str_trim (last_id), &number))
+    {
+      attrs->is_resume = true;
+      attrs->last_event_id = number;
+    }
+  attrs->is_repeatable
+      = attrs->route->kind == ROUTE_IDEMPOTENT
+        || (attrs->route->kind == ROUTE_STREAM && attrs->route->resumable);
+  return VH_OK;
+}
+
+vh_code_t
+request_attrs_resolve (request_attrs_t *attrs, const gateway_state_t *state,
+                       const httpd_req_t *req, str_t attempt_id)
+{
+  vh_code_t code = resolve_route_and_team (attrs, state, req);
+
+  if (code == VH_OK)
+    code = parse_headers (attrs, state->names, req, attempt_id);
+  if (code != VH_OK)
+    return code;
+  attrs->priority = attrs->team != NULL && attrs->team->has_priority
+                        ? attrs->team->priority
+                        : attrs->route->priority;
+  choose_service (attrs);
+  return attrs->service != NULL ? VH_OK : VH_E_NO_UPSTREAM;
+}
+
+void
+request_attrs_free (request_attrs_t *attrs)
+{
+  catalog_unref (attrs->catalog);
+  attrs->catalog = NULL;
+}
