--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -123,7 +123,7 @@
       break;
     case OPERATOR_ROW_ZONE_EXCLUSION:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
-      pool_zone_out (belief->pool, name, true);
+      pool_set_zone_disabled (belief->pool, name, true);
       break;
     case OPERATOR_ROW_UNKNOWN:
       break;
@@ -140,7 +140,7 @@
       != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_zone_out (duties->belief->pool, name, false);
+  pool_set_zone_disabled (duties->belief->pool, name, false);
 }
 
 /* Instances.  */
@@ -272,7 +272,7 @@
 
   if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
-      allotment_leave (duties->belief->allotment, rest);
+      allotment_remove (duties->belief->allotment, rest);
       if (duties->share != NULL)
         share_remove (duties->share, rest);
     }
@@ -288,14 +288,14 @@
   void *value;
 
   allotment_expire (belief->allotment);
-  uint32_t entries = (uint32_t)allotment_size (belief->allotment);
+  uint32_t entries = (uint32_t)allotment_gateway_count (belief->allotment);
   if (entries == belief->gateway_count)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, entries),
              field_number (FIELD_BEFORE, belief->gateway_count));
   belief->gateway_count = entries;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_set_entries (value, entries);
+    send_budget_set_gateway_count (value, entries);
 }
 
 static void
@@ -306,7 +306,7 @@
   (void)full;
   duties->own_read = true;
   set_prepared (duties);
-  allotment_read (duties->belief->allotment);
+  allotment_set_loaded (duties->belief->allotment);
   divide_shares (duties);
 }
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -38,19 +38,19 @@
   char *option_strings[6]; /* Copies of the options' strings.  */
 };
 
-allowance_t *
+send_budget_t *
 gateway_service_allowance (gateway_state_t *state, str_t service)
 {
-  allowance_t *allowance = map_get (state->allowances, service);
-  allowance_options_t options
+  send_budget_t *allowance = map_get (state->allowances, service);
+  send_budget_options_t options
       = { .ratio = state->options.retry_ratio,
           .slack = state->options.retry_fixed_budget,
           .window_ms = state->options.retry_window_ms };
 
   if (allowance != NULL)
     return allowance;
-  allowance = allowance_create (state->clock, &options);
-  allowance_set_entries (allowance, state->gateway_count);
+  allowance = send_budget_create (state->clock, &options);
+  send_budget_set_gateway_count (allowance, state->gateway_count);
   map_put (state->allowances, service, allowance);
   return allowance;
 }
@@ -180,7 +180,7 @@
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_extra_sends_left", labels.ptr,
                  "Sends beyond the first that may be made now.",
-                 allowance_left (value));
+                 send_budget_remaining (value));
       buf_free (&labels);
     }
   cursor = 0;
@@ -319,7 +319,7 @@
   map_destroy (state->trials);
   cursor = 0;
   while (map_next (state->allowances, &cursor, &key, &value))
-    allowance_destroy (value);
+    send_budget_destroy (value);
   map_destroy (state->allowances);
   cursor = 0;
   while (map_next (state->escalations, &cursor, &key, &value))
@@ -417,7 +417,7 @@
 
   log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
              field_number (FIELD_REACHED, is_reachable));
-  pool_reached (state->pool, id, is_reachable);
+  pool_probe_finished (state->pool, id, is_reachable);
 }
 
 vh_code_t
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -54,7 +54,7 @@
   uint64_t config_load_started_ms; /* Boot time at which the loading of a newer
                           configuration began; 0 if none is being loaded.  */
   map_t *trials;                   /* Map of service name to trial_t.  */
-  map_t *allowances;               /* Map of service name to allowance_t.  */
+  map_t *allowances;               /* Map of service name to send_budget_t.  */
   map_t *escalations;              /* Map of service name to escalation_t.  */
   allotment_t *allotment;  /* Gateway processes among which fleet-wide limits
                           are  divided.  */
@@ -111,7 +111,8 @@
 void duties_destroy (duties_t *duties);
 
 /* Return the retry budget of SERVICE, created on first use.  */
-allowance_t *gateway_service_allowance (gateway_state_t *state, str_t service);
+send_budget_t *gateway_service_allowance (gateway_state_t *state,
+                                          str_t service);
 /* Return the model escalation state of SERVICE, created on first use.  */
 escalation_t *gateway_service_escalation (gateway_state_t *state,
                                           str_t service);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -72,7 +72,7 @@
 {
   gateway_state_t *state = relay->state;
   uint64_t now_ms = clock_ms (state->clock);
-  pool_want_t criteria;
+  pool_criteria_t criteria;
   buf_t request = BUF_NULL;
 
   if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_ms)
@@ -81,7 +81,7 @@
       return;
     }
   relay_selection_criteria (relay, &criteria);
-  vh_code_t code = pool_choose (state->pool, &criteria, &relay->upstream);
+  vh_code_t code = pool_select (state->pool, &criteria, &relay->upstream);
   if (code == VH_E_NO_UPSTREAM && relay->tried_count > 0)
     {
       /* All upstreams were tried.  An upstream that was full is assumed to be
@@ -95,7 +95,7 @@
           return;
         }
       criteria.tried_count = 0;
-      code = pool_choose (state->pool, &criteria, &relay->upstream);
+      code = pool_select (state->pool, &criteria, &relay->upstream);
     }
   if (code != VH_OK)
     {
@@ -118,12 +118,13 @@
   relay->trial_sends.any = true;
   relay->trial_sends.arm = relay_trial_arm (relay);
   relay->unread_prompt_tokens = relay->attrs.prompt_tokens;
-  pool_started (state->pool, relay->upstream, relay->attrs.prompt_tokens);
+  pool_request_started (state->pool, relay->upstream,
+                        relay->attrs.prompt_tokens);
   relay->phase = PHASE_AWAITING_RESPONSE;
   relay->sent_ms = now_ms;
   relay->last_activity_ms = now_ms;
   relay->send_event_count = 0;
-  relay->upstream_load = upstream_running (relay->upstream);
+  relay->upstream_request_count = upstream_running (relay->upstream);
   relay->is_upstream_loaded = false;
   relay->is_success = false;
   relay->connection_lost = false;
@@ -198,7 +199,7 @@
   uint64_t timeout_at_ms = send_timeout_due_ms (relay);
   if (relay->attrs.route->kind != ROUTE_STREAM)
     return timeout_at_ms;
-  uint64_t probe_ms = pool_silence_due (relay->upstream);
+  uint64_t probe_ms = pool_probe_due_ms (relay->upstream);
   return probe_ms < timeout_at_ms ? probe_ms : timeout_at_ms;
 }
 
@@ -209,7 +210,7 @@
 {
   return relay->attrs.route->kind == ROUTE_STREAM
          && now_ms < send_timeout_due_ms (relay)
-         && !upstream_lost (relay->upstream);
+         && !upstream_is_unreachable (relay->upstream);
 }
 
 /* Probe the upstream.  The timer fires when the probe has ended, or at the
@@ -259,7 +260,7 @@
         }
       if (relay_has_retry_budget (relay) && relay_has_alternative (relay))
         {
-          relay->connection_lost = upstream_lost (relay->upstream);
+          relay->connection_lost = upstream_is_unreachable (relay->upstream);
           relay_send_failed (relay, relay->connection_lost ? "lost" : "silent",
                              true);
           return;
@@ -267,7 +268,7 @@
       /* No retry is possible now: keep waiting for this upstream.  */
       relay->last_activity_ms = now_ms;
       relay->sent_ms = now_ms;
-      pool_heard (relay->state->pool, relay->upstream);
+      pool_data_received (relay->state->pool, relay->upstream);
     }
   arm_timer (relay, now_ms);
 }
@@ -305,7 +306,7 @@
 
   relay_record_end (relay, EVENT_LEFT, 0, relay->failure_reason, 0);
   counter_add (relay->state->counters.left, 1);
-  relay_finish_send (relay, SEND_DROPPED);
+  relay_finish_send (relay, SEND_CANCELLED);
   relay_destroy (relay);
 }
 
@@ -345,7 +346,8 @@
     }
   relay->sse.has_last_id = attrs->is_resume;
   relay->sse.last_id = attrs->last_event_id;
-  allowance_request (gateway_service_allowance (state, attrs->service->name));
+  send_budget_count_request (
+      gateway_service_allowance (state, attrs->service->name));
   relay_send (relay);
 }
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -88,7 +88,7 @@
 
   if (trial != NULL)
     trial_time (trial, relay_trial_arm (relay), route_hash (relay), timing,
-                relay->upstream_load, duration_ms,
+                relay->upstream_request_count, duration_ms,
                 follow_store_ms (relay->state->operator_rows));
 }
 
@@ -101,8 +101,8 @@
   if (relay->upstream == NULL)
     return;
   record_trial_outcome (relay, outcome);
-  pool_finished (relay->state->pool, relay->upstream,
-                 relay->unread_prompt_tokens, outcome);
+  pool_request_finished (relay->state->pool, relay->upstream,
+                         relay->unread_prompt_tokens, outcome);
   relay->upstream = NULL;
 }
 
@@ -186,7 +186,7 @@
   bool not_run = status != 502 && status != 504;
   uint64_t retry_after_ms = 0;
 
-  relay_finish_send (relay, SEND_DROPPED);
+  relay_finish_send (relay, SEND_CANCELLED);
   if (relay->response_started)
     {
       relay_record_end (relay, EVENT_CUT, status, reason, 0);
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -29,7 +29,7 @@
          && relay->sends < SENDS_MAX;
 }
 
-static allowance_t *
+static send_budget_t *
 service_retry_budget (const relay_t *relay)
 {
   return gateway_service_allowance (relay->state, relay->attrs.service->name);
@@ -38,16 +38,16 @@
 bool
 relay_has_retry_budget (const relay_t *relay)
 {
-  return allowance_left (service_retry_budget (relay)) >= 1;
+  return send_budget_remaining (service_retry_budget (relay)) >= 1;
 }
 
 /* Take one send from the retry budget.  Return false if none is left.  */
 static bool
 take_retry (relay_t *relay)
 {
-  allowance_t *allowance = service_retry_budget (relay);
+  send_budget_t *allowance = service_retry_budget (relay);
 
-  if (!allowance_take (allowance, 0))
+  if (!send_budget_try_take (allowance, 0))
     return false;
   counter_add (relay->state->counters.resends, 1);
   return true;
@@ -57,7 +57,7 @@
 static uint64_t
 retries_left (const relay_t *relay)
 {
-  double left = allowance_left (service_retry_budget (relay));
+  double left = send_budget_remaining (service_retry_budget (relay));
 
   return left > 0 ? (uint64_t)left : 0;
 }
@@ -203,14 +203,16 @@
     count++;
   if (count == 3)
     {
-      relay->upstream_load = (uint32_t)(load_values[0] + load_values[1]);
+      relay->upstream_request_count
+          = (uint32_t)(load_values[0] + load_values[1]);
       relay->is_upstream_loaded = load_values[0] * 2 >= load_values[2];
-      pool_load (relay->state->pool, relay->upstream, (uint32_t)load_values[0],
-                 (uint32_t)load_values[1], (uint32_t)load_values[2]);
+      pool_record_load (relay->state->pool, relay->upstream,
+                        (uint32_t)load_values[0], (uint32_t)load_values[1],
+                        (uint32_t)load_values[2]);
     }
   if (cold_header.ptr != NULL && str_to_u64 (cold_header, &cold_ms)
       && cold_ms > 0)
-    pool_cold (relay->state->pool, relay->upstream, cold_ms);
+    pool_set_cold (relay->state->pool, relay->upstream, cold_ms);
 }
 
 /* Return whether HEAD is a valid response of an upstream to this request.  */
@@ -259,7 +261,7 @@
              field_number (FIELD_EXTRA, retries_left (relay)));
   relay->possible_runs++;
   relay->model_index = larger_model;
-  relay_finish_send (relay, SEND_DROPPED);
+  relay_finish_send (relay, SEND_CANCELLED);
   relay_send (relay);
   return true;
 }
@@ -271,7 +273,7 @@
   const header_names_t *names = relay->state->names;
 
   relay->last_activity_ms = clock_ms (relay->state->clock);
-  pool_heard (relay->state->pool, relay->upstream);
+  pool_data_received (relay->state->pool, relay->upstream);
   if (!is_valid_response (relay, head))
     {
       relay_send_failed (relay, "foreign-answer", true);
@@ -328,7 +330,7 @@
     {
       if (relay->unread_prompt_tokens > 0)
         {
-          pool_first (relay->upstream, relay->unread_prompt_tokens);
+          pool_prompt_processed (relay->upstream, relay->unread_prompt_tokens);
           relay->unread_prompt_tokens = 0;
         }
       relay->event_count += count;
@@ -359,7 +361,7 @@
   relay_t *relay = arg;
 
   relay->last_activity_ms = clock_ms (relay->state->clock);
-  pool_heard (relay->state->pool, relay->upstream);
+  pool_data_received (relay->state->pool, relay->upstream);
   if (relay->response_started)
     forward_events (relay, bytes);
   else if (relay->response_body.len + bytes.len > RESPONSE_BODY_BYTES_MAX)
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -33,8 +33,8 @@
 static bool
 has_instance_of_version (const relay_t *relay, str_t version)
 {
-  return pool_count (relay->state->pool, relay->attrs.service->name, ARM_NEW,
-                     version, 1)
+  return pool_count (relay->state->pool, relay->attrs.service->name,
+                     VERSION_ARM_NEW, version, 1)
          > 0;
 }
 
@@ -50,8 +50,9 @@
 {
   const gateway_state_t *state = relay->state;
   double share = trial_share (trial, follow_store_ms (state->operator_rows));
-  size_t old_instances = pool_count (state->pool, relay->attrs.service->name,
-                                     ARM_OLD, trial_version (trial), SIZE_MAX);
+  size_t old_instances
+      = pool_count (state->pool, relay->attrs.service->name, VERSION_ARM_OLD,
+                    trial_version (trial), SIZE_MAX);
   size_t count
       = (size_t)ceil (share * (double)old_instances / new_version_load_ratio);
   return count > NEW_VERSION_INSTANCES_MIN ? count : NEW_VERSION_INSTANCES_MIN;
@@ -60,23 +61,23 @@
 /* Set the versions that CRITERIA allows, according to the roll-out of the
    service.  */
 static void
-choose_version_arm (const relay_t *relay, pool_want_t *criteria)
+choose_version_arm (const relay_t *relay, pool_criteria_t *criteria)
 {
   gateway_state_t *state = relay->state;
   const trial_t *trial = relay_trial (relay);
 
-  criteria->arm = ARM_ANY;
+  criteria->arm = VERSION_ARM_ANY;
   if (trial == NULL)
     return;
   criteria->version = trial_version (trial);
   switch (trial_phase (trial))
     {
     case TRIAL_ROLLED_BACK:
-      criteria->arm = ARM_OLD;
+      criteria->arm = VERSION_ARM_OLD;
       break;
     case TRIAL_DONE:
       if (has_instance_of_version (relay, criteria->version))
-        criteria->arm = ARM_NEW;
+        criteria->arm = VERSION_ARM_NEW;
       break;
     case TRIAL_RUNNING:
       if (trial_choose (trial, relay->attrs.session_hash,
@@ -85,22 +86,22 @@
               == TRIAL_NEW
           && has_instance_of_version (relay, criteria->version))
         {
-          criteria->arm = ARM_NEW;
+          criteria->arm = VERSION_ARM_NEW;
           criteria->few = new_version_instance_count (relay, trial);
         }
       else
-        criteria->arm = ARM_OLD;
+        criteria->arm = VERSION_ARM_OLD;
       break;
     }
 }
 
 /* Fill CRITERIA for a send to the model at INDEX in the route's list.  */
 static void
-fill_criteria (const relay_t *relay, size_t index, pool_want_t *criteria)
+fill_criteria (const relay_t *relay, size_t index, pool_criteria_t *criteria)
 {
   const request_attrs_t *attrs = &relay->attrs;
 
-  *criteria = (pool_want_t){
+  *criteria = (pool_criteria_t){
     .service = attrs->service->name,
     .cold_per_s = attrs->service->cold_per_s,
     .key = attrs->prefix_hash != 0 ? attrs->prefix_hash ^ (index + 1) : 0,
@@ -111,7 +112,7 @@
 }
 
 void
-relay_selection_criteria (const relay_t *relay, pool_want_t *criteria)
+relay_selection_criteria (const relay_t *relay, pool_criteria_t *criteria)
 {
   fill_criteria (relay, relay->model_index, criteria);
 }
@@ -120,7 +121,7 @@
 relay_has_alternative (const relay_t *relay)
 {
   const upstream_t *tried[POOL_TRIED_MAX + 1];
-  pool_want_t criteria;
+  pool_criteria_t criteria;
   upstream_t *upstream;
 
   relay_selection_criteria (relay, &criteria);
@@ -129,7 +130,7 @@
   if (relay->upstream != NULL)
     tried[criteria.tried_count++] = relay->upstream;
   criteria.tried = tried;
-  return pool_choose (relay->state->pool, &criteria, &upstream) != VH_E_FULL;
+  return pool_select (relay->state->pool, &criteria, &upstream) != VH_E_FULL;
 }
 
 /* Return the number of requests at the engine that the request would be sent
@@ -142,13 +143,13 @@
 static double
 load_for_model (const relay_t *relay, size_t index)
 {
-  pool_want_t criteria;
+  pool_criteria_t criteria;
   upstream_t *upstream;
 
   fill_criteria (relay, index, &criteria);
-  if (pool_choose (relay->state->pool, &criteria, &upstream) != VH_OK)
+  if (pool_select (relay->state->pool, &criteria, &upstream) != VH_OK)
     return upstream_slots (relay->upstream);
-  return upstream_load (relay->state->pool, upstream);
+  return upstream_request_count (relay->state->pool, upstream);
 }
 
 size_t
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -63,10 +63,11 @@
                                 upstream; at first and when a timeout is
                                 postponed, SENT_MS.  */
   uint64_t send_event_count; /* Events received by this send.  */
-  uint32_t upstream_load;    /* Requests that ran or waited at the upstream, by
-                                its response or else as known to the pool.  */
-  bool is_upstream_loaded;   /* Half or more of the upstream's slots were in
-                                use when it answered.  */
+  uint32_t
+      upstream_request_count; /* Requests that ran or waited at the upstream,
+                        by its response or else as known to the pool.  */
+  bool is_upstream_loaded;    /* Half or more of the upstream's slots were in
+                                 use when it answered.  */
   uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has yet to
                                     read.  */
   bool is_success;               /* The response status is 2xx.  */
@@ -136,7 +137,8 @@
 /* Selection of the upstream.  */
 
 /* Fill CRITERIA for the upstream of the next send.  */
-void relay_selection_criteria (const relay_t *relay, pool_want_t *criteria);
+void relay_selection_criteria (const relay_t *relay,
+                               pool_criteria_t *criteria);
 /* Return whether an upstream other than the current one has room for the
    request.  Also true if no other upstream exists: a new connection to the
    current one may succeed.  */
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -13,7 +13,7 @@
 #define REQUEST_HEADERS KEY_HEADER ATTEMPT_HEADER
 
 static size_t
-upstream_request_count (const gateway_fixture_t *f)
+count_upstream_requests (const gateway_fixture_t *f)
 {
   size_t sum = 0;
 
@@ -95,7 +95,7 @@
       ck_assert_int_eq (caller_status (&caller), cases[i].status);
       caller_free (&f, &caller);
     }
-  ck_assert_uint_eq (upstream_request_count (&f), 0);
+  ck_assert_uint_eq (count_upstream_requests (&f), 0);
   gateway_fixture_teardown (&f);
 }
 END_TEST
@@ -113,13 +113,13 @@
   gateway_fixture_setup (&f, 2);
   for (size_t i = 0; i < sizeof acts / sizeof acts[0]; i++)
     {
-      size_t count_before = upstream_request_count (&f);
+      size_t count_before = count_upstream_requests (&f);
       script_all (&f, acts[i]);
       gateway_fixture_request (&f, &caller, "POST", "/book/", REQUEST_HEADERS,
                                "pay");
       ck_assert_int_eq (caller_status (&caller), 502);
       ck_assert (caller_response_contains (&caller, "unknown"));
-      ck_assert_uint_eq (upstream_request_count (&f) - count_before, 1);
+      ck_assert_uint_eq (count_upstream_requests (&f) - count_before, 1);
       caller_free (&f, &caller);
     }
   gateway_fixture_teardown (&f);
@@ -167,7 +167,7 @@
   script_all (&f, ACT_SHED);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
-  ck_assert_uint_eq (upstream_request_count (&f), 3);
+  ck_assert_uint_eq (count_upstream_requests (&f), 3);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -267,7 +267,7 @@
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
   ck_assert (caller_response_contains (&caller, "data: e5\n"));
-  ck_assert_uint_eq (upstream_request_count (&f), 1);
+  ck_assert_uint_eq (count_upstream_requests (&f), 1);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -289,7 +289,7 @@
   first_index = fake_upstream_requests (f.upstreams[0]) > 0 ? 0 : 1;
   fake_upstream_vanish (f.upstreams[first_index]);
   uint64_t start_ms = uv_hrtime () / 1000000;
-  gateway_fixture_wait (&f, upstream_request_count (&f) == 2);
+  gateway_fixture_wait (&f, count_upstream_requests (&f) == 2);
   ck_assert_uint_lt (uv_hrtime () / 1000000 - start_ms, PAUSE_MS + 200);
   gateway_fixture_wait (&f, caller.closed);
   ck_assert (caller_response_contains (&caller, "data: e5\n"));
@@ -337,7 +337,7 @@
   for (size_t i = 0; i < OTHER_CALLERS; i++)
     caller_start (&f, &other_callers[i], "POST", "/chat/", REQUEST_HEADERS,
                   "{}");
-  gateway_fixture_wait (&f, upstream_request_count (&f) == OTHER_CALLERS);
+  gateway_fixture_wait (&f, count_upstream_requests (&f) == OTHER_CALLERS);
   script_all (&f, ACT_STREAM_BREAK);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
@@ -371,7 +371,7 @@
   ck_assert (caller_response_contains (&caller, "data: e2\n"));
   ck_assert (!caller_response_contains (&caller, "\r\n0\r\n"));
   ck_assert_int_eq (caller.response.ptr[caller.response.len - 1], '\n');
-  ck_assert_uint_eq (upstream_request_count (&f), 3);
+  ck_assert_uint_eq (count_upstream_requests (&f), 3);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -392,13 +392,13 @@
                            REQUEST_HEADERS "vanillahook-model: *\r\n", "{}");
   ck_assert_int_eq (caller_status (&caller), 200);
   ck_assert (!caller_response_contains (&caller, "confidence"));
-  ck_assert_uint_eq (upstream_request_count (&f), 2);
+  ck_assert_uint_eq (count_upstream_requests (&f), 2);
   ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
                                  "vanillahook-model: large\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
-  ck_assert_uint_eq (upstream_request_count (&f), 3);
+  ck_assert_uint_eq (count_upstream_requests (&f), 3);
   ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
                                  "vanillahook-model: small\r\n"));
   caller_free (&f, &caller);
@@ -486,7 +486,7 @@
     {
       script_all (&f, acts[i]);
       caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
-      gateway_fixture_wait (&f, upstream_request_count (&f) == i + 1);
+      gateway_fixture_wait (&f, count_upstream_requests (&f) == i + 1);
       caller_disconnect (&caller);
       uint64_t left_ms = uv_now (&f.loop);
       gateway_fixture_wait (&f,
@@ -511,7 +511,7 @@
   for (size_t i = 0; i < 4; i++)
     {
       caller_start_without_reading (&f, &caller, "/chat/", REQUEST_HEADERS);
-      gateway_fixture_wait (&f, upstream_request_count (&f) == i + 1);
+      gateway_fixture_wait (&f, count_upstream_requests (&f) == i + 1);
       run_loop_for (&f, 200);
       caller_reset (&caller);
       run_loop_for (&f, 100);
@@ -539,7 +539,7 @@
   ck_assert_int_eq (caller_status (&caller), 504);
   ck_assert_uint_ge (ms, 590);
   ck_assert_uint_lt (ms, 900);
-  ck_assert_uint_eq (upstream_request_count (&f), 1);
+  ck_assert_uint_eq (count_upstream_requests (&f), 1);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -767,7 +767,7 @@
   run_loop_for (&f, 100);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
-  ck_assert_uint_eq (upstream_request_count (&f), 0);
+  ck_assert_uint_eq (count_upstream_requests (&f), 0);
   caller_free (&f, &caller);
   fake_rows_remove (f.rows, ROWS_ORDERS, "zone/zone-a");
   run_loop_for (&f, 100);
@@ -818,7 +818,7 @@
   gateway_fixture_setup (&f, 1);
   fake_upstream_script (f.upstreams[0], acts, 2);
   caller_start (&f, &stream, "POST", "/chat/", REQUEST_HEADERS, "{}");
-  gateway_fixture_wait (&f, upstream_request_count (&f) == 1);
+  gateway_fixture_wait (&f, count_upstream_requests (&f) == 1);
   gateway_begin_stop (f.gateway);
   ck_assert_int_eq (gateway_fixture_ready_status (&f), 503);
   fake_upstream_script (f.upstreams[0], acts + 1, 1);
