--- a/packages/policy/drain.c
+++ b/packages/policy/drain.c
@@ -8,20 +8,20 @@
 {
   clock_iface_t *clock;
   uint32_t grace_ms;
-  uint32_t bound_ms;
+  uint32_t timeout_ms;
   drain_state_t state;
-  uint64_t begin_ms;
-  uint32_t cut;
+  uint64_t start_ms;
+  uint32_t unfinished_at_timeout;
 };
 
 drain_t *
-drain_create (uint32_t grace_ms, uint32_t bound_ms, clock_iface_t *clock)
+drain_create (uint32_t grace_ms, uint32_t timeout_ms, clock_iface_t *clock)
 {
   drain_t *drain = mem_zalloc (sizeof *drain);
 
   drain->clock = clock;
   drain->grace_ms = grace_ms > 0 ? grace_ms : DRAIN_GRACE_MS;
-  drain->bound_ms = bound_ms > 0 ? bound_ms : DRAIN_BOUND_MS;
+  drain->timeout_ms = timeout_ms > 0 ? timeout_ms : DRAIN_BOUND_MS;
   return drain;
 }
 
@@ -37,30 +37,29 @@
   if (drain->state != DRAIN_SERVING)
     return false;
   drain->state = DRAIN_ANNOUNCED;
-  drain->begin_ms = clock_ms (drain->clock);
+  drain->start_ms = clock_ms (drain->clock);
   return true;
 }
 
 static uint64_t
-stopping_ms (const drain_t *drain)
+elapsed_ms (const drain_t *drain)
 {
-  return clock_ms (drain->clock) - drain->begin_ms;
+  return clock_ms (drain->clock) - drain->start_ms;
 }
 
 drain_state_t
-drain_step (drain_t *drain, uint32_t in_hand)
+drain_step (drain_t *drain, uint32_t unfinished)
 {
-  if (drain->state == DRAIN_ANNOUNCED
-      && stopping_ms (drain) >= drain->grace_ms)
+  if (drain->state == DRAIN_ANNOUNCED && elapsed_ms (drain) >= drain->grace_ms)
     drain->state = DRAIN_DRAINING;
-  if (drain->state == DRAIN_DRAINING && in_hand == 0)
+  if (drain->state == DRAIN_DRAINING && unfinished == 0)
     drain->state = DRAIN_DONE;
-  /* Guards against a request that never ends: it would hold the stop until
-     the platform kills the process, with all else that is in hand.  */
+  /* A request that never ends would delay the shutdown until the platform
+     kills the process, which aborts all other unfinished work.  */
   if ((drain->state == DRAIN_ANNOUNCED || drain->state == DRAIN_DRAINING)
-      && stopping_ms (drain) >= drain->bound_ms)
+      && elapsed_ms (drain) >= drain->timeout_ms)
     {
-      drain->cut = in_hand;
+      drain->unfinished_at_timeout = unfinished;
       drain->state = DRAIN_DONE;
     }
   return drain->state;
@@ -81,19 +80,19 @@
 uint64_t
 drain_next_ms (const drain_t *drain)
 {
-  uint64_t at_ms = drain->bound_ms;
-  uint64_t now_ms;
+  uint64_t next_ms = drain->timeout_ms;
+  uint64_t since_start_ms;
 
   if (drain->state == DRAIN_SERVING || drain->state == DRAIN_DONE)
     return UINT64_MAX;
-  if (drain->state == DRAIN_ANNOUNCED && drain->grace_ms < at_ms)
-    at_ms = drain->grace_ms;
-  now_ms = stopping_ms (drain);
-  return at_ms > now_ms ? at_ms - now_ms : 0;
+  if (drain->state == DRAIN_ANNOUNCED && drain->grace_ms < next_ms)
+    next_ms = drain->grace_ms;
+  since_start_ms = elapsed_ms (drain);
+  return next_ms > since_start_ms ? next_ms - since_start_ms : 0;
 }
 
 uint32_t
 drain_cut (const drain_t *drain)
 {
-  return drain->cut;
+  return drain->unfinished_at_timeout;
 }
--- a/packages/policy/drain.h
+++ b/packages/policy/drain.h
@@ -1,17 +1,19 @@
-/* The planned stop of a process.
+/* Graceful shutdown of a process.
 
-   Answers: an operator or the platform stops a process under traffic.  Without
-   it the balancer in front sends on for a while to a port that is closed, and
-   what is in hand is cut off.
+   Load pattern: an operator or the platform stops a process that has traffic.
+   Without a drain the load balancer in front keeps sending to a closed port
+   for a while, and requests in flight are aborted.
 
-   States: serving; announced, when it says everywhere that it will go but
-   still takes what comes; draining, when it takes nothing new and finishes
-   what is in hand; done.  A second signal changes nothing: impatience must
-   not cut a request.  A bound ends it all the same.
+   States: serving; announced, in which the process reports everywhere that it
+   is stopping but still accepts requests; draining, in which it accepts none
+   and completes those in flight; done.  Further signals have no effect, so
+   that an operator who signals twice aborts no request.  A timeout ends the
+   shutdown in any case.
 
-   - DRAIN_GRACE_MS 5000: a balancer's health check every second or two, three
-     misses to notice.
-   - DRAIN_BOUND_MS 600000: drafts take minutes; none seen took ten.  */
+   - DRAIN_GRACE_MS 5000: load balancers probe the health of a process every
+     second or two, and take it out after three failed probes.
+   - DRAIN_BOUND_MS 600000: a request for a draft takes minutes, but none has
+     taken ten.  */
 
 #ifndef POLICY_DRAIN_H
 #define POLICY_DRAIN_H
@@ -36,29 +38,32 @@
   DRAIN_DONE
 } drain_state_t;
 
-/* A time given as 0 takes the constant above; the bound counts from the
-   signal.  CLOCK is borrowed.  */
-drain_t *drain_create (uint32_t grace_ms, uint32_t bound_ms,
+/* GRACE_MS is the length of the announced state and TIMEOUT_MS the longest
+   shutdown, both from the first signal; 0 selects DRAIN_GRACE_MS or
+   DRAIN_BOUND_MS.  CLOCK is borrowed.  */
+drain_t *drain_create (uint32_t grace_ms, uint32_t timeout_ms,
                        clock_iface_t *clock);
 void drain_destroy (drain_t *drain);
 
-/* The signal to stop came.  Return whether it was the first; any other
-   changes nothing.  */
+/* Start the shutdown, on the first signal to stop.  Return false, with nothing
+   changed, if it has already started.  */
 bool drain_begin (drain_t *drain);
 
-/* Move on, with IN_HAND requests (and bills and answers not handed over)
-   left; return the state.  */
-drain_state_t drain_step (drain_t *drain, uint32_t in_hand);
+/* Update and return the state.  UNFINISHED is the number of requests in
+   flight, and of billing records and responses not yet delivered.  */
+drain_state_t drain_step (drain_t *drain, uint32_t unfinished);
 
-/* Whether new work is taken, and whether the health page still says well.  */
+/* Return whether new requests are accepted.  */
 bool drain_accepts (const drain_t *drain);
+/* Return whether health checks succeed: true only while serving.  */
 bool drain_healthy (const drain_t *drain);
 
-/* Return in how many milliseconds the state may next change by time alone;
-   UINT64_MAX for never.  */
+/* Return the time in ms until drain_step may change the state without any
+   request finishing; UINT64_MAX if there is no such time.  */
 uint64_t drain_next_ms (const drain_t *drain);
 
-/* Return how many requests the bound cut off; 0 when the stop was clean.  */
+/* Return the number of unfinished requests, billing records and responses when
+   the timeout ended the shutdown; 0 if all were finished.  */
 uint32_t drain_cut (const drain_t *drain);
 
 #endif
--- a/packages/policy/heap.c
+++ b/packages/policy/heap.c
@@ -6,61 +6,62 @@
 
 enum
 {
-  HEAP_FIRST_CAP = 16
+  HEAP_INITIAL_CAPACITY = 16
 };
 
 static bool
-before (const heap_node_t *a, const heap_node_t *b)
+is_before (const heap_node_t *a, const heap_node_t *b)
 {
   return a->key < b->key || (a->key == b->key && a->tie < b->tie);
 }
 
 static void
-put (heap_t *heap, uint32_t i, heap_node_t *node)
+set_node (heap_t *heap, uint32_t index, heap_node_t *node)
 {
-  heap->nodes[i] = node;
-  node->place = i + 1;
+  heap->nodes[index] = node;
+  node->place = index + 1;
 }
 
 static void
-sift_up (heap_t *heap, uint32_t i, heap_node_t *node)
+sift_up (heap_t *heap, uint32_t index, heap_node_t *node)
 {
-  while (i > 0 && before (node, heap->nodes[(i - 1) / 2]))
+  while (index > 0 && is_before (node, heap->nodes[(index - 1) / 2]))
     {
-      put (heap, i, heap->nodes[(i - 1) / 2]);
-      i = (i - 1) / 2;
+      set_node (heap, index, heap->nodes[(index - 1) / 2]);
+      index = (index - 1) / 2;
     }
-  put (heap, i, node);
+  set_node (heap, index, node);
 }
 
 static void
-sift_down (heap_t *heap, uint32_t i, heap_node_t *node)
+sift_down (heap_t *heap, uint32_t index, heap_node_t *node)
 {
   for (;;)
     {
-      uint32_t child = 2 * i + 1;
+      uint32_t child = 2 * index + 1;
 
       if (child >= heap->count)
         break;
       if (child + 1 < heap->count
-          && before (heap->nodes[child + 1], heap->nodes[child]))
+          && is_before (heap->nodes[child + 1], heap->nodes[child]))
         child++;
-      if (!before (heap->nodes[child], node))
+      if (!is_before (heap->nodes[child], node))
         break;
-      put (heap, i, heap->nodes[child]);
-      i = child;
+      set_node (heap, index, heap->nodes[child]);
+      index = child;
     }
-  put (heap, i, node);
+  set_node (heap, index, node);
 }
 
 void
 heap_push (heap_t *heap, heap_node_t *node)
 {
-  if (heap->count == heap->cap)
+  if (heap->count == heap->capacity)
     {
-      heap->cap = heap->cap > 0 ? heap->cap * 2 : HEAP_FIRST_CAP;
+      heap->capacity
+          = heap->capacity > 0 ? heap->capacity * 2 : HEAP_INITIAL_CAPACITY;
       heap->nodes
-          = mem_realloc (heap->nodes, heap->cap * sizeof (heap_node_t *));
+          = mem_realloc (heap->nodes, heap->capacity * sizeof (heap_node_t *));
     }
   heap->count++;
   sift_up (heap, heap->count - 1, node);
@@ -69,28 +70,28 @@
 void
 heap_update (heap_t *heap, heap_node_t *node)
 {
-  uint32_t i = node->place - 1;
+  uint32_t index = node->place - 1;
 
-  if (i > 0 && before (node, heap->nodes[(i - 1) / 2]))
-    sift_up (heap, i, node);
+  if (index > 0 && is_before (node, heap->nodes[(index - 1) / 2]))
+    sift_up (heap, index, node);
   else
-    sift_down (heap, i, node);
+    sift_down (heap, index, node);
 }
 
 void
 heap_remove (heap_t *heap, heap_node_t *node)
 {
   heap_node_t *last;
-  uint32_t i;
+  uint32_t index;
 
   if (node->place == 0)
     return;
-  i = node->place - 1;
+  index = node->place - 1;
   node->place = 0;
   last = heap->nodes[--heap->count];
   if (last == node)
     return;
-  put (heap, i, last);
+  set_node (heap, index, last);
   heap_update (heap, last);
 }
 
--- a/packages/policy/heap.h
+++ b/packages/policy/heap.h
@@ -1,5 +1,5 @@
-/* A binary heap of intrusive nodes, smallest key first.  Each node knows its
-   place, so that any of them can leave in O(log n).  */
+/* A binary min-heap of intrusive nodes.  Each node stores its position, so
+   that any node can be removed in O(log n).  */
 
 #ifndef POLICY_HEAP_H
 #define POLICY_HEAP_H
@@ -11,29 +11,30 @@
 typedef struct
 {
   uint64_t key;
-  uint64_t tie;   /* Orders equal keys, so that they leave as they came.  */
-  uint32_t place; /* 1-based; 0 when in no heap.  */
+  uint64_t tie;   /* Order among equal keys; a sequence number gives
+                     first-in-first-out order.  */
+  uint32_t place; /* Index in the heap plus 1; 0 if in no heap.  */
 } heap_node_t;
 
-/* Zero-initialise before the first use.  The array grows by doubling and
-   never shrinks, so a heap in steady use allocates nothing.  */
+/* A heap; initialise with zeros.  The array doubles when full and never
+   shrinks, so that a heap whose size has settled allocates nothing.  */
 typedef struct
 {
   heap_node_t **nodes;
   uint32_t count;
-  uint32_t cap;
+  uint32_t capacity;
 } heap_t;
 
-/* Insert NODE, its key and tie set by the caller.  */
+/* Insert NODE, whose key and tie the caller has set.  */
 void heap_push (heap_t *heap, heap_node_t *node);
-/* Take NODE out; nothing happens when it is in no heap.  */
+/* Remove NODE from HEAP.  Does nothing if NODE is in no heap.  */
 void heap_remove (heap_t *heap, heap_node_t *node);
-/* Move NODE to where its changed key belongs.  */
+/* Restore the heap order after the key of NODE was changed.  */
 void heap_update (heap_t *heap, heap_node_t *node);
-/* Release the array, not the nodes.  */
+/* Free the array of HEAP, but not the nodes.  */
 void heap_free (heap_t *heap);
 
-/* Return the node with the smallest key, or NULL.  */
+/* Return the node with the smallest key; NULL if HEAP is empty.  */
 static inline heap_node_t *
 heap_top (const heap_t *heap)
 {
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -4,49 +4,52 @@
 
 #include <stdlib.h>
 
-/* Weight of one answer in the running means: they follow the last twenty or
-   so.  */
-#define OUTLIER_GAIN 0.1
+/* Weight of one response in the moving averages, which thereby cover about the
+   last twenty responses.  */
+#define MOVING_AVERAGE_WEIGHT 0.1
 
 struct outlier_member
 {
   list_t link;
-  list_t changed; /* In OUTLIER->changed while not yet told.  */
+  list_t change_link; /* In OUTLIER->changed_members until outlier_next has
+                         returned the state.  */
   void *owner;
   outlier_state_t state;
   uint32_t samples;
-  uint32_t error_run;
-  uint32_t trial_ok;
-  uint32_t times; /* Ejections that count for the next one's length.  */
-  double errors;  /* Running share of failures.  */
-  double unit_us; /* Running latency of one unit of cost; 0 when unknown.  */
-  uint64_t until_ms; /* End of the ejection.  */
-  uint64_t since_ms; /* When it came back in.  */
+  uint32_t consecutive_errors;
+  uint32_t trial_successes;
+  uint32_t ejection_count;   /* Ejections since the length was reset.  */
+  double error_rate;         /* Moving average, 0 to 1.  */
+  double unit_latency_us;    /* Moving average of the latency per unit of cost,
+                                in us; 0 if unknown.  */
+  uint64_t ejected_until_ms; /* End of the ejection.  */
+  uint64_t active_since_ms;  /* Start of the current time without ejection.  */
 };
 
 struct outlier
 {
   clock_iface_t *clock;
-  double share;
+  double max_ejected_share;
   list_t members;
-  list_t changed;
+  list_t changed_members;
   uint32_t count;
   uint32_t ejected;
-  uint64_t judged_ms;
-  bool judge_now;  /* A member may be failing fast: do not wait.  */
-  double *scratch; /* Room for one figure of each member.  */
-  uint32_t scratch_cap;
+  uint64_t evaluated_ms;
+  bool evaluate_now; /* A member may be failing fast: evaluate immediately.  */
+  double *scratch;   /* Buffer with room for one value of each member.  */
+  uint32_t scratch_capacity;
 };
 
 outlier_t *
-outlier_create (double share, clock_iface_t *clock)
+outlier_create (double max_ejected_share, clock_iface_t *clock)
 {
   outlier_t *outlier = mem_zalloc (sizeof *outlier);
 
   outlier->clock = clock;
-  outlier->share = share > 0 ? share : OUTLIER_SHARE;
+  outlier->max_ejected_share
+      = max_ejected_share > 0 ? max_ejected_share : OUTLIER_SHARE;
   list_init (&outlier->members);
-  list_init (&outlier->changed);
+  list_init (&outlier->changed_members);
   return outlier;
 }
 
@@ -67,15 +70,15 @@
   outlier_member_t *member = mem_zalloc (sizeof *member);
 
   member->owner = owner;
-  member->since_ms = clock_ms (outlier->clock);
-  list_init (&member->changed);
+  member->active_since_ms = clock_ms (outlier->clock);
+  list_init (&member->change_link);
   list_append (&outlier->members, &member->link);
   outlier->count++;
-  if (outlier->count > outlier->scratch_cap)
+  if (outlier->count > outlier->scratch_capacity)
     {
-      outlier->scratch_cap = outlier->count * 2;
-      outlier->scratch = mem_realloc (outlier->scratch,
-                                      outlier->scratch_cap * sizeof (double));
+      outlier->scratch_capacity = outlier->count * 2;
+      outlier->scratch = mem_realloc (
+          outlier->scratch, outlier->scratch_capacity * sizeof (double));
     }
   return member;
 }
@@ -86,7 +89,7 @@
   if (member->state == OUTLIER_EJECTED)
     outlier->ejected--;
   list_remove (&member->link);
-  list_remove (&member->changed);
+  list_remove (&member->change_link);
   outlier->count--;
   free (member);
 }
@@ -99,17 +102,17 @@
   if (state == OUTLIER_EJECTED)
     outlier->ejected++;
   member->state = state;
-  list_remove (&member->changed);
-  list_append (&outlier->changed, &member->changed);
+  list_remove (&member->change_link);
+  list_append (&outlier->changed_members, &member->change_link);
 }
 
-/* Return how many members may be out at once.  */
+/* Return how many members may be ejected at the same time.  */
 static uint32_t
-most_out (const outlier_t *outlier)
+max_ejected (const outlier_t *outlier)
 {
-  uint32_t most = (uint32_t)(outlier->count * outlier->share);
+  uint32_t maximum = (uint32_t)(outlier->count * outlier->max_ejected_share);
 
-  return most == 0 && outlier->count > 1 ? 1 : most;
+  return maximum == 0 && outlier->count > 1 ? 1 : maximum;
 }
 
 static void
@@ -118,19 +121,20 @@
   uint64_t now = clock_ms (outlier->clock);
   uint64_t length_ms = OUTLIER_FIRST_MS;
 
-  /* Guards against the cure that is worse: with most of a pool out the rest
-     would be overloaded, look slow and be ejected in turn.  */
-  if (outlier->ejected >= most_out (outlier))
+  /* With most of a pool ejected, the rest would be overloaded, become slow and
+     be ejected as well.  */
+  if (outlier->ejected >= max_ejected (outlier))
     return;
   if (member->state == OUTLIER_IN
-      && now - member->since_ms >= OUTLIER_FORGIVE_MS)
-    member->times = 0;
-  for (uint32_t i = 0; i < member->times && length_ms < OUTLIER_LAST_MS; i++)
+      && now - member->active_since_ms >= OUTLIER_FORGIVE_MS)
+    member->ejection_count = 0;
+  for (uint32_t i = 0;
+       i < member->ejection_count && length_ms < OUTLIER_LAST_MS; i++)
     length_ms *= 2;
   if (length_ms > OUTLIER_LAST_MS)
     length_ms = OUTLIER_LAST_MS;
-  member->times++;
-  member->until_ms = now + length_ms;
+  member->ejection_count++;
+  member->ejected_until_ms = now + length_ms;
   set_state (outlier, member, OUTLIER_EJECTED);
 }
 
@@ -139,27 +143,30 @@
                 uint64_t latency_us, uint32_t units)
 {
   member->samples++;
-  member->errors += OUTLIER_GAIN * ((ok ? 0 : 1) - member->errors);
-  member->error_run = ok ? 0 : member->error_run + 1;
+  member->error_rate
+      += MOVING_AVERAGE_WEIGHT * ((ok ? 0 : 1) - member->error_rate);
+  member->consecutive_errors = ok ? 0 : member->consecutive_errors + 1;
   if (ok && latency_us > 0)
     {
-      double unit_us = (double)latency_us / (units > 0 ? units : 1);
-
-      /* The latency of failures is no measure: the quickest of all fail.  */
-      if (member->unit_us == 0)
-        member->unit_us = unit_us;
-      member->unit_us += OUTLIER_GAIN * (unit_us - member->unit_us);
+      double unit_latency_us = (double)latency_us / (units > 0 ? units : 1);
+
+      /* The latency of failures is not counted: a member that fails fast would
+         have the lowest latency of all.  */
+      if (member->unit_latency_us == 0)
+        member->unit_latency_us = unit_latency_us;
+      member->unit_latency_us += MOVING_AVERAGE_WEIGHT
+                                 * (unit_latency_us - member->unit_latency_us);
     }
-  /* Guards against an upstream that fails fast: always idle, it could draw
-     most of the traffic until the next judgement is due.  */
-  if (member->error_run == OUTLIER_ERROR_RUN)
-    outlier->judge_now = true;
+  /* An upstream that fails fast always has the fewest requests in flight, and
+     could get most of the traffic until the next evaluation is due.  */
+  if (member->consecutive_errors == OUTLIER_ERROR_RUN)
+    outlier->evaluate_now = true;
   if (member->state == OUTLIER_TRIAL && !ok)
     eject (outlier, member);
   else if (member->state == OUTLIER_TRIAL
-           && ++member->trial_ok >= OUTLIER_TRIAL_OK)
+           && ++member->trial_successes >= OUTLIER_TRIAL_OK)
     {
-      member->since_ms = clock_ms (outlier->clock);
+      member->active_since_ms = clock_ms (outlier->clock);
       set_state (outlier, member, OUTLIER_IN);
     }
 }
@@ -173,9 +180,9 @@
   return (x > y) - (x < y);
 }
 
-/* Return the median of the COUNT figures in the scratch room; 0 when none.
-   The lower of two middles, so that in a pool of two the better one is the
-   measure.  */
+/* Return the median of the COUNT values in the scratch buffer; 0 if COUNT is
+   0.  With an even COUNT this is the lower of the two middle values, so that
+   both members of a pool of two are compared with the better one.  */
 static double
 median (outlier_t *outlier, uint32_t count)
 {
@@ -186,16 +193,17 @@
 }
 
 static bool
-measurable (const outlier_member_t *member)
+has_enough_samples (const outlier_member_t *member)
 {
   return member->state == OUTLIER_IN && member->samples >= OUTLIER_SAMPLES;
 }
 
-/* Return the median share of failures of those that are in.  Few samples are
-   enough for this: a failure that all share must be seen before the first
-   member has its run of OUTLIER_ERROR_RUN.  */
+/* Return the median error rate of the members that are not ejected and not on
+   trial.  One response of a member is enough for this: a failure common to all
+   members must be detected before the first of them has OUTLIER_ERROR_RUN
+   consecutive failures.  */
 static double
-median_errors (outlier_t *outlier)
+median_error_rate (outlier_t *outlier)
 {
   uint32_t count = 0;
 
@@ -204,13 +212,13 @@
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
       if (member->state == OUTLIER_IN && member->samples > 0)
-        outlier->scratch[count++] = member->errors;
+        outlier->scratch[count++] = member->error_rate;
     }
   return median (outlier, count);
 }
 
 static double
-median_unit_us (outlier_t *outlier)
+median_unit_latency_us (outlier_t *outlier)
 {
   uint32_t count = 0;
 
@@ -218,37 +226,38 @@
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (measurable (member) && member->unit_us > 0)
-        outlier->scratch[count++] = member->unit_us;
+      if (has_enough_samples (member) && member->unit_latency_us > 0)
+        outlier->scratch[count++] = member->unit_latency_us;
     }
   return median (outlier, count);
 }
 
-/* Let the members return whose time is over, as strangers: what they did
-   before says nothing of what they do now.  */
+/* Put the members whose ejection has ended on trial, with their statistics
+   reset: figures from before the ejection do not describe the current
+   state.  */
 static void
-return_due (outlier_t *outlier, uint64_t now)
+end_ejections (outlier_t *outlier, uint64_t now)
 {
   LIST_EACH (at, &outlier->members)
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (member->state != OUTLIER_EJECTED || now < member->until_ms)
+      if (member->state != OUTLIER_EJECTED || now < member->ejected_until_ms)
         continue;
       member->samples = 0;
-      member->error_run = 0;
-      member->trial_ok = 0;
-      member->errors = 0;
-      member->unit_us = 0;
+      member->consecutive_errors = 0;
+      member->trial_successes = 0;
+      member->error_rate = 0;
+      member->unit_latency_us = 0;
       set_state (outlier, member, OUTLIER_TRIAL);
     }
 }
 
 static void
-judge (outlier_t *outlier)
+evaluate (outlier_t *outlier)
 {
-  double errors = median_errors (outlier);
-  double unit_us = median_unit_us (outlier);
+  double median_rate = median_error_rate (outlier);
+  double median_latency_us = median_unit_latency_us (outlier);
 
   LIST_EACH (at, &outlier->members)
     {
@@ -256,12 +265,15 @@
 
       if (member->state != OUTLIER_IN)
         continue;
-      if ((member->error_run >= OUTLIER_ERROR_RUN || measurable (member))
-          && member->errors > errors + OUTLIER_ERROR_GAP)
+      if ((member->consecutive_errors >= OUTLIER_ERROR_RUN
+           || has_enough_samples (member))
+          && member->error_rate > median_rate + OUTLIER_ERROR_GAP)
         eject (outlier, member);
-      else if (!measurable (member))
+      else if (!has_enough_samples (member))
         continue;
-      else if (unit_us > 0 && member->unit_us > unit_us * OUTLIER_SLOW_FACTOR)
+      else if (median_latency_us > 0
+               && member->unit_latency_us
+                      > median_latency_us * OUTLIER_SLOW_FACTOR)
         eject (outlier, member);
     }
 }
@@ -272,17 +284,18 @@
   uint64_t now = clock_ms (outlier->clock);
   outlier_member_t *member;
 
-  if (now >= outlier->judged_ms + OUTLIER_JUDGE_MS || outlier->judge_now)
+  if (now >= outlier->evaluated_ms + OUTLIER_JUDGE_MS || outlier->evaluate_now)
     {
-      outlier->judge_now = false;
-      outlier->judged_ms = now;
-      return_due (outlier, now);
-      judge (outlier);
+      outlier->evaluate_now = false;
+      outlier->evaluated_ms = now;
+      end_ejections (outlier, now);
+      evaluate (outlier);
     }
-  if (list_empty (&outlier->changed))
+  if (list_empty (&outlier->changed_members))
     return NULL;
-  member = CONTAINER_OF (outlier->changed.next, outlier_member_t, changed);
-  list_remove (&member->changed);
+  member = CONTAINER_OF (outlier->changed_members.next, outlier_member_t,
+                         change_link);
+  list_remove (&member->change_link);
   *state = member->state;
   return member->owner;
 }
--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -1,25 +1,32 @@
-/* Ejection of upstreams that fail or slow against their pool.
-
-   Answers: one upstream in a pool that answers errors at once, or takes
-   several times as long as its peers.  Without it the one that fails fast
-   always looks idle, so that choice by load sends it most of the traffic.
-
-   A member is compared with its pool, never with a fixed figure: when all
-   fail alike (a bad request, a store outage) nobody is ejected.
-
-   - OUTLIER_ERROR_RUN 5: five failures in a row at once, without waiting for
-     a judgement; at a true error rate of a tenth that is one in 100,000.
-   - OUTLIER_ERROR_GAP 0.3 above the pool's median error share, over at least
-     OUTLIER_SAMPLES 10.
-   - OUTLIER_SLOW_FACTOR 3 times the pool's median latency for a unit of cost:
-     load alone costs a part of that (see limit).
-   - OUTLIER_SHARE 0.3: the rest must carry the load, and at 10/7 of their
-     share they still can; a pool of two or three may lose one.
-   - OUTLIER_FIRST_MS 5000, doubled for each further ejection up to
-     OUTLIER_LAST_MS: a restart takes seconds, a broken machine minutes.  A
-     member that stays in for OUTLIER_FORGIVE_MS starts afresh.
-   - OUTLIER_TRIAL_OK 5: a member returns on trial; one failure ejects it
-     again, five good answers end the trial.  */
+/* Outlier detection: ejection of upstreams that fail, or are slow, compared
+   with the other upstreams of their pool.
+
+   Load pattern: one upstream of a pool responds with errors immediately, or
+   takes several times as long as its peers.  Without ejection the one that
+   fails fast always has the fewest requests in flight, so selection by load
+   sends it most of the traffic.
+
+   A member is compared with the pool's median, never with a fixed threshold:
+   when all members fail alike (an invalid request that many clients send, a
+   store outage) none is ejected.
+
+   - OUTLIER_ERROR_RUN 5: five consecutive failures are evaluated immediately,
+     without waiting for OUTLIER_JUDGE_MS; at an error rate of a tenth they
+     occur by chance once in 100,000.
+   - OUTLIER_ERROR_GAP 0.3: a member is ejected if its error rate exceeds the
+     pool's median by more, over at least OUTLIER_SAMPLES 10 responses.
+   - OUTLIER_SLOW_FACTOR 3: a member is ejected above 3 times the pool's median
+     latency per unit of cost; high load alone adds only a part of that (see
+     limit).
+   - OUTLIER_SHARE 0.3: at most this share of a pool is ejected, so that the
+     rest can carry the load, at 10/7 of their own share.  One member of a pool
+     of two or three may be ejected.
+   - OUTLIER_FIRST_MS 5000: the length of the first ejection, doubled for each
+     further one up to OUTLIER_LAST_MS, because a restart takes seconds and the
+     failure of a machine minutes.  The length is reset once a member has not
+     been ejected for OUTLIER_FORGIVE_MS.
+   - OUTLIER_TRIAL_OK 5: after an ejection a member is on trial; one failure
+     ejects it again, five successful responses end the trial.  */
 
 #ifndef POLICY_OUTLIER_H
 #define POLICY_OUTLIER_H
@@ -53,32 +60,33 @@
   OUTLIER_TRIAL
 } outlier_state_t;
 
-/* Make the watch over one pool.  SHARE is the greatest part of it that may be
-   out at once; 0 takes OUTLIER_SHARE.  CLOCK is borrowed.  */
-outlier_t *outlier_create (double share, clock_iface_t *clock);
-/* Release OUTLIER and all its members.  */
+/* Create the outlier detector of one pool.  MAX_EJECTED_SHARE is the largest
+   share of the members that may be ejected at the same time; 0 selects
+   OUTLIER_SHARE.  CLOCK is borrowed.  */
+outlier_t *outlier_create (double max_ejected_share, clock_iface_t *clock);
+/* Free OUTLIER and all its members.  */
 void outlier_destroy (outlier_t *outlier);
 
-/* Add a member; OWNER comes back from outlier_next and is not touched.  */
+/* Add a member.  OWNER is returned by outlier_next and never dereferenced.  */
 outlier_member_t *outlier_join (outlier_t *outlier, void *owner);
-/* Remove and release MEMBER.  */
+/* Remove MEMBER from OUTLIER and free it.  */
 void outlier_leave (outlier_t *outlier, outlier_member_t *member);
 
-/* Take in one answer of MEMBER: whether the upstream did its part, and in
-   what time for UNITS of cost.  LATENCY_US 0 says nothing of its speed: for
-   an upstream that limit_warming names, which is slow, held by its limit, and
-   would be ejected just when it is warm.  */
+/* Record one response of MEMBER: OK is false if the upstream failed, UNITS is
+   the cost of the request.  Pass LATENCY_US 0 to leave the latency out, as for
+   an upstream for which limit_warming returns true: its concurrency limit
+   makes it slow, and it would be ejected just when it is warm.  */
 void outlier_record (outlier_t *outlier, outlier_member_t *member, bool ok,
                      uint64_t latency_us, uint32_t units);
 
-/* Judge what is due, and step through the members whose state has changed
-   since they were last returned: give the owner and its new state in *STATE,
-   or return NULL when there is no more.  Call after outlier_record and at
-   least every OUTLIER_JUDGE_MS.  */
+/* Evaluate the members if an evaluation is due, then return the owner of a
+   member whose state has changed since it was last returned, and store the new
+   state in *STATE.  Return NULL if there is no other.  Call this in a loop
+   after outlier_record, and at least every OUTLIER_JUDGE_MS.  */
 void *outlier_next (outlier_t *outlier, outlier_state_t *state);
 
 outlier_state_t outlier_state (const outlier_member_t *member);
-/* Return how many members are ejected now.  */
+/* Return the number of currently ejected members.  */
 uint32_t outlier_ejected (const outlier_t *outlier);
 
 #endif
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -6,23 +6,24 @@
 
 #include <stdlib.h>
 
-/* Shares of the bound over all entries that one may use at a warm instance.
-   More than one, because callers' load is uneven and all entries do not press
-   the same instance at once.  */
-static const double warm_shares = 2.5;
+/* Multiple of its share of the rate limit that this gateway may use at a warm
+   instance.  Above one, because the load of callers is uneven and the gateways
+   do not all reach their shares of one instance at the same time.  */
+static const double warm_share_factor = 2.5;
 
-/* The instances of one service, for walks that touch nothing else.  */
+/* The instances of one service, in an array of their own so that a selection
+   reads no instance of another service.  */
 typedef struct
 {
   upstream_t **items;
   size_t count;
-  size_t room;
-} group_t;
+  size_t capacity;
+} service_group_t;
 
 struct upstream
 {
   list_t link;
-  group_t *group;
+  service_group_t *group;
   unsigned refs;
   char *id;
   char *service;
@@ -31,29 +32,31 @@
   char *version;
   uint64_t id_hash;
   uint64_t version_hash;
-  uint64_t rank_generation; /* Of the entries when RANK was told.  */
-  size_t rank;              /* Of this entry among those that send here.  */
+  uint64_t rank_generation; /* Generation of the gateway list for RANK.  */
+  size_t rank; /* Rank of this gateway in sharing the rate limit.  */
   bool is_own_zone;
-  bool is_zone_out;
+  bool is_zone_disabled;
   bool is_withdrawn;
   uint64_t born;
   uint32_t slots;
   bool draining;
-  bool gone;            /* No longer listed.  */
-  uint64_t usable_till; /* While gone, monotonic ms.  */
-  uint64_t cold_till;
-  uint64_t out_till;
-  uint64_t out_ms; /* Length of the last time out.  */
+  bool is_unregistered;     /* The registration has ended.  */
+  uint64_t usable_until_ms; /* End of use if unregistered, monotonic.  */
+  uint64_t cold_until_ms;
+  uint64_t ejected_until_ms;
+  uint64_t ejection_ms; /* Length of the last ejection; 0 for none.  */
   unsigned failures;
-  uint64_t heard_ms;  /* Something came, or it became busy.  */
-  uint64_t looked_ms; /* A look found it last; 0: none did.  */
-  bool lost;          /* A look did not find it.  */
-  uint32_t running;   /* Of this entry.  */
-  uint64_t prompts;   /* Tokens of this entry not yet read.  */
-  double others;      /* Running or waiting there, not from here.  */
+  uint64_t last_data_ms;     /* Time of the last data received, or of a request
+                                sent while no other was running.  */
+  uint64_t last_probe_ok_ms; /* Last successful probe; 0 for none.  */
+  bool is_unreachable;       /* The last probe could not connect.  */
+  uint32_t running;          /* Running requests of this gateway.  */
+  uint64_t pending_prompt_tokens; /* Prompt tokens of this gateway awaiting
+                                     prefill.  */
+  double other_requests;          /* Reported requests of other gateways.  */
   uint64_t reported_ms;
-  uint64_t sends[POOL_RATE_MAX]; /* Times of the last ones, a ring.  */
-  size_t send_at;
+  uint64_t send_times[POOL_RATE_MAX]; /* Ring buffer of the last send times. */
+  size_t send_time_index;
 };
 
 struct pool
@@ -65,11 +68,12 @@
   double cold_slack;
   const allotment_t *entries;
   list_t upstreams;
-  size_t lapsed; /* Gone, and usable for a while.  */
+  size_t unregistered_count; /* Number of instances in use after their
+                                registration.  */
   map_t *by_id;
-  map_t *groups; /* Service to group_t.  */
-  map_t *zones_out;
-  map_t *withdrawn; /* SERVICE SPACE VERSION.  */
+  map_t *groups; /* From service name to group.  */
+  map_t *disabled_zones;
+  map_t *withdrawn; /* Set of "SERVICE VERSION" keys.  */
 };
 
 pool_t *
@@ -87,26 +91,26 @@
   list_init (&pool->upstreams);
   pool->by_id = map_create ();
   pool->groups = map_create ();
-  pool->zones_out = map_create ();
+  pool->disabled_zones = map_create ();
   pool->withdrawn = map_create ();
   return pool;
 }
 
 static void
-group_add (group_t *group, upstream_t *upstream)
+service_group_add (service_group_t *group, upstream_t *upstream)
 {
-  if (group->count == group->room)
+  if (group->count == group->capacity)
     {
-      group->room = group->room > 0 ? 2 * group->room : 8;
+      group->capacity = group->capacity > 0 ? 2 * group->capacity : 8;
       group->items
-          = mem_realloc (group->items, group->room * sizeof *group->items);
+          = mem_realloc (group->items, group->capacity * sizeof *group->items);
     }
   group->items[group->count++] = upstream;
   upstream->group = group;
 }
 
 static void
-group_remove (group_t *group, const upstream_t *upstream)
+service_group_remove (service_group_t *group, const upstream_t *upstream)
 {
   for (size_t i = 0; i < group->count; i++)
     if (group->items[i] == upstream)
@@ -146,19 +150,19 @@
   void *group;
   while (map_next (pool->groups, &cursor, &key, &group))
     {
-      free (((group_t *)group)->items);
+      free (((service_group_t *)group)->items);
       free (group);
     }
   map_destroy (pool->groups);
   map_destroy (pool->by_id);
-  map_destroy (pool->zones_out);
+  map_destroy (pool->disabled_zones);
   map_destroy (pool->withdrawn);
   free (pool->zone);
   free (pool);
 }
 
 static void
-set_text (char **text, str_t value)
+set_string (char **text, str_t value)
 {
   if (*text != NULL && str_eq (str_from (*text), value))
     return;
@@ -166,38 +170,39 @@
   *text = str_dup (value);
 }
 
-/* Take UPSTREAM out of the lists; requests that run there keep it.  */
+/* Remove UPSTREAM from the pool.  Its running requests hold references and
+   keep it allocated.  */
 static void
-drop (pool_t *pool, upstream_t *upstream)
+remove_upstream (pool_t *pool, upstream_t *upstream)
 {
-  if (upstream->gone)
-    pool->lapsed--;
-  upstream->gone = true;
-  upstream->usable_till = 0;
-  group_remove (upstream->group, upstream);
+  if (upstream->is_unregistered)
+    pool->unregistered_count--;
+  upstream->is_unregistered = true;
+  upstream->usable_until_ms = 0;
+  service_group_remove (upstream->group, upstream);
   map_remove (pool->by_id, str_from (upstream->id));
   upstream_unref (upstream);
 }
 
-/* Drop those whose time after their listing is over.  */
+/* Remove the instances whose time of use after their registration is over.  */
 static void
-expire (pool_t *pool, uint64_t now_ms)
+remove_expired (pool_t *pool, uint64_t now_ms)
 {
-  if (pool->lapsed == 0)
+  if (pool->unregistered_count == 0)
     return;
   LIST_EACH (at, &pool->upstreams)
     {
       upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
-      if (upstream->gone && upstream->usable_till != 0
-          && now_ms >= upstream->usable_till)
-        drop (pool, upstream);
+      if (upstream->is_unregistered && upstream->usable_until_ms != 0
+          && now_ms >= upstream->usable_until_ms)
+        remove_upstream (pool, upstream);
     }
 }
 
-static group_t *
-group_of (pool_t *pool, str_t service)
+static service_group_t *
+find_or_add_group (pool_t *pool, str_t service)
 {
-  group_t *group = map_get (pool->groups, service);
+  service_group_t *group = map_get (pool->groups, service);
 
   if (group == NULL)
     {
@@ -216,7 +221,7 @@
 }
 
 static bool
-is_withdrawn (const pool_t *pool, str_t service, str_t version)
+is_version_withdrawn (const pool_t *pool, str_t service, str_t version)
 {
   buf_t key = BUF_NULL;
 
@@ -274,8 +279,9 @@
           || !str_eq (str_from (upstream->service), info->service)
           || !str_eq (str_from (upstream->address), info->address)))
     {
-      /* A new start under the old id knows nothing of the one before.  */
-      drop (pool, upstream);
+      /* A process that restarted under the same id has none of the state that
+         was recorded for the former one.  */
+      remove_upstream (pool, upstream);
       upstream = NULL;
     }
   if (upstream == NULL)
@@ -287,24 +293,26 @@
       upstream->born = info->born;
       list_append (&pool->upstreams, &upstream->link);
       map_put (pool->by_id, info->id, upstream);
-      group_add (group_of (pool, info->service), upstream);
+      service_group_add (find_or_add_group (pool, info->service), upstream);
     }
-  set_text (&upstream->service, info->service);
-  set_text (&upstream->address, info->address);
-  set_text (&upstream->zone, info->zone);
+  set_string (&upstream->service, info->service);
+  set_string (&upstream->address, info->address);
+  set_string (&upstream->zone, info->zone);
   upstream->rank_generation = 0;
-  set_text (&upstream->version, info->version);
+  set_string (&upstream->version, info->version);
   upstream->version_hash = str_hash (info->version, 0);
   upstream->is_own_zone = str_eq (info->zone, str_from (pool->zone));
-  upstream->is_zone_out = map_get (pool->zones_out, info->zone) != NULL;
-  upstream->is_withdrawn = is_withdrawn (pool, info->service, info->version);
+  upstream->is_zone_disabled
+      = map_get (pool->disabled_zones, info->zone) != NULL;
+  upstream->is_withdrawn
+      = is_version_withdrawn (pool, info->service, info->version);
   upstream->slots = info->slots;
   upstream->draining = info->draining;
-  if (upstream->gone)
-    pool->lapsed--;
-  upstream->gone = false;
+  if (upstream->is_unregistered)
+    pool->unregistered_count--;
+  upstream->is_unregistered = false;
   if (info->cold_ms > 0)
-    upstream->cold_till = now_ms + info->cold_ms;
+    upstream->cold_until_ms = now_ms + info->cold_ms;
 }
 
 void
@@ -316,33 +324,33 @@
     return;
   if (keep_ms == 0)
     {
-      drop (pool, upstream);
+      remove_upstream (pool, upstream);
       return;
     }
-  if (!upstream->gone)
-    pool->lapsed++;
-  upstream->gone = true;
-  upstream->usable_till = clock_ms (pool->clock) + keep_ms;
+  if (!upstream->is_unregistered)
+    pool->unregistered_count++;
+  upstream->is_unregistered = true;
+  upstream->usable_until_ms = clock_ms (pool->clock) + keep_ms;
 }
 
 void
 pool_zone_out (pool_t *pool, str_t zone, bool out)
 {
   if (out)
-    map_put (pool->zones_out, zone, pool);
+    map_put (pool->disabled_zones, zone, pool);
   else
-    map_remove (pool->zones_out, zone);
+    map_remove (pool->disabled_zones, zone);
   LIST_EACH (at, &pool->upstreams)
     {
       upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
       if (str_eq (str_from (upstream->zone), zone))
-        upstream->is_zone_out = out;
+        upstream->is_zone_disabled = out;
     }
 }
 
-/* The part that this entry has of BOUND requests to UPSTREAM.  */
+/* Return this gateway's share of a limit of BOUND requests to UPSTREAM.  */
 static uint32_t
-part_of (const pool_t *pool, upstream_t *upstream, double bound)
+gateway_share (const pool_t *pool, upstream_t *upstream, double bound)
 {
   const allotment_t *entries = pool->entries;
 
@@ -358,71 +366,78 @@
   return allotment_part (bound, upstream->rank, allotment_size (entries));
 }
 
-/* Requests of this entry that UPSTREAM may get in a window.  */
+/* Return the number of requests that this gateway may send to UPSTREAM in a
+   window of POOL_RATE_WINDOW_MS.  */
 static uint32_t
-rate_share (const pool_t *pool, upstream_t *upstream, double cold_per_s,
-            uint64_t now_ms)
+window_limit (const pool_t *pool, upstream_t *upstream, double cold_per_s,
+              uint64_t now_ms)
 {
-  bool is_cold = now_ms < upstream->cold_till;
+  bool is_cold = now_ms < upstream->cold_until_ms;
 
   if (pool->entries != NULL && !allotment_is_known (pool->entries))
     return is_cold ? 0 : 1;
-  /* A warm one may turn cold at any moment; then the bound that counts is
-     the higher one that breaks it.  */
+  /* A warm instance may turn cold at any time, so it is limited too, but only
+     to the higher rate at which a cold instance fails.  */
   double bound = is_cold ? cold_per_s
                          : (cold_per_s * pool->cold_factor + pool->cold_slack)
-                               * warm_shares;
-  uint32_t share = part_of (pool, upstream, bound);
+                               * warm_share_factor;
+  uint32_t share = gateway_share (pool, upstream, bound);
   return share < POOL_RATE_MAX - 1 ? share : POOL_RATE_MAX - 1;
 }
 
-/* Tell whether UPSTREAM had fewer sends in the last window than it may.  */
+/* Return whether the rate limit allows another request to UPSTREAM now.  */
 static bool
 rate_allows (const pool_t *pool, upstream_t *upstream, double cold_per_s,
              uint64_t now_ms)
 {
   if (cold_per_s <= 0)
     return true;
-  uint32_t share = rate_share (pool, upstream, cold_per_s, now_ms);
+  uint32_t share = window_limit (pool, upstream, cold_per_s, now_ms);
   if (share == 0)
     return false;
-  uint64_t oldest = upstream->sends[(upstream->send_at + POOL_RATE_MAX - share)
-                                    % POOL_RATE_MAX];
+  uint64_t oldest
+      = upstream
+            ->send_times[(upstream->send_time_index + POOL_RATE_MAX - share)
+                         % POOL_RATE_MAX];
   return oldest == 0 || now_ms - oldest >= POOL_RATE_WINDOW_MS;
 }
 
-/* What others run at UPSTREAM, by a report that counts for nothing after
-   FADE_MS.  */
+/* Return the requests of other gateways at UPSTREAM by the last report, whose
+   weight falls linearly to 0 at an age of FADE_MS.  */
 static double
-others_of (const upstream_t *upstream, uint64_t fade_ms, uint64_t now_ms)
+other_requests_now (const upstream_t *upstream, uint64_t fade_ms,
+                    uint64_t now_ms)
 {
   uint64_t age_ms = now_ms - upstream->reported_ms;
 
   return age_ms >= fade_ms
              ? 0
-             : upstream->others * (double)(fade_ms - age_ms) / (double)fade_ms;
+             : upstream->other_requests * (double)(fade_ms - age_ms)
+                   / (double)fade_ms;
 }
 
-/* Requests at UPSTREAM, of all entries.  */
+/* Return the estimated requests of all gateways at UPSTREAM.  */
 static double
-requests_at (const upstream_t *upstream, uint64_t now_ms)
+request_count (const upstream_t *upstream, uint64_t now_ms)
 {
-  return upstream->running + others_of (upstream, POOL_REPORT_FADE_MS, now_ms);
+  return upstream->running
+         + other_requests_now (upstream, POOL_REPORT_FADE_MS, now_ms);
 }
 
 static double
 load_of (const upstream_t *upstream, uint64_t now_ms)
 {
-  return requests_at (upstream, now_ms)
-         + (double)upstream->prompts / POOL_PROMPT_UNIT;
+  return request_count (upstream, now_ms)
+         + (double)upstream->pending_prompt_tokens / POOL_PROMPT_UNIT;
 }
 
 static bool
-fits (const upstream_t *upstream, const pool_want_t *want,
-      uint64_t version_hash, uint64_t now_ms)
+is_eligible (const upstream_t *upstream, const pool_want_t *want,
+             uint64_t version_hash, uint64_t now_ms)
 {
-  if (upstream->draining || upstream->is_zone_out || upstream->is_withdrawn
-      || (upstream->gone && now_ms >= upstream->usable_till))
+  if (upstream->draining || upstream->is_zone_disabled
+      || upstream->is_withdrawn
+      || (upstream->is_unregistered && now_ms >= upstream->usable_until_ms))
     return false;
   if (want->arm != ARM_ANY
       && (upstream->version_hash == version_hash) != (want->arm == ARM_NEW))
@@ -434,17 +449,20 @@
 }
 
 static bool
-has_room (const pool_t *pool, upstream_t *upstream, const pool_want_t *want,
-          uint64_t now_ms)
+has_capacity (const pool_t *pool, upstream_t *upstream,
+              const pool_want_t *want, uint64_t now_ms)
 {
   return rate_allows (pool, upstream, want->cold_per_s, now_ms)
-         && upstream->running + others_of (upstream, POOL_FULL_FADE_MS, now_ms)
+         && upstream->running
+                    + other_requests_now (upstream, POOL_FULL_FADE_MS, now_ms)
                 < upstream->slots;
 }
 
-/* Mean load of those that fit.  */
+/* Return the mean load of the instances in GROUP that are eligible for WANT;
+   0 if there are none.  */
 static double
-mean_load (const group_t *group, const pool_want_t *want, uint64_t now_ms)
+mean_eligible_load (const service_group_t *group, const pool_want_t *want,
+                    uint64_t now_ms)
 {
   uint64_t version_hash = str_hash (want->version, 0);
   double sum = 0;
@@ -453,7 +471,7 @@
   for (size_t i = 0; i < group->count; i++)
     {
       const upstream_t *upstream = group->items[i];
-      if (!fits (upstream, want, version_hash, now_ms))
+      if (!is_eligible (upstream, want, version_hash, now_ms))
         continue;
       sum += load_of (upstream, now_ms);
       count++;
@@ -461,9 +479,10 @@
   return count > 0 ? sum / count : 0;
 }
 
-/* Load with what another zone costs put in the same unit.  */
+/* Return the load of UPSTREAM plus the cost of crossing to another zone,
+   expressed in requests.  */
 static double
-badness (const upstream_t *upstream, uint64_t now_ms)
+selection_cost (const upstream_t *upstream, uint64_t now_ms)
 {
   static const double zone_cost = 2;
   double load = load_of (upstream, now_ms);
@@ -473,36 +492,39 @@
   return load;
 }
 
-/* The closest instances to a subject so far.  */
+/* The instances with the highest rendezvous hashes for an affinity key among
+   those examined so far.  */
 typedef struct
 {
-  upstream_t *own; /* In this entry's zone.  */
-  uint64_t own_rank;
-  upstream_t *any;
-  uint64_t any_rank;
-} home_t;
+  upstream_t *own_zone; /* Among those in the zone of this gateway.  */
+  uint64_t own_zone_hash;
+  upstream_t *best; /* Among those in all zones.  */
+  uint64_t best_hash;
+} affinity_choice_t;
 
-/* Take UPSTREAM as a home of WANT's subject where it is closer.  A subject has
-   a home in each zone: bytes between zones cost more than a prompt's shared
-   parts read once more.  */
+/* Update AFFINITY if UPSTREAM has a higher rendezvous hash for the affinity
+   key of WANT and a load of at most MAX_LOAD.  Each zone has an affinity
+   instance of its own, because traffic between zones costs more than a second
+   prefill of the shared prompt prefix.  */
 static void
-consider_home (upstream_t *upstream, const pool_want_t *want, double hot,
-               uint64_t now_ms, home_t *home)
+update_affinity (upstream_t *upstream, const pool_want_t *want,
+                 double max_load, uint64_t now_ms, affinity_choice_t *affinity)
 {
-  bool own = upstream->is_own_zone;
-  uint64_t rank = hash_weight (upstream->id_hash, want->key);
+  bool is_own_zone = upstream->is_own_zone;
+  uint64_t hash = hash_weight (upstream->id_hash, want->key);
 
-  if (want->key == 0 || load_of (upstream, now_ms) > hot)
+  if (want->key == 0 || load_of (upstream, now_ms) > max_load)
     return;
-  if (home->any == NULL || rank > home->any_rank)
+  if (affinity->best == NULL || hash > affinity->best_hash)
     {
-      home->any = upstream;
-      home->any_rank = rank;
+      affinity->best = upstream;
+      affinity->best_hash = hash;
     }
-  if (own && (home->own == NULL || rank > home->own_rank))
+  if (is_own_zone
+      && (affinity->own_zone == NULL || hash > affinity->own_zone_hash))
     {
-      home->own = upstream;
-      home->own_rank = rank;
+      affinity->own_zone = upstream;
+      affinity->own_zone_hash = hash;
     }
 }
 
@@ -515,11 +537,12 @@
   return x < y ? -1 : x > y;
 }
 
-/* The greatest hash of an id among the FEW first of those that fit WANT,
-   whatever it tried; UINT64_MAX when it may go to all.  */
+/* Return the highest id hash among the WANT->few eligible instances with the
+   lowest id hashes, including those already tried.  Return UINT64_MAX if all
+   instances may be used.  */
 static uint64_t
-few_bound (const group_t *group, const pool_want_t *want,
-           uint64_t version_hash, uint64_t now_ms)
+id_hash_limit (const service_group_t *group, const pool_want_t *want,
+               uint64_t version_hash, uint64_t now_ms)
 {
   pool_want_t untried = *want;
   size_t count = 0;
@@ -529,8 +552,8 @@
   untried.tried_count = 0;
   uint64_t *hashes = mem_alloc (group->count * sizeof *hashes);
   for (size_t i = 0; i < group->count; i++)
-    if (fits (group->items[i], &untried, version_hash, now_ms)
-        && now_ms >= group->items[i]->out_till)
+    if (is_eligible (group->items[i], &untried, version_hash, now_ms)
+        && now_ms >= group->items[i]->ejected_until_ms)
       hashes[count++] = group->items[i]->id_hash;
   qsort (hashes, count, sizeof *hashes, compare_hashes);
   uint64_t bound = count > want->few ? hashes[want->few - 1] : UINT64_MAX;
@@ -538,63 +561,67 @@
   return bound;
 }
 
-/* The best of those that fit; with OUT_TOO also those that are out.  */
+/* Return the best instance for WANT that has free slots: the affinity instance
+   if there is one, otherwise the least loaded.  Return NULL if there is none.
+   Ejected instances are included if OUT_TOO is set.  Set *ANY_ELIGIBLE if at
+   least one instance was eligible, even if full.  */
 static upstream_t *
-best (pool_t *pool, const pool_want_t *want, bool out_too, uint64_t now_ms,
-      bool *any)
+select_best (pool_t *pool, const pool_want_t *want, bool include_ejected,
+             uint64_t now_ms, bool *any_eligible)
 {
-  const group_t *group = group_of (pool, want->service);
+  const service_group_t *group = find_or_add_group (pool, want->service);
   uint64_t version_hash = str_hash (want->version, 0);
-  uint64_t bound = few_bound (group, want, version_hash, now_ms);
-  double hot = mean_load (group, want, now_ms) * POOL_HOT + POOL_HOT_FLOOR;
-  home_t home = { 0 };
-  upstream_t *idlest = NULL;
-  double idlest_badness = 0;
+  uint64_t max_id_hash = id_hash_limit (group, want, version_hash, now_ms);
+  double max_load
+      = mean_eligible_load (group, want, now_ms) * POOL_HOT + POOL_HOT_FLOOR;
+  affinity_choice_t affinity = { 0 };
+  upstream_t *least_loaded = NULL;
+  double lowest_cost = 0;
   unsigned ties = 0;
 
   for (size_t i = 0; i < group->count; i++)
     {
       upstream_t *upstream = group->items[i];
-      if (!fits (upstream, want, version_hash, now_ms)
-          || (!out_too && now_ms < upstream->out_till)
-          || upstream->id_hash > bound)
+      if (!is_eligible (upstream, want, version_hash, now_ms)
+          || (!include_ejected && now_ms < upstream->ejected_until_ms)
+          || upstream->id_hash > max_id_hash)
         continue;
-      *any = true;
-      if (!has_room (pool, upstream, want, now_ms))
+      *any_eligible = true;
+      if (!has_capacity (pool, upstream, want, now_ms))
         continue;
-      consider_home (upstream, want, hot, now_ms, &home);
-      double bad = badness (upstream, now_ms);
-      if (idlest != NULL && bad > idlest_badness)
+      update_affinity (upstream, want, max_load, now_ms, &affinity);
+      double cost = selection_cost (upstream, now_ms);
+      if (least_loaded != NULL && cost > lowest_cost)
         continue;
-      ties = idlest != NULL && bad == idlest_badness ? ties + 1 : 1;
+      ties = least_loaded != NULL && cost == lowest_cost ? ties + 1 : 1;
       if (ties == 1 || rng_below (&pool->rng, ties) == 0)
-        idlest = upstream;
-      idlest_badness = bad;
+        least_loaded = upstream;
+      lowest_cost = cost;
     }
-  if (home.own != NULL)
-    return home.own;
-  return home.any != NULL ? home.any : idlest;
+  if (affinity.own_zone != NULL)
+    return affinity.own_zone;
+  return affinity.best != NULL ? affinity.best : least_loaded;
 }
 
 vh_code_t
 pool_choose (pool_t *pool, const pool_want_t *want, upstream_t **out)
 {
   uint64_t now_ms = clock_ms (pool->clock);
-  bool any = false;
+  bool any_eligible = false;
 
-  expire (pool, now_ms);
-  *out = best (pool, want, false, now_ms, &any);
+  remove_expired (pool, now_ms);
+  *out = select_best (pool, want, false, now_ms, &any_eligible);
   if (*out == NULL && want->few > 0)
     {
       pool_want_t all = *want;
       all.few = 0;
       return pool_choose (pool, &all, out);
     }
-  if (*out == NULL && !any)
-    *out = best (pool, want, true, now_ms, &any);
+  if (*out == NULL && !any_eligible)
+    *out = select_best (pool, want, true, now_ms, &any_eligible);
   if (*out != NULL)
     return VH_OK;
-  return any ? VH_E_FULL : VH_E_NO_UPSTREAM;
+  return any_eligible ? VH_E_FULL : VH_E_NO_UPSTREAM;
 }
 
 size_t
@@ -602,13 +629,13 @@
             size_t most)
 {
   pool_want_t want = { .service = service, .arm = arm, .version = version };
-  const group_t *group = group_of (pool, service);
+  const service_group_t *group = find_or_add_group (pool, service);
   uint64_t version_hash = str_hash (version, 0);
   uint64_t now_ms = clock_ms (pool->clock);
   size_t count = 0;
 
   for (size_t i = 0; i < group->count && count < most; i++)
-    count += fits (group->items[i], &want, version_hash, now_ms);
+    count += is_eligible (group->items[i], &want, version_hash, now_ms);
   return count;
 }
 
@@ -616,46 +643,47 @@
 pool_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
 {
   if (upstream->running == 0)
-    upstream->heard_ms = clock_ms (pool->clock);
-  upstream->lost = false;
+    upstream->last_data_ms = clock_ms (pool->clock);
+  upstream->is_unreachable = false;
   upstream->refs++;
   upstream->running++;
-  upstream->prompts += prompt;
-  upstream->sends[upstream->send_at] = clock_ms (pool->clock);
-  upstream->send_at = (upstream->send_at + 1) % POOL_RATE_MAX;
+  upstream->pending_prompt_tokens += prompt;
+  upstream->send_times[upstream->send_time_index] = clock_ms (pool->clock);
+  upstream->send_time_index = (upstream->send_time_index + 1) % POOL_RATE_MAX;
 }
 
 void
 pool_heard (pool_t *pool, upstream_t *upstream)
 {
-  upstream->heard_ms = clock_ms (pool->clock);
-  upstream->lost = false;
+  upstream->last_data_ms = clock_ms (pool->clock);
+  upstream->is_unreachable = false;
 }
 
 uint64_t
 pool_silence_due (const upstream_t *upstream)
 {
-  uint64_t silence_ms = upstream->heard_ms + POOL_SILENCE_MS
-                        + upstream->prompts / POOL_READ_PER_MS;
-  uint64_t again_ms = upstream->looked_ms == 0
+  uint64_t silence_ms = upstream->last_data_ms + POOL_SILENCE_MS
+                        + upstream->pending_prompt_tokens / POOL_READ_PER_MS;
+  uint64_t again_ms = upstream->last_probe_ok_ms == 0
                           ? 0
-                          : upstream->looked_ms + POOL_LOOK_AGAIN_MS;
+                          : upstream->last_probe_ok_ms + POOL_LOOK_AGAIN_MS;
 
-  if (upstream->lost)
+  if (upstream->is_unreachable)
     return 0;
   return silence_ms > again_ms ? silence_ms : again_ms;
 }
 
-/* Take UPSTREAM out for a time, longer than the last one.  */
+/* Eject UPSTREAM for twice as long as the last time.  */
 static void
-take_out (upstream_t *upstream, uint64_t now_ms)
-{
-  upstream->out_ms
-      = upstream->out_ms == 0 ? POOL_OUT_FIRST_MS : upstream->out_ms * 2;
-  if (upstream->out_ms > POOL_OUT_LAST_MS)
-    upstream->out_ms = POOL_OUT_LAST_MS;
-  upstream->out_till = now_ms + upstream->out_ms;
-  /* On its return one failure is enough to take it out again.  */
+eject (upstream_t *upstream, uint64_t now_ms)
+{
+  upstream->ejection_ms = upstream->ejection_ms == 0
+                              ? POOL_OUT_FIRST_MS
+                              : upstream->ejection_ms * 2;
+  if (upstream->ejection_ms > POOL_OUT_LAST_MS)
+    upstream->ejection_ms = POOL_OUT_LAST_MS;
+  upstream->ejected_until_ms = now_ms + upstream->ejection_ms;
+  /* After an ejection a single failure ejects the instance again.  */
   upstream->failures = POOL_FAILURES - 1;
 }
 
@@ -667,23 +695,23 @@
 
   if (upstream == NULL)
     return;
-  upstream->lost = !reached;
+  upstream->is_unreachable = !reached;
   if (reached)
-    upstream->looked_ms = now_ms;
+    upstream->last_probe_ok_ms = now_ms;
   else
-    take_out (upstream, now_ms);
+    eject (upstream, now_ms);
 }
 
 bool
 upstream_lost (const upstream_t *upstream)
 {
-  return upstream->lost;
+  return upstream->is_unreachable;
 }
 
 void
 pool_first (upstream_t *upstream, uint32_t prompt)
 {
-  upstream->prompts -= prompt;
+  upstream->pending_prompt_tokens -= prompt;
 }
 
 void
@@ -693,14 +721,14 @@
   uint64_t now_ms = clock_ms (pool->clock);
 
   upstream->running--;
-  upstream->prompts -= prompt;
+  upstream->pending_prompt_tokens -= prompt;
   if (outcome == SEND_OK)
     {
       upstream->failures = 0;
-      upstream->out_ms = 0;
+      upstream->ejection_ms = 0;
     }
   else if (outcome == SEND_FAILED && ++upstream->failures >= POOL_FAILURES)
-    take_out (upstream, now_ms);
+    eject (upstream, now_ms);
   upstream_unref (upstream);
 }
 
@@ -710,7 +738,8 @@
 {
   double all = (double)running + waiting;
 
-  upstream->others = all > upstream->running ? all - upstream->running : 0;
+  upstream->other_requests
+      = all > upstream->running ? all - upstream->running : 0;
   upstream->reported_ms = clock_ms (pool->clock);
   if (slots > 0)
     upstream->slots = slots;
@@ -719,7 +748,7 @@
 void
 pool_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms)
 {
-  upstream->cold_till = clock_ms (pool->clock) + cold_ms;
+  upstream->cold_until_ms = clock_ms (pool->clock) + cold_ms;
 }
 
 str_t
@@ -743,7 +772,7 @@
 double
 upstream_load (const pool_t *pool, const upstream_t *upstream)
 {
-  return requests_at (upstream, clock_ms (pool->clock));
+  return request_count (upstream, clock_ms (pool->clock));
 }
 
 uint32_t
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -1,29 +1,33 @@
-/* The upstream instances of all services, and which of them gets a request.
-
-   Answers: many entries that choose among the same instances without asking
-   each other.
-
-   - One subject asked for again and again: the instance that has read the
-     shared parts of its prompt is found by rendezvous hashing, the same at
-     every entry.  Without it each entry warms an instance of its own.
-   - A hot subject: its home is passed over once it carries POOL_HOT times the
-     mean load, and the next in rank becomes a second home.  Without it one
-     instance queues while its peers idle.
-   - A cold instance, which falls over at a rate that a warm one bears: each
-     entry may send it at most its own part of what all entries together may
-     send in a second (policy/allotment.h).  Instances turn cold without
-     warning, so the part holds for warm ones too, at the bound that must hold
-     even for a cold one.
-   - A full instance: its report keeps requests away for POOL_FULL_FADE_MS.
-   - An instance that fails: POOL_FAILURES in a row take it out for
-     POOL_OUT_FIRST_MS, doubled up to POOL_OUT_LAST_MS.  When all are out, all
-     are in: then it is not the instances.
-   - The first share of a new version: it goes to as few instances as make them
-     a little more loaded than those of the old version.  Spread over all, a
-     tenth of the traffic leaves them idle, and a version that is slow, or bad
-     under load, looks good until it has everything.
-   - An instance that went silent: it is looked at, and out at once when it
-     takes no connection.  */
+/* The upstream instances of all services, and the selection of an instance for
+   each request.
+
+   Load pattern: many gateways select among the same instances without
+   coordinating with each other.
+
+   - Requests that share a prompt prefix: rendezvous hashing sends them to the
+     instance that has the prefix in its cache, the same one at every gateway.
+     Without it each gateway fills the cache of an instance of its own.
+   - A hot prefix: an instance that carries POOL_HOT times the mean load is
+     skipped, and the instance with the next highest hash is used as well.
+     Without it one instance queues requests while its peers are idle.
+   - A cold instance fails at a request rate that a warm one sustains: all
+     gateways together have a rate limit for it, and each gateway uses its own
+     share of that limit (policy/allotment.h).  Instances turn cold without
+     notice, so warm instances are limited too, at the rate above which a cold
+     instance fails.
+   - A full instance: its load report keeps requests away for
+     POOL_FULL_FADE_MS.
+   - A failing instance: POOL_FAILURES consecutive failures eject it for
+     POOL_OUT_FIRST_MS, doubled for each further ejection up to
+     POOL_OUT_LAST_MS.  If all instances are ejected, all are used: the fault
+     is then elsewhere.
+   - The first traffic share of a new version: it goes to only as many
+   instances as make each of them slightly more loaded than those of the old
+   version. Spread over all instances, a tenth of the traffic leaves them idle,
+   and a version that is slow or fails under load passes until it has all
+   traffic.
+   - A silent instance: it is probed, and ejected immediately if it accepts no
+     connection.  */
 
 #ifndef POLICY_POOL_H
 #define POLICY_POOL_H
@@ -37,44 +41,50 @@
 
 enum
 {
-  /* Three in a row are no chance at an error rate of a tenth (1 in 1,000).  */
+  /* At an error rate of a tenth, three consecutive failures occur by chance
+     once in 1,000.  */
   POOL_FAILURES = 3,
-  /* A crashed instance is back after seconds; a probe by a live request each
-     second costs one retry.  */
+  /* Length of the first ejection.  A crashed instance restarts within seconds,
+     and testing it with one live request each second costs one retry.  */
   POOL_OUT_FIRST_MS = 1000,
   POOL_OUT_LAST_MS = 8000,
-  /* Load under which a home is always taken: a batch this small costs its
-     members no more than alone.  */
+  /* Requests added to the load limit for affinity: an instance below this load
+     is never too hot.  In a batch this small each request is as fast as
+     alone.  */
   POOL_HOT_FLOOR = 6,
-  /* The window of the rate that a cold instance bears.  */
+  /* Window over which the request rate of a cold instance is counted.  */
   POOL_RATE_WINDOW_MS = 1000,
+  /* Send times kept for each instance, and so the highest rate limit.  */
   POOL_RATE_MAX = 64,
-  /* What an instance said of its load says little after this.  */
+  /* Age at which a load report no longer counts.  */
   POOL_REPORT_FADE_MS = 2000,
-  /* That it is full says nothing after this: a plain service answers in some
-     dozens of milliseconds.  Who is believed full is sent nothing, so nothing
-     would ever tell otherwise.  */
+  /* Age at which a report of full slots no longer counts: a plain service
+     responds within some dozens of milliseconds.  An instance that is taken
+     for full gets no requests, so no response would ever correct the
+     report.  */
   POOL_FULL_FADE_MS = 300,
-  /* Prompt tokens not yet read that weigh as much as one running request: a
-     chunk of prefill delays all tokens of a batch by as much as tens of
-     further members.  */
+  /* Prompt tokens waiting for prefill that count as much as one running
+     request: a prefill chunk delays the tokens of a whole batch as much as
+     tens of further requests in the batch do.  */
   POOL_PROMPT_UNIT = 1000,
-  /* An engine makes a token for each of its requests some dozens of times a
-     second, so one that has requests and says nothing for so long is full of
-     other entries' prompts, or gone.  */
+  /* Time without data after which an instance with running requests is probed.
+     An engine generates a token for each request some dozens of times a
+     second, so a silent one is either busy with the prompts of other gateways
+     or down.  */
   POOL_SILENCE_MS = 500,
-  /* After it was found to be there it is looked at again so much later: a
-     connection costs a hundredth of a short answer's worth.  */
+  /* Time from a successful probe to the next one: a probe's connection costs a
+     hundredth of a short response.  */
   POOL_LOOK_AGAIN_MS = 1000,
-  /* Prompt tokens that a slow, cold engine reads in a millisecond while it
-     makes none; a third of what a warm one reads with its largest model.  */
+  /* Prefill rate of a slow, cold engine, in prompt tokens per ms, during which
+     it generates no tokens: a third of the rate of a warm engine with its
+     largest model.  */
   POOL_READ_PER_MS = 12
 };
 
 typedef struct pool pool_t;
 typedef struct upstream upstream_t;
 
-/* What an instance says of itself where it registers.  */
+/* The registration of an instance.  */
 typedef struct
 {
   str_t id;
@@ -84,18 +94,18 @@
   str_t version;
   uint32_t slots;
   bool draining;
-  uint64_t cold_ms; /* For how much longer it stays cold.  */
-  uint64_t born;    /* Tells one start under an id from the next.  */
+  uint64_t cold_ms; /* Remaining time until the instance is warm.  */
+  uint64_t born; /* Differs for each start of a process under the same id. */
 } upstream_info_t;
 
 typedef struct
 {
-  str_t zone; /* Of this entry.  */
-  /* Who shares what an instance may get; NULL: this entry is alone.  Lives as
-     long as the pool.  */
+  str_t zone; /* Availability zone of this gateway.  */
+  /* The gateways that share the rate limits of the instances; NULL if this
+     gateway is the only one.  Borrowed; must outlive the pool.  */
   const allotment_t *entries;
-  /* A cold instance gets at most rate * factor + slack requests a second from
-     all entries together.  */
+  /* All gateways together send a cold instance at most
+     rate * cold_factor + cold_slack requests a second.  */
   double cold_factor;
   double cold_slack;
 } pool_options_t;
@@ -103,8 +113,8 @@
 typedef enum
 {
   ARM_ANY,
-  ARM_OLD, /* Any version but the given one.  */
-  ARM_NEW  /* The given version.  */
+  ARM_OLD, /* All versions except the one on trial.  */
+  ARM_NEW  /* Only the version on trial.  */
 } version_arm_t;
 
 enum
@@ -112,82 +122,98 @@
   POOL_TRIED_MAX = 8
 };
 
+/* Which instances a request may be sent to.  */
 typedef struct
 {
   str_t service;
-  double cold_per_s; /* What a cold instance bears; 0: no bound.  */
+  double cold_per_s; /* Request rate that a cold instance sustains; 0 for no
+                        rate limit.  */
   version_arm_t arm;
-  str_t version; /* For the arm.  */
-  size_t few;    /* Of ARM_NEW: only so many instances, the same at every
-                    entry, as long as they have room; 0: all.  */
-  uint64_t key;  /* Hash of the shared prompt parts; 0: none.  */
+  str_t version; /* The version on trial; unused with ARM_ANY.  */
+  size_t few;    /* Number of instances that get requests while they have free
+                    slots, the same ones at every gateway; 0 for all.  */
+  uint64_t key;  /* Hash of the shared prompt prefix; 0 for none.  */
+  /* Instances that this request was already sent to; none is selected
+     again.  */
   const upstream_t *const *tried;
   size_t tried_count;
 } pool_want_t;
 
 typedef enum
 {
-  SEND_OK,      /* Answered as it should.  */
-  SEND_REFUSED, /* Said that it did not run the request.  */
-  SEND_FAILED,  /* Broke off, was silent, or answered with a failure.  */
-  SEND_DROPPED  /* We ended it: says nothing of the instance.  */
+  SEND_OK,      /* The instance completed the request.  */
+  SEND_REFUSED, /* The instance reported that it did not run the request.  */
+  SEND_FAILED,  /* Connection lost, timeout, or error response.  */
+  SEND_DROPPED  /* Cancelled by the gateway; not counted for or against the
+                   instance.  */
 } send_outcome_t;
 
 pool_t *pool_create (clock_iface_t *clock, uint64_t seed,
                      const pool_options_t *options);
 void pool_destroy (pool_t *pool);
 
-/* An instance registered or changed.  */
+/* Add the instance with the id in INFO, or update its registration.  */
 void pool_put (pool_t *pool, const upstream_info_t *info);
-/* Its registration is gone.  KEEP_MS: it may still be used for so long, as
-   registrations lapse while the store is away.  */
+/* Handle the end of the registration of instance ID.  The instance remains
+   selectable for KEEP_MS, because registrations also expire while the store is
+   unavailable; with 0 it is removed immediately.  */
 void pool_remove (pool_t *pool, str_t id, uint64_t keep_ms);
-/* VERSION of SERVICE was taken back, or is ordered again: then WITHDRAWN is
-   false.  One that was taken back gets nothing, whatever else is on trial.  */
+/* Set whether VERSION of SERVICE is withdrawn.  A withdrawn version gets no
+   requests, whichever version is on trial.  */
 void pool_withdraw (pool_t *pool, str_t service, str_t version,
                     bool withdrawn);
-/* Append the withdrawn versions of SERVICE, a space before each.  */
+/* Append the withdrawn versions of SERVICE to OUT, each after a space.  */
 void pool_write_withdrawn (const pool_t *pool, str_t service, buf_t *out);
+/* Set whether the instances in ZONE are excluded from selection.  */
 void pool_zone_out (pool_t *pool, str_t zone, bool out);
 
-/* Choose an instance.  Return VH_OK and *OUT, VH_E_NO_UPSTREAM when none may
-   be used, or VH_E_FULL when those that may are full.  */
+/* Select an instance for WANT and store it in *OUT.  Return VH_OK,
+   VH_E_NO_UPSTREAM if no instance is eligible, or VH_E_FULL if all eligible
+   instances are at their slot or rate limit.  */
 vh_code_t pool_choose (pool_t *pool, const pool_want_t *want,
                        upstream_t **out);
-/* How many instances of ARM of SERVICE are in service, counted up to MOST.  */
+/* Return the number of instances of SERVICE in ARM that may get requests, or
+   MOST if there are more.  VERSION is the version on trial.  */
 size_t pool_count (pool_t *pool, str_t service, version_arm_t arm,
                    str_t version, size_t most);
-/* A request with PROMPT tokens left for UPSTREAM, which the sender holds
-   until pool_finished.  */
+/* Count a request with PROMPT prompt tokens as sent to UPSTREAM, and take a
+   reference to UPSTREAM that pool_finished releases.  */
 void pool_started (pool_t *pool, upstream_t *upstream, uint32_t prompt);
-/* Its first event came: the prompt has been read.  */
+/* Count PROMPT prompt tokens as processed, at the first response event of a
+   request.  */
 void pool_first (upstream_t *upstream, uint32_t prompt);
-/* It is over; PROMPT unless pool_first was told.  */
+/* Count a request as finished with OUTCOME.  PROMPT is its number of prompt
+   tokens, or 0 if pool_first was called for the request.  */
 void pool_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
                     send_outcome_t outcome);
-/* Something came from UPSTREAM.  */
+/* Record that data was received from UPSTREAM.  */
 void pool_heard (pool_t *pool, upstream_t *upstream);
-/* When UPSTREAM, which has requests of this entry, is to be looked at unless
-   it is heard before: POOL_SILENCE_MS after the last sign of it, and the time
-   that the prompts sent to it take to be read.  0 when it is lost.  */
+/* Return the time, in ms, at which UPSTREAM must be probed if no data arrives
+   before: POOL_SILENCE_MS plus the prefill time of its pending prompts after
+   the last data.  Return 0 if UPSTREAM is unreachable.  Valid only while
+   requests of this gateway run at UPSTREAM.  */
 uint64_t pool_silence_due (const upstream_t *upstream);
-/* A look at instance ID found that it takes connections, or does not: then it
-   is lost until it is heard or gets a request again.  */
+/* Record whether a probe of instance ID could connect.  If REACHED is false,
+   the instance is ejected, and counts as unreachable until it sends data or
+   gets a new request.  */
 void pool_reached (pool_t *pool, str_t id, bool reached);
 bool upstream_lost (const upstream_t *upstream);
-/* What an answer said.  */
+/* Record the load that a response of UPSTREAM reported; SLOTS 0 if its number
+   of slots was not reported.  */
 void pool_load (pool_t *pool, upstream_t *upstream, uint32_t running,
                 uint32_t waiting, uint32_t slots);
+/* Record that UPSTREAM stays cold for another COLD_MS.  */
 void pool_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms);
 
 str_t upstream_id (const upstream_t *upstream);
 str_t upstream_address (const upstream_t *upstream);
 str_t upstream_version (const upstream_t *upstream);
-/* Requests that run or wait there, of all entries as far as it said.  */
+/* Return the number of requests that run or wait at UPSTREAM: those of this
+   gateway, and those of others according to the last load report.  */
 double upstream_load (const pool_t *pool, const upstream_t *upstream);
-/* Requests that it runs at once, by its own word.  */
+/* Return how many requests UPSTREAM runs concurrently, as it reported.  */
 uint32_t upstream_slots (const upstream_t *upstream);
-/* Requests of this entry that run there.  */
+/* Return how many requests of this gateway run at UPSTREAM.  */
 uint32_t upstream_running (const upstream_t *upstream);
 
 #endif
--- a/packages/policy/zone.c
+++ b/packages/policy/zone.c
@@ -8,7 +8,7 @@
 {
   zone_state_t state;
   uint32_t ramp_ms;
-  uint64_t since_ms;
+  uint64_t ramp_start_ms;
 };
 
 zone_t *
@@ -38,18 +38,18 @@
   if (zone->state != ZONE_OUT)
     return;
   zone->state = ZONE_RETURNING;
-  zone->since_ms = now_ms;
+  zone->ramp_start_ms = now_ms;
 }
 
 double
-zone_ramp (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms)
+zone_ramp (uint64_t ramp_start_ms, uint32_t ramp_ms, uint64_t now_ms)
 {
-  if (now_ms >= since_ms + ramp_ms)
+  if (now_ms >= ramp_start_ms + ramp_ms)
     return 1;
-  if (now_ms <= since_ms)
+  if (now_ms <= ramp_start_ms)
     return ZONE_RAMP_FIRST;
   return ZONE_RAMP_FIRST
-         + (1 - ZONE_RAMP_FIRST) * (double)(now_ms - since_ms) / ramp_ms;
+         + (1 - ZONE_RAMP_FIRST) * (double)(now_ms - ramp_start_ms) / ramp_ms;
 }
 
 double
@@ -61,7 +61,7 @@
     return 0;
   if (zone->state == ZONE_IN)
     return 1;
-  share = zone_ramp (zone->since_ms, zone->ramp_ms, now_ms);
+  share = zone_ramp (zone->ramp_start_ms, zone->ramp_ms, now_ms);
   if (share >= 1)
     zone->state = ZONE_IN;
   return share;
--- a/packages/policy/zone.h
+++ b/packages/policy/zone.h
@@ -1,13 +1,14 @@
-/* Whether an availability zone takes work, and how much of its share.
+/* Whether an availability zone gets traffic, and how much of its full share.
 
-   Answers: operators take a whole zone out at short notice and bring it back.
-   Without the ramp every caller turns to the zone at once when it returns:
-   its upstreams are idle, so choice by load sends them everything, with cold
-   caches and cold engines.
+   Load pattern: operators disable a whole zone at short notice and enable it
+   again.  Without the ramp all gateways send everything to the zone when it is
+   enabled: its upstreams are idle, so selection by load prefers them, while
+   their caches and engines are cold.
 
-   - ZONE_RAMP_MS 10000: engines fill their caches in some seconds; longer
-     would keep the other zones overloaded without need.
-   - ZONE_RAMP_FIRST 0.1: the share at the first moment, enough to warm up.  */
+   - ZONE_RAMP_MS 10000: engines fill their caches within some seconds; a
+     longer ramp would keep the other zones overloaded without need.
+   - ZONE_RAMP_FIRST 0.1: the share at the start of the ramp, enough to warm
+     the zone up.  */
 
 #ifndef POLICY_ZONE_H
 #define POLICY_ZONE_H
@@ -30,20 +31,22 @@
 
 typedef struct zone zone_t;
 
-/* Make a zone that is in.  RAMP_MS 0 takes ZONE_RAMP_MS.  */
+/* Create a zone that is enabled, without a ramp at its start.  RAMP_MS is the
+   length of later ramps; 0 selects ZONE_RAMP_MS.  */
 zone_t *zone_create (uint32_t ramp_ms);
 void zone_destroy (zone_t *zone);
-/* Operators take the zone out, or bring it back at NOW_MS.  Saying the same
-   again changes nothing, so a configuration may be applied twice.  */
+/* Disable the zone.  */
 void zone_out (zone_t *zone);
+/* Enable the zone, with a ramp that starts at NOW_MS.  Does nothing if the
+   zone is enabled already, so that a configuration may be applied twice.  */
 void zone_in (zone_t *zone, uint64_t now_ms);
-/* Return the part of its full share that the zone takes: 0 when out, rising
-   to 1 after its return.  */
+/* Return the fraction of its full share of traffic that the zone gets at
+   NOW_MS: 0 if disabled, rising to 1 after it was enabled.  */
 double zone_share (zone_t *zone, uint64_t now_ms);
 zone_state_t zone_state (const zone_t *zone);
 
-/* Return how far a ramp of RAMP_MS that began at SINCE_MS is at NOW_MS, from
-   ZONE_RAMP_FIRST to 1.  */
-double zone_ramp (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms);
+/* Return the fraction reached at NOW_MS by a linear ramp from ZONE_RAMP_FIRST
+   to 1 that started at RAMP_START_MS and takes RAMP_MS.  */
+double zone_ramp (uint64_t ramp_start_ms, uint32_t ramp_ms, uint64_t now_ms);
 
 #endif
