--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -12,125 +12,130 @@
   INDEX_BITS = 20,
   INDEX_MASK = (1 << INDEX_BITS) - 1,
   GENERATION_MASK = (1 << (32 - INDEX_BITS)) - 1,
-  /* Times are kept in 32 bits, in steps of 8 ms: they wrap after a year.  */
+  /* Times are stored in 32 bits as ticks of 8 ms, which wrap after a year.  */
   TICK_SHIFT = 3,
-  USUAL_ONE = 16,
-  SLOTS_MAX = UINT16_MAX / USUAL_ONE,
-  SAMPLE_TRIES = 3,
+  /* The value 1 in the fixed-point average of the slots.  */
+  FIXED_POINT_ONE = 16,
+  SLOTS_MAX = UINT16_MAX / FIXED_POINT_ONE,
+  DRAWS_MAX = 3,
   PENALTY_MAX = 64,
-  FIRST_CAP = 16,
-  NOBODY = UINT32_MAX
+  INITIAL_CAPACITY = 16,
+  NO_UPSTREAM = UINT32_MAX
 };
 
 enum
 {
-  KNOWN = 1,
-  REPORTED = 2,
-  RAMPING = 4
+  FLAG_IN_USE = 1,
+  FLAG_REPORTED = 2,
+  FLAG_RAMPING = 4
 };
 
-/* Weight of one report in a pool's means.  */
-#define MEAN_GAIN 0.03125f
-/* Weight of one report in an upstream's usual slots.  */
-#define USUAL_GAIN 0.3f
-#define POINT_SEED 0x70f1a5c3u
+/* Weight of one load report in the moving averages of a pool.  */
+#define POOL_AVERAGE_WEIGHT 0.03125f
+/* Weight of one load report in the moving average of an upstream's slots.  */
+#define SLOTS_AVERAGE_WEIGHT 0.3f
+#define RING_HASH_SEED 0x70f1a5c3u
 
-/* What a choice reads of an upstream: 32 bytes, two to a cache line.  */
+/* The fields of an upstream that a selection reads: 32 bytes, so that a cache
+   line holds two upstreams.  */
 typedef struct
 {
-  float others;       /* Reported load of other entries.  */
-  float penalty;      /* Load that stands for failures.  */
-  uint32_t reported;  /* Tick at which OTHERS was true.  */
-  uint32_t penalised; /* Tick of PENALTY.  */
-  uint32_t ramp;      /* Tick at which the ramp began.  */
-  uint16_t in_flight; /* Of this entry.  */
-  uint16_t slots;     /* By the last report.  */
-  uint16_t usual;     /* Running mean of the slots, in 16ths.  */
+  float other_load;       /* Load of other gateways in the last report.  */
+  float penalty;          /* Load added for failures at PENALTY_TICK.  */
+  uint32_t reported_tick; /* Tick at which the last load report was made.  */
+  uint32_t penalty_tick;  /* Tick at which PENALTY was last raised.  */
+  uint32_t ramp_tick;     /* Tick at which the ramp started.  */
+  uint16_t in_flight;     /* Requests of this gateway in flight.  */
+  uint16_t slots;         /* Slots in the last report.  */
+  uint16_t average_slots_16ths; /* Moving average of the slots, in 16ths.  */
   uint16_t zone;
   uint16_t generation;
   uint8_t marks;
   uint8_t flags;
-} hot_t;
+} upstream_state_t;
 
-_Static_assert(sizeof (hot_t) == 32, "two to a cache line");
+_Static_assert(sizeof (upstream_state_t) == 32,
+               "two upstreams to a cache line");
 
+/* The fields of an upstream that a selection does not read.  */
 typedef struct
 {
   char *name;
   uint32_t name_len;
   uint32_t pool_count;
-  uint64_t hash; /* Of the name, the same in every process.  */
+  uint64_t name_hash; /* Hash of the name, the same in every process.  */
   pool_id_t *pools;
-} cold_t;
+} upstream_record_t;
 
+/* An upstream in an array ordered by hash.  */
 typedef struct
 {
-  uint32_t point;
+  uint32_t hash;
   uint32_t index;
-} point_t;
+} hashed_index_t;
 
 /* The upstreams of one pool in one zone.  */
 typedef struct
 {
-  point_t *ring; /* All, by their point on the hash ring.  */
+  hashed_index_t *ring; /* All upstreams, in ascending order of hashes.  */
   uint32_t count;
-  uint32_t cap;
-  point_t *subset; /* Those this entry uses, by falling rank.  */
+  uint32_t capacity;
+  hashed_index_t *subset; /* Upstreams in use, highest rank first.  */
   uint32_t subset_count;
-} bucket_t;
+} zone_pool_t;
 
 typedef struct
 {
   char *name;
   uint32_t name_len;
-  float mean_others; /* Mean load of others on a slot, by report.  */
-  float mean_load;   /* Mean load of a slot, by report.  */
-  uint32_t reported; /* Tick of the last report.  */
-  bucket_t *buckets; /* By zone.  */
-} pool_t;
+  float mean_other_load;  /* Reported mean load of other gateways per slot.  */
+  float mean_load;        /* Reported mean load of all gateways per slot.  */
+  uint32_t reported_tick; /* Tick at which the last load report arrived.  */
+  zone_pool_t *zone_pools; /* Indexed by zone number.  */
+} upstream_pool_t;
 
 typedef struct
 {
   char *name;
   uint32_t name_len;
   zone_t *zone;
-} place_t;
+} named_zone_t;
 
 typedef struct
 {
   uint64_t affinity;
   upstream_id_t id;
   uint32_t tick;
-} hint_t;
+} cache_hint_t;
 
 struct balance
 {
   clock_iface_t *clock;
   rng_t *rng;
-  uint64_t salt; /* Of this entry, for the ranks.  */
+  uint64_t gateway_hash; /* Hash of this gateway's name, for its ranks.  */
   uint16_t own_zone;
 
-  hot_t *hot;
-  cold_t *cold;
-  uint32_t count; /* Places in HOT and COLD.  */
-  uint32_t cap;
-  uint32_t *freed; /* Places to use again.  */
-  uint32_t freed_count;
-  map_t *names; /* Place + 1, as a pointer.  */
+  upstream_state_t *states;
+  upstream_record_t *records;
+  uint32_t count; /* Length of STATES and of RECORDS.  */
+  uint32_t capacity;
+  uint32_t *free_indices; /* Indices of removed upstreams, for reuse.  */
+  uint32_t free_index_count;
+  map_t *index_by_name; /* From name to index + 1, as a pointer.  */
 
-  pool_t *pools;
+  upstream_pool_t *pools;
   uint32_t pool_count;
-  map_t *pool_names;
+  map_t *pool_by_name;
 
-  place_t *zones;
+  named_zone_t *zones;
   uint32_t zone_count;
 
-  hint_t *hints;
+  cache_hint_t *cache_hints;
 };
 
-/* Spread the bits of X (the finaliser of splitmix64).  */
+/* Return a hash of X (the finaliser of splitmix64).  */
 static uint64_t
-mix (uint64_t x)
+splitmix64 (uint64_t x)
 {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
@@ -138,25 +143,25 @@
 }
 
 static void *
-place_pointer (uint32_t place)
+index_to_pointer (uint32_t index)
 {
-  return (void *)(uintptr_t)(place + 1);
+  return (void *)(uintptr_t)(index + 1);
 }
 
 static uint32_t
-pointer_place (const void *pointer)
+pointer_to_index (const void *pointer)
 {
   return (uint32_t)((uintptr_t)pointer - 1);
 }
 
 static uint32_t
-tick_of (uint64_t ms)
+ms_to_ticks (uint64_t ms)
 {
   return (uint32_t)(ms >> TICK_SHIFT);
 }
 
 static float
-ticks_ms (uint32_t ticks)
+ticks_to_ms (uint32_t ticks)
 {
   return (float)((uint64_t)ticks << TICK_SHIFT);
 }
@@ -164,137 +169,147 @@
 static upstream_id_t
 make_id (const balance_t *balance, uint32_t index)
 {
-  return (upstream_id_t)balance->hot[index].generation << INDEX_BITS | index;
+  return (upstream_id_t)balance->states[index].generation << INDEX_BITS
+         | index;
 }
 
-/* Return the place of ID, or NOBODY when it is no longer known.  */
+/* Return the index of upstream ID, or NO_UPSTREAM if it was removed.  */
 static uint32_t
 find_index (const balance_t *balance, upstream_id_t id)
 {
   uint32_t index = id & INDEX_MASK;
 
   if (id == 0 || index >= balance->count
-      || (balance->hot[index].flags & KNOWN) == 0
-      || balance->hot[index].generation != id >> INDEX_BITS)
-    return NOBODY;
+      || (balance->states[index].flags & FLAG_IN_USE) == 0
+      || balance->states[index].generation != id >> INDEX_BITS)
+    return NO_UPSTREAM;
   return index;
 }
 
 /* Subsets.  */
 
 static uint32_t
-rank_of (const balance_t *balance, uint32_t index)
+subset_rank (const balance_t *balance, uint32_t index)
 {
-  return (uint32_t)(mix (balance->cold[index].hash ^ balance->salt) >> 32);
+  return (uint32_t)(splitmix64 (balance->records[index].name_hash
+                                ^ balance->gateway_hash)
+                    >> 32);
 }
 
 static bool
-ranks_before (point_t a, point_t b)
+has_higher_rank (hashed_index_t a, hashed_index_t b)
 {
-  return a.point > b.point || (a.point == b.point && a.index < b.index);
+  return a.hash > b.hash || (a.hash == b.hash && a.index < b.index);
 }
 
 static uint32_t
-subset_cap (const balance_t *balance, uint32_t zone)
+subset_capacity (const balance_t *balance, uint32_t zone)
 {
   return zone == balance->own_zone ? BALANCE_SUBSET_OWN : BALANCE_SUBSET_OTHER;
 }
 
-/* An ejected upstream keeps its connection, as it is back in seconds.  */
+/* Return whether an upstream with the marks of STATE may be in a subset.  An
+   ejected one may, and so keeps its connection, because ejections last only
+   seconds.  */
 static bool
-subset_wants (const hot_t *hot)
+subset_accepts (const upstream_state_t *state)
 {
-  return (hot->marks & ~BALANCE_EJECTED) == 0;
+  return (state->marks & ~BALANCE_EJECTED) == 0;
 }
 
-/* Take INDEX into the subset of BUCKET if it ranks high enough.  */
+/* Add INDEX to the subset of ZONE_POOL if its rank is high enough.  */
 static void
-subset_offer (const balance_t *balance, bucket_t *bucket, uint32_t index)
+subset_add_if_ranked (const balance_t *balance, zone_pool_t *zone_pool,
+                      uint32_t index)
 {
-  uint32_t cap = subset_cap (balance, balance->hot[index].zone);
-  point_t new = { rank_of (balance, index), index };
+  uint32_t capacity = subset_capacity (balance, balance->states[index].zone);
+  hashed_index_t new = { subset_rank (balance, index), index };
   uint32_t i;
 
-  if (!subset_wants (&balance->hot[index]))
+  if (!subset_accepts (&balance->states[index]))
     return;
-  if (bucket->subset == NULL)
-    bucket->subset = mem_alloc (cap * sizeof (point_t));
-  if (bucket->subset_count == cap)
+  if (zone_pool->subset == NULL)
+    zone_pool->subset = mem_alloc (capacity * sizeof (hashed_index_t));
+  if (zone_pool->subset_count == capacity)
     {
-      if (!ranks_before (new, bucket->subset[cap - 1]))
+      if (!has_higher_rank (new, zone_pool->subset[capacity - 1]))
         return;
-      bucket->subset_count--;
+      zone_pool->subset_count--;
     }
-  for (i = bucket->subset_count; i > 0; i--)
+  for (i = zone_pool->subset_count; i > 0; i--)
     {
-      if (!ranks_before (new, bucket->subset[i - 1]))
+      if (!has_higher_rank (new, zone_pool->subset[i - 1]))
         break;
-      bucket->subset[i] = bucket->subset[i - 1];
+      zone_pool->subset[i] = zone_pool->subset[i - 1];
     }
-  bucket->subset[i] = new;
-  bucket->subset_count++;
+  zone_pool->subset[i] = new;
+  zone_pool->subset_count++;
 }
 
-/* Append the upstream that ranks next to a subset that has lost one.  */
+/* Append the upstream of the next lower rank to the subset of ZONE_POOL if the
+   subset has fewer than CAPACITY upstreams.  */
 static void
-subset_refill (const balance_t *balance, bucket_t *bucket, uint32_t cap)
+subset_refill (const balance_t *balance, zone_pool_t *zone_pool,
+               uint32_t capacity)
 {
-  point_t best = { 0, NOBODY };
-  point_t last = { UINT32_MAX, 0 };
+  hashed_index_t best = { 0, NO_UPSTREAM };
+  hashed_index_t last = { UINT32_MAX, 0 };
 
-  if (bucket->subset_count >= cap || bucket->subset_count >= bucket->count)
+  if (zone_pool->subset_count >= capacity
+      || zone_pool->subset_count >= zone_pool->count)
     return;
-  if (bucket->subset_count > 0)
-    last = bucket->subset[bucket->subset_count - 1];
-  for (uint32_t i = 0; i < bucket->count; i++)
+  if (zone_pool->subset_count > 0)
+    last = zone_pool->subset[zone_pool->subset_count - 1];
+  for (uint32_t i = 0; i < zone_pool->count; i++)
     {
-      uint32_t index = bucket->ring[i].index;
-      point_t at = { rank_of (balance, index), index };
+      uint32_t index = zone_pool->ring[i].index;
+      hashed_index_t at = { subset_rank (balance, index), index };
 
-      if ((bucket->subset_count == 0 || ranks_before (last, at))
-          && (best.index == NOBODY || ranks_before (at, best))
-          && subset_wants (&balance->hot[index]))
+      if ((zone_pool->subset_count == 0 || has_higher_rank (last, at))
+          && (best.index == NO_UPSTREAM || has_higher_rank (at, best))
+          && subset_accepts (&balance->states[index]))
         best = at;
     }
-  if (best.index != NOBODY)
-    bucket->subset[bucket->subset_count++] = best;
+  if (best.index != NO_UPSTREAM)
+    zone_pool->subset[zone_pool->subset_count++] = best;
 }
 
-/* Take INDEX out of the subset of BUCKET, if it is there.  */
+/* Remove INDEX from the subset of ZONE_POOL if it is a member.  */
 static void
-subset_drop (const balance_t *balance, bucket_t *bucket, uint32_t index)
+subset_remove (const balance_t *balance, zone_pool_t *zone_pool,
+               uint32_t index)
 {
-  uint32_t cap = subset_cap (balance, balance->hot[index].zone);
+  uint32_t capacity = subset_capacity (balance, balance->states[index].zone);
   uint32_t i = 0;
-  bool was_full = bucket->subset_count == cap;
+  bool was_full = zone_pool->subset_count == capacity;
 
-  while (i < bucket->subset_count && bucket->subset[i].index != index)
+  while (i < zone_pool->subset_count && zone_pool->subset[i].index != index)
     i++;
-  if (i == bucket->subset_count)
+  if (i == zone_pool->subset_count)
     return;
-  bucket->subset_count--;
-  for (; i < bucket->subset_count; i++)
-    bucket->subset[i] = bucket->subset[i + 1];
-  /* One that was not full holds all there are.  */
+  zone_pool->subset_count--;
+  for (; i < zone_pool->subset_count; i++)
+    zone_pool->subset[i] = zone_pool->subset[i + 1];
+  /* A subset that was not full contains all upstreams that may be in it.  */
   if (was_full)
-    subset_refill (balance, bucket, cap);
+    subset_refill (balance, zone_pool, capacity);
 }
 
-/* Rings.  */
+/* Hash rings.  */
 
-/* Return the place in BUCKET's ring of the first upstream at or after
-   POINT; COUNT when there is none.  */
+/* Return the position in the ring of ZONE_POOL of the first upstream whose
+   hash is at least HASH; ZONE_POOL->count if there is none.  */
 static uint32_t
-ring_search (const bucket_t *bucket, uint32_t point)
+ring_search (const zone_pool_t *zone_pool, uint32_t hash)
 {
   uint32_t low = 0;
-  uint32_t high = bucket->count;
+  uint32_t high = zone_pool->count;
 
   while (low < high)
     {
       uint32_t middle = low + (high - low) / 2;
 
-      if (bucket->ring[middle].point < point)
+      if (zone_pool->ring[middle].hash < hash)
         low = middle + 1;
       else
         high = middle;
@@ -303,41 +318,46 @@
 }
 
 static uint32_t
-ring_point (const balance_t *balance, uint32_t index)
+ring_hash (const balance_t *balance, uint32_t index)
 {
-  return (uint32_t)(mix (balance->cold[index].hash ^ POINT_SEED) >> 32);
+  return (
+      uint32_t)(splitmix64 (balance->records[index].name_hash ^ RING_HASH_SEED)
+                >> 32);
 }
 
 static void
-bucket_join (const balance_t *balance, bucket_t *bucket, uint32_t index)
+zone_pool_add (const balance_t *balance, zone_pool_t *zone_pool,
+               uint32_t index)
 {
-  point_t new = { ring_point (balance, index), index };
-  uint32_t at = ring_search (bucket, new.point);
+  hashed_index_t new = { ring_hash (balance, index), index };
+  uint32_t at = ring_search (zone_pool, new.hash);
 
-  if (bucket->count == bucket->cap)
+  if (zone_pool->count == zone_pool->capacity)
     {
-      bucket->cap = bucket->cap > 0 ? bucket->cap * 2 : FIRST_CAP;
-      bucket->ring
-          = mem_realloc (bucket->ring, bucket->cap * sizeof (point_t));
+      zone_pool->capacity = zone_pool->capacity > 0 ? zone_pool->capacity * 2
+                                                    : INITIAL_CAPACITY;
+      zone_pool->ring = mem_realloc (
+          zone_pool->ring, zone_pool->capacity * sizeof (hashed_index_t));
     }
-  memmove (&bucket->ring[at + 1], &bucket->ring[at],
-           (bucket->count - at) * sizeof (point_t));
-  bucket->ring[at] = new;
-  bucket->count++;
-  subset_offer (balance, bucket, index);
+  memmove (&zone_pool->ring[at + 1], &zone_pool->ring[at],
+           (zone_pool->count - at) * sizeof (hashed_index_t));
+  zone_pool->ring[at] = new;
+  zone_pool->count++;
+  subset_add_if_ranked (balance, zone_pool, index);
 }
 
 static void
-bucket_leave (const balance_t *balance, bucket_t *bucket, uint32_t index)
+zone_pool_remove (const balance_t *balance, zone_pool_t *zone_pool,
+                  uint32_t index)
 {
-  uint32_t at = ring_search (bucket, ring_point (balance, index));
+  uint32_t at = ring_search (zone_pool, ring_hash (balance, index));
 
-  while (bucket->ring[at].index != index)
+  while (zone_pool->ring[at].index != index)
     at++;
-  bucket->count--;
-  memmove (&bucket->ring[at], &bucket->ring[at + 1],
-           (bucket->count - at) * sizeof (point_t));
-  subset_drop (balance, bucket, index);
+  zone_pool->count--;
+  memmove (&zone_pool->ring[at], &zone_pool->ring[at + 1],
+           (zone_pool->count - at) * sizeof (hashed_index_t));
+  subset_remove (balance, zone_pool, index);
 }
 
 /* Zones and pools.  */
@@ -349,28 +369,30 @@
   return str_dup (name);
 }
 
-/* Return the number of zone NAME, made on first use.  */
+/* Return the number of zone NAME, which is created if it does not exist.  */
 static uint16_t
-find_zone (balance_t *balance, str_t name)
+find_or_add_zone (balance_t *balance, str_t name)
 {
   uint32_t n = balance->zone_count;
-  place_t *place;
+  named_zone_t *named_zone;
 
   for (uint32_t i = 0; i < n; i++)
     if (str_eq (str_make (balance->zones[i].name, balance->zones[i].name_len),
                 name))
       return (uint16_t)i;
-  balance->zones = mem_realloc (balance->zones, (n + 1) * sizeof (place_t));
-  place = &balance->zones[n];
-  place->name = copy_name (name, &place->name_len);
-  place->zone = zone_create (0);
+  balance->zones
+      = mem_realloc (balance->zones, (n + 1) * sizeof (named_zone_t));
+  named_zone = &balance->zones[n];
+  named_zone->name = copy_name (name, &named_zone->name_len);
+  named_zone->zone = zone_create (0);
   balance->zone_count++;
   for (uint32_t i = 0; i < balance->pool_count; i++)
     {
-      pool_t *pool = &balance->pools[i];
+      upstream_pool_t *pool = &balance->pools[i];
 
-      pool->buckets = mem_realloc (pool->buckets, (n + 1) * sizeof (bucket_t));
-      pool->buckets[n] = (bucket_t){ 0 };
+      pool->zone_pools
+          = mem_realloc (pool->zone_pools, (n + 1) * sizeof (zone_pool_t));
+      pool->zone_pools[n] = (zone_pool_t){ 0 };
     }
   return (uint16_t)n;
 }
@@ -378,18 +400,19 @@
 pool_id_t
 balance_pool (balance_t *balance, str_t name)
 {
-  const void *known = map_get (balance->pool_names, name);
+  const void *found = map_get (balance->pool_by_name, name);
   uint32_t n = balance->pool_count;
-  pool_t *pool;
+  upstream_pool_t *pool;
 
-  if (known != NULL)
-    return pointer_place (known);
-  balance->pools = mem_realloc (balance->pools, (n + 1) * sizeof (pool_t));
+  if (found != NULL)
+    return pointer_to_index (found);
+  balance->pools
+      = mem_realloc (balance->pools, (n + 1) * sizeof (upstream_pool_t));
   pool = &balance->pools[n];
-  *pool = (pool_t){ 0 };
+  *pool = (upstream_pool_t){ 0 };
   pool->name = copy_name (name, &pool->name_len);
-  pool->buckets = mem_zalloc (balance->zone_count * sizeof (bucket_t));
-  map_put (balance->pool_names, name, place_pointer (n));
+  pool->zone_pools = mem_zalloc (balance->zone_count * sizeof (zone_pool_t));
+  map_put (balance->pool_by_name, name, index_to_pointer (n));
   balance->pool_count++;
   return n;
 }
@@ -401,11 +424,11 @@
 
   balance->clock = clock;
   balance->rng = rng;
-  balance->salt = str_hash (self, 0);
-  balance->names = map_create ();
-  balance->pool_names = map_create ();
-  balance->hints = mem_zalloc (BALANCE_HINTS * sizeof (hint_t));
-  balance->own_zone = find_zone (balance, zone);
+  balance->gateway_hash = str_hash (self, 0);
+  balance->index_by_name = map_create ();
+  balance->pool_by_name = map_create ();
+  balance->cache_hints = mem_zalloc (BALANCE_HINTS * sizeof (cache_hint_t));
+  balance->own_zone = find_or_add_zone (balance, zone);
   return balance;
 }
 
@@ -416,14 +439,14 @@
     return;
   for (uint32_t i = 0; i < balance->pool_count; i++)
     {
-      pool_t *pool = &balance->pools[i];
+      upstream_pool_t *pool = &balance->pools[i];
 
       for (uint32_t z = 0; z < balance->zone_count; z++)
         {
-          free (pool->buckets[z].ring);
-          free (pool->buckets[z].subset);
+          free (pool->zone_pools[z].ring);
+          free (pool->zone_pools[z].subset);
         }
-      free (pool->buckets);
+      free (pool->zone_pools);
       free (pool->name);
     }
   free (balance->pools);
@@ -435,127 +458,130 @@
   free (balance->zones);
   for (uint32_t i = 0; i < balance->count; i++)
     {
-      free (balance->cold[i].name);
-      free (balance->cold[i].pools);
+      free (balance->records[i].name);
+      free (balance->records[i].pools);
     }
-  free (balance->hot);
-  free (balance->cold);
-  free (balance->freed);
-  free (balance->hints);
-  map_destroy (balance->names);
-  map_destroy (balance->pool_names);
+  free (balance->states);
+  free (balance->records);
+  free (balance->free_indices);
+  free (balance->cache_hints);
+  map_destroy (balance->index_by_name);
+  map_destroy (balance->pool_by_name);
   free (balance);
 }
 
 /* Upstreams.  */
 
-/* Return a free place.  */
+/* Return the index of an unused upstream.  */
 static uint32_t
-take_place (balance_t *balance)
+allocate_index (balance_t *balance)
 {
-  if (balance->freed_count > 0)
-    return balance->freed[--balance->freed_count];
+  if (balance->free_index_count > 0)
+    return balance->free_indices[--balance->free_index_count];
   assert (balance->count < INDEX_MASK);
-  if (balance->count == balance->cap)
+  if (balance->count == balance->capacity)
     {
-      balance->cap = balance->cap > 0 ? balance->cap * 2 : FIRST_CAP;
-      balance->hot = mem_realloc (balance->hot, balance->cap * sizeof (hot_t));
-      balance->cold
-          = mem_realloc (balance->cold, balance->cap * sizeof (cold_t));
-      balance->freed
-          = mem_realloc (balance->freed, balance->cap * sizeof (uint32_t));
+      balance->capacity
+          = balance->capacity > 0 ? balance->capacity * 2 : INITIAL_CAPACITY;
+      balance->states = mem_realloc (
+          balance->states, balance->capacity * sizeof (upstream_state_t));
+      balance->records = mem_realloc (
+          balance->records, balance->capacity * sizeof (upstream_record_t));
+      balance->free_indices = mem_realloc (
+          balance->free_indices, balance->capacity * sizeof (uint32_t));
     }
-  balance->hot[balance->count] = (hot_t){ 0 };
-  balance->cold[balance->count] = (cold_t){ 0 };
+  balance->states[balance->count] = (upstream_state_t){ 0 };
+  balance->records[balance->count] = (upstream_record_t){ 0 };
   return balance->count++;
 }
 
-static bucket_t *
-bucket_of (const balance_t *balance, uint32_t index, pool_id_t pool)
+static zone_pool_t *
+zone_pool_of (const balance_t *balance, uint32_t index, pool_id_t pool)
 {
-  return &balance->pools[pool].buckets[balance->hot[index].zone];
+  return &balance->pools[pool].zone_pools[balance->states[index].zone];
 }
 
 static void
-leave_pools (balance_t *balance, uint32_t index)
+remove_from_pools (balance_t *balance, uint32_t index)
 {
-  cold_t *cold = &balance->cold[index];
+  upstream_record_t *record = &balance->records[index];
 
-  for (uint32_t i = 0; i < cold->pool_count; i++)
-    bucket_leave (balance, bucket_of (balance, index, cold->pools[i]), index);
-  free (cold->pools);
-  cold->pools = NULL;
-  cold->pool_count = 0;
+  for (uint32_t i = 0; i < record->pool_count; i++)
+    zone_pool_remove (balance, zone_pool_of (balance, index, record->pools[i]),
+                      index);
+  free (record->pools);
+  record->pools = NULL;
+  record->pool_count = 0;
 }
 
 static bool
-serves (const cold_t *cold, pool_id_t pool)
+serves_pool (const upstream_record_t *record, pool_id_t pool)
 {
-  for (uint32_t i = 0; i < cold->pool_count; i++)
-    if (cold->pools[i] == pool)
+  for (uint32_t i = 0; i < record->pool_count; i++)
+    if (record->pools[i] == pool)
       return true;
   return false;
 }
 
 static void
-join_pools (balance_t *balance, uint32_t index, const str_t *pools,
-            size_t pool_count)
+add_to_pools (balance_t *balance, uint32_t index, const str_t *pools,
+              size_t pool_count)
 {
-  cold_t *cold = &balance->cold[index];
+  upstream_record_t *record = &balance->records[index];
 
-  cold->pools
+  record->pools
       = mem_alloc ((pool_count > 0 ? pool_count : 1) * sizeof (pool_id_t));
   for (size_t i = 0; i < pool_count; i++)
     {
       pool_id_t pool = balance_pool (balance, pools[i]);
 
-      if (serves (cold, pool))
+      if (serves_pool (record, pool))
         continue;
-      cold->pools[cold->pool_count++] = pool;
-      bucket_join (balance, bucket_of (balance, index, pool), index);
+      record->pools[record->pool_count++] = pool;
+      zone_pool_add (balance, zone_pool_of (balance, index, pool), index);
     }
 }
 
-/* Whether upstream INDEX serves just POOLS already.  */
+/* Return whether upstream INDEX serves exactly the pools named in POOLS.  */
 static bool
-same_pools (balance_t *balance, uint32_t index, const str_t *pools,
-            size_t pool_count)
+has_same_pools (balance_t *balance, uint32_t index, const str_t *pools,
+                size_t pool_count)
 {
-  const cold_t *cold = &balance->cold[index];
+  const upstream_record_t *record = &balance->records[index];
 
-  if (cold->pool_count != pool_count)
+  if (record->pool_count != pool_count)
     return false;
   for (size_t i = 0; i < pool_count; i++)
-    if (!serves (cold, balance_pool (balance, pools[i])))
+    if (!serves_pool (record, balance_pool (balance, pools[i])))
       return false;
   return true;
 }
 
 static void
-begin_ramp (const balance_t *balance, hot_t *hot)
+start_ramp (const balance_t *balance, upstream_state_t *state)
 {
-  hot->ramp = tick_of (clock_ms (balance->clock));
-  hot->flags |= RAMPING;
+  state->ramp_tick = ms_to_ticks (clock_ms (balance->clock));
+  state->flags |= FLAG_RAMPING;
 }
 
 static uint32_t
 add_upstream (balance_t *balance, str_t name, bool returning)
 {
-  uint32_t index = take_place (balance);
-  hot_t *hot = &balance->hot[index];
-  cold_t *cold = &balance->cold[index];
-  uint16_t generation = (hot->generation + 1) & GENERATION_MASK;
+  uint32_t index = allocate_index (balance);
+  upstream_state_t *state = &balance->states[index];
+  upstream_record_t *record = &balance->records[index];
+  uint16_t generation = (state->generation + 1) & GENERATION_MASK;
 
-  *hot = (hot_t){ 0 };
-  hot->generation = generation > 0 ? generation : 1;
-  hot->flags = KNOWN;
-  hot->slots = BALANCE_SLOTS_UNKNOWN;
-  hot->usual = BALANCE_SLOTS_UNKNOWN * USUAL_ONE;
+  *state = (upstream_state_t){ 0 };
+  state->generation = generation > 0 ? generation : 1;
+  state->flags = FLAG_IN_USE;
+  state->slots = BALANCE_SLOTS_UNKNOWN;
+  state->average_slots_16ths = BALANCE_SLOTS_UNKNOWN * FIXED_POINT_ONE;
   if (returning)
-    begin_ramp (balance, hot);
-  cold->name = copy_name (name, &cold->name_len);
-  cold->hash = str_hash (name, 0);
-  map_put (balance->names, name, place_pointer (index));
+    start_ramp (balance, state);
+  record->name = copy_name (name, &record->name_len);
+  record->name_hash = str_hash (name, 0);
+  map_put (balance->index_by_name, name, index_to_pointer (index));
   return index;
 }
 
@@ -563,47 +589,47 @@
 balance_update (balance_t *balance, str_t name, str_t zone, const str_t *pools,
                 size_t pool_count, bool returning)
 {
-  const void *known = map_get (balance->names, name);
-  uint16_t zone_number = find_zone (balance, zone);
+  const void *found = map_get (balance->index_by_name, name);
+  uint16_t zone_number = find_or_add_zone (balance, zone);
   uint32_t index;
 
-  if (known == NULL)
+  if (found == NULL)
     index = add_upstream (balance, name, returning);
   else
     {
-      index = pointer_place (known);
-      if (balance->hot[index].zone == zone_number
-          && same_pools (balance, index, pools, pool_count))
+      index = pointer_to_index (found);
+      if (balance->states[index].zone == zone_number
+          && has_same_pools (balance, index, pools, pool_count))
         return make_id (balance, index);
-      leave_pools (balance, index);
+      remove_from_pools (balance, index);
     }
-  balance->hot[index].zone = zone_number;
-  join_pools (balance, index, pools, pool_count);
+  balance->states[index].zone = zone_number;
+  add_to_pools (balance, index, pools, pool_count);
   return make_id (balance, index);
 }
 
 void
 balance_remove (balance_t *balance, str_t name)
 {
-  const void *known = map_remove (balance->names, name);
+  const void *found = map_remove (balance->index_by_name, name);
   uint32_t index;
 
-  if (known == NULL)
+  if (found == NULL)
     return;
-  index = pointer_place (known);
-  leave_pools (balance, index);
-  free (balance->cold[index].name);
-  balance->cold[index].name = NULL;
-  balance->hot[index].flags = 0;
-  balance->freed[balance->freed_count++] = index;
+  index = pointer_to_index (found);
+  remove_from_pools (balance, index);
+  free (balance->records[index].name);
+  balance->records[index].name = NULL;
+  balance->states[index].flags = 0;
+  balance->free_indices[balance->free_index_count++] = index;
 }
 
 upstream_id_t
 balance_find (const balance_t *balance, str_t name)
 {
-  const void *known = map_get (balance->names, name);
+  const void *found = map_get (balance->index_by_name, name);
 
-  return known != NULL ? make_id (balance, pointer_place (known)) : 0;
+  return found != NULL ? make_id (balance, pointer_to_index (found)) : 0;
 }
 
 void
@@ -611,65 +637,67 @@
               bool on)
 {
   uint32_t index = find_index (balance, id);
-  bool wanted;
-  hot_t *hot;
-  const cold_t *cold;
+  bool was_accepted;
+  upstream_state_t *state;
+  const upstream_record_t *record;
 
-  if (index == NOBODY)
+  if (index == NO_UPSTREAM)
     return;
-  hot = &balance->hot[index];
-  cold = &balance->cold[index];
-  if (((hot->marks & mark) != 0) == on)
+  state = &balance->states[index];
+  record = &balance->records[index];
+  if (((state->marks & mark) != 0) == on)
     return;
-  wanted = subset_wants (hot);
-  hot->marks ^= (uint8_t)mark;
-  if (hot->marks == 0)
+  was_accepted = subset_accepts (state);
+  state->marks ^= (uint8_t)mark;
+  if (state->marks == 0)
     {
-      begin_ramp (balance, hot);
-      hot->penalty = 0;
+      start_ramp (balance, state);
+      state->penalty = 0;
     }
-  if (subset_wants (hot) == wanted)
+  if (subset_accepts (state) == was_accepted)
     return;
-  for (uint32_t i = 0; i < cold->pool_count; i++)
+  for (uint32_t i = 0; i < record->pool_count; i++)
     {
-      bucket_t *bucket = bucket_of (balance, index, cold->pools[i]);
+      zone_pool_t *zone_pool = zone_pool_of (balance, index, record->pools[i]);
 
-      if (wanted)
-        subset_drop (balance, bucket, index);
+      if (was_accepted)
+        subset_remove (balance, zone_pool, index);
       else
-        subset_offer (balance, bucket, index);
+        subset_add_if_ranked (balance, zone_pool, index);
     }
 }
 
 void
 balance_set_zone (balance_t *balance, str_t zone, bool in)
 {
-  /* A new zone may move the array: look the place up first.  */
-  uint16_t number = find_zone (balance, zone);
-  zone_t *state = balance->zones[number].zone;
+  /* Adding a zone may move the array, so the number is looked up first.  */
+  uint16_t number = find_or_add_zone (balance, zone);
+  zone_t *found = balance->zones[number].zone;
 
   if (in)
-    zone_in (state, clock_ms (balance->clock));
+    zone_in (found, clock_ms (balance->clock));
   else
-    zone_out (state);
+    zone_out (found);
 }
 
 /* Load.  */
 
 static void
-take_slots (hot_t *hot, uint32_t slots)
+update_slots (upstream_state_t *state, uint32_t slots)
 {
-  float usual = hot->usual;
+  float average_slots_16ths = state->average_slots_16ths;
 
   if (slots == 0)
     slots = 1;
   if (slots > SLOTS_MAX)
     slots = SLOTS_MAX;
-  hot->slots = (uint16_t)slots;
-  if ((hot->flags & REPORTED) == 0)
-    usual = (float)(slots * USUAL_ONE);
-  usual += USUAL_GAIN * ((float)(slots * USUAL_ONE) - usual);
-  hot->usual = (uint16_t)usual;
+  state->slots = (uint16_t)slots;
+  if ((state->flags & FLAG_REPORTED) == 0)
+    average_slots_16ths = (float)(slots * FIXED_POINT_ONE);
+  average_slots_16ths
+      += SLOTS_AVERAGE_WEIGHT
+         * ((float)(slots * FIXED_POINT_ONE) - average_slots_16ths);
+  state->average_slots_16ths = (uint16_t)average_slots_16ths;
 }
 
 void
@@ -677,104 +705,115 @@
                 const balance_load_t *load, uint64_t age_ms)
 {
   uint32_t index = find_index (balance, id);
-  uint32_t now = tick_of (clock_ms (balance->clock));
-  uint32_t tick = now - tick_of (age_ms);
-  const cold_t *cold;
-  hot_t *hot;
+  uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
+  uint32_t tick = now_ticks - ms_to_ticks (age_ms);
+  const upstream_record_t *record;
+  upstream_state_t *state;
 
-  if (index == NOBODY)
+  if (index == NO_UPSTREAM)
     return;
-  hot = &balance->hot[index];
-  cold = &balance->cold[index];
-  /* Guards against reports that cross: one which is older than what is known
-     would bring back a load that is gone.  */
-  if ((hot->flags & REPORTED) != 0 && (int32_t)(tick - hot->reported) < 0)
+  state = &balance->states[index];
+  record = &balance->records[index];
+  /* Reports may arrive out of order.  One that is older than the last would
+     restore a load that no longer exists.  */
+  if ((state->flags & FLAG_REPORTED) != 0
+      && (int32_t)(tick - state->reported_tick) < 0)
     return;
-  take_slots (hot, load->slots);
-  hot->flags |= REPORTED;
-  hot->reported = tick;
-  hot->others = load->in_flight > hot->in_flight
-                    ? (float)(load->in_flight - hot->in_flight)
-                    : 0;
-  for (uint32_t i = 0; i < cold->pool_count; i++)
+  update_slots (state, load->slots);
+  state->flags |= FLAG_REPORTED;
+  state->reported_tick = tick;
+  state->other_load = load->in_flight > state->in_flight
+                          ? (float)(load->in_flight - state->in_flight)
+                          : 0;
+  for (uint32_t i = 0; i < record->pool_count; i++)
     {
-      pool_t *pool = &balance->pools[cold->pools[i]];
-      float slots = hot->slots;
-
-      pool->mean_others
-          += MEAN_GAIN * (hot->others / slots - pool->mean_others);
-      pool->mean_load
-          += MEAN_GAIN * ((float)load->in_flight / slots - pool->mean_load);
-      pool->reported = now;
+      upstream_pool_t *pool = &balance->pools[record->pools[i]];
+      float slots = state->slots;
+
+      pool->mean_other_load
+          += POOL_AVERAGE_WEIGHT
+             * (state->other_load / slots - pool->mean_other_load);
+      pool->mean_load += POOL_AVERAGE_WEIGHT
+                         * ((float)load->in_flight / slots - pool->mean_load);
+      pool->reported_tick = now_ticks;
     }
 }
 
-/* What one choice works with.  */
+/* The data of one selection.  */
 typedef struct
 {
   const balance_request_t *request;
-  const pool_t *pool;
+  const upstream_pool_t *pool;
   uint64_t now_ms;
-  uint32_t now;
-  double share; /* Of the zone looked at.  */
+  uint32_t now_ticks;
+  double traffic_share; /* Share of traffic that the examined zone gets, 0
+                           to 1.  */
 } choice_t;
 
+/* Return VALUE weighted by its age: a half at an age of HALF_MS, a third at
+   twice that age.  */
 static float
-faded (float value, uint32_t age, float half_ms)
+weigh_by_age (float value, uint32_t age_ticks, float half_ms)
 {
-  return value * half_ms / (half_ms + ticks_ms (age));
+  return value * half_ms / (half_ms + ticks_to_ms (age_ticks));
 }
 
-/* Return what is left of the penalty of HOT at NOW.  Truly halved: one that
-   fades as a report does would still weigh on an upstream of few slots when
-   that had long been well.  */
+/* Return the failure penalty of STATE at NOW_TICKS.  It decays exponentially:
+   with the slower decay of reports it would still keep requests away from an
+   upstream of few slots long after its recovery.  */
 static float
-penalty_left (const hot_t *hot, uint32_t now)
+decayed_penalty (const upstream_state_t *state, uint32_t now_ticks)
 {
-  return hot->penalty
-         * exp2f (-ticks_ms (now - hot->penalised) / BALANCE_PENALTY_MS);
+  return state->penalty
+         * exp2f (-ticks_to_ms (now_ticks - state->penalty_tick)
+                  / BALANCE_PENALTY_MS);
 }
 
-/* Return the load of HOT with one request more: 1 when that fills it.  */
+/* Return the load of the upstream of STATE with one more request; 1 if that
+   takes its last slot.  */
 static float
-load_with_one (const choice_t *choice, hot_t *hot)
-{
-  float room = (float)hot->usual / USUAL_ONE;
-  float others = 0;
-  float load = (float)hot->in_flight + 1;
-  uint32_t age = choice->now - hot->reported;
-
-  /* Guards against herding: an old report sends every entry to the upstream
-     that was idle when it was made, so it counts less with its age, and what
-     is usual counts more.  */
-  if ((hot->flags & REPORTED) != 0)
-    room += faded (hot->slots - room, age, BALANCE_REPORT_MS);
-  others = choice->pool->mean_others * room;
-  if ((hot->flags & REPORTED) != 0)
-    others += faded (hot->others - others, age, BALANCE_REPORT_MS);
-  room *= (float)choice->share;
-  if (others > 0)
-    load += others;
-  if (hot->penalty > 0)
-    load += penalty_left (hot, choice->now);
-  if ((hot->flags & RAMPING) != 0)
+load_with_request (const choice_t *choice, upstream_state_t *state)
+{
+  float effective_slots = (float)state->average_slots_16ths / FIXED_POINT_ONE;
+  float other_load = 0;
+  float load = (float)state->in_flight + 1;
+  uint32_t age_ticks = choice->now_ticks - state->reported_tick;
+
+  /* An old report would make all gateways select the upstream that was idle
+     when the report was made (herding).  The weight of a report therefore
+     falls with its age, and the weight of the averages rises.  */
+  if ((state->flags & FLAG_REPORTED) != 0)
+    effective_slots += weigh_by_age (state->slots - effective_slots, age_ticks,
+                                     BALANCE_REPORT_MS);
+  other_load = choice->pool->mean_other_load * effective_slots;
+  if ((state->flags & FLAG_REPORTED) != 0)
+    other_load += weigh_by_age (state->other_load - other_load, age_ticks,
+                                BALANCE_REPORT_MS);
+  effective_slots *= (float)choice->traffic_share;
+  if (other_load > 0)
+    load += other_load;
+  if (state->penalty > 0)
+    load += decayed_penalty (state, choice->now_ticks);
+  if ((state->flags & FLAG_RAMPING) != 0)
     {
-      uint64_t age_ms = (uint64_t)(choice->now - hot->ramp) << TICK_SHIFT;
-      double ramp = zone_ramp (0, BALANCE_RAMP_MS, age_ms);
+      uint64_t age_ms = (uint64_t)(choice->now_ticks - state->ramp_tick)
+                        << TICK_SHIFT;
+      double ramp_share = zone_ramp (0, BALANCE_RAMP_MS, age_ms);
 
-      if (ramp >= 1)
-        hot->flags &= (uint8_t)~RAMPING;
-      room *= (float)ramp;
+      if (ramp_share >= 1)
+        state->flags &= (uint8_t)~FLAG_RAMPING;
+      effective_slots *= (float)ramp_share;
     }
-  return load / room;
+  return load / effective_slots;
 }
 
 static bool
-may_take (const balance_t *balance, const choice_t *choice, uint32_t index)
+is_selectable (const balance_t *balance, const choice_t *choice,
+               uint32_t index)
 {
   const balance_request_t *request = choice->request;
 
-  if (balance->hot[index].marks != 0)
+  if (balance->states[index].marks != 0)
     return false;
   for (size_t i = 0; i < request->tried_count; i++)
     if ((request->tried[i] & INDEX_MASK) == index)
@@ -784,40 +823,40 @@
 
 typedef struct
 {
-  uint32_t index; /* NOBODY when there is none.  */
+  uint32_t index; /* NO_UPSTREAM if there is none.  */
   float load;
 } candidate_t;
 
 static void
-consider (const balance_t *balance, const choice_t *choice, uint32_t index,
-          candidate_t *best)
+consider_candidate (const balance_t *balance, const choice_t *choice,
+                    uint32_t index, candidate_t *best)
 {
   float load;
 
-  if (!may_take (balance, choice, index))
+  if (!is_selectable (balance, choice, index))
     return;
-  load = load_with_one (choice, &balance->hot[index]);
-  if (best->index != NOBODY && load >= best->load)
+  load = load_with_request (choice, &balance->states[index]);
+  if (best->index != NO_UPSTREAM && load >= best->load)
     return;
   best->index = index;
   best->load = load;
 }
 
-/* Return the better of two upstreams drawn from BUCKET.  Draws that find no
-   free slot are repeated a few times: with half of a pool full every fourth
-   pair is.  When marks and earlier tries leave none of those drawn, all of the
-   subset are looked at.  */
+/* Return the less loaded of two upstreams drawn at random from the subset of
+   ZONE_POOL.  A draw that finds no free slot is repeated a few times, because
+   with half of the pool full every fourth pair is full.  If marks and former
+   tries exclude all upstreams drawn, the whole subset is examined.  */
 static candidate_t
-choose_of_two (const balance_t *balance, const choice_t *choice,
-               const bucket_t *bucket)
+choose_best_of_two (const balance_t *balance, const choice_t *choice,
+                    const zone_pool_t *zone_pool)
 {
-  candidate_t best = { NOBODY, 0 };
-  uint32_t n = bucket->subset_count;
+  candidate_t best = { NO_UPSTREAM, 0 };
+  uint32_t n = zone_pool->subset_count;
 
   if (n == 0)
     return best;
-  for (int try = 0;
-       n > 2 && try < SAMPLE_TRIES && (best.index == NOBODY || best.load > 1);
+  for (int try = 0; n > 2 && try < DRAWS_MAX
+                    && (best.index == NO_UPSTREAM || best.load > 1);
        try++)
     {
       uint32_t a = (uint32_t)rng_below (balance->rng, n);
@@ -825,121 +864,131 @@
 
       if (b >= a)
         b++;
-      consider (balance, choice, bucket->subset[a].index, &best);
-      consider (balance, choice, bucket->subset[b].index, &best);
+      consider_candidate (balance, choice, zone_pool->subset[a].index, &best);
+      consider_candidate (balance, choice, zone_pool->subset[b].index, &best);
     }
-  for (uint32_t i = 0; i < n && best.index == NOBODY; i++)
-    consider (balance, choice, bucket->subset[i].index, &best);
+  for (uint32_t i = 0; i < n && best.index == NO_UPSTREAM; i++)
+    consider_candidate (balance, choice, zone_pool->subset[i].index, &best);
   if (n == 2)
-    consider (balance, choice, bucket->subset[1].index, &best);
+    consider_candidate (balance, choice, zone_pool->subset[1].index, &best);
   return best;
 }
 
-/* Return whether a home may take one more: it has a free slot, or is not much
-   more loaded than the pool.  */
+/* Return whether affinity may send a request to upstream INDEX: it has a free
+   slot, or its load is at most BALANCE_AFFINITY_BOUND times the mean load of
+   the pool.  */
 static bool
-within_bound (const balance_t *balance, const choice_t *choice, uint32_t index)
+is_within_affinity_bound (const balance_t *balance, const choice_t *choice,
+                          uint32_t index)
 {
   float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_BOUND;
 
   if (bound < 1)
     bound = 1;
-  return may_take (balance, choice, index)
-         && load_with_one (choice, &balance->hot[index]) <= bound;
+  return is_selectable (balance, choice, index)
+         && load_with_request (choice, &balance->states[index]) <= bound;
 }
 
-/* Return where the last cache event saw the request's prefix, if that still
-   holds and is in the own zone; NOBODY otherwise.  */
+/* Return the upstream that has cached the request's prefix according to the
+   last cache event.  Return NO_UPSTREAM if there is no valid event, or if the
+   upstream is in another zone or no longer serves the pool.  */
 static uint32_t
-hinted (const balance_t *balance, const choice_t *choice)
+hinted_upstream (const balance_t *balance, const choice_t *choice)
 {
   uint64_t affinity = choice->request->affinity;
-  const hint_t *hint = &balance->hints[mix (affinity) % BALANCE_HINTS];
+  const cache_hint_t *hint
+      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINTS];
   uint32_t index;
 
   if (hint->affinity != affinity
-      || ticks_ms (choice->now - hint->tick) > BALANCE_HINT_MS)
-    return NOBODY;
+      || ticks_to_ms (choice->now_ticks - hint->tick) > BALANCE_HINT_MS)
+    return NO_UPSTREAM;
   index = find_index (balance, hint->id);
-  if (index == NOBODY || balance->hot[index].zone != balance->own_zone
-      || !serves (&balance->cold[index], choice->request->pool))
-    return NOBODY;
+  if (index == NO_UPSTREAM || balance->states[index].zone != balance->own_zone
+      || !serves_pool (&balance->records[index], choice->request->pool))
+    return NO_UPSTREAM;
   return index;
 }
 
-/* Return the home of the request in BUCKET, or the next upstream on the ring
-   that is within the bound; NOBODY when the walk finds none.  */
+/* Return the first upstream on the hash ring of ZONE_POOL, at or after the
+   hash of the request's affinity, whose load is within the affinity bound.
+   Return NO_UPSTREAM if BALANCE_AFFINITY_WALK steps find none.  */
 static uint32_t
-choose_home (const balance_t *balance, const choice_t *choice,
-             const bucket_t *bucket)
+choose_by_affinity (const balance_t *balance, const choice_t *choice,
+                    const zone_pool_t *zone_pool)
 {
-  uint32_t point = (uint32_t)(mix (choice->request->affinity) >> 32);
-  uint32_t steps = bucket->count;
+  uint32_t hash = (uint32_t)(splitmix64 (choice->request->affinity) >> 32);
+  uint32_t steps = zone_pool->count;
   uint32_t at;
 
   if (steps > BALANCE_AFFINITY_WALK)
     steps = BALANCE_AFFINITY_WALK;
-  at = ring_search (bucket, point);
+  at = ring_search (zone_pool, hash);
   for (; steps > 0; steps--, at++)
     {
-      if (at >= bucket->count)
+      if (at >= zone_pool->count)
         at = 0;
-      if (within_bound (balance, choice, bucket->ring[at].index))
-        return bucket->ring[at].index;
+      if (is_within_affinity_bound (balance, choice,
+                                    zone_pool->ring[at].index))
+        return zone_pool->ring[at].index;
     }
-  return NOBODY;
+  return NO_UPSTREAM;
 }
 
-/* Return the best candidate outside the own zone.  */
+/* Return the least loaded candidate in the zones other than the gateway's
+   own.  */
 static candidate_t
-choose_elsewhere (const balance_t *balance, choice_t *choice)
+choose_in_other_zones (const balance_t *balance, choice_t *choice)
 {
-  candidate_t best = { NOBODY, 0 };
+  candidate_t best = { NO_UPSTREAM, 0 };
 
   for (uint32_t z = 0; z < balance->zone_count; z++)
     {
       candidate_t found;
 
-      choice->share = zone_share (balance->zones[z].zone, choice->now_ms);
-      if (z == balance->own_zone || choice->share == 0)
+      choice->traffic_share
+          = zone_share (balance->zones[z].zone, choice->now_ms);
+      if (z == balance->own_zone || choice->traffic_share == 0)
         continue;
-      found = choose_of_two (balance, choice, &choice->pool->buckets[z]);
-      if (found.index != NOBODY
-          && (best.index == NOBODY || found.load < best.load))
+      found
+          = choose_best_of_two (balance, choice, &choice->pool->zone_pools[z]);
+      if (found.index != NO_UPSTREAM
+          && (best.index == NO_UPSTREAM || found.load < best.load))
         best = found;
     }
   return best;
 }
 
-/* Return the upstream for CHOICE, or NOBODY.  */
+/* Return the upstream for the request of CHOICE, or NO_UPSTREAM.  */
 static uint32_t
-choose (const balance_t *balance, choice_t *choice)
+choose_upstream (const balance_t *balance, choice_t *choice)
 {
-  const bucket_t *own = &choice->pool->buckets[balance->own_zone];
-  candidate_t best = { NOBODY, 0 };
+  const zone_pool_t *own = &choice->pool->zone_pools[balance->own_zone];
+  candidate_t best = { NO_UPSTREAM, 0 };
   candidate_t other;
 
-  choice->share
+  choice->traffic_share
       = zone_share (balance->zones[balance->own_zone].zone, choice->now_ms);
-  if (choice->share > 0)
+  if (choice->traffic_share > 0)
     {
       if (choice->request->affinity != BALANCE_NO_AFFINITY)
         {
-          uint32_t index = hinted (balance, choice);
+          uint32_t index = hinted_upstream (balance, choice);
 
-          if (index != NOBODY && within_bound (balance, choice, index))
+          if (index != NO_UPSTREAM
+              && is_within_affinity_bound (balance, choice, index))
             return index;
-          index = choose_home (balance, choice, own);
-          if (index != NOBODY)
+          index = choose_by_affinity (balance, choice, own);
+          if (index != NO_UPSTREAM)
             return index;
         }
-      best = choose_of_two (balance, choice, own);
-      if (best.index != NOBODY && best.load <= 1)
+      best = choose_best_of_two (balance, choice, own);
+      if (best.index != NO_UPSTREAM && best.load <= 1)
         return best.index;
     }
-  other = choose_elsewhere (balance, choice);
-  if (best.index == NOBODY
-      || (other.index != NOBODY
+  other = choose_in_other_zones (balance, choice);
+  if (best.index == NO_UPSTREAM
+      || (other.index != NO_UPSTREAM
           && other.load + (float)BALANCE_SPILL_MARGIN < best.load))
     return other.index;
   return best.index;
@@ -956,9 +1005,9 @@
     return VH_E_NO_UPSTREAM;
   choice.pool = &balance->pools[request->pool];
   choice.now_ms = clock_ms (balance->clock);
-  choice.now = tick_of (choice.now_ms);
-  index = choose (balance, &choice);
-  if (index == NOBODY)
+  choice.now_ticks = ms_to_ticks (choice.now_ms);
+  index = choose_upstream (balance, &choice);
+  if (index == NO_UPSTREAM)
     return VH_E_NO_UPSTREAM;
   *id = make_id (balance, index);
   return VH_OK;
@@ -969,60 +1018,63 @@
 {
   uint32_t index = find_index (balance, id);
 
-  if (index != NOBODY && balance->hot[index].in_flight < UINT16_MAX)
-    balance->hot[index].in_flight++;
+  if (index != NO_UPSTREAM && balance->states[index].in_flight < UINT16_MAX)
+    balance->states[index].in_flight++;
 }
 
 void
 balance_ended (balance_t *balance, upstream_id_t id, bool ok)
 {
   uint32_t index = find_index (balance, id);
-  uint32_t now;
-  hot_t *hot;
+  uint32_t now_ticks;
+  upstream_state_t *state;
 
-  if (index == NOBODY)
+  if (index == NO_UPSTREAM)
     return;
-  hot = &balance->hot[index];
-  if (hot->in_flight > 0)
-    hot->in_flight--;
+  state = &balance->states[index];
+  if (state->in_flight > 0)
+    state->in_flight--;
   if (ok)
     return;
-  /* Guards against an upstream that fails at once: with nothing in flight it
-     would look the least loaded, and draw the traffic.  */
-  now = tick_of (clock_ms (balance->clock));
-  hot->penalty = penalty_left (hot, now) + BALANCE_PENALTY;
-  if (hot->penalty > PENALTY_MAX)
-    hot->penalty = PENALTY_MAX;
-  hot->penalised = now;
+  /* An upstream that fails fast has no requests in flight, so by load alone it
+     would be preferred and get most of the traffic.  */
+  now_ticks = ms_to_ticks (clock_ms (balance->clock));
+  state->penalty = decayed_penalty (state, now_ticks) + BALANCE_PENALTY;
+  if (state->penalty > PENALTY_MAX)
+    state->penalty = PENALTY_MAX;
+  state->penalty_tick = now_ticks;
 }
 
 void
 balance_cache_event (balance_t *balance, upstream_id_t id, uint64_t affinity,
                      bool stored)
 {
-  hint_t *hint = &balance->hints[mix (affinity) % BALANCE_HINTS];
+  cache_hint_t *hint
+      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINTS];
 
   if (stored)
-    *hint = (hint_t){ affinity, id, tick_of (clock_ms (balance->clock)) };
+    *hint = (cache_hint_t){ affinity, id,
+                            ms_to_ticks (clock_ms (balance->clock)) };
   else if (hint->affinity == affinity && hint->id == id)
-    *hint = (hint_t){ 0 };
+    *hint = (cache_hint_t){ 0 };
 }
 
 double
 balance_pressure (const balance_t *balance, pool_id_t pool)
 {
-  uint32_t now = tick_of (clock_ms (balance->clock));
-  const pool_t *at;
+  uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
+  const upstream_pool_t *at;
 
   if (pool >= balance->pool_count)
     return 0;
   at = &balance->pools[pool];
-  return faded (at->mean_load, now - at->reported, BALANCE_PRESSURE_MS);
+  return weigh_by_age (at->mean_load, now_ticks - at->reported_tick,
+                       BALANCE_PRESSURE_MS);
 }
 
 size_t
 balance_subset (const balance_t *balance, pool_id_t pool, upstream_id_t *ids,
-                size_t room)
+                size_t capacity)
 {
   size_t count = 0;
 
@@ -1030,50 +1082,53 @@
     return 0;
   for (uint32_t z = 0; z < balance->zone_count; z++)
     {
-      const bucket_t *bucket = &balance->pools[pool].buckets[z];
+      const zone_pool_t *zone_pool = &balance->pools[pool].zone_pools[z];
 
-      for (uint32_t i = 0; i < bucket->subset_count; i++, count++)
-        if (count < room)
-          ids[count] = make_id (balance, bucket->subset[i].index);
+      for (uint32_t i = 0; i < zone_pool->subset_count; i++, count++)
+        if (count < capacity)
+          ids[count] = make_id (balance, zone_pool->subset[i].index);
     }
   return count;
 }
 
-/* Return the load of upstream INDEX as it is compared, in the first pool it
-   serves.  */
+/* Return the load of upstream INDEX as selections compare it, in the first
+   pool that it serves; 0 if it serves none.  */
 static double
-compared_load (balance_t *balance, uint32_t index)
+current_load (balance_t *balance, uint32_t index)
 {
-  hot_t *hot = &balance->hot[index];
-  const cold_t *cold = &balance->cold[index];
+  upstream_state_t *state = &balance->states[index];
+  const upstream_record_t *record = &balance->records[index];
   choice_t choice = { .now_ms = clock_ms (balance->clock) };
 
-  if (cold->pool_count == 0)
+  if (record->pool_count == 0)
     return 0;
-  choice.now = tick_of (choice.now_ms);
-  choice.pool = &balance->pools[cold->pools[0]];
-  choice.share = zone_share (balance->zones[hot->zone].zone, choice.now_ms);
-  return choice.share > 0 ? load_with_one (&choice, hot) : INFINITY;
+  choice.now_ticks = ms_to_ticks (choice.now_ms);
+  choice.pool = &balance->pools[record->pools[0]];
+  choice.traffic_share
+      = zone_share (balance->zones[state->zone].zone, choice.now_ms);
+  return choice.traffic_share > 0 ? load_with_request (&choice, state)
+                                  : INFINITY;
 }
 
 static void
 fill_info (balance_t *balance, uint32_t index, balance_info_t *info)
 {
-  const hot_t *hot = &balance->hot[index];
-  const cold_t *cold = &balance->cold[index];
-  const place_t *place = &balance->zones[hot->zone];
-  uint32_t now = tick_of (clock_ms (balance->clock));
+  const upstream_state_t *state = &balance->states[index];
+  const upstream_record_t *record = &balance->records[index];
+  const named_zone_t *named_zone = &balance->zones[state->zone];
+  uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
 
   info->id = make_id (balance, index);
-  info->name = str_make (cold->name, cold->name_len);
-  info->zone = str_make (place->name, place->name_len);
-  info->marks = hot->marks;
-  info->in_flight = hot->in_flight;
-  info->slots = hot->slots;
-  info->report_age_ms = (hot->flags & REPORTED) != 0
-                            ? (uint64_t)(now - hot->reported) << TICK_SHIFT
+  info->name = str_make (record->name, record->name_len);
+  info->zone = str_make (named_zone->name, named_zone->name_len);
+  info->marks = state->marks;
+  info->in_flight = state->in_flight;
+  info->slots = state->slots;
+  info->report_age_ms = (state->flags & FLAG_REPORTED) != 0
+                            ? (uint64_t)(now_ticks - state->reported_tick)
+                                  << TICK_SHIFT
                             : UINT64_MAX;
-  info->load = compared_load (balance, index);
+  info->load = current_load (balance, index);
 }
 
 bool
@@ -1081,7 +1136,7 @@
 {
   uint32_t index = find_index (balance, id);
 
-  if (index == NOBODY)
+  if (index == NO_UPSTREAM)
     return false;
   fill_info (balance, index, info);
   return true;
@@ -1094,7 +1149,7 @@
     {
       uint32_t index = (uint32_t)*cursor;
 
-      if ((balance->hot[index].flags & KNOWN) == 0)
+      if ((balance->states[index].flags & FLAG_IN_USE) == 0)
         continue;
       ++*cursor;
       fill_info (balance, index, info);
@@ -1106,5 +1161,5 @@
 size_t
 balance_known (const balance_t *balance)
 {
-  return map_size (balance->names);
+  return map_size (balance->index_by_name);
 }
--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -1,56 +1,59 @@
-/* Where a request is sent.
-
-   Answers: unlike and changing upstreams (one slow, one just returned, a zone
-   gone), many entries that decide at the same time on load reports which are
-   already old, prompts whose prefix is cached at one place, and pools of up to
-   11,000.  Without it: round robin keeps feeding a slow upstream until all
-   wait for it; least load by report sends every entry to the same upstream
-   until the next report comes (herding); a returned zone gets everything at
-   once.
-
-   How it decides:
-   - Of each pool an entry uses a subset: those of its own zone that rank
-     highest for this entry (rendezvous hashing), and a smaller set of other
-     zones.  Every entry can work it out alone, and a change of membership
-     changes few connections.
-   - Of the subset two are drawn, and the less loaded one is taken.  Load is
-     what this entry has in flight itself, exact and current, plus what a
-     report says of others, which counts less the older it is: a report of age
-     BALANCE_REPORT_MS counts half, the rest is the pool's mean.
-   - Another zone is used when the better of two in the own zone has no free
-     slot and one elsewhere is less loaded by BALANCE_SPILL_MARGIN.
-   - A request with an affinity (prompt prefix or session) goes first to its
-     home, the first upstream at or after its point on a hash ring of the
-     zone, or to where cache events last put the prefix; unless that is loaded
-     past the bound, when it walks on.
-   - An upstream or zone that returns is taken for smaller than it is, until
-     its ramp ends (see zone).  Failures count as load for a while, so that one
-     that fails at once does not look idle.
-
-   The figures:
-   - BALANCE_SUBSET_OWN 96, BALANCE_SUBSET_OTHER 16 of each other zone: with
-     730 entries, 11,000 upstreams of one pool and three zones each upstream is
-     used by 730 * 128 / 11,000 = 8.5 entries on average, and by none with
-     probability e^-8.5 = 0.02%; today's pools fit whole.
-   - BALANCE_REPORT_MS 100: what is in flight changes wholly in the time of a
-     short job, some hundred milliseconds.  Of 100, 250, 500 and 1,000 the
-     bench found 100 best with reports up to ten seconds late, and no worse
-     with fresh ones.  The same goes for reported slots, as a limit is probing
-     all the time: an old one gives way to the upstream's usual slots.
-   - BALANCE_SPILL_MARGIN 0.25 of a full load: more than the noise between
-     two reports, so that zones do not swap their traffic.
-   - BALANCE_AFFINITY_BOUND 1.25: bounded-load consistent hashing (Mirrokni
-     et al.): a home may be loaded a quarter above the mean, or to its last
-     free slot; BALANCE_AFFINITY_WALK 4 steps reach a free one in all but a
-     full pool.
-   - BALANCE_HINT_MS 60000: cache events come late and with gaps; an engine
-     evicts a prefix nobody used for about a minute.
-   - BALANCE_RAMP_MS 3000 for a single upstream: some rounds of its limit,
-     which starts low as well; ten seconds (a trial) kept an upstream from full
-     use for ten seconds after it was warm.
-   - BALANCE_PENALTY 4 requests for a failure, halved in
-     BALANCE_PENALTY_MS 2000: the next choices pass it by, and a single
-     failure is forgotten in seconds.  */
+/* Selection of the upstream for a request among those of a pool.
+
+   Load patterns: upstreams that differ and change (one is slow, one has just
+   returned, a zone is disabled), many gateways that select at the same time by
+   load reports that are already old, prompts whose prefix is cached at one
+   upstream, and pools of up to 11,000 upstreams.  Without this module round
+   robin sends a slow upstream requests until all requests wait for it, least
+   load by report makes all gateways select the same upstream until the next
+   report (herding), and a zone that returns gets all traffic immediately.
+
+   How an upstream is selected:
+   - A gateway uses a subset of each pool: the upstreams of its own zone that
+     rank highest for this gateway (rendezvous hashing), and fewer of each
+     other zone.  Gateways compute their subsets independently, and a change of
+     membership changes few connections.
+   - Two upstreams of the subset are drawn at random, and the less loaded is
+     selected.  The load is the gateway's own requests in flight, which are
+     exact and current, plus the reported load of other gateways.  A report of
+     age BALANCE_REPORT_MS counts half, and the mean of the pool replaces the
+     other half.
+   - Another zone is used if the less loaded of the two has no free slot, and
+     an upstream of the other zone is less loaded by BALANCE_SPILL_MARGIN.
+   - A request with an affinity (prompt prefix or session) goes to the upstream
+     that has the prefix cached according to cache events, or else to the first
+     one at or after the affinity's hash on a hash ring of the zone.  If the
+     load of that upstream exceeds the bound, the next ones on the ring are
+     tried.
+   - An upstream or zone that returns counts as smaller than it is until its
+     ramp ends (see zone).  Failures count as load for a while, so that an
+     upstream that fails fast does not appear idle.
+
+   Constants:
+   - BALANCE_SUBSET_OWN 96, BALANCE_SUBSET_OTHER 16 for each other zone: with
+     730 gateways, 11,000 upstreams of one pool and three zones, an upstream is
+     used by 730 * 128 / 11,000 = 8.5 gateways on average, and by none with
+     probability e^-8.5 = 0.02%.  Smaller pools are used whole.
+   - BALANCE_REPORT_MS 100: the requests in flight are replaced entirely within
+     the time of a short request, some hundred milliseconds.  Of 100, 250, 500
+     and 1,000, 100 was best with reports up to ten seconds late, and no worse
+     with current ones.  Reported slots decay alike towards the upstream's
+     average, because its concurrency limit probes upwards and downwards all
+     the time.
+   - BALANCE_SPILL_MARGIN 0.25 of a full load: more than the noise between two
+     reports, so that zones do not exchange their traffic.
+   - BALANCE_AFFINITY_BOUND 1.25: consistent hashing with bounded loads
+     (Mirrokni et al.).  Affinity may load an upstream to a quarter above the
+     pool's mean, or to its last free slot.  BALANCE_AFFINITY_WALK 4 steps on
+     the ring find a free upstream unless the pool is full.
+   - BALANCE_HINT_MS 60000: cache events arrive late and some are lost; an
+     engine evicts a prefix that was not used for about a minute.
+   - BALANCE_RAMP_MS 3000 for a single upstream: some adjustments of its
+     concurrency limit, which starts low as well.  With ten seconds an upstream
+     was still not fully used for ten seconds after it was warm.
+   - BALANCE_PENALTY 4 requests for a failure, halved every BALANCE_PENALTY_MS
+     2000: the next selections avoid the upstream, and a single failure has no
+     effect after some seconds.  */
 
 #ifndef POLICY_BALANCE_H
 #define POLICY_BALANCE_H
@@ -63,8 +66,8 @@
 enum
 {
   BALANCE_SUBSET_OWN = 96,
-  /* Without reports the pressure of a pool is forgotten by half in this
-     time.  */
+  /* Time since the last load report after which a pool's pressure counts
+     half.  */
   BALANCE_PRESSURE_MS = 5000,
   BALANCE_SUBSET_OTHER = 16,
   BALANCE_REPORT_MS = 100,
@@ -83,32 +86,33 @@
 
 typedef struct balance balance_t;
 
-/* Names an upstream while it is known; one that was removed is never mistaken
-   for its successor in the same place.  0 names none.  */
+/* Identifies an upstream until it is removed; 0 for none.  The id contains a
+   generation, so that the id of a removed upstream does not match one that
+   reuses its memory.  */
 typedef uint32_t upstream_id_t;
-/* Names a pool: all upstreams that serve one version or service.  */
+/* Identifies a pool: all upstreams that serve one version or service.  */
 typedef uint32_t pool_id_t;
 
 typedef enum
 {
-  BALANCE_DRAINING = 1, /* Said so itself, or by the platform's list.  */
-  BALANCE_EJECTED = 2,  /* By outlier.  */
-  BALANCE_OUT = 4,      /* By operators.  */
-  BALANCE_DOWN = 8      /* No connection can be made.  */
+  BALANCE_DRAINING = 1, /* Reported by the upstream or by the platform.  */
+  BALANCE_EJECTED = 2,  /* Ejected by outlier detection.  */
+  BALANCE_OUT = 4,      /* Disabled by operators.  */
+  BALANCE_DOWN = 8      /* No connection can be opened.  */
 } balance_mark_t;
 
-/* What a sidecar reports of its upstream.  */
+/* The load that a sidecar reports for its upstream.  */
 typedef struct
 {
-  uint32_t in_flight; /* Running, and queue_load of what waits.  */
-  uint32_t slots;     /* How many it runs at a time.  */
+  uint32_t in_flight; /* Running requests plus queue_load of the queue.  */
+  uint32_t slots;     /* Number of requests that it runs concurrently.  */
 } balance_load_t;
 
 typedef struct
 {
   pool_id_t pool;
   uint64_t affinity; /* Hash of prefix or session, or BALANCE_NO_AFFINITY.  */
-  const upstream_id_t *tried; /* Not to be taken again.  */
+  const upstream_id_t *tried; /* Upstreams not to be selected again.  */
   size_t tried_count;
 } balance_request_t;
 
@@ -117,69 +121,77 @@
   upstream_id_t id;
   str_t name;
   str_t zone;
-  unsigned marks;     /* balance_mark_t, ORed.  */
-  uint32_t in_flight; /* Of this entry.  */
+  unsigned marks;     /* Bitwise OR of balance_mark_t values.  */
+  uint32_t in_flight; /* Requests of this gateway in flight.  */
   uint32_t slots;
-  uint64_t report_age_ms; /* UINT64_MAX when there was none.  */
-  double load;            /* As it is compared: 1 is full.  */
+  uint64_t report_age_ms; /* UINT64_MAX if there was no report.  */
+  double load;            /* Load as compared in selections; 1 is full.  */
 } balance_info_t;
 
-/* SELF is the entry's name and ZONE its zone.  CLOCK and RNG are borrowed.  */
-balance_t *balance_create (str_t self, str_t zone, clock_iface_t *clock,
-                           rng_t *rng);
+/* Create the balancer of the gateway GATEWAY_NAME in ZONE.  CLOCK and RNG are
+   borrowed.  */
+balance_t *balance_create (str_t gateway_name, str_t zone,
+                           clock_iface_t *clock, rng_t *rng);
 void balance_destroy (balance_t *balance);
 
-/* Return the id of the pool NAME ("draft-small@3"), made on first use.  */
+/* Return the id of the pool NAME, such as "draft-small@3", which is created if
+   it does not exist.  */
 pool_id_t balance_pool (balance_t *balance, str_t name);
 
-/* Make upstream NAME known, in ZONE, serving POOLS; or change what is known of
-   it, in place when the zone stays.  A new one starts with its ramp if
-   RETURNING.  Return its id.  */
+/* Add upstream NAME in ZONE, serving POOLS, or set the zone and pools of the
+   existing one.  A new upstream starts with a ramp if RETURNING is set.
+   Return the upstream's id, which does not change until it is removed.  */
 upstream_id_t balance_update (balance_t *balance, str_t name, str_t zone,
                               const str_t *pools, size_t pool_count,
                               bool returning);
-/* Forget upstream NAME.  */
+/* Remove upstream NAME.  Does nothing if there is none.  */
 void balance_remove (balance_t *balance, str_t name);
-/* Return the id of upstream NAME, or 0.  */
+/* Return the id of upstream NAME, or 0 if there is none.  */
 upstream_id_t balance_find (const balance_t *balance, str_t name);
 
-/* Set or clear MARK on ID; a marked upstream gets no new requests.  When the
-   last mark goes, the upstream's ramp begins.  */
+/* Set or clear MARK on upstream ID.  A marked upstream gets no new requests.
+   Its ramp starts when the last mark is cleared.  */
 void balance_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
                    bool on);
-/* Take ZONE out or bring it back.  */
+/* Enable ZONE with a ramp if IN is set, otherwise disable it.  */
 void balance_set_zone (balance_t *balance, str_t zone, bool in);
 
-/* Take in a load report that was true AGE_MS ago.  */
+/* Record a load report that was made AGE_MS ago.  One that is older than the
+   last report is ignored.  */
 void balance_report (balance_t *balance, upstream_id_t id,
                      const balance_load_t *load, uint64_t age_ms);
-/* Take in a cache event: the prefix AFFINITY is (or is no longer) STORED at
-   ID.  Late and missing events are harmless.  */
+/* Record a cache event: upstream ID has the prefix AFFINITY in its cache if
+   STORED is set, or has evicted it.  Events may be late or lost.  */
 void balance_cache_event (balance_t *balance, upstream_id_t id,
                           uint64_t affinity, bool stored);
 
-/* Choose the upstream for REQUEST.  Return VH_OK with *ID, or
-   VH_E_NO_UPSTREAM when none of the pool is in service.  */
+/* Select an upstream for REQUEST and store it in *ID.  Return VH_OK, or
+   VH_E_NO_UPSTREAM if no upstream of the pool can be selected.  */
 vh_code_t balance_pick (balance_t *balance, const balance_request_t *request,
                         upstream_id_t *id);
 
-/* A request was sent to ID; it ended there, well or badly.  */
+/* Count a request as sent to upstream ID.  */
 void balance_started (balance_t *balance, upstream_id_t id);
+/* Count a request at upstream ID as ended; OK is false if the upstream
+   failed.  */
 void balance_ended (balance_t *balance, upstream_id_t id, bool ok);
 
-/* Return the part of POOL that is full as far as known: the mean load, 1 when
-   every slot is taken; 0 when nothing was reported.  */
+/* Return the mean reported load per slot of POOL, which falls with the time
+   since the last report; 1 if every slot is taken, 0 if there were no
+   reports.  */
 double balance_pressure (const balance_t *balance, pool_id_t pool);
 
-/* Write the subset of POOL into IDS, at most ROOM; return how many there are.
-   These are the connections to keep.  */
+/* Write at most CAPACITY upstreams of the subset of POOL to IDS, and return
+   the size of the whole subset.  The gateway keeps connections to these
+   upstreams open.  */
 size_t balance_subset (const balance_t *balance, pool_id_t pool,
-                       upstream_id_t *ids, size_t room);
-/* Fill INFO of ID; return false when it is not known.  */
+                       upstream_id_t *ids, size_t capacity);
+/* Fill INFO for upstream ID.  Return false if there is none.  */
 bool balance_info (balance_t *balance, upstream_id_t id, balance_info_t *info);
-/* Step through the known upstreams: start with *CURSOR 0; return false at the
-   end.  */
+/* Fill INFO for the next upstream and advance *CURSOR, which starts at 0.
+   Return false after the last upstream.  */
 bool balance_next (balance_t *balance, size_t *cursor, balance_info_t *info);
+/* Return the number of upstreams.  */
 size_t balance_known (const balance_t *balance);
 
 #endif
