--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -5,64 +5,68 @@
 
 #include <stdlib.h>
 
+/* A gateway that shares the limits.  */
 typedef struct
 {
-  uint64_t hash;
-  uint64_t zone;    /* Hash of its name.  */
-  uint64_t left_ms; /* When it left the list; 0: it is listed.  */
+  uint64_t name_hash;
+  uint64_t zone_hash; /* Hash of the zone's name.  */
+  uint64_t left_ms;   /* Time at which it left the list; 0 if listed.  */
   char *name;
 } member_t;
 
 struct allotment
 {
   clock_iface_t *clock;
-  member_t *members; /* The first is this entry.  */
+  member_t *members; /* The first is this gateway.  */
   size_t count;
-  size_t room;
-  size_t leaving; /* Members that left the list.  */
-  map_t *places;  /* Name to index into MEMBERS, plus one.  */
+  size_t capacity;
+  size_t unlisted_count; /* Number of members that are no longer listed.  */
+  map_t *index_by_name; /* From name to index in MEMBERS + 1, as a pointer.  */
   uint64_t generation;
-  bool is_known;
+  bool is_loaded;
 };
 
 static void
-add (allotment_t *allotment, str_t name, str_t zone)
+add_member (allotment_t *allotment, str_t name, str_t zone)
 {
-  if (allotment->count == allotment->room)
+  if (allotment->count == allotment->capacity)
     {
-      allotment->room = allotment->room > 0 ? 2 * allotment->room : 8;
-      allotment->members = mem_realloc (
-          allotment->members, allotment->room * sizeof *allotment->members);
+      allotment->capacity
+          = allotment->capacity > 0 ? 2 * allotment->capacity : 8;
+      allotment->members
+          = mem_realloc (allotment->members,
+                         allotment->capacity * sizeof *allotment->members);
     }
   allotment->members[allotment->count++]
-      = (member_t){ .hash = str_hash (name, 0),
-                    .zone = str_hash (zone, 0),
+      = (member_t){ .name_hash = str_hash (name, 0),
+                    .zone_hash = str_hash (zone, 0),
                     .name = str_dup (name) };
-  map_put (allotment->places, name, (void *)(uintptr_t)allotment->count);
+  map_put (allotment->index_by_name, name,
+           (void *)(uintptr_t)allotment->count);
   allotment->generation++;
 }
 
 static member_t *
-find (const allotment_t *allotment, str_t name)
+find_member (const allotment_t *allotment, str_t name)
 {
-  uintptr_t place = (uintptr_t)map_get (allotment->places, name);
+  uintptr_t index_plus_1 = (uintptr_t)map_get (allotment->index_by_name, name);
 
-  return place > 0 ? &allotment->members[place - 1] : NULL;
+  return index_plus_1 > 0 ? &allotment->members[index_plus_1 - 1] : NULL;
 }
 
-/* Take the member at INDEX out; the last one moves there.  */
+/* Remove the member at INDEX; the last member moves to INDEX.  */
 static void
-drop (allotment_t *allotment, size_t index)
+remove_member (allotment_t *allotment, size_t index)
 {
   member_t *member = &allotment->members[index];
 
-  map_remove (allotment->places, str_from (member->name));
+  map_remove (allotment->index_by_name, str_from (member->name));
   free (member->name);
   *member = allotment->members[--allotment->count];
   if (index < allotment->count)
-    map_put (allotment->places, str_from (member->name),
+    map_put (allotment->index_by_name, str_from (member->name),
              (void *)(uintptr_t)(index + 1));
-  allotment->leaving--;
+  allotment->unlisted_count--;
   allotment->generation++;
 }
 
@@ -72,8 +76,8 @@
   allotment_t *allotment = mem_zalloc (sizeof *allotment);
 
   allotment->clock = clock;
-  allotment->places = map_create ();
-  add (allotment, name, zone);
+  allotment->index_by_name = map_create ();
+  add_member (allotment, name, zone);
   return allotment;
 }
 
@@ -85,45 +89,45 @@
   for (size_t i = 0; i < allotment->count; i++)
     free (allotment->members[i].name);
   free (allotment->members);
-  map_destroy (allotment->places);
+  map_destroy (allotment->index_by_name);
   free (allotment);
 }
 
 void
 allotment_put (allotment_t *allotment, str_t name, str_t zone)
 {
-  member_t *member = find (allotment, name);
+  member_t *member = find_member (allotment, name);
   uint64_t zone_hash = str_hash (zone, 0);
 
   if (member == NULL)
     {
-      add (allotment, name, zone);
+      add_member (allotment, name, zone);
       return;
     }
   if (member->left_ms != 0)
-    allotment->leaving--;
+    allotment->unlisted_count--;
   member->left_ms = 0;
-  if (member->zone == zone_hash)
+  if (member->zone_hash == zone_hash)
     return;
-  member->zone = zone_hash;
+  member->zone_hash = zone_hash;
   allotment->generation++;
 }
 
 void
 allotment_leave (allotment_t *allotment, str_t name)
 {
-  member_t *member = find (allotment, name);
+  member_t *member = find_member (allotment, name);
 
   if (member == NULL || member == allotment->members || member->left_ms != 0)
     return;
   member->left_ms = clock_ms (allotment->clock);
-  allotment->leaving++;
+  allotment->unlisted_count++;
 }
 
 void
 allotment_read (allotment_t *allotment)
 {
-  allotment->is_known = true;
+  allotment->is_loaded = true;
 }
 
 void
@@ -131,11 +135,11 @@
 {
   uint64_t now_ms = clock_ms (allotment->clock);
 
-  for (size_t i = allotment->count; allotment->leaving > 0 && i-- > 0;)
+  for (size_t i = allotment->count; allotment->unlisted_count > 0 && i-- > 0;)
     {
       uint64_t left_ms = allotment->members[i].left_ms;
       if (left_ms != 0 && now_ms - left_ms >= ALLOTMENT_KEEP_MS)
-        drop (allotment, i);
+        remove_member (allotment, i);
     }
 }
 
@@ -148,7 +152,7 @@
 bool
 allotment_is_known (const allotment_t *allotment)
 {
-  return allotment->is_known;
+  return allotment->is_loaded;
 }
 
 uint64_t
@@ -158,30 +162,31 @@
 }
 
 size_t
-allotment_rank (const allotment_t *allotment, uint64_t object, str_t zone)
+allotment_rank (const allotment_t *allotment, uint64_t object_hash, str_t zone)
 {
   const member_t *self = allotment->members;
   uint64_t zone_hash = str_hash (zone, 0);
-  uint64_t own = hash_weight (self->hash, object);
-  bool is_near = self->zone == zone_hash;
+  uint64_t own_weight = hash_weight (self->name_hash, object_hash);
+  bool is_in_zone = self->zone_hash == zone_hash;
   size_t rank = 0;
 
   for (size_t i = 1; i < allotment->count; i++)
     {
       const member_t *other = &allotment->members[i];
-      bool other_near = other->zone == zone_hash;
-      if (other_near != is_near ? other_near
-                                : hash_weight (other->hash, object) > own)
+      bool is_other_in_zone = other->zone_hash == zone_hash;
+      if (is_other_in_zone != is_in_zone
+              ? is_other_in_zone
+              : hash_weight (other->name_hash, object_hash) > own_weight)
         rank++;
     }
   return rank;
 }
 
 uint32_t
-allotment_part (double bound, size_t rank, size_t count)
+allotment_part (double limit, size_t rank, size_t count)
 {
-  size_t whole = bound > 0 ? (size_t)bound : 0;
-  size_t part = whole / count + (rank < whole % count);
+  size_t units = limit > 0 ? (size_t)limit : 0;
+  size_t share = units / count + (rank < units % count);
 
-  return part < UINT32_MAX ? (uint32_t)part : UINT32_MAX;
+  return share < UINT32_MAX ? (uint32_t)share : UINT32_MAX;
 }
--- a/packages/policy/allotment.h
+++ b/packages/policy/allotment.h
@@ -1,28 +1,28 @@
-/* The part of a bound over the whole fleet that one entry may use.
+/* The share of a fleet-wide limit that this gateway may use.
 
-   Answers: an instance that bears ten requests a second from all entries
-   together, with sixty-eight entries that do not ask each other.  A part that
-   is rounded up to one lets through sixty-eight, one that is rounded down
-   nothing at all, and the instance stands idle.
+   Load pattern: an instance sustains ten requests a second from all gateways
+   together, and there are sixty-eight gateways that do not coordinate.  With
+   shares rounded up to one request the instance gets sixty-eight; with shares
+   rounded down it gets none and is idle.
 
-   - Of a bound of B among N entries each has B / N, rounded down, and the
-     B mod N first in rank for the object one more: the parts of all entries
-     add up to B, rounded down, whatever N is.
-   - The rank is a rendezvous hash of entry and object, so each object has
-     other first ones, and an entry that comes or goes moves one right of each
-     object.  Entries of the object's zone come before all others: its own
-     callers are near it.
-   - Entries that see different lists agree on most of the ranks.  With K
-     different lists at one time at most K times the bound is used, so a user
-     whose bound is strict passes in a half of it: one old and one new list is
-     what a change leaves.
-   - An entry that is no longer listed counts for ALLOTMENT_KEEP_MS more: it
-     may still send, and one that restarts is not listed yet.
-   - Before the list was read the fleet may have any size, and nothing is
-     known.
+   - A limit of B units among N gateways gives each B / N units, rounded down,
+     and one more to the B mod N gateways that rank first for the object (the
+     instance, for example).  The shares of all gateways add up to B, rounded
+     down, for any N.
+   - The rank is by a rendezvous hash of gateway and object.  Each object thus
+     has a ranking of its own, and a gateway that joins or leaves moves one
+     unit of each object.  Gateways in the object's availability zone rank
+     before all others, because most of the object's callers are in its zone.
+   - Gateways that have different lists of the fleet agree on most ranks.  With
+     K different lists at the same time at most K times the limit is used.  A
+     change leaves an old and a new list, so a caller that must not exceed a
+     limit passes half of it.
+   - A gateway that is no longer listed counts for another ALLOTMENT_KEEP_MS:
+     it may still send requests, and one that restarts is not listed yet.
+   - Until the list is loaded the size of the fleet is unknown.
 
-   A rank costs a hash of each entry.  Callers keep it until the generation
-   changes.  */
+   Computing a rank hashes each gateway, so callers cache the rank until the
+   generation changes.  */
 
 #ifndef POLICY_ALLOTMENT_H
 #define POLICY_ALLOTMENT_H
@@ -32,34 +32,38 @@
 
 enum
 {
-  /* A planned stop and a restart together.  */
+  /* Time for which a gateway counts after it left the list: long enough for a
+     graceful shutdown followed by a restart.  */
   ALLOTMENT_KEEP_MS = 15000
 };
 
 typedef struct allotment allotment_t;
 
-/* What entry NAME of ZONE knows of the fleet: itself.  */
+/* Create the list of gateways as seen by gateway NAME in ZONE, which is its
+   only member at first.  CLOCK is borrowed.  */
 allotment_t *allotment_create (clock_iface_t *clock, str_t name, str_t zone);
 /* NULL is accepted.  */
 void allotment_destroy (allotment_t *allotment);
-/* Entry NAME of ZONE is listed.  */
+/* Add gateway NAME in ZONE, or update its zone.  */
 void allotment_put (allotment_t *allotment, str_t name, str_t zone);
-/* Entry NAME is no longer listed.  */
+/* Start the removal of gateway NAME; it counts for another ALLOTMENT_KEEP_MS.
+   This gateway itself is never removed.  */
 void allotment_leave (allotment_t *allotment, str_t name);
-/* The whole list was read.  */
+/* Record that the list of gateways has been loaded completely.  */
 void allotment_read (allotment_t *allotment);
-/* Forget those that left long enough ago.  */
+/* Remove the gateways whose ALLOTMENT_KEEP_MS are over.  */
 void allotment_expire (allotment_t *allotment);
-/* How many entries share; at least 1.  */
+/* Return the number of gateways that share the limits; at least 1.  */
 size_t allotment_size (const allotment_t *allotment);
+/* Return whether the list has been loaded, and with it the fleet's size.  */
 bool allotment_is_known (const allotment_t *allotment);
-/* Another number than before once a rank may have changed.  */
+/* Return a number that increases whenever a rank may have changed.  */
 uint64_t allotment_generation (const allotment_t *allotment);
-/* The place of this entry for the object with hash OBJECT in ZONE, from 0 on.
- */
-size_t allotment_rank (const allotment_t *allotment, uint64_t object,
+/* Return the rank of this gateway, from 0, for the object with hash
+   OBJECT_HASH in ZONE.  */
+size_t allotment_rank (const allotment_t *allotment, uint64_t object_hash,
                        str_t zone);
-/* The part of BOUND of the entry with RANK among COUNT.  */
-uint32_t allotment_part (double bound, size_t rank, size_t count);
+/* Return the share of LIMIT of the gateway with RANK among COUNT gateways.  */
+uint32_t allotment_part (double limit, size_t rank, size_t count);
 
 #endif
--- a/packages/policy/allowance.c
+++ b/packages/policy/allowance.c
@@ -9,10 +9,10 @@
 {
   clock_iface_t *clock;
   allowance_options_t options;
-  uint32_t entries;
-  uint64_t bucket; /* Number of the newest one.  */
+  uint32_t gateways;
+  uint64_t newest_bucket; /* Number of the newest bucket since time 0.  */
   uint32_t requests[ALLOWANCE_BUCKETS];
-  uint32_t extras[ALLOWANCE_BUCKETS];
+  uint32_t extra_sends[ALLOWANCE_BUCKETS];
 };
 
 allowance_t *
@@ -22,7 +22,7 @@
 
   allowance->clock = clock;
   allowance->options = *options;
-  allowance->entries = 1;
+  allowance->gateways = 1;
   return allowance;
 }
 
@@ -33,37 +33,38 @@
 }
 
 void
-allowance_set_entries (allowance_t *allowance, uint32_t entries)
+allowance_set_entries (allowance_t *allowance, uint32_t gateways)
 {
-  allowance->entries = entries > 0 ? entries : 1;
+  allowance->gateways = gateways > 0 ? gateways : 1;
 }
 
-/* Clear the buckets that have left the window; return the newest.  */
+/* Clear the buckets that are no longer in the window, and return the index of
+   the newest one.  */
 static size_t
-turn (allowance_t *allowance)
+advance_window (allowance_t *allowance)
 {
-  uint64_t bucket = clock_ms (allowance->clock) * ALLOWANCE_BUCKETS
-                    / allowance->options.window_ms;
+  uint64_t current_bucket = clock_ms (allowance->clock) * ALLOWANCE_BUCKETS
+                            / allowance->options.window_ms;
 
-  if (bucket - allowance->bucket >= ALLOWANCE_BUCKETS)
+  if (current_bucket - allowance->newest_bucket >= ALLOWANCE_BUCKETS)
     {
       memset (allowance->requests, 0, sizeof allowance->requests);
-      memset (allowance->extras, 0, sizeof allowance->extras);
-      allowance->bucket = bucket;
+      memset (allowance->extra_sends, 0, sizeof allowance->extra_sends);
+      allowance->newest_bucket = current_bucket;
     }
-  while (allowance->bucket < bucket)
+  while (allowance->newest_bucket < current_bucket)
     {
-      size_t at = ++allowance->bucket % ALLOWANCE_BUCKETS;
+      size_t at = ++allowance->newest_bucket % ALLOWANCE_BUCKETS;
       allowance->requests[at] = 0;
-      allowance->extras[at] = 0;
+      allowance->extra_sends[at] = 0;
     }
-  return bucket % ALLOWANCE_BUCKETS;
+  return current_bucket % ALLOWANCE_BUCKETS;
 }
 
 void
 allowance_request (allowance_t *allowance)
 {
-  size_t at = turn (allowance);
+  size_t at = advance_window (allowance);
 
   allowance->requests[at]++;
 }
@@ -72,17 +73,17 @@
 allowance_left (allowance_t *allowance)
 {
   double requests = 0;
-  double extras = 0;
+  double extra_sends = 0;
 
-  turn (allowance);
+  advance_window (allowance);
   for (size_t i = 0; i < ALLOWANCE_BUCKETS; i++)
     {
       requests += allowance->requests[i];
-      extras += allowance->extras[i];
+      extra_sends += allowance->extra_sends[i];
     }
-  double bound = requests * allowance->options.ratio
-                 + allowance->options.slack / allowance->entries;
-  return bound * ALLOWANCE_USE - extras;
+  double budget = requests * allowance->options.ratio
+                  + allowance->options.slack / allowance->gateways;
+  return budget * ALLOWANCE_USE - extra_sends;
 }
 
 bool
@@ -90,6 +91,6 @@
 {
   if (allowance_left (allowance) < 1 + reserve)
     return false;
-  allowance->extras[turn (allowance)]++;
+  allowance->extra_sends[advance_window (allowance)]++;
   return true;
 }
--- a/packages/policy/allowance.h
+++ b/packages/policy/allowance.h
@@ -1,14 +1,17 @@
-/* Bounds the sends beyond the first of each request: retries, moves of a
-   broken stream and second opinions of a larger model.
+/* A budget for extra sends: those after the first send of a request, which are
+   retries, moves of a broken stream to another instance, and escalations to a
+   larger model.
 
-   Answers: a partial outage or a bad version, in which every request is sent
-   again and the extra load takes down what is left.  The bound over all
-   entries is a share of the requests in a window plus a fixed part; entries do
-   not ask each other, so each keeps the share of its own requests and its part
-   of the fixed one, and the sum keeps the whole.
+   Load pattern: a partial outage or a faulty version, in which every request
+   is sent again and the extra load overloads the remaining instances.  All
+   gateways together may make a number of extra sends in a window that is
+   proportional to the requests, plus a fixed number.  Gateways do not
+   coordinate: each limits itself in proportion to its own requests, plus an
+   equal part of the fixed number, and the sum is within the limit.
 
-   ALLOWANCE_USE of the bound is used: the windows of the one who counts do not
-   begin with ours.  */
+   Only the fraction ALLOWANCE_USE of the budget is used, because the limit is
+   checked elsewhere over windows that do not start at the same times as those
+   of this module.  */
 
 #ifndef POLICY_ALLOWANCE_H
 #define POLICY_ALLOWANCE_H
@@ -21,29 +24,32 @@
 
 enum
 {
-  ALLOWANCE_BUCKETS = 10 /* Of a window.  */
+  ALLOWANCE_BUCKETS = 10 /* Number of counting intervals in a window.  */
 };
 
 typedef struct allowance allowance_t;
 
 typedef struct
 {
-  double ratio; /* Extra sends for each request.  */
-  double slack; /* Extra sends in a window besides, of all entries.  */
+  double ratio; /* Extra sends allowed per request.  */
+  double slack; /* Further extra sends in a window, of all gateways.  */
   uint64_t window_ms;
 } allowance_options_t;
 
 allowance_t *allowance_create (clock_iface_t *clock,
                                const allowance_options_t *options);
 void allowance_destroy (allowance_t *allowance);
-/* How many entries share the fixed part; at least 1.  */
-void allowance_set_entries (allowance_t *allowance, uint32_t entries);
-/* A request (not a send) came.  */
+/* Set the number of gateways that share the fixed number of extra sends; 0
+   counts as 1.  */
+void allowance_set_entries (allowance_t *allowance, uint32_t gateways);
+/* Count a request, once and not for each send.  */
 void allowance_request (allowance_t *allowance);
-/* Extra sends that may be made now.  */
+/* Return the number of extra sends that may be made now; negative if the
+   budget is exceeded.  */
 double allowance_left (allowance_t *allowance);
-/* Take one; false with nothing taken when none is left.  Keep RESERVE for
-   more important ones.  */
+/* Count an extra send and return true, or return false with nothing counted if
+   fewer than 1 + RESERVE are left.  RESERVE keeps extra sends for more
+   important uses.  */
 bool allowance_take (allowance_t *allowance, double reserve);
 
 #endif
