--- a/packages/policy/readers.c
+++ b/packages/policy/readers.c
@@ -8,34 +8,35 @@
 
 typedef struct
 {
-  uint64_t hash;
-  uint64_t zone; /* Hash of its name.  */
+  uint64_t name_hash;
+  uint64_t zone_hash; /* Hash of the zone's name.  */
   uint32_t link_mbps;
-  uint64_t silent_till_ms;
-  uint64_t unfit_till_ms;
+  uint64_t silent_until_ms;
+  uint64_t not_ready_until_ms;
   void *owner;
-} entry_t;
+} peer_t;
 
 struct readers
 {
   clock_iface_t *clock;
   rng_t rng;
-  entry_t self;
-  map_t *entries; /* Name to entry_t.  */
-  bool leaving;
-  uint64_t home_till_ms;  /* Other zones are not asked.  */
-  uint64_t down_till_ms;  /* The store did not answer this entry.  */
-  uint64_t heard_till_ms; /* It did.  */
-  uint64_t probe_ms;      /* When it may be asked next; 0: not waited for.  */
+  peer_t self;
+  map_t *peers; /* The other gateways by name.  */
+  bool is_leaving;
+  uint64_t own_zone_until_ms;   /* Until then, other zones are not used.  */
+  uint64_t store_down_until_ms; /* Set when the store did not respond.  */
+  uint64_t store_up_until_ms;   /* Set when the store responded.  */
+  uint64_t next_probe_ms;       /* Earliest next probe of the store; 0 if none
+                                   was made.  */
 };
 
-static entry_t
-make_entry (str_t name, str_t zone, uint32_t link_mbps, void *owner)
+static peer_t
+make_peer (str_t name, str_t zone, uint32_t link_mbps, void *owner)
 {
-  return (entry_t){ .hash = str_hash (name, 5),
-                    .zone = str_hash (zone, 0),
-                    .link_mbps = link_mbps,
-                    .owner = owner };
+  return (peer_t){ .name_hash = str_hash (name, 5),
+                   .zone_hash = str_hash (zone, 0),
+                   .link_mbps = link_mbps,
+                   .owner = owner };
 }
 
 readers_t *
@@ -46,8 +47,8 @@
 
   readers->clock = clock;
   readers->rng = rng_make (seed);
-  readers->self = make_entry (name, zone, link_mbps, NULL);
-  readers->entries = map_create ();
+  readers->self = make_peer (name, zone, link_mbps, NULL);
+  readers->peers = map_create ();
   return readers;
 }
 
@@ -60,9 +61,9 @@
 
   if (readers == NULL)
     return;
-  while (map_next (readers->entries, &cursor, &key, &value))
+  while (map_next (readers->peers, &cursor, &key, &value))
     free (value);
-  map_destroy (readers->entries);
+  map_destroy (readers->peers);
   free (readers);
 }
 
@@ -70,90 +71,95 @@
 readers_put (readers_t *readers, str_t name, str_t zone, uint32_t link_mbps,
              void *owner)
 {
-  entry_t *entry = mem_alloc (sizeof *entry);
+  peer_t *peer = mem_alloc (sizeof *peer);
 
-  *entry = make_entry (name, zone, link_mbps, owner);
-  free (map_put (readers->entries, name, entry));
+  *peer = make_peer (name, zone, link_mbps, owner);
+  free (map_put (readers->peers, name, peer));
 }
 
 void
 readers_remove (readers_t *readers, str_t name)
 {
-  free (map_remove (readers->entries, name));
+  free (map_remove (readers->peers, name));
 }
 
 void
 readers_leave (readers_t *readers)
 {
-  readers->leaving = true;
+  readers->is_leaving = true;
 }
 
 static bool
-goes_before (const entry_t *a, const entry_t *b)
+ranks_before (const peer_t *a, const peer_t *b)
 {
   return a->link_mbps != b->link_mbps ? a->link_mbps > b->link_mbps
-                                      : a->hash < b->hash;
+                                      : a->name_hash < b->name_hash;
 }
 
 static bool
-is_large (const readers_t *readers)
+is_large_fleet (const readers_t *readers)
 {
-  return map_size (readers->entries) >= READERS_FLEET;
+  return map_size (readers->peers) >= READERS_FLEET;
 }
 
 static bool
-is_unfit (const readers_t *readers, uint64_t now_ms)
+cannot_read_store (const readers_t *readers, uint64_t now_ms)
 {
-  return readers->leaving || now_ms < readers->down_till_ms;
+  return readers->is_leaving || now_ms < readers->store_down_until_ms;
 }
 
-/* The first of the others that may be asked, with HOME_ONLY of this zone, or
-   NULL.  IS_PATIENT: an unfit one keeps its place.  */
-static const entry_t *
-first_but (const readers_t *readers, bool home_only, bool is_patient,
-           uint64_t now_ms)
+/* Return the first in rank of the other gateways that may be used as a source,
+   or NULL.  With OWN_ZONE_ONLY set only those of this zone are considered,
+   with INCLUDE_NOT_READY also those that reported no current data.  */
+static const peer_t *
+first_source (const readers_t *readers, bool own_zone_only,
+              bool include_not_ready, uint64_t now_ms)
 {
-  const entry_t *found = NULL;
+  const peer_t *found = NULL;
   size_t cursor = 0;
   str_t key;
   void *value;
 
-  while (map_next (readers->entries, &cursor, &key, &value))
+  while (map_next (readers->peers, &cursor, &key, &value))
     {
-      const entry_t *entry = value;
-      if (now_ms < entry->silent_till_ms
-          || (!is_patient && now_ms < entry->unfit_till_ms)
-          || (home_only && entry->zone != readers->self.zone)
-          || (found != NULL && goes_before (found, entry)))
+      const peer_t *peer = value;
+      if (now_ms < peer->silent_until_ms
+          || (!include_not_ready && now_ms < peer->not_ready_until_ms)
+          || (own_zone_only && peer->zone_hash != readers->self.zone_hash)
+          || (found != NULL && ranks_before (found, peer)))
         continue;
-      found = entry;
+      found = peer;
     }
   return found;
 }
 
-/* The same in a large fleet with patience: those behind an unfit one ask it
-   too, and have nothing to tell.  */
-static const entry_t *
-first_other (const readers_t *readers, bool home_only, uint64_t now_ms)
+/* Return the first in rank of the other gateways, or NULL.  In a large fleet a
+   gateway that reported no current data keeps its rank: the ones after it read
+   from it as well, and have no current data either.  */
+static const peer_t *
+first_other (const readers_t *readers, bool own_zone_only, uint64_t now_ms)
 {
-  return first_but (readers, home_only, is_large (readers), now_ms);
+  return first_source (readers, own_zone_only, is_large_fleet (readers),
+                       now_ms);
 }
 
-/* Tell whether this entry goes before OTHER, the first of the others.  */
+/* Return whether this gateway ranks before OTHER, the first of the others.  */
 static bool
-is_first (const readers_t *readers, const entry_t *other)
+is_first_in_rank (const readers_t *readers, const peer_t *other)
 {
-  return other == NULL || goes_before (&readers->self, other);
+  return other == NULL || ranks_before (&readers->self, other);
 }
 
-/* What the first of all does.  One that is unfit asks the first of the others,
-   which may have turned to the store itself.  */
+/* Return ASKS_STORE if this gateway is the root; otherwise ROLE, with the
+   owner of OTHER in *OWNER.  A root that cannot read from the store uses
+   OTHER, the first of the others, which may read from the store itself.  */
 static readers_role_t
-choose_root (readers_t *readers, const entry_t *other, readers_role_t role,
-             uint64_t now_ms, void **owner)
+choose_root_role (readers_t *readers, const peer_t *other, readers_role_t role,
+                  uint64_t now_ms, void **owner)
 {
   if (other == NULL
-      || (!is_unfit (readers, now_ms) && is_first (readers, other)))
+      || (!cannot_read_store (readers, now_ms)
+          && is_first_in_rank (readers, other)))
     return ASKS_STORE;
   *owner = other->owner;
   return role;
@@ -163,16 +169,16 @@
 readers_choose (readers_t *readers, void **owner)
 {
   uint64_t now_ms = clock_ms (readers->clock);
-  bool is_home = now_ms < readers->home_till_ms;
-  const entry_t *other = first_other (readers, is_home, now_ms);
+  bool own_zone_only = now_ms < readers->own_zone_until_ms;
+  const peer_t *other = first_other (readers, own_zone_only, now_ms);
 
   *owner = NULL;
-  if (!is_large (readers))
-    return choose_root (readers, other, ASKS_HEAD, now_ms, owner);
-  const entry_t *near = first_other (readers, true, now_ms);
-  if (is_first (readers, near))
-    return choose_root (readers, other, ASKS_ROOT, now_ms, owner);
-  *owner = near->owner;
+  if (!is_large_fleet (readers))
+    return choose_root_role (readers, other, ASKS_HEAD, now_ms, owner);
+  const peer_t *first_in_zone = first_other (readers, true, now_ms);
+  if (is_first_in_rank (readers, first_in_zone))
+    return choose_root_role (readers, other, ASKS_ROOT, now_ms, owner);
+  *owner = first_in_zone->owner;
   return ASKS_HEAD;
 }
 
@@ -180,13 +186,13 @@
 readers_next (readers_t *readers)
 {
   uint64_t now_ms = clock_ms (readers->clock);
-  bool is_home = now_ms < readers->home_till_ms;
-  const entry_t *other = first_other (readers, is_home, now_ms);
+  bool own_zone_only = now_ms < readers->own_zone_until_ms;
+  const peer_t *other = first_other (readers, own_zone_only, now_ms);
 
-  /* The others may have turned to the store, which refuses this one.  */
-  if (is_unfit (readers, now_ms))
-    other = first_but (readers, is_home, false, now_ms);
-  else if (is_first (readers, other))
+  /* The store may refuse only this gateway, and others may read from it.  */
+  if (cannot_read_store (readers, now_ms))
+    other = first_source (readers, own_zone_only, false, now_ms);
+  else if (is_first_in_rank (readers, other))
     return NULL;
   return other != NULL ? other->owner : NULL;
 }
@@ -195,18 +201,18 @@
 readers_failed (readers_t *readers, str_t name, bool silent)
 {
   uint64_t now_ms = clock_ms (readers->clock);
-  entry_t *entry = map_get (readers->entries, name);
+  peer_t *peer = map_get (readers->peers, name);
 
-  if (entry == NULL)
+  if (peer == NULL)
     return;
   if (!silent)
     {
-      entry->unfit_till_ms = now_ms + READERS_UNFIT_MS;
+      peer->not_ready_until_ms = now_ms + READERS_UNFIT_MS;
       return;
     }
-  entry->silent_till_ms = now_ms + READERS_SILENT_MS;
-  if (entry->zone != readers->self.zone)
-    readers->home_till_ms = now_ms + READERS_HOME_MS;
+  peer->silent_until_ms = now_ms + READERS_SILENT_MS;
+  if (peer->zone_hash != readers->self.zone_hash)
+    readers->own_zone_until_ms = now_ms + READERS_HOME_MS;
 }
 
 void
@@ -214,37 +220,39 @@
 {
   uint64_t now_ms = clock_ms (readers->clock);
 
-  readers->down_till_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
-  readers->heard_till_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
+  readers->store_down_until_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
+  readers->store_up_until_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
 }
 
 bool
 readers_hears (const readers_t *readers)
 {
-  return clock_ms (readers->clock) < readers->heard_till_ms;
+  return clock_ms (readers->clock) < readers->store_up_until_ms;
 }
 
 bool
 readers_may_probe (readers_t *readers)
 {
   uint64_t now_ms = clock_ms (readers->clock);
-  uint64_t every_ms = (map_size (readers->entries) + 1) * READERS_PROBE_MS;
-  bool is_home = now_ms < readers->home_till_ms;
-  bool leads = is_first (readers, first_other (readers, is_home, now_ms));
+  uint64_t interval_ms = (map_size (readers->peers) + 1) * READERS_PROBE_MS;
+  bool own_zone_only = now_ms < readers->own_zone_until_ms;
+  bool is_root = is_first_in_rank (
+      readers, first_other (readers, own_zone_only, now_ms));
 
   if (readers_hears (readers))
     return true;
-  if (leads)
-    every_ms = READERS_LEADS_PROBE_MS;
-  else if (every_ms > READERS_PROBE_LAST_MS)
-    every_ms = READERS_PROBE_LAST_MS;
-  /* Many that are told at the same moment do not all go at that moment.  */
-  if (is_large (readers) && !leads
-      && (readers->probe_ms == 0
-          || now_ms > readers->probe_ms + READERS_PROBE_LAST_MS))
-    readers->probe_ms = now_ms + rng_below (&readers->rng, every_ms);
-  if (now_ms < readers->probe_ms)
+  if (is_root)
+    interval_ms = READERS_LEADS_PROBE_MS;
+  else if (interval_ms > READERS_PROBE_LAST_MS)
+    interval_ms = READERS_PROBE_LAST_MS;
+  /* Gateways that learn of an outage at the same time probe the store at
+     random times within the interval.  */
+  if (is_large_fleet (readers) && !is_root
+      && (readers->next_probe_ms == 0
+          || now_ms > readers->next_probe_ms + READERS_PROBE_LAST_MS))
+    readers->next_probe_ms = now_ms + rng_below (&readers->rng, interval_ms);
+  if (now_ms < readers->next_probe_ms)
     return false;
-  readers->probe_ms = now_ms + every_ms;
+  readers->next_probe_ms = now_ms + interval_ms;
   return true;
 }
