--- a/tests/test_allotment.c
+++ b/tests/test_allotment.c
@@ -1,5 +1,5 @@
-/* Bounds over the whole fleet, divided among entries that do not ask each
-   other.  */
+/* Tests of the shares of fleet-wide limits among gateways that do not
+   coordinate.  */
 
 #include "base/mem.h"
 #include "base/rng.h"
@@ -10,26 +10,26 @@
 
 enum
 {
-  ENTRIES_MAX = 1000,
-  NAME_ROOM = 32,
+  GATEWAYS_MAX = 1000,
+  NAME_CAPACITY = 32,
   OBJECTS = 40,
   DRAWS = 60
 };
 
 static const char *const zones[] = { "a", "b", "c", "d", "e" };
 
-/* Entries with a list each.  */
+/* Gateways, each with a list of its own.  */
 typedef struct
 {
   clock_iface_t *clock;
-  allotment_t *entries[ENTRIES_MAX];
+  allotment_t *gateways[GATEWAYS_MAX];
   size_t count;
 } fleet_t;
 
 static str_t
-name_of (size_t index, char out[NAME_ROOM])
+name_of (size_t index, char out[NAME_CAPACITY])
 {
-  snprintf (out, NAME_ROOM, "entry-%zu", index);
+  snprintf (out, NAME_CAPACITY, "entry-%zu", index);
   return str_from (out);
 }
 
@@ -42,12 +42,12 @@
 static void
 fleet_init (fleet_t *fleet, size_t count)
 {
-  char name[NAME_ROOM];
+  char name[NAME_CAPACITY];
 
   fleet->clock = clock_manual_create (0);
   fleet->count = count;
   for (size_t i = 0; i < count; i++)
-    fleet->entries[i]
+    fleet->gateways[i]
         = allotment_create (fleet->clock, name_of (i, name), zone_of (i));
 }
 
@@ -55,41 +55,42 @@
 fleet_free (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    allotment_destroy (fleet->entries[i]);
+    allotment_destroy (fleet->gateways[i]);
   clock_manual_destroy (fleet->clock);
 }
 
-/* Entry AT reads that the entries FROM to TO are listed.  */
+/* Load a list with the gateways FROM to TO - 1 at gateway AT.  */
 static void
-lists (fleet_t *fleet, size_t at, size_t from, size_t to)
+load_list (fleet_t *fleet, size_t at, size_t from, size_t to)
 {
-  char name[NAME_ROOM];
+  char name[NAME_CAPACITY];
 
   for (size_t i = from; i < to; i++)
-    allotment_put (fleet->entries[at], name_of (i, name), zone_of (i));
-  allotment_read (fleet->entries[at]);
+    allotment_put (fleet->gateways[at], name_of (i, name), zone_of (i));
+  allotment_read (fleet->gateways[at]);
 }
 
-/* What all entries together may use of BOUND for object number OBJECT.  */
+/* Return the sum of the shares of all gateways in LIMIT for object number
+   OBJECT.  */
 static uint32_t
-used (const fleet_t *fleet, double bound, size_t object)
+sum_of_shares (const fleet_t *fleet, double limit, size_t object)
 {
   uint64_t hash = str_hash (STR ("object"), object);
   uint32_t sum = 0;
 
   for (size_t i = 0; i < fleet->count; i++)
     {
-      const allotment_t *entry = fleet->entries[i];
-      sum += allotment_part (bound,
-                             allotment_rank (entry, hash, zone_of (object)),
-                             allotment_size (entry));
+      const allotment_t *gateway = fleet->gateways[i];
+      sum += allotment_part (limit,
+                             allotment_rank (gateway, hash, zone_of (object)),
+                             allotment_size (gateway));
     }
   return sum;
 }
 
-/* Parts that are rounded up let through as many as there are entries, parts
-   that are rounded down nothing.  */
-START_TEST (parts_add_up_at_any_size)
+/* Shares that are rounded up allow as many requests as there are gateways;
+   shares that are rounded down allow none.  */
+START_TEST (shares_add_up_at_any_fleet_size)
 {
   rng_t rng = rng_make (1);
 
@@ -98,59 +99,60 @@
       fleet_t fleet = { 0 };
       size_t count = 2 + rng_below (&rng, 60);
       if (draw % 10 == 1)
-        count = 2 + rng_below (&rng, ENTRIES_MAX / 2 - 1);
+        count = 2 + rng_below (&rng, GATEWAYS_MAX / 2 - 1);
       if (draw == 0)
-        count = ENTRIES_MAX;
+        count = GATEWAYS_MAX;
       size_t objects = count > 100 ? 4 : OBJECTS;
-      double bound = 1 + rng_below (&rng, 200) + 0.5;
+      double limit = 1 + rng_below (&rng, 200) + 0.5;
       fleet_init (&fleet, count);
       for (size_t i = 0; i < count; i++)
-        lists (&fleet, i, 0, count);
+        load_list (&fleet, i, 0, count);
       for (size_t object = 0; object < objects; object++)
-        ck_assert_uint_eq (used (&fleet, bound, object), (uint32_t)bound);
+        ck_assert_uint_eq (sum_of_shares (&fleet, limit, object),
+                           (uint32_t)limit);
       fleet_free (&fleet);
     }
 }
 END_TEST
 
-/* Entries are added while some are cut off from the store and go on with the
-   old list.  What both use together is at most twice the bound, which is why a
-   strict one is halved.  */
-START_TEST (entries_that_are_cut_off_do_not_break_a_halved_bound)
+/* Gateways are added while some have no connection to the store and continue
+   with the old list.  All together use at most twice the limit, which is why a
+   limit that must not be exceeded is halved.  */
+START_TEST (disconnected_gateways_stay_within_a_halved_limit)
 {
   rng_t rng = rng_make (2);
-  double over = 0;
+  double max_ratio = 0;
 
   for (int draw = 0; draw < DRAWS; draw++)
     {
       fleet_t fleet = { 0 };
       size_t before = 2 + rng_below (&rng, 120);
       size_t count = before + rng_below (&rng, 120);
-      double bound = 4 + rng_below (&rng, 20);
-      double cut_off = rng_double (&rng);
+      double limit = 4 + rng_below (&rng, 20);
+      double disconnected_share = rng_double (&rng);
       fleet_init (&fleet, count);
       for (size_t i = 0; i < count; i++)
         {
-          bool is_old = i < before && rng_double (&rng) < cut_off;
-          lists (&fleet, i, 0, is_old ? before : count);
+          bool has_old_list
+              = i < before && rng_double (&rng) < disconnected_share;
+          load_list (&fleet, i, 0, has_old_list ? before : count);
         }
       for (size_t object = 0; object < OBJECTS; object++)
         {
-          uint32_t sum = used (&fleet, bound, object);
-          ck_assert_uint_le (sum, (uint32_t)(2 * bound));
-          if (sum / bound > over)
-            over = sum / bound;
+          uint32_t sum = sum_of_shares (&fleet, limit, object);
+          ck_assert_uint_le (sum, (uint32_t)(2 * limit));
+          if (sum / limit > max_ratio)
+            max_ratio = sum / limit;
         }
       fleet_free (&fleet);
     }
-  printf ("two lists at once: at most %.2f of the bound\n", over);
+  printf ("two lists at once: at most %.2f of the bound\n", max_ratio);
 }
 END_TEST
 
-/* Killed entries hold rights that nobody uses; the rest must not go to waste
-   for it: what is left is printed by size, and at least the share of the
-   living.  */
-START_TEST (the_living_keep_their_share)
+/* The shares of killed gateways are unused.  The others must keep their own
+   shares; the used part of the limit is printed for each fleet size.  */
+START_TEST (gateways_keep_their_shares_after_kills)
 {
   static const size_t sizes[] = { 5, 22, 68, 300, 730 };
   rng_t rng = rng_make (3);
@@ -159,34 +161,34 @@
     {
       fleet_t fleet = { 0 };
       double sum = 0;
-      double living = 0;
+      double alive_share = 0;
       fleet_init (&fleet, sizes[s]);
       for (size_t i = 0; i < sizes[s]; i++)
-        lists (&fleet, i, 0, sizes[s]);
+        load_list (&fleet, i, 0, sizes[s]);
       for (size_t object = 0; object < OBJECTS; object++)
         for (size_t i = 0; i < sizes[s]; i++)
           {
             if (rng_below (&rng, 4) == 0)
               continue;
-            living += 1.0 / (double)sizes[s];
+            alive_share += 1.0 / (double)sizes[s];
             sum += allotment_part (
                 10,
-                allotment_rank (fleet.entries[i],
+                allotment_rank (fleet.gateways[i],
                                 str_hash (STR ("object"), object),
                                 zone_of (object)),
                 sizes[s]);
           }
       printf ("%zu entries, a quarter killed: %.2f of the bound used\n",
               sizes[s], sum / 10 / OBJECTS);
-      ck_assert_double_gt (sum / 10, living * 0.9);
+      ck_assert_double_gt (sum / 10, alive_share * 0.9);
       fleet_free (&fleet);
     }
 }
 END_TEST
 
-/* An entry that comes or goes must not hand all rights to others: each right
-   that moves is counted twice until all have read the list.  */
-START_TEST (one_more_entry_moves_one_right)
+/* A gateway that joins or leaves must move at most one unit of a limit: each
+   unit that moves counts twice until all gateways have loaded the list.  */
+START_TEST (joining_gateway_moves_one_unit)
 {
   fleet_t fleet = { 0 };
   size_t before = 0;
@@ -194,21 +196,21 @@
 
   fleet_init (&fleet, 68);
   for (size_t i = 0; i < 68; i++)
-    lists (&fleet, i, 0, 68);
+    load_list (&fleet, i, 0, 68);
   for (size_t object = 0; object < OBJECTS; object++)
     {
       uint32_t sum = 0;
       uint64_t hash = str_hash (STR ("object"), object);
       for (size_t i = 0; i < 68; i++)
         {
-          allotment_t *entry = fleet.entries[i];
-          size_t rank = allotment_rank (entry, hash, STR ("a"));
-          lists (&fleet, i, 68, 69);
-          size_t later = allotment_rank (entry, hash, STR ("a"));
-          allotment_leave (entry, STR ("entry-68"));
+          allotment_t *gateway = fleet.gateways[i];
+          size_t rank = allotment_rank (gateway, hash, STR ("a"));
+          load_list (&fleet, i, 68, 69);
+          size_t later = allotment_rank (gateway, hash, STR ("a"));
+          allotment_leave (gateway, STR ("entry-68"));
           clock_manual_advance_us (fleet.clock, ALLOTMENT_KEEP_MS * 1000u);
-          allotment_expire (entry);
-          ck_assert_uint_eq (allotment_size (entry), 68);
+          allotment_expire (gateway);
+          ck_assert_uint_eq (allotment_size (gateway), 68);
           ck_assert_uint_ge (later, rank);
           ck_assert_uint_le (later, rank + 1);
           before += rank < 10;
@@ -222,32 +224,32 @@
 }
 END_TEST
 
-/* A list that shrinks at once, while those that left still send, gives their
-   rights away too early.  */
-START_TEST (one_that_left_counts_for_a_while)
+/* If a gateway that left stopped counting immediately, its share would go to
+   others while it still sends requests.  */
+START_TEST (gateway_that_left_counts_for_a_while)
 {
   clock_iface_t *clock = clock_manual_create (0);
-  allotment_t *entry = allotment_create (clock, STR ("one"), STR ("a"));
+  allotment_t *gateway = allotment_create (clock, STR ("one"), STR ("a"));
 
-  ck_assert (!allotment_is_known (entry));
-  allotment_put (entry, STR ("two"), STR ("a"));
-  allotment_read (entry);
-  ck_assert (allotment_is_known (entry));
-  allotment_leave (entry, STR ("two"));
+  ck_assert (!allotment_is_known (gateway));
+  allotment_put (gateway, STR ("two"), STR ("a"));
+  allotment_read (gateway);
+  ck_assert (allotment_is_known (gateway));
+  allotment_leave (gateway, STR ("two"));
   clock_manual_advance_us (clock, (ALLOTMENT_KEEP_MS - 1) * 1000u);
-  allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 2);
-  allotment_put (entry, STR ("two"), STR ("a"));
+  allotment_expire (gateway);
+  ck_assert_uint_eq (allotment_size (gateway), 2);
+  allotment_put (gateway, STR ("two"), STR ("a"));
   clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
-  allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 2);
-  /* The own entry stays, whatever the list says.  */
-  allotment_leave (entry, STR ("one"));
-  allotment_leave (entry, STR ("two"));
+  allotment_expire (gateway);
+  ck_assert_uint_eq (allotment_size (gateway), 2);
+  /* This gateway itself counts even if it is not listed.  */
+  allotment_leave (gateway, STR ("one"));
+  allotment_leave (gateway, STR ("two"));
   clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
-  allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 1);
-  allotment_destroy (entry);
+  allotment_expire (gateway);
+  ck_assert_uint_eq (allotment_size (gateway), 1);
+  allotment_destroy (gateway);
   clock_manual_destroy (clock);
 }
 END_TEST
@@ -259,11 +261,11 @@
   TCase *tcase = tcase_create ("allotment");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, parts_add_up_at_any_size);
-  tcase_add_test (tcase, entries_that_are_cut_off_do_not_break_a_halved_bound);
-  tcase_add_test (tcase, the_living_keep_their_share);
-  tcase_add_test (tcase, one_more_entry_moves_one_right);
-  tcase_add_test (tcase, one_that_left_counts_for_a_while);
+  tcase_add_test (tcase, shares_add_up_at_any_fleet_size);
+  tcase_add_test (tcase, disconnected_gateways_stay_within_a_halved_limit);
+  tcase_add_test (tcase, gateways_keep_their_shares_after_kills);
+  tcase_add_test (tcase, joining_gateway_moves_one_unit);
+  tcase_add_test (tcase, gateway_that_left_counts_for_a_while);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,52 +1,52 @@
-/* The bound on sends beyond the first.  */
+/* Tests of the budget for extra sends.  */
 
 #include "policy/allowance.h"
 #include "suite.h"
 
-/* An upstream fails every request and each is sent again where the bound
-   allows: whatever the entries do, all of them together stay under ratio times
-   the requests plus the fixed part, in any window.  */
-START_TEST (all_entries_together_keep_the_bound)
+/* An upstream fails every request, and each request is sent again if the
+   budget allows.  All gateways together must stay within ratio times the
+   requests plus the fixed number of extra sends for each window.  */
+START_TEST (gateways_together_stay_within_the_budget)
 {
   const allowance_options_t options
       = { .ratio = 0.5, .slack = 60, .window_ms = 10000 };
   enum
   {
-    ENTRIES = 6,
+    GATEWAYS = 6,
     SECONDS = 30,
-    PER_S = 10
+    REQUESTS_PER_S = 10
   };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *entries[ENTRIES];
-  int extras = 0;
+  allowance_t *gateways[GATEWAYS];
+  int extra_sends = 0;
 
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     {
-      entries[i] = allowance_create (clock, &options);
-      allowance_set_entries (entries[i], ENTRIES);
+      gateways[i] = allowance_create (clock, &options);
+      allowance_set_entries (gateways[i], GATEWAYS);
     }
   for (int s = 0; s < SECONDS; s++)
     {
-      for (int i = 0; i < ENTRIES; i++)
-        for (int j = 0; j < PER_S; j++)
+      for (int i = 0; i < GATEWAYS; i++)
+        for (int j = 0; j < REQUESTS_PER_S; j++)
           {
-            allowance_request (entries[i]);
-            while (allowance_take (entries[i], 0))
-              extras++;
+            allowance_request (gateways[i]);
+            while (allowance_take (gateways[i], 0))
+              extra_sends++;
           }
       clock_manual_advance_us (clock, 1000000);
     }
-  double bound = (double)ENTRIES * PER_S * SECONDS * options.ratio
+  double bound = (double)GATEWAYS * REQUESTS_PER_S * SECONDS * options.ratio
                  + options.slack * SECONDS / 10;
-  ck_assert_double_le (extras, bound);
-  ck_assert_double_ge (extras, bound / 2);
-  for (int i = 0; i < ENTRIES; i++)
-    allowance_destroy (entries[i]);
+  ck_assert_double_le (extra_sends, bound);
+  ck_assert_double_ge (extra_sends, bound / 2);
+  for (int i = 0; i < GATEWAYS; i++)
+    allowance_destroy (gateways[i]);
   clock_manual_destroy (clock);
 }
 END_TEST
 
-START_TEST (a_reserve_stays)
+START_TEST (reserve_is_kept)
 {
   const allowance_options_t options
       = { .ratio = 0, .slack = 10, .window_ms = 10000 };
@@ -70,8 +70,8 @@
   Suite *suite = suite_create ("allowance");
   TCase *tcase = tcase_create ("allowance");
 
-  tcase_add_test (tcase, all_entries_together_keep_the_bound);
-  tcase_add_test (tcase, a_reserve_stays);
+  tcase_add_test (tcase, gateways_together_stay_within_the_budget);
+  tcase_add_test (tcase, reserve_is_kept);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -1,4 +1,5 @@
-/* Tests of the choice of upstreams, judged by where requests go.  */
+/* Tests of the selection of upstreams, by the upstreams that requests are sent
+   to.  */
 
 #include "policy/balance.h"
 
@@ -8,17 +9,17 @@
 
 enum
 {
-  MANY = 1000
+  RUNNERS_MAX = 1000
 };
 
 static const str_t zones[]
     = { STR ("nairobi-a"), STR ("nairobi-b"), STR ("nairobi-c") };
-static const str_t draft = STR ("draft-small@3");
+static const str_t draft_pool = STR ("draft-small@3");
 
 static clock_iface_t *manual;
 static rng_t rng;
 static balance_t *balance;
-static upstream_id_t ids[MANY];
+static upstream_id_t ids[RUNNERS_MAX];
 
 static str_t
 runner_name (int i)
@@ -28,13 +29,14 @@
   return str_make (text, (size_t)snprintf (text, sizeof text, "runner-%d", i));
 }
 
-/* Make runners FIRST to LAST - 1 known, in turn over ZONE_COUNT zones.  */
+/* Add the runners FIRST to LAST - 1 to TO, with runner i in zone
+   i % ZONE_COUNT.  */
 static void
 add_runners (balance_t *to, int first, int last, int zone_count)
 {
   for (int i = first; i < last; i++)
     ids[i] = balance_update (to, runner_name (i), zones[i % zone_count],
-                             &draft, 1, false);
+                             &draft_pool, 1, false);
 }
 
 static void
@@ -52,12 +54,12 @@
   clock_manual_destroy (manual);
 }
 
-/* Return the number of the runner picked, or -1.  */
+/* Return the number of the selected runner, or -1 if there is none.  */
 static int
-pick_from (balance_t *from, uint64_t affinity)
+select_from (balance_t *from, uint64_t affinity)
 {
   balance_request_t request
-      = { .pool = balance_pool (from, draft), .affinity = affinity };
+      = { .pool = balance_pool (from, draft_pool), .affinity = affinity };
   upstream_id_t id;
   balance_info_t info;
   uint64_t number;
@@ -71,30 +73,31 @@
 }
 
 static int
-pick (void)
+select_runner (void)
 {
-  return pick_from (balance, BALANCE_NO_AFFINITY);
+  return select_from (balance, BALANCE_NO_AFFINITY);
 }
 
-/* Pick N times, each request staying in flight; count them by runner.  */
+/* Send N requests that stay in flight, and add the requests of each runner to
+   COUNTS.  */
 static void
-send_many (int n, int counts[])
+send_requests (int n, int counts[])
 {
   for (int i = 0; i < n; i++)
     {
-      int at = pick ();
+      int at = select_runner ();
       ck_assert_int_ge (at, 0);
       balance_started (balance, ids[at]);
       counts[at]++;
     }
 }
 
-START_TEST (spreads_evenly)
+START_TEST (requests_spread_evenly)
 {
   int counts[20] = { 0 };
 
   add_runners (balance, 0, 20, 1);
-  send_many (100, counts);
+  send_requests (100, counts);
   for (int i = 0; i < 20; i++)
     {
       ck_assert_int_ge (counts[i], 2);
@@ -103,120 +106,130 @@
 }
 END_TEST
 
-START_TEST (empty_and_unknown_pools)
+START_TEST (pool_without_upstreams_selects_none)
 {
-  ck_assert_int_eq (pick (), -1);
+  ck_assert_int_eq (select_runner (), -1);
   add_runners (balance, 0, 1, 1);
-  ck_assert_int_eq (pick (), 0);
+  ck_assert_int_eq (select_runner (), 0);
   balance_remove (balance, runner_name (0));
-  ck_assert_int_eq (pick (), -1);
+  ck_assert_int_eq (select_runner (), -1);
   ck_assert_uint_eq (balance_known (balance), 0);
 }
 END_TEST
 
-/* A place is used again by another upstream.  What still refers to the old one
-   must not touch the new one.  */
-START_TEST (stale_ids_name_nobody)
+/* The index of a removed upstream is reused by a new one.  The id of the
+   removed upstream must not refer to the new one.  */
+START_TEST (id_of_removed_upstream_is_invalid)
 {
-  upstream_id_t old;
+  upstream_id_t removed_id;
   balance_info_t info;
 
   add_runners (balance, 0, 1, 1);
-  old = ids[0];
+  removed_id = ids[0];
   balance_remove (balance, runner_name (0));
   add_runners (balance, 1, 2, 1);
-  balance_started (balance, old);
-  balance_mark (balance, old, BALANCE_DRAINING, true);
-  ck_assert (!balance_info (balance, old, &info));
+  balance_started (balance, removed_id);
+  balance_mark (balance, removed_id, BALANCE_DRAINING, true);
+  ck_assert (!balance_info (balance, removed_id, &info));
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert_uint_eq (info.in_flight, 0);
-  ck_assert_int_eq (pick (), 1);
+  ck_assert_int_eq (select_runner (), 1);
   ck_assert_uint_eq (balance_find (balance, runner_name (1)), ids[1]);
   ck_assert_uint_eq (balance_find (balance, runner_name (0)), 0);
 }
 END_TEST
 
-/* At most one upstream of the subset may change when one goes, or each change
-   of membership would break most connections of all entries.  */
+/* The removal of one upstream may replace only that one in the subset.
+   Otherwise each change of membership would close most connections of all
+   gateways.  */
 START_TEST (subset_is_deterministic_and_stable)
 {
   enum
   {
-    ROOM = 256
+    SUBSET_CAPACITY = 256
   };
-  upstream_id_t before[ROOM];
-  upstream_id_t after[ROOM];
-  balance_t *twin = balance_create (STR ("entry-1"), zones[0], manual, &rng);
-  pool_id_t pool = balance_pool (balance, draft);
+  upstream_id_t before[SUBSET_CAPACITY];
+  upstream_id_t after[SUBSET_CAPACITY];
+  balance_t *same_gateway
+      = balance_create (STR ("entry-1"), zones[0], manual, &rng);
+  pool_id_t pool = balance_pool (balance, draft_pool);
   balance_info_t info;
   size_t n;
   size_t own = 0;
   size_t kept = 0;
 
-  add_runners (balance, 0, MANY, 3);
-  for (int i = MANY - 1; i >= 0; i--)
-    balance_update (twin, runner_name (i), zones[i % 3], &draft, 1, false);
-  n = balance_subset (balance, pool, before, ROOM);
+  add_runners (balance, 0, RUNNERS_MAX, 3);
+  for (int i = RUNNERS_MAX - 1; i >= 0; i--)
+    balance_update (same_gateway, runner_name (i), zones[i % 3], &draft_pool,
+                    1, false);
+  n = balance_subset (balance, pool, before, SUBSET_CAPACITY);
   ck_assert_uint_eq (n, BALANCE_SUBSET_OWN + 2 * BALANCE_SUBSET_OTHER);
-  ck_assert_uint_eq (
-      balance_subset (twin, balance_pool (twin, draft), after, ROOM), n);
+  ck_assert_uint_eq (balance_subset (same_gateway,
+                                     balance_pool (same_gateway, draft_pool),
+                                     after, SUBSET_CAPACITY),
+                     n);
   for (size_t i = 0; i < n; i++)
     {
       balance_info_t same;
       ck_assert (balance_info (balance, before[i], &info));
       own += str_eq (info.zone, zones[0]);
-      ck_assert_uint_ne (balance_find (twin, info.name), 0);
-      ck_assert (balance_info (twin, balance_find (twin, info.name), &same));
+      ck_assert_uint_ne (balance_find (same_gateway, info.name), 0);
+      ck_assert (balance_info (same_gateway,
+                               balance_find (same_gateway, info.name), &same));
     }
   ck_assert_uint_eq (own, BALANCE_SUBSET_OWN);
 
   ck_assert (balance_info (balance, before[3], &info));
   balance_remove (balance, info.name);
-  ck_assert_uint_eq (balance_subset (balance, pool, after, ROOM), n);
+  ck_assert_uint_eq (balance_subset (balance, pool, after, SUBSET_CAPACITY),
+                     n);
   for (size_t i = 0; i < n; i++)
     for (size_t j = 0; j < n; j++)
       kept += before[i] == after[j];
   ck_assert_uint_eq (kept, n - 1);
-  balance_destroy (twin);
+  balance_destroy (same_gateway);
 }
 END_TEST
 
-/* All entries together must reach every upstream, each by about as many.  */
-START_TEST (subsets_of_many_entries_cover_the_pool)
+/* The subsets of all gateways together must contain nearly every upstream, and
+   each upstream must be in a similar number of subsets.  */
+START_TEST (subsets_of_many_gateways_cover_the_pool)
 {
   enum
   {
-    ENTRIES = 60,
-    ROOM = 256
+    GATEWAYS = 60,
+    SUBSET_CAPACITY = 256
   };
-  static int used[MANY];
+  static int used[RUNNERS_MAX];
   int uncovered = 0;
 
   memset (used, 0, sizeof used);
-  for (int e = 0; e < ENTRIES; e++)
+  for (int e = 0; e < GATEWAYS; e++)
     {
       char name[16];
       int len = snprintf (name, sizeof name, "entry-%d", e);
-      balance_t *entry = balance_create (str_make (name, (size_t)len),
-                                         zones[e % 3], manual, &rng);
-      upstream_id_t subset[ROOM];
+      balance_t *gateway = balance_create (str_make (name, (size_t)len),
+                                           zones[e % 3], manual, &rng);
+      upstream_id_t subset[SUBSET_CAPACITY];
       size_t n;
 
-      add_runners (entry, 0, MANY, 3);
-      n = balance_subset (entry, balance_pool (entry, draft), subset, ROOM);
+      add_runners (gateway, 0, RUNNERS_MAX, 3);
+      n = balance_subset (gateway, balance_pool (gateway, draft_pool), subset,
+                          SUBSET_CAPACITY);
       for (size_t i = 0; i < n; i++)
         {
           balance_info_t info;
           uint64_t number;
-          ck_assert (balance_info (entry, subset[i], &info));
+          ck_assert (balance_info (gateway, subset[i], &info));
           str_to_u64 (str_make (info.name.ptr + 7, info.name.len - 7),
                       &number);
           used[number]++;
         }
-      balance_destroy (entry);
+      balance_destroy (gateway);
     }
-  /* 60 * 128 / 1000 = 7.7 each; e^-7.7 of 1,000 is 0.5.  */
-  for (int i = 0; i < MANY; i++)
+  /* An upstream is in 60 * 128 / 1000 = 7.7 subsets on average; e^-7.7 of
+     1,000 upstreams, or 0.5, are in none.  */
+  for (int i = 0; i < RUNNERS_MAX; i++)
     {
       uncovered += used[i] == 0;
       ck_assert_int_le (used[i], 24);
@@ -225,19 +238,20 @@
 }
 END_TEST
 
-START_TEST (own_zone_first_then_spills)
+START_TEST (own_zone_is_filled_before_others)
 {
   int counts[30] = { 0 };
   int own = 0;
   int other = 0;
 
   add_runners (balance, 0, 30, 3);
-  send_many (40, counts);
+  send_requests (40, counts);
   for (int i = 0; i < 30; i++)
     *(i % 3 == 0 ? &own : &other) += counts[i];
   ck_assert_int_eq (other, 0);
-  /* The own zone has 80 slots; what is beyond goes elsewhere.  */
-  send_many (160, counts);
+  /* The gateway's own zone has 80 slots; further requests go to other
+     zones.  */
+  send_requests (160, counts);
   own = 0;
   for (int i = 0; i < 30; i++)
     *(i % 3 == 0 ? &own : &other) += counts[i];
@@ -247,9 +261,10 @@
 }
 END_TEST
 
-/* A zone is taken out: no new work there.  It comes back: its idle upstreams
-   would draw everything at once, with cold caches, if nothing held them.  */
-START_TEST (zone_leaves_and_returns_slowly)
+/* A disabled zone gets no new requests.  When it is enabled again, its idle
+   upstreams with cold caches would get all requests immediately if there were
+   no ramp.  */
+START_TEST (enabled_zone_ramps_up)
 {
   int counts[30] = { 0 };
   int first = 0;
@@ -257,28 +272,28 @@
 
   add_runners (balance, 0, 30, 3);
   balance_set_zone (balance, zones[0], false);
-  send_many (60, counts);
+  send_requests (60, counts);
   for (int i = 0; i < 30; i += 3)
     ck_assert_int_eq (counts[i], 0);
   balance_set_zone (balance, zones[0], true);
   clock_manual_advance_us (manual, 1000000);
   memset (counts, 0, sizeof counts);
-  send_many (60, counts);
+  send_requests (60, counts);
   for (int i = 0; i < 30; i += 3)
     first += counts[i];
-  /* A fifth of 80 slots.  */
+  /* One second into the ramp the zone counts as a fifth of its 80 slots.  */
   ck_assert_int_ge (first, 1);
   ck_assert_int_le (first, 20);
   clock_manual_advance_us (manual, (uint64_t)ZONE_RAMP_MS * 1000);
   memset (counts, 0, sizeof counts);
-  send_many (50, counts);
+  send_requests (50, counts);
   for (int i = 0; i < 30; i += 3)
     later += counts[i];
   ck_assert_int_eq (later, 50);
 }
 END_TEST
 
-START_TEST (marked_upstreams_get_nothing)
+START_TEST (marked_upstreams_get_no_requests)
 {
   static const balance_mark_t marks[]
       = { BALANCE_DRAINING, BALANCE_EJECTED, BALANCE_OUT, BALANCE_DOWN };
@@ -287,58 +302,58 @@
   for (int i = 0; i < 4; i++)
     balance_mark (balance, ids[i], marks[i], i != 2);
   for (int i = 0; i < 200; i++)
-    ck_assert_int_eq (pick (), 2);
+    ck_assert_int_eq (select_runner (), 2);
   balance_mark (balance, ids[2], BALANCE_OUT, true);
-  ck_assert_int_eq (pick (), -1);
+  ck_assert_int_eq (select_runner (), -1);
   balance_mark (balance, ids[2], BALANCE_EJECTED, true);
   balance_mark (balance, ids[2], BALANCE_OUT, false);
-  ck_assert_int_eq (pick (), -1);
+  ck_assert_int_eq (select_runner (), -1);
   balance_mark (balance, ids[2], BALANCE_EJECTED, false);
-  ck_assert_int_eq (pick (), 2);
+  ck_assert_int_eq (select_runner (), 2);
 }
 END_TEST
 
-/* A drained subset must be filled up from those that serve, or an entry whose
-   subset drains has no upstream in a pool of a thousand.  */
-START_TEST (draining_ones_are_replaced_in_the_subset)
+/* Draining upstreams must be replaced in the subset.  Otherwise a gateway
+   whose whole subset drains has no upstream in a pool of a thousand.  */
+START_TEST (draining_upstreams_are_replaced_in_the_subset)
 {
   upstream_id_t subset[256];
-  pool_id_t pool = balance_pool (balance, draft);
+  pool_id_t pool = balance_pool (balance, draft_pool);
   size_t n;
 
-  add_runners (balance, 0, MANY, 1);
+  add_runners (balance, 0, RUNNERS_MAX, 1);
   n = balance_subset (balance, pool, subset, 256);
   for (size_t i = 0; i < n; i++)
     balance_mark (balance, subset[i], BALANCE_DRAINING, true);
   ck_assert_uint_eq (balance_subset (balance, pool, subset, 256), n);
-  ck_assert_int_ge (pick (), 0);
+  ck_assert_int_ge (select_runner (), 0);
 }
 END_TEST
 
-START_TEST (returned_upstream_ramps_up)
+START_TEST (upstream_ramps_up_after_ejection)
 {
   int counts[10] = { 0 };
 
   add_runners (balance, 0, 10, 1);
   balance_mark (balance, ids[0], BALANCE_EJECTED, true);
-  send_many (27, counts);
+  send_requests (27, counts);
   balance_mark (balance, ids[0], BALANCE_EJECTED, false);
-  send_many (27, counts);
+  send_requests (27, counts);
   ck_assert_int_le (counts[0], 1);
   clock_manual_advance_us (manual, (uint64_t)BALANCE_RAMP_MS * 1000);
-  send_many (20, counts);
+  send_requests (20, counts);
   ck_assert_int_ge (counts[0], 2);
 }
 END_TEST
 
-START_TEST (tried_ones_are_left_out)
+START_TEST (tried_upstreams_are_not_selected_again)
 {
   balance_request_t request = { 0 };
   upstream_id_t tried[5];
   upstream_id_t id;
 
   add_runners (balance, 0, 5, 1);
-  request.pool = balance_pool (balance, draft);
+  request.pool = balance_pool (balance, draft_pool);
   request.tried = tried;
   for (; request.tried_count < 5; request.tried_count++)
     {
@@ -351,25 +366,25 @@
 }
 END_TEST
 
-/* An upstream refuses everything within a millisecond, so nothing is ever in
-   flight there.  By load alone it would get most of the requests.  */
-START_TEST (failing_fast_draws_no_traffic)
+/* One upstream rejects every request within a millisecond and so never has one
+   in flight.  By load alone it would get most of the requests.  */
+START_TEST (fast_failures_do_not_attract_requests)
 {
   enum
   {
-    HELD = 20
+    IN_FLIGHT = 20
   };
-  int held[HELD];
-  int bad = 0;
+  int in_flight[IN_FLIGHT];
+  int failing = 0;
 
   add_runners (balance, 0, 10, 1);
-  for (int i = 0; i < HELD; i++)
-    held[i] = -1;
-  /* A good answer takes as long as twenty requests take to come.  */
+  for (int i = 0; i < IN_FLIGHT; i++)
+    in_flight[i] = -1;
+  /* A request to a healthy upstream ends when twenty more were sent.  */
   for (int i = 0; i < 300; i++)
     {
-      int *oldest = &held[i % HELD];
-      int at = pick ();
+      int *oldest = &in_flight[i % IN_FLIGHT];
+      int at = select_runner ();
 
       if (*oldest >= 0)
         balance_ended (balance, ids[*oldest], true);
@@ -380,14 +395,15 @@
         *oldest = at;
       else
         balance_ended (balance, ids[at], false);
-      bad += at == 0;
+      failing += at == 0;
     }
-  /* By load alone it would win each of the 60 draws it is in.  */
-  ck_assert_int_le (bad, 10);
+  /* By load alone the failing upstream would be selected in each of the 60
+     draws that contain it.  */
+  ck_assert_int_le (failing, 10);
 }
 END_TEST
 
-START_TEST (reports_of_others_count)
+START_TEST (load_of_other_gateways_counts)
 {
   int counts[10] = { 0 };
   balance_load_t busy = { .in_flight = 30, .slots = 16 };
@@ -396,14 +412,14 @@
   add_runners (balance, 0, 10, 1);
   for (int i = 0; i < 10; i++)
     balance_report (balance, ids[i], i < 5 ? &busy : &idle, 0);
-  send_many (50, counts);
+  send_requests (50, counts);
   for (int i = 0; i < 5; i++)
     ck_assert_int_le (counts[i], 3);
 }
 END_TEST
 
-/* Two reports cross on the way, and the older one comes last.  It must not
-   bring back a load that is gone.  */
+/* Two reports arrive out of order.  The older one, which arrives last, must
+   not restore a load that no longer exists.  */
 START_TEST (older_report_is_ignored)
 {
   balance_load_t now = { .in_flight = 2, .slots = 10 };
@@ -423,10 +439,10 @@
 }
 END_TEST
 
-/* Return how many of 60 requests go to the one upstream that is idle by
-   reports of AGE_MS.  */
+/* Return how many of 60 requests are sent to the only upstream that is idle
+   according to reports of AGE_MS.  */
 static int
-sent_to_idle (uint64_t age_ms)
+requests_to_idle_upstream (uint64_t age_ms)
 {
   int counts[20] = { 0 };
   balance_load_t idle = { .in_flight = 0, .slots = 8 };
@@ -434,7 +450,7 @@
 
   for (int i = 0; i < 20; i++)
     balance_report (balance, ids[i], i == 0 ? &idle : &busy, age_ms);
-  send_many (60, counts);
+  send_requests (60, counts);
   for (int i = 0; i < 20; i++)
     while (counts[i] > 0 && i > 0)
       {
@@ -446,30 +462,30 @@
   return counts[0];
 }
 
-/* Many entries hear the same reports, seconds old, that name one idle
-   upstream.  Least load by report would send all of them there until the next
-   report comes; the upstream would be buried, then shunned.  */
-START_TEST (stale_reports_do_not_herd)
+/* All gateways receive the same reports, which are seconds old and show one
+   idle upstream.  With least load by report all gateways would select it until
+   the next report, which overloads it, and then none.  */
+START_TEST (old_reports_do_not_cause_herding)
 {
-  int old;
-  int fresh;
+  int sent_by_old_reports;
+  int sent_by_current_reports;
 
   add_runners (balance, 0, 20, 1);
   clock_manual_advance_us (manual, 20000000);
-  old = sent_to_idle (10000);
+  sent_by_old_reports = requests_to_idle_upstream (10000);
   clock_manual_advance_us (manual, 20000000);
-  fresh = sent_to_idle (0);
-  /* Three would be its even part.  */
-  ck_assert_int_le (old, 4);
-  ck_assert_int_ge (old, 1);
-  ck_assert_int_ge (fresh, 6);
+  sent_by_current_reports = requests_to_idle_upstream (0);
+  /* An equal share would be three.  */
+  ck_assert_int_le (sent_by_old_reports, 4);
+  ck_assert_int_ge (sent_by_old_reports, 1);
+  ck_assert_int_ge (sent_by_current_reports, 6);
 }
 END_TEST
 
-/* A limit is probing: now it stands at twice the slots, now at half.  By the
-   last reports alone, seconds old, one of two like upstreams would get four
-   times what the other gets.  */
-START_TEST (old_slots_give_way_to_the_usual)
+/* The concurrency limits of two equal upstreams alternate between half and
+   twice their mean.  By the last reports alone, seconds old, one of them would
+   get four times the requests of the other.  */
+START_TEST (old_slot_reports_decay_to_the_average)
 {
   int counts[2] = { 0 };
 
@@ -481,14 +497,14 @@
         balance_report (balance, ids[i], &load, 0);
       }
   clock_manual_advance_us (manual, 5000000);
-  send_many (30, counts);
+  send_requests (30, counts);
   ck_assert_int_ge (counts[0], 10);
   ck_assert_int_ge (counts[1], 10);
 }
 END_TEST
 
-/* A sidecar has just cut its limit from sixteen to two.  */
-START_TEST (fresh_slots_count)
+/* A sidecar has just lowered its concurrency limit from sixteen to two.  */
+START_TEST (current_slot_reports_count)
 {
   int counts[2] = { 0 };
   balance_load_t warm = { .slots = 16 };
@@ -499,46 +515,48 @@
     for (int i = 0; i < 2; i++)
       balance_report (balance, ids[i], &warm, 0);
   balance_report (balance, ids[0], &cold, 0);
-  send_many (18, counts);
+  send_requests (18, counts);
   ck_assert_int_le (counts[0], 3);
 }
 END_TEST
 
-/* Two entries must send the same prefix to the same upstream without asking
-   each other, or each cache holds a part of everything.  */
-START_TEST (affinity_agrees_between_entries)
+/* Gateways must select the same upstream for a prefix without coordination.
+   Otherwise every prefix takes up room in several caches.  */
+START_TEST (affinity_is_equal_at_all_gateways)
 {
   balance_t *other = balance_create (STR ("entry-2"), zones[0], manual, &rng);
   int moved = 0;
-  int homes[200];
+  int selected[200];
 
-  for (int i = MANY - 1; i >= 0; i--)
-    balance_update (other, runner_name (i), zones[i % 3], &draft, 1, false);
-  add_runners (balance, 0, MANY, 3);
+  for (int i = RUNNERS_MAX - 1; i >= 0; i--)
+    balance_update (other, runner_name (i), zones[i % 3], &draft_pool, 1,
+                    false);
+  add_runners (balance, 0, RUNNERS_MAX, 3);
   for (int i = 0; i < 200; i++)
     {
-      homes[i] = pick_from (balance, 1000 + (uint64_t)i);
-      ck_assert_int_eq (homes[i] % 3, 0);
-      ck_assert_int_eq (pick_from (other, 1000 + (uint64_t)i), homes[i]);
+      selected[i] = select_from (balance, 1000 + (uint64_t)i);
+      ck_assert_int_eq (selected[i] % 3, 0);
+      ck_assert_int_eq (select_from (other, 1000 + (uint64_t)i), selected[i]);
     }
   for (int i = 0; i < 30; i++)
     balance_remove (balance, runner_name (i));
   for (int i = 0; i < 200; i++)
-    moved += pick_from (balance, 1000 + (uint64_t)i) != homes[i];
+    moved += select_from (balance, 1000 + (uint64_t)i) != selected[i];
   ck_assert_int_le (moved, 20);
   balance_destroy (other);
 }
 END_TEST
 
-/* One prefix takes half of all traffic.  Its home must not be buried.  */
-START_TEST (hot_prefix_is_bounded)
+/* Half of all requests have the same prefix.  The upstream that affinity
+   selects for them must not be overloaded.  */
+START_TEST (hot_prefix_does_not_overload_an_upstream)
 {
   int counts[10] = { 0 };
 
   add_runners (balance, 0, 10, 1);
   for (int i = 0; i < 60; i++)
     {
-      int at = pick_from (balance, i % 2 == 0 ? 77 : BALANCE_NO_AFFINITY);
+      int at = select_from (balance, i % 2 == 0 ? 77 : BALANCE_NO_AFFINITY);
       balance_started (balance, ids[at]);
       counts[at]++;
     }
@@ -547,37 +565,38 @@
 }
 END_TEST
 
-START_TEST (cache_events_late_and_with_gaps)
+START_TEST (late_and_lost_cache_events)
 {
   str_t large = STR ("draft-large@7");
-  int home;
-  int cached;
+  int ring_upstream;
+  int hinted_upstream;
 
   add_runners (balance, 0, 10, 1);
-  home = pick_from (balance, 77);
-  cached = (home + 1) % 10;
-  balance_cache_event (balance, ids[cached], 77, true);
-  ck_assert_int_eq (pick_from (balance, 77), cached);
-  balance_cache_event (balance, ids[home], 77, false);
-  ck_assert_int_eq (pick_from (balance, 77), cached);
-  balance_cache_event (balance, ids[cached], 77, false);
-  ck_assert_int_eq (pick_from (balance, 77), home);
-  /* The eviction is never told: the hint ends by itself.  */
-  balance_cache_event (balance, ids[cached], 77, true);
+  ring_upstream = select_from (balance, 77);
+  hinted_upstream = (ring_upstream + 1) % 10;
+  balance_cache_event (balance, ids[hinted_upstream], 77, true);
+  ck_assert_int_eq (select_from (balance, 77), hinted_upstream);
+  balance_cache_event (balance, ids[ring_upstream], 77, false);
+  ck_assert_int_eq (select_from (balance, 77), hinted_upstream);
+  balance_cache_event (balance, ids[hinted_upstream], 77, false);
+  ck_assert_int_eq (select_from (balance, 77), ring_upstream);
+  /* Without an eviction event the cache hint expires.  */
+  balance_cache_event (balance, ids[hinted_upstream], 77, true);
   clock_manual_advance_us (manual, (BALANCE_HINT_MS + 100) * 1000ul);
-  ck_assert_int_eq (pick_from (balance, 77), home);
-  /* The upstream serves something else by now, or is gone.  */
-  balance_cache_event (balance, ids[cached], 77, true);
-  balance_update (balance, runner_name (cached), zones[0], &large, 1, false);
-  ck_assert_int_eq (pick_from (balance, 77), home);
-  balance_remove (balance, runner_name (cached));
-  ck_assert_int_eq (pick_from (balance, 77), home);
+  ck_assert_int_eq (select_from (balance, 77), ring_upstream);
+  /* The upstream now serves another pool, and then it is removed.  */
+  balance_cache_event (balance, ids[hinted_upstream], 77, true);
+  balance_update (balance, runner_name (hinted_upstream), zones[0], &large, 1,
+                  false);
+  ck_assert_int_eq (select_from (balance, 77), ring_upstream);
+  balance_remove (balance, runner_name (hinted_upstream));
+  ck_assert_int_eq (select_from (balance, 77), ring_upstream);
 }
 END_TEST
 
-START_TEST (pools_and_zones_of_an_upstream_change)
+START_TEST (pools_and_zone_of_an_upstream_change)
 {
-  str_t both[] = { draft, STR ("draft-large@7") };
+  str_t both[] = { draft_pool, STR ("draft-large@7") };
   balance_request_t large = { 0 };
   upstream_id_t id;
   balance_info_t info;
@@ -593,7 +612,7 @@
   ck_assert_uint_eq (id, ids[1]);
   balance_update (balance, runner_name (1), zones[2], both + 1, 1, false);
   for (int i = 0; i < 100; i++)
-    ck_assert_int_ne (pick (), 1);
+    ck_assert_int_ne (select_runner (), 1);
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert (str_eq (info.zone, zones[2]));
   for (int i = 0; i < 3; i++)
@@ -602,10 +621,10 @@
 }
 END_TEST
 
-START_TEST (pressure_is_the_mean_and_fades)
+START_TEST (pressure_is_the_mean_load_and_decays)
 {
   balance_load_t full = { .in_flight = 16, .slots = 8 };
-  pool_id_t pool = balance_pool (balance, draft);
+  pool_id_t pool = balance_pool (balance, draft_pool);
 
   add_runners (balance, 0, 10, 1);
   ck_assert (balance_pressure (balance, pool) == 0);
@@ -625,28 +644,28 @@
   TCase *tcase = tcase_create ("balance");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, spreads_evenly);
-  tcase_add_test (tcase, empty_and_unknown_pools);
-  tcase_add_test (tcase, stale_ids_name_nobody);
+  tcase_add_test (tcase, requests_spread_evenly);
+  tcase_add_test (tcase, pool_without_upstreams_selects_none);
+  tcase_add_test (tcase, id_of_removed_upstream_is_invalid);
   tcase_add_test (tcase, subset_is_deterministic_and_stable);
-  tcase_add_test (tcase, subsets_of_many_entries_cover_the_pool);
-  tcase_add_test (tcase, own_zone_first_then_spills);
-  tcase_add_test (tcase, zone_leaves_and_returns_slowly);
-  tcase_add_test (tcase, marked_upstreams_get_nothing);
-  tcase_add_test (tcase, draining_ones_are_replaced_in_the_subset);
-  tcase_add_test (tcase, returned_upstream_ramps_up);
-  tcase_add_test (tcase, tried_ones_are_left_out);
-  tcase_add_test (tcase, failing_fast_draws_no_traffic);
-  tcase_add_test (tcase, reports_of_others_count);
+  tcase_add_test (tcase, subsets_of_many_gateways_cover_the_pool);
+  tcase_add_test (tcase, own_zone_is_filled_before_others);
+  tcase_add_test (tcase, enabled_zone_ramps_up);
+  tcase_add_test (tcase, marked_upstreams_get_no_requests);
+  tcase_add_test (tcase, draining_upstreams_are_replaced_in_the_subset);
+  tcase_add_test (tcase, upstream_ramps_up_after_ejection);
+  tcase_add_test (tcase, tried_upstreams_are_not_selected_again);
+  tcase_add_test (tcase, fast_failures_do_not_attract_requests);
+  tcase_add_test (tcase, load_of_other_gateways_counts);
   tcase_add_test (tcase, older_report_is_ignored);
-  tcase_add_test (tcase, stale_reports_do_not_herd);
-  tcase_add_test (tcase, old_slots_give_way_to_the_usual);
-  tcase_add_test (tcase, fresh_slots_count);
-  tcase_add_test (tcase, affinity_agrees_between_entries);
-  tcase_add_test (tcase, hot_prefix_is_bounded);
-  tcase_add_test (tcase, cache_events_late_and_with_gaps);
-  tcase_add_test (tcase, pools_and_zones_of_an_upstream_change);
-  tcase_add_test (tcase, pressure_is_the_mean_and_fades);
+  tcase_add_test (tcase, old_reports_do_not_cause_herding);
+  tcase_add_test (tcase, old_slot_reports_decay_to_the_average);
+  tcase_add_test (tcase, current_slot_reports_count);
+  tcase_add_test (tcase, affinity_is_equal_at_all_gateways);
+  tcase_add_test (tcase, hot_prefix_does_not_overload_an_upstream);
+  tcase_add_test (tcase, late_and_lost_cache_events);
+  tcase_add_test (tcase, pools_and_zone_of_an_upstream_change);
+  tcase_add_test (tcase, pressure_is_the_mean_load_and_decays);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -1,4 +1,4 @@
-/* Tests of the planned stop.  */
+/* Tests of graceful shutdown.  */
 
 #include "policy/drain.h"
 
@@ -22,29 +22,30 @@
 }
 
 static void
-pass_ms (uint64_t ms)
+advance_ms (uint64_t ms)
 {
   clock_manual_advance_us (manual, ms * 1000);
 }
 
-START_TEST (goes_through_its_states)
+START_TEST (shutdown_passes_all_states)
 {
   ck_assert_int_eq (drain_step (drain, 0), DRAIN_SERVING);
   ck_assert (drain_healthy (drain));
   ck_assert_uint_eq (drain_next_ms (drain), UINT64_MAX);
   ck_assert (drain_begin (drain));
   ck_assert (!drain_healthy (drain));
-  /* Idle or not, the grace runs: the balancer still sends.  */
+  /* The grace period applies to an idle process too, because the load balancer
+     still sends requests.  */
   ck_assert_int_eq (drain_step (drain, 0), DRAIN_ANNOUNCED);
   ck_assert (drain_accepts (drain));
   ck_assert_uint_eq (drain_next_ms (drain), 1000);
-  pass_ms (999);
+  advance_ms (999);
   ck_assert_int_eq (drain_step (drain, 2), DRAIN_ANNOUNCED);
-  pass_ms (1);
+  advance_ms (1);
   ck_assert_int_eq (drain_step (drain, 2), DRAIN_DRAINING);
   ck_assert (!drain_accepts (drain));
   ck_assert_uint_eq (drain_next_ms (drain), 9000);
-  pass_ms (3000);
+  advance_ms (3000);
   ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
   ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
   ck_assert_uint_eq (drain_cut (drain), 0);
@@ -52,15 +53,15 @@
 }
 END_TEST
 
-/* An operator sends the signal again because the process is still there.
-   Requests in hand must not be cut for that, nor their time begin anew.  */
+/* An operator sends the signal again because the process is still running.
+   This must neither abort the requests in flight nor restart the timeouts.  */
 START_TEST (second_signal_has_no_effect)
 {
   ck_assert (drain_begin (drain));
-  pass_ms (500);
+  advance_ms (500);
   ck_assert (!drain_begin (drain));
   ck_assert_uint_eq (drain_next_ms (drain), 500);
-  pass_ms (500);
+  advance_ms (500);
   ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
   ck_assert (!drain_begin (drain));
   ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
@@ -70,30 +71,30 @@
 }
 END_TEST
 
-/* One answer is never fetched.  The stop ends at its bound and says what it
-   cut.  */
-START_TEST (bound_ends_it_and_names_what_was_cut)
+/* Responses that are never fetched delay the shutdown until its timeout, after
+   which it reports how many requests were unfinished.  */
+START_TEST (timeout_ends_the_shutdown_and_counts_unfinished)
 {
   drain_begin (drain);
-  pass_ms (1000);
+  advance_ms (1000);
   drain_step (drain, 3);
-  pass_ms (8999);
+  advance_ms (8999);
   ck_assert_int_eq (drain_step (drain, 3), DRAIN_DRAINING);
-  pass_ms (1);
+  advance_ms (1);
   ck_assert_int_eq (drain_step (drain, 3), DRAIN_DONE);
   ck_assert_uint_eq (drain_cut (drain), 3);
 }
 END_TEST
 
-START_TEST (bound_below_the_grace)
+START_TEST (timeout_below_the_grace_period)
 {
-  drain_t *hasty = drain_create (1000, 200, manual);
+  drain_t *short_drain = drain_create (1000, 200, manual);
 
-  drain_begin (hasty);
-  ck_assert_uint_eq (drain_next_ms (hasty), 200);
-  pass_ms (200);
-  ck_assert_int_eq (drain_step (hasty, 1), DRAIN_DONE);
-  drain_destroy (hasty);
+  drain_begin (short_drain);
+  ck_assert_uint_eq (drain_next_ms (short_drain), 200);
+  advance_ms (200);
+  ck_assert_int_eq (drain_step (short_drain, 1), DRAIN_DONE);
+  drain_destroy (short_drain);
 }
 END_TEST
 
@@ -104,10 +105,10 @@
   TCase *tcase = tcase_create ("drain");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, goes_through_its_states);
+  tcase_add_test (tcase, shutdown_passes_all_states);
   tcase_add_test (tcase, second_signal_has_no_effect);
-  tcase_add_test (tcase, bound_ends_it_and_names_what_was_cut);
-  tcase_add_test (tcase, bound_below_the_grace);
+  tcase_add_test (tcase, timeout_ends_the_shutdown_and_counts_unfinished);
+  tcase_add_test (tcase, timeout_below_the_grace_period);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -1,4 +1,4 @@
-/* Tests of ejection.  */
+/* Tests of outlier detection.  */
 
 #include "policy/outlier.h"
 
@@ -6,26 +6,26 @@
 
 enum
 {
-  POOL = 20,
-  GOOD_US = 100000
+  POOL_SIZE = 20,
+  NORMAL_LATENCY_US = 100000
 };
 
 typedef struct
 {
   outlier_member_t *member;
-  bool in;
+  bool is_active;
 } upstream_t;
 
 static clock_iface_t *manual;
 static outlier_t *outlier;
-static upstream_t pool[POOL];
+static upstream_t pool[POOL_SIZE];
 
 static void
 setup (void)
 {
   manual = clock_manual_create (0);
   outlier = outlier_create (0, manual);
-  for (int i = 0; i < POOL; i++)
+  for (int i = 0; i < POOL_SIZE; i++)
     pool[i] = (upstream_t){ outlier_join (outlier, &pool[i]), true };
 }
 
@@ -43,75 +43,76 @@
   upstream_t *upstream;
 
   while ((upstream = outlier_next (outlier, &state)) != NULL)
-    upstream->in = state != OUTLIER_EJECTED;
+    upstream->is_active = state != OUTLIER_EJECTED;
 }
 
-/* One answer of each member that is in; BAD of them fail, SLOW ones take five
-   times as long.  */
+/* Record one response of each member that is not ejected.  The first FAILING
+   members fail, and the next SLOW ones take five times as long.  */
 static void
-run_round (int bad, int slow)
+run_round (int failing, int slow)
 {
-  for (int i = 0; i < POOL; i++)
-    if (pool[i].in)
-      outlier_record (outlier, pool[i].member, i >= bad,
-                      i < bad + slow ? GOOD_US * 5 : GOOD_US, 10);
+  for (int i = 0; i < POOL_SIZE; i++)
+    if (pool[i].is_active)
+      outlier_record (
+          outlier, pool[i].member, i >= failing,
+          i < failing + slow ? NORMAL_LATENCY_US * 5 : NORMAL_LATENCY_US, 10);
   clock_manual_advance_us (manual, 50000);
   apply_changes ();
 }
 
-/* One upstream refuses every request within a millisecond.  Always idle, it
-   would draw most of the traffic, and callers would see errors from a pool
-   that is otherwise well.  */
-START_TEST (failing_fast_is_out_after_five)
+/* One upstream rejects every request within a millisecond.  It always has the
+   fewest requests in flight and would get most of the traffic, so callers of a
+   healthy pool would get errors.  */
+START_TEST (failing_fast_is_ejected_after_five)
 {
   run_round (0, 0);
   for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
     {
-      ck_assert (pool[0].in);
+      ck_assert (pool[0].is_active);
       outlier_record (outlier, pool[0].member, false, 1000, 1);
       apply_changes ();
     }
-  ck_assert (!pool[0].in);
+  ck_assert (!pool[0].is_active);
   ck_assert_uint_eq (outlier_ejected (outlier), 1);
 }
 END_TEST
 
-START_TEST (failing_in_part_is_out)
+START_TEST (partial_failure_is_ejected)
 {
   for (int round = 0; round < 60; round++)
     {
       run_round (0, 0);
-      if (pool[0].in)
+      if (pool[0].is_active)
         outlier_record (outlier, pool[0].member, false, 1000, 1);
     }
-  ck_assert (!pool[0].in);
+  ck_assert (!pool[0].is_active);
   ck_assert_uint_eq (outlier_ejected (outlier), 1);
 }
 END_TEST
 
-/* One upstream in twenty takes five times as long: every twentieth caller
-   waits, and those behind it too.  */
-START_TEST (slow_one_is_out_and_no_other)
+/* One upstream in twenty takes five times as long, which delays every
+   twentieth request and those queued after it.  */
+START_TEST (only_the_slow_member_is_ejected)
 {
   for (int round = 0; round < 30; round++)
     run_round (0, 1);
-  ck_assert (!pool[0].in);
+  ck_assert (!pool[0].is_active);
   ck_assert_uint_eq (outlier_ejected (outlier), 1);
 }
 END_TEST
 
-/* Most of a pool warms up, held to two jobs each by its limit, and nothing is
-   said of its speed.  Nobody may be measured against that, and failures count
-   all the same.  */
-START_TEST (warming_ones_are_not_judged_by_speed)
+/* Most upstreams of a pool are warming up with a concurrency limit of two, and
+   their latency is not recorded.  No member may be ejected for latency then,
+   but failures still count.  */
+START_TEST (warming_members_are_not_ejected_for_latency)
 {
   for (int round = 0; round < 20; round++)
     run_round (0, 0);
   for (int round = 0; round < 60; round++)
     {
-      for (int i = 0; i < POOL; i++)
-        outlier_record (outlier, pool[i].member, true, i < 12 ? 0 : GOOD_US,
-                        10);
+      for (int i = 0; i < POOL_SIZE; i++)
+        outlier_record (outlier, pool[i].member, true,
+                        i < 12 ? 0 : NORMAL_LATENCY_US, 10);
       clock_manual_advance_us (manual, 50000);
       apply_changes ();
     }
@@ -119,88 +120,88 @@
   for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
     outlier_record (outlier, pool[1].member, false, 0, 10);
   apply_changes ();
-  ck_assert (!pool[1].in);
+  ck_assert (!pool[1].is_active);
 }
 END_TEST
 
-/* A bad request, sent by many, or a store that is down makes every upstream
-   fail.  Ejecting any would only add overload to it.  */
-START_TEST (common_failure_ejects_nobody)
+/* An invalid request that many clients send, or a store outage, makes every
+   upstream fail.  Ejecting some would overload the others as well.  */
+START_TEST (common_failure_ejects_no_member)
 {
   for (int round = 0; round < 100; round++)
-    run_round (POOL, 0);
+    run_round (POOL_SIZE, 0);
   ck_assert_uint_eq (outlier_ejected (outlier), 0);
 }
 END_TEST
 
-START_TEST (ejects_no_more_than_its_share)
+START_TEST (ejected_share_is_limited)
 {
   for (int round = 0; round < 100; round++)
     run_round (9, 0);
-  ck_assert_uint_eq (outlier_ejected (outlier), POOL * 3 / 10);
+  ck_assert_uint_eq (outlier_ejected (outlier), POOL_SIZE * 3 / 10);
 }
 END_TEST
 
-START_TEST (returns_on_trial_for_longer_and_longer)
+START_TEST (ejections_grow_longer_and_end_in_a_trial)
 {
   uint64_t lengths_ms[3];
 
   for (int i = 0; i < 3; i++)
     {
-      uint64_t out_ms;
+      uint64_t ejected_ms;
 
-      while (pool[0].in)
+      while (pool[0].is_active)
         run_round (1, 0);
-      out_ms = clock_ms (manual);
-      while (!pool[0].in)
+      ejected_ms = clock_ms (manual);
+      while (!pool[0].is_active)
         run_round (1, 0);
-      lengths_ms[i] = clock_ms (manual) - out_ms;
+      lengths_ms[i] = clock_ms (manual) - ejected_ms;
       ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_TRIAL);
     }
   ck_assert_uint_ge (lengths_ms[0], OUTLIER_FIRST_MS - 100);
   ck_assert_uint_le (lengths_ms[0], OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS + 100);
   ck_assert_uint_ge (lengths_ms[1], lengths_ms[0] * 18 / 10);
   ck_assert_uint_ge (lengths_ms[2], lengths_ms[1] * 18 / 10);
-  /* On trial a single failure is enough.  */
+  /* On trial a single failure ejects the member.  */
   run_round (1, 0);
-  ck_assert (!pool[0].in);
-  while (!pool[0].in)
+  ck_assert (!pool[0].is_active);
+  while (!pool[0].is_active)
     run_round (0, 0);
   for (int i = 0; i < OUTLIER_TRIAL_OK; i++)
     run_round (0, 0);
   ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_IN);
-  /* A member that was well for long starts afresh.  */
+  /* After a long time without ejection the length is reset.  */
   clock_manual_advance_us (manual, (uint64_t)OUTLIER_FORGIVE_MS * 1000);
-  while (pool[0].in)
+  while (pool[0].is_active)
     run_round (1, 0);
   clock_manual_advance_us (
       manual, (uint64_t)(OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS) * 1000);
   apply_changes ();
-  ck_assert (pool[0].in);
+  ck_assert (pool[0].is_active);
 }
 END_TEST
 
-START_TEST (small_pools)
+START_TEST (pools_of_one_and_two)
 {
-  outlier_t *one = outlier_create (0, manual);
-  outlier_member_t *only = outlier_join (one, &pool[0]);
+  outlier_t *detector = outlier_create (0, manual);
+  outlier_member_t *only = outlier_join (detector, &pool[0]);
   outlier_member_t *second;
   outlier_state_t state;
 
   for (int i = 0; i < 50; i++)
-    outlier_record (one, only, false, 1000, 1);
+    outlier_record (detector, only, false, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_null (outlier_next (one, &state));
-  second = outlier_join (one, &pool[1]);
+  ck_assert_ptr_null (outlier_next (detector, &state));
+  second = outlier_join (detector, &pool[1]);
   for (int i = 0; i < 50; i++)
-    outlier_record (one, second, true, 1000, 1);
+    outlier_record (detector, second, true, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_eq (outlier_next (one, &state), &pool[0]);
+  ck_assert_ptr_eq (outlier_next (detector, &state), &pool[0]);
   ck_assert_int_eq (state, OUTLIER_EJECTED);
-  /* Leaving while ejected frees the room for another.  */
-  outlier_leave (one, only);
-  ck_assert_uint_eq (outlier_ejected (one), 0);
-  outlier_destroy (one);
+  /* Removing an ejected member allows the ejection of another.  */
+  outlier_leave (detector, only);
+  ck_assert_uint_eq (outlier_ejected (detector), 0);
+  outlier_destroy (detector);
 }
 END_TEST
 
@@ -211,14 +212,14 @@
   TCase *tcase = tcase_create ("outlier");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, failing_fast_is_out_after_five);
-  tcase_add_test (tcase, failing_in_part_is_out);
-  tcase_add_test (tcase, slow_one_is_out_and_no_other);
-  tcase_add_test (tcase, warming_ones_are_not_judged_by_speed);
-  tcase_add_test (tcase, common_failure_ejects_nobody);
-  tcase_add_test (tcase, ejects_no_more_than_its_share);
-  tcase_add_test (tcase, returns_on_trial_for_longer_and_longer);
-  tcase_add_test (tcase, small_pools);
+  tcase_add_test (tcase, failing_fast_is_ejected_after_five);
+  tcase_add_test (tcase, partial_failure_is_ejected);
+  tcase_add_test (tcase, only_the_slow_member_is_ejected);
+  tcase_add_test (tcase, warming_members_are_not_ejected_for_latency);
+  tcase_add_test (tcase, common_failure_ejects_no_member);
+  tcase_add_test (tcase, ejected_share_is_limited);
+  tcase_add_test (tcase, ejections_grow_longer_and_end_in_a_trial);
+  tcase_add_test (tcase, pools_of_one_and_two);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1,4 +1,4 @@
-/* Which instance gets a request: hot subjects, cold instances, failures.  */
+/* Tests of instance selection: prompt affinity, cold instances, failures.  */
 
 #include "policy/pool.h"
 #include "suite.h"
@@ -14,14 +14,14 @@
 typedef struct
 {
   clock_iface_t *clock;
-  allotment_t *fleet;
+  allotment_t *gateways;
   pool_t *pool;
   pool_want_t want;
 } fixture_t;
 
 static void
-put (fixture_t *f, int index, const char *version, const char *zone,
-     uint64_t cold_ms)
+add_instance (fixture_t *f, int index, const char *version, const char *zone,
+              uint64_t cold_ms)
 {
   char id[16];
 
@@ -36,9 +36,10 @@
   pool_put (f->pool, &info);
 }
 
-/* Make F entry INDEX of COUNT, which are in three zones, with INSTANCES.  */
+/* Set up F as gateway INDEX of COUNT, which are spread over three zones, with
+   a pool of INSTANCES instances.  */
 static void
-setup_one_of (fixture_t *f, int instances, int index, int count)
+setup_gateway (fixture_t *f, int instances, int index, int count)
 {
   pool_options_t options
       = { .zone = STR ("a"), .cold_factor = 1.5, .cold_slack = 5 };
@@ -52,29 +53,29 @@
       snprintf (name, sizeof name, "entry-%d", i % count);
       str_t zone = str_from (zones[i % count % 3]);
       if (i == index)
-        f->fleet = allotment_create (f->clock, str_from (name), zone);
+        f->gateways = allotment_create (f->clock, str_from (name), zone);
       else
-        allotment_put (f->fleet, str_from (name), zone);
+        allotment_put (f->gateways, str_from (name), zone);
     }
-  allotment_read (f->fleet);
-  options.entries = f->fleet;
+  allotment_read (f->gateways);
+  options.entries = f->gateways;
   f->pool = pool_create (f->clock, 1, &options);
   f->want = (pool_want_t){ .service = STR ("llm") };
   for (int i = 0; i < instances; i++)
-    put (f, i, "v1", "a", 0);
+    add_instance (f, i, "v1", "a", 0);
 }
 
 static void
 setup (fixture_t *f, int instances)
 {
-  setup_one_of (f, instances, 0, 1);
+  setup_gateway (f, instances, 0, 1);
 }
 
 static void
 teardown (fixture_t *f)
 {
   pool_destroy (f->pool);
-  allotment_destroy (f->fleet);
+  allotment_destroy (f->gateways);
   clock_manual_destroy (f->clock);
 }
 
@@ -87,29 +88,30 @@
   return upstream;
 }
 
-/* Start REQUESTS of F's kind.  Return how many instances they came to; USED
-   gets these.  */
+/* Start REQUESTS requests with the criteria of F.  Store the instances that
+   they were sent to in USED, and return how many these are.  */
 static size_t
-start_some (fixture_t *f, int requests, upstream_t *used[INSTANCES])
+start_requests (fixture_t *f, int requests, upstream_t *used[INSTANCES])
 {
   size_t count = 0;
 
   for (int i = 0; i < requests; i++)
     {
       upstream_t *next = choose (f);
-      bool known = false;
+      bool is_used = false;
       pool_started (f->pool, next, 0);
       for (size_t j = 0; j < count; j++)
-        known = known || used[j] == next;
-      if (!known)
+        is_used = is_used || used[j] == next;
+      if (!is_used)
         used[count++] = next;
     }
   return count;
 }
 
-/* The same subject comes to the same instance at any entry, and a subject that
-   becomes hot gets further ones before its first is full.  */
-START_TEST (a_subject_has_a_home_until_it_is_hot)
+/* Requests with one affinity key go to the same instance at all gateways.
+   Under high load they spread to further instances before the first is
+   full.  */
+START_TEST (affinity_holds_until_instance_is_overloaded)
 {
   fixture_t f;
   fixture_t other;
@@ -119,9 +121,10 @@
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
   f.want.key = other.want.key = 12345;
-  upstream_t *home = choose (&f);
-  ck_assert (str_eq (upstream_id (home), upstream_id (choose (&other))));
-  count = start_some (&f, 60, used);
+  upstream_t *affinity_instance = choose (&f);
+  ck_assert (
+      str_eq (upstream_id (affinity_instance), upstream_id (choose (&other))));
+  count = start_requests (&f, 60, used);
   ck_assert_uint_gt (count, 2);
   for (size_t i = 0; i < count; i++)
     ck_assert_uint_lt (upstream_running (used[i]), 40);
@@ -130,16 +133,16 @@
 }
 END_TEST
 
-/* A cold instance falls over at a rate that a warm one bears.  Entries that
-   cannot ask each other stay under its bound together.  */
-START_TEST (a_cold_instance_gets_its_share_of_requests)
+/* A cold instance fails at a request rate that a warm one sustains.  Gateways
+   that do not coordinate must stay below its rate limit together.  */
+START_TEST (cold_instance_is_limited_to_its_rate)
 {
   fixture_t f;
   upstream_t *upstream;
   int sent = 0;
 
-  setup_one_of (&f, 0, 0, 6);
-  put (&f, 0, "v1", "a", 5000);
+  setup_gateway (&f, 0, 0, 6);
+  add_instance (&f, 0, "v1", "a", 5000);
   f.want.cold_per_s = 14;
   while (pool_choose (f.pool, &f.want, &upstream) == VH_OK)
     {
@@ -154,20 +157,20 @@
 }
 END_TEST
 
-/* Entries that each round their part of a bound up to one request send a cold
-   instance as many as there are entries.  */
-START_TEST (a_cold_instance_bears_any_number_of_entries)
+/* If each gateway rounds its share of the rate limit up to one request, a cold
+   instance gets as many requests as there are gateways.  */
+START_TEST (cold_rate_holds_for_any_number_of_gateways)
 {
-  static const int fleets[] = { 1, 2, 5, 22, 68, 730 };
-  const int entries = fleets[_i];
-  fixture_t *all = calloc ((size_t)entries, sizeof *all);
+  static const int gateway_counts[] = { 1, 2, 5, 22, 68, 730 };
+  const int gateway_count = gateway_counts[_i];
+  fixture_t *all = calloc ((size_t)gateway_count, sizeof *all);
   int sent = 0;
 
-  for (int i = 0; i < entries; i++)
+  for (int i = 0; i < gateway_count; i++)
     {
       upstream_t *upstream;
-      setup_one_of (&all[i], 0, i, entries);
-      put (&all[i], 0, "v1", "a", 5000);
+      setup_gateway (&all[i], 0, i, gateway_count);
+      add_instance (&all[i], 0, "v1", "a", 5000);
       all[i].want.cold_per_s = 10;
       while (pool_choose (all[i].pool, &all[i].want, &upstream) == VH_OK)
         {
@@ -177,17 +180,18 @@
     }
   ck_assert_int_le (sent, 10);
   ck_assert_int_ge (sent, 9);
-  for (int i = 0; i < entries; i++)
+  for (int i = 0; i < gateway_count; i++)
     teardown (&all[i]);
   free (all);
 }
 END_TEST
 
 /* A new version with as many instances as the old one gets a tenth of the
-   requests.  Spread over all, they leave each idle, and a version that is slow
-   or bad under load looks good.  They go to the same few at every entry, and
-   to the others only once those are full.  */
-START_TEST (the_first_share_loads_a_few)
+   requests.  Spread over all its instances, these leave each of them idle, and
+   a version that is slow or fails under load passes.  The requests must go to
+   the same few instances at every gateway, and to others only if those are
+   full.  */
+START_TEST (first_traffic_share_goes_to_few_instances)
 {
   fixture_t f;
   fixture_t other;
@@ -199,7 +203,7 @@
   f.want.arm = other.want.arm = ARM_NEW;
   f.want.version = other.want.version = STR ("v1");
   f.want.few = other.want.few = 2;
-  count = start_some (&f, 100, used);
+  count = start_requests (&f, 100, used);
   ck_assert_uint_eq (count, 2);
   str_t id = upstream_id (choose (&other));
   ck_assert (str_eq (id, upstream_id (used[0]))
@@ -213,9 +217,9 @@
 }
 END_TEST
 
-/* One instance fails every request: after a few it gets none for a while, then
-   one to try.  When all fail, all stay in use.  */
-START_TEST (a_failing_instance_is_left_alone)
+/* One instance fails every request and must be ejected after a few.  When all
+   instances fail, all must stay in use.  */
+START_TEST (failing_instance_is_ejected)
 {
   fixture_t f;
   upstream_t *bad = NULL;
@@ -242,13 +246,13 @@
 }
 END_TEST
 
-START_TEST (versions_zones_and_tried_ones_are_told_apart)
+START_TEST (selection_obeys_version_zone_and_tried)
 {
   fixture_t f;
   upstream_t *upstream;
 
   setup (&f, 1);
-  put (&f, 1, "v2", "b", 0);
+  add_instance (&f, 1, "v2", "b", 0);
   f.want.version = STR ("v2");
   f.want.arm = ARM_NEW;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-1")));
@@ -270,9 +274,10 @@
 }
 END_TEST
 
-/* An instance is removed while requests run there: they keep it, new ones do
-   not get it.  A lapsed one is usable for the time given.  */
-START_TEST (a_removed_instance_ends_its_requests)
+/* An instance whose registration expires stays selectable for the given time.
+   After its removal it gets no new requests, and its running ones end
+   normally.  */
+START_TEST (removed_instance_completes_its_requests)
 {
   fixture_t f;
   upstream_t *upstream;
@@ -291,9 +296,9 @@
 }
 END_TEST
 
-/* A long prompt is being read at one instance: short requests go elsewhere,
-   where no prefill delays their tokens.  */
-START_TEST (long_prompts_keep_others_away)
+/* While one instance processes a long prompt, short requests must go to the
+   other, where no prefill delays their tokens.  */
+START_TEST (instance_in_prefill_gets_no_short_requests)
 {
   fixture_t f;
 
@@ -312,11 +317,11 @@
 }
 END_TEST
 
-/* An engine with requests says nothing to any of them: it is looked at half a
-   second after its last sign, later while it reads a long prompt, and not at
-   all while one of its requests gets tokens.  One that takes connections is
-   looked at again after a while, one that takes none is lost at once.  */
-START_TEST (a_dead_engine_is_told_from_a_slow_one)
+/* An engine that sends no data for any of its requests is probed half a second
+   after the last data, and later while it processes a long prompt.  An engine
+   that accepts the probe's connection is probed again later; one that does not
+   is unreachable immediately, until it sends data.  */
+START_TEST (silent_engine_is_probed)
 {
   fixture_t f;
 
@@ -345,20 +350,20 @@
 }
 END_TEST
 
-/* A version was taken back and the next one is ordered before its instances
-   are gone.  They must not pass for the old version: a session would go from
-   the old one to one that is known to be bad.  Ordered again, it is one like
-   any other.  */
-START_TEST (a_version_that_was_taken_back_gets_nothing)
+/* Version v2 is withdrawn, and a trial of v3 starts while instances of v2
+   still run.  They must not be selected as the old version: sessions would
+   move from v1 to a version that is known to be faulty.  When v2 is no longer
+   withdrawn, it is selected like any other version.  */
+START_TEST (withdrawn_version_gets_no_requests)
 {
   fixture_t f;
   upstream_t *chosen;
   buf_t text = BUF_NULL;
 
   setup (&f, 1);
-  put (&f, 1, "v2", "a", 0);
+  add_instance (&f, 1, "v2", "a", 0);
   pool_withdraw (f.pool, STR ("llm"), STR ("v2"), true);
-  put (&f, 2, "v2", "a", 0);
+  add_instance (&f, 2, "v2", "a", 0);
   f.want.arm = ARM_OLD;
   f.want.version = STR ("v3");
   for (int i = 0; i < 20; i++)
@@ -376,10 +381,10 @@
 }
 END_TEST
 
-/* The last answer of each instance said that all its slots were taken, by
-   requests of other entries.  They were free a moment later, but nothing that
-   was not sent could tell: every request was refused as full until then.  */
-START_TEST (a_full_instance_is_tried_again)
+/* The last response of an instance reported that all its slots were taken by
+   requests of other gateways.  Without new requests there was no later report,
+   so every request was rejected as full although the slots were free.  */
+START_TEST (full_instance_is_selected_again)
 {
   fixture_t f;
   upstream_t *chosen;
@@ -405,18 +410,18 @@
   Suite *suite = suite_create ("pool");
   TCase *tcase = tcase_create ("pool");
 
-  tcase_add_test (tcase, a_subject_has_a_home_until_it_is_hot);
-  tcase_add_test (tcase, a_cold_instance_gets_its_share_of_requests);
-  tcase_add_loop_test (tcase, a_cold_instance_bears_any_number_of_entries, 0,
+  tcase_add_test (tcase, affinity_holds_until_instance_is_overloaded);
+  tcase_add_test (tcase, cold_instance_is_limited_to_its_rate);
+  tcase_add_loop_test (tcase, cold_rate_holds_for_any_number_of_gateways, 0,
                        6);
-  tcase_add_test (tcase, the_first_share_loads_a_few);
-  tcase_add_test (tcase, a_failing_instance_is_left_alone);
-  tcase_add_test (tcase, versions_zones_and_tried_ones_are_told_apart);
-  tcase_add_test (tcase, a_removed_instance_ends_its_requests);
-  tcase_add_test (tcase, long_prompts_keep_others_away);
-  tcase_add_test (tcase, a_dead_engine_is_told_from_a_slow_one);
-  tcase_add_test (tcase, a_version_that_was_taken_back_gets_nothing);
-  tcase_add_test (tcase, a_full_instance_is_tried_again);
+  tcase_add_test (tcase, first_traffic_share_goes_to_few_instances);
+  tcase_add_test (tcase, failing_instance_is_ejected);
+  tcase_add_test (tcase, selection_obeys_version_zone_and_tried);
+  tcase_add_test (tcase, removed_instance_completes_its_requests);
+  tcase_add_test (tcase, instance_in_prefill_gets_no_short_requests);
+  tcase_add_test (tcase, silent_engine_is_probed);
+  tcase_add_test (tcase, withdrawn_version_gets_no_requests);
+  tcase_add_test (tcase, full_instance_is_selected_again);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -1,4 +1,5 @@
-/* Who asks the store and who asks whom, without sockets.  */
+/* Tests of the selection of sources for the shared tables, without sockets.
+ */
 
 #include "policy/readers.h"
 #include "suite.h"
@@ -7,7 +8,7 @@
 
 enum
 {
-  ENTRIES_MAX = 730,
+  GATEWAYS_MAX = 730,
   ZONES = 10
 };
 
@@ -15,8 +16,8 @@
 {
   clock_iface_t *clock;
   size_t count;
-  readers_t *entries[ENTRIES_MAX];
-  size_t numbers[ENTRIES_MAX]; /* What stands for each.  */
+  readers_t *gateways[GATEWAYS_MAX];
+  size_t numbers[GATEWAYS_MAX]; /* The owners of the gateways.  */
 } fleet_t;
 
 static void
@@ -34,8 +35,8 @@
       fleet->numbers[i] = i;
       snprintf (name, sizeof name, "entry-%zu", i);
       snprintf (zone, sizeof zone, "zone-%zu", i % ZONES);
-      fleet->entries[i] = readers_create (fleet->clock, i, str_from (name),
-                                          str_from (zone), 20);
+      fleet->gateways[i] = readers_create (fleet->clock, i, str_from (name),
+                                           str_from (zone), 20);
     }
   for (size_t i = 0; i < count; i++)
     for (size_t j = 0; j < count; j++)
@@ -44,7 +45,7 @@
           continue;
         snprintf (name, sizeof name, "entry-%zu", j);
         snprintf (zone, sizeof zone, "zone-%zu", j % ZONES);
-        readers_put (fleet->entries[i], str_from (name), str_from (zone), 20,
+        readers_put (fleet->gateways[i], str_from (name), str_from (zone), 20,
                      &fleet->numbers[j]);
       }
 }
@@ -53,59 +54,63 @@
 teardown (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    readers_destroy (fleet->entries[i]);
+    readers_destroy (fleet->gateways[i]);
   clock_manual_destroy (fleet->clock);
 }
 
-/* Whom entry INDEX asks; SIZE_MAX: the store.  */
+/* Return the number of the gateway that gateway INDEX reads from; SIZE_MAX if
+   it reads from the store.  */
 static size_t
-asks (fleet_t *fleet, size_t index)
+source_of (fleet_t *fleet, size_t index)
 {
   void *owner;
-  readers_role_t role = readers_choose (fleet->entries[index], &owner);
+  readers_role_t role = readers_choose (fleet->gateways[index], &owner);
 
   ck_assert ((role == ASKS_STORE) == (owner == NULL));
   return owner != NULL ? *(size_t *)owner : SIZE_MAX;
 }
 
-/* A reader that tells the whole fleet sends bytes that grow with it.  */
-START_TEST (nobody_tells_more_than_a_zone)
+/* A gateway that served the whole fleet would send a volume that grows with
+   the fleet.  */
+START_TEST (no_gateway_serves_more_than_a_zone)
 {
   static const size_t sizes[] = { 5, 31, 68, 300, 730 };
 
   for (size_t s = 0; s < sizeof sizes / sizeof sizes[0]; s++)
     {
       fleet_t fleet;
-      size_t askers[ENTRIES_MAX] = { 0 };
-      size_t of_store = 0;
-      size_t most = 0;
+      size_t readers_of[GATEWAYS_MAX] = { 0 };
+      size_t store_readers = 0;
+      size_t maximum = 0;
       setup (&fleet, sizes[s]);
       for (size_t i = 0; i < fleet.count; i++)
         {
-          size_t asked = asks (&fleet, i);
-          if (asked == SIZE_MAX)
-            of_store++;
-          else if (++askers[asked] > most)
-            most = askers[asked];
+          size_t source = source_of (&fleet, i);
+          if (source == SIZE_MAX)
+            store_readers++;
+          else if (++readers_of[source] > maximum)
+            maximum = readers_of[source];
         }
-      ck_assert_uint_eq (of_store, 1);
+      ck_assert_uint_eq (store_readers, 1);
       if (sizes[s] > READERS_FLEET)
-        ck_assert_uint_le (most, sizes[s] / ZONES + ZONES);
-      /* Nobody is told by more than two hands.  */
+        ck_assert_uint_le (maximum, sizes[s] / ZONES + ZONES);
+      /* There are at most two gateways between a gateway and the store.  */
       for (size_t i = 0; i < fleet.count; i++)
         {
-          size_t by = asks (&fleet, i);
-          if (by != SIZE_MAX && asks (&fleet, by) != SIZE_MAX)
-            ck_assert_uint_eq (asks (&fleet, asks (&fleet, by)), SIZE_MAX);
+          size_t source = source_of (&fleet, i);
+          if (source != SIZE_MAX && source_of (&fleet, source) != SIZE_MAX)
+            ck_assert_uint_eq (source_of (&fleet, source_of (&fleet, source)),
+                               SIZE_MAX);
         }
       teardown (&fleet);
     }
 }
 END_TEST
 
-/* The store is away for all: they do not ask it all at once, and each asks it
-   in time to notice that it is refused alone.  */
-START_TEST (an_outage_is_probed_by_few)
+/* The store is unavailable for all gateways.  They must not probe it at the
+   same time, yet each must do so soon enough to notice an outage that concerns
+   only the others.  */
+START_TEST (store_outage_is_probed_by_few_at_a_time)
 {
   static const size_t sizes[] = { 40, 68, 300, 730 };
   enum
@@ -117,67 +122,70 @@
   for (size_t s = 0; s < sizeof sizes / sizeof sizes[0]; s++)
     {
       fleet_t fleet;
-      size_t most = 0;
-      size_t first[ENTRIES_MAX] = { 0 };
+      size_t maximum = 0;
+      size_t first_probe_ms[GATEWAYS_MAX] = { 0 };
       setup (&fleet, sizes[s]);
       for (size_t ms = STEP_MS; ms <= SPAN_MS; ms += STEP_MS)
         {
-          size_t now = 0;
+          size_t probes = 0;
           clock_manual_advance_us (fleet.clock, STEP_MS * 1000u);
           for (size_t i = 0; i < fleet.count; i++)
-            if (readers_may_probe (fleet.entries[i]))
+            if (readers_may_probe (fleet.gateways[i]))
               {
-                now++;
-                if (first[i] == 0)
-                  first[i] = ms;
-                readers_store_said (fleet.entries[i], false);
+                probes++;
+                if (first_probe_ms[i] == 0)
+                  first_probe_ms[i] = ms;
+                readers_store_said (fleet.gateways[i], false);
               }
-          if (now > most)
-            most = now;
+          if (probes > maximum)
+            maximum = probes;
         }
       for (size_t i = 0; i < fleet.count; i++)
         {
-          ck_assert_uint_gt (first[i], 0);
-          ck_assert_uint_le (first[i], READERS_PROBE_LAST_MS + STEP_MS);
+          ck_assert_uint_gt (first_probe_ms[i], 0);
+          ck_assert_uint_le (first_probe_ms[i],
+                             READERS_PROBE_LAST_MS + STEP_MS);
         }
-      printf ("%zu entries: at most %zu calls in %d ms\n", sizes[s], most,
+      printf ("%zu entries: at most %zu calls in %d ms\n", sizes[s], maximum,
               STEP_MS);
-      ck_assert_uint_le (most, sizes[s] / 10 + 6);
+      ck_assert_uint_le (maximum, sizes[s] / 10 + 6);
       teardown (&fleet);
     }
 }
 END_TEST
 
-/* One that the store answers goes on asking it, and one that is silent is
-   passed over, with all other zones left alone for a while.  */
-START_TEST (silence_and_refusal_are_told_apart)
+/* A source without current data is asked again, and one that does not respond
+   is skipped for a while; if it is in another zone, so are all other zones.  A
+   gateway that gets a response from the store keeps calling it.  */
+START_TEST (silent_source_is_skipped_and_refusing_one_is_not)
 {
   fleet_t fleet;
 
   setup (&fleet, 68);
   size_t member = 0;
-  while (asks (&fleet, member) == SIZE_MAX
-         || asks (&fleet, asks (&fleet, member)) == SIZE_MAX)
+  while (source_of (&fleet, member) == SIZE_MAX
+         || source_of (&fleet, source_of (&fleet, member)) == SIZE_MAX)
     member++;
-  size_t head = asks (&fleet, member);
+  size_t head = source_of (&fleet, member);
   char name[32];
   snprintf (name, sizeof name, "entry-%zu", head);
-  readers_failed (fleet.entries[member], str_from (name), false);
-  ck_assert_uint_eq (asks (&fleet, member), head);
-  ck_assert_ptr_nonnull (readers_next (fleet.entries[member]));
-  readers_failed (fleet.entries[member], str_from (name), true);
-  ck_assert_uint_ne (asks (&fleet, member), head);
+  readers_failed (fleet.gateways[member], str_from (name), false);
+  ck_assert_uint_eq (source_of (&fleet, member), head);
+  ck_assert_ptr_nonnull (readers_next (fleet.gateways[member]));
+  readers_failed (fleet.gateways[member], str_from (name), true);
+  ck_assert_uint_ne (source_of (&fleet, member), head);
   clock_manual_advance_us (fleet.clock, READERS_SILENT_MS * 1000u);
-  ck_assert_uint_eq (asks (&fleet, member), head);
-  /* The head's root, in another zone, is silent: it asks the store.  */
-  snprintf (name, sizeof name, "entry-%zu", asks (&fleet, head));
-  readers_failed (fleet.entries[head], str_from (name), true);
-  ck_assert_uint_eq (asks (&fleet, head), SIZE_MAX);
-  ck_assert (!readers_hears (fleet.entries[head]));
-  readers_store_said (fleet.entries[head], true);
-  ck_assert (readers_hears (fleet.entries[head]));
-  ck_assert (readers_may_probe (fleet.entries[head]));
-  ck_assert (readers_may_probe (fleet.entries[head]));
+  ck_assert_uint_eq (source_of (&fleet, member), head);
+  /* The root, in another zone, does not respond to the head, which then reads
+     from the store.  */
+  snprintf (name, sizeof name, "entry-%zu", source_of (&fleet, head));
+  readers_failed (fleet.gateways[head], str_from (name), true);
+  ck_assert_uint_eq (source_of (&fleet, head), SIZE_MAX);
+  ck_assert (!readers_hears (fleet.gateways[head]));
+  readers_store_said (fleet.gateways[head], true);
+  ck_assert (readers_hears (fleet.gateways[head]));
+  ck_assert (readers_may_probe (fleet.gateways[head]));
+  ck_assert (readers_may_probe (fleet.gateways[head]));
   teardown (&fleet);
 }
 END_TEST
@@ -189,9 +197,9 @@
   TCase *tcase = tcase_create ("readers");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, nobody_tells_more_than_a_zone);
-  tcase_add_test (tcase, an_outage_is_probed_by_few);
-  tcase_add_test (tcase, silence_and_refusal_are_told_apart);
+  tcase_add_test (tcase, no_gateway_serves_more_than_a_zone);
+  tcase_add_test (tcase, store_outage_is_probed_by_few_at_a_time);
+  tcase_add_test (tcase, silent_source_is_skipped_and_refusing_one_is_not);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_zone.c
+++ b/tests/test_zone.c
@@ -1,10 +1,10 @@
-/* Tests of a zone's way out and back.  */
+/* Tests of disabling and enabling an availability zone.  */
 
 #include "policy/zone.h"
 
 #include "suite.h"
 
-START_TEST (out_is_at_once_and_back_is_slow)
+START_TEST (disabling_is_immediate_and_enabling_ramps_up)
 {
   zone_t *zone = zone_create (0);
   double last = 0;
@@ -28,9 +28,9 @@
 }
 END_TEST
 
-/* The same configuration is applied twice, as entries do when they pull it
-   from two peers.  The ramp must not begin anew each time.  */
-START_TEST (saying_it_twice_changes_nothing)
+/* A gateway that loads the configuration from two peers applies it twice.  The
+   ramp must not restart each time.  */
+START_TEST (enabling_twice_does_not_restart_the_ramp)
 {
   zone_t *zone = zone_create (1000);
 
@@ -45,7 +45,7 @@
 }
 END_TEST
 
-START_TEST (out_again_during_the_ramp)
+START_TEST (disabling_during_the_ramp)
 {
   zone_t *zone = zone_create (1000);
 
@@ -65,9 +65,9 @@
   Suite *suite = suite_create ("zone");
   TCase *tcase = tcase_create ("zone");
 
-  tcase_add_test (tcase, out_is_at_once_and_back_is_slow);
-  tcase_add_test (tcase, saying_it_twice_changes_nothing);
-  tcase_add_test (tcase, out_again_during_the_ramp);
+  tcase_add_test (tcase, disabling_is_immediate_and_enabling_ramps_up);
+  tcase_add_test (tcase, enabling_twice_does_not_restart_the_ramp);
+  tcase_add_test (tcase, disabling_during_the_ramp);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
