--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -474,7 +474,7 @@
 
 /* Return the index of an unused upstream.  */
 static uint32_t
-allocate_index (balance_t *balance)
+take_index (balance_t *balance)
 {
   if (balance->free_index_count > 0)
     return balance->free_indices[--balance->free_index_count];
@@ -567,7 +567,7 @@
 static uint32_t
 add_upstream (balance_t *balance, str_t name, bool returning)
 {
-  uint32_t index = allocate_index (balance);
+  uint32_t index = take_index (balance);
   upstream_state_t *state = &balance->states[index];
   upstream_record_t *record = &balance->records[index];
   uint16_t generation = (state->generation + 1) & GENERATION_MASK;
