--- a/packages/policy/allowance.c
+++ b/packages/policy/allowance.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-struct allowance
+struct send_budget
 {
   clock_iface_t *clock;
   allowance_options_t options;
@@ -18,79 +18,79 @@
 allowance_t *
 allowance_create (clock_iface_t *clock, const allowance_options_t *options)
 {
-  allowance_t *allowance = mem_zalloc (sizeof *allowance);
+  allowance_t *send_budget = mem_zalloc (sizeof *send_budget);
 
-  allowance->clock = clock;
-  allowance->options = *options;
-  allowance->gateways = 1;
-  return allowance;
+  send_budget->clock = clock;
+  send_budget->options = *options;
+  send_budget->gateways = 1;
+  return send_budget;
 }
 
 void
-allowance_destroy (allowance_t *allowance)
+allowance_destroy (allowance_t *send_budget)
 {
-  free (allowance);
+  free (send_budget);
 }
 
 void
-allowance_set_entries (allowance_t *allowance, uint32_t gateways)
+allowance_set_entries (allowance_t *send_budget, uint32_t gateways)
 {
-  allowance->gateways = gateways > 0 ? gateways : 1;
+  send_budget->gateways = gateways > 0 ? gateways : 1;
 }
 
 /* Clear the buckets that are no longer in the window, and return the index of
    the newest one.  */
 static size_t
-advance_window (allowance_t *allowance)
+advance_window (allowance_t *send_budget)
 {
-  uint64_t current_bucket = clock_ms (allowance->clock) * ALLOWANCE_BUCKETS
-                            / allowance->options.window_ms;
+  uint64_t current_bucket = clock_ms (send_budget->clock) * ALLOWANCE_BUCKETS
+                            / send_budget->options.window_ms;
 
-  if (current_bucket - allowance->newest_bucket >= ALLOWANCE_BUCKETS)
+  if (current_bucket - send_budget->newest_bucket >= ALLOWANCE_BUCKETS)
     {
-      memset (allowance->requests, 0, sizeof allowance->requests);
-      memset (allowance->extra_sends, 0, sizeof allowance->extra_sends);
-      allowance->newest_bucket = current_bucket;
+      memset (send_budget->requests, 0, sizeof send_budget->requests);
+      memset (send_budget->extra_sends, 0, sizeof send_budget->extra_sends);
+      send_budget->newest_bucket = current_bucket;
     }
-  while (allowance->newest_bucket < current_bucket)
+  while (send_budget->newest_bucket < current_bucket)
     {
-      size_t at = ++allowance->newest_bucket % ALLOWANCE_BUCKETS;
-      allowance->requests[at] = 0;
-      allowance->extra_sends[at] = 0;
+      size_t at = ++send_budget->newest_bucket % ALLOWANCE_BUCKETS;
+      send_budget->requests[at] = 0;
+      send_budget->extra_sends[at] = 0;
     }
   return current_bucket % ALLOWANCE_BUCKETS;
 }
 
 void
-allowance_request (allowance_t *allowance)
+allowance_request (allowance_t *send_budget)
 {
-  size_t at = advance_window (allowance);
+  size_t at = advance_window (send_budget);
 
-  allowance->requests[at]++;
+  send_budget->requests[at]++;
 }
 
 double
-allowance_left (allowance_t *allowance)
+allowance_left (allowance_t *send_budget)
 {
   double requests = 0;
   double extra_sends = 0;
 
-  advance_window (allowance);
+  advance_window (send_budget);
   for (size_t i = 0; i < ALLOWANCE_BUCKETS; i++)
     {
-      requests += allowance->requests[i];
-      extra_sends += allowance->extra_sends[i];
+      requests += send_budget->requests[i];
+      extra_sends += send_budget->extra_sends[i];
     }
-  double budget = requests * allowance->options.ratio
-                  + allowance->options.slack / allowance->gateways;
-  return budget * ALLOWANCE_USE - extra_sends;
+  double limit = requests * send_budget->options.ratio
+                 + send_budget->options.slack / send_budget->gateways;
+  return limit * ALLOWANCE_USE - extra_sends;
 }
 
 bool
-allowance_take (allowance_t *allowance, double reserve)
+allowance_take (allowance_t *send_budget, double reserve)
 {
-  if (allowance_left (allowance) < 1 + reserve)
+  if (allowance_left (send_budget) < 1 + reserve)
     return false;
-  allowance->extra_sends[advance_window (allowance)]++;
+  send_budget->extra_sends[advance_window (send_budget)]++;
   return true;
 }
--- a/packages/policy/allowance.h
+++ b/packages/policy/allowance.h
@@ -27,7 +27,7 @@
   ALLOWANCE_BUCKETS = 10 /* Number of counting intervals in a window.  */
 };
 
-typedef struct allowance allowance_t;
+typedef struct send_budget allowance_t;
 
 typedef struct
 {
@@ -38,18 +38,18 @@
 
 allowance_t *allowance_create (clock_iface_t *clock,
                                const allowance_options_t *options);
-void allowance_destroy (allowance_t *allowance);
+void allowance_destroy (allowance_t *send_budget);
 /* Set the number of gateways that share the fixed number of extra sends; 0
    counts as 1.  */
-void allowance_set_entries (allowance_t *allowance, uint32_t gateways);
+void allowance_set_entries (allowance_t *send_budget, uint32_t gateways);
 /* Count a request, once and not for each send.  */
-void allowance_request (allowance_t *allowance);
+void allowance_request (allowance_t *send_budget);
 /* Return the number of extra sends that may be made now; negative if the
    budget is exceeded.  */
-double allowance_left (allowance_t *allowance);
+double allowance_left (allowance_t *send_budget);
 /* Count an extra send and return true, or return false with nothing counted if
    fewer than 1 + RESERVE are left.  RESERVE keeps extra sends for more
    important uses.  */
-bool allowance_take (allowance_t *allowance, double reserve);
+bool allowance_take (allowance_t *send_budget, double reserve);
 
 #endif
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -432,46 +432,47 @@
 }
 
 static bool
-is_eligible (const upstream_t *upstream, const pool_want_t *want,
+is_eligible (const upstream_t *upstream, const pool_want_t *criteria,
              uint64_t version_hash, uint64_t now_ms)
 {
   if (upstream->draining || upstream->is_zone_disabled
       || upstream->is_withdrawn
       || (upstream->is_unregistered && now_ms >= upstream->usable_until_ms))
     return false;
-  if (want->arm != ARM_ANY
-      && (upstream->version_hash == version_hash) != (want->arm == ARM_NEW))
+  if (criteria->arm != ARM_ANY
+      && (upstream->version_hash == version_hash)
+             != (criteria->arm == ARM_NEW))
     return false;
-  for (size_t i = 0; i < want->tried_count; i++)
-    if (want->tried[i] == upstream)
+  for (size_t i = 0; i < criteria->tried_count; i++)
+    if (criteria->tried[i] == upstream)
       return false;
   return true;
 }
 
 static bool
 has_capacity (const pool_t *pool, upstream_t *upstream,
-              const pool_want_t *want, uint64_t now_ms)
+              const pool_want_t *criteria, uint64_t now_ms)
 {
-  return rate_allows (pool, upstream, want->cold_per_s, now_ms)
+  return rate_allows (pool, upstream, criteria->cold_per_s, now_ms)
          && upstream->running
                     + other_requests_now (upstream, POOL_FULL_FADE_MS, now_ms)
                 < upstream->slots;
 }
 
-/* Return the mean load of the instances in GROUP that are eligible for WANT;
-   0 if there are none.  */
+/* Return the mean load of the instances in GROUP that are eligible for
+   CRITERIA; 0 if there are none.  */
 static double
-mean_eligible_load (const service_group_t *group, const pool_want_t *want,
+mean_eligible_load (const service_group_t *group, const pool_want_t *criteria,
                     uint64_t now_ms)
 {
-  uint64_t version_hash = str_hash (want->version, 0);
+  uint64_t version_hash = str_hash (criteria->version, 0);
   double sum = 0;
   unsigned count = 0;
 
   for (size_t i = 0; i < group->count; i++)
     {
       const upstream_t *upstream = group->items[i];
-      if (!is_eligible (upstream, want, version_hash, now_ms))
+      if (!is_eligible (upstream, criteria, version_hash, now_ms))
         continue;
       sum += load_of (upstream, now_ms);
       count++;
@@ -503,17 +504,17 @@
 } affinity_choice_t;
 
 /* Update AFFINITY if UPSTREAM has a higher rendezvous hash for the affinity
-   key of WANT and a load of at most MAX_LOAD.  Each zone has an affinity
+   key of CRITERIA and a load of at most MAX_LOAD.  Each zone has an affinity
    instance of its own, because traffic between zones costs more than a second
    prefill of the shared prompt prefix.  */
 static void
-update_affinity (upstream_t *upstream, const pool_want_t *want,
+update_affinity (upstream_t *upstream, const pool_want_t *criteria,
                  double max_load, uint64_t now_ms, affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
-  uint64_t hash = hash_weight (upstream->id_hash, want->key);
+  uint64_t hash = hash_weight (upstream->id_hash, criteria->key);
 
-  if (want->key == 0 || load_of (upstream, now_ms) > max_load)
+  if (criteria->key == 0 || load_of (upstream, now_ms) > max_load)
     return;
   if (affinity->best == NULL || hash > affinity->best_hash)
     {
@@ -537,17 +538,17 @@
   return x < y ? -1 : x > y;
 }
 
-/* Return the highest id hash among the WANT->few eligible instances with the
-   lowest id hashes, including those already tried.  Return UINT64_MAX if all
-   instances may be used.  */
+/* Return the highest id hash among the CRITERIA->few eligible instances with
+   the lowest id hashes, including those already tried.  Return UINT64_MAX if
+   all instances may be used.  */
 static uint64_t
-id_hash_limit (const service_group_t *group, const pool_want_t *want,
+id_hash_limit (const service_group_t *group, const pool_want_t *criteria,
                uint64_t version_hash, uint64_t now_ms)
 {
-  pool_want_t untried = *want;
+  pool_want_t untried = *criteria;
   size_t count = 0;
 
-  if (want->few == 0 || want->few >= group->count)
+  if (criteria->few == 0 || criteria->few >= group->count)
     return UINT64_MAX;
   untried.tried_count = 0;
   uint64_t *hashes = mem_alloc (group->count * sizeof *hashes);
@@ -556,24 +557,25 @@
         && now_ms >= group->items[i]->ejected_until_ms)
       hashes[count++] = group->items[i]->id_hash;
   qsort (hashes, count, sizeof *hashes, compare_hashes);
-  uint64_t bound = count > want->few ? hashes[want->few - 1] : UINT64_MAX;
+  uint64_t bound
+      = count > criteria->few ? hashes[criteria->few - 1] : UINT64_MAX;
   free (hashes);
   return bound;
 }
 
-/* Return the best instance for WANT that has free slots: the affinity instance
-   if there is one, otherwise the least loaded.  Return NULL if there is none.
-   Ejected instances are included if OUT_TOO is set.  Set *ANY_ELIGIBLE if at
-   least one instance was eligible, even if full.  */
+/* Return the best instance for CRITERIA that has free slots: the affinity
+   instance if there is one, otherwise the least loaded.  Return NULL if there
+   is none. Ejected instances are included if OUT_TOO is set.  Set
+   *ANY_ELIGIBLE if at least one instance was eligible, even if full.  */
 static upstream_t *
-select_best (pool_t *pool, const pool_want_t *want, bool include_ejected,
+select_best (pool_t *pool, const pool_want_t *criteria, bool include_ejected,
              uint64_t now_ms, bool *any_eligible)
 {
-  const service_group_t *group = find_or_add_group (pool, want->service);
-  uint64_t version_hash = str_hash (want->version, 0);
-  uint64_t max_id_hash = id_hash_limit (group, want, version_hash, now_ms);
-  double max_load
-      = mean_eligible_load (group, want, now_ms) * POOL_HOT + POOL_HOT_FLOOR;
+  const service_group_t *group = find_or_add_group (pool, criteria->service);
+  uint64_t version_hash = str_hash (criteria->version, 0);
+  uint64_t max_id_hash = id_hash_limit (group, criteria, version_hash, now_ms);
+  double max_load = mean_eligible_load (group, criteria, now_ms) * POOL_HOT
+                    + POOL_HOT_FLOOR;
   affinity_choice_t affinity = { 0 };
   upstream_t *least_loaded = NULL;
   double lowest_cost = 0;
@@ -582,14 +584,14 @@
   for (size_t i = 0; i < group->count; i++)
     {
       upstream_t *upstream = group->items[i];
-      if (!is_eligible (upstream, want, version_hash, now_ms)
+      if (!is_eligible (upstream, criteria, version_hash, now_ms)
           || (!include_ejected && now_ms < upstream->ejected_until_ms)
           || upstream->id_hash > max_id_hash)
         continue;
       *any_eligible = true;
-      if (!has_capacity (pool, upstream, want, now_ms))
+      if (!has_capacity (pool, upstream, criteria, now_ms))
         continue;
-      update_affinity (upstream, want, max_load, now_ms, &affinity);
+      update_affinity (upstream, criteria, max_load, now_ms, &affinity);
       double cost = selection_cost (upstream, now_ms);
       if (least_loaded != NULL && cost > lowest_cost)
         continue;
@@ -604,21 +606,21 @@
 }
 
 vh_code_t
-pool_choose (pool_t *pool, const pool_want_t *want, upstream_t **out)
+pool_choose (pool_t *pool, const pool_want_t *criteria, upstream_t **out)
 {
   uint64_t now_ms = clock_ms (pool->clock);
   bool any_eligible = false;
 
   remove_expired (pool, now_ms);
-  *out = select_best (pool, want, false, now_ms, &any_eligible);
-  if (*out == NULL && want->few > 0)
+  *out = select_best (pool, criteria, false, now_ms, &any_eligible);
+  if (*out == NULL && criteria->few > 0)
     {
-      pool_want_t all = *want;
+      pool_want_t all = *criteria;
       all.few = 0;
       return pool_choose (pool, &all, out);
     }
   if (*out == NULL && !any_eligible)
-    *out = select_best (pool, want, true, now_ms, &any_eligible);
+    *out = select_best (pool, criteria, true, now_ms, &any_eligible);
   if (*out != NULL)
     return VH_OK;
   return any_eligible ? VH_E_FULL : VH_E_NO_UPSTREAM;
@@ -628,14 +630,15 @@
 pool_count (pool_t *pool, str_t service, version_arm_t arm, str_t version,
             size_t most)
 {
-  pool_want_t want = { .service = service, .arm = arm, .version = version };
+  pool_want_t criteria
+      = { .service = service, .arm = arm, .version = version };
   const service_group_t *group = find_or_add_group (pool, service);
   uint64_t version_hash = str_hash (version, 0);
   uint64_t now_ms = clock_ms (pool->clock);
   size_t count = 0;
 
   for (size_t i = 0; i < group->count && count < most; i++)
-    count += is_eligible (group->items[i], &want, version_hash, now_ms);
+    count += is_eligible (group->items[i], &criteria, version_hash, now_ms);
   return count;
 }
 
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -167,10 +167,10 @@
 /* Set whether the instances in ZONE are excluded from selection.  */
 void pool_zone_out (pool_t *pool, str_t zone, bool out);
 
-/* Select an instance for WANT and store it in *OUT.  Return VH_OK,
+/* Select an instance for CRITERIA and store it in *OUT.  Return VH_OK,
    VH_E_NO_UPSTREAM if no instance is eligible, or VH_E_FULL if all eligible
    instances are at their slot or rate limit.  */
-vh_code_t pool_choose (pool_t *pool, const pool_want_t *want,
+vh_code_t pool_choose (pool_t *pool, const pool_want_t *criteria,
                        upstream_t **out);
 /* Return the number of instances of SERVICE in ARM that may get requests, or
    MOST if there are more.  VERSION is the version on trial.  */
--- a/packages/policy/readers.c
+++ b/packages/policy/readers.c
@@ -16,7 +16,7 @@
   void *owner;
 } peer_t;
 
-struct readers
+struct fanout
 {
   clock_iface_t *clock;
   rng_t rng;
@@ -43,50 +43,50 @@
 readers_create (clock_iface_t *clock, uint64_t seed, str_t name, str_t zone,
                 uint32_t link_mbps)
 {
-  readers_t *readers = mem_zalloc (sizeof *readers);
+  readers_t *fanout = mem_zalloc (sizeof *fanout);
 
-  readers->clock = clock;
-  readers->rng = rng_make (seed);
-  readers->self = make_peer (name, zone, link_mbps, NULL);
-  readers->peers = map_create ();
-  return readers;
+  fanout->clock = clock;
+  fanout->rng = rng_make (seed);
+  fanout->self = make_peer (name, zone, link_mbps, NULL);
+  fanout->peers = map_create ();
+  return fanout;
 }
 
 void
-readers_destroy (readers_t *readers)
+readers_destroy (readers_t *fanout)
 {
   size_t cursor = 0;
   str_t key;
   void *value;
 
-  if (readers == NULL)
+  if (fanout == NULL)
     return;
-  while (map_next (readers->peers, &cursor, &key, &value))
+  while (map_next (fanout->peers, &cursor, &key, &value))
     free (value);
-  map_destroy (readers->peers);
-  free (readers);
+  map_destroy (fanout->peers);
+  free (fanout);
 }
 
 void
-readers_put (readers_t *readers, str_t name, str_t zone, uint32_t link_mbps,
+readers_put (readers_t *fanout, str_t name, str_t zone, uint32_t link_mbps,
              void *owner)
 {
   peer_t *peer = mem_alloc (sizeof *peer);
 
   *peer = make_peer (name, zone, link_mbps, owner);
-  free (map_put (readers->peers, name, peer));
+  free (map_put (fanout->peers, name, peer));
 }
 
 void
-readers_remove (readers_t *readers, str_t name)
+readers_remove (readers_t *fanout, str_t name)
 {
-  free (map_remove (readers->peers, name));
+  free (map_remove (fanout->peers, name));
 }
 
 void
-readers_leave (readers_t *readers)
+readers_leave (readers_t *fanout)
 {
-  readers->is_leaving = true;
+  fanout->is_leaving = true;
 }
 
 static bool
@@ -97,22 +97,22 @@
 }
 
 static bool
-is_large_fleet (const readers_t *readers)
+is_large_fleet (const readers_t *fanout)
 {
-  return map_size (readers->peers) >= READERS_FLEET;
+  return map_size (fanout->peers) >= READERS_FLEET;
 }
 
 static bool
-cannot_read_store (const readers_t *readers, uint64_t now_ms)
+cannot_read_store (const readers_t *fanout, uint64_t now_ms)
 {
-  return readers->is_leaving || now_ms < readers->store_down_until_ms;
+  return fanout->is_leaving || now_ms < fanout->store_down_until_ms;
 }
 
 /* Return the first in rank of the other gateways that may be used as a source,
    or NULL.  With OWN_ZONE_ONLY set only those of this zone are considered,
    with INCLUDE_NOT_READY also those that reported no current data.  */
 static const peer_t *
-first_source (const readers_t *readers, bool own_zone_only,
+first_source (const readers_t *fanout, bool own_zone_only,
               bool include_not_ready, uint64_t now_ms)
 {
   const peer_t *found = NULL;
@@ -120,12 +120,12 @@
   str_t key;
   void *value;
 
-  while (map_next (readers->peers, &cursor, &key, &value))
+  while (map_next (fanout->peers, &cursor, &key, &value))
     {
       const peer_t *peer = value;
       if (now_ms < peer->silent_until_ms
           || (!include_not_ready && now_ms < peer->not_ready_until_ms)
-          || (own_zone_only && peer->zone_hash != readers->self.zone_hash)
+          || (own_zone_only && peer->zone_hash != fanout->self.zone_hash)
           || (found != NULL && ranks_before (found, peer)))
         continue;
       found = peer;
@@ -137,71 +137,70 @@
    gateway that reported no current data keeps its rank: the ones after it read
    from it as well, and have no current data either.  */
 static const peer_t *
-first_other (const readers_t *readers, bool own_zone_only, uint64_t now_ms)
+first_other (const readers_t *fanout, bool own_zone_only, uint64_t now_ms)
 {
-  return first_source (readers, own_zone_only, is_large_fleet (readers),
-                       now_ms);
+  return first_source (fanout, own_zone_only, is_large_fleet (fanout), now_ms);
 }
 
 /* Return whether this gateway ranks before OTHER, the first of the others.  */
 static bool
-is_first_in_rank (const readers_t *readers, const peer_t *other)
+is_first_in_rank (const readers_t *fanout, const peer_t *other)
 {
-  return other == NULL || ranks_before (&readers->self, other);
+  return other == NULL || ranks_before (&fanout->self, other);
 }
 
 /* Return ASKS_STORE if this gateway is the root; otherwise ROLE, with the
    owner of OTHER in *OWNER.  A root that cannot read from the store uses
    OTHER, the first of the others, which may read from the store itself.  */
 static readers_role_t
-choose_root_role (readers_t *readers, const peer_t *other, readers_role_t role,
+choose_root_role (readers_t *fanout, const peer_t *other, readers_role_t role,
                   uint64_t now_ms, void **owner)
 {
   if (other == NULL
-      || (!cannot_read_store (readers, now_ms)
-          && is_first_in_rank (readers, other)))
+      || (!cannot_read_store (fanout, now_ms)
+          && is_first_in_rank (fanout, other)))
     return ASKS_STORE;
   *owner = other->owner;
   return role;
 }
 
 readers_role_t
-readers_choose (readers_t *readers, void **owner)
+readers_choose (readers_t *fanout, void **owner)
 {
-  uint64_t now_ms = clock_ms (readers->clock);
-  bool own_zone_only = now_ms < readers->own_zone_until_ms;
-  const peer_t *other = first_other (readers, own_zone_only, now_ms);
+  uint64_t now_ms = clock_ms (fanout->clock);
+  bool own_zone_only = now_ms < fanout->own_zone_until_ms;
+  const peer_t *other = first_other (fanout, own_zone_only, now_ms);
 
   *owner = NULL;
-  if (!is_large_fleet (readers))
-    return choose_root_role (readers, other, ASKS_HEAD, now_ms, owner);
-  const peer_t *first_in_zone = first_other (readers, true, now_ms);
-  if (is_first_in_rank (readers, first_in_zone))
-    return choose_root_role (readers, other, ASKS_ROOT, now_ms, owner);
+  if (!is_large_fleet (fanout))
+    return choose_root_role (fanout, other, ASKS_HEAD, now_ms, owner);
+  const peer_t *first_in_zone = first_other (fanout, true, now_ms);
+  if (is_first_in_rank (fanout, first_in_zone))
+    return choose_root_role (fanout, other, ASKS_ROOT, now_ms, owner);
   *owner = first_in_zone->owner;
   return ASKS_HEAD;
 }
 
 void *
-readers_next (readers_t *readers)
+readers_next (readers_t *fanout)
 {
-  uint64_t now_ms = clock_ms (readers->clock);
-  bool own_zone_only = now_ms < readers->own_zone_until_ms;
-  const peer_t *other = first_other (readers, own_zone_only, now_ms);
+  uint64_t now_ms = clock_ms (fanout->clock);
+  bool own_zone_only = now_ms < fanout->own_zone_until_ms;
+  const peer_t *other = first_other (fanout, own_zone_only, now_ms);
 
   /* The store may refuse only this gateway, and others may read from it.  */
-  if (cannot_read_store (readers, now_ms))
-    other = first_source (readers, own_zone_only, false, now_ms);
-  else if (is_first_in_rank (readers, other))
+  if (cannot_read_store (fanout, now_ms))
+    other = first_source (fanout, own_zone_only, false, now_ms);
+  else if (is_first_in_rank (fanout, other))
     return NULL;
   return other != NULL ? other->owner : NULL;
 }
 
 void
-readers_failed (readers_t *readers, str_t name, bool silent)
+readers_failed (readers_t *fanout, str_t name, bool silent)
 {
-  uint64_t now_ms = clock_ms (readers->clock);
-  peer_t *peer = map_get (readers->peers, name);
+  uint64_t now_ms = clock_ms (fanout->clock);
+  peer_t *peer = map_get (fanout->peers, name);
 
   if (peer == NULL)
     return;
@@ -211,35 +210,35 @@
       return;
     }
   peer->silent_until_ms = now_ms + READERS_SILENT_MS;
-  if (peer->zone_hash != readers->self.zone_hash)
-    readers->own_zone_until_ms = now_ms + READERS_HOME_MS;
+  if (peer->zone_hash != fanout->self.zone_hash)
+    fanout->own_zone_until_ms = now_ms + READERS_HOME_MS;
 }
 
 void
-readers_store_said (readers_t *readers, bool answered)
+readers_store_said (readers_t *fanout, bool answered)
 {
-  uint64_t now_ms = clock_ms (readers->clock);
+  uint64_t now_ms = clock_ms (fanout->clock);
 
-  readers->store_down_until_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
-  readers->store_up_until_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
+  fanout->store_down_until_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
+  fanout->store_up_until_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
 }
 
 bool
-readers_hears (const readers_t *readers)
+readers_hears (const readers_t *fanout)
 {
-  return clock_ms (readers->clock) < readers->store_up_until_ms;
+  return clock_ms (fanout->clock) < fanout->store_up_until_ms;
 }
 
 bool
-readers_may_probe (readers_t *readers)
+readers_may_probe (readers_t *fanout)
 {
-  uint64_t now_ms = clock_ms (readers->clock);
-  uint64_t interval_ms = (map_size (readers->peers) + 1) * READERS_PROBE_MS;
-  bool own_zone_only = now_ms < readers->own_zone_until_ms;
-  bool is_root = is_first_in_rank (
-      readers, first_other (readers, own_zone_only, now_ms));
+  uint64_t now_ms = clock_ms (fanout->clock);
+  uint64_t interval_ms = (map_size (fanout->peers) + 1) * READERS_PROBE_MS;
+  bool own_zone_only = now_ms < fanout->own_zone_until_ms;
+  bool is_root
+      = is_first_in_rank (fanout, first_other (fanout, own_zone_only, now_ms));
 
-  if (readers_hears (readers))
+  if (readers_hears (fanout))
     return true;
   if (is_root)
     interval_ms = READERS_LEADS_PROBE_MS;
@@ -247,12 +246,12 @@
     interval_ms = READERS_PROBE_LAST_MS;
   /* Gateways that learn of an outage at the same time probe the store at
      random times within the interval.  */
-  if (is_large_fleet (readers) && !is_root
-      && (readers->next_probe_ms == 0
-          || now_ms > readers->next_probe_ms + READERS_PROBE_LAST_MS))
-    readers->next_probe_ms = now_ms + rng_below (&readers->rng, interval_ms);
-  if (now_ms < readers->next_probe_ms)
+  if (is_large_fleet (fanout) && !is_root
+      && (fanout->next_probe_ms == 0
+          || now_ms > fanout->next_probe_ms + READERS_PROBE_LAST_MS))
+    fanout->next_probe_ms = now_ms + rng_below (&fanout->rng, interval_ms);
+  if (now_ms < fanout->next_probe_ms)
     return false;
-  readers->next_probe_ms = now_ms + interval_ms;
+  fanout->next_probe_ms = now_ms + interval_ms;
   return true;
 }
--- a/packages/policy/readers.h
+++ b/packages/policy/readers.h
@@ -54,7 +54,7 @@
   READERS_LEADS_PROBE_MS = 200
 };
 
-typedef struct readers readers_t;
+typedef struct fanout readers_t;
 
 typedef enum
 {
@@ -69,33 +69,33 @@
 readers_t *readers_create (clock_iface_t *clock, uint64_t seed, str_t name,
                            str_t zone, uint32_t link_mbps);
 /* NULL is accepted.  */
-void readers_destroy (readers_t *readers);
+void readers_destroy (readers_t *fanout);
 /* Add or update gateway NAME.  OWNER, which must not be NULL, is returned when
    the gateway is selected.  LINK_MBPS is 0 if unknown.  */
-void readers_put (readers_t *readers, str_t name, str_t zone,
+void readers_put (readers_t *fanout, str_t name, str_t zone,
                   uint32_t link_mbps, void *owner);
-void readers_remove (readers_t *readers, str_t name);
+void readers_remove (readers_t *fanout, str_t name);
 /* Stop serving other gateways, when this one shuts down.  */
-void readers_leave (readers_t *readers);
+void readers_leave (readers_t *fanout);
 
 /* Return the role of this gateway in the tree, and store the owner of its
    source in *OWNER; NULL with ASKS_STORE.  */
-readers_role_t readers_choose (readers_t *readers, void **owner);
+readers_role_t readers_choose (readers_t *fanout, void **owner);
 /* Return the owner of the gateway to ask when the source has no current data:
    the root, or the next gateway in rank if the store refused this gateway.
    Return NULL if there is none.  */
-void *readers_next (readers_t *readers);
+void *readers_next (readers_t *fanout);
 
 /* Record that gateway NAME failed as a source: it did not respond if SILENT is
    set, otherwise it responded that it has no current data.  */
-void readers_failed (readers_t *readers, str_t name, bool silent);
+void readers_failed (readers_t *fanout, str_t name, bool silent);
 /* Record whether the store responded to a call of this gateway.  */
-void readers_store_said (readers_t *readers, bool answered);
+void readers_store_said (readers_t *fanout, bool answered);
 /* Return whether this gateway may call the store although its source reported
    an outage.  A call that is allowed counts towards the probe interval.  */
-bool readers_may_probe (readers_t *readers);
+bool readers_may_probe (readers_t *fanout);
 /* Return whether the store responded to this gateway within the last
    READERS_PROBE_LAST_MS.  */
-bool readers_hears (const readers_t *readers);
+bool readers_hears (const readers_t *fanout);
 
 #endif
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -51,15 +51,15 @@
   const allowance_options_t options
       = { .ratio = 0, .slack = 10, .window_ms = 10000 };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *allowance = allowance_create (clock, &options);
+  allowance_t *send_budget = allowance_create (clock, &options);
 
-  while (allowance_take (allowance, 4))
+  while (allowance_take (send_budget, 4))
     ;
-  ck_assert_double_ge (allowance_left (allowance), 4);
-  ck_assert (allowance_take (allowance, 0));
+  ck_assert_double_ge (allowance_left (send_budget), 4);
+  ck_assert (allowance_take (send_budget, 0));
   clock_manual_advance_us (clock, 11000000);
-  ck_assert_double_ge (allowance_left (allowance), 8);
-  allowance_destroy (allowance);
+  ck_assert_double_ge (allowance_left (send_budget), 8);
+  allowance_destroy (send_budget);
   clock_manual_destroy (clock);
 }
 END_TEST
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -16,7 +16,7 @@
   clock_iface_t *clock;
   allotment_t *gateways;
   pool_t *pool;
-  pool_want_t want;
+  pool_want_t criteria;
 } fixture_t;
 
 static void
@@ -60,7 +60,7 @@
   allotment_read (f->gateways);
   options.entries = f->gateways;
   f->pool = pool_create (f->clock, 1, &options);
-  f->want = (pool_want_t){ .service = STR ("llm") };
+  f->criteria = (pool_want_t){ .service = STR ("llm") };
   for (int i = 0; i < instances; i++)
     add_instance (f, i, "v1", "a", 0);
 }
@@ -84,7 +84,7 @@
 {
   upstream_t *upstream = NULL;
 
-  ck_assert_int_eq (pool_choose (f->pool, &f->want, &upstream), VH_OK);
+  ck_assert_int_eq (pool_choose (f->pool, &f->criteria, &upstream), VH_OK);
   return upstream;
 }
 
@@ -120,7 +120,7 @@
 
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
-  f.want.key = other.want.key = 12345;
+  f.criteria.key = other.criteria.key = 12345;
   upstream_t *affinity_instance = choose (&f);
   ck_assert (
       str_eq (upstream_id (affinity_instance), upstream_id (choose (&other))));
@@ -143,8 +143,8 @@
 
   setup_gateway (&f, 0, 0, 6);
   add_instance (&f, 0, "v1", "a", 5000);
-  f.want.cold_per_s = 14;
-  while (pool_choose (f.pool, &f.want, &upstream) == VH_OK)
+  f.criteria.cold_per_s = 14;
+  while (pool_choose (f.pool, &f.criteria, &upstream) == VH_OK)
     {
       pool_started (f.pool, upstream, 0);
       sent++;
@@ -152,7 +152,7 @@
   ck_assert_int_ge (sent, 1);
   ck_assert_int_le (sent * 6, 14 + 5);
   clock_manual_advance_us (f.clock, 1000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream), VH_OK);
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream), VH_OK);
   teardown (&f);
 }
 END_TEST
@@ -171,8 +171,8 @@
       upstream_t *upstream;
       setup_gateway (&all[i], 0, i, gateway_count);
       add_instance (&all[i], 0, "v1", "a", 5000);
-      all[i].want.cold_per_s = 10;
-      while (pool_choose (all[i].pool, &all[i].want, &upstream) == VH_OK)
+      all[i].criteria.cold_per_s = 10;
+      while (pool_choose (all[i].pool, &all[i].criteria, &upstream) == VH_OK)
         {
           pool_started (all[i].pool, upstream, 0);
           sent++;
@@ -200,9 +200,9 @@
 
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
-  f.want.arm = other.want.arm = ARM_NEW;
-  f.want.version = other.want.version = STR ("v1");
-  f.want.few = other.want.few = 2;
+  f.criteria.arm = other.criteria.arm = ARM_NEW;
+  f.criteria.version = other.criteria.version = STR ("v1");
+  f.criteria.few = other.criteria.few = 2;
   count = start_requests (&f, 100, used);
   ck_assert_uint_eq (count, 2);
   str_t id = upstream_id (choose (&other));
@@ -253,20 +253,20 @@
 
   setup (&f, 1);
   add_instance (&f, 1, "v2", "b", 0);
-  f.want.version = STR ("v2");
-  f.want.arm = ARM_NEW;
+  f.criteria.version = STR ("v2");
+  f.criteria.arm = ARM_NEW;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-1")));
-  f.want.arm = ARM_OLD;
+  f.criteria.arm = ARM_OLD;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
   pool_zone_out (f.pool, STR ("a"), true);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
-  f.want.arm = ARM_ANY;
+  f.criteria.arm = ARM_ANY;
   upstream_t *only = choose (&f);
   const upstream_t *tried[] = { only };
-  f.want.tried = tried;
-  f.want.tried_count = 1;
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  f.criteria.tried = tried;
+  f.criteria.tried_count = 1;
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
   pool_zone_out (f.pool, STR ("a"), false);
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
@@ -288,7 +288,7 @@
   pool_remove (f.pool, STR ("i-0"), 2000);
   ck_assert_ptr_eq (choose (&f), running);
   clock_manual_advance_us (f.clock, 2000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
   ck_assert (str_eq (upstream_id (running), STR ("i-0")));
   pool_finished (f.pool, running, 100, SEND_OK);
@@ -364,8 +364,8 @@
   add_instance (&f, 1, "v2", "a", 0);
   pool_withdraw (f.pool, STR ("llm"), STR ("v2"), true);
   add_instance (&f, 2, "v2", "a", 0);
-  f.want.arm = ARM_OLD;
-  f.want.version = STR ("v3");
+  f.criteria.arm = ARM_OLD;
+  f.criteria.version = STR ("v3");
   for (int i = 0; i < 20; i++)
     {
       chosen = choose (&f);
@@ -392,14 +392,14 @@
   setup (&f, 1);
   upstream_t *instance = choose (&f);
   pool_load (f.pool, instance, 64, 3, 64);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_E_FULL);
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_E_FULL);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_OK);
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_OK);
   pool_load (f.pool, instance, 200, 0, 64);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_E_FULL);
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_E_FULL);
   clock_manual_advance_us (f.clock, POOL_FULL_FADE_MS * 1000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_OK);
+  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_OK);
   teardown (&f);
 }
 END_TEST
