--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -123,7 +123,7 @@
       break;
     case ORDER_ZONE_OUT:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
-      pool_zone_out (belief->pool, name, true);
+      pool_set_zone_disabled (belief->pool, name, true);
       break;
     case ORDER_NONE:
       break;
@@ -139,7 +139,7 @@
   if (duties->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_zone_out (duties->belief->pool, name, false);
+  pool_set_zone_disabled (duties->belief->pool, name, false);
 }
 
 /* Instances.  */
@@ -270,7 +270,7 @@
 
   if (str_eq (row_kind (key, &rest), STR ("entry")))
     {
-      allotment_leave (duties->belief->fleet, rest);
+      allotment_remove (duties->belief->fleet, rest);
       if (duties->share != NULL)
         share_remove (duties->share, rest);
     }
@@ -286,14 +286,14 @@
   void *value;
 
   allotment_expire (belief->fleet);
-  uint32_t entries = (uint32_t)allotment_size (belief->fleet);
+  uint32_t entries = (uint32_t)allotment_gateway_count (belief->fleet);
   if (entries == belief->entries)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, entries),
              field_number (FIELD_BEFORE, belief->entries));
   belief->entries = entries;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_set_entries (value, entries);
+    send_budget_set_gateway_count (value, entries);
 }
 
 static void
@@ -304,7 +304,7 @@
   (void)full;
   duties->own_read = true;
   set_prepared (duties);
-  allotment_read (duties->belief->fleet);
+  allotment_set_loaded (duties->belief->fleet);
   divide_shares (duties);
 }
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -34,19 +34,19 @@
   char *texts[6]; /* Copies of the options' strings.  */
 };
 
-allowance_t *
+send_budget_t *
 belief_allowance (belief_t *belief, str_t service)
 {
-  allowance_t *allowance = map_get (belief->allowances, service);
-  allowance_options_t options
+  send_budget_t *allowance = map_get (belief->allowances, service);
+  send_budget_options_t options
       = { .ratio = belief->options.retry_ratio,
           .slack = belief->options.retry_slack,
           .window_ms = belief->options.retry_window_ms };
 
   if (allowance != NULL)
     return allowance;
-  allowance = allowance_create (belief->clock, &options);
-  allowance_set_entries (allowance, belief->entries);
+  allowance = send_budget_create (belief->clock, &options);
+  send_budget_set_gateway_count (allowance, belief->entries);
   map_put (belief->allowances, service, allowance);
   return allowance;
 }
@@ -176,7 +176,7 @@
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_extra_sends_left", labels.ptr,
                  "Sends beyond the first that may be made now.",
-                 allowance_left (value));
+                 send_budget_remaining (value));
       buf_free (&labels);
     }
   cursor = 0;
@@ -310,7 +310,7 @@
   map_destroy (belief->trials);
   cursor = 0;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_destroy (value);
+    send_budget_destroy (value);
   map_destroy (belief->allowances);
   cursor = 0;
   while (map_next (belief->escalations, &cursor, &key, &value))
@@ -404,7 +404,7 @@
 
   log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
              field_number (FIELD_REACHED, reached));
-  pool_reached (belief->pool, id, reached);
+  pool_probe_finished (belief->pool, id, reached);
 }
 
 vh_code_t
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -54,7 +54,7 @@
   uint64_t reading_ms; /* Since when a later one is being read, by boot time;
                           0: none is.  */
   map_t *trials;       /* Service to trial_t.  */
-  map_t *allowances;   /* Service to allowance_t.  */
+  map_t *allowances;   /* Service to send_budget_t.  */
   map_t *escalations;  /* Service to escalation_t.  */
   allotment_t *fleet;  /* Entries that share what all may use.  */
   uint32_t entries;    /* How many these are, as the allowances know.  */
@@ -104,7 +104,7 @@
 void duties_destroy (duties_t *duties);
 
 /* Extra sends of SERVICE; made on first use.  */
-allowance_t *belief_allowance (belief_t *belief, str_t service);
+send_budget_t *belief_allowance (belief_t *belief, str_t service);
 /* What is weighed of SERVICE's models; made on first use.  */
 escalation_t *belief_escalation (belief_t *belief, str_t service);
 /* Milliseconds for which a later configuration than that in force has been
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -97,8 +97,8 @@
   if (relay->upstream == NULL)
     return;
   tell_trial (relay, outcome);
-  pool_finished (relay->belief->pool, relay->upstream, relay->prompt_left,
-                 outcome);
+  pool_request_finished (relay->belief->pool, relay->upstream,
+                         relay->prompt_left, outcome);
   relay->upstream = NULL;
 }
 
@@ -184,7 +184,7 @@
   bool not_run = status != 502 && status != 504;
   uint64_t wait_ms = 0;
 
-  relay_end_send (relay, SEND_DROPPED);
+  relay_end_send (relay, SEND_CANCELLED);
   if (relay->started)
     {
       relay_tell_end (relay, EVENT_CUT, status, reason, 0);
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -39,7 +39,8 @@
     {
       str_t version = str_cut (text, ' ', &text);
       if (trial == NULL || !str_eq (version, trial_version (trial)))
-        pool_withdraw (rollouts->belief->pool, service, version, true);
+        pool_set_version_withdrawn (rollouts->belief->pool, service, version,
+                                    true);
     }
 }
 
@@ -128,9 +129,10 @@
       /* The instances of a version that was taken back are there for a while:
          they must not pass for the old version of the next order.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
-        pool_withdraw (belief->pool, order.service, trial_version (trial),
-                       true);
-      pool_withdraw (belief->pool, order.service, order.version, false);
+        pool_set_version_withdrawn (belief->pool, order.service,
+                                    trial_version (trial), true);
+      pool_set_version_withdrawn (belief->pool, order.service, order.version,
+                                  false);
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
@@ -221,7 +223,7 @@
               (unsigned long long)trial_order (trial),
               (unsigned long long)start_ms, step, (unsigned long long)from_ms,
               trial_phase_name (phase));
-  pool_write_withdrawn (rollouts->belief->pool, service, &value);
+  pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
   writes[0].table = ROWS_OWN;
--- a/packages/policy/allotment.h
+++ b/packages/policy/allotment.h
@@ -17,8 +17,9 @@
      K different lists at the same time at most K times the limit is used.  A
      change leaves an old and a new list, so a caller that must not exceed a
      limit passes half of it.
-   - A gateway that is no longer listed counts for another ALLOTMENT_KEEP_MS:
-     it may still send requests, and one that restarts is not listed yet.
+   - A gateway that is no longer listed counts for another
+   ALLOTMENT_REMOVAL_DELAY_MS: it may still send requests, and one that
+   restarts is not listed yet.
    - Until the list is loaded the size of the fleet is unknown.
 
    Computing a rank hashes each gateway, so callers cache the rank until the
@@ -34,7 +35,7 @@
 {
   /* Time for which a gateway counts after it left the list: long enough for a
      graceful shutdown followed by a restart.  */
-  ALLOTMENT_KEEP_MS = 15000
+  ALLOTMENT_REMOVAL_DELAY_MS = 15000
 };
 
 typedef struct allotment allotment_t;
@@ -46,17 +47,17 @@
 void allotment_destroy (allotment_t *allotment);
 /* Add gateway NAME in ZONE, or update its zone.  */
 void allotment_put (allotment_t *allotment, str_t name, str_t zone);
-/* Start the removal of gateway NAME; it counts for another ALLOTMENT_KEEP_MS.
-   This gateway itself is never removed.  */
-void allotment_leave (allotment_t *allotment, str_t name);
+/* Start the removal of gateway NAME; it counts for another
+   ALLOTMENT_REMOVAL_DELAY_MS. This gateway itself is never removed.  */
+void allotment_remove (allotment_t *allotment, str_t name);
 /* Record that the list of gateways has been loaded completely.  */
-void allotment_read (allotment_t *allotment);
-/* Remove the gateways whose ALLOTMENT_KEEP_MS are over.  */
+void allotment_set_loaded (allotment_t *allotment);
+/* Remove the gateways whose ALLOTMENT_REMOVAL_DELAY_MS are over.  */
 void allotment_expire (allotment_t *allotment);
 /* Return the number of gateways that share the limits; at least 1.  */
-size_t allotment_size (const allotment_t *allotment);
+size_t allotment_gateway_count (const allotment_t *allotment);
 /* Return whether the list has been loaded, and with it the fleet's size.  */
-bool allotment_is_known (const allotment_t *allotment);
+bool allotment_is_loaded (const allotment_t *allotment);
 /* Return a number that increases whenever a rank may have changed.  */
 uint64_t allotment_generation (const allotment_t *allotment);
 /* Return the rank of this gateway, from 0, for the object with hash
@@ -64,6 +65,6 @@
 size_t allotment_rank (const allotment_t *allotment, uint64_t object_hash,
                        str_t zone);
 /* Return the share of LIMIT of the gateway with RANK among COUNT gateways.  */
-uint32_t allotment_part (double limit, size_t rank, size_t count);
+uint32_t allotment_share (double limit, size_t rank, size_t count);
 
 #endif
--- a/packages/policy/allowance.c
+++ b/packages/policy/allowance.c
@@ -8,17 +8,17 @@
 struct send_budget
 {
   clock_iface_t *clock;
-  allowance_options_t options;
+  send_budget_options_t options;
   uint32_t gateways;
   uint64_t newest_bucket; /* Number of the newest bucket since time 0.  */
-  uint32_t requests[ALLOWANCE_BUCKETS];
-  uint32_t extra_sends[ALLOWANCE_BUCKETS];
+  uint32_t requests[SEND_BUDGET_BUCKETS];
+  uint32_t extra_sends[SEND_BUDGET_BUCKETS];
 };
 
-allowance_t *
-allowance_create (clock_iface_t *clock, const allowance_options_t *options)
+send_budget_t *
+send_budget_create (clock_iface_t *clock, const send_budget_options_t *options)
 {
-  allowance_t *send_budget = mem_zalloc (sizeof *send_budget);
+  send_budget_t *send_budget = mem_zalloc (sizeof *send_budget);
 
   send_budget->clock = clock;
   send_budget->options = *options;
@@ -27,13 +27,13 @@
 }
 
 void
-allowance_destroy (allowance_t *send_budget)
+send_budget_destroy (send_budget_t *send_budget)
 {
   free (send_budget);
 }
 
 void
-allowance_set_entries (allowance_t *send_budget, uint32_t gateways)
+send_budget_set_gateway_count (send_budget_t *send_budget, uint32_t gateways)
 {
   send_budget->gateways = gateways > 0 ? gateways : 1;
 }
@@ -41,12 +41,12 @@
 /* Clear the buckets that are no longer in the window, and return the index of
    the newest one.  */
 static size_t
-advance_window (allowance_t *send_budget)
+advance_window (send_budget_t *send_budget)
 {
-  uint64_t current_bucket = clock_ms (send_budget->clock) * ALLOWANCE_BUCKETS
+  uint64_t current_bucket = clock_ms (send_budget->clock) * SEND_BUDGET_BUCKETS
                             / send_budget->options.window_ms;
 
-  if (current_bucket - send_budget->newest_bucket >= ALLOWANCE_BUCKETS)
+  if (current_bucket - send_budget->newest_bucket >= SEND_BUDGET_BUCKETS)
     {
       memset (send_budget->requests, 0, sizeof send_budget->requests);
       memset (send_budget->extra_sends, 0, sizeof send_budget->extra_sends);
@@ -54,15 +54,15 @@
     }
   while (send_budget->newest_bucket < current_bucket)
     {
-      size_t at = ++send_budget->newest_bucket % ALLOWANCE_BUCKETS;
+      size_t at = ++send_budget->newest_bucket % SEND_BUDGET_BUCKETS;
       send_budget->requests[at] = 0;
       send_budget->extra_sends[at] = 0;
     }
-  return current_bucket % ALLOWANCE_BUCKETS;
+  return current_bucket % SEND_BUDGET_BUCKETS;
 }
 
 void
-allowance_request (allowance_t *send_budget)
+send_budget_count_request (send_budget_t *send_budget)
 {
   size_t at = advance_window (send_budget);
 
@@ -70,26 +70,26 @@
 }
 
 double
-allowance_left (allowance_t *send_budget)
+send_budget_remaining (send_budget_t *send_budget)
 {
   double requests = 0;
   double extra_sends = 0;
 
   advance_window (send_budget);
-  for (size_t i = 0; i < ALLOWANCE_BUCKETS; i++)
+  for (size_t i = 0; i < SEND_BUDGET_BUCKETS; i++)
     {
       requests += send_budget->requests[i];
       extra_sends += send_budget->extra_sends[i];
     }
   double limit = requests * send_budget->options.ratio
                  + send_budget->options.slack / send_budget->gateways;
-  return limit * ALLOWANCE_USE - extra_sends;
+  return limit * SEND_BUDGET_USED_SHARE - extra_sends;
 }
 
 bool
-allowance_take (allowance_t *send_budget, double reserve)
+send_budget_try_take (send_budget_t *send_budget, double reserve)
 {
-  if (allowance_left (send_budget) < 1 + reserve)
+  if (send_budget_remaining (send_budget) < 1 + reserve)
     return false;
   send_budget->extra_sends[advance_window (send_budget)]++;
   return true;
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -205,7 +205,8 @@
 static uint32_t
 subset_capacity (const balance_t *balance, uint32_t zone)
 {
-  return zone == balance->own_zone ? BALANCE_SUBSET_OWN : BALANCE_SUBSET_OTHER;
+  return zone == balance->own_zone ? BALANCE_SUBSET_OWN_ZONE
+                                   : BALANCE_SUBSET_OTHER_ZONE;
 }
 
 /* Return whether an upstream with the marks of STATE may be in a subset.  An
@@ -398,7 +399,7 @@
 }
 
 pool_id_t
-balance_pool (balance_t *balance, str_t name)
+balance_find_or_add_pool (balance_t *balance, str_t name)
 {
   const void *found = map_get (balance->pool_by_name, name);
   uint32_t n = balance->pool_count;
@@ -427,7 +428,8 @@
   balance->gateway_hash = str_hash (self, 0);
   balance->index_by_name = map_create ();
   balance->pool_by_name = map_create ();
-  balance->cache_hints = mem_zalloc (BALANCE_HINTS * sizeof (cache_hint_t));
+  balance->cache_hints
+      = mem_zalloc (BALANCE_HINT_TABLE_SIZE * sizeof (cache_hint_t));
   balance->own_zone = find_or_add_zone (balance, zone);
   return balance;
 }
@@ -533,7 +535,7 @@
       = mem_alloc ((pool_count > 0 ? pool_count : 1) * sizeof (pool_id_t));
   for (size_t i = 0; i < pool_count; i++)
     {
-      pool_id_t pool = balance_pool (balance, pools[i]);
+      pool_id_t pool = balance_find_or_add_pool (balance, pools[i]);
 
       if (serves_pool (record, pool))
         continue;
@@ -552,7 +554,7 @@
   if (record->pool_count != pool_count)
     return false;
   for (size_t i = 0; i < pool_count; i++)
-    if (!serves_pool (record, balance_pool (balance, pools[i])))
+    if (!serves_pool (record, balance_find_or_add_pool (balance, pools[i])))
       return false;
   return true;
 }
@@ -575,8 +577,8 @@
   *state = (upstream_state_t){ 0 };
   state->generation = generation > 0 ? generation : 1;
   state->flags = FLAG_IN_USE;
-  state->slots = BALANCE_SLOTS_UNKNOWN;
-  state->average_slots_16ths = BALANCE_SLOTS_UNKNOWN * FIXED_POINT_ONE;
+  state->slots = BALANCE_DEFAULT_SLOTS;
+  state->average_slots_16ths = BALANCE_DEFAULT_SLOTS * FIXED_POINT_ONE;
   if (returning)
     start_ramp (balance, state);
   record->name = copy_name (name, &record->name_len);
@@ -633,8 +635,8 @@
 }
 
 void
-balance_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
-              bool on)
+balance_set_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
+                  bool on)
 {
   uint32_t index = find_index (balance, id);
   bool was_accepted;
@@ -668,7 +670,7 @@
 }
 
 void
-balance_set_zone (balance_t *balance, str_t zone, bool in)
+balance_set_zone_enabled (balance_t *balance, str_t zone, bool in)
 {
   /* Adding a zone may move the array, so the number is looked up first.  */
   uint16_t number = find_or_add_zone (balance, zone);
@@ -701,8 +703,8 @@
 }
 
 void
-balance_report (balance_t *balance, upstream_id_t id,
-                const balance_load_t *load, uint64_t age_ms)
+balance_record_load (balance_t *balance, upstream_id_t id,
+                     const balance_load_t *load, uint64_t age_ms)
 {
   uint32_t index = find_index (balance, id);
   uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
@@ -766,7 +768,7 @@
 {
   return state->penalty
          * exp2f (-ticks_to_ms (now_ticks - state->penalty_tick)
-                  / BALANCE_PENALTY_MS);
+                  / BALANCE_PENALTY_HALF_MS);
 }
 
 /* Return the load of the upstream of STATE with one more request; 1 if that
@@ -784,11 +786,11 @@
      falls with its age, and the weight of the averages rises.  */
   if ((state->flags & FLAG_REPORTED) != 0)
     effective_slots += weigh_by_age (state->slots - effective_slots, age_ticks,
-                                     BALANCE_REPORT_MS);
+                                     BALANCE_REPORT_HALF_MS);
   other_load = choice->pool->mean_other_load * effective_slots;
   if ((state->flags & FLAG_REPORTED) != 0)
     other_load += weigh_by_age (state->other_load - other_load, age_ticks,
-                                BALANCE_REPORT_MS);
+                                BALANCE_REPORT_HALF_MS);
   effective_slots *= (float)choice->traffic_share;
   if (other_load > 0)
     load += other_load;
@@ -798,7 +800,7 @@
     {
       uint64_t age_ms = (uint64_t)(choice->now_ticks - state->ramp_tick)
                         << TICK_SHIFT;
-      double ramp_share = zone_ramp (0, BALANCE_RAMP_MS, age_ms);
+      double ramp_share = zone_ramp_share (0, BALANCE_RAMP_MS, age_ms);
 
       if (ramp_share >= 1)
         state->flags &= (uint8_t)~FLAG_RAMPING;
@@ -875,13 +877,13 @@
 }
 
 /* Return whether affinity may send a request to upstream INDEX: it has a free
-   slot, or its load is at most BALANCE_AFFINITY_BOUND times the mean load of
-   the pool.  */
+   slot, or its load is at most BALANCE_AFFINITY_LOAD_FACTOR times the mean
+   load of the pool.  */
 static bool
 is_within_affinity_bound (const balance_t *balance, const choice_t *choice,
                           uint32_t index)
 {
-  float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_BOUND;
+  float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_LOAD_FACTOR;
 
   if (bound < 1)
     bound = 1;
@@ -897,11 +899,11 @@
 {
   uint64_t affinity = choice->request->affinity;
   const cache_hint_t *hint
-      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINTS];
+      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINT_TABLE_SIZE];
   uint32_t index;
 
   if (hint->affinity != affinity
-      || ticks_to_ms (choice->now_ticks - hint->tick) > BALANCE_HINT_MS)
+      || ticks_to_ms (choice->now_ticks - hint->tick) > BALANCE_HINT_TTL_MS)
     return NO_UPSTREAM;
   index = find_index (balance, hint->id);
   if (index == NO_UPSTREAM || balance->states[index].zone != balance->own_zone
@@ -912,7 +914,7 @@
 
 /* Return the first upstream on the hash ring of ZONE_POOL, at or after the
    hash of the request's affinity, whose load is within the affinity bound.
-   Return NO_UPSTREAM if BALANCE_AFFINITY_WALK steps find none.  */
+   Return NO_UPSTREAM if BALANCE_AFFINITY_STEPS_MAX steps find none.  */
 static uint32_t
 choose_by_affinity (const balance_t *balance, const choice_t *choice,
                     const zone_pool_t *zone_pool)
@@ -921,8 +923,8 @@
   uint32_t steps = zone_pool->count;
   uint32_t at;
 
-  if (steps > BALANCE_AFFINITY_WALK)
-    steps = BALANCE_AFFINITY_WALK;
+  if (steps > BALANCE_AFFINITY_STEPS_MAX)
+    steps = BALANCE_AFFINITY_STEPS_MAX;
   at = ring_search (zone_pool, hash);
   for (; steps > 0; steps--, at++)
     {
@@ -1014,7 +1016,7 @@
 }
 
 void
-balance_started (balance_t *balance, upstream_id_t id)
+balance_request_started (balance_t *balance, upstream_id_t id)
 {
   uint32_t index = find_index (balance, id);
 
@@ -1023,7 +1025,7 @@
 }
 
 void
-balance_ended (balance_t *balance, upstream_id_t id, bool ok)
+balance_request_ended (balance_t *balance, upstream_id_t id, bool ok)
 {
   uint32_t index = find_index (balance, id);
   uint32_t now_ticks;
@@ -1039,7 +1041,8 @@
   /* An upstream that fails fast has no requests in flight, so by load alone it
      would be preferred and get most of the traffic.  */
   now_ticks = ms_to_ticks (clock_ms (balance->clock));
-  state->penalty = decayed_penalty (state, now_ticks) + BALANCE_PENALTY;
+  state->penalty
+      = decayed_penalty (state, now_ticks) + BALANCE_FAILURE_PENALTY;
   if (state->penalty > PENALTY_MAX)
     state->penalty = PENALTY_MAX;
   state->penalty_tick = now_ticks;
@@ -1050,7 +1053,7 @@
                      bool stored)
 {
   cache_hint_t *hint
-      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINTS];
+      = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINT_TABLE_SIZE];
 
   if (stored)
     *hint = (cache_hint_t){ affinity, id,
@@ -1069,7 +1072,7 @@
     return 0;
   at = &balance->pools[pool];
   return weigh_by_age (at->mean_load, now_ticks - at->reported_tick,
-                       BALANCE_PRESSURE_MS);
+                       BALANCE_PRESSURE_HALF_MS);
 }
 
 size_t
@@ -1143,7 +1146,8 @@
 }
 
 bool
-balance_next (balance_t *balance, size_t *cursor, balance_info_t *info)
+balance_next_upstream (balance_t *balance, size_t *cursor,
+                       balance_info_t *info)
 {
   for (; *cursor < balance->count; ++*cursor)
     {
@@ -1159,7 +1163,7 @@
 }
 
 size_t
-balance_known (const balance_t *balance)
+balance_upstream_count (const balance_t *balance)
 {
   return map_size (balance->index_by_name);
 }
--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -16,8 +16,8 @@
    - Two upstreams of the subset are drawn at random, and the less loaded is
      selected.  The load is the gateway's own requests in flight, which are
      exact and current, plus the reported load of other gateways.  A report of
-     age BALANCE_REPORT_MS counts half, and the mean of the pool replaces the
-     other half.
+     age BALANCE_REPORT_HALF_MS counts half, and the mean of the pool replaces
+   the other half.
    - Another zone is used if the less loaded of the two has no free slot, and
      an upstream of the other zone is less loaded by BALANCE_SPILL_MARGIN.
    - A request with an affinity (prompt prefix or session) goes to the upstream
@@ -30,30 +30,30 @@
      upstream that fails fast does not appear idle.
 
    Constants:
-   - BALANCE_SUBSET_OWN 96, BALANCE_SUBSET_OTHER 16 for each other zone: with
-     730 gateways, 11,000 upstreams of one pool and three zones, an upstream is
-     used by 730 * 128 / 11,000 = 8.5 gateways on average, and by none with
-     probability e^-8.5 = 0.02%.  Smaller pools are used whole.
-   - BALANCE_REPORT_MS 100: the requests in flight are replaced entirely within
-     the time of a short request, some hundred milliseconds.  Of 100, 250, 500
-     and 1,000, 100 was best with reports up to ten seconds late, and no worse
-     with current ones.  Reported slots decay alike towards the upstream's
+   - BALANCE_SUBSET_OWN_ZONE 96, BALANCE_SUBSET_OTHER_ZONE 16 for each other
+   zone: with 730 gateways, 11,000 upstreams of one pool and three zones, an
+   upstream is used by 730 * 128 / 11,000 = 8.5 gateways on average, and by
+   none with probability e^-8.5 = 0.02%.  Smaller pools are used whole.
+   - BALANCE_REPORT_HALF_MS 100: the requests in flight are replaced entirely
+   within the time of a short request, some hundred milliseconds.  Of 100, 250,
+   500 and 1,000, 100 was best with reports up to ten seconds late, and no
+   worse with current ones.  Reported slots decay alike towards the upstream's
      average, because its concurrency limit probes upwards and downwards all
      the time.
    - BALANCE_SPILL_MARGIN 0.25 of a full load: more than the noise between two
      reports, so that zones do not exchange their traffic.
-   - BALANCE_AFFINITY_BOUND 1.25: consistent hashing with bounded loads
+   - BALANCE_AFFINITY_LOAD_FACTOR 1.25: consistent hashing with bounded loads
      (Mirrokni et al.).  Affinity may load an upstream to a quarter above the
-     pool's mean, or to its last free slot.  BALANCE_AFFINITY_WALK 4 steps on
-     the ring find a free upstream unless the pool is full.
-   - BALANCE_HINT_MS 60000: cache events arrive late and some are lost; an
+     pool's mean, or to its last free slot.  BALANCE_AFFINITY_STEPS_MAX 4 steps
+   on the ring find a free upstream unless the pool is full.
+   - BALANCE_HINT_TTL_MS 60000: cache events arrive late and some are lost; an
      engine evicts a prefix that was not used for about a minute.
    - BALANCE_RAMP_MS 3000 for a single upstream: some adjustments of its
      concurrency limit, which starts low as well.  With ten seconds an upstream
      was still not fully used for ten seconds after it was warm.
-   - BALANCE_PENALTY 4 requests for a failure, halved every BALANCE_PENALTY_MS
-     2000: the next selections avoid the upstream, and a single failure has no
-     effect after some seconds.  */
+   - BALANCE_FAILURE_PENALTY 4 requests for a failure, halved every
+   BALANCE_PENALTY_HALF_MS 2000: the next selections avoid the upstream, and a
+   single failure has no effect after some seconds.  */
 
 #ifndef POLICY_BALANCE_H
 #define POLICY_BALANCE_H
@@ -65,23 +65,23 @@
 
 enum
 {
-  BALANCE_SUBSET_OWN = 96,
+  BALANCE_SUBSET_OWN_ZONE = 96,
   /* Time since the last load report after which a pool's pressure counts
      half.  */
-  BALANCE_PRESSURE_MS = 5000,
-  BALANCE_SUBSET_OTHER = 16,
-  BALANCE_REPORT_MS = 100,
-  BALANCE_AFFINITY_WALK = 4,
-  BALANCE_HINTS = 4096,
-  BALANCE_HINT_MS = 60000,
-  BALANCE_PENALTY = 4,
-  BALANCE_PENALTY_MS = 2000,
-  BALANCE_SLOTS_UNKNOWN = 8,
+  BALANCE_PRESSURE_HALF_MS = 5000,
+  BALANCE_SUBSET_OTHER_ZONE = 16,
+  BALANCE_REPORT_HALF_MS = 100,
+  BALANCE_AFFINITY_STEPS_MAX = 4,
+  BALANCE_HINT_TABLE_SIZE = 4096,
+  BALANCE_HINT_TTL_MS = 60000,
+  BALANCE_FAILURE_PENALTY = 4,
+  BALANCE_PENALTY_HALF_MS = 2000,
+  BALANCE_DEFAULT_SLOTS = 8,
   BALANCE_RAMP_MS = 3000
 };
 
 #define BALANCE_SPILL_MARGIN 0.25
-#define BALANCE_AFFINITY_BOUND 1.25
+#define BALANCE_AFFINITY_LOAD_FACTOR 1.25
 #define BALANCE_NO_AFFINITY 0
 
 typedef struct balance balance_t;
@@ -95,10 +95,10 @@
 
 typedef enum
 {
-  BALANCE_DRAINING = 1, /* Reported by the upstream or by the platform.  */
-  BALANCE_EJECTED = 2,  /* Ejected by outlier detection.  */
-  BALANCE_OUT = 4,      /* Disabled by operators.  */
-  BALANCE_DOWN = 8      /* No connection can be opened.  */
+  BALANCE_DRAINING = 1,   /* Reported by the upstream or by the platform.  */
+  BALANCE_EJECTED = 2,    /* Ejected by outlier detection.  */
+  BALANCE_DISABLED = 4,   /* Disabled by operators.  */
+  BALANCE_UNREACHABLE = 8 /* No connection can be opened.  */
 } balance_mark_t;
 
 /* The load that a sidecar reports for its upstream.  */
@@ -136,7 +136,7 @@
 
 /* Return the id of the pool NAME, such as "draft-small@3", which is created if
    it does not exist.  */
-pool_id_t balance_pool (balance_t *balance, str_t name);
+pool_id_t balance_find_or_add_pool (balance_t *balance, str_t name);
 
 /* Add upstream NAME in ZONE, serving POOLS, or set the zone and pools of the
    existing one.  A new upstream starts with a ramp if RETURNING is set.
@@ -151,15 +151,15 @@
 
 /* Set or clear MARK on upstream ID.  A marked upstream gets no new requests.
    Its ramp starts when the last mark is cleared.  */
-void balance_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
-                   bool on);
+void balance_set_mark (balance_t *balance, upstream_id_t id,
+                       balance_mark_t mark, bool on);
 /* Enable ZONE with a ramp if IN is set, otherwise disable it.  */
-void balance_set_zone (balance_t *balance, str_t zone, bool in);
+void balance_set_zone_enabled (balance_t *balance, str_t zone, bool in);
 
 /* Record a load report that was made AGE_MS ago.  One that is older than the
    last report is ignored.  */
-void balance_report (balance_t *balance, upstream_id_t id,
-                     const balance_load_t *load, uint64_t age_ms);
+void balance_record_load (balance_t *balance, upstream_id_t id,
+                          const balance_load_t *load, uint64_t age_ms);
 /* Record a cache event: upstream ID has the prefix AFFINITY in its cache if
    STORED is set, or has evicted it.  Events may be late or lost.  */
 void balance_cache_event (balance_t *balance, upstream_id_t id,
@@ -171,10 +171,10 @@
                         upstream_id_t *id);
 
 /* Count a request as sent to upstream ID.  */
-void balance_started (balance_t *balance, upstream_id_t id);
+void balance_request_started (balance_t *balance, upstream_id_t id);
 /* Count a request at upstream ID as ended; OK is false if the upstream
    failed.  */
-void balance_ended (balance_t *balance, upstream_id_t id, bool ok);
+void balance_request_ended (balance_t *balance, upstream_id_t id, bool ok);
 
 /* Return the mean reported load per slot of POOL, which falls with the time
    since the last report; 1 if every slot is taken, 0 if there were no
@@ -190,8 +190,9 @@
 bool balance_info (balance_t *balance, upstream_id_t id, balance_info_t *info);
 /* Fill INFO for the next upstream and advance *CURSOR, which starts at 0.
    Return false after the last upstream.  */
-bool balance_next (balance_t *balance, size_t *cursor, balance_info_t *info);
+bool balance_next_upstream (balance_t *balance, size_t *cursor,
+                            balance_info_t *info);
 /* Return the number of upstreams.  */
-size_t balance_known (const balance_t *balance);
+size_t balance_upstream_count (const balance_t *balance);
 
 #endif
--- a/packages/policy/drain.c
+++ b/packages/policy/drain.c
@@ -21,7 +21,7 @@
 
   drain->clock = clock;
   drain->grace_ms = grace_ms > 0 ? grace_ms : DRAIN_GRACE_MS;
-  drain->timeout_ms = timeout_ms > 0 ? timeout_ms : DRAIN_BOUND_MS;
+  drain->timeout_ms = timeout_ms > 0 ? timeout_ms : DRAIN_TIMEOUT_MS;
   return drain;
 }
 
@@ -32,7 +32,7 @@
 }
 
 bool
-drain_begin (drain_t *drain)
+drain_start (drain_t *drain)
 {
   if (drain->state != DRAIN_SERVING)
     return false;
@@ -48,7 +48,7 @@
 }
 
 drain_state_t
-drain_step (drain_t *drain, uint32_t unfinished)
+drain_update (drain_t *drain, uint32_t unfinished)
 {
   if (drain->state == DRAIN_ANNOUNCED && elapsed_ms (drain) >= drain->grace_ms)
     drain->state = DRAIN_DRAINING;
@@ -66,19 +66,19 @@
 }
 
 bool
-drain_accepts (const drain_t *drain)
+drain_accepts_requests (const drain_t *drain)
 {
   return drain->state == DRAIN_SERVING || drain->state == DRAIN_ANNOUNCED;
 }
 
 bool
-drain_healthy (const drain_t *drain)
+drain_is_healthy (const drain_t *drain)
 {
   return drain->state == DRAIN_SERVING;
 }
 
 uint64_t
-drain_next_ms (const drain_t *drain)
+drain_ms_to_next_state (const drain_t *drain)
 {
   uint64_t next_ms = drain->timeout_ms;
   uint64_t since_start_ms;
@@ -92,7 +92,7 @@
 }
 
 uint32_t
-drain_cut (const drain_t *drain)
+drain_unfinished_at_timeout (const drain_t *drain)
 {
   return drain->unfinished_at_timeout;
 }
--- a/packages/policy/drain.h
+++ b/packages/policy/drain.h
@@ -12,7 +12,7 @@
 
    - DRAIN_GRACE_MS 5000: load balancers probe the health of a process every
      second or two, and take it out after three failed probes.
-   - DRAIN_BOUND_MS 600000: a request for a draft takes minutes, but none has
+   - DRAIN_TIMEOUT_MS 600000: a request for a draft takes minutes, but none has
      taken ten.  */
 
 #ifndef POLICY_DRAIN_H
@@ -25,7 +25,7 @@
 enum
 {
   DRAIN_GRACE_MS = 5000,
-  DRAIN_BOUND_MS = 600000
+  DRAIN_TIMEOUT_MS = 600000
 };
 
 typedef struct drain drain_t;
@@ -40,30 +40,30 @@
 
 /* GRACE_MS is the length of the announced state and TIMEOUT_MS the longest
    shutdown, both from the first signal; 0 selects DRAIN_GRACE_MS or
-   DRAIN_BOUND_MS.  CLOCK is borrowed.  */
+   DRAIN_TIMEOUT_MS.  CLOCK is borrowed.  */
 drain_t *drain_create (uint32_t grace_ms, uint32_t timeout_ms,
                        clock_iface_t *clock);
 void drain_destroy (drain_t *drain);
 
 /* Start the shutdown, on the first signal to stop.  Return false, with nothing
    changed, if it has already started.  */
-bool drain_begin (drain_t *drain);
+bool drain_start (drain_t *drain);
 
 /* Update and return the state.  UNFINISHED is the number of requests in
    flight, and of billing records and responses not yet delivered.  */
-drain_state_t drain_step (drain_t *drain, uint32_t unfinished);
+drain_state_t drain_update (drain_t *drain, uint32_t unfinished);
 
 /* Return whether new requests are accepted.  */
-bool drain_accepts (const drain_t *drain);
+bool drain_accepts_requests (const drain_t *drain);
 /* Return whether health checks succeed: true only while serving.  */
-bool drain_healthy (const drain_t *drain);
+bool drain_is_healthy (const drain_t *drain);
 
-/* Return the time in ms until drain_step may change the state without any
+/* Return the time in ms until drain_update may change the state without any
    request finishing; UINT64_MAX if there is no such time.  */
-uint64_t drain_next_ms (const drain_t *drain);
+uint64_t drain_ms_to_next_state (const drain_t *drain);
 
 /* Return the number of unfinished requests, billing records and responses when
    the timeout ended the shutdown; 0 if all were finished.  */
-uint32_t drain_cut (const drain_t *drain);
+uint32_t drain_unfinished_at_timeout (const drain_t *drain);
 
 #endif
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -11,8 +11,8 @@
 struct outlier_member
 {
   list_t link;
-  list_t change_link; /* In OUTLIER->changed_members until outlier_next has
-                         returned the state.  */
+  list_t change_link; /* In OUTLIER->changed_members until outlier_next_change
+                         has returned the state.  */
   void *owner;
   outlier_state_t state;
   uint32_t samples;
@@ -47,7 +47,7 @@
 
   outlier->clock = clock;
   outlier->max_ejected_share
-      = max_ejected_share > 0 ? max_ejected_share : OUTLIER_SHARE;
+      = max_ejected_share > 0 ? max_ejected_share : OUTLIER_EJECTED_SHARE_MAX;
   list_init (&outlier->members);
   list_init (&outlier->changed_members);
   return outlier;
@@ -65,7 +65,7 @@
 }
 
 outlier_member_t *
-outlier_join (outlier_t *outlier, void *owner)
+outlier_add_member (outlier_t *outlier, void *owner)
 {
   outlier_member_t *member = mem_zalloc (sizeof *member);
 
@@ -84,7 +84,7 @@
 }
 
 void
-outlier_leave (outlier_t *outlier, outlier_member_t *member)
+outlier_remove_member (outlier_t *outlier, outlier_member_t *member)
 {
   if (member->state == OUTLIER_EJECTED)
     outlier->ejected--;
@@ -119,20 +119,20 @@
 eject (outlier_t *outlier, outlier_member_t *member)
 {
   uint64_t now = clock_ms (outlier->clock);
-  uint64_t length_ms = OUTLIER_FIRST_MS;
+  uint64_t length_ms = OUTLIER_EJECTION_FIRST_MS;
 
   /* With most of a pool ejected, the rest would be overloaded, become slow and
      be ejected as well.  */
   if (outlier->ejected >= max_ejected (outlier))
     return;
-  if (member->state == OUTLIER_IN
-      && now - member->active_since_ms >= OUTLIER_FORGIVE_MS)
+  if (member->state == OUTLIER_ACTIVE
+      && now - member->active_since_ms >= OUTLIER_EJECTION_RESET_MS)
     member->ejection_count = 0;
   for (uint32_t i = 0;
-       i < member->ejection_count && length_ms < OUTLIER_LAST_MS; i++)
+       i < member->ejection_count && length_ms < OUTLIER_EJECTION_MAX_MS; i++)
     length_ms *= 2;
-  if (length_ms > OUTLIER_LAST_MS)
-    length_ms = OUTLIER_LAST_MS;
+  if (length_ms > OUTLIER_EJECTION_MAX_MS)
+    length_ms = OUTLIER_EJECTION_MAX_MS;
   member->ejection_count++;
   member->ejected_until_ms = now + length_ms;
   set_state (outlier, member, OUTLIER_EJECTED);
@@ -159,15 +159,15 @@
     }
   /* An upstream that fails fast always has the fewest requests in flight, and
      could get most of the traffic until the next evaluation is due.  */
-  if (member->consecutive_errors == OUTLIER_ERROR_RUN)
+  if (member->consecutive_errors == OUTLIER_CONSECUTIVE_ERRORS)
     outlier->evaluate_now = true;
   if (member->state == OUTLIER_TRIAL && !ok)
     eject (outlier, member);
   else if (member->state == OUTLIER_TRIAL
-           && ++member->trial_successes >= OUTLIER_TRIAL_OK)
+           && ++member->trial_successes >= OUTLIER_TRIAL_SUCCESSES)
     {
       member->active_since_ms = clock_ms (outlier->clock);
-      set_state (outlier, member, OUTLIER_IN);
+      set_state (outlier, member, OUTLIER_ACTIVE);
     }
 }
 
@@ -195,13 +195,14 @@
 static bool
 has_enough_samples (const outlier_member_t *member)
 {
-  return member->state == OUTLIER_IN && member->samples >= OUTLIER_SAMPLES;
+  return member->state == OUTLIER_ACTIVE
+         && member->samples >= OUTLIER_SAMPLES_MIN;
 }
 
 /* Return the median error rate of the members that are not ejected and not on
    trial.  One response of a member is enough for this: a failure common to all
-   members must be detected before the first of them has OUTLIER_ERROR_RUN
-   consecutive failures.  */
+   members must be detected before the first of them has
+   OUTLIER_CONSECUTIVE_ERRORS consecutive failures.  */
 static double
 median_error_rate (outlier_t *outlier)
 {
@@ -211,7 +212,7 @@
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (member->state == OUTLIER_IN && member->samples > 0)
+      if (member->state == OUTLIER_ACTIVE && member->samples > 0)
         outlier->scratch[count++] = member->error_rate;
     }
   return median (outlier, count);
@@ -263,28 +264,29 @@
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (member->state != OUTLIER_IN)
+      if (member->state != OUTLIER_ACTIVE)
         continue;
-      if ((member->consecutive_errors >= OUTLIER_ERROR_RUN
+      if ((member->consecutive_errors >= OUTLIER_CONSECUTIVE_ERRORS
            || has_enough_samples (member))
-          && member->error_rate > median_rate + OUTLIER_ERROR_GAP)
+          && member->error_rate > median_rate + OUTLIER_ERROR_RATE_MARGIN)
         eject (outlier, member);
       else if (!has_enough_samples (member))
         continue;
       else if (median_latency_us > 0
                && member->unit_latency_us
-                      > median_latency_us * OUTLIER_SLOW_FACTOR)
+                      > median_latency_us * OUTLIER_LATENCY_FACTOR)
         eject (outlier, member);
     }
 }
 
 void *
-outlier_next (outlier_t *outlier, outlier_state_t *state)
+outlier_next_change (outlier_t *outlier, outlier_state_t *state)
 {
   uint64_t now = clock_ms (outlier->clock);
   outlier_member_t *member;
 
-  if (now >= outlier->evaluated_ms + OUTLIER_JUDGE_MS || outlier->evaluate_now)
+  if (now >= outlier->evaluated_ms + OUTLIER_EVALUATION_INTERVAL_MS
+      || outlier->evaluate_now)
     {
       outlier->evaluate_now = false;
       outlier->evaluated_ms = now;
@@ -307,7 +309,7 @@
 }
 
 uint32_t
-outlier_ejected (const outlier_t *outlier)
+outlier_ejected_count (const outlier_t *outlier)
 {
   return outlier->ejected;
 }
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -55,7 +55,8 @@
                                      prefill.  */
   double other_requests;          /* Reported requests of other gateways.  */
   uint64_t reported_ms;
-  uint64_t send_times[POOL_RATE_MAX]; /* Ring buffer of the last send times. */
+  uint64_t send_times[POOL_SEND_TIMES_MAX]; /* Ring buffer of the last send
+                                               times. */
   size_t send_time_index;
 };
 
@@ -232,7 +233,8 @@
 }
 
 void
-pool_withdraw (pool_t *pool, str_t service, str_t version, bool withdrawn)
+pool_set_version_withdrawn (pool_t *pool, str_t service, str_t version,
+                            bool withdrawn)
 {
   buf_t key = BUF_NULL;
 
@@ -252,7 +254,7 @@
 }
 
 void
-pool_write_withdrawn (const pool_t *pool, str_t service, buf_t *out)
+pool_append_withdrawn_versions (const pool_t *pool, str_t service, buf_t *out)
 {
   size_t cursor = 0;
   str_t key;
@@ -334,7 +336,7 @@
 }
 
 void
-pool_zone_out (pool_t *pool, str_t zone, bool out)
+pool_set_zone_disabled (pool_t *pool, str_t zone, bool out)
 {
   if (out)
     map_put (pool->disabled_zones, zone, pool);
@@ -355,7 +357,7 @@
   const allotment_t *entries = pool->entries;
 
   if (entries == NULL)
-    return allotment_part (bound, 0, 1);
+    return allotment_share (bound, 0, 1);
   uint64_t generation = allotment_generation (entries);
   if (upstream->rank_generation != generation)
     {
@@ -363,7 +365,8 @@
                                        str_from (upstream->zone));
       upstream->rank_generation = generation;
     }
-  return allotment_part (bound, upstream->rank, allotment_size (entries));
+  return allotment_share (bound, upstream->rank,
+                          allotment_gateway_count (entries));
 }
 
 /* Return the number of requests that this gateway may send to UPSTREAM in a
@@ -374,7 +377,7 @@
 {
   bool is_cold = now_ms < upstream->cold_until_ms;
 
-  if (pool->entries != NULL && !allotment_is_known (pool->entries))
+  if (pool->entries != NULL && !allotment_is_loaded (pool->entries))
     return is_cold ? 0 : 1;
   /* A warm instance may turn cold at any time, so it is limited too, but only
      to the higher rate at which a cold instance fails.  */
@@ -382,7 +385,7 @@
                          : (cold_per_s * pool->cold_factor + pool->cold_slack)
                                * warm_share_factor;
   uint32_t share = gateway_share (pool, upstream, bound);
-  return share < POOL_RATE_MAX - 1 ? share : POOL_RATE_MAX - 1;
+  return share < POOL_SEND_TIMES_MAX - 1 ? share : POOL_SEND_TIMES_MAX - 1;
 }
 
 /* Return whether the rate limit allows another request to UPSTREAM now.  */
@@ -395,10 +398,9 @@
   uint32_t share = window_limit (pool, upstream, cold_per_s, now_ms);
   if (share == 0)
     return false;
-  uint64_t oldest
-      = upstream
-            ->send_times[(upstream->send_time_index + POOL_RATE_MAX - share)
-                         % POOL_RATE_MAX];
+  uint64_t oldest = upstream->send_times[(upstream->send_time_index
+                                          + POOL_SEND_TIMES_MAX - share)
+                                         % POOL_SEND_TIMES_MAX];
   return oldest == 0 || now_ms - oldest >= POOL_RATE_WINDOW_MS;
 }
 
@@ -421,27 +423,28 @@
 request_count (const upstream_t *upstream, uint64_t now_ms)
 {
   return upstream->running
-         + other_requests_now (upstream, POOL_REPORT_FADE_MS, now_ms);
+         + other_requests_now (upstream, POOL_REPORT_DECAY_MS, now_ms);
 }
 
 static double
 load_of (const upstream_t *upstream, uint64_t now_ms)
 {
   return request_count (upstream, now_ms)
-         + (double)upstream->pending_prompt_tokens / POOL_PROMPT_UNIT;
+         + (double)upstream->pending_prompt_tokens
+               / POOL_PROMPT_TOKENS_PER_REQUEST;
 }
 
 static bool
-is_eligible (const upstream_t *upstream, const pool_want_t *criteria,
+is_eligible (const upstream_t *upstream, const pool_criteria_t *criteria,
              uint64_t version_hash, uint64_t now_ms)
 {
   if (upstream->draining || upstream->is_zone_disabled
       || upstream->is_withdrawn
       || (upstream->is_unregistered && now_ms >= upstream->usable_until_ms))
     return false;
-  if (criteria->arm != ARM_ANY
+  if (criteria->arm != VERSION_ARM_ANY
       && (upstream->version_hash == version_hash)
-             != (criteria->arm == ARM_NEW))
+             != (criteria->arm == VERSION_ARM_NEW))
     return false;
   for (size_t i = 0; i < criteria->tried_count; i++)
     if (criteria->tried[i] == upstream)
@@ -451,19 +454,19 @@
 
 static bool
 has_capacity (const pool_t *pool, upstream_t *upstream,
-              const pool_want_t *criteria, uint64_t now_ms)
+              const pool_criteria_t *criteria, uint64_t now_ms)
 {
   return rate_allows (pool, upstream, criteria->cold_per_s, now_ms)
          && upstream->running
-                    + other_requests_now (upstream, POOL_FULL_FADE_MS, now_ms)
+                    + other_requests_now (upstream, POOL_FULL_DECAY_MS, now_ms)
                 < upstream->slots;
 }
 
 /* Return the mean load of the instances in GROUP that are eligible for
    CRITERIA; 0 if there are none.  */
 static double
-mean_eligible_load (const service_group_t *group, const pool_want_t *criteria,
-                    uint64_t now_ms)
+mean_eligible_load (const service_group_t *group,
+                    const pool_criteria_t *criteria, uint64_t now_ms)
 {
   uint64_t version_hash = str_hash (criteria->version, 0);
   double sum = 0;
@@ -508,7 +511,7 @@
    instance of its own, because traffic between zones costs more than a second
    prefill of the shared prompt prefix.  */
 static void
-update_affinity (upstream_t *upstream, const pool_want_t *criteria,
+update_affinity (upstream_t *upstream, const pool_criteria_t *criteria,
                  double max_load, uint64_t now_ms, affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
@@ -542,10 +545,10 @@
    the lowest id hashes, including those already tried.  Return UINT64_MAX if
    all instances may be used.  */
 static uint64_t
-id_hash_limit (const service_group_t *group, const pool_want_t *criteria,
+id_hash_limit (const service_group_t *group, const pool_criteria_t *criteria,
                uint64_t version_hash, uint64_t now_ms)
 {
-  pool_want_t untried = *criteria;
+  pool_criteria_t untried = *criteria;
   size_t count = 0;
 
   if (criteria->few == 0 || criteria->few >= group->count)
@@ -568,14 +571,15 @@
    is none. Ejected instances are included if OUT_TOO is set.  Set
    *ANY_ELIGIBLE if at least one instance was eligible, even if full.  */
 static upstream_t *
-select_best (pool_t *pool, const pool_want_t *criteria, bool include_ejected,
-             uint64_t now_ms, bool *any_eligible)
+select_best (pool_t *pool, const pool_criteria_t *criteria,
+             bool include_ejected, uint64_t now_ms, bool *any_eligible)
 {
   const service_group_t *group = find_or_add_group (pool, criteria->service);
   uint64_t version_hash = str_hash (criteria->version, 0);
   uint64_t max_id_hash = id_hash_limit (group, criteria, version_hash, now_ms);
-  double max_load = mean_eligible_load (group, criteria, now_ms) * POOL_HOT
-                    + POOL_HOT_FLOOR;
+  double max_load
+      = mean_eligible_load (group, criteria, now_ms) * POOL_HOT_LOAD_FACTOR
+        + POOL_HOT_LOAD_MIN;
   affinity_choice_t affinity = { 0 };
   upstream_t *least_loaded = NULL;
   double lowest_cost = 0;
@@ -606,7 +610,7 @@
 }
 
 vh_code_t
-pool_choose (pool_t *pool, const pool_want_t *criteria, upstream_t **out)
+pool_select (pool_t *pool, const pool_criteria_t *criteria, upstream_t **out)
 {
   uint64_t now_ms = clock_ms (pool->clock);
   bool any_eligible = false;
@@ -615,9 +619,9 @@
   *out = select_best (pool, criteria, false, now_ms, &any_eligible);
   if (*out == NULL && criteria->few > 0)
     {
-      pool_want_t all = *criteria;
+      pool_criteria_t all = *criteria;
       all.few = 0;
-      return pool_choose (pool, &all, out);
+      return pool_select (pool, &all, out);
     }
   if (*out == NULL && !any_eligible)
     *out = select_best (pool, criteria, true, now_ms, &any_eligible);
@@ -630,7 +634,7 @@
 pool_count (pool_t *pool, str_t service, version_arm_t arm, str_t version,
             size_t most)
 {
-  pool_want_t criteria
+  pool_criteria_t criteria
       = { .service = service, .arm = arm, .version = version };
   const service_group_t *group = find_or_add_group (pool, service);
   uint64_t version_hash = str_hash (version, 0);
@@ -643,7 +647,7 @@
 }
 
 void
-pool_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
+pool_request_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
 {
   if (upstream->running == 0)
     upstream->last_data_ms = clock_ms (pool->clock);
@@ -652,24 +656,27 @@
   upstream->running++;
   upstream->pending_prompt_tokens += prompt;
   upstream->send_times[upstream->send_time_index] = clock_ms (pool->clock);
-  upstream->send_time_index = (upstream->send_time_index + 1) % POOL_RATE_MAX;
+  upstream->send_time_index
+      = (upstream->send_time_index + 1) % POOL_SEND_TIMES_MAX;
 }
 
 void
-pool_heard (pool_t *pool, upstream_t *upstream)
+pool_data_received (pool_t *pool, upstream_t *upstream)
 {
   upstream->last_data_ms = clock_ms (pool->clock);
   upstream->is_unreachable = false;
 }
 
 uint64_t
-pool_silence_due (const upstream_t *upstream)
+pool_probe_due_ms (const upstream_t *upstream)
 {
-  uint64_t silence_ms = upstream->last_data_ms + POOL_SILENCE_MS
-                        + upstream->pending_prompt_tokens / POOL_READ_PER_MS;
-  uint64_t again_ms = upstream->last_probe_ok_ms == 0
-                          ? 0
-                          : upstream->last_probe_ok_ms + POOL_LOOK_AGAIN_MS;
+  uint64_t silence_ms
+      = upstream->last_data_ms + POOL_SILENCE_TIMEOUT_MS
+        + upstream->pending_prompt_tokens / POOL_PREFILL_TOKENS_PER_MS;
+  uint64_t again_ms
+      = upstream->last_probe_ok_ms == 0
+            ? 0
+            : upstream->last_probe_ok_ms + POOL_PROBE_INTERVAL_MS;
 
   if (upstream->is_unreachable)
     return 0;
@@ -681,17 +688,17 @@
 eject (upstream_t *upstream, uint64_t now_ms)
 {
   upstream->ejection_ms = upstream->ejection_ms == 0
-                              ? POOL_OUT_FIRST_MS
+                              ? POOL_EJECTION_FIRST_MS
                               : upstream->ejection_ms * 2;
-  if (upstream->ejection_ms > POOL_OUT_LAST_MS)
-    upstream->ejection_ms = POOL_OUT_LAST_MS;
+  if (upstream->ejection_ms > POOL_EJECTION_MAX_MS)
+    upstream->ejection_ms = POOL_EJECTION_MAX_MS;
   upstream->ejected_until_ms = now_ms + upstream->ejection_ms;
   /* After an ejection a single failure ejects the instance again.  */
-  upstream->failures = POOL_FAILURES - 1;
+  upstream->failures = POOL_EJECTION_FAILURES - 1;
 }
 
 void
-pool_reached (pool_t *pool, str_t id, bool reached)
+pool_probe_finished (pool_t *pool, str_t id, bool reached)
 {
   upstream_t *upstream = map_get (pool->by_id, id);
   uint64_t now_ms = clock_ms (pool->clock);
@@ -706,20 +713,20 @@
 }
 
 bool
-upstream_lost (const upstream_t *upstream)
+upstream_is_unreachable (const upstream_t *upstream)
 {
   return upstream->is_unreachable;
 }
 
 void
-pool_first (upstream_t *upstream, uint32_t prompt)
+pool_prompt_processed (upstream_t *upstream, uint32_t prompt)
 {
   upstream->pending_prompt_tokens -= prompt;
 }
 
 void
-pool_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
-               send_outcome_t outcome)
+pool_request_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
+                       send_outcome_t outcome)
 {
   uint64_t now_ms = clock_ms (pool->clock);
 
@@ -730,14 +737,15 @@
       upstream->failures = 0;
       upstream->ejection_ms = 0;
     }
-  else if (outcome == SEND_FAILED && ++upstream->failures >= POOL_FAILURES)
+  else if (outcome == SEND_FAILED
+           && ++upstream->failures >= POOL_EJECTION_FAILURES)
     eject (upstream, now_ms);
   upstream_unref (upstream);
 }
 
 void
-pool_load (pool_t *pool, upstream_t *upstream, uint32_t running,
-           uint32_t waiting, uint32_t slots)
+pool_record_load (pool_t *pool, upstream_t *upstream, uint32_t running,
+                  uint32_t waiting, uint32_t slots)
 {
   double all = (double)running + waiting;
 
@@ -749,7 +757,7 @@
 }
 
 void
-pool_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms)
+pool_set_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms)
 {
   upstream->cold_until_ms = clock_ms (pool->clock) + cold_ms;
 }
@@ -773,7 +781,7 @@
 }
 
 double
-upstream_load (const pool_t *pool, const upstream_t *upstream)
+upstream_request_count (const pool_t *pool, const upstream_t *upstream)
 {
   return request_count (upstream, clock_ms (pool->clock));
 }
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -7,20 +7,20 @@
    - Requests that share a prompt prefix: rendezvous hashing sends them to the
      instance that has the prefix in its cache, the same one at every gateway.
      Without it each gateway fills the cache of an instance of its own.
-   - A hot prefix: an instance that carries POOL_HOT times the mean load is
-     skipped, and the instance with the next highest hash is used as well.
-     Without it one instance queues requests while its peers are idle.
+   - A hot prefix: an instance that carries POOL_HOT_LOAD_FACTOR times the mean
+   load is skipped, and the instance with the next highest hash is used as
+   well. Without it one instance queues requests while its peers are idle.
    - A cold instance fails at a request rate that a warm one sustains: all
      gateways together have a rate limit for it, and each gateway uses its own
      share of that limit (policy/allotment.h).  Instances turn cold without
      notice, so warm instances are limited too, at the rate above which a cold
      instance fails.
    - A full instance: its load report keeps requests away for
-     POOL_FULL_FADE_MS.
-   - A failing instance: POOL_FAILURES consecutive failures eject it for
-     POOL_OUT_FIRST_MS, doubled for each further ejection up to
-     POOL_OUT_LAST_MS.  If all instances are ejected, all are used: the fault
-     is then elsewhere.
+     POOL_FULL_DECAY_MS.
+   - A failing instance: POOL_EJECTION_FAILURES consecutive failures eject it
+   for POOL_EJECTION_FIRST_MS, doubled for each further ejection up to
+     POOL_EJECTION_MAX_MS.  If all instances are ejected, all are used: the
+   fault is then elsewhere.
    - The first traffic share of a new version: it goes to only as many
    instances as make each of them slightly more loaded than those of the old
    version. Spread over all instances, a tenth of the traffic leaves them idle,
@@ -37,48 +37,48 @@
 #include "base/str.h"
 #include "policy/allotment.h"
 
-#define POOL_HOT 1.5
+#define POOL_HOT_LOAD_FACTOR 1.5
 
 enum
 {
   /* At an error rate of a tenth, three consecutive failures occur by chance
      once in 1,000.  */
-  POOL_FAILURES = 3,
+  POOL_EJECTION_FAILURES = 3,
   /* Length of the first ejection.  A crashed instance restarts within seconds,
      and testing it with one live request each second costs one retry.  */
-  POOL_OUT_FIRST_MS = 1000,
-  POOL_OUT_LAST_MS = 8000,
+  POOL_EJECTION_FIRST_MS = 1000,
+  POOL_EJECTION_MAX_MS = 8000,
   /* Requests added to the load limit for affinity: an instance below this load
      is never too hot.  In a batch this small each request is as fast as
      alone.  */
-  POOL_HOT_FLOOR = 6,
+  POOL_HOT_LOAD_MIN = 6,
   /* Window over which the request rate of a cold instance is counted.  */
   POOL_RATE_WINDOW_MS = 1000,
   /* Send times kept for each instance, and so the highest rate limit.  */
-  POOL_RATE_MAX = 64,
+  POOL_SEND_TIMES_MAX = 64,
   /* Age at which a load report no longer counts.  */
-  POOL_REPORT_FADE_MS = 2000,
+  POOL_REPORT_DECAY_MS = 2000,
   /* Age at which a report of full slots no longer counts: a plain service
      responds within some dozens of milliseconds.  An instance that is taken
      for full gets no requests, so no response would ever correct the
      report.  */
-  POOL_FULL_FADE_MS = 300,
+  POOL_FULL_DECAY_MS = 300,
   /* Prompt tokens waiting for prefill that count as much as one running
      request: a prefill chunk delays the tokens of a whole batch as much as
      tens of further requests in the batch do.  */
-  POOL_PROMPT_UNIT = 1000,
+  POOL_PROMPT_TOKENS_PER_REQUEST = 1000,
   /* Time without data after which an instance with running requests is probed.
      An engine generates a token for each request some dozens of times a
      second, so a silent one is either busy with the prompts of other gateways
      or down.  */
-  POOL_SILENCE_MS = 500,
+  POOL_SILENCE_TIMEOUT_MS = 500,
   /* Time from a successful probe to the next one: a probe's connection costs a
      hundredth of a short response.  */
-  POOL_LOOK_AGAIN_MS = 1000,
+  POOL_PROBE_INTERVAL_MS = 1000,
   /* Prefill rate of a slow, cold engine, in prompt tokens per ms, during which
      it generates no tokens: a third of the rate of a warm engine with its
      largest model.  */
-  POOL_READ_PER_MS = 12
+  POOL_PREFILL_TOKENS_PER_MS = 12
 };
 
 typedef struct pool pool_t;
@@ -112,9 +112,9 @@
 
 typedef enum
 {
-  ARM_ANY,
-  ARM_OLD, /* All versions except the one on trial.  */
-  ARM_NEW  /* Only the version on trial.  */
+  VERSION_ARM_ANY,
+  VERSION_ARM_OLD, /* All versions except the one on trial.  */
+  VERSION_ARM_NEW  /* Only the version on trial.  */
 } version_arm_t;
 
 enum
@@ -129,7 +129,7 @@
   double cold_per_s; /* Request rate that a cold instance sustains; 0 for no
                         rate limit.  */
   version_arm_t arm;
-  str_t version; /* The version on trial; unused with ARM_ANY.  */
+  str_t version; /* The version on trial; unused with VERSION_ARM_ANY.  */
   size_t few;    /* Number of instances that get requests while they have free
                     slots, the same ones at every gateway; 0 for all.  */
   uint64_t key;  /* Hash of the shared prompt prefix; 0 for none.  */
@@ -137,15 +137,15 @@
      again.  */
   const upstream_t *const *tried;
   size_t tried_count;
-} pool_want_t;
+} pool_criteria_t;
 
 typedef enum
 {
-  SEND_OK,      /* The instance completed the request.  */
-  SEND_REFUSED, /* The instance reported that it did not run the request.  */
-  SEND_FAILED,  /* Connection lost, timeout, or error response.  */
-  SEND_DROPPED  /* Cancelled by the gateway; not counted for or against the
-                   instance.  */
+  SEND_OK,       /* The instance completed the request.  */
+  SEND_REFUSED,  /* The instance reported that it did not run the request.  */
+  SEND_FAILED,   /* Connection lost, timeout, or error response.  */
+  SEND_CANCELLED /* Cancelled by the gateway; not counted for or against the
+                  instance.  */
 } send_outcome_t;
 
 pool_t *pool_create (clock_iface_t *clock, uint64_t seed,
@@ -160,57 +160,59 @@
 void pool_remove (pool_t *pool, str_t id, uint64_t keep_ms);
 /* Set whether VERSION of SERVICE is withdrawn.  A withdrawn version gets no
    requests, whichever version is on trial.  */
-void pool_withdraw (pool_t *pool, str_t service, str_t version,
-                    bool withdrawn);
+void pool_set_version_withdrawn (pool_t *pool, str_t service, str_t version,
+                                 bool withdrawn);
 /* Append the withdrawn versions of SERVICE to OUT, each after a space.  */
-void pool_write_withdrawn (const pool_t *pool, str_t service, buf_t *out);
+void pool_append_withdrawn_versions (const pool_t *pool, str_t service,
+                                     buf_t *out);
 /* Set whether the instances in ZONE are excluded from selection.  */
-void pool_zone_out (pool_t *pool, str_t zone, bool out);
+void pool_set_zone_disabled (pool_t *pool, str_t zone, bool out);
 
 /* Select an instance for CRITERIA and store it in *OUT.  Return VH_OK,
    VH_E_NO_UPSTREAM if no instance is eligible, or VH_E_FULL if all eligible
    instances are at their slot or rate limit.  */
-vh_code_t pool_choose (pool_t *pool, const pool_want_t *criteria,
+vh_code_t pool_select (pool_t *pool, const pool_criteria_t *criteria,
                        upstream_t **out);
 /* Return the number of instances of SERVICE in ARM that may get requests, or
    MOST if there are more.  VERSION is the version on trial.  */
 size_t pool_count (pool_t *pool, str_t service, version_arm_t arm,
                    str_t version, size_t most);
 /* Count a request with PROMPT prompt tokens as sent to UPSTREAM, and take a
-   reference to UPSTREAM that pool_finished releases.  */
-void pool_started (pool_t *pool, upstream_t *upstream, uint32_t prompt);
+   reference to UPSTREAM that pool_request_finished releases.  */
+void pool_request_started (pool_t *pool, upstream_t *upstream,
+                           uint32_t prompt);
 /* Count PROMPT prompt tokens as processed, at the first response event of a
    request.  */
-void pool_first (upstream_t *upstream, uint32_t prompt);
+void pool_prompt_processed (upstream_t *upstream, uint32_t prompt);
 /* Count a request as finished with OUTCOME.  PROMPT is its number of prompt
-   tokens, or 0 if pool_first was called for the request.  */
-void pool_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
-                    send_outcome_t outcome);
+   tokens, or 0 if pool_prompt_processed was called for the request.  */
+void pool_request_finished (pool_t *pool, upstream_t *upstream,
+                            uint32_t prompt, send_outcome_t outcome);
 /* Record that data was received from UPSTREAM.  */
-void pool_heard (pool_t *pool, upstream_t *upstream);
+void pool_data_received (pool_t *pool, upstream_t *upstream);
 /* Return the time, in ms, at which UPSTREAM must be probed if no data arrives
-   before: POOL_SILENCE_MS plus the prefill time of its pending prompts after
-   the last data.  Return 0 if UPSTREAM is unreachable.  Valid only while
+   before: POOL_SILENCE_TIMEOUT_MS plus the prefill time of its pending prompts
+   after the last data.  Return 0 if UPSTREAM is unreachable.  Valid only while
    requests of this gateway run at UPSTREAM.  */
-uint64_t pool_silence_due (const upstream_t *upstream);
+uint64_t pool_probe_due_ms (const upstream_t *upstream);
 /* Record whether a probe of instance ID could connect.  If REACHED is false,
    the instance is ejected, and counts as unreachable until it sends data or
    gets a new request.  */
-void pool_reached (pool_t *pool, str_t id, bool reached);
-bool upstream_lost (const upstream_t *upstream);
+void pool_probe_finished (pool_t *pool, str_t id, bool reached);
+bool upstream_is_unreachable (const upstream_t *upstream);
 /* Record the load that a response of UPSTREAM reported; SLOTS 0 if its number
    of slots was not reported.  */
-void pool_load (pool_t *pool, upstream_t *upstream, uint32_t running,
-                uint32_t waiting, uint32_t slots);
+void pool_record_load (pool_t *pool, upstream_t *upstream, uint32_t running,
+                       uint32_t waiting, uint32_t slots);
 /* Record that UPSTREAM stays cold for another COLD_MS.  */
-void pool_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms);
+void pool_set_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms);
 
 str_t upstream_id (const upstream_t *upstream);
 str_t upstream_address (const upstream_t *upstream);
 str_t upstream_version (const upstream_t *upstream);
 /* Return the number of requests that run or wait at UPSTREAM: those of this
    gateway, and those of others according to the last load report.  */
-double upstream_load (const pool_t *pool, const upstream_t *upstream);
+double upstream_request_count (const pool_t *pool, const upstream_t *upstream);
 /* Return how many requests UPSTREAM runs concurrently, as it reported.  */
 uint32_t upstream_slots (const upstream_t *upstream);
 /* Return how many requests of this gateway run at UPSTREAM.  */
--- a/packages/policy/readers.c
+++ b/packages/policy/readers.c
@@ -39,11 +39,11 @@
                    .owner = owner };
 }
 
-readers_t *
-readers_create (clock_iface_t *clock, uint64_t seed, str_t name, str_t zone,
-                uint32_t link_mbps)
+fanout_t *
+fanout_create (clock_iface_t *clock, uint64_t seed, str_t name, str_t zone,
+               uint32_t link_mbps)
 {
-  readers_t *fanout = mem_zalloc (sizeof *fanout);
+  fanout_t *fanout = mem_zalloc (sizeof *fanout);
 
   fanout->clock = clock;
   fanout->rng = rng_make (seed);
@@ -53,7 +53,7 @@
 }
 
 void
-readers_destroy (readers_t *fanout)
+fanout_destroy (fanout_t *fanout)
 {
   size_t cursor = 0;
   str_t key;
@@ -68,8 +68,8 @@
 }
 
 void
-readers_put (readers_t *fanout, str_t name, str_t zone, uint32_t link_mbps,
-             void *owner)
+fanout_put (fanout_t *fanout, str_t name, str_t zone, uint32_t link_mbps,
+            void *owner)
 {
   peer_t *peer = mem_alloc (sizeof *peer);
 
@@ -78,13 +78,13 @@
 }
 
 void
-readers_remove (readers_t *fanout, str_t name)
+fanout_remove (fanout_t *fanout, str_t name)
 {
   free (map_remove (fanout->peers, name));
 }
 
 void
-readers_leave (readers_t *fanout)
+fanout_stop_serving (fanout_t *fanout)
 {
   fanout->is_leaving = true;
 }
@@ -97,13 +97,13 @@
 }
 
 static bool
-is_large_fleet (const readers_t *fanout)
+is_large_fleet (const fanout_t *fanout)
 {
-  return map_size (fanout->peers) >= READERS_FLEET;
+  return map_size (fanout->peers) >= FANOUT_SMALL_FLEET_MAX;
 }
 
 static bool
-cannot_read_store (const readers_t *fanout, uint64_t now_ms)
+cannot_read_store (const fanout_t *fanout, uint64_t now_ms)
 {
   return fanout->is_leaving || now_ms < fanout->store_down_until_ms;
 }
@@ -112,7 +112,7 @@
    or NULL.  With OWN_ZONE_ONLY set only those of this zone are considered,
    with INCLUDE_NOT_READY also those that reported no current data.  */
 static const peer_t *
-first_source (const readers_t *fanout, bool own_zone_only,
+first_source (const fanout_t *fanout, bool own_zone_only,
               bool include_not_ready, uint64_t now_ms)
 {
   const peer_t *found = NULL;
@@ -137,35 +137,35 @@
    gateway that reported no current data keeps its rank: the ones after it read
    from it as well, and have no current data either.  */
 static const peer_t *
-first_other (const readers_t *fanout, bool own_zone_only, uint64_t now_ms)
+first_other (const fanout_t *fanout, bool own_zone_only, uint64_t now_ms)
 {
   return first_source (fanout, own_zone_only, is_large_fleet (fanout), now_ms);
 }
 
 /* Return whether this gateway ranks before OTHER, the first of the others.  */
 static bool
-is_first_in_rank (const readers_t *fanout, const peer_t *other)
+is_first_in_rank (const fanout_t *fanout, const peer_t *other)
 {
   return other == NULL || ranks_before (&fanout->self, other);
 }
 
-/* Return ASKS_STORE if this gateway is the root; otherwise ROLE, with the
-   owner of OTHER in *OWNER.  A root that cannot read from the store uses
+/* Return FANOUT_READS_STORE if this gateway is the root; otherwise ROLE, with
+   the owner of OTHER in *OWNER.  A root that cannot read from the store uses
    OTHER, the first of the others, which may read from the store itself.  */
-static readers_role_t
-choose_root_role (readers_t *fanout, const peer_t *other, readers_role_t role,
+static fanout_role_t
+choose_root_role (fanout_t *fanout, const peer_t *other, fanout_role_t role,
                   uint64_t now_ms, void **owner)
 {
   if (other == NULL
       || (!cannot_read_store (fanout, now_ms)
           && is_first_in_rank (fanout, other)))
-    return ASKS_STORE;
+    return FANOUT_READS_STORE;
   *owner = other->owner;
   return role;
 }
 
-readers_role_t
-readers_choose (readers_t *fanout, void **owner)
+fanout_role_t
+fanout_choose_source (fanout_t *fanout, void **owner)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
   bool own_zone_only = now_ms < fanout->own_zone_until_ms;
@@ -173,16 +173,16 @@
 
   *owner = NULL;
   if (!is_large_fleet (fanout))
-    return choose_root_role (fanout, other, ASKS_HEAD, now_ms, owner);
+    return choose_root_role (fanout, other, FANOUT_READS_HEAD, now_ms, owner);
   const peer_t *first_in_zone = first_other (fanout, true, now_ms);
   if (is_first_in_rank (fanout, first_in_zone))
-    return choose_root_role (fanout, other, ASKS_ROOT, now_ms, owner);
+    return choose_root_role (fanout, other, FANOUT_READS_ROOT, now_ms, owner);
   *owner = first_in_zone->owner;
-  return ASKS_HEAD;
+  return FANOUT_READS_HEAD;
 }
 
 void *
-readers_next (readers_t *fanout)
+fanout_next_source (fanout_t *fanout)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
   bool own_zone_only = now_ms < fanout->own_zone_until_ms;
@@ -197,7 +197,7 @@
 }
 
 void
-readers_failed (readers_t *fanout, str_t name, bool silent)
+fanout_source_failed (fanout_t *fanout, str_t name, bool silent)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
   peer_t *peer = map_get (fanout->peers, name);
@@ -206,49 +206,52 @@
     return;
   if (!silent)
     {
-      peer->not_ready_until_ms = now_ms + READERS_UNFIT_MS;
+      peer->not_ready_until_ms = now_ms + FANOUT_NOT_READY_BACKOFF_MS;
       return;
     }
-  peer->silent_until_ms = now_ms + READERS_SILENT_MS;
+  peer->silent_until_ms = now_ms + FANOUT_SILENT_BACKOFF_MS;
   if (peer->zone_hash != fanout->self.zone_hash)
-    fanout->own_zone_until_ms = now_ms + READERS_HOME_MS;
+    fanout->own_zone_until_ms = now_ms + FANOUT_OWN_ZONE_ONLY_MS;
 }
 
 void
-readers_store_said (readers_t *fanout, bool answered)
+fanout_store_call_ended (fanout_t *fanout, bool answered)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
 
-  fanout->store_down_until_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
-  fanout->store_up_until_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
+  fanout->store_down_until_ms
+      = answered ? 0 : now_ms + FANOUT_STORE_BACKOFF_MS;
+  fanout->store_up_until_ms
+      = answered ? now_ms + FANOUT_PROBE_INTERVAL_MAX_MS : 0;
 }
 
 bool
-readers_hears (const readers_t *fanout)
+fanout_is_store_reachable (const fanout_t *fanout)
 {
   return clock_ms (fanout->clock) < fanout->store_up_until_ms;
 }
 
 bool
-readers_may_probe (readers_t *fanout)
+fanout_may_probe_store (fanout_t *fanout)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
-  uint64_t interval_ms = (map_size (fanout->peers) + 1) * READERS_PROBE_MS;
+  uint64_t interval_ms
+      = (map_size (fanout->peers) + 1) * FANOUT_PROBE_INTERVAL_PER_GATEWAY_MS;
   bool own_zone_only = now_ms < fanout->own_zone_until_ms;
   bool is_root
       = is_first_in_rank (fanout, first_other (fanout, own_zone_only, now_ms));
 
-  if (readers_hears (fanout))
+  if (fanout_is_store_reachable (fanout))
     return true;
   if (is_root)
-    interval_ms = READERS_LEADS_PROBE_MS;
-  else if (interval_ms > READERS_PROBE_LAST_MS)
-    interval_ms = READERS_PROBE_LAST_MS;
+    interval_ms = FANOUT_ROOT_PROBE_INTERVAL_MS;
+  else if (interval_ms > FANOUT_PROBE_INTERVAL_MAX_MS)
+    interval_ms = FANOUT_PROBE_INTERVAL_MAX_MS;
   /* Gateways that learn of an outage at the same time probe the store at
      random times within the interval.  */
   if (is_large_fleet (fanout) && !is_root
       && (fanout->next_probe_ms == 0
-          || now_ms > fanout->next_probe_ms + READERS_PROBE_LAST_MS))
+          || now_ms > fanout->next_probe_ms + FANOUT_PROBE_INTERVAL_MAX_MS))
     fanout->next_probe_ms = now_ms + rng_below (&fanout->rng, interval_ms);
   if (now_ms < fanout->next_probe_ms)
     return false;
--- a/packages/policy/zone.h
+++ b/packages/policy/zone.h
@@ -7,8 +7,8 @@
 
    - ZONE_RAMP_MS 10000: engines fill their caches within some seconds; a
      longer ramp would keep the other zones overloaded without need.
-   - ZONE_RAMP_FIRST 0.1: the share at the start of the ramp, enough to warm
-     the zone up.  */
+   - ZONE_RAMP_INITIAL_SHARE 0.1: the share at the start of the ramp, enough to
+   warm the zone up.  */
 
 #ifndef POLICY_ZONE_H
 #define POLICY_ZONE_H
@@ -20,13 +20,13 @@
   ZONE_RAMP_MS = 10000
 };
 
-#define ZONE_RAMP_FIRST 0.1
+#define ZONE_RAMP_INITIAL_SHARE 0.1
 
 typedef enum
 {
-  ZONE_IN,
+  ZONE_ENABLED,
   ZONE_OUT,
-  ZONE_RETURNING
+  ZONE_RAMPING
 } zone_state_t;
 
 typedef struct zone zone_t;
@@ -45,8 +45,10 @@
 double zone_share (zone_t *zone, uint64_t now_ms);
 zone_state_t zone_state (const zone_t *zone);
 
-/* Return the fraction reached at NOW_MS by a linear ramp from ZONE_RAMP_FIRST
-   to 1 that started at RAMP_START_MS and takes RAMP_MS.  */
-double zone_ramp (uint64_t ramp_start_ms, uint32_t ramp_ms, uint64_t now_ms);
+/* Return the fraction reached at NOW_MS by a linear ramp from
+   ZONE_RAMP_INITIAL_SHARE to 1 that started at RAMP_START_MS and takes
+   RAMP_MS.  */
+double zone_ramp_share (uint64_t ramp_start_ms, uint32_t ramp_ms,
+                        uint64_t now_ms);
 
 #endif
--- a/tests/test_allotment.c
+++ b/tests/test_allotment.c
@@ -67,7 +67,7 @@
 
   for (size_t i = from; i < to; i++)
     allotment_put (fleet->gateways[at], name_of (i, name), zone_of (i));
-  allotment_read (fleet->gateways[at]);
+  allotment_set_loaded (fleet->gateways[at]);
 }
 
 /* Return the sum of the shares of all gateways in LIMIT for object number
@@ -81,9 +81,9 @@
   for (size_t i = 0; i < fleet->count; i++)
     {
       const allotment_t *gateway = fleet->gateways[i];
-      sum += allotment_part (limit,
-                             allotment_rank (gateway, hash, zone_of (object)),
-                             allotment_size (gateway));
+      sum += allotment_share (limit,
+                              allotment_rank (gateway, hash, zone_of (object)),
+                              allotment_gateway_count (gateway));
     }
   return sum;
 }
@@ -171,7 +171,7 @@
             if (rng_below (&rng, 4) == 0)
               continue;
             alive_share += 1.0 / (double)sizes[s];
-            sum += allotment_part (
+            sum += allotment_share (
                 10,
                 allotment_rank (fleet.gateways[i],
                                 str_hash (STR ("object"), object),
@@ -207,10 +207,11 @@
           size_t rank = allotment_rank (gateway, hash, STR ("a"));
           load_list (&fleet, i, 68, 69);
           size_t later = allotment_rank (gateway, hash, STR ("a"));
-          allotment_leave (gateway, STR ("entry-68"));
-          clock_manual_advance_us (fleet.clock, ALLOTMENT_KEEP_MS * 1000u);
+          allotment_remove (gateway, STR ("entry-68"));
+          clock_manual_advance_us (fleet.clock,
+                                   ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
           allotment_expire (gateway);
-          ck_assert_uint_eq (allotment_size (gateway), 68);
+          ck_assert_uint_eq (allotment_gateway_count (gateway), 68);
           ck_assert_uint_ge (later, rank);
           ck_assert_uint_le (later, rank + 1);
           before += rank < 10;
@@ -231,24 +232,24 @@
   clock_iface_t *clock = clock_manual_create (0);
   allotment_t *gateway = allotment_create (clock, STR ("one"), STR ("a"));
 
-  ck_assert (!allotment_is_known (gateway));
+  ck_assert (!allotment_is_loaded (gateway));
   allotment_put (gateway, STR ("two"), STR ("a"));
-  allotment_read (gateway);
-  ck_assert (allotment_is_known (gateway));
-  allotment_leave (gateway, STR ("two"));
-  clock_manual_advance_us (clock, (ALLOTMENT_KEEP_MS - 1) * 1000u);
+  allotment_set_loaded (gateway);
+  ck_assert (allotment_is_loaded (gateway));
+  allotment_remove (gateway, STR ("two"));
+  clock_manual_advance_us (clock, (ALLOTMENT_REMOVAL_DELAY_MS - 1) * 1000u);
   allotment_expire (gateway);
-  ck_assert_uint_eq (allotment_size (gateway), 2);
+  ck_assert_uint_eq (allotment_gateway_count (gateway), 2);
   allotment_put (gateway, STR ("two"), STR ("a"));
-  clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
+  clock_manual_advance_us (clock, ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
   allotment_expire (gateway);
-  ck_assert_uint_eq (allotment_size (gateway), 2);
+  ck_assert_uint_eq (allotment_gateway_count (gateway), 2);
   /* This gateway itself counts even if it is not listed.  */
-  allotment_leave (gateway, STR ("one"));
-  allotment_leave (gateway, STR ("two"));
-  clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
+  allotment_remove (gateway, STR ("one"));
+  allotment_remove (gateway, STR ("two"));
+  clock_manual_advance_us (clock, ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
   allotment_expire (gateway);
-  ck_assert_uint_eq (allotment_size (gateway), 1);
+  ck_assert_uint_eq (allotment_gateway_count (gateway), 1);
   allotment_destroy (gateway);
   clock_manual_destroy (clock);
 }
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -8,7 +8,7 @@
    requests plus the fixed number of extra sends for each window.  */
 START_TEST (gateways_together_stay_within_the_budget)
 {
-  const allowance_options_t options
+  const send_budget_options_t options
       = { .ratio = 0.5, .slack = 60, .window_ms = 10000 };
   enum
   {
@@ -17,21 +17,21 @@
     REQUESTS_PER_S = 10
   };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *gateways[GATEWAYS];
+  send_budget_t *gateways[GATEWAYS];
   int extra_sends = 0;
 
   for (int i = 0; i < GATEWAYS; i++)
     {
-      gateways[i] = allowance_create (clock, &options);
-      allowance_set_entries (gateways[i], GATEWAYS);
+      gateways[i] = send_budget_create (clock, &options);
+      send_budget_set_gateway_count (gateways[i], GATEWAYS);
     }
   for (int s = 0; s < SECONDS; s++)
     {
       for (int i = 0; i < GATEWAYS; i++)
         for (int j = 0; j < REQUESTS_PER_S; j++)
           {
-            allowance_request (gateways[i]);
-            while (allowance_take (gateways[i], 0))
+            send_budget_count_request (gateways[i]);
+            while (send_budget_try_take (gateways[i], 0))
               extra_sends++;
           }
       clock_manual_advance_us (clock, 1000000);
@@ -41,25 +41,25 @@
   ck_assert_double_le (extra_sends, bound);
   ck_assert_double_ge (extra_sends, bound / 2);
   for (int i = 0; i < GATEWAYS; i++)
-    allowance_destroy (gateways[i]);
+    send_budget_destroy (gateways[i]);
   clock_manual_destroy (clock);
 }
 END_TEST
 
 START_TEST (reserve_is_kept)
 {
-  const allowance_options_t options
+  const send_budget_options_t options
       = { .ratio = 0, .slack = 10, .window_ms = 10000 };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *send_budget = allowance_create (clock, &options);
+  send_budget_t *send_budget = send_budget_create (clock, &options);
 
-  while (allowance_take (send_budget, 4))
+  while (send_budget_try_take (send_budget, 4))
     ;
-  ck_assert_double_ge (allowance_left (send_budget), 4);
-  ck_assert (allowance_take (send_budget, 0));
+  ck_assert_double_ge (send_budget_remaining (send_budget), 4);
+  ck_assert (send_budget_try_take (send_budget, 0));
   clock_manual_advance_us (clock, 11000000);
-  ck_assert_double_ge (allowance_left (send_budget), 8);
-  allowance_destroy (send_budget);
+  ck_assert_double_ge (send_budget_remaining (send_budget), 8);
+  send_budget_destroy (send_budget);
   clock_manual_destroy (clock);
 }
 END_TEST
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -59,7 +59,8 @@
 select_from (balance_t *from, uint64_t affinity)
 {
   balance_request_t request
-      = { .pool = balance_pool (from, draft_pool), .affinity = affinity };
+      = { .pool = balance_find_or_add_pool (from, draft_pool),
+          .affinity = affinity };
   upstream_id_t id;
   balance_info_t info;
   uint64_t number;
@@ -87,7 +88,7 @@
     {
       int at = select_runner ();
       ck_assert_int_ge (at, 0);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       counts[at]++;
     }
 }
@@ -113,7 +114,7 @@
   ck_assert_int_eq (select_runner (), 0);
   balance_remove (balance, runner_name (0));
   ck_assert_int_eq (select_runner (), -1);
-  ck_assert_uint_eq (balance_known (balance), 0);
+  ck_assert_uint_eq (balance_upstream_count (balance), 0);
 }
 END_TEST
 
@@ -128,8 +129,8 @@
   removed_id = ids[0];
   balance_remove (balance, runner_name (0));
   add_runners (balance, 1, 2, 1);
-  balance_started (balance, removed_id);
-  balance_mark (balance, removed_id, BALANCE_DRAINING, true);
+  balance_request_started (balance, removed_id);
+  balance_set_mark (balance, removed_id, BALANCE_DRAINING, true);
   ck_assert (!balance_info (balance, removed_id, &info));
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert_uint_eq (info.in_flight, 0);
@@ -152,7 +153,7 @@
   upstream_id_t after[SUBSET_CAPACITY];
   balance_t *same_gateway
       = balance_create (STR ("entry-1"), zones[0], manual, &rng);
-  pool_id_t pool = balance_pool (balance, draft_pool);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft_pool);
   balance_info_t info;
   size_t n;
   size_t own = 0;
@@ -163,11 +164,13 @@
     balance_update (same_gateway, runner_name (i), zones[i % 3], &draft_pool,
                     1, false);
   n = balance_subset (balance, pool, before, SUBSET_CAPACITY);
-  ck_assert_uint_eq (n, BALANCE_SUBSET_OWN + 2 * BALANCE_SUBSET_OTHER);
-  ck_assert_uint_eq (balance_subset (same_gateway,
-                                     balance_pool (same_gateway, draft_pool),
-                                     after, SUBSET_CAPACITY),
-                     n);
+  ck_assert_uint_eq (n,
+                     BALANCE_SUBSET_OWN_ZONE + 2 * BALANCE_SUBSET_OTHER_ZONE);
+  ck_assert_uint_eq (
+      balance_subset (same_gateway,
+                      balance_find_or_add_pool (same_gateway, draft_pool),
+                      after, SUBSET_CAPACITY),
+      n);
   for (size_t i = 0; i < n; i++)
     {
       balance_info_t same;
@@ -177,7 +180,7 @@
       ck_assert (balance_info (same_gateway,
                                balance_find (same_gateway, info.name), &same));
     }
-  ck_assert_uint_eq (own, BALANCE_SUBSET_OWN);
+  ck_assert_uint_eq (own, BALANCE_SUBSET_OWN_ZONE);
 
   ck_assert (balance_info (balance, before[3], &info));
   balance_remove (balance, info.name);
@@ -214,8 +217,9 @@
       size_t n;
 
       add_runners (gateway, 0, RUNNERS_MAX, 3);
-      n = balance_subset (gateway, balance_pool (gateway, draft_pool), subset,
-                          SUBSET_CAPACITY);
+      n = balance_subset (gateway,
+                          balance_find_or_add_pool (gateway, draft_pool),
+                          subset, SUBSET_CAPACITY);
       for (size_t i = 0; i < n; i++)
         {
           balance_info_t info;
@@ -271,11 +275,11 @@
   int later = 0;
 
   add_runners (balance, 0, 30, 3);
-  balance_set_zone (balance, zones[0], false);
+  balance_set_zone_enabled (balance, zones[0], false);
   send_requests (60, counts);
   for (int i = 0; i < 30; i += 3)
     ck_assert_int_eq (counts[i], 0);
-  balance_set_zone (balance, zones[0], true);
+  balance_set_zone_enabled (balance, zones[0], true);
   clock_manual_advance_us (manual, 1000000);
   memset (counts, 0, sizeof counts);
   send_requests (60, counts);
@@ -296,19 +300,20 @@
 START_TEST (marked_upstreams_get_no_requests)
 {
   static const balance_mark_t marks[]
-      = { BALANCE_DRAINING, BALANCE_EJECTED, BALANCE_OUT, BALANCE_DOWN };
+      = { BALANCE_DRAINING, BALANCE_EJECTED, BALANCE_DISABLED,
+          BALANCE_UNREACHABLE };
 
   add_runners (balance, 0, 4, 1);
   for (int i = 0; i < 4; i++)
-    balance_mark (balance, ids[i], marks[i], i != 2);
+    balance_set_mark (balance, ids[i], marks[i], i != 2);
   for (int i = 0; i < 200; i++)
     ck_assert_int_eq (select_runner (), 2);
-  balance_mark (balance, ids[2], BALANCE_OUT, true);
+  balance_set_mark (balance, ids[2], BALANCE_DISABLED, true);
   ck_assert_int_eq (select_runner (), -1);
-  balance_mark (balance, ids[2], BALANCE_EJECTED, true);
-  balance_mark (balance, ids[2], BALANCE_OUT, false);
+  balance_set_mark (balance, ids[2], BALANCE_EJECTED, true);
+  balance_set_mark (balance, ids[2], BALANCE_DISABLED, false);
   ck_assert_int_eq (select_runner (), -1);
-  balance_mark (balance, ids[2], BALANCE_EJECTED, false);
+  balance_set_mark (balance, ids[2], BALANCE_EJECTED, false);
   ck_assert_int_eq (select_runner (), 2);
 }
 END_TEST
@@ -318,13 +323,13 @@
 START_TEST (draining_upstreams_are_replaced_in_the_subset)
 {
   upstream_id_t subset[256];
-  pool_id_t pool = balance_pool (balance, draft_pool);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft_pool);
   size_t n;
 
   add_runners (balance, 0, RUNNERS_MAX, 1);
   n = balance_subset (balance, pool, subset, 256);
   for (size_t i = 0; i < n; i++)
-    balance_mark (balance, subset[i], BALANCE_DRAINING, true);
+    balance_set_mark (balance, subset[i], BALANCE_DRAINING, true);
   ck_assert_uint_eq (balance_subset (balance, pool, subset, 256), n);
   ck_assert_int_ge (select_runner (), 0);
 }
@@ -335,9 +340,9 @@
   int counts[10] = { 0 };
 
   add_runners (balance, 0, 10, 1);
-  balance_mark (balance, ids[0], BALANCE_EJECTED, true);
+  balance_set_mark (balance, ids[0], BALANCE_EJECTED, true);
   send_requests (27, counts);
-  balance_mark (balance, ids[0], BALANCE_EJECTED, false);
+  balance_set_mark (balance, ids[0], BALANCE_EJECTED, false);
   send_requests (27, counts);
   ck_assert_int_le (counts[0], 1);
   clock_manual_advance_us (manual, (uint64_t)BALANCE_RAMP_MS * 1000);
@@ -353,7 +358,7 @@
   upstream_id_t id;
 
   add_runners (balance, 0, 5, 1);
-  request.pool = balance_pool (balance, draft_pool);
+  request.pool = balance_find_or_add_pool (balance, draft_pool);
   request.tried = tried;
   for (; request.tried_count < 5; request.tried_count++)
     {
@@ -387,14 +392,14 @@
       int at = select_runner ();
 
       if (*oldest >= 0)
-        balance_ended (balance, ids[*oldest], true);
+        balance_request_ended (balance, ids[*oldest], true);
       *oldest = -1;
       clock_manual_advance_us (manual, 10000);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       if (at != 0)
         *oldest = at;
       else
-        balance_ended (balance, ids[at], false);
+        balance_request_ended (balance, ids[at], false);
       failing += at == 0;
     }
   /* By load alone the failing upstream would be selected in each of the 60
@@ -411,7 +416,7 @@
 
   add_runners (balance, 0, 10, 1);
   for (int i = 0; i < 10; i++)
-    balance_report (balance, ids[i], i < 5 ? &busy : &idle, 0);
+    balance_record_load (balance, ids[i], i < 5 ? &busy : &idle, 0);
   send_requests (50, counts);
   for (int i = 0; i < 5; i++)
     ck_assert_int_le (counts[i], 3);
@@ -428,8 +433,8 @@
 
   add_runners (balance, 0, 1, 1);
   clock_manual_advance_us (manual, 10000000);
-  balance_report (balance, ids[0], &now, 0);
-  balance_report (balance, ids[0], &then, 1000);
+  balance_record_load (balance, ids[0], &now, 0);
+  balance_record_load (balance, ids[0], &then, 1000);
   ck_assert (balance_info (balance, ids[0], &info));
   ck_assert (info.load < 1);
   clock_manual_advance_us (manual, 3000000);
@@ -449,16 +454,16 @@
   balance_load_t busy = { .in_flight = 6, .slots = 8 };
 
   for (int i = 0; i < 20; i++)
-    balance_report (balance, ids[i], i == 0 ? &idle : &busy, age_ms);
+    balance_record_load (balance, ids[i], i == 0 ? &idle : &busy, age_ms);
   send_requests (60, counts);
   for (int i = 0; i < 20; i++)
     while (counts[i] > 0 && i > 0)
       {
-        balance_ended (balance, ids[i], true);
+        balance_request_ended (balance, ids[i], true);
         counts[i]--;
       }
   for (int i = counts[0]; i > 0; i--)
-    balance_ended (balance, ids[0], true);
+    balance_request_ended (balance, ids[0], true);
   return counts[0];
 }
 
@@ -494,7 +499,7 @@
     for (uint32_t i = 0; i < 2; i++)
       {
         balance_load_t load = { .slots = (round + i) % 2 == 0 ? 8 : 32 };
-        balance_report (balance, ids[i], &load, 0);
+        balance_record_load (balance, ids[i], &load, 0);
       }
   clock_manual_advance_us (manual, 5000000);
   send_requests (30, counts);
@@ -513,8 +518,8 @@
   add_runners (balance, 0, 2, 1);
   for (int round = 0; round < 20; round++)
     for (int i = 0; i < 2; i++)
-      balance_report (balance, ids[i], &warm, 0);
-  balance_report (balance, ids[0], &cold, 0);
+      balance_record_load (balance, ids[i], &warm, 0);
+  balance_record_load (balance, ids[0], &cold, 0);
   send_requests (18, counts);
   ck_assert_int_le (counts[0], 3);
 }
@@ -557,11 +562,11 @@
   for (int i = 0; i < 60; i++)
     {
       int at = select_from (balance, i % 2 == 0 ? 77 : BALANCE_NO_AFFINITY);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       counts[at]++;
     }
   for (int i = 0; i < 10; i++)
-    ck_assert_int_le (counts[i], BALANCE_SLOTS_UNKNOWN);
+    ck_assert_int_le (counts[i], BALANCE_DEFAULT_SLOTS);
 }
 END_TEST
 
@@ -582,7 +587,7 @@
   ck_assert_int_eq (select_from (balance, 77), ring_upstream);
   /* Without an eviction event the cache hint expires.  */
   balance_cache_event (balance, ids[hinted_upstream], 77, true);
-  clock_manual_advance_us (manual, (BALANCE_HINT_MS + 100) * 1000ul);
+  clock_manual_advance_us (manual, (BALANCE_HINT_TTL_MS + 100) * 1000ul);
   ck_assert_int_eq (select_from (balance, 77), ring_upstream);
   /* The upstream now serves another pool, and then it is removed.  */
   balance_cache_event (balance, ids[hinted_upstream], 77, true);
@@ -603,7 +608,7 @@
   size_t cursor = 0;
 
   add_runners (balance, 0, 3, 1);
-  large.pool = balance_pool (balance, both[1]);
+  large.pool = balance_find_or_add_pool (balance, both[1]);
   ck_assert_int_eq (balance_pick (balance, &large, &id), VH_E_NO_UPSTREAM);
   ck_assert_uint_eq (
       balance_update (balance, runner_name (1), zones[0], both, 2, false),
@@ -616,21 +621,21 @@
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert (str_eq (info.zone, zones[2]));
   for (int i = 0; i < 3; i++)
-    ck_assert (balance_next (balance, &cursor, &info));
-  ck_assert (!balance_next (balance, &cursor, &info));
+    ck_assert (balance_next_upstream (balance, &cursor, &info));
+  ck_assert (!balance_next_upstream (balance, &cursor, &info));
 }
 END_TEST
 
 START_TEST (pressure_is_the_mean_load_and_decays)
 {
   balance_load_t full = { .in_flight = 16, .slots = 8 };
-  pool_id_t pool = balance_pool (balance, draft_pool);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft_pool);
 
   add_runners (balance, 0, 10, 1);
   ck_assert (balance_pressure (balance, pool) == 0);
   for (int round = 0; round < 30; round++)
     for (int i = 0; i < 10; i++)
-      balance_report (balance, ids[i], &full, 0);
+      balance_record_load (balance, ids[i], &full, 0);
   ck_assert (balance_pressure (balance, pool) > 1.9);
   clock_manual_advance_us (manual, 60000000);
   ck_assert (balance_pressure (balance, pool) < 0.2);
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -29,27 +29,27 @@
 
 START_TEST (shutdown_passes_all_states)
 {
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_SERVING);
-  ck_assert (drain_healthy (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), UINT64_MAX);
-  ck_assert (drain_begin (drain));
-  ck_assert (!drain_healthy (drain));
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_SERVING);
+  ck_assert (drain_is_healthy (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), UINT64_MAX);
+  ck_assert (drain_start (drain));
+  ck_assert (!drain_is_healthy (drain));
   /* The grace period applies to an idle process too, because the load balancer
      still sends requests.  */
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_ANNOUNCED);
-  ck_assert (drain_accepts (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 1000);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_ANNOUNCED);
+  ck_assert (drain_accepts_requests (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 1000);
   advance_ms (999);
-  ck_assert_int_eq (drain_step (drain, 2), DRAIN_ANNOUNCED);
+  ck_assert_int_eq (drain_update (drain, 2), DRAIN_ANNOUNCED);
   advance_ms (1);
-  ck_assert_int_eq (drain_step (drain, 2), DRAIN_DRAINING);
-  ck_assert (!drain_accepts (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 9000);
+  ck_assert_int_eq (drain_update (drain, 2), DRAIN_DRAINING);
+  ck_assert (!drain_accepts_requests (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 9000);
   advance_ms (3000);
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
-  ck_assert_uint_eq (drain_cut (drain), 0);
-  ck_assert_uint_eq (drain_next_ms (drain), UINT64_MAX);
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
+  ck_assert_uint_eq (drain_unfinished_at_timeout (drain), 0);
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), UINT64_MAX);
 }
 END_TEST
 
@@ -57,17 +57,17 @@
    This must neither abort the requests in flight nor restart the timeouts.  */
 START_TEST (second_signal_has_no_effect)
 {
-  ck_assert (drain_begin (drain));
+  ck_assert (drain_start (drain));
   advance_ms (500);
-  ck_assert (!drain_begin (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 500);
+  ck_assert (!drain_start (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 500);
   advance_ms (500);
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert (!drain_begin (drain));
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
-  ck_assert (!drain_begin (drain));
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert (!drain_start (drain));
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
+  ck_assert (!drain_start (drain));
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
 }
 END_TEST
 
@@ -75,14 +75,14 @@
    which it reports how many requests were unfinished.  */
 START_TEST (timeout_ends_the_shutdown_and_counts_unfinished)
 {
-  drain_begin (drain);
+  drain_start (drain);
   advance_ms (1000);
-  drain_step (drain, 3);
+  drain_update (drain, 3);
   advance_ms (8999);
-  ck_assert_int_eq (drain_step (drain, 3), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 3), DRAIN_DRAINING);
   advance_ms (1);
-  ck_assert_int_eq (drain_step (drain, 3), DRAIN_DONE);
-  ck_assert_uint_eq (drain_cut (drain), 3);
+  ck_assert_int_eq (drain_update (drain, 3), DRAIN_DONE);
+  ck_assert_uint_eq (drain_unfinished_at_timeout (drain), 3);
 }
 END_TEST
 
@@ -90,10 +90,10 @@
 {
   drain_t *short_drain = drain_create (1000, 200, manual);
 
-  drain_begin (short_drain);
-  ck_assert_uint_eq (drain_next_ms (short_drain), 200);
+  drain_start (short_drain);
+  ck_assert_uint_eq (drain_ms_to_next_state (short_drain), 200);
   advance_ms (200);
-  ck_assert_int_eq (drain_step (short_drain, 1), DRAIN_DONE);
+  ck_assert_int_eq (drain_update (short_drain, 1), DRAIN_DONE);
   drain_destroy (short_drain);
 }
 END_TEST
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -26,7 +26,7 @@
   manual = clock_manual_create (0);
   outlier = outlier_create (0, manual);
   for (int i = 0; i < POOL_SIZE; i++)
-    pool[i] = (upstream_t){ outlier_join (outlier, &pool[i]), true };
+    pool[i] = (upstream_t){ outlier_add_member (outlier, &pool[i]), true };
 }
 
 static void
@@ -42,7 +42,7 @@
   outlier_state_t state;
   upstream_t *upstream;
 
-  while ((upstream = outlier_next (outlier, &state)) != NULL)
+  while ((upstream = outlier_next_change (outlier, &state)) != NULL)
     upstream->is_active = state != OUTLIER_EJECTED;
 }
 
@@ -66,14 +66,14 @@
 START_TEST (failing_fast_is_ejected_after_five)
 {
   run_round (0, 0);
-  for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
+  for (int i = 0; i < OUTLIER_CONSECUTIVE_ERRORS; i++)
     {
       ck_assert (pool[0].is_active);
       outlier_record (outlier, pool[0].member, false, 1000, 1);
       apply_changes ();
     }
   ck_assert (!pool[0].is_active);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -86,7 +86,7 @@
         outlier_record (outlier, pool[0].member, false, 1000, 1);
     }
   ck_assert (!pool[0].is_active);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -97,7 +97,7 @@
   for (int round = 0; round < 30; round++)
     run_round (0, 1);
   ck_assert (!pool[0].is_active);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -116,8 +116,8 @@
       clock_manual_advance_us (manual, 50000);
       apply_changes ();
     }
-  ck_assert_uint_eq (outlier_ejected (outlier), 0);
-  for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 0);
+  for (int i = 0; i < OUTLIER_CONSECUTIVE_ERRORS; i++)
     outlier_record (outlier, pool[1].member, false, 0, 10);
   apply_changes ();
   ck_assert (!pool[1].is_active);
@@ -130,7 +130,7 @@
 {
   for (int round = 0; round < 100; round++)
     run_round (POOL_SIZE, 0);
-  ck_assert_uint_eq (outlier_ejected (outlier), 0);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 0);
 }
 END_TEST
 
@@ -138,7 +138,7 @@
 {
   for (int round = 0; round < 100; round++)
     run_round (9, 0);
-  ck_assert_uint_eq (outlier_ejected (outlier), POOL_SIZE * 3 / 10);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), POOL_SIZE * 3 / 10);
 }
 END_TEST
 
@@ -158,8 +158,10 @@
       lengths_ms[i] = clock_ms (manual) - ejected_ms;
       ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_TRIAL);
     }
-  ck_assert_uint_ge (lengths_ms[0], OUTLIER_FIRST_MS - 100);
-  ck_assert_uint_le (lengths_ms[0], OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS + 100);
+  ck_assert_uint_ge (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS - 100);
+  ck_assert_uint_le (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS
+                                        + OUTLIER_EVALUATION_INTERVAL_MS
+                                        + 100);
   ck_assert_uint_ge (lengths_ms[1], lengths_ms[0] * 18 / 10);
   ck_assert_uint_ge (lengths_ms[2], lengths_ms[1] * 18 / 10);
   /* On trial a single failure ejects the member.  */
@@ -167,15 +169,16 @@
   ck_assert (!pool[0].is_active);
   while (!pool[0].is_active)
     run_round (0, 0);
-  for (int i = 0; i < OUTLIER_TRIAL_OK; i++)
+  for (int i = 0; i < OUTLIER_TRIAL_SUCCESSES; i++)
     run_round (0, 0);
-  ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_IN);
+  ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_ACTIVE);
   /* After a long time without ejection the length is reset.  */
-  clock_manual_advance_us (manual, (uint64_t)OUTLIER_FORGIVE_MS * 1000);
+  clock_manual_advance_us (manual, (uint64_t)OUTLIER_EJECTION_RESET_MS * 1000);
   while (pool[0].is_active)
     run_round (1, 0);
-  clock_manual_advance_us (
-      manual, (uint64_t)(OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS) * 1000);
+  clock_manual_advance_us (manual, (uint64_t)(OUTLIER_EJECTION_FIRST_MS
+                                              + OUTLIER_EVALUATION_INTERVAL_MS)
+                                       * 1000);
   apply_changes ();
   ck_assert (pool[0].is_active);
 }
@@ -184,23 +187,23 @@
 START_TEST (pools_of_one_and_two)
 {
   outlier_t *detector = outlier_create (0, manual);
-  outlier_member_t *only = outlier_join (detector, &pool[0]);
+  outlier_member_t *only = outlier_add_member (detector, &pool[0]);
   outlier_member_t *second;
   outlier_state_t state;
 
   for (int i = 0; i < 50; i++)
     outlier_record (detector, only, false, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_null (outlier_next (detector, &state));
-  second = outlier_join (detector, &pool[1]);
+  ck_assert_ptr_null (outlier_next_change (detector, &state));
+  second = outlier_add_member (detector, &pool[1]);
   for (int i = 0; i < 50; i++)
     outlier_record (detector, second, true, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_eq (outlier_next (detector, &state), &pool[0]);
+  ck_assert_ptr_eq (outlier_next_change (detector, &state), &pool[0]);
   ck_assert_int_eq (state, OUTLIER_EJECTED);
   /* Removing an ejected member allows the ejection of another.  */
-  outlier_leave (detector, only);
-  ck_assert_uint_eq (outlier_ejected (detector), 0);
+  outlier_remove_member (detector, only);
+  ck_assert_uint_eq (outlier_ejected_count (detector), 0);
   outlier_destroy (detector);
 }
 END_TEST
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -16,7 +16,7 @@
   clock_iface_t *clock;
   allotment_t *gateways;
   pool_t *pool;
-  pool_want_t criteria;
+  pool_criteria_t criteria;
 } fixture_t;
 
 static void
@@ -57,10 +57,10 @@
       else
         allotment_put (f->gateways, str_from (name), zone);
     }
-  allotment_read (f->gateways);
+  allotment_set_loaded (f->gateways);
   options.entries = f->gateways;
   f->pool = pool_create (f->clock, 1, &options);
-  f->criteria = (pool_want_t){ .service = STR ("llm") };
+  f->criteria = (pool_criteria_t){ .service = STR ("llm") };
   for (int i = 0; i < instances; i++)
     add_instance (f, i, "v1", "a", 0);
 }
@@ -84,7 +84,7 @@
 {
   upstream_t *upstream = NULL;
 
-  ck_assert_int_eq (pool_choose (f->pool, &f->criteria, &upstream), VH_OK);
+  ck_assert_int_eq (pool_select (f->pool, &f->criteria, &upstream), VH_OK);
   return upstream;
 }
 
@@ -99,7 +99,7 @@
     {
       upstream_t *next = choose (f);
       bool is_used = false;
-      pool_started (f->pool, next, 0);
+      pool_request_started (f->pool, next, 0);
       for (size_t j = 0; j < count; j++)
         is_used = is_used || used[j] == next;
       if (!is_used)
@@ -144,15 +144,15 @@
   setup_gateway (&f, 0, 0, 6);
   add_instance (&f, 0, "v1", "a", 5000);
   f.criteria.cold_per_s = 14;
-  while (pool_choose (f.pool, &f.criteria, &upstream) == VH_OK)
+  while (pool_select (f.pool, &f.criteria, &upstream) == VH_OK)
     {
-      pool_started (f.pool, upstream, 0);
+      pool_request_started (f.pool, upstream, 0);
       sent++;
     }
   ck_assert_int_ge (sent, 1);
   ck_assert_int_le (sent * 6, 14 + 5);
   clock_manual_advance_us (f.clock, 1000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream), VH_OK);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &upstream), VH_OK);
   teardown (&f);
 }
 END_TEST
@@ -172,9 +172,9 @@
       setup_gateway (&all[i], 0, i, gateway_count);
       add_instance (&all[i], 0, "v1", "a", 5000);
       all[i].criteria.cold_per_s = 10;
-      while (pool_choose (all[i].pool, &all[i].criteria, &upstream) == VH_OK)
+      while (pool_select (all[i].pool, &all[i].criteria, &upstream) == VH_OK)
         {
-          pool_started (all[i].pool, upstream, 0);
+          pool_request_started (all[i].pool, upstream, 0);
           sent++;
         }
     }
@@ -200,7 +200,7 @@
 
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
-  f.criteria.arm = other.criteria.arm = ARM_NEW;
+  f.criteria.arm = other.criteria.arm = VERSION_ARM_NEW;
   f.criteria.version = other.criteria.version = STR ("v1");
   f.criteria.few = other.criteria.few = 2;
   count = start_requests (&f, 100, used);
@@ -209,7 +209,7 @@
   ck_assert (str_eq (id, upstream_id (used[0]))
              || str_eq (id, upstream_id (used[1])));
   while (upstream_running (used[0]) + upstream_running (used[1]) < 2 * 64)
-    pool_started (f.pool, choose (&f), 0);
+    pool_request_started (f.pool, choose (&f), 0);
   upstream_t *third = choose (&f);
   ck_assert (third != used[0] && third != used[1]);
   teardown (&f);
@@ -230,16 +230,17 @@
       upstream_t *next = choose (&f);
       if (bad == NULL)
         bad = next;
-      pool_started (f.pool, next, 0);
-      pool_finished (f.pool, next, 0, next == bad ? SEND_FAILED : SEND_OK);
+      pool_request_started (f.pool, next, 0);
+      pool_request_finished (f.pool, next, 0,
+                             next == bad ? SEND_FAILED : SEND_OK);
     }
   for (int i = 0; i < 20; i++)
     ck_assert_ptr_ne (choose (&f), bad);
   for (int i = 0; i < 4; i++)
     {
       upstream_t *good = choose (&f);
-      pool_started (f.pool, good, 0);
-      pool_finished (f.pool, good, 0, SEND_FAILED);
+      pool_request_started (f.pool, good, 0);
+      pool_request_finished (f.pool, good, 0, SEND_FAILED);
     }
   choose (&f);
   teardown (&f);
@@ -254,21 +255,21 @@
   setup (&f, 1);
   add_instance (&f, 1, "v2", "b", 0);
   f.criteria.version = STR ("v2");
-  f.criteria.arm = ARM_NEW;
+  f.criteria.arm = VERSION_ARM_NEW;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-1")));
-  f.criteria.arm = ARM_OLD;
+  f.criteria.arm = VERSION_ARM_OLD;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
-  pool_zone_out (f.pool, STR ("a"), true);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
+  pool_set_zone_disabled (f.pool, STR ("a"), true);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
-  f.criteria.arm = ARM_ANY;
+  f.criteria.arm = VERSION_ARM_ANY;
   upstream_t *only = choose (&f);
   const upstream_t *tried[] = { only };
   f.criteria.tried = tried;
   f.criteria.tried_count = 1;
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
-  pool_zone_out (f.pool, STR ("a"), false);
+  pool_set_zone_disabled (f.pool, STR ("a"), false);
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
   teardown (&f);
 }
@@ -284,14 +285,14 @@
 
   setup (&f, 1);
   upstream_t *running = choose (&f);
-  pool_started (f.pool, running, 100);
+  pool_request_started (f.pool, running, 100);
   pool_remove (f.pool, STR ("i-0"), 2000);
   ck_assert_ptr_eq (choose (&f), running);
   clock_manual_advance_us (f.clock, 2000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &upstream),
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &upstream),
                     VH_E_NO_UPSTREAM);
   ck_assert (str_eq (upstream_id (running), STR ("i-0")));
-  pool_finished (f.pool, running, 100, SEND_OK);
+  pool_request_finished (f.pool, running, 100, SEND_OK);
   teardown (&f);
 }
 END_TEST
@@ -304,14 +305,14 @@
 
   setup (&f, 2);
   upstream_t *busy = choose (&f);
-  pool_started (f.pool, busy, 12000);
+  pool_request_started (f.pool, busy, 12000);
   for (int i = 0; i < 8; i++)
     {
       upstream_t *next = choose (&f);
       ck_assert_ptr_ne (next, busy);
-      pool_started (f.pool, next, 200);
+      pool_request_started (f.pool, next, 200);
     }
-  pool_first (busy, 12000);
+  pool_prompt_processed (busy, 12000);
   ck_assert_ptr_eq (choose (&f), busy);
   teardown (&f);
 }
@@ -328,24 +329,25 @@
   setup (&f, 1);
   upstream_t *engine = choose (&f);
   uint64_t now_ms = clock_ms (f.clock);
-  pool_started (f.pool, engine, 0);
-  ck_assert_uint_eq (pool_silence_due (engine), now_ms + POOL_SILENCE_MS);
-  pool_started (f.pool, engine, 12000);
-  ck_assert_uint_ge (pool_silence_due (engine), now_ms + 1400);
+  pool_request_started (f.pool, engine, 0);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + POOL_SILENCE_TIMEOUT_MS);
+  pool_request_started (f.pool, engine, 12000);
+  ck_assert_uint_ge (pool_probe_due_ms (engine), now_ms + 1400);
   clock_manual_advance_us (f.clock, 400000);
-  pool_heard (f.pool, engine);
-  pool_first (engine, 12000);
-  ck_assert_uint_eq (pool_silence_due (engine),
-                     now_ms + 400 + POOL_SILENCE_MS);
+  pool_data_received (f.pool, engine);
+  pool_prompt_processed (engine, 12000);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + 400 + POOL_SILENCE_TIMEOUT_MS);
   clock_manual_advance_us (f.clock, 600000);
-  pool_reached (f.pool, upstream_id (engine), true);
-  ck_assert_uint_eq (pool_silence_due (engine),
-                     now_ms + 1000 + POOL_LOOK_AGAIN_MS);
-  pool_reached (f.pool, upstream_id (engine), false);
-  ck_assert (upstream_lost (engine));
-  ck_assert_uint_eq (pool_silence_due (engine), 0);
-  pool_heard (f.pool, engine);
-  ck_assert (!upstream_lost (engine));
+  pool_probe_finished (f.pool, upstream_id (engine), true);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + 1000 + POOL_PROBE_INTERVAL_MS);
+  pool_probe_finished (f.pool, upstream_id (engine), false);
+  ck_assert (upstream_is_unreachable (engine));
+  ck_assert_uint_eq (pool_probe_due_ms (engine), 0);
+  pool_data_received (f.pool, engine);
+  ck_assert (!upstream_is_unreachable (engine));
   teardown (&f);
 }
 END_TEST
@@ -362,20 +364,20 @@
 
   setup (&f, 1);
   add_instance (&f, 1, "v2", "a", 0);
-  pool_withdraw (f.pool, STR ("llm"), STR ("v2"), true);
+  pool_set_version_withdrawn (f.pool, STR ("llm"), STR ("v2"), true);
   add_instance (&f, 2, "v2", "a", 0);
-  f.criteria.arm = ARM_OLD;
+  f.criteria.arm = VERSION_ARM_OLD;
   f.criteria.version = STR ("v3");
   for (int i = 0; i < 20; i++)
     {
       chosen = choose (&f);
       ck_assert (str_eq (upstream_version (chosen), STR ("v1")));
-      pool_started (f.pool, chosen, 100);
+      pool_request_started (f.pool, chosen, 100);
     }
-  pool_write_withdrawn (f.pool, STR ("llm"), &text);
+  pool_append_withdrawn_versions (f.pool, STR ("llm"), &text);
   ck_assert (str_eq (buf_str (&text), STR (" v2")));
   buf_free (&text);
-  pool_withdraw (f.pool, STR ("llm"), STR ("v2"), false);
+  pool_set_version_withdrawn (f.pool, STR ("llm"), STR ("v2"), false);
   ck_assert (!str_eq (upstream_version (choose (&f)), STR ("v1")));
   teardown (&f);
 }
@@ -391,15 +393,15 @@
 
   setup (&f, 1);
   upstream_t *instance = choose (&f);
-  pool_load (f.pool, instance, 64, 3, 64);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_E_FULL);
+  pool_record_load (f.pool, instance, 64, 3, 64);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &chosen), VH_E_FULL);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_OK);
-  pool_load (f.pool, instance, 200, 0, 64);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &chosen), VH_OK);
+  pool_record_load (f.pool, instance, 200, 0, 64);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_E_FULL);
-  clock_manual_advance_us (f.clock, POOL_FULL_FADE_MS * 1000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.criteria, &chosen), VH_OK);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &chosen), VH_E_FULL);
+  clock_manual_advance_us (f.clock, POOL_FULL_DECAY_MS * 1000);
+  ck_assert_int_eq (pool_select (f.pool, &f.criteria, &chosen), VH_OK);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -16,7 +16,7 @@
 {
   clock_iface_t *clock;
   size_t count;
-  readers_t *gateways[GATEWAYS_MAX];
+  fanout_t *gateways[GATEWAYS_MAX];
   size_t numbers[GATEWAYS_MAX]; /* The owners of the gateways.  */
 } fleet_t;
 
@@ -35,8 +35,8 @@
       fleet->numbers[i] = i;
       snprintf (name, sizeof name, "entry-%zu", i);
       snprintf (zone, sizeof zone, "zone-%zu", i % ZONES);
-      fleet->gateways[i] = readers_create (fleet->clock, i, str_from (name),
-                                           str_from (zone), 20);
+      fleet->gateways[i] = fanout_create (fleet->clock, i, str_from (name),
+                                          str_from (zone), 20);
     }
   for (size_t i = 0; i < count; i++)
     for (size_t j = 0; j < count; j++)
@@ -45,8 +45,8 @@
           continue;
         snprintf (name, sizeof name, "entry-%zu", j);
         snprintf (zone, sizeof zone, "zone-%zu", j % ZONES);
-        readers_put (fleet->gateways[i], str_from (name), str_from (zone), 20,
-                     &fleet->numbers[j]);
+        fanout_put (fleet->gateways[i], str_from (name), str_from (zone), 20,
+                    &fleet->numbers[j]);
       }
 }
 
@@ -54,7 +54,7 @@
 teardown (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    readers_destroy (fleet->gateways[i]);
+    fanout_destroy (fleet->gateways[i]);
   clock_manual_destroy (fleet->clock);
 }
 
@@ -64,9 +64,9 @@
 source_of (fleet_t *fleet, size_t index)
 {
   void *owner;
-  readers_role_t role = readers_choose (fleet->gateways[index], &owner);
+  fanout_role_t role = fanout_choose_source (fleet->gateways[index], &owner);
 
-  ck_assert ((role == ASKS_STORE) == (owner == NULL));
+  ck_assert ((role == FANOUT_READS_STORE) == (owner == NULL));
   return owner != NULL ? *(size_t *)owner : SIZE_MAX;
 }
 
@@ -92,7 +92,7 @@
             maximum = readers_of[source];
         }
       ck_assert_uint_eq (store_readers, 1);
-      if (sizes[s] > READERS_FLEET)
+      if (sizes[s] > FANOUT_SMALL_FLEET_MAX)
         ck_assert_uint_le (maximum, sizes[s] / ZONES + ZONES);
       /* There are at most two gateways between a gateway and the store.  */
       for (size_t i = 0; i < fleet.count; i++)
@@ -130,12 +130,12 @@
           size_t probes = 0;
           clock_manual_advance_us (fleet.clock, STEP_MS * 1000u);
           for (size_t i = 0; i < fleet.count; i++)
-            if (readers_may_probe (fleet.gateways[i]))
+            if (fanout_may_probe_store (fleet.gateways[i]))
               {
                 probes++;
                 if (first_probe_ms[i] == 0)
                   first_probe_ms[i] = ms;
-                readers_store_said (fleet.gateways[i], false);
+                fanout_store_call_ended (fleet.gateways[i], false);
               }
           if (probes > maximum)
             maximum = probes;
@@ -144,7 +144,7 @@
         {
           ck_assert_uint_gt (first_probe_ms[i], 0);
           ck_assert_uint_le (first_probe_ms[i],
-                             READERS_PROBE_LAST_MS + STEP_MS);
+                             FANOUT_PROBE_INTERVAL_MAX_MS + STEP_MS);
         }
       printf ("%zu entries: at most %zu calls in %d ms\n", sizes[s], maximum,
               STEP_MS);
@@ -169,23 +169,23 @@
   size_t head = source_of (&fleet, member);
   char name[32];
   snprintf (name, sizeof name, "entry-%zu", head);
-  readers_failed (fleet.gateways[member], str_from (name), false);
+  fanout_source_failed (fleet.gateways[member], str_from (name), false);
   ck_assert_uint_eq (source_of (&fleet, member), head);
-  ck_assert_ptr_nonnull (readers_next (fleet.gateways[member]));
-  readers_failed (fleet.gateways[member], str_from (name), true);
+  ck_assert_ptr_nonnull (fanout_next_source (fleet.gateways[member]));
+  fanout_source_failed (fleet.gateways[member], str_from (name), true);
   ck_assert_uint_ne (source_of (&fleet, member), head);
-  clock_manual_advance_us (fleet.clock, READERS_SILENT_MS * 1000u);
+  clock_manual_advance_us (fleet.clock, FANOUT_SILENT_BACKOFF_MS * 1000u);
   ck_assert_uint_eq (source_of (&fleet, member), head);
   /* The root, in another zone, does not respond to the head, which then reads
      from the store.  */
   snprintf (name, sizeof name, "entry-%zu", source_of (&fleet, head));
-  readers_failed (fleet.gateways[head], str_from (name), true);
+  fanout_source_failed (fleet.gateways[head], str_from (name), true);
   ck_assert_uint_eq (source_of (&fleet, head), SIZE_MAX);
-  ck_assert (!readers_hears (fleet.gateways[head]));
-  readers_store_said (fleet.gateways[head], true);
-  ck_assert (readers_hears (fleet.gateways[head]));
-  ck_assert (readers_may_probe (fleet.gateways[head]));
-  ck_assert (readers_may_probe (fleet.gateways[head]));
+  ck_assert (!fanout_is_store_reachable (fleet.gateways[head]));
+  fanout_store_call_ended (fleet.gateways[head], true);
+  ck_assert (fanout_is_store_reachable (fleet.gateways[head]));
+  ck_assert (fanout_may_probe_store (fleet.gateways[head]));
+  ck_assert (fanout_may_probe_store (fleet.gateways[head]));
   teardown (&fleet);
 }
 END_TEST
