--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -53,7 +53,7 @@
     {
       const pool_criteria_t want
           = { .service = STR ("drafts"),
-              .key = i % 2 == 0 ? rng_u64 (rng) | 1 : 0 };
+              .affinity_key = i % 2 == 0 ? rng_u64 (rng) | 1 : 0 };
       upstream_t *upstream;
       if (pool_select (pool, &want, &upstream) != VH_OK)
         abort ();
@@ -199,8 +199,8 @@
       double begin = cpu_ns ();
       for (int i = 0; i < BATCH; i++)
         {
-          const pool_criteria_t want
-              = { .service = STR ("drafts"), .key = rng_u64 (&rng) | 1 };
+          const pool_criteria_t want = { .service = STR ("drafts"),
+                                         .affinity_key = rng_u64 (&rng) | 1 };
           upstream_t *upstream;
           if (pool_select (pool, &want, &upstream) != VH_OK)
             abort ();
--- a/bench/model.c
+++ b/bench/model.c
@@ -202,7 +202,7 @@
   event->type = type;
   event->node.key = at_us;
   event->node.tie = ++m->sequence;
-  if (event->node.place != 0)
+  if (event->node.position != 0)
     heap_update (&m->events, &event->node);
   else
     heap_push (&m->events, &event->node);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -426,7 +426,7 @@
   copy_options (gateway, options);
   belief->rng = rng_make (options->seed);
   belief->fleet = allotment_create (clock, options->name, options->zone);
-  pool.entries = belief->fleet;
+  pool.gateways = belief->fleet;
   belief->pool = pool_create (clock, rng_u64 (&belief->rng), &pool);
   belief->reach = reach_create (loop, on_looked, belief);
   belief->trials = map_create ();
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -33,8 +33,8 @@
 static bool
 has_version (const relay_t *relay, str_t version)
 {
-  return pool_count (relay->belief->pool, relay->terms.service->name,
-                     VERSION_ARM_NEW, version, 1)
+  return pool_count_instances (relay->belief->pool, relay->terms.service->name,
+                               VERSION_ARM_NEW, version, 1)
          > 0;
 }
 
@@ -49,8 +49,9 @@
 {
   const belief_t *belief = relay->belief;
   double share = trial_share (trial, follow_store_ms (belief->orders));
-  size_t old = pool_count (belief->pool, relay->terms.service->name,
-                           VERSION_ARM_OLD, trial_version (trial), SIZE_MAX);
+  size_t old = pool_count_instances (belief->pool, relay->terms.service->name,
+                                     VERSION_ARM_OLD, trial_version (trial),
+                                     SIZE_MAX);
   size_t few = (size_t)ceil (share * (double)old / crowding);
   return few > FEW_LEAST ? few : FEW_LEAST;
 }
@@ -82,7 +83,7 @@
           && has_version (relay, want->version))
         {
           want->arm = VERSION_ARM_NEW;
-          want->few = few_of (relay, trial);
+          want->max_instances = few_of (relay, trial);
         }
       else
         want->arm = VERSION_ARM_OLD;
@@ -98,8 +99,8 @@
 
   *want = (pool_criteria_t){
     .service = terms->service->name,
-    .cold_per_s = terms->service->cold_per_s,
-    .key = terms->key != 0 ? terms->key ^ (index + 1) : 0,
+    .cold_rate_per_s = terms->service->cold_per_s,
+    .affinity_key = terms->key != 0 ? terms->key ^ (index + 1) : 0,
     .tried = relay->tried,
     .tried_count = relay->tried_count,
   };
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -677,9 +677,9 @@
   zone_t *found = balance->zones[number].zone;
 
   if (in)
-    zone_in (found, clock_ms (balance->clock));
+    zone_enable (found, clock_ms (balance->clock));
   else
-    zone_out (found);
+    zone_disable (found);
 }
 
 /* Load.  */
--- a/packages/policy/heap.c
+++ b/packages/policy/heap.c
@@ -19,7 +19,7 @@
 set_node (heap_t *heap, uint32_t index, heap_node_t *node)
 {
   heap->nodes[index] = node;
-  node->place = index + 1;
+  node->position = index + 1;
 }
 
 static void
@@ -70,7 +70,7 @@
 void
 heap_update (heap_t *heap, heap_node_t *node)
 {
-  uint32_t index = node->place - 1;
+  uint32_t index = node->position - 1;
 
   if (index > 0 && is_before (node, heap->nodes[(index - 1) / 2]))
     sift_up (heap, index, node);
@@ -84,10 +84,10 @@
   heap_node_t *last;
   uint32_t index;
 
-  if (node->place == 0)
+  if (node->position == 0)
     return;
-  index = node->place - 1;
-  node->place = 0;
+  index = node->position - 1;
+  node->position = 0;
   last = heap->nodes[--heap->count];
   if (last == node)
     return;
--- a/packages/policy/heap.h
+++ b/packages/policy/heap.h
@@ -11,9 +11,9 @@
 typedef struct
 {
   uint64_t key;
-  uint64_t tie;   /* Order among equal keys; a sequence number gives
-                     first-in-first-out order.  */
-  uint32_t place; /* Index in the heap plus 1; 0 if in no heap.  */
+  uint64_t tie;      /* Order among equal keys; a sequence number gives
+                        first-in-first-out order.  */
+  uint32_t position; /* Index in the heap plus 1; 0 if in no heap.  */
 } heap_node_t;
 
 /* A heap; initialise with zeros.  The array doubles when full and never
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -37,7 +37,7 @@
   bool is_own_zone;
   bool is_zone_disabled;
   bool is_withdrawn;
-  uint64_t born;
+  uint64_t incarnation;
   uint32_t slots;
   bool draining;
   bool is_unregistered;     /* The registration has ended.  */
@@ -67,7 +67,7 @@
   char *zone;
   double cold_factor;
   double cold_slack;
-  const allotment_t *entries;
+  const allotment_t *gateways;
   list_t upstreams;
   size_t unregistered_count; /* Number of instances in use after their
                                 registration.  */
@@ -88,7 +88,7 @@
   pool->zone = str_dup (options->zone);
   pool->cold_factor = options->cold_factor;
   pool->cold_slack = options->cold_slack;
-  pool->entries = options->entries;
+  pool->gateways = options->gateways;
   list_init (&pool->upstreams);
   pool->by_id = map_create ();
   pool->groups = map_create ();
@@ -277,7 +277,7 @@
   upstream_t *upstream = map_get (pool->by_id, info->id);
 
   if (upstream != NULL
-      && (upstream->born != info->born
+      && (upstream->incarnation != info->incarnation
           || !str_eq (str_from (upstream->service), info->service)
           || !str_eq (str_from (upstream->address), info->address)))
     {
@@ -292,7 +292,7 @@
       upstream->refs = 1;
       upstream->id = str_dup (info->id);
       upstream->id_hash = str_hash (info->id, 0);
-      upstream->born = info->born;
+      upstream->incarnation = info->incarnation;
       list_append (&pool->upstreams, &upstream->link);
       map_put (pool->by_id, info->id, upstream);
       service_group_add (find_or_add_group (pool, info->service), upstream);
@@ -354,48 +354,49 @@
 static uint32_t
 gateway_share (const pool_t *pool, upstream_t *upstream, double bound)
 {
-  const allotment_t *entries = pool->entries;
+  const allotment_t *gateways = pool->gateways;
 
-  if (entries == NULL)
+  if (gateways == NULL)
     return allotment_share (bound, 0, 1);
-  uint64_t generation = allotment_generation (entries);
+  uint64_t generation = allotment_generation (gateways);
   if (upstream->rank_generation != generation)
     {
-      upstream->rank = allotment_rank (entries, upstream->id_hash,
+      upstream->rank = allotment_rank (gateways, upstream->id_hash,
                                        str_from (upstream->zone));
       upstream->rank_generation = generation;
     }
   return allotment_share (bound, upstream->rank,
-                          allotment_gateway_count (entries));
+                          allotment_gateway_count (gateways));
 }
 
 /* Return the number of requests that this gateway may send to UPSTREAM in a
    window of POOL_RATE_WINDOW_MS.  */
 static uint32_t
-window_limit (const pool_t *pool, upstream_t *upstream, double cold_per_s,
+window_limit (const pool_t *pool, upstream_t *upstream, double cold_rate_per_s,
               uint64_t now_ms)
 {
   bool is_cold = now_ms < upstream->cold_until_ms;
 
-  if (pool->entries != NULL && !allotment_is_loaded (pool->entries))
+  if (pool->gateways != NULL && !allotment_is_loaded (pool->gateways))
     return is_cold ? 0 : 1;
   /* A warm instance may turn cold at any time, so it is limited too, but only
      to the higher rate at which a cold instance fails.  */
-  double bound = is_cold ? cold_per_s
-                         : (cold_per_s * pool->cold_factor + pool->cold_slack)
-                               * warm_share_factor;
+  double bound = is_cold
+                     ? cold_rate_per_s
+                     : (cold_rate_per_s * pool->cold_factor + pool->cold_slack)
+                           * warm_share_factor;
   uint32_t share = gateway_share (pool, upstream, bound);
   return share < POOL_SEND_TIMES_MAX - 1 ? share : POOL_SEND_TIMES_MAX - 1;
 }
 
 /* Return whether the rate limit allows another request to UPSTREAM now.  */
 static bool
-rate_allows (const pool_t *pool, upstream_t *upstream, double cold_per_s,
+rate_allows (const pool_t *pool, upstream_t *upstream, double cold_rate_per_s,
              uint64_t now_ms)
 {
-  if (cold_per_s <= 0)
+  if (cold_rate_per_s <= 0)
     return true;
-  uint32_t share = window_limit (pool, upstream, cold_per_s, now_ms);
+  uint32_t share = window_limit (pool, upstream, cold_rate_per_s, now_ms);
   if (share == 0)
     return false;
   uint64_t oldest = upstream->send_times[(upstream->send_time_index
@@ -456,7 +457,7 @@
 has_capacity (const pool_t *pool, upstream_t *upstream,
               const pool_criteria_t *criteria, uint64_t now_ms)
 {
-  return rate_allows (pool, upstream, criteria->cold_per_s, now_ms)
+  return rate_allows (pool, upstream, criteria->cold_rate_per_s, now_ms)
          && upstream->running
                     + other_requests_now (upstream, POOL_FULL_DECAY_MS, now_ms)
                 < upstream->slots;
@@ -515,9 +516,9 @@
                  double max_load, uint64_t now_ms, affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
-  uint64_t hash = hash_weight (upstream->id_hash, criteria->key);
+  uint64_t hash = hash_weight (upstream->id_hash, criteria->affinity_key);
 
-  if (criteria->key == 0 || load_of (upstream, now_ms) > max_load)
+  if (criteria->affinity_key == 0 || load_of (upstream, now_ms) > max_load)
     return;
   if (affinity->best == NULL || hash > affinity->best_hash)
     {
@@ -541,9 +542,9 @@
   return x < y ? -1 : x > y;
 }
 
-/* Return the highest id hash among the CRITERIA->few eligible instances with
-   the lowest id hashes, including those already tried.  Return UINT64_MAX if
-   all instances may be used.  */
+/* Return the highest id hash among the CRITERIA->max_instances eligible
+   instances with the lowest id hashes, including those already tried.  Return
+   UINT64_MAX if all instances may be used.  */
 static uint64_t
 id_hash_limit (const service_group_t *group, const pool_criteria_t *criteria,
                uint64_t version_hash, uint64_t now_ms)
@@ -551,7 +552,7 @@
   pool_criteria_t untried = *criteria;
   size_t count = 0;
 
-  if (criteria->few == 0 || criteria->few >= group->count)
+  if (criteria->max_instances == 0 || criteria->max_instances >= group->count)
     return UINT64_MAX;
   untried.tried_count = 0;
   uint64_t *hashes = mem_alloc (group->count * sizeof *hashes);
@@ -560,8 +561,9 @@
         && now_ms >= group->items[i]->ejected_until_ms)
       hashes[count++] = group->items[i]->id_hash;
   qsort (hashes, count, sizeof *hashes, compare_hashes);
-  uint64_t bound
-      = count > criteria->few ? hashes[criteria->few - 1] : UINT64_MAX;
+  uint64_t bound = count > criteria->max_instances
+                       ? hashes[criteria->max_instances - 1]
+                       : UINT64_MAX;
   free (hashes);
   return bound;
 }
@@ -617,10 +619,10 @@
 
   remove_expired (pool, now_ms);
   *out = select_best (pool, criteria, false, now_ms, &any_eligible);
-  if (*out == NULL && criteria->few > 0)
+  if (*out == NULL && criteria->max_instances > 0)
     {
       pool_criteria_t all = *criteria;
-      all.few = 0;
+      all.max_instances = 0;
       return pool_select (pool, &all, out);
     }
   if (*out == NULL && !any_eligible)
@@ -631,8 +633,8 @@
 }
 
 size_t
-pool_count (pool_t *pool, str_t service, version_arm_t arm, str_t version,
-            size_t most)
+pool_count_instances (pool_t *pool, str_t service, version_arm_t arm,
+                      str_t version, size_t most)
 {
   pool_criteria_t criteria
       = { .service = service, .arm = arm, .version = version };
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -94,8 +94,8 @@
   str_t version;
   uint32_t slots;
   bool draining;
-  uint64_t cold_ms; /* Remaining time until the instance is warm.  */
-  uint64_t born; /* Differs for each start of a process under the same id. */
+  uint64_t cold_ms;     /* Remaining time until the instance is warm.  */
+  uint64_t incarnation; /* Differs for each process start under an id.  */
 } upstream_info_t;
 
 typedef struct
@@ -103,7 +103,7 @@
   str_t zone; /* Availability zone of this gateway.  */
   /* The gateways that share the rate limits of the instances; NULL if this
      gateway is the only one.  Borrowed; must outlive the pool.  */
-  const allotment_t *entries;
+  const allotment_t *gateways;
   /* All gateways together send a cold instance at most
      rate * cold_factor + cold_slack requests a second.  */
   double cold_factor;
@@ -126,13 +126,14 @@
 typedef struct
 {
   str_t service;
-  double cold_per_s; /* Request rate that a cold instance sustains; 0 for no
-                        rate limit.  */
+  /* Requests a second that a cold instance sustains; 0 for no rate limit.  */
+  double cold_rate_per_s;
   version_arm_t arm;
   str_t version; /* The version on trial; unused with VERSION_ARM_ANY.  */
-  size_t few;    /* Number of instances that get requests while they have free
-                    slots, the same ones at every gateway; 0 for all.  */
-  uint64_t key;  /* Hash of the shared prompt prefix; 0 for none.  */
+  /* Number of instances that get requests while they have free slots, the same
+     ones at every gateway; 0 for all.  */
+  size_t max_instances;
+  uint64_t affinity_key; /* Hash of the shared prompt prefix; 0 for none.  */
   /* Instances that this request was already sent to; none is selected
      again.  */
   const upstream_t *const *tried;
@@ -175,8 +176,8 @@
                        upstream_t **out);
 /* Return the number of instances of SERVICE in ARM that may get requests, or
    MOST if there are more.  VERSION is the version on trial.  */
-size_t pool_count (pool_t *pool, str_t service, version_arm_t arm,
-                   str_t version, size_t most);
+size_t pool_count_instances (pool_t *pool, str_t service, version_arm_t arm,
+                             str_t version, size_t most);
 /* Count a request with PROMPT prompt tokens as sent to UPSTREAM, and take a
    reference to UPSTREAM that pool_request_finished releases.  */
 void pool_request_started (pool_t *pool, upstream_t *upstream,
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -150,7 +150,7 @@
   if (weight == 0)
     weight = 1;
   for (int kind = 0; kind < KINDS; kind++)
-    if (team->flows[kind].node.place != 0)
+    if (team->flows[kind].node.position != 0)
       queue->kinds[kind].weights += (uint64_t)weight - team->weight;
   team->weight = weight;
 }
@@ -237,7 +237,7 @@
 
   if (all->cost == 0 && all->running < slots)
     return 0;
-  if (own->node.place == 0)
+  if (own->node.position == 0)
     weights += team->weight;
   /* Until its turn comes a team waits while the others are served in
      proportion to their weights, but never longer than for all there is.  */
@@ -393,7 +393,7 @@
   heap_push (&queue->lapses, &waiter->lapse);
   flow->cost += cost;
   all->cost += cost;
-  if (flow->node.place == 0)
+  if (flow->node.position == 0)
     {
       uint64_t credit = credit_of (all, team);
 
@@ -487,7 +487,7 @@
     flow->node.key -= charged - due;
   else if (flow->node.key > all->now)
     flow->node.key = all->now;
-  if (flow->node.place != 0)
+  if (flow->node.position != 0)
     heap_update (&all->ready, &flow->node);
 }
 
--- a/packages/policy/zone.c
+++ b/packages/policy/zone.c
@@ -27,15 +27,15 @@
 }
 
 void
-zone_out (zone_t *zone)
+zone_disable (zone_t *zone)
 {
-  zone->state = ZONE_OUT;
+  zone->state = ZONE_DISABLED;
 }
 
 void
-zone_in (zone_t *zone, uint64_t now_ms)
+zone_enable (zone_t *zone, uint64_t now_ms)
 {
-  if (zone->state != ZONE_OUT)
+  if (zone->state != ZONE_DISABLED)
     return;
   zone->state = ZONE_RAMPING;
   zone->ramp_start_ms = now_ms;
@@ -58,7 +58,7 @@
 {
   double share;
 
-  if (zone->state == ZONE_OUT)
+  if (zone->state == ZONE_DISABLED)
     return 0;
   if (zone->state == ZONE_ENABLED)
     return 1;
--- a/packages/policy/zone.h
+++ b/packages/policy/zone.h
@@ -25,7 +25,7 @@
 typedef enum
 {
   ZONE_ENABLED,
-  ZONE_OUT,
+  ZONE_DISABLED,
   ZONE_RAMPING
 } zone_state_t;
 
@@ -36,10 +36,10 @@
 zone_t *zone_create (uint32_t ramp_ms);
 void zone_destroy (zone_t *zone);
 /* Disable the zone.  */
-void zone_out (zone_t *zone);
+void zone_disable (zone_t *zone);
 /* Enable the zone, with a ramp that starts at NOW_MS.  Does nothing if the
    zone is enabled already, so that a configuration may be applied twice.  */
-void zone_in (zone_t *zone, uint64_t now_ms);
+void zone_enable (zone_t *zone, uint64_t now_ms);
 /* Return the fraction of its full share of traffic that the zone gets at
    NOW_MS: 0 if disabled, rising to 1 after it was enabled.  */
 double zone_share (zone_t *zone, uint64_t now_ms);
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -99,7 +99,7 @@
   ck_assert (str_eq (info.address, STR ("10.0.0.1:80")));
   ck_assert_uint_eq (info.slots, 128);
   ck_assert_uint_eq (info.cold_ms, 3000);
-  ck_assert_uint_eq (info.born, 99);
+  ck_assert_uint_eq (info.incarnation, 99);
   ck_assert (!info.draining);
   dialect->free_holder (holder);
 }
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -58,7 +58,7 @@
         allotment_put (f->gateways, str_from (name), zone);
     }
   allotment_set_loaded (f->gateways);
-  options.entries = f->gateways;
+  options.gateways = f->gateways;
   f->pool = pool_create (f->clock, 1, &options);
   f->criteria = (pool_criteria_t){ .service = STR ("llm") };
   for (int i = 0; i < instances; i++)
@@ -120,7 +120,7 @@
 
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
-  f.criteria.key = other.criteria.key = 12345;
+  f.criteria.affinity_key = other.criteria.affinity_key = 12345;
   upstream_t *affinity_instance = choose (&f);
   ck_assert (
       str_eq (upstream_id (affinity_instance), upstream_id (choose (&other))));
@@ -143,7 +143,7 @@
 
   setup_gateway (&f, 0, 0, 6);
   add_instance (&f, 0, "v1", "a", 5000);
-  f.criteria.cold_per_s = 14;
+  f.criteria.cold_rate_per_s = 14;
   while (pool_select (f.pool, &f.criteria, &upstream) == VH_OK)
     {
       pool_request_started (f.pool, upstream, 0);
@@ -171,7 +171,7 @@
       upstream_t *upstream;
       setup_gateway (&all[i], 0, i, gateway_count);
       add_instance (&all[i], 0, "v1", "a", 5000);
-      all[i].criteria.cold_per_s = 10;
+      all[i].criteria.cold_rate_per_s = 10;
       while (pool_select (all[i].pool, &all[i].criteria, &upstream) == VH_OK)
         {
           pool_request_started (all[i].pool, upstream, 0);
@@ -202,7 +202,7 @@
   setup (&other, INSTANCES);
   f.criteria.arm = other.criteria.arm = VERSION_ARM_NEW;
   f.criteria.version = other.criteria.version = STR ("v1");
-  f.criteria.few = other.criteria.few = 2;
+  f.criteria.max_instances = other.criteria.max_instances = 2;
   count = start_requests (&f, 100, used);
   ck_assert_uint_eq (count, 2);
   str_t id = upstream_id (choose (&other));
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -498,7 +498,7 @@
       heap_node_t *node = &nodes[rng_below (&rng, NODES)];
 
       node->tie = (uint64_t)step;
-      if (node->place != 0)
+      if (node->position != 0)
         heap_remove (&heap, node);
       else
         {
--- a/tests/test_zone.c
+++ b/tests/test_zone.c
@@ -10,10 +10,10 @@
   double last = 0;
 
   ck_assert (zone_share (zone, 0) >= 1);
-  zone_out (zone);
+  zone_disable (zone);
   ck_assert (zone_share (zone, 100) <= 0);
-  ck_assert_int_eq (zone_state (zone), ZONE_OUT);
-  zone_in (zone, 1000);
+  ck_assert_int_eq (zone_state (zone), ZONE_DISABLED);
+  zone_enable (zone, 1000);
   ck_assert_int_eq (zone_state (zone), ZONE_RAMPING);
   for (uint64_t ms = 1000; ms < 1000 + ZONE_RAMP_MS; ms += 100)
     {
@@ -34,12 +34,12 @@
 {
   zone_t *zone = zone_create (1000);
 
-  zone_in (zone, 500);
+  zone_enable (zone, 500);
   ck_assert (zone_share (zone, 500) >= 1);
-  zone_out (zone);
-  zone_out (zone);
-  zone_in (zone, 1000);
-  zone_in (zone, 1900);
+  zone_disable (zone);
+  zone_disable (zone);
+  zone_enable (zone, 1000);
+  zone_enable (zone, 1900);
   ck_assert (zone_share (zone, 2000) >= 1);
   zone_destroy (zone);
 }
@@ -49,11 +49,11 @@
 {
   zone_t *zone = zone_create (1000);
 
-  zone_out (zone);
-  zone_in (zone, 1000);
-  zone_out (zone);
+  zone_disable (zone);
+  zone_enable (zone, 1000);
+  zone_disable (zone);
   ck_assert (zone_share (zone, 5000) <= 0);
-  zone_in (zone, 6000);
+  zone_enable (zone, 6000);
   ck_assert (zone_share (zone, 6000) < 0.2);
   zone_destroy (zone);
 }
