--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -14,7 +14,7 @@
 #include "gateway/share.h"
 #include "gateway/tally.h"
 #include "policy/allotment.h"
-#include "policy/allowance.h"
+#include "policy/sendbudget.h"
 #include "policy/escalation.h"
 #include "policy/trial.h"
 #include "wire/httpd.h"
--- a/packages/gateway/share.h
+++ b/packages/gateway/share.h
@@ -5,7 +5,7 @@
    ask it, or in a large fleet the one of their zone that does, over ONC RPC
    with the same calls.  Without this the calls grow with the entries: 730
    would make 3,000 of the 2,000 a second that the store allows.  Who asks whom
-   is worked out by policy/readers.h.
+   is worked out by policy/fanout.h.
 
    Whoever has no answer in time asks the store beside the reader and takes
    what comes first, so that a reader that died or hangs costs its askers one
--- a/packages/policy/readers.c
+++ b/packages/policy/fanout.c
@@ -1,4 +1,4 @@
-#include "policy/readers.h"
+#include "policy/fanout.h"
 
 #include "base/map.h"
 #include "base/mem.h"
--- a/packages/policy/allowance.c
+++ b/packages/policy/sendbudget.c
@@ -1,4 +1,4 @@
-#include "policy/allowance.h"
+#include "policy/sendbudget.h"
 
 #include "base/mem.h"
 
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,6 +1,6 @@
 /* Tests of the budget for extra sends.  */
 
-#include "policy/allowance.h"
+#include "policy/sendbudget.h"
 #include "suite.h"
 
 /* An upstream fails every request, and each request is sent again if the
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -1,7 +1,7 @@
 /* Tests of the selection of sources for the shared tables, without sockets.
  */
 
-#include "policy/readers.h"
+#include "policy/fanout.h"
 #include "suite.h"
 
 #include <stdio.h>
