--- a/packages/policy/allotment.h
+++ b/packages/policy/allotment.h
@@ -18,8 +18,8 @@
      change leaves an old and a new list, so a caller that must not exceed a
      limit passes half of it.
    - A gateway that is no longer listed counts for another
-   ALLOTMENT_REMOVAL_DELAY_MS: it may still send requests, and one that
-   restarts is not listed yet.
+     ALLOTMENT_REMOVAL_DELAY_MS: it may still send requests, and one that
+     restarts is not listed yet.
    - Until the list is loaded the size of the fleet is unknown.
 
    Computing a rank hashes each gateway, so callers cache the rank until the
@@ -43,12 +43,12 @@
 /* Create the list of gateways as seen by gateway NAME in ZONE, which is its
    only member at first.  CLOCK is borrowed.  */
 allotment_t *allotment_create (clock_iface_t *clock, str_t name, str_t zone);
-/* NULL is accepted.  */
+/* Free ALLOTMENT, which may be NULL.  */
 void allotment_destroy (allotment_t *allotment);
 /* Add gateway NAME in ZONE, or update its zone.  */
 void allotment_put (allotment_t *allotment, str_t name, str_t zone);
-/* Start the removal of gateway NAME; it counts for another
-   ALLOTMENT_REMOVAL_DELAY_MS. This gateway itself is never removed.  */
+/* Start the removal of gateway NAME, which counts for another
+   ALLOTMENT_REMOVAL_DELAY_MS.  This gateway itself is never removed.  */
 void allotment_remove (allotment_t *allotment, str_t name);
 /* Record that the list of gateways has been loaded completely.  */
 void allotment_set_loaded (allotment_t *allotment);
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -670,13 +670,13 @@
 }
 
 void
-balance_set_zone_enabled (balance_t *balance, str_t zone, bool in)
+balance_set_zone_enabled (balance_t *balance, str_t zone, bool enabled)
 {
   /* Adding a zone may move the array, so the number is looked up first.  */
   uint16_t number = find_or_add_zone (balance, zone);
   zone_t *found = balance->zones[number].zone;
 
-  if (in)
+  if (enabled)
     zone_enable (found, clock_ms (balance->clock));
   else
     zone_disable (found);
--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -17,7 +17,7 @@
      selected.  The load is the gateway's own requests in flight, which are
      exact and current, plus the reported load of other gateways.  A report of
      age BALANCE_REPORT_HALF_MS counts half, and the mean of the pool replaces
-   the other half.
+     the other half.
    - Another zone is used if the less loaded of the two has no free slot, and
      an upstream of the other zone is less loaded by BALANCE_SPILL_MARGIN.
    - A request with an affinity (prompt prefix or session) goes to the upstream
@@ -31,29 +31,29 @@
 
    Constants:
    - BALANCE_SUBSET_OWN_ZONE 96, BALANCE_SUBSET_OTHER_ZONE 16 for each other
-   zone: with 730 gateways, 11,000 upstreams of one pool and three zones, an
-   upstream is used by 730 * 128 / 11,000 = 8.5 gateways on average, and by
-   none with probability e^-8.5 = 0.02%.  Smaller pools are used whole.
+     zone: with 730 gateways, 11,000 upstreams of one pool and three zones, an
+     upstream is used by 730 * 128 / 11,000 = 8.5 gateways on average, and by
+     none with probability e^-8.5 = 0.02%.  Smaller pools are used whole.
    - BALANCE_REPORT_HALF_MS 100: the requests in flight are replaced entirely
-   within the time of a short request, some hundred milliseconds.  Of 100, 250,
-   500 and 1,000, 100 was best with reports up to ten seconds late, and no
-   worse with current ones.  Reported slots decay alike towards the upstream's
-     average, because its concurrency limit probes upwards and downwards all
-     the time.
+     within the time of a short request, some hundred milliseconds.  Of 100,
+     250, 500 and 1,000, 100 was best with reports up to ten seconds late, and
+     no worse with current ones.  Reported slots decay alike towards the
+     upstream's average, because its concurrency limit probes upwards and
+     downwards all the time.
    - BALANCE_SPILL_MARGIN 0.25 of a full load: more than the noise between two
      reports, so that zones do not exchange their traffic.
    - BALANCE_AFFINITY_LOAD_FACTOR 1.25: consistent hashing with bounded loads
      (Mirrokni et al.).  Affinity may load an upstream to a quarter above the
      pool's mean, or to its last free slot.  BALANCE_AFFINITY_STEPS_MAX 4 steps
-   on the ring find a free upstream unless the pool is full.
+     on the ring find a free upstream unless the pool is full.
    - BALANCE_HINT_TTL_MS 60000: cache events arrive late and some are lost; an
      engine evicts a prefix that was not used for about a minute.
    - BALANCE_RAMP_MS 3000 for a single upstream: some adjustments of its
      concurrency limit, which starts low as well.  With ten seconds an upstream
      was still not fully used for ten seconds after it was warm.
    - BALANCE_FAILURE_PENALTY 4 requests for a failure, halved every
-   BALANCE_PENALTY_HALF_MS 2000: the next selections avoid the upstream, and a
-   single failure has no effect after some seconds.  */
+     BALANCE_PENALTY_HALF_MS 2000: the next selections avoid the upstream, and
+     a single failure has no effect after some seconds.  */
 
 #ifndef POLICY_BALANCE_H
 #define POLICY_BALANCE_H
@@ -153,8 +153,8 @@
    Its ramp starts when the last mark is cleared.  */
 void balance_set_mark (balance_t *balance, upstream_id_t id,
                        balance_mark_t mark, bool on);
-/* Enable ZONE with a ramp if IN is set, otherwise disable it.  */
-void balance_set_zone_enabled (balance_t *balance, str_t zone, bool in);
+/* Enable ZONE with a ramp if ENABLED is set, otherwise disable it.  */
+void balance_set_zone_enabled (balance_t *balance, str_t zone, bool enabled);
 
 /* Record a load report that was made AGE_MS ago.  One that is older than the
    last report is ignored.  */
--- a/packages/policy/fanout.c
+++ b/packages/policy/fanout.c
@@ -215,14 +215,14 @@
 }
 
 void
-fanout_store_call_ended (fanout_t *fanout, bool answered)
+fanout_store_call_ended (fanout_t *fanout, bool responded)
 {
   uint64_t now_ms = clock_ms (fanout->clock);
 
   fanout->store_down_until_ms
-      = answered ? 0 : now_ms + FANOUT_STORE_BACKOFF_MS;
+      = responded ? 0 : now_ms + FANOUT_STORE_BACKOFF_MS;
   fanout->store_up_until_ms
-      = answered ? now_ms + FANOUT_PROBE_INTERVAL_MAX_MS : 0;
+      = responded ? now_ms + FANOUT_PROBE_INTERVAL_MAX_MS : 0;
 }
 
 bool
--- a/packages/policy/fanout.h
+++ b/packages/policy/fanout.h
@@ -10,21 +10,21 @@
      gateways below it, then by a hash of the name.  Two gateways with
      different lists may both read from the store for a while.
    - In a fleet of up to FANOUT_SMALL_FLEET_MAX gateways all others read from
-   the root, the first in rank.  In a larger fleet they read from the first of
-   their availability zone, its head, and the heads read from the root, so that
-   no gateway serves more others than its zone has gateways or the fleet has
-     zones.
+     the root, the first in rank.  In a larger fleet they read from the first
+     of their availability zone, its head, and the heads read from the root, so
+     that no gateway serves more others than its zone has gateways or the fleet
+     has zones.
    - A gateway that does not respond is not used as a source for
      FANOUT_SILENT_BACKOFF_MS.  If it is in another zone, no gateway of any
-   other zone is used for FANOUT_OWN_ZONE_ONLY_MS, because the network between
-   the zones may be down.
+     other zone is used for FANOUT_OWN_ZONE_ONLY_MS, because the network
+     between the zones may be down.
    - When the store is unavailable, all gateways notice at the same time.  One
      whose source reports the outage asks the root, and then the store itself,
      at intervals of FANOUT_PROBE_INTERVAL_PER_GATEWAY_MS times the number of
-   gateways; without this every gateway would call the store for every table.
-   The store may refuse only some machines, so the interval is at most
+     gateways; without this every gateway would call the store for every table.
+     The store may refuse only some machines, so the interval is at most
      FANOUT_PROBE_INTERVAL_MAX_MS, and a gateway that gets a response keeps
-   calling the store.  */
+     calling the store.  */
 
 #ifndef POLICY_FANOUT_H
 #define POLICY_FANOUT_H
@@ -60,15 +60,15 @@
 {
   FANOUT_READS_STORE, /* Reads from the store and may serve all gateways.  */
   FANOUT_READS_ROOT,  /* Reads from the root and serves its zone.  */
-  FANOUT_READS_HEAD   /* Reads from the head of its zone, or from the root of a
-                 small   fleet, and serves no other gateway.  */
+  FANOUT_READS_HEAD   /* Reads from the head of its zone, or from the
+                         root of a small fleet, and serves no gateway.  */
 } fanout_role_t;
 
 /* Create the source selection of gateway NAME in ZONE.  LINK_MBPS is the
    bandwidth of its network link; 0 if unknown.  CLOCK is borrowed.  */
 fanout_t *fanout_create (clock_iface_t *clock, uint64_t seed, str_t name,
                          str_t zone, uint32_t link_mbps);
-/* NULL is accepted.  */
+/* Free FANOUT, which may be NULL.  */
 void fanout_destroy (fanout_t *fanout);
 /* Add or update gateway NAME.  OWNER, which must not be NULL, is returned when
    the gateway is selected.  LINK_MBPS is 0 if unknown.  */
@@ -81,16 +81,16 @@
 /* Return the role of this gateway in the tree, and store the owner of its
    source in *OWNER; NULL with FANOUT_READS_STORE.  */
 fanout_role_t fanout_choose_source (fanout_t *fanout, void **owner);
-/* Return the owner of the gateway to ask when the source has no current data:
-   the root, or the next gateway in rank if the store refused this gateway.
-   Return NULL if there is none.  */
+/* Return the owner of the gateway to read from when the source has no current
+   data: the root, or the next gateway in rank if the store refused this
+   gateway.  Return NULL if there is none.  */
 void *fanout_next_source (fanout_t *fanout);
 
 /* Record that gateway NAME failed as a source: it did not respond if SILENT is
    set, otherwise it responded that it has no current data.  */
 void fanout_source_failed (fanout_t *fanout, str_t name, bool silent);
 /* Record whether the store responded to a call of this gateway.  */
-void fanout_store_call_ended (fanout_t *fanout, bool answered);
+void fanout_store_call_ended (fanout_t *fanout, bool responded);
 /* Return whether this gateway may call the store although its source reported
    an outage.  A call that is allowed counts towards the probe interval.  */
 bool fanout_may_probe_store (fanout_t *fanout);
--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -11,23 +11,23 @@
    store outage) none is ejected.
 
    - OUTLIER_CONSECUTIVE_ERRORS 5: five consecutive failures are evaluated
-   immediately, without waiting for OUTLIER_EVALUATION_INTERVAL_MS; at an error
-   rate of a tenth they occur by chance once in 100,000.
+     immediately, without waiting for OUTLIER_EVALUATION_INTERVAL_MS; at an
+     error rate of a tenth they occur by chance once in 100,000.
    - OUTLIER_ERROR_RATE_MARGIN 0.3: a member is ejected if its error rate
-   exceeds the pool's median by more, over at least OUTLIER_SAMPLES_MIN 10
-   responses.
+     exceeds the pool's median by more, over at least OUTLIER_SAMPLES_MIN 10
+     responses.
    - OUTLIER_LATENCY_FACTOR 3: a member is ejected above 3 times the pool's
-   median latency per unit of cost; high load alone adds only a part of that
-   (see limit).
+     median latency per unit of cost; high load alone adds only a part of that
+     (see limit).
    - OUTLIER_EJECTED_SHARE_MAX 0.3: at most this share of a pool is ejected, so
-   that the rest can carry the load, at 10/7 of their own share.  One member of
-   a pool of two or three may be ejected.
+     that the rest can carry the load, at 10/7 of their own share.  One member
+     of a pool of two or three may be ejected.
    - OUTLIER_EJECTION_FIRST_MS 5000: the length of the first ejection, doubled
-   for each further one up to OUTLIER_EJECTION_MAX_MS, because a restart takes
-   seconds and the failure of a machine minutes.  The length is reset once a
-   member has not been ejected for OUTLIER_EJECTION_RESET_MS.
+     for each further one up to OUTLIER_EJECTION_MAX_MS, because a restart
+     takes seconds and the failure of a machine minutes.  The length is reset
+     once a member has not been ejected for OUTLIER_EJECTION_RESET_MS.
    - OUTLIER_TRIAL_SUCCESSES 5: after an ejection a member is on trial; one
-   failure ejects it again, five successful responses end the trial.  */
+     failure ejects it again, five successful responses end the trial.  */
 
 #ifndef POLICY_OUTLIER_H
 #define POLICY_OUTLIER_H
@@ -69,7 +69,7 @@
 void outlier_destroy (outlier_t *outlier);
 
 /* Add a member.  OWNER is returned by outlier_next_change and never
- * dereferenced.  */
+   dereferenced.  */
 outlier_member_t *outlier_add_member (outlier_t *outlier, void *owner);
 /* Remove MEMBER from OUTLIER and free it.  */
 void outlier_remove_member (outlier_t *outlier, outlier_member_t *member);
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -336,9 +336,9 @@
 }
 
 void
-pool_set_zone_disabled (pool_t *pool, str_t zone, bool out)
+pool_set_zone_disabled (pool_t *pool, str_t zone, bool disabled)
 {
-  if (out)
+  if (disabled)
     map_put (pool->disabled_zones, zone, pool);
   else
     map_remove (pool->disabled_zones, zone);
@@ -346,7 +346,7 @@
     {
       upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
       if (str_eq (str_from (upstream->zone), zone))
-        upstream->is_zone_disabled = out;
+        upstream->is_zone_disabled = disabled;
     }
 }
 
@@ -570,7 +570,7 @@
 
 /* Return the best instance for CRITERIA that has free slots: the affinity
    instance if there is one, otherwise the least loaded.  Return NULL if there
-   is none. Ejected instances are included if OUT_TOO is set.  Set
+   is none.  Ejected instances are included if INCLUDE_EJECTED is set.  Set
    *ANY_ELIGIBLE if at least one instance was eligible, even if full.  */
 static upstream_t *
 select_best (pool_t *pool, const pool_criteria_t *criteria,
@@ -634,7 +634,7 @@
 
 size_t
 pool_count_instances (pool_t *pool, str_t service, version_arm_t arm,
-                      str_t version, size_t most)
+                      str_t version, size_t max_count)
 {
   pool_criteria_t criteria
       = { .service = service, .arm = arm, .version = version };
@@ -643,7 +643,7 @@
   uint64_t now_ms = clock_ms (pool->clock);
   size_t count = 0;
 
-  for (size_t i = 0; i < group->count && count < most; i++)
+  for (size_t i = 0; i < group->count && count < max_count; i++)
     count += is_eligible (group->items[i], &criteria, version_hash, now_ms);
   return count;
 }
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -8,8 +8,8 @@
      instance that has the prefix in its cache, the same one at every gateway.
      Without it each gateway fills the cache of an instance of its own.
    - A hot prefix: an instance that carries POOL_HOT_LOAD_FACTOR times the mean
-   load is skipped, and the instance with the next highest hash is used as
-   well. Without it one instance queues requests while its peers are idle.
+     load is skipped, and the instance with the next highest hash is used as
+     well.  Without it one instance queues requests while its peers are idle.
    - A cold instance fails at a request rate that a warm one sustains: all
      gateways together have a rate limit for it, and each gateway uses its own
      share of that limit (policy/allotment.h).  Instances turn cold without
@@ -18,14 +18,14 @@
    - A full instance: its load report keeps requests away for
      POOL_FULL_DECAY_MS.
    - A failing instance: POOL_EJECTION_FAILURES consecutive failures eject it
-   for POOL_EJECTION_FIRST_MS, doubled for each further ejection up to
+     for POOL_EJECTION_FIRST_MS, doubled for each further ejection up to
      POOL_EJECTION_MAX_MS.  If all instances are ejected, all are used: the
-   fault is then elsewhere.
+     fault is then elsewhere.
    - The first traffic share of a new version: it goes to only as many
-   instances as make each of them slightly more loaded than those of the old
-   version. Spread over all instances, a tenth of the traffic leaves them idle,
-   and a version that is slow or fails under load passes until it has all
-   traffic.
+     instances as make each of them slightly more loaded than those of the old
+     version.  Spread over all instances, a tenth of the traffic leaves them
+     idle, and a version that is slow or fails under load passes until it has
+     all traffic.
    - A silent instance: it is probed, and ejected immediately if it accepts no
      connection.  */
 
@@ -104,8 +104,8 @@
   /* The gateways that share the rate limits of the instances; NULL if this
      gateway is the only one.  Borrowed; must outlive the pool.  */
   const allotment_t *gateways;
-  /* All gateways together send a cold instance at most
-     rate * cold_factor + cold_slack requests a second.  */
+  /* All gateways together send a cold instance at most rate * cold_factor +
+     cold_slack requests a second.  */
   double cold_factor;
   double cold_slack;
 } pool_options_t;
@@ -145,8 +145,7 @@
   SEND_OK,       /* The instance completed the request.  */
   SEND_REFUSED,  /* The instance reported that it did not run the request.  */
   SEND_FAILED,   /* Connection lost, timeout, or error response.  */
-  SEND_CANCELLED /* Cancelled by the gateway; not counted for or against the
-                  instance.  */
+  SEND_CANCELLED /* Cancelled by the gateway; no success or failure.  */
 } send_outcome_t;
 
 pool_t *pool_create (clock_iface_t *clock, uint64_t seed,
@@ -167,7 +166,7 @@
 void pool_append_withdrawn_versions (const pool_t *pool, str_t service,
                                      buf_t *out);
 /* Set whether the instances in ZONE are excluded from selection.  */
-void pool_set_zone_disabled (pool_t *pool, str_t zone, bool out);
+void pool_set_zone_disabled (pool_t *pool, str_t zone, bool disabled);
 
 /* Select an instance for CRITERIA and store it in *OUT.  Return VH_OK,
    VH_E_NO_UPSTREAM if no instance is eligible, or VH_E_FULL if all eligible
@@ -175,9 +174,9 @@
 vh_code_t pool_select (pool_t *pool, const pool_criteria_t *criteria,
                        upstream_t **out);
 /* Return the number of instances of SERVICE in ARM that may get requests, or
-   MOST if there are more.  VERSION is the version on trial.  */
+   MAX_COUNT if there are more.  VERSION is the version on trial.  */
 size_t pool_count_instances (pool_t *pool, str_t service, version_arm_t arm,
-                             str_t version, size_t most);
+                             str_t version, size_t max_count);
 /* Count a request with PROMPT prompt tokens as sent to UPSTREAM, and take a
    reference to UPSTREAM that pool_request_finished releases.  */
 void pool_request_started (pool_t *pool, upstream_t *upstream,
--- a/packages/policy/zone.h
+++ b/packages/policy/zone.h
@@ -8,7 +8,7 @@
    - ZONE_RAMP_MS 10000: engines fill their caches within some seconds; a
      longer ramp would keep the other zones overloaded without need.
    - ZONE_RAMP_INITIAL_SHARE 0.1: the share at the start of the ramp, enough to
-   warm the zone up.  */
+     warm the zone up.  */
 
 #ifndef POLICY_ZONE_H
 #define POLICY_ZONE_H
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -29,8 +29,8 @@
   return str_make (text, (size_t)snprintf (text, sizeof text, "runner-%d", i));
 }
 
-/* Add the runners FIRST to LAST - 1 to TO, with runner i in zone
-   i % ZONE_COUNT.  */
+/* Add the runners FIRST to LAST - 1 to TO, with runner i in zone i %
+   ZONE_COUNT.  */
 static void
 add_runners (balance_t *to, int first, int last, int zone_count)
 {
