--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -10,7 +10,8 @@
 {
   uint64_t name_hash;
   uint64_t zone_hash; /* Hash of the zone's name.  */
-  uint64_t left_ms;   /* Time at which it left the list; 0 if listed.  */
+  uint64_t
+      unlisted_since_ms; /* Time at which it left the list; 0 if listed.  */
   char *name;
 } member_t;
 
@@ -104,9 +105,9 @@
       add_member (allotment, name, zone);
       return;
     }
-  if (member->left_ms != 0)
+  if (member->unlisted_since_ms != 0)
     allotment->unlisted_count--;
-  member->left_ms = 0;
+  member->unlisted_since_ms = 0;
   if (member->zone_hash == zone_hash)
     return;
   member->zone_hash = zone_hash;
@@ -118,9 +119,10 @@
 {
   member_t *member = find_member (allotment, name);
 
-  if (member == NULL || member == allotment->members || member->left_ms != 0)
+  if (member == NULL || member == allotment->members
+      || member->unlisted_since_ms != 0)
     return;
-  member->left_ms = clock_ms (allotment->clock);
+  member->unlisted_since_ms = clock_ms (allotment->clock);
   allotment->unlisted_count++;
 }
 
@@ -137,8 +139,9 @@
 
   for (size_t i = allotment->count; allotment->unlisted_count > 0 && i-- > 0;)
     {
-      uint64_t left_ms = allotment->members[i].left_ms;
-      if (left_ms != 0 && now_ms - left_ms >= ALLOTMENT_REMOVAL_DELAY_MS)
+      uint64_t unlisted_since_ms = allotment->members[i].unlisted_since_ms;
+      if (unlisted_since_ms != 0
+          && now_ms - unlisted_since_ms >= ALLOTMENT_REMOVAL_DELAY_MS)
         remove_member (allotment, i);
     }
 }
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -112,7 +112,7 @@
 {
   clock_iface_t *clock;
   rng_t *rng;
-  uint64_t gateway_hash; /* Hash of this gateway's name, for its ranks.  */
+  uint64_t gateway_hash; /* Hash of this gateway's name, mixed into ranks.  */
   uint16_t own_zone;
 
   upstream_state_t *states;
@@ -186,8 +186,6 @@
   return index;
 }
 
-/* Subsets.  */
-
 static uint32_t
 subset_rank (const balance_t *balance, uint32_t index)
 {
@@ -296,8 +294,6 @@
     subset_refill (balance, zone_pool, capacity);
 }
 
-/* Hash rings.  */
-
 /* Return the position in the ring of ZONE_POOL of the first upstream whose
    hash is at least HASH; ZONE_POOL->count if there is none.  */
 static uint32_t
@@ -361,8 +357,6 @@
   subset_remove (balance, zone_pool, index);
 }
 
-/* Zones and pools.  */
-
 static char *
 copy_name (str_t name, uint32_t *len)
 {
@@ -472,8 +466,6 @@
   free (balance);
 }
 
-/* Upstreams.  */
-
 /* Return the index of an unused upstream.  */
 static uint32_t
 take_index (balance_t *balance)
@@ -682,8 +674,6 @@
     zone_disable (found);
 }
 
-/* Load.  */
-
 static void
 update_slots (upstream_state_t *state, uint32_t slots)
 {
@@ -965,7 +955,8 @@
 static uint32_t
 choose_upstream (const balance_t *balance, choice_t *choice)
 {
-  const zone_pool_t *own = &choice->pool->zone_pools[balance->own_zone];
+  const zone_pool_t *own_zone_pool
+      = &choice->pool->zone_pools[balance->own_zone];
   candidate_t best = { NO_UPSTREAM, 0 };
   candidate_t other;
 
@@ -980,11 +971,11 @@
           if (index != NO_UPSTREAM
               && is_within_affinity_bound (balance, choice, index))
             return index;
-          index = choose_by_affinity (balance, choice, own);
+          index = choose_by_affinity (balance, choice, own_zone_pool);
           if (index != NO_UPSTREAM)
             return index;
         }
-      best = choose_best_of_two (balance, choice, own);
+      best = choose_best_of_two (balance, choice, own_zone_pool);
       if (best.index != NO_UPSTREAM && best.load <= 1)
         return best.index;
     }
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -41,7 +41,7 @@
   uint32_t slots;
   bool draining;
   bool is_unregistered;     /* The registration has ended.  */
-  uint64_t usable_until_ms; /* End of use if unregistered, monotonic.  */
+  uint64_t usable_until_ms; /* End of selection if unregistered, monotonic.  */
   uint64_t cold_until_ms;
   uint64_t ejected_until_ms;
   uint64_t ejection_ms; /* Length of the last ejection; 0 for none.  */
@@ -391,8 +391,8 @@
 
 /* Return whether the rate limit allows another request to UPSTREAM now.  */
 static bool
-rate_allows (const pool_t *pool, upstream_t *upstream, double cold_rate_per_s,
-             uint64_t now_ms)
+is_below_rate_limit (const pool_t *pool, upstream_t *upstream,
+                     double cold_rate_per_s, uint64_t now_ms)
 {
   if (cold_rate_per_s <= 0)
     return true;
@@ -406,17 +406,17 @@
 }
 
 /* Return the requests of other gateways at UPSTREAM by the last report, whose
-   weight falls linearly to 0 at an age of FADE_MS.  */
+   weight falls linearly to 0 at an age of DECAY_MS.  */
 static double
-other_requests_now (const upstream_t *upstream, uint64_t fade_ms,
+other_requests_now (const upstream_t *upstream, uint64_t decay_ms,
                     uint64_t now_ms)
 {
   uint64_t age_ms = now_ms - upstream->reported_ms;
 
-  return age_ms >= fade_ms
+  return age_ms >= decay_ms
              ? 0
-             : upstream->other_requests * (double)(fade_ms - age_ms)
-                   / (double)fade_ms;
+             : upstream->other_requests * (double)(decay_ms - age_ms)
+                   / (double)decay_ms;
 }
 
 /* Return the estimated requests of all gateways at UPSTREAM.  */
@@ -457,7 +457,8 @@
 has_capacity (const pool_t *pool, upstream_t *upstream,
               const pool_criteria_t *criteria, uint64_t now_ms)
 {
-  return rate_allows (pool, upstream, criteria->cold_rate_per_s, now_ms)
+  return is_below_rate_limit (pool, upstream, criteria->cold_rate_per_s,
+                              now_ms)
          && upstream->running
                     + other_requests_now (upstream, POOL_FULL_DECAY_MS, now_ms)
                 < upstream->slots;
@@ -672,17 +673,17 @@
 uint64_t
 pool_probe_due_ms (const upstream_t *upstream)
 {
-  uint64_t silence_ms
+  uint64_t silence_due_ms
       = upstream->last_data_ms + POOL_SILENCE_TIMEOUT_MS
         + upstream->pending_prompt_tokens / POOL_PREFILL_TOKENS_PER_MS;
-  uint64_t again_ms
+  uint64_t next_probe_ms
       = upstream->last_probe_ok_ms == 0
             ? 0
             : upstream->last_probe_ok_ms + POOL_PROBE_INTERVAL_MS;
 
   if (upstream->is_unreachable)
     return 0;
-  return silence_ms > again_ms ? silence_ms : again_ms;
+  return silence_due_ms > next_probe_ms ? silence_due_ms : next_probe_ms;
 }
 
 /* Eject UPSTREAM for twice as long as the last time.  */
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -213,7 +213,7 @@
 /* Return the number of requests that run or wait at UPSTREAM: those of this
    gateway, and those of others according to the last load report.  */
 double upstream_request_count (const pool_t *pool, const upstream_t *upstream);
-/* Return how many requests UPSTREAM runs concurrently, as it reported.  */
+/* Return how many requests UPSTREAM runs concurrently, as last reported.  */
 uint32_t upstream_slots (const upstream_t *upstream);
 /* Return how many requests of this gateway run at UPSTREAM.  */
 uint32_t upstream_running (const upstream_t *upstream);
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -16,7 +16,7 @@
     = { STR ("nairobi-a"), STR ("nairobi-b"), STR ("nairobi-c") };
 static const str_t draft_pool = STR ("draft-small@3");
 
-static clock_iface_t *manual;
+static clock_iface_t *test_clock;
 static rng_t rng;
 static balance_t *balance;
 static upstream_id_t ids[RUNNERS_MAX];
@@ -42,16 +42,16 @@
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
+  test_clock = clock_manual_create (0);
   rng = rng_make (5);
-  balance = balance_create (STR ("entry-1"), zones[0], manual, &rng);
+  balance = balance_create (STR ("entry-1"), zones[0], test_clock, &rng);
 }
 
 static void
 teardown (void)
 {
   balance_destroy (balance);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (test_clock);
 }
 
 /* Return the number of the selected runner, or -1 if there is none.  */
@@ -152,7 +152,7 @@
   upstream_id_t before[SUBSET_CAPACITY];
   upstream_id_t after[SUBSET_CAPACITY];
   balance_t *same_gateway
-      = balance_create (STR ("entry-1"), zones[0], manual, &rng);
+      = balance_create (STR ("entry-1"), zones[0], test_clock, &rng);
   pool_id_t pool = balance_find_or_add_pool (balance, draft_pool);
   balance_info_t info;
   size_t n;
@@ -212,7 +212,7 @@
       char name[16];
       int len = snprintf (name, sizeof name, "entry-%d", e);
       balance_t *gateway = balance_create (str_make (name, (size_t)len),
-                                           zones[e % 3], manual, &rng);
+                                           zones[e % 3], test_clock, &rng);
       upstream_id_t subset[SUBSET_CAPACITY];
       size_t n;
 
@@ -280,7 +280,7 @@
   for (int i = 0; i < 30; i += 3)
     ck_assert_int_eq (counts[i], 0);
   balance_set_zone_enabled (balance, zones[0], true);
-  clock_manual_advance_us (manual, 1000000);
+  clock_manual_advance_us (test_clock, 1000000);
   memset (counts, 0, sizeof counts);
   send_requests (60, counts);
   for (int i = 0; i < 30; i += 3)
@@ -288,7 +288,7 @@
   /* One second into the ramp the zone counts as a fifth of its 80 slots.  */
   ck_assert_int_ge (first, 1);
   ck_assert_int_le (first, 20);
-  clock_manual_advance_us (manual, (uint64_t)ZONE_RAMP_MS * 1000);
+  clock_manual_advance_us (test_clock, (uint64_t)ZONE_RAMP_MS * 1000);
   memset (counts, 0, sizeof counts);
   send_requests (50, counts);
   for (int i = 0; i < 30; i += 3)
@@ -345,7 +345,7 @@
   balance_set_mark (balance, ids[0], BALANCE_EJECTED, false);
   send_requests (27, counts);
   ck_assert_int_le (counts[0], 1);
-  clock_manual_advance_us (manual, (uint64_t)BALANCE_RAMP_MS * 1000);
+  clock_manual_advance_us (test_clock, (uint64_t)BALANCE_RAMP_MS * 1000);
   send_requests (20, counts);
   ck_assert_int_ge (counts[0], 2);
 }
@@ -394,7 +394,7 @@
       if (*oldest >= 0)
         balance_request_ended (balance, ids[*oldest], true);
       *oldest = -1;
-      clock_manual_advance_us (manual, 10000);
+      clock_manual_advance_us (test_clock, 10000);
       balance_request_started (balance, ids[at]);
       if (at != 0)
         *oldest = at;
@@ -432,12 +432,12 @@
   balance_info_t info;
 
   add_runners (balance, 0, 1, 1);
-  clock_manual_advance_us (manual, 10000000);
+  clock_manual_advance_us (test_clock, 10000000);
   balance_record_load (balance, ids[0], &now, 0);
   balance_record_load (balance, ids[0], &then, 1000);
   ck_assert (balance_info (balance, ids[0], &info));
   ck_assert (info.load < 1);
-  clock_manual_advance_us (manual, 3000000);
+  clock_manual_advance_us (test_clock, 3000000);
   ck_assert (balance_info (balance, ids[0], &info));
   ck_assert_uint_ge (info.report_age_ms, 2990);
   ck_assert_uint_le (info.report_age_ms, 3010);
@@ -476,9 +476,9 @@
   int sent_by_current_reports;
 
   add_runners (balance, 0, 20, 1);
-  clock_manual_advance_us (manual, 20000000);
+  clock_manual_advance_us (test_clock, 20000000);
   sent_by_old_reports = requests_to_idle_upstream (10000);
-  clock_manual_advance_us (manual, 20000000);
+  clock_manual_advance_us (test_clock, 20000000);
   sent_by_current_reports = requests_to_idle_upstream (0);
   /* An equal share would be three.  */
   ck_assert_int_le (sent_by_old_reports, 4);
@@ -501,7 +501,7 @@
         balance_load_t load = { .slots = (round + i) % 2 == 0 ? 8 : 32 };
         balance_record_load (balance, ids[i], &load, 0);
       }
-  clock_manual_advance_us (manual, 5000000);
+  clock_manual_advance_us (test_clock, 5000000);
   send_requests (30, counts);
   ck_assert_int_ge (counts[0], 10);
   ck_assert_int_ge (counts[1], 10);
@@ -529,7 +529,8 @@
    Otherwise every prefix takes up room in several caches.  */
 START_TEST (affinity_is_equal_at_all_gateways)
 {
-  balance_t *other = balance_create (STR ("entry-2"), zones[0], manual, &rng);
+  balance_t *other
+      = balance_create (STR ("entry-2"), zones[0], test_clock, &rng);
   int moved = 0;
   int selected[200];
 
@@ -587,7 +588,7 @@
   ck_assert_int_eq (select_from (balance, 77), ring_upstream);
   /* Without an eviction event the cache hint expires.  */
   balance_cache_event (balance, ids[hinted_upstream], 77, true);
-  clock_manual_advance_us (manual, (BALANCE_HINT_TTL_MS + 100) * 1000ul);
+  clock_manual_advance_us (test_clock, (BALANCE_HINT_TTL_MS + 100) * 1000ul);
   ck_assert_int_eq (select_from (balance, 77), ring_upstream);
   /* The upstream now serves another pool, and then it is removed.  */
   balance_cache_event (balance, ids[hinted_upstream], 77, true);
@@ -637,7 +638,7 @@
     for (int i = 0; i < 10; i++)
       balance_record_load (balance, ids[i], &full, 0);
   ck_assert (balance_pressure (balance, pool) > 1.9);
-  clock_manual_advance_us (manual, 60000000);
+  clock_manual_advance_us (test_clock, 60000000);
   ck_assert (balance_pressure (balance, pool) < 0.2);
 }
 END_TEST
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -4,27 +4,27 @@
 
 #include "suite.h"
 
-static clock_iface_t *manual;
+static clock_iface_t *test_clock;
 static drain_t *drain;
 
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
-  drain = drain_create (1000, 10000, manual);
+  test_clock = clock_manual_create (0);
+  drain = drain_create (1000, 10000, test_clock);
 }
 
 static void
 teardown (void)
 {
   drain_destroy (drain);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (test_clock);
 }
 
 static void
 advance_ms (uint64_t ms)
 {
-  clock_manual_advance_us (manual, ms * 1000);
+  clock_manual_advance_us (test_clock, ms * 1000);
 }
 
 START_TEST (shutdown_passes_all_states)
@@ -88,7 +88,7 @@
 
 START_TEST (timeout_below_the_grace_period)
 {
-  drain_t *short_drain = drain_create (1000, 200, manual);
+  drain_t *short_drain = drain_create (1000, 200, test_clock);
 
   drain_start (short_drain);
   ck_assert_uint_eq (drain_ms_to_next_state (short_drain), 200);
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -16,15 +16,15 @@
   bool is_active;
 } upstream_t;
 
-static clock_iface_t *manual;
+static clock_iface_t *test_clock;
 static outlier_t *outlier;
 static upstream_t pool[POOL_SIZE];
 
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
-  outlier = outlier_create (0, manual);
+  test_clock = clock_manual_create (0);
+  outlier = outlier_create (0, test_clock);
   for (int i = 0; i < POOL_SIZE; i++)
     pool[i] = (upstream_t){ outlier_add_member (outlier, &pool[i]), true };
 }
@@ -33,7 +33,7 @@
 teardown (void)
 {
   outlier_destroy (outlier);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (test_clock);
 }
 
 static void
@@ -56,7 +56,7 @@
       outlier_record (
           outlier, pool[i].member, i >= failing,
           i < failing + slow ? NORMAL_LATENCY_US * 5 : NORMAL_LATENCY_US, 10);
-  clock_manual_advance_us (manual, 50000);
+  clock_manual_advance_us (test_clock, 50000);
   apply_changes ();
 }
 
@@ -113,7 +113,7 @@
       for (int i = 0; i < POOL_SIZE; i++)
         outlier_record (outlier, pool[i].member, true,
                         i < 12 ? 0 : NORMAL_LATENCY_US, 10);
-      clock_manual_advance_us (manual, 50000);
+      clock_manual_advance_us (test_clock, 50000);
       apply_changes ();
     }
   ck_assert_uint_eq (outlier_ejected_count (outlier), 0);
@@ -152,10 +152,10 @@
 
       while (pool[0].is_active)
         run_round (1, 0);
-      ejected_ms = clock_ms (manual);
+      ejected_ms = clock_ms (test_clock);
       while (!pool[0].is_active)
         run_round (1, 0);
-      lengths_ms[i] = clock_ms (manual) - ejected_ms;
+      lengths_ms[i] = clock_ms (test_clock) - ejected_ms;
       ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_TRIAL);
     }
   ck_assert_uint_ge (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS - 100);
@@ -173,12 +173,14 @@
     run_round (0, 0);
   ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_ACTIVE);
   /* After a long time without ejection the length is reset.  */
-  clock_manual_advance_us (manual, (uint64_t)OUTLIER_EJECTION_RESET_MS * 1000);
+  clock_manual_advance_us (test_clock,
+                           (uint64_t)OUTLIER_EJECTION_RESET_MS * 1000);
   while (pool[0].is_active)
     run_round (1, 0);
-  clock_manual_advance_us (manual, (uint64_t)(OUTLIER_EJECTION_FIRST_MS
-                                              + OUTLIER_EVALUATION_INTERVAL_MS)
-                                       * 1000);
+  clock_manual_advance_us (
+      test_clock,
+      (uint64_t)(OUTLIER_EJECTION_FIRST_MS + OUTLIER_EVALUATION_INTERVAL_MS)
+          * 1000);
   apply_changes ();
   ck_assert (pool[0].is_active);
 }
@@ -186,19 +188,19 @@
 
 START_TEST (pools_of_one_and_two)
 {
-  outlier_t *detector = outlier_create (0, manual);
+  outlier_t *detector = outlier_create (0, test_clock);
   outlier_member_t *only = outlier_add_member (detector, &pool[0]);
   outlier_member_t *second;
   outlier_state_t state;
 
   for (int i = 0; i < 50; i++)
     outlier_record (detector, only, false, 1000, 1);
-  clock_manual_advance_us (manual, 1000000);
+  clock_manual_advance_us (test_clock, 1000000);
   ck_assert_ptr_null (outlier_next_change (detector, &state));
   second = outlier_add_member (detector, &pool[1]);
   for (int i = 0; i < 50; i++)
     outlier_record (detector, second, true, 1000, 1);
-  clock_manual_advance_us (manual, 1000000);
+  clock_manual_advance_us (test_clock, 1000000);
   ck_assert_ptr_eq (outlier_next_change (detector, &state), &pool[0]);
   ck_assert_int_eq (state, OUTLIER_EJECTED);
   /* Removing an ejected member allows the ejection of another.  */
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -222,25 +222,25 @@
 START_TEST (failing_instance_is_ejected)
 {
   fixture_t f;
-  upstream_t *bad = NULL;
+  upstream_t *failing = NULL;
 
   setup (&f, 2);
   for (int i = 0; i < 40; i++)
     {
       upstream_t *next = choose (&f);
-      if (bad == NULL)
-        bad = next;
+      if (failing == NULL)
+        failing = next;
       pool_request_started (f.pool, next, 0);
       pool_request_finished (f.pool, next, 0,
-                             next == bad ? SEND_FAILED : SEND_OK);
+                             next == failing ? SEND_FAILED : SEND_OK);
     }
   for (int i = 0; i < 20; i++)
-    ck_assert_ptr_ne (choose (&f), bad);
+    ck_assert_ptr_ne (choose (&f), failing);
   for (int i = 0; i < 4; i++)
     {
-      upstream_t *good = choose (&f);
-      pool_request_started (f.pool, good, 0);
-      pool_request_finished (f.pool, good, 0, SEND_FAILED);
+      upstream_t *other = choose (&f);
+      pool_request_started (f.pool, other, 0);
+      pool_request_finished (f.pool, other, 0, SEND_FAILED);
     }
   choose (&f);
   teardown (&f);
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -79,7 +79,7 @@
   for (size_t s = 0; s < sizeof sizes / sizeof sizes[0]; s++)
     {
       fleet_t fleet;
-      size_t readers_of[GATEWAYS_MAX] = { 0 };
+      size_t reader_counts[GATEWAYS_MAX] = { 0 };
       size_t store_readers = 0;
       size_t maximum = 0;
       setup (&fleet, sizes[s]);
@@ -88,8 +88,8 @@
           size_t source = source_of (&fleet, i);
           if (source == SIZE_MAX)
             store_readers++;
-          else if (++readers_of[source] > maximum)
-            maximum = readers_of[source];
+          else if (++reader_counts[source] > maximum)
+            maximum = reader_counts[source];
         }
       ck_assert_uint_eq (store_readers, 1);
       if (sizes[s] > FANOUT_SMALL_FLEET_MAX)
