--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -9,9 +9,8 @@
 typedef struct
 {
   uint64_t name_hash;
-  uint64_t zone_hash; /* Hash of the zone's name.  */
-  uint64_t
-      unlisted_since_ms; /* Time at which it left the list; 0 if listed.  */
+  uint64_t zone_hash;         /* Hash of the zone's name.  */
+  uint64_t unlisted_since_ms; /* Time of leaving the list; 0 if listed.  */
   char *name;
 } member_t;
 
