--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -62,7 +62,7 @@
 void
 relay_send (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   pool_criteria_t want;
   buf_t request = BUF_NULL;
@@ -306,7 +306,7 @@
 static void
 admit (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   terms_t *terms = &relay->terms;
   vh_code_t code
       = terms_read (terms, belief, relay->req, str_from (relay->attempt_id));
@@ -337,9 +337,9 @@
 static bool
 may_wait_for_start (const relay_t *relay)
 {
-  const belief_t *belief = relay->belief;
+  const gateway_state_t *belief = relay->belief;
 
-  return !belief->is_prepared
+  return !belief->is_initialized
          && clock_ms (belief->clock) - belief->started_ms < START_MS;
 }
 
@@ -354,7 +354,7 @@
 }
 
 void
-relay_start (belief_t *belief, httpd_req_t *req)
+relay_start (gateway_state_t *belief, httpd_req_t *req)
 {
   relay_t *relay = mem_zalloc (sizeof *relay);
   str_t id = httpd_header (req, belief->names->attempt_id);
@@ -376,7 +376,7 @@
 }
 
 size_t
-relay_cut_all (belief_t *belief)
+relay_cut_all (gateway_state_t *belief)
 {
   size_t count = 0;
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -140,7 +140,7 @@
 relay_tell_end (const relay_t *relay, log_event_t event, int status,
                 const char *reason, uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   const log_event_info_t *info = log_event_info (event);
   uint64_t age_ms = follow_age_ms (belief->orders);
   str_t route
@@ -173,7 +173,7 @@
 relay_reply (relay_t *relay, int status, vh_code_t code, const char *reason,
              uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   buf_t body = BUF_NULL;
   buf_t retry = BUF_NULL;
   httpc_header_t headers[3] = {
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -47,7 +47,7 @@
 static size_t
 few_of (const relay_t *relay, const trial_t *trial)
 {
-  const belief_t *belief = relay->belief;
+  const gateway_state_t *belief = relay->belief;
   double share = trial_share (trial, follow_store_ms (belief->orders));
   size_t old = pool_count_instances (belief->pool, relay->terms.service->name,
                                      VERSION_ARM_OLD, trial_version (trial),
@@ -60,7 +60,7 @@
 static void
 choose_arm (const relay_t *relay, pool_criteria_t *want)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   const trial_t *trial = relay_trial (relay);
 
   want->arm = VERSION_ARM_ANY;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -39,7 +39,7 @@
 typedef struct
 {
   list_t link;
-  belief_t *belief;
+  gateway_state_t *belief;
   httpd_req_t *req;
   terms_t terms;
   char *attempt_id;
