--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -439,7 +439,7 @@
   copy_options (gateway, options);
   state->rng = rng_make (options->seed);
   state->allotment = allotment_create (clock, options->name, options->zone);
-  pool_options.entries = state->allotment;
+  pool_options.gateways = state->allotment;
   state->pool = pool_create (clock, rng_u64 (&state->rng), &pool_options);
   state->prober = prober_create (loop, on_probe_done, state);
   state->trials = map_create ();
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -33,8 +33,8 @@
 static bool
 has_instance_of_version (const relay_t *relay, str_t version)
 {
-  return pool_count (relay->state->pool, relay->attrs.service->name,
-                     VERSION_ARM_NEW, version, 1)
+  return pool_count_instances (relay->state->pool, relay->attrs.service->name,
+                               VERSION_ARM_NEW, version, 1)
          > 0;
 }
 
@@ -50,9 +50,9 @@
 {
   const gateway_state_t *state = relay->state;
   double share = trial_share (trial, follow_store_ms (state->operator_rows));
-  size_t old_instances
-      = pool_count (state->pool, relay->attrs.service->name, VERSION_ARM_OLD,
-                    trial_version (trial), SIZE_MAX);
+  size_t old_instances = pool_count_instances (
+      state->pool, relay->attrs.service->name, VERSION_ARM_OLD,
+      trial_version (trial), SIZE_MAX);
   size_t count
       = (size_t)ceil (share * (double)old_instances / new_version_load_ratio);
   return count > NEW_VERSION_INSTANCES_MIN ? count : NEW_VERSION_INSTANCES_MIN;
@@ -87,7 +87,7 @@
           && has_instance_of_version (relay, criteria->version))
         {
           criteria->arm = VERSION_ARM_NEW;
-          criteria->few = new_version_instance_count (relay, trial);
+          criteria->max_instances = new_version_instance_count (relay, trial);
         }
       else
         criteria->arm = VERSION_ARM_OLD;
@@ -103,8 +103,9 @@
 
   *criteria = (pool_criteria_t){
     .service = attrs->service->name,
-    .cold_per_s = attrs->service->cold_per_s,
-    .key = attrs->prefix_hash != 0 ? attrs->prefix_hash ^ (index + 1) : 0,
+    .cold_rate_per_s = attrs->service->cold_per_s,
+    .affinity_key
+    = attrs->prefix_hash != 0 ? attrs->prefix_hash ^ (index + 1) : 0,
     .tried = relay->tried,
     .tried_count = relay->tried_count,
   };
--- a/packages/policy/zone.c
+++ b/packages/policy/zone.c
@@ -8,7 +8,7 @@
 {
   zone_state_t state;
   uint32_t ramp_ms;
-  uint64_t since_ms;
+  uint64_t ramp_start_ms;
 };
 
 zone_t *
@@ -27,29 +27,29 @@
 }
 
 void
-zone_out (zone_t *zone)
+zone_disable (zone_t *zone)
 {
-  zone->state = ZONE_OUT;
+  zone->state = ZONE_DISABLED;
 }
 
 void
-zone_in (zone_t *zone, uint64_t now_ms)
+zone_enable (zone_t *zone, uint64_t now_ms)
 {
-  if (zone->state != ZONE_OUT)
+  if (zone->state != ZONE_DISABLED)
     return;
   zone->state = ZONE_RAMPING;
-  zone->since_ms = now_ms;
+  zone->ramp_start_ms = now_ms;
 }
 
 double
-zone_ramp_share (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms)
+zone_ramp_share (uint64_t ramp_start_ms, uint32_t ramp_ms, uint64_t now_ms)
 {
-  if (now_ms >= since_ms + ramp_ms)
+  if (now_ms >= ramp_start_ms + ramp_ms)
     return 1;
-  if (now_ms <= since_ms)
+  if (now_ms <= ramp_start_ms)
     return ZONE_RAMP_INITIAL_SHARE;
   return ZONE_RAMP_INITIAL_SHARE
-         + (1 - ZONE_RAMP_INITIAL_SHARE) * (double)(now_ms - since_ms)
+         + (1 - ZONE_RAMP_INITIAL_SHARE) * (double)(now_ms - ramp_start_ms)
                / ramp_ms;
 }
 
@@ -58,11 +58,11 @@
 {
   double share;
 
-  if (zone->state == ZONE_OUT)
+  if (zone->state == ZONE_DISABLED)
     return 0;
   if (zone->state == ZONE_ENABLED)
     return 1;
-  share = zone_ramp_share (zone->since_ms, zone->ramp_ms, now_ms);
+  share = zone_ramp_share (zone->ramp_start_ms, zone->ramp_ms, now_ms);
   if (share >= 1)
     zone->state = ZONE_ENABLED;
   return share;
