--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -75,7 +75,7 @@
                                    : 0;
   trial_observe (trial, relay_trial_arm (relay), route_hash (relay),
                  outcome == SEND_OK       ? TRIAL_ANSWERED
-                 : relay->connection_lost ? TRIAL_BROKE
+                 : relay->connection_lost ? TRIAL_CONNECTION_LOST
                                           : TRIAL_FAILED,
                  first_response_ms, relay->is_upstream_loaded);
 }
@@ -87,9 +87,9 @@
   trial_t *trial = running_trial (relay);
 
   if (trial != NULL)
-    trial_time (trial, relay_trial_arm (relay), route_hash (relay), timing,
-                relay->upstream_request_count, duration_ms,
-                follow_store_ms (relay->state->operator_rows));
+    trial_observe_timing (trial, relay_trial_arm (relay), route_hash (relay),
+                          timing, relay->upstream_request_count, duration_ms,
+                          follow_store_ms (relay->state->operator_rows));
 }
 
 void
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -306,7 +306,7 @@
       return;
     }
   if (relay->is_success)
-    relay_record_timing (relay, TIMING_FIRST,
+    relay_record_timing (relay, TRIAL_TIMING_FIRST_EVENT,
                          (double)(relay->last_activity_ms - relay->sent_ms));
   if (relay->is_success && escalate (relay, head))
     return;
@@ -337,7 +337,7 @@
       if (relay->send_event_count <= INTERVAL_SAMPLE_EVENTS
           && relay->send_event_count + count > INTERVAL_SAMPLE_EVENTS)
         relay_record_timing (
-            relay, TIMING_GAP,
+            relay, TRIAL_TIMING_EVENT_GAP,
             (double)(relay->last_activity_ms - relay->head_received_ms)
                 / (double)(relay->send_event_count + count - 1));
       relay->send_event_count += count;
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -80,9 +80,9 @@
         criteria->arm = VERSION_ARM_NEW;
       break;
     case TRIAL_RUNNING:
-      if (trial_choose (trial, relay->attrs.session_hash,
-                        follow_store_ms (state->operator_rows),
-                        &relay->trial_sends)
+      if (trial_choose_arm (trial, relay->attrs.session_hash,
+                            follow_store_ms (state->operator_rows),
+                            &relay->trial_sends)
               == TRIAL_NEW
           && has_instance_of_version (relay, criteria->version))
         {
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -92,7 +92,8 @@
                        reads slowly.  */
   bool was_refused; /* The last upstream reported that it did not run the
                        request.  */
-  trial_sent_t trial_sends;   /* Sends of the request during a roll-out.  */
+  trial_send_history_t
+      trial_sends;            /* Sends of the request during a roll-out.  */
   const char *failure_reason; /* Reason of the last failed send, for the log;
                                  NULL if no send failed.  */
 } relay_t;
