--- a/packages/policy/evidence.h
+++ b/packages/policy/evidence.h
@@ -1,24 +1,26 @@
-/* Mergeable sums: what the learning modules of this package share.
-
-   Answers: several hundred entries each see a part of the ratings, errors
-   and latencies, gossip them late, twice and in any order, and are replaced
-   at any time.  Without it a repeated delivery counts twice and a restart
-   forgets everything.
-
-   The state is a join semilattice.  Each writer owns one cell for each (key,
-   epoch) and only ever adds to it; field 0 counts its additions, so of two
-   copies of a cell the one with the larger field 0 is the newer one and
-   merging is taking it.  All fields are integers (EVIDENCE_UNIT to one), so
-   that sums are the same in any order.  A writer id belongs to one life of
-   one process: draw a new one at each start.
-
-   A lease holder may settle a closed epoch: its cells become one cell for
-   each key under the lease's fencing number as generation, and the larger
-   generation wins.  So the state fits a few rows whatever the number of
-   writers.  What a writer had not yet delivered by then is lost.
-
-   Memory is fixed at creation.  When the cells are full the oldest epoch is
-   forgotten whole, never a part of it, so that no sum is half counted.  */
+/* Sums of measurements that processes merge: a state-based CRDT, shared by the
+   modules of this package that learn from answers.
+
+   Load pattern: several hundred processes each observe a part of the ratings,
+   errors and latencies.  Their messages arrive late, twice and in any order,
+   and processes are replaced at any time.  Without this module a message that
+   is delivered twice counts twice, and a restart loses all measurements.
+
+   The state is a join semilattice.  Each writer owns one cell for each key and
+   epoch and only adds to it.  Field 0 of a cell counts the additions, so of
+   two copies of a cell the one with the larger field 0 is newer, and merging
+   keeps it.  All fields are integers (EVIDENCE_UNIT for 1), so that sums do
+   not depend on the order of additions.  A writer id belongs to one run of one
+   process; a process must draw a new one at each start.
+
+   A lease holder may compact a closed epoch: one cell for each key replaces
+   the cells of all writers, under the lease's fencing number as its
+   generation.  Of two generations the larger one is kept.  The state therefore
+   fits into a few rows of the store, whatever the number of writers. Additions
+   that a writer has not delivered by then are lost.
+
+   Memory is fixed at creation.  When all cells are in use, the oldest epoch is
+   dropped whole, never in part, so that no sum lacks some of its cells.  */
 
 #ifndef POLICY_EVIDENCE_H
 #define POLICY_EVIDENCE_H
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -10,18 +10,19 @@
 enum
 {
   FORMAT = 1,
-  SHOWN_WRITERS_MAX = 4096,
-  /* Fewer of the new version's answers decide nothing: the plug-in variance
-     is not to be trusted.  */
-  COUNT_MIN = 10,
-  /* Values at the prior variance that join the plug-in variance.  */
-  VARIANCE_WEIGHT = 4,
+  EXPOSURE_WRITERS_MAX = 4096,
+  /* Fewer answers of the new version decide nothing: their variance is not yet
+     estimated well enough.  */
+  ANSWERS_MIN = 10,
+  /* Number of answers with the prior variance that are added to the measured
+     ones.  */
+  PRIOR_ANSWERS = 4,
   TASK_NAME_MAX = 256
 };
 
-/* Share of all answers that the roll-out sends to the rating service; at
-   most this for each arm.  */
-#define RATE_SHARE 0.1
+/* For each version, at most this share of all answers of the service is sent
+   to the rating service.  */
+#define RATING_SHARE_MAX 0.1
 
 typedef struct
 {
@@ -48,16 +49,19 @@
 #undef X
 };
 
-/* What was decided; merged as a whole.  */
+/* The state of the decision; merged as a whole.  */
 typedef struct
 {
   uint64_t sequence;
   uint64_t phase;
   uint64_t step;
-  uint64_t shown_before; /* Requests shown when the step began.  */
-  uint64_t metric;       /* Of a halt.  */
-  uint64_t task;         /* Hash of the task class of a halt; 0: overall.  */
-  uint64_t harm_ppm;     /* Estimate and lower bound at the halt.  */
+  uint64_t exposure_base; /* Requests sent to the new version when the step
+                             began or its cap was last granted.  */
+  uint64_t metric;        /* Metric that caused a halt.  */
+  uint64_t task;          /* Hash of the task class that caused a halt; 0 if it
+                             was the sum of all.  */
+  uint64_t harm_ppm;      /* Estimated difference at a halt, and its lower
+                             bound, in millionths.  */
   uint64_t lower_ppm;
 } decision_t;
 
@@ -65,18 +69,22 @@
 {
   char *name;
   uint64_t hash;
-  int keys[ROLLOUT_STEP_COUNT][2]; /* By step and arm.  */
-} task_t;
+  int keys[ROLLOUT_STEP_COUNT][2]; /* Evidence keys by step and arm.  */
+} task_class_t;
 
 struct rollout_run
 {
-  uint64_t salt;        /* Of the version.  */
-  uint64_t first_epoch; /* Of a peer whose clock is behind.  */
+  uint64_t salt;        /* Hash of the version and the start, which separates
+                           roll-outs.  */
+  uint64_t first_epoch; /* First epoch that counts: the one before the start,
+                           for peers whose clock is behind.  */
   decision_t decision;
   evidence_t *evidence;
-  evidence_t *shown; /* One epoch that never ends; key by arm.  */
-  int shown_keys[2];
-  task_t tasks[ROLLOUT_TASKS_MAX + 1]; /* The last one: all others.  */
+  evidence_t *exposure; /* Requests by arm, in one epoch that never ends.  */
+  int exposure_keys[2];
+  task_class_t tasks[ROLLOUT_TASKS_MAX + 1]; /* The last one takes all task
+                                                classes for which there is no
+                                                room.  */
   size_t task_count;
 };
 
@@ -87,18 +95,18 @@
 }
 
 static uint64_t
-task_hash (str_t name)
+task_class_hash (str_t name)
 {
-  /* 0 stands for no task class.  */
+  /* Nonzero, since 0 means no task class.  */
   return str_hash (name, 0x7a) | 4;
 }
 
-/* Return the task class NAME, made on first use; the last one when all are
-   taken.  */
-static task_t *
-task_get (rollout_run_t *r, str_t name)
+/* Return the task class NAME, created on first use.  Without room, return the
+   last one, named `other'.  */
+static task_class_t *
+task_class_get (rollout_run_t *r, str_t name)
 {
-  uint64_t hash = task_hash (name);
+  uint64_t hash = task_class_hash (name);
 
   for (size_t i = 0; i < r->task_count; i++)
     if (r->tasks[i].hash == hash)
@@ -108,9 +116,9 @@
   if (r->task_count == ROLLOUT_TASKS_MAX)
     {
       name = STR ("other");
-      hash = task_hash (name);
+      hash = task_class_hash (name);
     }
-  task_t *task = &r->tasks[r->task_count++];
+  task_class_t *task = &r->tasks[r->task_count++];
   task->name = str_dup (name);
   task->hash = hash;
   for (uint64_t step = 0; step < ROLLOUT_STEP_COUNT; step++)
@@ -130,21 +138,24 @@
           .fields = SAMPLE_FIELDS,
           .keys_max = 2 * ROLLOUT_STEP_COUNT * (ROLLOUT_TASKS_MAX + 1),
           .cells_max = ROLLOUT_CELLS_MAX };
-  const evidence_options_t shown = { .writer = writer,
-                                     .epoch_ms = UINT64_MAX,
-                                     .epochs = 1,
-                                     .fields = 1,
-                                     .keys_max = 2,
-                                     .cells_max = 2 * SHOWN_WRITERS_MAX };
+  const evidence_options_t exposure_options
+      = { .writer = writer,
+          .epoch_ms = UINT64_MAX,
+          .epochs = 1,
+          .fields = 1,
+          .keys_max = 2,
+          .cells_max = 2 * EXPOSURE_WRITERS_MAX };
   rollout_run_t *r = mem_zalloc (sizeof *r);
 
   r->salt = str_hash (new_version, start_ms) & ~(uint64_t)3;
   r->evidence = evidence_create (&options);
   r->first_epoch = evidence_epoch (r->evidence, start_ms);
   r->first_epoch -= r->first_epoch > 0;
-  r->shown = evidence_create (&shown);
-  r->shown_keys[ROLLOUT_OLD] = arm_key (r->shown, r->salt, 0, ROLLOUT_OLD);
-  r->shown_keys[ROLLOUT_NEW] = arm_key (r->shown, r->salt, 0, ROLLOUT_NEW);
+  r->exposure = evidence_create (&exposure_options);
+  r->exposure_keys[ROLLOUT_OLD]
+      = arm_key (r->exposure, r->salt, 0, ROLLOUT_OLD);
+  r->exposure_keys[ROLLOUT_NEW]
+      = arm_key (r->exposure, r->salt, 0, ROLLOUT_NEW);
   return r;
 }
 
@@ -155,7 +166,7 @@
     return;
   for (size_t i = 0; i < r->task_count; i++)
     free (r->tasks[i].name);
-  evidence_destroy (r->shown);
+  evidence_destroy (r->exposure);
   evidence_destroy (r->evidence);
   free (r);
 }
@@ -164,7 +175,7 @@
 rollout_exposed (const rollout_run_t *r)
 {
   const int64_t *sums
-      = evidence_sums (r->shown, r->shown_keys[ROLLOUT_NEW], 0);
+      = evidence_sums (r->exposure, r->exposure_keys[ROLLOUT_NEW], 0);
 
   return sums != NULL ? (uint64_t)sums[0] : 0;
 }
@@ -174,8 +185,9 @@
 {
   uint64_t step = r->decision.step;
 
-  return step < ROLLOUT_STEP_COUNT ? r->decision.shown_before + steps[step].cap
-                                   : UINT64_MAX;
+  return step < ROLLOUT_STEP_COUNT
+             ? r->decision.exposure_base + steps[step].cap
+             : UINT64_MAX;
 }
 
 double
@@ -187,8 +199,8 @@
       return 1;
     case ROLLOUT_PHASE_RUNNING:
     case ROLLOUT_PHASE_PAUSED:
-      /* Guards the exposure when the lease holder is away: each process
-         stops at the cap by itself.  */
+      /* Bounds the exposure while there is no lease holder: each process stops
+         at the cap by itself.  */
       if (rollout_exposed (r) >= rollout_exposure_bound (r))
         return 0;
       return steps[r->decision.step].share;
@@ -218,15 +230,15 @@
     return 0;
   if (arm == ROLLOUT_OLD)
     share = 1 - share;
-  return share > RATE_SHARE ? RATE_SHARE / share : 1;
+  return share > RATING_SHARE_MAX ? RATING_SHARE_MAX / share : 1;
 }
 
 void
 rollout_shown (rollout_run_t *r, rollout_arm_t arm, uint64_t now_ms)
 {
-  const int64_t none[SAMPLE_FIELDS] = { 0 };
+  const int64_t no_values[SAMPLE_FIELDS] = { 0 };
 
-  evidence_add (r->shown, r->shown_keys[arm], now_ms, none);
+  evidence_add (r->exposure, r->exposure_keys[arm], now_ms, no_values);
 }
 
 void
@@ -236,30 +248,33 @@
   int64_t fields[SAMPLE_FIELDS];
   uint64_t step = r->decision.step;
 
-  /* Guards the strata: inside one, both arms are seen at the same times in
-     the same proportion.  What the old version does alone, while the new one
-     is withheld, would compare different hours.  */
+  /* Both versions must be measured at the same times and in a constant ratio
+     inside a stratum.  Answers of the old version while the new one gets no
+     requests would compare different hours.  */
   if (step >= ROLLOUT_STEP_COUNT
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
   sample_fields (sample, fields);
-  evidence_add (r->evidence, task_get (r, task)->keys[step][arm], now_ms,
+  evidence_add (r->evidence, task_class_get (r, task)->keys[step][arm], now_ms,
                 fields);
 }
 
-/* Sums over the strata of a stratified difference of means.  */
+/* Sums over the strata for a stratified difference of means.  */
 typedef struct
 {
   double weight;
-  double difference; /* Weighted.  */
-  double per_new;    /* Sum of weight^2 / count, by arm.  */
-  double per_old;
-  moments_t all_new; /* Squares hold the spread inside the strata.  */
-  moments_t all_old;
-} strata_t;
+  double difference; /* Sum of the strata's differences, each times its
+                        weight.  */
+  double variance_factor_new; /* Sum over the strata of weight^2 / count of
+                                 the new version's answers.  */
+  double variance_factor_old; /* The same for the old version.  */
+  moments_t pooled_new;       /* Pooled over the strata; SQUARES is the sum of
+                                 squared deviations from each stratum's mean.  */
+  moments_t pooled_old;
+} stratified_sums_t;
 
 static void
-pool (moments_t *all, const moments_t *m)
+pool_moments (moments_t *all, const moments_t *m)
 {
   all->count += m->count;
   all->sum += m->sum;
@@ -267,24 +282,23 @@
 }
 
 static void
-strata_add (strata_t *s, const moments_t *fresh, const moments_t *old)
+stratum_add (stratified_sums_t *s, const moments_t *new, const moments_t *old)
 {
-  if (fresh->count < 1 || old->count < 1)
+  if (new->count < 1 || old->count < 1)
     return;
-  double weight = fresh->count * old->count / (fresh->count + old->count);
+  double weight = new->count * old->count / (new->count + old->count);
   s->weight += weight;
-  s->difference
-      += weight * (fresh->sum / fresh->count - old->sum / old->count);
-  s->per_new += weight * weight / fresh->count;
-  s->per_old += weight * weight / old->count;
-  pool (&s->all_new, fresh);
-  pool (&s->all_old, old);
+  s->difference += weight * (new->sum / new->count - old->sum / old->count);
+  s->variance_factor_new += weight * weight / new->count;
+  s->variance_factor_old += weight * weight / old->count;
+  pool_moments (&s->pooled_new, new);
+  pool_moments (&s->pooled_old, old);
 }
 
-/* Variance of one value.  The prior keeps a handful of equal values from
-   looking certain.  */
+/* Return the estimated variance of one value.  The prior keeps a handful of
+   equal values from giving a variance of 0.  */
 static double
-plug_in_variance (const moments_t *all, rollout_metric_t metric)
+estimated_variance (const moments_t *all, rollout_metric_t metric)
 {
   double p;
 
@@ -294,18 +308,19 @@
       p = (all->sum + 1) / (all->count + 2);
       return p * (1 - p);
     case ROLLOUT_RATING:
-      return (all->squares + VARIANCE_WEIGHT / 12.0)
-             / (all->count + VARIANCE_WEIGHT);
+      return (all->squares + PRIOR_ANSWERS / 12.0)
+             / (all->count + PRIOR_ANSWERS);
     default:
-      return (all->squares + VARIANCE_WEIGHT * 0.25)
-             / (all->count + VARIANCE_WEIGHT);
+      return (all->squares + PRIOR_ANSWERS * 0.25)
+             / (all->count + PRIOR_ANSWERS);
     }
 }
 
-/* Half width at level ALPHA of the normal-mixture confidence sequence, for an
-   estimate of variance VARIANCE and a mixture of standard deviation SCALE. */
+/* Return the half width, at level ALPHA, of the normal-mixture confidence
+   sequence for an estimate with variance VARIANCE and a mixture with standard
+   deviation SCALE.  */
 static double
-radius (double variance, double scale, double alpha)
+confidence_half_width (double variance, double scale, double alpha)
 {
   double mixture = scale * scale;
   double log_bound
@@ -315,8 +330,8 @@
 }
 
 static void
-strata_add_task (const rollout_run_t *r, const task_t *task,
-                 rollout_metric_t metric, strata_t *s)
+strata_add_task_class (const rollout_run_t *r, const task_class_t *task,
+                       rollout_metric_t metric, stratified_sums_t *s)
 {
   uint64_t last = evidence_last (r->evidence);
   uint64_t epoch = evidence_first (r->evidence);
@@ -327,17 +342,18 @@
     for (uint64_t step = 0; step < ROLLOUT_STEP_COUNT; step++)
       {
         const int *keys = task->keys[step];
-        moments_t fresh = sample_moments (
+        moments_t new = sample_moments (
             evidence_sums (r->evidence, keys[ROLLOUT_NEW], epoch), metric);
         moments_t old = sample_moments (
             evidence_sums (r->evidence, keys[ROLLOUT_OLD], epoch), metric);
-        strata_add (s, &fresh, &old);
+        stratum_add (s, &new, &old);
       }
 }
 
-/* Judge METRIC for TASK, or overall when it is NULL.  */
+/* Estimate METRIC for TASK, or over all task classes if TASK is NULL.  */
 static rollout_evidence_t
-judge (const rollout_run_t *r, rollout_metric_t metric, const task_t *task)
+estimate (const rollout_run_t *r, rollout_metric_t metric,
+          const task_class_t *task)
 {
   uint64_t step = r->decision.step < ROLLOUT_STEP_COUNT
                       ? r->decision.step
@@ -347,91 +363,97 @@
                            .upper = INFINITY,
                            .margin = metrics[metric].margin,
                            .tolerance = steps[step].tolerance[metric] };
-  strata_t s = { 0 };
+  stratified_sums_t s = { 0 };
 
   if (task != NULL)
     {
-      strata_add_task (r, task, metric, &s);
+      strata_add_task_class (r, task, metric, &s);
       alpha /= (double)r->task_count;
     }
   else
     for (size_t i = 0; i < r->task_count; i++)
-      strata_add_task (r, &r->tasks[i], metric, &s);
-  e.count_new = (uint64_t)s.all_new.count;
-  e.count_old = (uint64_t)s.all_old.count;
+      strata_add_task_class (r, &r->tasks[i], metric, &s);
+  e.count_new = (uint64_t)s.pooled_new.count;
+  e.count_old = (uint64_t)s.pooled_old.count;
   if (s.weight <= 0)
     return e;
-  double variance = (s.per_new * plug_in_variance (&s.all_new, metric)
-                     + s.per_old * plug_in_variance (&s.all_old, metric))
-                    / (s.weight * s.weight);
-  double half = radius (variance, metrics[metric].scale, alpha);
+  double variance
+      = (s.variance_factor_new * estimated_variance (&s.pooled_new, metric)
+         + s.variance_factor_old * estimated_variance (&s.pooled_old, metric))
+        / (s.weight * s.weight);
+  double half_width
+      = confidence_half_width (variance, metrics[metric].scale, alpha);
   e.difference = s.difference / s.weight;
-  e.lower = e.difference - half;
-  e.upper = e.difference + half;
+  e.lower = e.difference - half_width;
+  e.upper = e.difference + half_width;
   return e;
 }
 
 rollout_evidence_t
 rollout_evidence (const rollout_run_t *r, rollout_metric_t metric)
 {
-  return judge (r, metric, NULL);
+  return estimate (r, metric, NULL);
 }
 
 static void
-change_phase (rollout_run_t *r, rollout_phase_t phase)
+set_phase (rollout_run_t *r, rollout_phase_t phase)
 {
   r->decision.phase = phase;
   r->decision.sequence++;
 }
 
 static uint64_t
-ppm (double value)
+to_ppm (double value)
 {
   return value > 0 ? (uint64_t)(value * 1e6) : 0;
 }
 
-/* Halt when METRIC of TASK is worse beyond its margin.  */
+/* Halt if the lower confidence bound of METRIC exceeds its margin for TASK, or
+   over all task classes if TASK is NULL.  */
 static bool
-halt_if_worse (rollout_run_t *r, rollout_metric_t metric, const task_t *task)
+halt_if_harmful (rollout_run_t *r, rollout_metric_t metric,
+                 const task_class_t *task)
 {
-  rollout_evidence_t e = judge (r, metric, task);
+  rollout_evidence_t e = estimate (r, metric, task);
 
-  if (e.count_new < COUNT_MIN || e.lower <= e.margin)
+  if (e.count_new < ANSWERS_MIN || e.lower <= e.margin)
     return false;
   r->decision.metric = metric;
   r->decision.task = task != NULL ? task->hash : 0;
-  r->decision.harm_ppm = ppm (e.difference);
-  r->decision.lower_ppm = ppm (e.lower);
-  change_phase (r, ROLLOUT_PHASE_HALTED);
+  r->decision.harm_ppm = to_ppm (e.difference);
+  r->decision.lower_ppm = to_ppm (e.lower);
+  set_phase (r, ROLLOUT_PHASE_HALTED);
   return true;
 }
 
 static bool
-halt_if_any_worse (rollout_run_t *r)
+halt_if_any_harmful (rollout_run_t *r)
 {
   for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
     {
-      if (halt_if_worse (r, (rollout_metric_t)m, NULL))
+      if (halt_if_harmful (r, (rollout_metric_t)m, NULL))
         return true;
       for (size_t i = 0; i < r->task_count; i++)
-        if (halt_if_worse (r, (rollout_metric_t)m, &r->tasks[i]))
+        if (halt_if_harmful (r, (rollout_metric_t)m, &r->tasks[i]))
           return true;
     }
   return false;
 }
 
-/* Tell whether harm beyond the step's tolerance is excluded.  */
+/* Tell whether harm beyond the step's tolerance is excluded for all
+   metrics.  */
 static bool
-step_is_proved (const rollout_run_t *r)
+is_step_proven (const rollout_run_t *r)
 {
   for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
     {
-      rollout_evidence_t all = judge (r, (rollout_metric_t)m, NULL);
-      if (all.count_new < COUNT_MIN || all.upper >= all.tolerance)
+      rollout_evidence_t all = estimate (r, (rollout_metric_t)m, NULL);
+      if (all.count_new < ANSWERS_MIN || all.upper >= all.tolerance)
         return false;
       for (size_t i = 0; i < r->task_count; i++)
         {
-          rollout_evidence_t e = judge (r, (rollout_metric_t)m, &r->tasks[i]);
+          rollout_evidence_t e
+              = estimate (r, (rollout_metric_t)m, &r->tasks[i]);
           if (e.count_new > 0 && e.difference >= e.tolerance)
             return false;
         }
@@ -448,24 +470,24 @@
   if (phase == ROLLOUT_PHASE_HALTED || phase == ROLLOUT_PHASE_ABORTED
       || phase == ROLLOUT_PHASE_COMPLETE)
     return false;
-  /* A pause stops the steps, not the guard.  */
-  if (halt_if_any_worse (r))
+  /* A pause stops the steps, but harm still halts the roll-out.  */
+  if (halt_if_any_harmful (r))
     return true;
   if (phase == ROLLOUT_PHASE_PAUSED)
     return false;
-  if (step_is_proved (r))
+  if (is_step_proven (r))
     {
       r->decision.step++;
-      r->decision.shown_before = rollout_exposed (r);
-      change_phase (r, r->decision.step == ROLLOUT_STEP_COUNT
-                           ? ROLLOUT_PHASE_COMPLETE
-                           : ROLLOUT_PHASE_RUNNING);
+      r->decision.exposure_base = rollout_exposed (r);
+      set_phase (r, r->decision.step == ROLLOUT_STEP_COUNT
+                        ? ROLLOUT_PHASE_COMPLETE
+                        : ROLLOUT_PHASE_RUNNING);
       return true;
     }
   if (phase == ROLLOUT_PHASE_RUNNING
       && rollout_exposed (r) >= rollout_exposure_bound (r))
     {
-      change_phase (r, ROLLOUT_PHASE_STARVED);
+      set_phase (r, ROLLOUT_PHASE_STARVED);
       return true;
     }
   return false;
@@ -477,7 +499,7 @@
   if (r->decision.phase != ROLLOUT_PHASE_RUNNING
       && r->decision.phase != ROLLOUT_PHASE_STARVED)
     return false;
-  change_phase (r, ROLLOUT_PHASE_PAUSED);
+  set_phase (r, ROLLOUT_PHASE_PAUSED);
   return true;
 }
 
@@ -488,8 +510,8 @@
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return false;
   if (rollout_exposed (r) >= rollout_exposure_bound (r))
-    r->decision.shown_before = rollout_exposed (r);
-  change_phase (r, ROLLOUT_PHASE_RUNNING);
+    r->decision.exposure_base = rollout_exposed (r);
+  set_phase (r, ROLLOUT_PHASE_RUNNING);
   return true;
 }
 
@@ -499,7 +521,7 @@
   if (r->decision.phase == ROLLOUT_PHASE_ABORTED
       || r->decision.phase == ROLLOUT_PHASE_HALTED)
     return false;
-  change_phase (r, ROLLOUT_PHASE_ABORTED);
+  set_phase (r, ROLLOUT_PHASE_ABORTED);
   return true;
 }
 
@@ -531,12 +553,12 @@
 }
 
 static const char *
-task_name (const rollout_run_t *r, uint64_t hash)
+task_class_name (const rollout_run_t *r, uint64_t hash)
 {
   for (size_t i = 0; i < r->task_count; i++)
     if (r->tasks[i].hash == hash)
       return r->tasks[i].name;
-  return "one task class";
+  return "an unnamed task class";
 }
 
 void
@@ -555,11 +577,11 @@
               metrics[d->metric].name, (double)d->harm_ppm / 1e6,
               (double)d->lower_ppm / 1e6);
   if (d->task != 0)
-    buf_printf (out, ", for %s", task_name (r, d->task));
+    buf_printf (out, ", for %s", task_class_name (r, d->task));
 }
 
 static void
-put_part (const evidence_t *e, bool own_only, buf_t *out)
+append_length_prefixed (const evidence_t *e, bool own_only, buf_t *out)
 {
   buf_t part = BUF_NULL;
 
@@ -573,12 +595,13 @@
 rollout_write (const rollout_run_t *r, bool own_only, buf_t *out)
 {
   const decision_t *d = &r->decision;
-  const uint64_t words[]
-      = { FORMAT,          r->salt,   d->sequence, d->phase,    d->step,
-          d->shown_before, d->metric, d->task,     d->harm_ppm, d->lower_ppm };
+  const uint64_t values[] = { FORMAT,      r->salt, d->sequence,
+                              d->phase,    d->step, d->exposure_base,
+                              d->metric,   d->task, d->harm_ppm,
+                              d->lower_ppm };
 
-  for (size_t i = 0; i < sizeof words / sizeof words[0]; i++)
-    evidence_put (out, words[i]);
+  for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
+    evidence_put (out, values[i]);
   evidence_put (out, r->task_count);
   for (size_t i = 0; i < r->task_count; i++)
     {
@@ -586,29 +609,30 @@
       evidence_put (out, name.len);
       buf_append_str (out, name);
     }
-  put_part (r->shown, own_only, out);
-  put_part (r->evidence, own_only, out);
+  append_length_prefixed (r->exposure, own_only, out);
+  append_length_prefixed (r->evidence, own_only, out);
 }
 
 static bool
-take_decision (str_t *rest, decision_t *d)
+read_decision (str_t *rest, decision_t *d)
 {
-  uint64_t *const words[]
-      = { &d->sequence, &d->phase, &d->step,     &d->shown_before,
+  uint64_t *const values[]
+      = { &d->sequence, &d->phase, &d->step,     &d->exposure_base,
           &d->metric,   &d->task,  &d->harm_ppm, &d->lower_ppm };
 
-  for (size_t i = 0; i < sizeof words / sizeof words[0]; i++)
-    if (!evidence_take (rest, words[i]))
+  for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
+    if (!evidence_take (rest, values[i]))
       return false;
   return d->phase <= ROLLOUT_PHASE_COMPLETE && d->metric < ROLLOUT_METRIC_COUNT
          && d->step
                 <= ROLLOUT_STEP_COUNT - (d->phase != ROLLOUT_PHASE_COMPLETE);
 }
 
-/* How much a phase withholds: of two decisions at the same place in the
-   sequence the one that shows less to callers holds.  */
+/* Return the rank of a phase: of two decisions with the same sequence number,
+   the one that sends fewer requests to the new version has the higher
+   rank.  */
 static int
-caution (uint64_t phase)
+caution_rank (uint64_t phase)
 {
   static const int ranks[] = { 1, 3, 2, 5, 4, 0 };
 
@@ -616,15 +640,16 @@
 }
 
 static bool
-decision_wins (const decision_t *a, const decision_t *b)
+supersedes (const decision_t *a, const decision_t *b)
 {
   if (a->sequence != b->sequence)
     return a->sequence > b->sequence;
   if (a->phase != b->phase)
-    return caution (a->phase) > caution (b->phase);
+    return caution_rank (a->phase) > caution_rank (b->phase);
   if (a->step != b->step)
     return a->step < b->step;
-  /* Nothing that callers see differs; any fixed order will do.  */
+  /* The two decisions differ in nothing that changes routing; any fixed order
+     gives all processes the same one.  */
   return memcmp (a, b, sizeof *a) > 0;
 }
 
@@ -633,11 +658,11 @@
 {
   decision_t decision = { 0 };
   uint64_t format, salt, task_count;
-  str_t name, shown, evidence;
+  str_t name, exposure, evidence;
 
   if (!evidence_take (&bytes, &format) || format != FORMAT
       || !evidence_take (&bytes, &salt) || salt != r->salt
-      || !take_decision (&bytes, &decision)
+      || !read_decision (&bytes, &decision)
       || !evidence_take (&bytes, &task_count)
       || task_count > ROLLOUT_TASKS_MAX + 1)
     return VH_E_PROTOCOL;
@@ -645,18 +670,18 @@
   for (uint64_t i = 0; i < task_count; i++)
     if (!evidence_take_str (&bytes, &name) || name.len > TASK_NAME_MAX)
       return VH_E_PROTOCOL;
-  if (!evidence_take_str (&bytes, &shown)
+  if (!evidence_take_str (&bytes, &exposure)
       || !evidence_take_str (&bytes, &evidence) || bytes.len != 0)
     return VH_E_PROTOCOL;
   if (!evidence_valid (r->evidence, evidence)
-      || !evidence_valid (r->shown, shown))
+      || !evidence_valid (r->exposure, exposure))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < task_count && evidence_take_str (&names, &name);
        i++)
-    task_get (r, name);
+    task_class_get (r, name);
   evidence_merge (r->evidence, evidence, now_ms);
-  evidence_merge (r->shown, shown, now_ms);
-  if (decision_wins (&decision, &r->decision))
+  evidence_merge (r->exposure, exposure, now_ms);
+  if (supersedes (&decision, &r->decision))
     r->decision = decision;
   return VH_OK;
 }
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -1,36 +1,38 @@
-/* Roll-out of a version by evidence.
-
-   Answers: a new version is worse: clearly, slightly, for one task class
-   alone, only slower, or only erring.  Without it a roll-out of fixed steps
-   shows a bad version to a tenth of the traffic before anyone looks, and to
-   all of it when the difference is smaller than what a glance at a mean shows.
-
-   The test is sequential, so that it may be looked at after every answer: a
-   mixture sequential probability ratio test on the difference of means (a
-   normal mixture over effects of ROLLOUT_METRICS' scale, H. Robbins 1970;
-   its two-sample always-valid form R. Johari et al. 2017), inverted to
-   confidence sequences that hold at all moments together.  Differences are
-   taken inside strata (epoch, step, task class) and weighted n*m/(n+m): inside
-   one the proportion of the two versions is constant, so that a rating
-   service that is wrong for a while, or a change of the traffic, touches both
-   sides alike.
-
-   ROLLOUT_ALPHA, the chance of halting a version that is within the margin,
-   is split over the metrics, half of it to the overall test and half to the
-   tests of the task classes seen.
-
-   A step is left when, for each metric, the confidence sequence excludes
-   harm beyond the step's tolerance (and no task class's plain estimate lies
-   beyond it).  So with probability 1 - ROLLOUT_ALPHA a
-   version worse than a step's tolerance in any metric never leaves that
-   step, and at most the step's cap, summed up to it, are shown to it: at
-   that number its share drops to nothing and the roll-out waits for ratings
-   that are on their way, or for the operator.  Entries apply the cap to the
-   evidence they have: it may be overrun by what arrives while the state
-   travels (share x rate x gossip delay).
-
-   Any process resumes from the state: evidence is sums (evidence.h), and the
-   decision is a function of them.  */
+/* Roll-out of a version in steps that depend on measured results.
+
+   Load pattern: a new version is worse than the old one: clearly, slightly,
+   for one task class only, in latency only or in errors only.  Without this
+   module a roll-out with fixed steps sends a tenth of the traffic to a bad
+   version before anyone notices, and all of it when the difference is too
+   small to be seen in a mean.
+
+   The test is sequential, so that it may be evaluated after every answer: a
+   mixture sequential probability ratio test on the difference of means, with a
+   normal mixture over effects of the scale in ROLLOUT_METRICS (H. Robbins
+   1970; always-valid form for two samples: R. Johari et al. 2017).  Inverted,
+   it gives confidence sequences that hold at all times together.  Differences
+   are taken inside strata (epoch, step, task class) and weighted by
+   n*m/(n+m), with the answer counts n and m of the two versions.  Inside a
+   stratum the ratio of the two versions' traffic is constant, so that a rating
+   service that is wrong for a while, or a change of the traffic, affects both
+   versions equally.
+
+   ROLLOUT_ALPHA, the probability of halting a version that is within the
+   margin, is split over the metrics.  Half of a metric's part goes to the test
+   over all task classes, half to the tests of the single task classes.
+
+   A step advances when, for each metric, the confidence sequence excludes harm
+   beyond the step's tolerance, and no task class's plain estimate exceeds it.
+   A version that is worse than a step's tolerance in any metric therefore
+   never passes that step with probability 1 - ROLLOUT_ALPHA, and gets at most
+   as many requests as the caps of the steps up to it add up to.  At the cap
+   the version's share falls to 0, and the roll-out waits for ratings that are
+   still to arrive, or for the operator.  Each process applies the cap to the
+   state that it has, so the cap may be exceeded by the requests that others
+   send while the state travels (share x request rate x gossip delay).
+
+   Any process can resume a roll-out from its state: the measurements are sums
+   (see evidence.h), and the decision is a function of them.  */
 
 #ifndef POLICY_ROLLOUT_H
 #define POLICY_ROLLOUT_H
@@ -38,17 +40,18 @@
 #include "base/code.h"
 #include "base/str.h"
 
-/* One run of one roll-out.  */
+/* State of one run of one roll-out.  */
 typedef struct rollout_run rollout_run_t;
 
-/* Chance that a version as good as the old one is halted; the users' bound
-   is 1 in 20, and the plug-in variance takes some of it.  */
+/* Probability that a version as good as the old one is halted.  The users'
+   bound is 1 in 20; the rest is reserve for estimating the variance from the
+   answers (plug-in variance).  */
 #define ROLLOUT_ALPHA 0.02
 
-/* X (symbol, name, margin, scale).  A difference within MARGIN is not
-   harm; SCALE is the effect the mixture is tuned to.  Ratings 0 to 1, errors
-   a share, latency a difference of natural logarithms: 10% slower is within
-   the margin.  */
+/* X (symbol, name, margin, scale).  A difference up to MARGIN does not count
+   as harm; SCALE is the effect size to which the mixture is tuned.  Ratings
+   are 0 to 1, errors a share of the answers, latency a difference of natural
+   logarithms, so that 10% slower is within the margin.  */
 #define ROLLOUT_METRICS(X)                                                    \
   X (ROLLOUT_RATING, "rating", 0.01, 0.1)                                     \
   X (ROLLOUT_ERROR, "error", 0.005, 0.1)                                      \
@@ -64,9 +67,10 @@
 
 /* X (symbol, share, cap, tolerance of rating, error, log latency).  The first
    step tells a broken version from a working one at 1% of the traffic; each
-   next one asks for about the ratings that the one before brings in minutes.
-   CAP is the most requests shown in the step, several times what a good
-   version with a rating spread of 0.15 needs there.  */
+   later step needs about as many ratings as its share brings in minutes.  CAP
+   is the largest number of requests sent to the new version in the step,
+   several times what a good version with a standard deviation of ratings of
+   0.15 needs there.  */
 #define ROLLOUT_STEPS(X)                                                      \
   X (ROLLOUT_STEP_1, 0.01, 400, 0.15, 0.15, 0.5)                              \
   X (ROLLOUT_STEP_2, 0.05, 1000, 0.08, 0.08, 0.4)                             \
@@ -82,18 +86,20 @@
       ROLLOUT_STEP_COUNT,
   ROLLOUT_TASKS_MAX = 16,
   ROLLOUT_EPOCH_MS = 60 * 60 * 1000,
-  ROLLOUT_EPOCHS = 48, /* Two days of strata; older ones are forgotten.  */
+  ROLLOUT_EPOCHS = 48, /* Strata of two days are kept; older ones are
+                          dropped.  */
   ROLLOUT_CELLS_MAX = 16384
 };
 
 typedef enum
 {
   ROLLOUT_PHASE_RUNNING,
-  ROLLOUT_PHASE_STARVED, /* At the step's cap: share 0 until evidence or order.
-                          */
-  ROLLOUT_PHASE_PAUSED,  /* By the operator: the share stays as it is.  */
-  ROLLOUT_PHASE_HALTED,  /* By evidence: taken back.  */
-  ROLLOUT_PHASE_ABORTED, /* By the operator: taken back.  */
+  ROLLOUT_PHASE_STARVED, /* At the step's cap: share 0 until more measurements
+                            arrive or the operator resumes.  */
+  ROLLOUT_PHASE_PAUSED,  /* Paused by the operator; the share stays as it
+                            is.  */
+  ROLLOUT_PHASE_HALTED,  /* Halted by the measurements; share 0.  */
+  ROLLOUT_PHASE_ABORTED, /* Aborted by the operator; share 0.  */
   ROLLOUT_PHASE_COMPLETE
 } rollout_phase_t;
 
@@ -103,60 +109,64 @@
   ROLLOUT_NEW
 } rollout_arm_t;
 
-/* What is known of one answer; the parts may come in separate calls.  */
+/* Result of one answer.  Completion and rating may be reported in separate
+   calls.  */
 typedef struct
 {
-  bool finished; /* An attempt ended: counts, with FAILED and LATENCY_MS.  */
+  bool finished; /* Whether an attempt ended; only then FAILED and LATENCY_MS
+                    count.  */
   bool failed;
-  double latency_ms; /* 0: not known.  */
+  double latency_ms; /* 0 if unknown.  */
   bool rated;
   double rating;
 } rollout_sample_t;
 
-/* One line of evidence for the operators.  */
+/* Estimate of one metric for the operators.  */
 typedef struct
 {
-  double difference; /* New minus old; harm is positive.  */
-  double lower;      /* Always-valid bounds.  */
+  double difference; /* New minus old version; positive values are harm.  */
+  double lower;      /* Always-valid confidence bounds.  */
   double upper;
   double margin;
-  double tolerance; /* Of the step.  */
+  double tolerance; /* Tolerance of the current step.  */
   uint64_t count_new;
   uint64_t count_old;
 } rollout_evidence_t;
 
-/* Make the state of a roll-out of NEW_VERSION that starts at START_MS (real
-   time); WRITER as in evidence.h.  All processes make it with the same
+/* Create the state of a roll-out of NEW_VERSION that starts at START_MS (real
+   time); WRITER is that of evidence.h.  All processes must pass the same
    version and start.  */
 rollout_run_t *rollout_create (uint64_t writer, str_t new_version,
                                uint64_t start_ms);
 /* NULL is accepted.  */
 void rollout_destroy (rollout_run_t *rollout);
 
-/* Share of the requests that the new version gets now.  */
+/* Return the new version's current share of the requests.  */
 double rollout_share (const rollout_run_t *rollout);
-/* Tell whether the session or request with hash KEY goes to the new version:
-   the same everywhere for the same share, and a greater share only adds
-   keys.  */
+/* Tell whether the session or request with hash KEY goes to the new version.
+   All processes agree if they have the same share, and a larger share only
+   adds keys.  */
 bool rollout_assign (const rollout_run_t *rollout, uint64_t key);
-/* Share of the answers of ARM to send to the rating service at this step.
-   All of the new version's until the step has its ratings, and as many of
-   the old one's.  */
+/* Return the share of ARM's answers to send to the rating service: all
+   answers, but for each version at most a tenth of the service's.  0 unless
+   the roll-out runs or is paused.  */
 double rollout_rate_share (const rollout_run_t *rollout, rollout_arm_t arm);
 
-/* Count a request as shown to ARM, when it is dispatched.  */
+/* Count a request that is dispatched to ARM.  */
 void rollout_shown (rollout_run_t *rollout, rollout_arm_t arm,
                     uint64_t now_ms);
 void rollout_observe (rollout_run_t *rollout, rollout_arm_t arm, str_t task,
                       const rollout_sample_t *sample, uint64_t now_ms);
 
-/* Decide on the evidence: advance, starve, halt or complete.  Only the lease
-   holder calls it, as often as it likes (such as once a second), and writes
-   the state when it returns true: something changed.  */
+/* Advance, starve, halt or complete the roll-out, depending on the
+   measurements.  Only the lease holder may call this, as often as it likes
+   (such as once a second); it must write the state when this returns true, for
+   a change.  */
 bool rollout_step (rollout_run_t *rollout, uint64_t now_ms);
 
-/* Operators' orders; each returns false when it does not apply.  Resuming a
-   roll-out at its step's cap, starved or paused, grants the cap once more.  */
+/* Orders of the operator; each returns false if it does not apply to the
+   current phase.  Resuming a roll-out that reached its step's cap grants the
+   cap once more.  */
 bool rollout_pause (rollout_run_t *rollout);
 bool rollout_resume (rollout_run_t *rollout);
 bool rollout_abort (rollout_run_t *rollout);
@@ -164,27 +174,30 @@
 rollout_phase_t rollout_phase (const rollout_run_t *rollout);
 const char *rollout_phase_name (rollout_phase_t phase);
 const char *rollout_metric_name (rollout_metric_t metric);
-/* From 0; ROLLOUT_STEP_COUNT when complete.  */
+/* Return the index of the step, from 0; ROLLOUT_STEP_COUNT when complete.  */
 uint32_t rollout_step_index (const rollout_run_t *rollout);
-/* Requests shown to the new version.  */
+/* Return the number of requests sent to the new version.  */
 uint64_t rollout_exposed (const rollout_run_t *rollout);
-/* The bound on requests shown before leaving the present step.  */
+/* Return the number of requests at which the new version's share falls to 0 in
+   the current step.  */
 uint64_t rollout_exposure_bound (const rollout_run_t *rollout);
-/* What is known of METRIC overall.  */
+/* Return the estimate of METRIC over all task classes.  */
 rollout_evidence_t rollout_evidence (const rollout_run_t *rollout,
                                      rollout_metric_t metric);
-/* One line, such as "halted at step 1 (1%): rating 0.12 worse (at least
-   0.03) for draft".  */
+/* Append one line, such as "halted at step 1 of 5 (1%), shown 90: rating worse
+   by 0.12, at least 0.03, for draft".  */
 void rollout_explain (const rollout_run_t *rollout, buf_t *out);
 
-/* Append the state: the decision and the evidence, all of it or only the
-   decision and the news (see evidence.h).  */
+/* Append the state: the decision and the measurements, or with OWN_ONLY only
+   the decision and the recent measurements of this process (see
+   evidence.h).  */
 void rollout_write (const rollout_run_t *rollout, bool own_only, buf_t *out);
-/* Merge what rollout_write made.  Of two decisions the one taken later in
-   the sequence holds, and of two taken at the same place the more careful
-   one.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
+/* Merge what rollout_write wrote.  Of two decisions, the one with the larger
+   sequence number is kept; of two with the same number, the one that sends
+   fewer requests to the new version.  Return VH_OK, or VH_E_PROTOCOL with
+   nothing merged.  */
 vh_code_t rollout_merge (rollout_run_t *rollout, str_t bytes, uint64_t now_ms);
-/* Fold epochs older than the last two (see evidence.h).  */
+/* Compact all epochs except the last two (see evidence.h).  */
 void rollout_settle (rollout_run_t *rollout, uint64_t generation,
                      uint64_t now_ms);
 
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -1,4 +1,5 @@
-/* Tests of the roll-out by evidence.  */
+/* Tests of roll-outs that depend on measured results, with simulated
+   traffic.  */
 
 #include "base/rng.h"
 #include "policy/rollout.h"
@@ -9,17 +10,18 @@
 
 #define START_MS ((uint64_t)1700000000000)
 
-/* How the new version differs from the old one, and for which task class
-   (-1: all).  */
+/* Difference of the new version from the old one, for one task class or for
+   all.  */
 typedef struct
 {
   const char *name;
   double rating;
   double error;
-  double latency; /* Factor.  */
-  int task;
-  uint64_t shown_most; /* Requests it may be shown on average.  */
-} fault_t;
+  double latency;       /* Factor on the latency.  */
+  int task;             /* Index of the affected task class; -1 for all.  */
+  uint64_t exposed_max; /* Largest number of requests that the version may get,
+                           on average.  */
+} regression_t;
 
 enum
 {
@@ -34,19 +36,19 @@
 {
   rng_t rng;
   rollout_run_t *run;
-  fault_t fault;
+  regression_t regression;
   uint64_t now_ms;
   uint64_t requests;
-  /* From this request to that one the rating service answers 0.  */
-  uint64_t wrong_from;
-  uint64_t wrong_to;
-  bool no_ratings;
-  /* The task classes' shares swing with the time of day.  */
-  bool swinging;
-} world_t;
+  /* First request of the range for which the rating service returns 0.  */
+  uint64_t zero_rating_from;
+  uint64_t zero_rating_until; /* First request after the range.  */
+  bool is_rating_down;
+  /* Whether the mix of task classes changes with the time of day.  */
+  bool has_changing_mix;
+} simulation_t;
 
 static double
-normal (rng_t *rng)
+draw_normal (rng_t *rng)
 {
   double u = 1 - rng_double (rng);
 
@@ -54,43 +56,44 @@
 }
 
 static int
-draw_task (world_t *w)
+draw_task (simulation_t *w)
 {
   double u = rng_double (&w->rng);
 
-  if (w->swinging && (w->requests / 20000) % 2 == 1)
+  if (w->has_changing_mix && (w->requests / 20000) % 2 == 1)
     u = 1 - u;
   return u < 0.5 ? 0 : u < 0.8 ? 1 : 2;
 }
 
 static rollout_sample_t
-draw_sample (world_t *w, rollout_arm_t arm, int task)
+draw_sample (simulation_t *w, rollout_arm_t arm, int task)
 {
   static const double means[TASKS] = { 0.9, 0.8, 0.6 };
-  bool hit
-      = arm == ROLLOUT_NEW && (w->fault.task < 0 || w->fault.task == task);
-  double error = 0.005 + (hit ? w->fault.error : 0);
-  double rating = means[task] + 0.15 * normal (&w->rng);
+  bool is_affected = arm == ROLLOUT_NEW
+                     && (w->regression.task < 0 || w->regression.task == task);
+  double error = 0.005 + (is_affected ? w->regression.error : 0);
+  double rating = means[task] + 0.15 * draw_normal (&w->rng);
   rollout_sample_t s = { .finished = true };
 
   s.failed = rng_double (&w->rng) < error;
-  s.latency_ms = 800 * exp (0.4 * normal (&w->rng));
-  if (hit)
-    s.latency_ms *= w->fault.latency;
-  s.rated = !s.failed && !w->no_ratings
+  s.latency_ms = 800 * exp (0.4 * draw_normal (&w->rng));
+  if (is_affected)
+    s.latency_ms *= w->regression.latency;
+  s.rated = !s.failed && !w->is_rating_down
             && rng_double (&w->rng) < rollout_rate_share (w->run, arm);
-  s.rating = rating - (hit ? w->fault.rating : 0);
-  if (w->requests >= w->wrong_from && w->requests < w->wrong_to)
+  s.rating = rating - (is_affected ? w->regression.rating : 0);
+  if (w->requests >= w->zero_rating_from && w->requests < w->zero_rating_until)
     s.rating = 0;
   return s;
 }
 
-/* Send one request; ten a second, a look at the evidence every second.  */
+/* Simulate one request, at ten requests a second, and let the roll-out decide
+   once a second.  */
 static void
-world_request (world_t *w)
+simulate_request (simulation_t *w)
 {
-  bool fresh = rollout_assign (w->run, rng_u64 (&w->rng));
-  rollout_arm_t arm = fresh ? ROLLOUT_NEW : ROLLOUT_OLD;
+  bool is_new = rollout_assign (w->run, rng_u64 (&w->rng));
+  rollout_arm_t arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
   int task = draw_task (w);
 
   rollout_shown (w->run, arm, w->now_ms);
@@ -103,7 +106,7 @@
 }
 
 static bool
-world_ended (const world_t *w)
+has_ended (const simulation_t *w)
 {
   rollout_phase_t phase = rollout_phase (w->run);
 
@@ -111,20 +114,20 @@
          || phase == ROLLOUT_PHASE_COMPLETE;
 }
 
-static world_t
-world_make (uint64_t seed, const fault_t *fault)
+static simulation_t
+simulation_create (uint64_t seed, const regression_t *regression)
 {
-  world_t w = { .rng = rng_make (seed * 7919 + 1),
-                .fault = *fault,
-                .now_ms = START_MS };
+  simulation_t w = { .rng = rng_make (seed * 7919 + 1),
+                     .regression = *regression,
+                     .now_ms = START_MS };
 
   w.run = rollout_create (seed + 1, STR ("small@2"), START_MS);
   return w;
 }
 
-static const fault_t no_fault = { "none", 0, 0, 1, -1, 0 };
+static const regression_t no_regression = { "none", 0, 0, 1, -1, 0 };
 
-static const fault_t faults[] = {
+static const regression_t regressions[] = {
   { "clearly worse", 0.3, 0, 1, -1, 20 },
   { "slightly worse", 0.05, 0, 1, -1, 700 },
   { "one task class worse", 0.25, 0, 1, 2, 120 },
@@ -133,44 +136,45 @@
   { "always erring", 0, 1, 1, -1, 20 },
 };
 
-/* An operator starts the roll-out of a version that is worse in one way.
-   It must halt by itself, each time, before many callers have seen it.  */
-START_TEST (bad_version_is_halted)
+/* The operator starts the roll-out of a version that is worse in one way.  It
+   would go on, or stop only after many callers got the version.  */
+START_TEST (bad_version_is_not_halted)
 {
-  const fault_t *fault = &faults[_i];
-  uint64_t shown = 0;
+  const regression_t *regression = &regressions[_i];
+  uint64_t exposed = 0;
 
   for (uint64_t seed = 0; seed < SEEDS / 4; seed++)
     {
-      world_t w = world_make (seed, fault);
-      while (!world_ended (&w))
-        world_request (&w);
+      simulation_t w = simulation_create (seed, regression);
+      while (!has_ended (&w))
+        simulate_request (&w);
       ck_assert_msg (rollout_phase (w.run) == ROLLOUT_PHASE_HALTED,
-                     "%s, seed %d: %s", fault->name, (int)seed,
+                     "%s, seed %d: %s", regression->name, (int)seed,
                      rollout_phase_name (rollout_phase (w.run)));
       ck_assert_double_eq (rollout_share (w.run), 0);
-      shown += rollout_exposed (w.run);
+      exposed += rollout_exposed (w.run);
       rollout_destroy (w.run);
     }
-  ck_assert_msg (shown / (SEEDS / 4) <= fault->shown_most,
-                 "%s: shown %d on average", fault->name,
-                 (int)(shown / (SEEDS / 4)));
+  ck_assert_msg (exposed / (SEEDS / 4) <= regression->exposed_max,
+                 "%s: %d requests on average", regression->name,
+                 (int)(exposed / (SEEDS / 4)));
 }
 END_TEST
 
-/* Run SEEDS roll-outs; return how many halted, in percent.  */
+/* Run roll-outs with the seeds below SEEDS.  Return how many halted, in
+   percent, and in *COMPLETE how many completed.  */
 static double
-percent_halted (world_t (*make) (uint64_t seed), uint64_t seeds,
-                double *complete)
+percent_of_runs_halted (simulation_t (*create) (uint64_t seed), uint64_t seeds,
+                        double *complete)
 {
   double halted = 0;
 
   *complete = 0;
   for (uint64_t seed = 0; seed < seeds; seed++)
     {
-      world_t w = make (seed);
-      while (!world_ended (&w))
-        world_request (&w);
+      simulation_t w = create (seed);
+      while (!has_ended (&w))
+        simulate_request (&w);
       halted += rollout_phase (w.run) == ROLLOUT_PHASE_HALTED;
       *complete += rollout_phase (w.run) == ROLLOUT_PHASE_COMPLETE;
       rollout_destroy (w.run);
@@ -179,101 +183,104 @@
   return halted * 100 / (double)seeds;
 }
 
-static world_t
-make_good (uint64_t seed)
+static simulation_t
+create_good (uint64_t seed)
 {
-  return world_make (seed, &no_fault);
+  return simulation_create (seed, &no_regression);
 }
 
-static world_t
-make_wrong_rater (uint64_t seed)
+static simulation_t
+create_with_zero_ratings (uint64_t seed)
 {
-  world_t w = world_make (seed, &no_fault);
+  simulation_t w = simulation_create (seed, &no_regression);
 
-  w.wrong_from = 2000 + 500 * (seed % 7);
-  w.wrong_to = w.wrong_from + 12000;
+  w.zero_rating_from = 2000 + 500 * (seed % 7);
+  w.zero_rating_until = w.zero_rating_from + 12000;
   return w;
 }
 
-static world_t
-make_swinging (uint64_t seed)
+static simulation_t
+create_with_changing_mix (uint64_t seed)
 {
-  world_t w = world_make (seed, &no_fault);
+  simulation_t w = simulation_create (seed, &no_regression);
 
-  w.swinging = true;
+  w.has_changing_mix = true;
   return w;
 }
 
-/* A version as good as the old one.  At most one roll-out in twenty may halt,
-   and the others must go through.  */
-START_TEST (good_version_completes)
+/* A version is as good as the old one.  By chance at most one roll-out in
+   twenty may halt, and the others must complete.  */
+START_TEST (good_version_does_not_complete)
 {
   double complete;
-  double halted = percent_halted (make_good, SEEDS, &complete);
+  double halted = percent_of_runs_halted (create_good, SEEDS, &complete);
 
   ck_assert_double_lt (halted, 5);
   ck_assert_double_ge (complete, 95);
 }
 END_TEST
 
-/* For twenty minutes in the middle of a roll-out of a good version the rating
-   service answers 0 to everything.  Both versions look bad alike, so the
-   roll-out must not halt for it.  */
-START_TEST (wrong_rater_halts_no_good_version)
+/* For twenty minutes in the middle of a good version's roll-out the rating
+   service returns 0 for all answers.  Both versions have the same low ratings,
+   which must not count against the new one.  */
+START_TEST (zero_ratings_halt_a_good_version)
 {
   double complete;
 
-  ck_assert_double_lt (percent_halted (make_wrong_rater, SEEDS, &complete), 5);
+  ck_assert_double_lt (
+      percent_of_runs_halted (create_with_zero_ratings, SEEDS, &complete), 5);
 }
 END_TEST
 
-/* The mix of task classes turns over while the share rises, so the new
-   version's answers are harder ones.  Compared without strata it would look
-   worse.  */
-START_TEST (change_of_traffic_halts_no_good_version)
+/* The mix of task classes changes while the share rises, so that the new
+   version gets more difficult tasks.  Compared without strata, its ratings
+   would be lower.  */
+START_TEST (change_of_task_mix_halts_a_good_version)
 {
   double complete;
 
-  ck_assert_double_lt (percent_halted (make_swinging, SEEDS / 2, &complete),
-                       5);
+  ck_assert_double_lt (
+      percent_of_runs_halted (create_with_changing_mix, SEEDS / 2, &complete),
+      5);
 }
 END_TEST
 
-/* The rating service is down from the start.  Nobody knows whether the new
-   version is good; it may be shown to the step's cap and no further, until
-   the operator resumes, who grants the cap once more.  */
-START_TEST (without_ratings_the_cap_holds)
+/* The rating service is down from the start, so that worse answers cannot be
+   detected.  Without a cap on the requests of a step the version would get its
+   share for good; a resume by the operator grants the cap once more.  */
+START_TEST (cap_is_exceeded_without_ratings)
 {
-  world_t w = world_make (4, &no_fault);
+  simulation_t w = simulation_create (4, &no_regression);
   uint64_t cap = rollout_exposure_bound (w.run);
 
-  w.no_ratings = true;
+  w.is_rating_down = true;
   while (w.requests < REQUESTS_MAX)
-    world_request (&w);
+    simulate_request (&w);
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
   ck_assert_uint_eq (rollout_exposed (w.run), cap);
   ck_assert (!rollout_assign (w.run, 12345));
   ck_assert (rollout_resume (w.run));
   ck_assert_uint_eq (rollout_exposure_bound (w.run), 2 * cap);
   for (int i = 0; i < REQUESTS_MAX; i++)
-    world_request (&w);
+    simulate_request (&w);
   ck_assert_uint_eq (rollout_exposed (w.run), 2 * cap);
-  /* A pause in between takes nothing of what a resume grants.  */
+  /* A pause before the resume must not reduce the cap that the resume
+     grants.  */
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
   ck_assert (rollout_pause (w.run));
-  w.no_ratings = false;
+  w.is_rating_down = false;
   ck_assert (rollout_resume (w.run));
   ck_assert_uint_eq (rollout_exposure_bound (w.run), 3 * cap);
   for (int i = 0; i < REQUESTS_MAX && rollout_step_index (w.run) == 0; i++)
-    world_request (&w);
+    simulate_request (&w);
   ck_assert_uint_ge (rollout_step_index (w.run), 1);
   rollout_destroy (w.run);
 }
 END_TEST
 
-/* The lease holder is gone, so nobody steps.  Each entry still stops at the
-   cap by itself.  */
-START_TEST (cap_holds_without_a_lease_holder)
+/* The lease holder is gone, so that no process takes decisions.  Without a cap
+   in each process the version would get its share for good.  */
+START_TEST (cap_is_exceeded_without_a_lease_holder)
 {
   rollout_run_t *run = rollout_create (1, STR ("small@2"), START_MS);
   rng_t rng = rng_make (3);
@@ -286,10 +293,10 @@
 }
 END_TEST
 
-/* Replace the process that runs the roll-out by a new one that knows only the
-   state that was written.  */
+/* Replace the process that runs the roll-out by a new one that has only the
+   written state.  */
 static void
-hand_over (world_t *w, uint64_t writer)
+replace_process (simulation_t *w, uint64_t writer)
 {
   rollout_run_t *next = rollout_create (writer, STR ("small@2"), START_MS);
   buf_t state = BUF_NULL;
@@ -302,44 +309,45 @@
   w->run = next;
 }
 
-/* The entry that holds the lease is replaced again and again, also right at
-   each step.  The roll-out must take the same decisions at the same requests
-   as one that is never interrupted.  */
-START_TEST (resumes_halfway_at_every_step)
+/* The process that holds the lease is replaced several times, also right after
+   each step.  If the state did not hold all that decisions depend on, the
+   roll-out would go on differently from one that is not interrupted.  */
+START_TEST (replaced_lease_holder_decides_differently)
 {
-  for (size_t f = 0; f <= sizeof faults / sizeof faults[0]; f++)
+  for (size_t f = 0; f <= sizeof regressions / sizeof regressions[0]; f++)
     {
-      const fault_t *fault = f == 0 ? &no_fault : &faults[f - 1];
-      world_t whole = world_make (9, fault);
-      world_t broken = world_make (9, fault);
+      const regression_t *regression
+          = f == 0 ? &no_regression : &regressions[f - 1];
+      simulation_t uninterrupted = simulation_create (9, regression);
+      simulation_t interrupted = simulation_create (9, regression);
       uint64_t writer = 100;
-      uint32_t handed_at = UINT32_MAX;
-      while (!world_ended (&whole))
+      uint32_t replaced_at_step = UINT32_MAX;
+      while (!has_ended (&uninterrupted))
         {
-          world_request (&whole);
-          world_request (&broken);
-          ck_assert_int_eq (rollout_phase (whole.run),
-                            rollout_phase (broken.run));
-          ck_assert_uint_eq (rollout_step_index (whole.run),
-                             rollout_step_index (broken.run));
-          ck_assert_uint_eq (rollout_exposed (whole.run),
-                             rollout_exposed (broken.run));
-          if (rollout_step_index (broken.run) != handed_at
-              || broken.requests % 4999 == 0)
+          simulate_request (&uninterrupted);
+          simulate_request (&interrupted);
+          ck_assert_int_eq (rollout_phase (uninterrupted.run),
+                            rollout_phase (interrupted.run));
+          ck_assert_uint_eq (rollout_step_index (uninterrupted.run),
+                             rollout_step_index (interrupted.run));
+          ck_assert_uint_eq (rollout_exposed (uninterrupted.run),
+                             rollout_exposed (interrupted.run));
+          if (rollout_step_index (interrupted.run) != replaced_at_step
+              || interrupted.requests % 4999 == 0)
             {
-              handed_at = rollout_step_index (broken.run);
-              hand_over (&broken, writer++);
+              replaced_at_step = rollout_step_index (interrupted.run);
+              replace_process (&interrupted, writer++);
             }
         }
-      ck_assert (world_ended (&broken));
-      rollout_destroy (whole.run);
-      rollout_destroy (broken.run);
+      ck_assert (has_ended (&interrupted));
+      rollout_destroy (uninterrupted.run);
+      rollout_destroy (interrupted.run);
     }
 }
 END_TEST
 
 static bool
-same_state (const rollout_run_t *a, const rollout_run_t *b)
+has_same_state (const rollout_run_t *a, const rollout_run_t *b)
 {
   buf_t left = BUF_NULL;
   buf_t right = BUF_NULL;
@@ -352,15 +360,16 @@
   return same;
 }
 
-/* Several entries see their parts of the answers and gossip them twice and in
-   any order.  All must reach the same state and so the same decision.  */
-START_TEST (merge_order_and_redelivery_do_not_matter)
+/* Several processes observe parts of the answers, and messages between them
+   arrive twice and in any order.  The processes would decide differently if
+   their states differed.  */
+START_TEST (merge_depends_on_order_or_redelivery)
 {
   enum
   {
     WRITERS = 4,
     MESSAGES = 32,
-    SHOWN = MESSAGES * 10
+    EXPOSED = MESSAGES * 10
   };
   rollout_run_t *writers[WRITERS];
   buf_t messages[MESSAGES];
@@ -393,10 +402,10 @@
                    START_MS);
   for (int m = MESSAGES - 1; m >= 0; m--)
     rollout_merge (shuffled, buf_str (&messages[m]), START_MS);
-  ck_assert (same_state (ordered, shuffled));
-  ck_assert_uint_eq (rollout_exposed (shuffled), SHOWN);
+  ck_assert (has_same_state (ordered, shuffled));
+  ck_assert_uint_eq (rollout_exposed (shuffled), EXPOSED);
   ck_assert_uint_eq (rollout_evidence (shuffled, ROLLOUT_RATING).count_new,
-                     SHOWN);
+                     EXPOSED);
   for (int m = 0; m < MESSAGES; m++)
     buf_free (&messages[m]);
   for (int i = 0; i < WRITERS; i++)
@@ -406,9 +415,10 @@
 }
 END_TEST
 
-/* One process halts a roll-out while an operator's pause reaches another.
-   Whichever message comes first, all processes must end halted.  */
-START_TEST (more_careful_decision_wins)
+/* One process aborts a roll-out while another one receives the operator's
+   pause.  The processes would end in different phases if the order of the
+   messages counted.  */
+START_TEST (less_cautious_decision_wins_a_conflict)
 {
   rollout_run_t *a = rollout_create (1, STR ("small@2"), START_MS);
   rollout_run_t *b = rollout_create (2, STR ("small@2"), START_MS);
@@ -424,7 +434,7 @@
   ck_assert_int_eq (rollout_phase (a), ROLLOUT_PHASE_ABORTED);
   ck_assert_int_eq (rollout_phase (b), ROLLOUT_PHASE_ABORTED);
   ck_assert (!rollout_resume (a));
-  ck_assert (same_state (a, b));
+  ck_assert (has_same_state (a, b));
   buf_free (&from_a);
   buf_free (&from_b);
   rollout_destroy (a);
@@ -432,45 +442,45 @@
 }
 END_TEST
 
-START_TEST (pause_keeps_the_share_and_the_guard)
+START_TEST (pause_changes_the_share_or_prevents_a_halt)
 {
-  world_t w = world_make (2, &faults[5]);
+  simulation_t w = simulation_create (2, &regressions[5]);
 
   ck_assert (rollout_pause (w.run));
   ck_assert (!rollout_pause (w.run));
   ck_assert_double_eq (rollout_share (w.run), 0.01);
-  while (!world_ended (&w))
-    world_request (&w);
+  while (!has_ended (&w))
+    simulate_request (&w);
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_HALTED);
   rollout_destroy (w.run);
 
-  world_t good = world_make (2, &no_fault);
+  simulation_t good = simulation_create (2, &no_regression);
   rollout_pause (good.run);
   for (int i = 0; i < 20000; i++)
-    world_request (&good);
+    simulate_request (&good);
   ck_assert_uint_eq (rollout_step_index (good.run), 0);
   ck_assert (rollout_resume (good.run));
-  while (!world_ended (&good))
-    world_request (&good);
+  while (!has_ended (&good))
+    simulate_request (&good);
   ck_assert_int_eq (rollout_phase (good.run), ROLLOUT_PHASE_COMPLETE);
   rollout_destroy (good.run);
 }
 END_TEST
 
-/* All entries must place a session alike, and a session placed on the new
-   version must stay there when the share grows.  */
-START_TEST (assignment_agrees_and_only_grows)
+/* Processes must assign a session to the same version, and a session assigned
+   to the new version must stay there when the share rises.  */
+START_TEST (assignment_differs_or_reverts_to_the_old_version)
 {
   enum
   {
     KEYS = 20000
   };
-  static bool placed[KEYS];
-  world_t w = world_make (6, &no_fault);
+  static bool is_assigned_new[KEYS];
+  simulation_t w = simulation_create (6, &no_regression);
   rollout_run_t *other = rollout_create (77, STR ("small@2"), START_MS);
   uint32_t step = UINT32_MAX;
 
-  while (!world_ended (&w))
+  while (!has_ended (&w))
     {
       if (rollout_step_index (w.run) != step)
         {
@@ -482,16 +492,16 @@
           buf_free (&state);
           for (uint64_t key = 0; key < KEYS; key++)
             {
-              bool fresh = rollout_assign (w.run, key);
-              ck_assert (fresh == rollout_assign (other, key));
-              ck_assert (fresh || !placed[key]);
-              placed[key] = fresh;
-              count += fresh;
+              bool is_new = rollout_assign (w.run, key);
+              ck_assert (is_new == rollout_assign (other, key));
+              ck_assert (is_new || !is_assigned_new[key]);
+              is_assigned_new[key] = is_new;
+              count += is_new;
             }
           ck_assert_double_eq_tol ((double)count / KEYS, rollout_share (w.run),
                                    0.012);
         }
-      world_request (&w);
+      simulate_request (&w);
     }
   ck_assert_double_eq (rollout_share (w.run), 1);
   rollout_destroy (other);
@@ -499,13 +509,13 @@
 }
 END_TEST
 
-START_TEST (halt_is_explained)
+START_TEST (halt_reason_is_missing)
 {
-  world_t w = world_make (1, &faults[2]);
+  simulation_t w = simulation_create (1, &regressions[2]);
   buf_t text = BUF_NULL;
 
-  while (!world_ended (&w))
-    world_request (&w);
+  while (!has_ended (&w))
+    simulate_request (&w);
   rollout_explain (w.run, &text);
   buf_append_char (&text, '\0');
   ck_assert_ptr_nonnull (strstr (text.ptr, "halted at step"));
@@ -516,39 +526,39 @@
 }
 END_TEST
 
-START_TEST (malformed_messages_change_nothing)
+START_TEST (malformed_message_changes_the_state)
 {
-  world_t w = world_make (1, &no_fault);
+  simulation_t w = simulation_create (1, &no_regression);
   rollout_run_t *other = rollout_create (5, STR ("small@2"), START_MS);
-  rollout_run_t *fresh = rollout_create (5, STR ("small@2"), START_MS);
-  rollout_run_t *wrong = rollout_create (6, STR ("small@3"), START_MS);
+  rollout_run_t *untouched = rollout_create (5, STR ("small@2"), START_MS);
+  rollout_run_t *other_rollout = rollout_create (6, STR ("small@3"), START_MS);
   buf_t bytes = BUF_NULL;
   rng_t rng = rng_make (3);
 
   for (int i = 0; i < 2000; i++)
-    world_request (&w);
+    simulate_request (&w);
   rollout_write (w.run, false, &bytes);
   for (size_t len = 0; len < bytes.len; len++)
     ck_assert_int_eq (
         rollout_merge (other, str_make (bytes.ptr, len), w.now_ms),
         VH_E_PROTOCOL);
-  ck_assert (same_state (other, fresh));
-  ck_assert_int_eq (rollout_merge (wrong, buf_str (&bytes), w.now_ms),
+  ck_assert (has_same_state (other, untouched));
+  ck_assert_int_eq (rollout_merge (other_rollout, buf_str (&bytes), w.now_ms),
                     VH_E_PROTOCOL);
   for (int i = 0; i < 3000; i++)
     {
       size_t at = rng_below (&rng, bytes.len);
-      char kept = bytes.ptr[at];
+      char original = bytes.ptr[at];
       bytes.ptr[at] = (char)rng_u64 (&rng);
       rollout_merge (other, buf_str (&bytes), w.now_ms);
       rollout_step (other, w.now_ms);
-      bytes.ptr[at] = kept;
+      bytes.ptr[at] = original;
     }
   buf_free (&bytes);
   rollout_destroy (w.run);
   rollout_destroy (other);
-  rollout_destroy (fresh);
-  rollout_destroy (wrong);
+  rollout_destroy (untouched);
+  rollout_destroy (other_rollout);
 }
 END_TEST
 
@@ -559,20 +569,20 @@
   TCase *tcase = tcase_create ("rollout");
 
   tcase_set_timeout (tcase, 110);
-  tcase_add_loop_test (tcase, bad_version_is_halted, 0,
-                       (int)(sizeof faults / sizeof faults[0]));
-  tcase_add_test (tcase, good_version_completes);
-  tcase_add_test (tcase, wrong_rater_halts_no_good_version);
-  tcase_add_test (tcase, change_of_traffic_halts_no_good_version);
-  tcase_add_test (tcase, without_ratings_the_cap_holds);
-  tcase_add_test (tcase, cap_holds_without_a_lease_holder);
-  tcase_add_test (tcase, resumes_halfway_at_every_step);
-  tcase_add_test (tcase, merge_order_and_redelivery_do_not_matter);
-  tcase_add_test (tcase, more_careful_decision_wins);
-  tcase_add_test (tcase, pause_keeps_the_share_and_the_guard);
-  tcase_add_test (tcase, assignment_agrees_and_only_grows);
-  tcase_add_test (tcase, halt_is_explained);
-  tcase_add_test (tcase, malformed_messages_change_nothing);
+  tcase_add_loop_test (tcase, bad_version_is_not_halted, 0,
+                       (int)(sizeof regressions / sizeof regressions[0]));
+  tcase_add_test (tcase, good_version_does_not_complete);
+  tcase_add_test (tcase, zero_ratings_halt_a_good_version);
+  tcase_add_test (tcase, change_of_task_mix_halts_a_good_version);
+  tcase_add_test (tcase, cap_is_exceeded_without_ratings);
+  tcase_add_test (tcase, cap_is_exceeded_without_a_lease_holder);
+  tcase_add_test (tcase, replaced_lease_holder_decides_differently);
+  tcase_add_test (tcase, merge_depends_on_order_or_redelivery);
+  tcase_add_test (tcase, less_cautious_decision_wins_a_conflict);
+  tcase_add_test (tcase, pause_changes_the_share_or_prevents_a_halt);
+  tcase_add_test (tcase, assignment_differs_or_reverts_to_the_old_version);
+  tcase_add_test (tcase, halt_reason_is_missing);
+  tcase_add_test (tcase, malformed_message_changes_the_state);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
