--- a/packages/policy/evidence.c
+++ b/packages/policy/evidence.c
@@ -8,13 +8,13 @@
 enum
 {
   FORMAT = 1,
-  /* Larger counts than any fleet reaches are a corrupt message.  */
+  /* A larger value than any deployment reaches means a corrupt message.  */
   VALUE_BITS_MAX = 56
 };
 
 typedef struct
 {
-  uint64_t writer; /* 0: settled.  */
+  uint64_t writer; /* 0 for the cell of a compacted epoch.  */
   uint64_t epoch;
   uint32_t key;
   uint32_t used;
@@ -23,25 +23,28 @@
 struct evidence
 {
   evidence_options_t options;
-  uint64_t *hashes; /* By key index.  */
-  uint32_t keys;
-  uint32_t *key_table; /* Key index + 1 by hash; a power of two.  */
+  uint64_t *key_hashes; /* By key index.  */
+  uint32_t key_count;
+  uint32_t *key_table; /* Hash table of key index + 1; 0 marks a free slot.
+                          The size is a power of two.  */
   uint32_t key_mask;
-  cell_t *cells; /* Open addressing by (key, writer, epoch).  */
+  cell_t *cells; /* Hash table by (key, writer, epoch), with open
+                    addressing.  */
   int64_t *values;
-  cell_t *spare_cells; /* For rebuilding without allocation.  */
+  cell_t *spare_cells; /* Second table, so that a rebuild needs no
+                          allocation.  */
   int64_t *spare_values;
   uint32_t cell_mask;
   uint32_t cell_count;
-  uint64_t floor; /* First epoch kept.  */
-  uint64_t last;  /* Last epoch seen.  */
+  uint64_t first_epoch; /* First epoch kept.  */
+  uint64_t last_epoch;  /* Latest epoch seen, by the clock or in a message.  */
   uint64_t *generations;
-  int64_t *sums; /* [key][epoch % epochs][field]  */
+  int64_t *sums; /* Indexed by [key][epoch % epochs][field].  */
   uint64_t changes;
 };
 
 static uint32_t
-table_size (uint32_t count)
+hash_table_size (uint32_t count)
 {
   uint32_t size = 16;
 
@@ -54,19 +57,19 @@
 evidence_create (const evidence_options_t *options)
 {
   evidence_t *e = mem_zalloc (sizeof *e);
-  uint32_t cells = table_size (options->cells_max);
-  uint32_t keys = table_size (options->keys_max);
+  uint32_t cell_table_len = hash_table_size (options->cells_max);
+  uint32_t key_table_len = hash_table_size (options->keys_max);
   size_t fields = options->fields;
 
   e->options = *options;
-  e->hashes = mem_zalloc (options->keys_max * sizeof *e->hashes);
-  e->key_table = mem_zalloc (keys * sizeof *e->key_table);
-  e->key_mask = keys - 1;
-  e->cells = mem_zalloc (cells * sizeof *e->cells);
-  e->values = mem_zalloc (cells * fields * sizeof *e->values);
-  e->spare_cells = mem_zalloc (cells * sizeof *e->cells);
-  e->spare_values = mem_zalloc (cells * fields * sizeof *e->values);
-  e->cell_mask = cells - 1;
+  e->key_hashes = mem_zalloc (options->keys_max * sizeof *e->key_hashes);
+  e->key_table = mem_zalloc (key_table_len * sizeof *e->key_table);
+  e->key_mask = key_table_len - 1;
+  e->cells = mem_zalloc (cell_table_len * sizeof *e->cells);
+  e->values = mem_zalloc (cell_table_len * fields * sizeof *e->values);
+  e->spare_cells = mem_zalloc (cell_table_len * sizeof *e->cells);
+  e->spare_values = mem_zalloc (cell_table_len * fields * sizeof *e->values);
+  e->cell_mask = cell_table_len - 1;
   e->generations = mem_zalloc (options->epochs * sizeof *e->generations);
   e->sums = mem_zalloc ((size_t)options->keys_max * options->epochs * fields
                         * sizeof *e->sums);
@@ -85,48 +88,49 @@
   free (e->values);
   free (e->cells);
   free (e->key_table);
-  free (e->hashes);
+  free (e->key_hashes);
   free (e);
 }
 
 static uint64_t
-mix (uint64_t z)
+mix_hash (uint64_t z)
 {
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
   return z ^ (z >> 31);
 }
 
-/* Return the place in the key table of HASH, taken or free.  */
+/* Return the slot of HASH in the key table, in use or free.  */
 static uint32_t
-key_place (const evidence_t *e, uint64_t hash)
+key_slot (const evidence_t *e, uint64_t hash)
 {
-  uint32_t at = (uint32_t)mix (hash) & e->key_mask;
+  uint32_t slot_index = (uint32_t)mix_hash (hash) & e->key_mask;
 
-  while (e->key_table[at] != 0 && e->hashes[e->key_table[at] - 1] != hash)
-    at = (at + 1) & e->key_mask;
-  return at;
+  while (e->key_table[slot_index] != 0
+         && e->key_hashes[e->key_table[slot_index] - 1] != hash)
+    slot_index = (slot_index + 1) & e->key_mask;
+  return slot_index;
 }
 
 int
 evidence_find (const evidence_t *e, uint64_t hash)
 {
-  return (int)e->key_table[key_place (e, hash)] - 1;
+  return (int)e->key_table[key_slot (e, hash)] - 1;
 }
 
 int
 evidence_key (evidence_t *e, uint64_t hash)
 {
-  uint32_t at = key_place (e, hash);
+  uint32_t slot_index = key_slot (e, hash);
 
-  if (e->key_table[at] == 0)
+  if (e->key_table[slot_index] == 0)
     {
-      if (e->keys == e->options.keys_max)
+      if (e->key_count == e->options.keys_max)
         return -1;
-      e->hashes[e->keys++] = hash;
-      e->key_table[at] = e->keys;
+      e->key_hashes[e->key_count++] = hash;
+      e->key_table[slot_index] = e->key_count;
     }
-  return (int)e->key_table[at] - 1;
+  return (int)e->key_table[slot_index] - 1;
 }
 
 static int64_t *
@@ -144,24 +148,25 @@
   return e->values + (size_t)cell * e->options.fields;
 }
 
-/* Return the place of the cell, taken or free.  */
+/* Return the slot of the cell, in use or free.  */
 static uint32_t
-cell_place (const evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
+cell_slot (const evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
 {
-  uint64_t hash = mix (writer ^ mix (epoch ^ ((uint64_t)key << 40)));
-  uint32_t at = (uint32_t)hash & e->cell_mask;
+  uint64_t hash = mix_hash (writer ^ mix_hash (epoch ^ ((uint64_t)key << 40)));
+  uint32_t slot_index = (uint32_t)hash & e->cell_mask;
 
-  while (e->cells[at].used
-         && (e->cells[at].key != key || e->cells[at].writer != writer
-             || e->cells[at].epoch != epoch))
-    at = (at + 1) & e->cell_mask;
-  return at;
+  while (e->cells[slot_index].used
+         && (e->cells[slot_index].key != key
+             || e->cells[slot_index].writer != writer
+             || e->cells[slot_index].epoch != epoch))
+    slot_index = (slot_index + 1) & e->cell_mask;
+  return slot_index;
 }
 
-/* Rebuild the table without the cells of epochs below FLOOR and of epoch
-   ONE.  */
+/* Rebuild the table without the cells of epochs before FIRST_EPOCH and of
+   DROPPED_EPOCH.  */
 static void
-cells_rebuild (evidence_t *e, uint64_t floor, uint64_t one)
+rebuild_cells (evidence_t *e, uint64_t first_epoch, uint64_t dropped_epoch)
 {
   size_t size = (size_t)e->cell_mask + 1;
   size_t fields = e->options.fields;
@@ -177,11 +182,12 @@
   for (size_t i = 0; i < size; i++)
     {
       const cell_t *c = &cells[i];
-      if (!c->used || c->epoch < floor || c->epoch == one)
+      if (!c->used || c->epoch < first_epoch || c->epoch == dropped_epoch)
         continue;
-      uint32_t at = cell_place (e, c->key, c->writer, c->epoch);
-      e->cells[at] = *c;
-      memcpy (values_at (e, at), values + i * fields, fields * sizeof *values);
+      uint32_t slot_index = cell_slot (e, c->key, c->writer, c->epoch);
+      e->cells[slot_index] = *c;
+      memcpy (values_at (e, slot_index), values + i * fields,
+              fields * sizeof *values);
       e->cell_count++;
     }
 }
@@ -190,23 +196,23 @@
 clear_epoch (evidence_t *e, uint64_t epoch)
 {
   e->generations[epoch % e->options.epochs] = 0;
-  for (uint32_t key = 0; key < e->keys; key++)
+  for (uint32_t key = 0; key < e->key_count; key++)
     memset (sums_at (e, key, epoch), 0, e->options.fields * sizeof *e->sums);
 }
 
-/* Make FLOOR the first epoch kept.  */
+/* Drop all epochs before FIRST_EPOCH.  */
 static void
-raise_floor (evidence_t *e, uint64_t floor)
+drop_epochs_before (evidence_t *e, uint64_t first_epoch)
 {
-  if (floor <= e->floor)
+  if (first_epoch <= e->first_epoch)
     return;
-  uint64_t end = floor < e->floor + e->options.epochs
-                     ? floor
-                     : e->floor + e->options.epochs;
-  for (uint64_t epoch = e->floor; epoch < end; epoch++)
+  uint64_t end = first_epoch < e->first_epoch + e->options.epochs
+                     ? first_epoch
+                     : e->first_epoch + e->options.epochs;
+  for (uint64_t epoch = e->first_epoch; epoch < end; epoch++)
     clear_epoch (e, epoch);
-  e->floor = floor;
-  cells_rebuild (e, floor, UINT64_MAX);
+  e->first_epoch = first_epoch;
+  rebuild_cells (e, first_epoch, UINT64_MAX);
   e->changes++;
 }
 
@@ -219,10 +225,10 @@
 static void
 advance_to (evidence_t *e, uint64_t epoch)
 {
-  if (epoch > e->last)
-    e->last = epoch;
-  if (e->last + 1 > e->options.epochs)
-    raise_floor (e, e->last + 1 - e->options.epochs);
+  if (epoch > e->last_epoch)
+    e->last_epoch = epoch;
+  if (e->last_epoch + 1 > e->options.epochs)
+    drop_epochs_before (e, e->last_epoch + 1 - e->options.epochs);
 }
 
 void
@@ -231,24 +237,25 @@
   advance_to (e, evidence_epoch (e, now_ms));
 }
 
-/* Return the cell's place, made at need; the epoch must be kept.  Return
-   false when making room would forget the epoch itself.  */
+/* Store the cell's slot in *SLOT_INDEX, creating the cell if it is missing;
+   EPOCH must be kept.  Return false if EPOCH itself would have to be dropped
+   to make room.  */
 static bool
-cell_get (evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
-          uint32_t *at)
+cell_find_or_add (evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
+                  uint32_t *slot_index)
 {
-  *at = cell_place (e, key, writer, epoch);
-  if (e->cells[*at].used)
+  *slot_index = cell_slot (e, key, writer, epoch);
+  if (e->cells[*slot_index].used)
     return true;
   while (e->cell_count >= e->options.cells_max)
     {
-      if (e->floor >= epoch)
+      if (e->first_epoch >= epoch)
         return false;
-      raise_floor (e, e->floor + 1);
+      drop_epochs_before (e, e->first_epoch + 1);
     }
-  *at = cell_place (e, key, writer, epoch);
-  e->cells[*at] = (cell_t){ writer, epoch, key, 1 };
-  memset (values_at (e, *at), 0, e->options.fields * sizeof (int64_t));
+  *slot_index = cell_slot (e, key, writer, epoch);
+  e->cells[*slot_index] = (cell_t){ writer, epoch, key, 1 };
+  memset (values_at (e, *slot_index), 0, e->options.fields * sizeof (int64_t));
   e->cell_count++;
   return true;
 }
@@ -257,14 +264,15 @@
 evidence_add (evidence_t *e, int key, uint64_t now_ms, const int64_t *sample)
 {
   uint64_t epoch = evidence_epoch (e, now_ms);
-  uint32_t at;
+  uint32_t slot_index;
 
   advance_to (e, epoch);
-  if (key < 0 || epoch < e->floor)
+  if (key < 0 || epoch < e->first_epoch)
     return false;
-  if (!cell_get (e, (uint32_t)key, e->options.writer, epoch, &at))
+  if (!cell_find_or_add (e, (uint32_t)key, e->options.writer, epoch,
+                         &slot_index))
     return false;
-  int64_t *cell = values_at (e, at);
+  int64_t *cell = values_at (e, slot_index);
   int64_t *sums = sums_at (e, (uint32_t)key, epoch);
   cell[0]++;
   sums[0]++;
@@ -280,19 +288,19 @@
 uint64_t
 evidence_first (const evidence_t *e)
 {
-  return e->floor;
+  return e->first_epoch;
 }
 
 uint64_t
 evidence_last (const evidence_t *e)
 {
-  return e->last;
+  return e->last_epoch;
 }
 
 const int64_t *
 evidence_sums (const evidence_t *e, int key, uint64_t epoch)
 {
-  if (key < 0 || epoch < e->floor || epoch > e->last)
+  if (key < 0 || epoch < e->first_epoch || epoch > e->last_epoch)
     return NULL;
   const int64_t *sums = sums_at (e, (uint32_t)key, epoch);
   return sums[0] != 0 ? sums : NULL;
@@ -304,11 +312,11 @@
   return e->changes;
 }
 
-/* Tell whether anything is kept for EPOCH.  */
+/* Tell whether there are sums for EPOCH.  */
 static bool
-epoch_used (const evidence_t *e, uint64_t epoch)
+has_epoch (const evidence_t *e, uint64_t epoch)
 {
-  for (uint32_t key = 0; key < e->keys; key++)
+  for (uint32_t key = 0; key < e->key_count; key++)
     if (sums_at (e, key, epoch)[0] != 0)
       return true;
   return false;
@@ -319,17 +327,18 @@
 {
   uint64_t *current = &e->generations[epoch % e->options.epochs];
 
-  if (epoch < e->floor || epoch > e->last || *current >= generation
-      || !epoch_used (e, epoch))
+  if (epoch < e->first_epoch || epoch > e->last_epoch || *current >= generation
+      || !has_epoch (e, epoch))
     return false;
   *current = generation;
-  cells_rebuild (e, e->floor, epoch);
-  for (uint32_t key = 0; key < e->keys; key++)
+  rebuild_cells (e, e->first_epoch, epoch);
+  for (uint32_t key = 0; key < e->key_count; key++)
     {
-      uint32_t at;
+      uint32_t slot_index;
       const int64_t *sums = sums_at (e, key, epoch);
-      if (sums[0] != 0 && cell_get (e, key, 0, epoch, &at))
-        memcpy (values_at (e, at), sums, e->options.fields * sizeof *sums);
+      if (sums[0] != 0 && cell_find_or_add (e, key, 0, epoch, &slot_index))
+        memcpy (values_at (e, slot_index), sums,
+                e->options.fields * sizeof *sums);
     }
   e->changes++;
   return true;
@@ -384,7 +393,8 @@
   return true;
 }
 
-/* Small numbers of either sign become small unsigned ones.  */
+/* Map integers of small absolute value to small unsigned ones, which are short
+   as variable-length integers.  */
 static uint64_t
 zigzag (int64_t value)
 {
@@ -403,7 +413,7 @@
   uint64_t hash;
   uint64_t writer;
   const int64_t *values;
-} entry_t;
+} message_cell_t;
 
 static int
 compare_u64 (uint64_t a, uint64_t b)
@@ -412,10 +422,10 @@
 }
 
 static int
-compare_entries (const void *a, const void *b)
+compare_cells (const void *a, const void *b)
 {
-  const entry_t *left = a;
-  const entry_t *right = b;
+  const message_cell_t *left = a;
+  const message_cell_t *right = b;
   int order = compare_u64 (left->epoch, right->epoch);
 
   if (order == 0)
@@ -424,46 +434,49 @@
 }
 
 static void
-put_entry (const evidence_t *e, const entry_t *entry, buf_t *out)
+append_cell (const evidence_t *e, const message_cell_t *message_cell,
+             buf_t *out)
 {
-  evidence_put (out, entry->epoch);
-  buf_append (out, &entry->hash, sizeof entry->hash);
-  buf_append (out, &entry->writer, sizeof entry->writer);
+  evidence_put (out, message_cell->epoch);
+  buf_append (out, &message_cell->hash, sizeof message_cell->hash);
+  buf_append (out, &message_cell->writer, sizeof message_cell->writer);
   for (uint32_t f = 0; f < e->options.fields; f++)
-    evidence_put (out, zigzag (entry->values[f]));
+    evidence_put (out, zigzag (message_cell->values[f]));
 }
 
-/* Tell whether cell C goes into a message for peers.  */
+/* Tell whether cell C goes into a message to peers.  */
 static bool
-is_news (const evidence_t *e, const cell_t *c)
+is_recent_own_cell (const evidence_t *e, const cell_t *c)
 {
   return c->writer == e->options.writer
-         && c->epoch + EVIDENCE_NEWS_EPOCHS > e->last;
+         && c->epoch + EVIDENCE_NEWS_EPOCHS > e->last_epoch;
 }
 
 void
 evidence_write (const evidence_t *e, bool own_only, buf_t *out)
 {
-  entry_t *entries = mem_alloc ((e->cell_count + 1) * sizeof *entries);
+  message_cell_t *message_cells
+      = mem_alloc ((e->cell_count + 1) * sizeof *message_cells);
   size_t count = 0;
-  size_t generations = 0;
+  size_t generation_count = 0;
 
   for (uint32_t i = 0; i <= e->cell_mask; i++)
     {
       const cell_t *c = &e->cells[i];
-      if (!c->used || (own_only && !is_news (e, c)))
+      if (!c->used || (own_only && !is_recent_own_cell (e, c)))
         continue;
-      entries[count++] = (entry_t){ c->epoch, e->hashes[c->key], c->writer,
-                                    values_at (e, i) };
+      message_cells[count++]
+          = (message_cell_t){ c->epoch, e->key_hashes[c->key], c->writer,
+                              values_at (e, i) };
     }
-  qsort (entries, count, sizeof *entries, compare_entries);
-  for (uint64_t epoch = e->floor; epoch <= e->last; epoch++)
-    generations += e->generations[epoch % e->options.epochs] != 0;
+  qsort (message_cells, count, sizeof *message_cells, compare_cells);
+  for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
+    generation_count += e->generations[epoch % e->options.epochs] != 0;
   evidence_put (out, FORMAT);
   evidence_put (out, e->options.fields);
   evidence_put (out, e->options.epoch_ms);
-  evidence_put (out, generations);
-  for (uint64_t epoch = e->floor; epoch <= e->last; epoch++)
+  evidence_put (out, generation_count);
+  for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
     if (e->generations[epoch % e->options.epochs] != 0)
       {
         evidence_put (out, epoch);
@@ -471,12 +484,12 @@
       }
   evidence_put (out, count);
   for (size_t i = 0; i < count; i++)
-    put_entry (e, &entries[i], out);
-  free (entries);
+    append_cell (e, &message_cells[i], out);
+  free (message_cells);
 }
 
 static bool
-take_word (str_t *rest, uint64_t *word)
+read_word (str_t *rest, uint64_t *word)
 {
   if (rest->len < sizeof *word)
     return false;
@@ -486,12 +499,15 @@
   return true;
 }
 
-/* Take one cell off *REST into *ENTRY and VALUES.  */
+/* Read one cell at the start of *REST into *MESSAGE_CELL and VALUES, and skip
+   it.  */
 static bool
-take_entry (const evidence_t *e, str_t *rest, entry_t *entry, int64_t *values)
+read_cell (const evidence_t *e, str_t *rest, message_cell_t *message_cell,
+           int64_t *values)
 {
-  if (!evidence_take (rest, &entry->epoch) || !take_word (rest, &entry->hash)
-      || !take_word (rest, &entry->writer))
+  if (!evidence_take (rest, &message_cell->epoch)
+      || !read_word (rest, &message_cell->hash)
+      || !read_word (rest, &message_cell->writer))
     return false;
   for (uint32_t f = 0; f < e->options.fields; f++)
     {
@@ -500,15 +516,15 @@
         return false;
       values[f] = unzigzag (raw);
     }
-  entry->values = values;
+  message_cell->values = values;
   return values[0] > 0;
 }
 
-/* Tell whether cell values A are newer than B.  Two copies with the same
-   count are equal unless a writer id was used twice; then the larger one
-   wins everywhere alike.  */
+/* Tell whether cell values A are newer than B.  Two copies with the same count
+   are equal unless a writer id was used twice; then all processes keep the
+   copy with the larger values.  */
 static bool
-newer (const int64_t *a, const int64_t *b, uint32_t fields)
+is_newer (const int64_t *a, const int64_t *b, uint32_t fields)
 {
   for (uint32_t f = 0; f < fields; f++)
     if (a[f] != b[f])
@@ -516,11 +532,11 @@
   return false;
 }
 
-/* Tell whether EPOCH may be kept at NOW_EPOCH.  */
+/* Tell whether a cell of EPOCH may be merged at NOW_EPOCH.  */
 static bool
-epoch_fits (const evidence_t *e, uint64_t epoch, uint64_t now_epoch)
+is_epoch_acceptable (const evidence_t *e, uint64_t epoch, uint64_t now_epoch)
 {
-  return epoch >= e->floor && epoch <= now_epoch + 1
+  return epoch >= e->first_epoch && epoch <= now_epoch + 1
          && epoch + e->options.epochs > now_epoch;
 }
 
@@ -531,99 +547,103 @@
 
   if (generation <= *current)
     return;
-  cells_rebuild (e, e->floor, epoch);
+  rebuild_cells (e, e->first_epoch, epoch);
   clear_epoch (e, epoch);
   *current = generation;
 }
 
 static void
-merge_entry (evidence_t *e, const entry_t *entry)
+merge_cell (evidence_t *e, const message_cell_t *message_cell)
 {
-  int key = evidence_key (e, entry->hash);
-  uint32_t at;
+  int key = evidence_key (e, message_cell->hash);
+  uint32_t slot_index;
 
-  if (key < 0 || !cell_get (e, (uint32_t)key, entry->writer, entry->epoch, &at)
-      || !newer (entry->values, values_at (e, at), e->options.fields))
+  if (key < 0
+      || !cell_find_or_add (e, (uint32_t)key, message_cell->writer,
+                            message_cell->epoch, &slot_index)
+      || !is_newer (message_cell->values, values_at (e, slot_index),
+                    e->options.fields))
     return;
-  int64_t *cell = values_at (e, at);
-  int64_t *sums = sums_at (e, (uint32_t)key, entry->epoch);
+  int64_t *cell = values_at (e, slot_index);
+  int64_t *sums = sums_at (e, (uint32_t)key, message_cell->epoch);
   for (uint32_t f = 0; f < e->options.fields; f++)
     {
-      sums[f] += entry->values[f] - cell[f];
-      cell[f] = entry->values[f];
+      sums[f] += message_cell->values[f] - cell[f];
+      cell[f] = message_cell->values[f];
     }
 }
 
-/* A message under its header.  */
+/* Parts of a message after its header.  */
 typedef struct
 {
-  str_t settled; /* The generations, then the rest.  */
-  uint64_t settled_count;
+  str_t compacted; /* Starts with the compacted epochs and their
+                      generations.  */
+  uint64_t compacted_count;
   str_t cells;
   uint64_t cell_count;
-} message_parts_t;
+} message_t;
 
-/* Split BYTES.  Return false when the header is malformed or is that of
-   other evidence.  */
+/* Split BYTES into *MESSAGE.  Return false if the header is malformed or
+   belongs to a state with other fields or another epoch length.  */
 static bool
-take_header (const evidence_t *e, str_t bytes, message_parts_t *parts)
+read_header (const evidence_t *e, str_t bytes, message_t *message)
 {
-  uint64_t format, fields, epoch_ms, ignored;
+  uint64_t format, fields, epoch_ms, skipped;
 
   if (!evidence_take (&bytes, &format) || format != FORMAT
       || !evidence_take (&bytes, &fields) || fields != e->options.fields
       || !evidence_take (&bytes, &epoch_ms) || epoch_ms != e->options.epoch_ms
-      || !evidence_take (&bytes, &parts->settled_count))
+      || !evidence_take (&bytes, &message->compacted_count))
     return false;
-  parts->settled = bytes;
-  for (uint64_t i = 0; i < parts->settled_count; i++)
-    if (!evidence_take (&bytes, &ignored) || !evidence_take (&bytes, &ignored))
+  message->compacted = bytes;
+  for (uint64_t i = 0; i < message->compacted_count; i++)
+    if (!evidence_take (&bytes, &skipped) || !evidence_take (&bytes, &skipped))
       return false;
-  if (!evidence_take (&bytes, &parts->cell_count))
+  if (!evidence_take (&bytes, &message->cell_count))
     return false;
-  parts->cells = bytes;
+  message->cells = bytes;
   return true;
 }
 
-/* Tell whether every cell is well formed and nothing follows them.  */
+/* Tell whether every cell is well formed and no bytes follow the last one.  */
 static bool
-cells_valid (const evidence_t *e, const message_parts_t *parts)
+has_valid_cells (const evidence_t *e, const message_t *message)
 {
   int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
-  str_t rest = parts->cells;
-  entry_t entry;
+  str_t rest = message->cells;
+  message_cell_t message_cell;
 
-  for (uint64_t i = 0; i < parts->cell_count; i++)
-    if (!take_entry (e, &rest, &entry, values))
+  for (uint64_t i = 0; i < message->cell_count; i++)
+    if (!read_cell (e, &rest, &message_cell, values))
       return false;
   return rest.len == 0;
 }
 
-/* Return the generation that the message gives EPOCH; 0 when unsettled.  */
+/* Return the message's generation of EPOCH; 0 if it was not compacted.  */
 static uint64_t
-message_generation (const message_parts_t *parts, uint64_t epoch)
+message_generation (const message_t *message, uint64_t epoch)
 {
-  str_t rest = parts->settled;
-  uint64_t of = 0;
+  str_t rest = message->compacted;
+  uint64_t compacted_epoch = 0;
   uint64_t generation = 0;
 
-  for (uint64_t i = 0; i < parts->settled_count; i++)
-    if (evidence_take (&rest, &of) && evidence_take (&rest, &generation)
-        && of == epoch)
+  for (uint64_t i = 0; i < message->compacted_count; i++)
+    if (evidence_take (&rest, &compacted_epoch)
+        && evidence_take (&rest, &generation) && compacted_epoch == epoch)
       return generation;
   return 0;
 }
 
 static void
-merge_settled (evidence_t *e, const message_parts_t *parts, uint64_t now_epoch)
+merge_compacted (evidence_t *e, const message_t *message, uint64_t now_epoch)
 {
-  str_t rest = parts->settled;
+  str_t rest = message->compacted;
   uint64_t epoch = 0;
   uint64_t generation = 0;
 
-  for (uint64_t i = 0; i < parts->settled_count; i++)
+  for (uint64_t i = 0; i < message->compacted_count; i++)
     if (evidence_take (&rest, &epoch) && evidence_take (&rest, &generation)
-        && epoch_fits (e, epoch, now_epoch))
+        && is_epoch_acceptable (e, epoch, now_epoch))
       {
         advance_to (e, epoch);
         merge_generation (e, epoch, generation);
@@ -631,45 +651,45 @@
 }
 
 static void
-merge_cells (evidence_t *e, const message_parts_t *parts, uint64_t now_epoch)
+merge_cells (evidence_t *e, const message_t *message, uint64_t now_epoch)
 {
   int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
-  str_t rest = parts->cells;
-  entry_t entry;
+  str_t rest = message->cells;
+  message_cell_t message_cell;
 
-  for (uint64_t i = 0; i < parts->cell_count; i++)
+  for (uint64_t i = 0; i < message->cell_count; i++)
     {
-      if (!take_entry (e, &rest, &entry, values))
+      if (!read_cell (e, &rest, &message_cell, values))
         return;
-      if (!epoch_fits (e, entry.epoch, now_epoch))
+      if (!is_epoch_acceptable (e, message_cell.epoch, now_epoch))
         continue;
-      advance_to (e, entry.epoch);
-      /* What was settled since holds the cells of an older generation.  */
-      if (message_generation (parts, entry.epoch)
-          == e->generations[entry.epoch % e->options.epochs])
-        merge_entry (e, &entry);
+      advance_to (e, message_cell.epoch);
+      /* The cells of an older generation are already in the compacted cell. */
+      if (message_generation (message, message_cell.epoch)
+          == e->generations[message_cell.epoch % e->options.epochs])
+        merge_cell (e, &message_cell);
     }
 }
 
 bool
 evidence_valid (const evidence_t *e, str_t bytes)
 {
-  message_parts_t parts = { 0 };
+  message_t message = { 0 };
 
-  return take_header (e, bytes, &parts) && cells_valid (e, &parts);
+  return read_header (e, bytes, &message) && has_valid_cells (e, &message);
 }
 
 vh_code_t
 evidence_merge (evidence_t *e, str_t bytes, uint64_t now_ms)
 {
   uint64_t now_epoch = evidence_epoch (e, now_ms);
-  message_parts_t parts = { 0 };
+  message_t message = { 0 };
 
-  if (!take_header (e, bytes, &parts) || !cells_valid (e, &parts))
+  if (!read_header (e, bytes, &message) || !has_valid_cells (e, &message))
     return VH_E_PROTOCOL;
   advance_to (e, now_epoch);
-  merge_settled (e, &parts, now_epoch);
-  merge_cells (e, &parts, now_epoch);
+  merge_compacted (e, &message, now_epoch);
+  merge_cells (e, &message, now_epoch);
   e->changes++;
   return VH_OK;
 }
--- a/packages/policy/evidence.h
+++ b/packages/policy/evidence.h
@@ -34,75 +34,79 @@
 {
   EVIDENCE_FIELDS_MAX = 12,
   EVIDENCE_NEWS_EPOCHS = 4,
-  /* Fixed-point units to one.  */
+  /* Fixed-point value of 1.  */
   EVIDENCE_UNIT = 1000000
 };
 
 typedef struct
 {
-  uint64_t writer;    /* Unique to this life of this process; not 0.  */
+  uint64_t writer;    /* Unique to this run of this process; not 0.  */
   uint64_t epoch_ms;  /* Length of an epoch, the same in all processes.  */
-  uint32_t epochs;    /* Epochs kept.  */
-  uint32_t fields;    /* Fields of a cell, field 0 included.  */
-  uint32_t keys_max;  /* Distinct keys.  */
-  uint32_t cells_max; /* Distinct (key, writer, epoch).  */
+  uint32_t epochs;    /* Number of epochs kept.  */
+  uint32_t fields;    /* Number of fields in a cell, field 0 included.  */
+  uint32_t keys_max;  /* Largest number of distinct keys.  */
+  uint32_t cells_max; /* Largest number of distinct (key, writer, epoch).  */
 } evidence_options_t;
 
 evidence_t *evidence_create (const evidence_options_t *options);
 /* NULL is accepted.  */
 void evidence_destroy (evidence_t *evidence);
 
-/* Return the index of the key with hash HASH, made on first use; -1 when all
-   keys are taken.  Indices are local to this process.  */
+/* Return the index of the key with hash HASH, created on first use; -1 if
+   there is no room.  Indices are local to this process.  */
 int evidence_key (evidence_t *evidence, uint64_t hash);
-/* The same without making it; -1 when there is none.  */
+/* Return the index of the key with hash HASH; -1 if there is none.  */
 int evidence_find (const evidence_t *evidence, uint64_t hash);
 
-/* Forget the epochs that are too old at NOW_MS (real time).  */
+/* Drop the epochs that are too old at NOW_MS (real time).  */
 void evidence_advance (evidence_t *evidence, uint64_t now_ms);
-/* Add SAMPLE (field 0 is ignored) to KEY at NOW_MS.  Return false when KEY is
-   -1 or the time lies before everything kept.  */
+/* Add SAMPLE, whose field 0 is ignored, to KEY at NOW_MS.  Return false if KEY
+   is -1, or if the epoch of NOW_MS is no longer kept.  */
 bool evidence_add (evidence_t *evidence, int key, uint64_t now_ms,
                    const int64_t *sample);
 
 uint64_t evidence_epoch (const evidence_t *evidence, uint64_t now_ms);
-/* First and last epoch that may hold anything.  */
+/* Return the first or the last epoch that may hold values.  */
 uint64_t evidence_first (const evidence_t *evidence);
 uint64_t evidence_last (const evidence_t *evidence);
-/* Return the sums over all writers of KEY in EPOCH, or NULL when nothing is
-   kept for it.  Valid until the next call that changes EVIDENCE.  */
+/* Return the sums over all writers of KEY in EPOCH, or NULL if there are none.
+   The pointer is valid until the next call that changes EVIDENCE.  */
 const int64_t *evidence_sums (const evidence_t *evidence, int key,
                               uint64_t epoch);
-/* A number that changes whenever any sum may have changed.  */
+/* Return a counter that changes whenever a sum may have changed.  */
 uint64_t evidence_changes (const evidence_t *evidence);
 
-/* Fold the cells of EPOCH into one for each key under GENERATION, the
+/* Replace the cells of EPOCH by one cell for each key, under GENERATION, the
    fencing number of the caller's lease.  Return false, with nothing changed,
-   when the epoch is empty or not kept, or has that generation or a later
-   one.  */
+   if the epoch is empty or not kept, or already has this generation or a
+   larger one.  */
 bool evidence_settle (evidence_t *evidence, uint64_t epoch,
                       uint64_t generation);
 
-/* Append the state to OUT: all of it, or only the news for peers, this
-   writer's own cells of the last EVIDENCE_NEWS_EPOCHS.  Older ones were sent
-   while they were news, and who was away takes all of it from the table.
-   The bytes of equal states are equal.  */
+/* Append the state to OUT: all of it, or with OWN_ONLY only this writer's
+   cells of the last EVIDENCE_NEWS_EPOCHS, for peers.  Older cells were sent
+   before; a peer that was away reads the whole state from the store.  Equal
+   states give equal bytes.  */
 void evidence_write (const evidence_t *evidence, bool own_only, buf_t *out);
 /* Tell whether evidence_merge would accept BYTES.  */
 bool evidence_valid (const evidence_t *evidence, str_t bytes);
-/* Merge what evidence_write made.  Cells over an epoch ahead of NOW_MS, which
-   a peer with a wrong clock writes, and cells older than what is kept are
-   skipped.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
+/* Merge what evidence_write wrote.  Cells more than an epoch ahead of NOW_MS,
+   which a peer with a wrong clock writes, and cells of epochs no longer kept
+   are skipped.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
 vh_code_t evidence_merge (evidence_t *evidence, str_t bytes, uint64_t now_ms);
 
-/* VALUE in fixed point, rounded; values beyond a billion are clipped.  */
+/* Return VALUE in fixed point, rounded; absolute values above a billion are
+   clipped, and 0 replaces a value that is not finite.  */
 int64_t evidence_fixed (double value);
 
-/* Append N as a variable-length integer, seven bits a byte.  */
+/* Append N as a variable-length integer of seven bits a byte.  */
 void evidence_put (buf_t *out, uint64_t n);
-/* Take one such integer off *REST; return false when it is malformed.  */
+/* Read a variable-length integer at the start of *REST into *N and skip it.
+   Return false if it is malformed.  */
 bool evidence_take (str_t *rest, uint64_t *n);
-/* Take a string with its length before it off *REST; it borrows.  */
+/* Read a string that follows its length at the start of *REST into *S, which
+   points into *REST's bytes, and skip it.  Return false if it is
+   malformed.  */
 bool evidence_take_str (str_t *rest, str_t *s);
 
 #endif
--- a/packages/policy/watch.h
+++ b/packages/policy/watch.h
@@ -1,26 +1,27 @@
-/* The watch over versions in service.
+/* Detection of versions in service that become worse.
 
-   Answers: a version that served well for weeks turns bad: its weights were
-   swapped, its engine degrades, its prompts drift.  Without it everyone gets
-   its answers until a person complains.
+   Load pattern: a version that answered well for weeks becomes worse, because
+   its weights were replaced, its inference engine degrades or its prompts
+   change.  Without this module it keeps its traffic until a caller complains.
 
    Change detection: a CUSUM of log-likelihood ratios (E. Page 1954) for each
-   version, task class and metric over epochs of WATCH_EPOCH_MS, against the
-   series' own slow mean: Gaussian for ratings and the logarithm of latency,
-   Bernoulli for errors.  WATCH_THRESHOLD gives in theory e^20 answers to a
-   false alarm where the reference is exact: over a year at ten requests a
-   second.  A fall of 0.05 in ratings of spread 0.15 takes about 360 ratings,
-   one of 0.3 about 35.  It is a function of the sums of the last WATCH_EPOCHS,
-   so any process finds the same.
+   version, task class and metric, over epochs of WATCH_EPOCH_MS.  The reference
+   is the slow mean of the same series.  Ratings and the logarithm of latency
+   are taken as Gaussian, errors as Bernoulli.  With an exact reference,
+   WATCH_THRESHOLD gives in theory e^20 answers to a false alarm, more than a
+   year at ten requests a second.  A drop of 0.05 in ratings with a standard
+   deviation of 0.15 is detected after about 360 ratings, a drop of 0.3 after
+   about 35.  The result is a function of the sums of the last WATCH_EPOCHS, so
+   that all processes find the same.
 
-   An alarm is raised only when the other versions moved less than half as
-   much since the change began: a rating service that turns wrong, or a
-   zone that slows everyone, is no version's fault.  When they go on moving
-   together for WATCH_COMMON_EPOCHS, the reference is learned anew.
+   An alarm is raised only if the other versions changed less than half as much
+   since the change began: no version is at fault when the rating service
+   becomes wrong or a zone slows all versions down.  When all versions have
+   changed together for WATCH_COMMON_EPOCHS, the reference is learned again.
 
-   A version under alarm loses its share in three steps, so that the
-   pools that take over are not hit at once: half, a tenth, nothing.  Only
-   the operator gives it back (watch_clear).  */
+   A version under alarm loses its traffic in three steps, to a half, a tenth
+   and nothing, so that the load on the pools that take over does not rise at
+   once.  Only the operator ends the alarm (watch_clear).  */
 
 #ifndef POLICY_WATCH_H
 #define POLICY_WATCH_H
