--- a/packages/policy/watch.c
+++ b/packages/policy/watch.c
@@ -10,68 +10,75 @@
 enum
 {
   FORMAT = 1,
-  /* Answers before a series has a reference: its mean is then known to 0.01
-     at a spread of 0.15, a fifth of the shift looked for.  */
-  REFERENCE_MIN = 200,
-  /* Answers beyond which the reference forgets the oldest.  */
-  REFERENCE_MAX = 20000
+  /* Answers that a series needs before it has a reference.  The mean of 200
+     ratings with a standard deviation of 0.15 is exact to 0.01, a fifth of the
+     shift to be detected.  */
+  REFERENCE_ANSWERS_MIN = 200,
+  /* Number of answers above which the reference gives older ones less
+     weight.  */
+  REFERENCE_ANSWERS_MAX = 20000
 };
 
-/* The reference stands still while the CUSUM is above this part of the
-   threshold, so that it does not learn the fault.  */
-#define FREEZE_PART 0.25
+/* The reference does not change while the CUSUM is above this part of the
+   threshold, so that it does not follow the fault.  */
+#define FREEZE_THRESHOLD_PART 0.25
 
-/* The shift that the CUSUM of each metric is tuned to, and the least
-   variance of one value believed.  */
+/* Shift to which the CUSUM of each metric is tuned, and the smallest variance
+   assumed for one value.  */
 static const struct
 {
   double shift;
-  double variance_least;
-} tuning[ROLLOUT_METRIC_COUNT] = {
+  double variance_min;
+} metric_settings[ROLLOUT_METRIC_COUNT] = {
   [ROLLOUT_RATING] = { 0.05, 0.0025 },
   [ROLLOUT_ERROR] = { 0.03, 0 },
   [ROLLOUT_LATENCY] = { 0.2, 0.01 },
 };
 
-/* One version and task class; the index is that of its evidence key.  */
+/* One version and task class, at the index of its evidence key.  */
 typedef struct
 {
-  uint64_t version; /* Hash; 0: the key came without a name.  */
+  uint64_t version; /* Hash of the version; 0 if a merged key came without a
+                       name.  */
   uint64_t task;
-  uint32_t slot; /* Of the version, in versions.  */
+  uint32_t version_index; /* Index in VERSIONS.  */
 } series_t;
 
 typedef struct
 {
   uint64_t hash;
   uint64_t cleared_ms;
-  uint64_t since_ms; /* Of the alarm; counts when after cleared_ms.  */
+  uint64_t since_ms; /* Start of the alarm; it is in force if later than
+                        CLEARED_MS.  */
   uint64_t metric;
 } version_alarm_t;
 
 /* The CUSUM of one metric of one series.  */
 typedef struct
 {
-  moments_t reference; /* Squares hold the spread around the mean.  */
-  double cusum;
-  /* Since the CUSUM left zero: how far this series and the other versions
-     moved, weighted by this series' answers.  */
-  double own_count;
-  double own_moved;
-  double other_count;
-  double other_moved;
-  uint32_t common; /* Epochs above the threshold together with others.  */
-  /* Of the epoch at hand.  */
-  moments_t now;
-  double moved;
-} track_t;
-
-/* What the versions moved in the epoch at hand, for one metric.  */
+  moments_t reference; /* SQUARES is the sum of squared deviations from the
+                          mean.  */
+  double value;        /* Sum of log-likelihood ratios; not below 0.  */
+  /* Sums since the CUSUM was last 0, of this series' answers and of their
+     shifts, and of those in the epochs in which other versions had
+     answers.  */
+  double own_answers;
+  double own_shift_sum;
+  double other_answers;
+  double other_shift_sum;
+  uint32_t shared_epochs; /* Epochs above the threshold in which other versions
+                             shifted as well.  */
+  /* Moments of the current epoch.  */
+  moments_t epoch_moments;
+  double shift; /* Mean of the current epoch minus mean of the reference.  */
+} cusum_t;
+
+/* Shift of several series in the current epoch, for one metric.  */
 typedef struct
 {
   double count;
-  double moved; /* Times count.  */
-} shift_t;
+  double shift_sum; /* Sum of the shifts, each times its series' answers.  */
+} shift_sum_t;
 
 struct watch
 {
@@ -79,8 +86,8 @@
   series_t series[WATCH_SERIES_MAX];
   version_alarm_t versions[WATCH_VERSIONS_MAX];
   uint32_t version_count;
-  track_t tracks[WATCH_SERIES_MAX][ROLLOUT_METRIC_COUNT];
-  uint64_t looked_epoch;
+  cusum_t cusums[WATCH_SERIES_MAX][ROLLOUT_METRIC_COUNT];
+  uint64_t evaluated_epoch;
 };
 
 watch_t *
@@ -108,9 +115,9 @@
 }
 
 static uint64_t
-name_hash (str_t name)
+hash_name (str_t name)
 {
-  /* 0 stands for none.  */
+  /* Nonzero, since 0 means no name.  */
   return str_hash (name, 0x77) | 1;
 }
 
@@ -123,9 +130,10 @@
   return NULL;
 }
 
-/* Return the version's entry, made on first use; NULL when all are taken.  */
+/* Return the alarm state of the version, created on first use; NULL if there
+   is no room.  */
 static version_alarm_t *
-version_get (watch_t *w, uint64_t hash)
+version_find_or_add (watch_t *w, uint64_t hash)
 {
   version_alarm_t *found = version_find (w, hash);
 
@@ -135,13 +143,13 @@
   return &w->versions[w->version_count++];
 }
 
-/* Return the key of the series, made on first use; -1 when there is no
+/* Return the key of the series, created on first use; -1 if there is no
    room.  */
 static int
-series_get (watch_t *w, uint64_t version, uint64_t task)
+series_find_or_add (watch_t *w, uint64_t version, uint64_t task)
 {
   uint64_t hash = version ^ (task * 0x9e3779b97f4a7c15u);
-  version_alarm_t *entry = version_get (w, version);
+  version_alarm_t *entry = version_find_or_add (w, version);
 
   if (entry == NULL)
     return -1;
@@ -157,25 +165,25 @@
                const rollout_sample_t *sample, uint64_t now_ms)
 {
   int64_t fields[SAMPLE_FIELDS];
-  int key = series_get (w, name_hash (version), name_hash (task));
+  int key = series_find_or_add (w, hash_name (version), hash_name (task));
 
   sample_fields (sample, fields);
   evidence_add (w->evidence, key, now_ms, fields);
 }
 
 static bool
-alarmed (const version_alarm_t *v)
+has_alarm (const version_alarm_t *v)
 {
   return v->since_ms > v->cleared_ms;
 }
 
-/* Forget an alarm up to NOW_MS; equal states must have equal bytes, so
-   nothing of it stays.  */
+/* End an alarm that began up to NOW_MS.  Its fields are reset, since equal
+   states must have equal bytes.  */
 static void
 clear_alarm (version_alarm_t *v, uint64_t now_ms)
 {
   v->cleared_ms = now_ms;
-  if (!alarmed (v))
+  if (!has_alarm (v))
     {
       v->since_ms = 0;
       v->metric = 0;
@@ -183,137 +191,147 @@
 }
 
 static double
-reference_variance (const track_t *t, rollout_metric_t metric)
+reference_variance (const cusum_t *cusum, rollout_metric_t metric)
 {
-  return fmax (tuning[metric].variance_least,
-               t->reference.squares / t->reference.count);
+  return fmax (metric_settings[metric].variance_min,
+               cusum->reference.squares / cusum->reference.count);
 }
 
-/* Log-likelihood ratio of the epoch's values: shifted against unchanged.  */
+/* Return the log-likelihood ratio of the epoch's values, with the tuned shift
+   against no shift.  */
 static double
-likelihood_ratio (const track_t *t, rollout_metric_t metric)
+likelihood_ratio (const cusum_t *cusum, rollout_metric_t metric)
 {
-  double shift = tuning[metric].shift;
+  double shift = metric_settings[metric].shift;
 
   if (metric == ROLLOUT_ERROR)
     {
-      double p0 = (t->reference.sum + 1) / (t->reference.count + 2);
+      double p0 = (cusum->reference.sum + 1) / (cusum->reference.count + 2);
       double p1 = fmin (p0 + shift, (1 + p0) / 2);
-      return t->now.sum * log (p1 / p0)
-             + (t->now.count - t->now.sum) * log ((1 - p1) / (1 - p0));
+      return cusum->epoch_moments.sum * log (p1 / p0)
+             + (cusum->epoch_moments.count - cusum->epoch_moments.sum)
+                   * log ((1 - p1) / (1 - p0));
     }
-  return t->now.count * shift * (t->moved - shift / 2)
-         / reference_variance (t, metric);
+  return cusum->epoch_moments.count * shift * (cusum->shift - shift / 2)
+         / reference_variance (cusum, metric);
 }
 
 static void
-reference_learn (track_t *t)
+reference_add_epoch (cusum_t *cusum)
 {
-  moments_t *r = &t->reference;
-  double mean = t->now.sum / t->now.count;
+  moments_t *r = &cusum->reference;
+  double mean = cusum->epoch_moments.sum / cusum->epoch_moments.count;
 
   if (r->count > 0)
     {
-      double apart = mean - r->sum / r->count;
-      r->squares += apart * apart * r->count * t->now.count
-                    / (r->count + t->now.count);
+      double mean_difference = mean - r->sum / r->count;
+      r->squares += mean_difference * mean_difference * r->count
+                    * cusum->epoch_moments.count
+                    / (r->count + cusum->epoch_moments.count);
     }
-  r->squares += fmax (0, t->now.squares - mean * t->now.sum);
-  r->count += t->now.count;
-  r->sum += t->now.sum;
-  if (r->count > REFERENCE_MAX)
+  r->squares += fmax (0, cusum->epoch_moments.squares
+                             - mean * cusum->epoch_moments.sum);
+  r->count += cusum->epoch_moments.count;
+  r->sum += cusum->epoch_moments.sum;
+  if (r->count > REFERENCE_ANSWERS_MAX)
     {
-      double part = REFERENCE_MAX / r->count;
-      r->count *= part;
-      r->sum *= part;
-      r->squares *= part;
+      double scale = REFERENCE_ANSWERS_MAX / r->count;
+      r->count *= scale;
+      r->sum *= scale;
+      r->squares *= scale;
     }
 }
 
-/* Load the epoch into the tracks of METRIC and sum up by version what moved.
+/* Load the epoch into all CUSUMs of METRIC and sum the shifts by version.
    Return the sum over all versions.  */
-static shift_t
-load_epoch (watch_t *w, uint64_t epoch, rollout_metric_t metric,
-            shift_t by_version[WATCH_VERSIONS_MAX])
+static shift_sum_t
+load_epoch_shifts (watch_t *w, uint64_t epoch, rollout_metric_t metric,
+                   shift_sum_t by_version[WATCH_VERSIONS_MAX])
 {
-  shift_t all = { 0, 0 };
+  shift_sum_t total = { 0, 0 };
 
   memset (by_version, 0, WATCH_VERSIONS_MAX * sizeof *by_version);
   for (int key = 0; key < WATCH_SERIES_MAX; key++)
     {
-      track_t *t = &w->tracks[key][metric];
+      cusum_t *cusum = &w->cusums[key][metric];
       const series_t *s = &w->series[key];
-      uint64_t cleared_ms = w->versions[s->slot].cleared_ms;
-      t->now = (moments_t){ 0, 0, 0 };
+      uint64_t cleared_ms = w->versions[s->version_index].cleared_ms;
+      cusum->epoch_moments = (moments_t){ 0, 0, 0 };
       if (s->version == 0 || epoch * WATCH_EPOCH_MS < cleared_ms)
         continue;
-      t->now
+      cusum->epoch_moments
           = sample_moments (evidence_sums (w->evidence, key, epoch), metric);
-      if (t->now.count <= 0 || t->reference.count < REFERENCE_MIN)
+      if (cusum->epoch_moments.count <= 0
+          || cusum->reference.count < REFERENCE_ANSWERS_MIN)
         continue;
-      t->moved
-          = t->now.sum / t->now.count - t->reference.sum / t->reference.count;
-      by_version[s->slot].count += t->now.count;
-      by_version[s->slot].moved += t->now.count * t->moved;
-      all.count += t->now.count;
-      all.moved += t->now.count * t->moved;
+      cusum->shift = cusum->epoch_moments.sum / cusum->epoch_moments.count
+                     - cusum->reference.sum / cusum->reference.count;
+      by_version[s->version_index].count += cusum->epoch_moments.count;
+      by_version[s->version_index].shift_sum
+          += cusum->epoch_moments.count * cusum->shift;
+      total.count += cusum->epoch_moments.count;
+      total.shift_sum += cusum->epoch_moments.count * cusum->shift;
     }
-  return all;
+  return total;
 }
 
-/* Tell whether the other versions moved less than half as much, in this epoch
-   and since the change began.  Guards against blaming a version for a rating
-   service that turned wrong or a zone that slowed everyone; shows as several
-   alarms at once.  */
+/* Tell whether the other versions shifted less than half as much, in this
+   epoch and since the change began.  Without this check several versions get
+   an alarm at once when the rating service becomes wrong or a zone slows all
+   versions down.  */
 static bool
-alone (const track_t *t, const shift_t *others)
+is_only_version_shifted (const cusum_t *cusum, const shift_sum_t *others)
 {
-  if (others->count > 0 && others->moved / others->count >= 0.5 * t->moved)
+  if (others->count > 0
+      && others->shift_sum / others->count >= 0.5 * cusum->shift)
     return false;
-  return t->other_count <= 0
-         || t->other_moved / t->other_count
-                < 0.5 * t->own_moved / t->own_count;
+  return cusum->other_answers <= 0
+         || cusum->other_shift_sum / cusum->other_answers
+                < 0.5 * cusum->own_shift_sum / cusum->own_answers;
 }
 
-/* Take the loaded epoch into T.  Return true for an alarm.  */
+/* Add the loaded epoch to CUSUM.  Return true for an alarm.  */
 static bool
-track_step (track_t *t, rollout_metric_t metric, const shift_t *others)
+cusum_add_epoch (cusum_t *cusum, rollout_metric_t metric,
+                 const shift_sum_t *others)
 {
-  if (t->now.count <= 0)
+  if (cusum->epoch_moments.count <= 0)
     return false;
-  if (t->reference.count < REFERENCE_MIN)
+  if (cusum->reference.count < REFERENCE_ANSWERS_MIN)
     {
-      reference_learn (t);
+      reference_add_epoch (cusum);
       return false;
     }
-  t->cusum += likelihood_ratio (t, metric);
-  if (t->cusum <= 0)
+  cusum->value += likelihood_ratio (cusum, metric);
+  if (cusum->value <= 0)
     {
-      t->cusum = 0;
-      t->own_count = t->own_moved = t->other_count = t->other_moved = 0;
-      t->common = 0;
+      cusum->value = 0;
+      cusum->own_answers = cusum->own_shift_sum = cusum->other_answers
+          = cusum->other_shift_sum = 0;
+      cusum->shared_epochs = 0;
     }
   else
     {
-      t->cusum = fmin (t->cusum, 2 * WATCH_THRESHOLD);
-      t->own_count += t->now.count;
-      t->own_moved += t->now.count * t->moved;
-      /* Weighted by this series' answers, so that the same epochs count
-         alike on both sides.  */
+      cusum->value = fmin (cusum->value, 2 * WATCH_THRESHOLD);
+      cusum->own_answers += cusum->epoch_moments.count;
+      cusum->own_shift_sum += cusum->epoch_moments.count * cusum->shift;
+      /* Weighted by this series' answers, so that an epoch has the same weight
+         in both sums.  */
       if (others->count > 0)
         {
-          t->other_count += t->now.count;
-          t->other_moved += t->now.count * others->moved / others->count;
+          cusum->other_answers += cusum->epoch_moments.count;
+          cusum->other_shift_sum += cusum->epoch_moments.count
+                                    * others->shift_sum / others->count;
         }
     }
-  if (t->cusum < FREEZE_PART * WATCH_THRESHOLD)
-    reference_learn (t);
-  if (t->cusum < WATCH_THRESHOLD)
+  if (cusum->value < FREEZE_THRESHOLD_PART * WATCH_THRESHOLD)
+    reference_add_epoch (cusum);
+  if (cusum->value < WATCH_THRESHOLD)
     return false;
-  if (alone (t, others))
+  if (is_only_version_shifted (cusum, others))
     return true;
-  if (++t->common >= WATCH_COMMON_EPOCHS)
-    *t = (track_t){ .common = 0 };
+  if (++cusum->shared_epochs >= WATCH_COMMON_EPOCHS)
+    *cusum = (cusum_t){ .shared_epochs = 0 };
   return false;
 }
 
@@ -324,13 +342,12 @@
   v->metric = metric;
 }
 
-/* Take EPOCH into all tracks of METRIC; return true when an alarm was
-   raised.  */
+/* Add EPOCH to all CUSUMs of METRIC.  Return true if an alarm was raised.  */
 static bool
-look_at (watch_t *w, uint64_t epoch, rollout_metric_t metric)
+evaluate_epoch (watch_t *w, uint64_t epoch, rollout_metric_t metric)
 {
-  shift_t by_version[WATCH_VERSIONS_MAX];
-  shift_t all = load_epoch (w, epoch, metric, by_version);
+  shift_sum_t by_version[WATCH_VERSIONS_MAX];
+  shift_sum_t total = load_epoch_shifts (w, epoch, metric, by_version);
   bool raised = false;
 
   for (int key = 0; key < WATCH_SERIES_MAX; key++)
@@ -338,11 +355,12 @@
       const series_t *s = &w->series[key];
       if (s->version == 0)
         continue;
-      shift_t others = { all.count - by_version[s->slot].count,
-                         all.moved - by_version[s->slot].moved };
-      version_alarm_t *v = &w->versions[s->slot];
-      if (track_step (&w->tracks[key][metric], metric, &others)
-          && !alarmed (v))
+      shift_sum_t others
+          = { total.count - by_version[s->version_index].count,
+              total.shift_sum - by_version[s->version_index].shift_sum };
+      version_alarm_t *v = &w->versions[s->version_index];
+      if (cusum_add_epoch (&w->cusums[key][metric], metric, &others)
+          && !has_alarm (v))
         {
           raise_alarm (v, metric, epoch);
           raised = true;
@@ -358,25 +376,26 @@
   bool raised = false;
 
   evidence_advance (w->evidence, now_ms);
-  if (now_epoch == w->looked_epoch)
+  if (now_epoch == w->evaluated_epoch)
     return false;
-  w->looked_epoch = now_epoch;
-  /* From the start of what is kept, so that evidence that came late or from
-     elsewhere is seen in its place and every process finds the same.  */
-  memset (w->tracks, 0, sizeof w->tracks);
+  w->evaluated_epoch = now_epoch;
+  /* Start again at the first epoch kept, so that measurements that arrived
+     late or from other processes count in their epoch and all processes find
+     the same.  */
+  memset (w->cusums, 0, sizeof w->cusums);
   uint64_t epoch = evidence_first (w->evidence);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
-      raised = look_at (w, epoch, (rollout_metric_t)m) || raised;
+      raised = evaluate_epoch (w, epoch, (rollout_metric_t)m) || raised;
   return raised;
 }
 
 double
 watch_weight (const watch_t *w, str_t version, uint64_t now_ms)
 {
-  const version_alarm_t *v = version_find (w, name_hash (version));
+  const version_alarm_t *v = version_find (w, hash_name (version));
 
-  if (v == NULL || !alarmed (v))
+  if (v == NULL || !has_alarm (v))
     return 1;
   uint64_t age_ms = now_ms > v->since_ms ? now_ms - v->since_ms : 0;
   if (age_ms < WATCH_STEP_MS)
@@ -388,9 +407,9 @@
 watch_alarm (const watch_t *w, str_t version, rollout_metric_t *metric,
              uint64_t *since_ms)
 {
-  const version_alarm_t *v = version_find (w, name_hash (version));
+  const version_alarm_t *v = version_find (w, hash_name (version));
 
-  if (v == NULL || !alarmed (v))
+  if (v == NULL || !has_alarm (v))
     return false;
   *metric = (rollout_metric_t)v->metric;
   *since_ms = v->since_ms;
@@ -400,7 +419,7 @@
 void
 watch_clear (watch_t *w, str_t version, uint64_t now_ms)
 {
-  version_alarm_t *v = version_get (w, name_hash (version));
+  version_alarm_t *v = version_find_or_add (w, hash_name (version));
 
   if (v != NULL && v->cleared_ms < now_ms)
     clear_alarm (v, now_ms);
@@ -434,7 +453,7 @@
 }
 
 static bool
-take_alarm (str_t *rest, version_alarm_t *v)
+read_alarm (str_t *rest, version_alarm_t *v)
 {
   return evidence_take (rest, &v->hash) && evidence_take (rest, &v->cleared_ms)
          && evidence_take (rest, &v->since_ms)
@@ -442,7 +461,8 @@
          && v->metric < ROLLOUT_METRIC_COUNT;
 }
 
-/* The later clearing counts, then the earliest alarm after it.  */
+/* Keep the later of the two times at which the operator ended an alarm, and
+   the earlier of two alarms after that time.  */
 static void
 merge_alarm (version_alarm_t *own, const version_alarm_t *other)
 {
@@ -450,7 +470,7 @@
     clear_alarm (own, other->cleared_ms);
   if (other->since_ms <= own->cleared_ms)
     return;
-  if (!alarmed (own) || other->since_ms < own->since_ms
+  if (!has_alarm (own) || other->since_ms < own->since_ms
       || (other->since_ms == own->since_ms && other->metric < own->metric))
     {
       own->since_ms = other->since_ms;
@@ -478,17 +498,17 @@
     return VH_E_PROTOCOL;
   str_t alarms = bytes;
   for (uint64_t i = 0; i < versions; i++)
-    if (!take_alarm (&bytes, &alarm))
+    if (!read_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
   if (!evidence_valid (w->evidence, bytes))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < series && evidence_take (&names, &version)
                        && evidence_take (&names, &task);
        i++)
-    series_get (w, version, task);
-  for (uint64_t i = 0; i < versions && take_alarm (&alarms, &alarm); i++)
+    series_find_or_add (w, version, task);
+  for (uint64_t i = 0; i < versions && read_alarm (&alarms, &alarm); i++)
     {
-      version_alarm_t *own = version_get (w, alarm.hash);
+      version_alarm_t *own = version_find_or_add (w, alarm.hash);
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -1,4 +1,5 @@
-/* Tests of the watch over versions in service.  */
+/* Tests of the detection of versions in service that become worse, with
+   simulated traffic.  */
 
 #include "base/rng.h"
 #include "policy/watch.h"
@@ -12,9 +13,9 @@
 
 enum
 {
-  PER_MINUTE = 600,
+  REQUESTS_PER_MINUTE = 600,
   MINUTE_MS = 60 * 1000,
-  QUIET_MINUTES = 60,
+  HEALTHY_MINUTES = 60,
   SEEDS = 40
 };
 
@@ -24,65 +25,68 @@
   double rating;
   double error;
   double latency;
-  int minutes_most; /* From the change to the alarm.  */
-} fault_t;
+  int minutes_max; /* Largest time from the change to the alarm.  */
+} regression_t;
 
 typedef struct
 {
   rng_t rng;
   watch_t *watch;
   uint64_t now_ms;
-  double other_share; /* Traffic of large@1; the rest is small@1's.  */
-  double small_rating;
-  double small_error;
-  double small_latency;
-  double all_rating; /* Taken off every rating.  */
-} world_t;
+  double large_share; /* Share of large@1 in the traffic; the rest is
+                         small@1's.  */
+  double small_rating_loss;
+  double small_error_increase;
+  double small_latency_factor;
+  double common_rating_loss; /* Subtracted from the ratings of both
+                                versions.  */
+} simulation_t;
 
 static double
-normal (rng_t *rng)
+draw_normal (rng_t *rng)
 {
   double u = 1 - rng_double (rng);
 
   return sqrt (-2 * log (u)) * cos (6.283185307 * rng_double (rng));
 }
 
-static world_t
-world_make (uint64_t seed)
+static simulation_t
+simulation_create (uint64_t seed)
 {
-  return (world_t){ .rng = rng_make (seed * 31 + 7),
-                    .watch = watch_create (seed + 1),
-                    .now_ms = START_MS,
-                    .other_share = 0.2,
-                    .small_latency = 1 };
+  return (simulation_t){ .rng = rng_make (seed * 31 + 7),
+                         .watch = watch_create (seed + 1),
+                         .now_ms = START_MS,
+                         .large_share = 0.2,
+                         .small_latency_factor = 1 };
 }
 
-/* One minute of traffic: 10 requests a second, one answer in ten rated.
-   Return what watch_step says at its end.  */
+/* Simulate one minute of traffic, with 10 requests a second and one answer in
+   ten rated.  Return the result of watch_step at its end.  */
 static bool
-world_minute (world_t *w)
+simulate_minute (simulation_t *w)
 {
-  for (int i = 0; i < PER_MINUTE; i++)
+  for (int i = 0; i < REQUESTS_PER_MINUTE; i++)
     {
-      bool small = rng_double (&w->rng) >= w->other_share;
+      bool small = rng_double (&w->rng) >= w->large_share;
       rollout_sample_t s = { .finished = true };
-      double rating = 0.85 + 0.15 * normal (&w->rng) - w->all_rating;
-      double error = 0.005 + (small ? w->small_error : 0);
+      double rating
+          = 0.85 + 0.15 * draw_normal (&w->rng) - w->common_rating_loss;
+      double error = 0.005 + (small ? w->small_error_increase : 0);
       s.failed = rng_double (&w->rng) < error;
-      s.latency_ms = 800 * exp (0.4 * normal (&w->rng));
-      s.latency_ms *= small ? w->small_latency : 1;
+      s.latency_ms = 800 * exp (0.4 * draw_normal (&w->rng));
+      s.latency_ms *= small ? w->small_latency_factor : 1;
       s.rated = !s.failed && rng_double (&w->rng) < 0.1;
-      s.rating = rating - (small ? w->small_rating : 0);
+      s.rating = rating - (small ? w->small_rating_loss : 0);
       watch_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
                      rng_below (&w->rng, 3) == 0 ? STR ("tag") : STR ("draft"),
                      &s, w->now_ms);
-      w->now_ms += MINUTE_MS / PER_MINUTE;
+      w->now_ms += MINUTE_MS / REQUESTS_PER_MINUTE;
     }
   return watch_step (w->watch, w->now_ms);
 }
 
 static bool
-small_alarmed (const world_t *w)
+has_small_alarm (const simulation_t *w)
 {
   rollout_metric_t metric;
   uint64_t since_ms;
@@ -91,7 +95,7 @@
 }
 
 static bool
-large_alarmed (const world_t *w)
+has_large_alarm (const simulation_t *w)
 {
   rollout_metric_t metric;
   uint64_t since_ms;
@@ -99,36 +103,37 @@
   return watch_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
 }
 
-static const fault_t faults[] = {
+static const regression_t regressions[] = {
   { "ratings fall clearly", 0.3, 0, 1, 3 },
   { "ratings fall slightly", 0.08, 0, 1, 15 },
   { "errors", 0, 0.2, 1, 2 },
   { "slower", 0, 0, 1.5, 2 },
 };
 
-/* A version has served well for an hour and turns bad.  The watch must say so
-   within minutes, blame that version alone, and take its share down in
-   steps.  */
-START_TEST (version_that_turns_bad_is_caught)
+/* A version answers well for an hour and becomes worse.  It would keep its
+   traffic if there were no alarm within minutes, and another version would
+   lose its own if the alarm hit that one.  */
+START_TEST (version_that_becomes_worse_is_missed)
 {
-  const fault_t *fault = &faults[_i];
+  const regression_t *regression = &regressions[_i];
 
   for (uint64_t seed = 0; seed < 10; seed++)
     {
-      world_t w = world_make (seed);
+      simulation_t w = simulation_create (seed);
       int minutes = 0;
-      for (int i = 0; i < QUIET_MINUTES; i++)
-        ck_assert (!world_minute (&w));
+      for (int i = 0; i < HEALTHY_MINUTES; i++)
+        ck_assert (!simulate_minute (&w));
       ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
                            1);
-      w.small_rating = fault->rating;
-      w.small_error = fault->error;
-      w.small_latency = fault->latency;
-      for (; !small_alarmed (&w) && minutes < 60; minutes++)
-        world_minute (&w);
-      ck_assert_msg (minutes <= fault->minutes_most, "%s, seed %d: %d min",
-                     fault->name, (int)seed, minutes);
-      ck_assert (!large_alarmed (&w));
+      w.small_rating_loss = regression->rating;
+      w.small_error_increase = regression->error;
+      w.small_latency_factor = regression->latency;
+      for (; !has_small_alarm (&w) && minutes < 60; minutes++)
+        simulate_minute (&w);
+      ck_assert_msg (minutes <= regression->minutes_max,
+                     "%s, seed %d: alarm after %d min", regression->name,
+                     (int)seed, minutes);
+      ck_assert (!has_large_alarm (&w));
       ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
                            0.5);
       ck_assert_double_eq (
@@ -143,36 +148,38 @@
 }
 END_TEST
 
-/* A version has been in service for ten minutes when it turns slightly bad.
-   Its reference is young and must not learn the fault as the new usual.  */
-START_TEST (young_reference_does_not_learn_the_fault)
+/* A version has been in service for ten minutes when it becomes slightly
+   worse.  Its reference, made from few answers, would follow the fault and
+   hide it.  */
+START_TEST (reference_of_a_new_version_follows_the_fault)
 {
   for (uint64_t seed = 0; seed < 10; seed++)
     {
-      world_t w = world_make (seed);
+      simulation_t w = simulation_create (seed);
       int minutes = 0;
       for (int i = 0; i < 10; i++)
-        world_minute (&w);
-      w.small_rating = 0.08;
-      for (; !small_alarmed (&w) && minutes < 60; minutes++)
-        world_minute (&w);
+        simulate_minute (&w);
+      w.small_rating_loss = 0.08;
+      for (; !has_small_alarm (&w) && minutes < 60; minutes++)
+        simulate_minute (&w);
       ck_assert_msg (minutes < 60, "seed %d", (int)seed);
       watch_destroy (w.watch);
     }
 }
 END_TEST
 
-/* Nothing changes for three hours; at most one watch in twenty may cry.  */
-START_TEST (quiet_service_raises_no_alarm)
+/* Nothing changes for three hours.  By chance at most one service in twenty
+   may get an alarm.  */
+START_TEST (unchanged_service_raises_an_alarm)
 {
   int alarms = 0;
 
   for (uint64_t seed = 100; seed < 100 + SEEDS; seed++)
     {
-      world_t w = world_make (seed);
+      simulation_t w = simulation_create (seed);
       bool raised = false;
       for (int i = 0; i < 180; i++)
-        raised = world_minute (&w) || raised;
+        raised = simulate_minute (&w) || raised;
       alarms += raised;
       watch_destroy (w.watch);
     }
@@ -180,20 +187,20 @@
 }
 END_TEST
 
-/* The rating service answers far too low for ten minutes, to everything.  No
-   version may lose its share for it.  */
-START_TEST (wrong_rater_blames_no_version)
+/* The rating service returns far too low ratings for ten minutes, for both
+   versions.  Versions that did not change would lose their traffic.  */
+START_TEST (wrong_ratings_raise_an_alarm)
 {
   int alarms = 0;
 
   for (uint64_t seed = 0; seed < SEEDS; seed++)
     {
-      world_t w = world_make (seed);
+      simulation_t w = simulation_create (seed);
       bool raised = false;
       for (int i = 0; i < 100; i++)
         {
-          w.all_rating = i >= 60 && i < 70 ? 0.5 : 0;
-          raised = world_minute (&w) || raised;
+          w.common_rating_loss = i >= 60 && i < 70 ? 0.5 : 0;
+          raised = simulate_minute (&w) || raised;
         }
       alarms += raised;
       watch_destroy (w.watch);
@@ -202,97 +209,100 @@
 }
 END_TEST
 
-/* The rating scale changes for good.  The references must follow, so that a
-   version which turns bad afterwards is caught again.  */
-START_TEST (lasting_change_of_scale_is_learned)
+/* The scale of the ratings changes for good.  If the references did not
+   follow, a version that becomes worse afterwards would be missed.  */
+START_TEST (reference_stays_at_an_old_rating_scale)
 {
-  world_t w = world_make (3);
+  simulation_t w = simulation_create (3);
   int minutes = 0;
 
-  for (int i = 0; i < QUIET_MINUTES; i++)
-    world_minute (&w);
-  w.all_rating = 0.3;
+  for (int i = 0; i < HEALTHY_MINUTES; i++)
+    simulate_minute (&w);
+  w.common_rating_loss = 0.3;
   for (int i = 0; i < 100; i++)
-    ck_assert (!world_minute (&w));
-  w.small_rating = 0.3;
-  for (; !small_alarmed (&w) && minutes < 60; minutes++)
-    world_minute (&w);
+    ck_assert (!simulate_minute (&w));
+  w.small_rating_loss = 0.3;
+  for (; !has_small_alarm (&w) && minutes < 60; minutes++)
+    simulate_minute (&w);
   ck_assert_int_le (minutes, 5);
-  ck_assert (!large_alarmed (&w));
+  ck_assert (!has_large_alarm (&w));
   watch_destroy (w.watch);
 }
 END_TEST
 
-/* The operator has mended the version and clears the alarm.  Its old evidence
-   must not raise it again, and a new fault must.  */
-START_TEST (clearing_starts_afresh)
+/* The operator ends an alarm after the version was repaired.  The old
+   measurements would raise the alarm again, or a new fault would be
+   missed.  */
+START_TEST (cleared_alarm_returns_or_hides_a_new_fault)
 {
-  world_t w = world_make (5);
+  simulation_t w = simulation_create (5);
 
-  for (int i = 0; i < QUIET_MINUTES; i++)
-    world_minute (&w);
-  w.small_error = 0.3;
+  for (int i = 0; i < HEALTHY_MINUTES; i++)
+    simulate_minute (&w);
+  w.small_error_increase = 0.3;
   for (int i = 0; i < 5; i++)
-    world_minute (&w);
-  ck_assert (small_alarmed (&w));
-  w.small_error = 0;
+    simulate_minute (&w);
+  ck_assert (has_small_alarm (&w));
+  w.small_error_increase = 0;
   watch_clear (w.watch, STR ("small@1"), w.now_ms);
-  ck_assert (!small_alarmed (&w));
-  for (int i = 0; i < QUIET_MINUTES; i++)
-    ck_assert (!world_minute (&w));
-  w.small_error = 0.3;
+  ck_assert (!has_small_alarm (&w));
+  for (int i = 0; i < HEALTHY_MINUTES; i++)
+    ck_assert (!simulate_minute (&w));
+  w.small_error_increase = 0.3;
   for (int i = 0; i < 5; i++)
-    world_minute (&w);
-  ck_assert (small_alarmed (&w));
+    simulate_minute (&w);
+  ck_assert (has_small_alarm (&w));
   watch_destroy (w.watch);
 }
 END_TEST
 
-/* The entry that found the fault goes away.  One that knows only the written
-   state must find the same alarm; one that got the evidence before must too,
-   and a message delivered twice must change nothing.  */
-START_TEST (state_survives_and_merges)
+/* The process that raised an alarm is gone.  A process that knows only the
+   written state would not have the alarm; a message that arrives twice would
+   change the state, and the merge of an older state would bring back an alarm
+   that was ended.  */
+START_TEST (alarm_is_lost_with_its_process)
 {
-  world_t w = world_make (9);
-  watch_t *late = watch_create (77);
-  watch_t *alone = watch_create (78);
+  simulation_t w = simulation_create (9);
+  watch_t *receiver = watch_create (77);
+  watch_t *untouched = watch_create (78);
   buf_t bytes = BUF_NULL;
-  buf_t again = BUF_NULL;
-  rollout_metric_t metric, metric_late;
-  uint64_t since_ms, since_late_ms;
+  buf_t rewritten = BUF_NULL;
+  rollout_metric_t metric, receiver_metric;
+  uint64_t since_ms, receiver_since_ms;
 
-  for (int i = 0; i < QUIET_MINUTES; i++)
-    world_minute (&w);
-  w.small_error = 0.3;
+  for (int i = 0; i < HEALTHY_MINUTES; i++)
+    simulate_minute (&w);
+  w.small_error_increase = 0.3;
   for (int i = 0; i < 3; i++)
-    world_minute (&w);
+    simulate_minute (&w);
   ck_assert (watch_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
   ck_assert_int_eq (metric, ROLLOUT_ERROR);
   watch_write (w.watch, false, &bytes);
-  ck_assert_int_eq (watch_merge (late, buf_str (&bytes), w.now_ms), VH_OK);
-  ck_assert_int_eq (watch_merge (late, buf_str (&bytes), w.now_ms), VH_OK);
-  ck_assert (
-      watch_alarm (late, STR ("small@1"), &metric_late, &since_late_ms));
-  ck_assert_uint_eq (since_ms, since_late_ms);
-  watch_write (late, false, &again);
-  ck_assert (str_eq (buf_str (&bytes), buf_str (&again)));
-  watch_clear (late, STR ("small@1"), since_ms + 1);
-  watch_merge (late, buf_str (&bytes), w.now_ms);
-  ck_assert (!watch_alarm (late, STR ("small@1"), &metric, &since_ms));
+  ck_assert_int_eq (watch_merge (receiver, buf_str (&bytes), w.now_ms), VH_OK);
+  ck_assert_int_eq (watch_merge (receiver, buf_str (&bytes), w.now_ms), VH_OK);
+  ck_assert (watch_alarm (receiver, STR ("small@1"), &receiver_metric,
+                          &receiver_since_ms));
+  ck_assert_uint_eq (since_ms, receiver_since_ms);
+  watch_write (receiver, false, &rewritten);
+  ck_assert (str_eq (buf_str (&bytes), buf_str (&rewritten)));
+  watch_clear (receiver, STR ("small@1"), since_ms + 1);
+  watch_merge (receiver, buf_str (&bytes), w.now_ms);
+  ck_assert (!watch_alarm (receiver, STR ("small@1"), &metric, &since_ms));
   buf_t cleared = BUF_NULL;
-  again.len = 0;
-  watch_write (late, false, &cleared);
+  rewritten.len = 0;
+  watch_write (receiver, false, &cleared);
   watch_merge (w.watch, buf_str (&cleared), w.now_ms);
-  watch_write (w.watch, false, &again);
-  ck_assert (str_eq (buf_str (&cleared), buf_str (&again)));
+  watch_write (w.watch, false, &rewritten);
+  ck_assert (str_eq (buf_str (&cleared), buf_str (&rewritten)));
   buf_free (&cleared);
   for (size_t len = 0; len < bytes.len; len += 1 + len / 50)
-    ck_assert_int_eq (watch_merge (alone, str_make (bytes.ptr, len), w.now_ms),
-                      VH_E_PROTOCOL);
+    ck_assert_int_eq (
+        watch_merge (untouched, str_make (bytes.ptr, len), w.now_ms),
+        VH_E_PROTOCOL);
   buf_free (&bytes);
-  buf_free (&again);
-  watch_destroy (late);
-  watch_destroy (alone);
+  buf_free (&rewritten);
+  watch_destroy (receiver);
+  watch_destroy (untouched);
   watch_destroy (w.watch);
 }
 END_TEST
@@ -304,14 +314,14 @@
   TCase *tcase = tcase_create ("watch");
 
   tcase_set_timeout (tcase, 110);
-  tcase_add_loop_test (tcase, version_that_turns_bad_is_caught, 0,
-                       (int)(sizeof faults / sizeof faults[0]));
-  tcase_add_test (tcase, young_reference_does_not_learn_the_fault);
-  tcase_add_test (tcase, quiet_service_raises_no_alarm);
-  tcase_add_test (tcase, wrong_rater_blames_no_version);
-  tcase_add_test (tcase, lasting_change_of_scale_is_learned);
-  tcase_add_test (tcase, clearing_starts_afresh);
-  tcase_add_test (tcase, state_survives_and_merges);
+  tcase_add_loop_test (tcase, version_that_becomes_worse_is_missed, 0,
+                       (int)(sizeof regressions / sizeof regressions[0]));
+  tcase_add_test (tcase, reference_of_a_new_version_follows_the_fault);
+  tcase_add_test (tcase, unchanged_service_raises_an_alarm);
+  tcase_add_test (tcase, wrong_ratings_raise_an_alarm);
+  tcase_add_test (tcase, reference_stays_at_an_old_rating_scale);
+  tcase_add_test (tcase, cleared_alarm_returns_or_hides_a_new_fault);
+  tcase_add_test (tcase, alarm_is_lost_with_its_process);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
