--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -1,24 +1,25 @@
-/* Service-level burn: how fast each objective's error budget is spent.
-
-   Answers: an operator must see before dawn whether an objective is in
-   danger and who spends it: one team, a model, a version or a zone.  Without
-   it a mean over the day hides an hour of failure, and an alert on any
-   failure cries wolf.
-
-   Each objective has a budget, the share (or amount) of harm it allows.  The
-   burn rate is harm over budget: 1 spends it exactly, 14.4 spends a thirty
-   day budget's fiftieth in an hour.  Four windows are kept: 5 minutes, 1
-   hour, 6 hours and 3 days, the pairs of "The Site Reliability Workbook"
-   (2018), chapter 5: both of a pair must burn, so that an alert is neither
-   raised by a blip nor kept up by what is over.  BURN_PAGE for 5 minutes and
-   1 hour, BURN_TICKET for 6 hours and 3 days are its figures.  The budget
-   left is that of three days.
-
-   Cost and memory are bounded: sums are kept for the whole and for each
-   team, model, version and zone by itself, not for their combinations; at
-   most BURN_SERIES_MAX such names a process, what comes later counts under
-   "other".  Sums are evidence.h's, so reports of several processes add up in
-   any order and a repeated one changes nothing.  */
+/* Burn rates of service-level objectives: how fast each error budget is spent.
+
+   Load pattern: an objective is in danger, and the operator must see it early,
+   with the team, model, version or zone that spends the budget.  Without this
+   module a mean over the day hides an hour of failures, and an alert on any
+   failure is raised so often that it is ignored.
+
+   Each objective has a budget, the share (or amount) of harm that it allows.
+   The burn rate is harm divided by budget: at 1 the budget is spent exactly,
+   at 14.4 a fiftieth of a thirty days' budget is spent in an hour.  Four
+   windows are kept: 5 minutes, 1 hour, 6 hours and 3 days, the pairs of "The
+   Site Reliability Workbook" (2018), chapter 5.  Both windows of a pair must
+   burn, so that an alert is neither raised by a short peak nor kept up after
+   the problem has ended.  BURN_PAGE for 5 minutes and 1 hour, and BURN_TICKET
+   for 6 hours and 3 days, are the book's figures.  The remaining budget is that
+   of three days.
+
+   Cost and memory are bounded: sums are kept for the whole service and for each
+   team, model, version and zone by itself, not for their combinations, for at
+   most BURN_SERIES_MAX names in a process; further names count as "other".  The
+   sums are those of evidence.h, so that the states of several processes add up
+   in any order and a repeated message changes nothing.  */
 
 #ifndef POLICY_BURN_H
 #define POLICY_BURN_H
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -6,9 +6,9 @@
 
 enum
 {
-  /* A key may lie in any place of its set.  */
-  WAYS = 8,
-  SETS = POISON_KEYS / WAYS,
+  /* Set-associative table: a key may lie in any slot of its set.  */
+  SLOTS_PER_SET = 8,
+  SET_COUNT = POISON_KEYS / SLOTS_PER_SET,
   DIGEST_SEED = 1,
   REQUEST_SEED = 2,
   TEAM_SEED = 4
@@ -17,15 +17,15 @@
 typedef struct
 {
   poison_key_t key;
-  uint64_t deaths[POISON_DEATHS];
-  uint64_t marked_ms; /* Of the newest death.  */
-  uint32_t count;     /* Of deaths; 0 when the place is free.  */
-} suspect_t;
+  uint64_t crash_ids[POISON_CRASHES_TO_REFUSE];
+  uint64_t last_crash_ms; /* Time of the newest recorded crash.  */
+  uint32_t crash_count;   /* 0 if the slot is free.  */
+} slot_t;
 
 struct poison
 {
   clock_iface_t *clock;
-  suspect_t *suspects;
+  slot_t *slots;
 };
 
 poison_t *
@@ -34,7 +34,7 @@
   poison_t *poison = mem_zalloc (sizeof *poison);
 
   poison->clock = clock;
-  poison->suspects = mem_zalloc (POISON_KEYS * sizeof (suspect_t));
+  poison->slots = mem_zalloc (POISON_KEYS * sizeof (slot_t));
   return poison;
 }
 
@@ -43,7 +43,7 @@
 {
   if (poison == NULL)
     return;
-  free (poison->suspects);
+  free (poison->slots);
   free (poison);
 }
 
@@ -64,81 +64,82 @@
 }
 
 static bool
-key_eq (poison_key_t a, poison_key_t b)
+is_same_key (poison_key_t a, poison_key_t b)
 {
   return a.high == b.high && a.low == b.low;
 }
 
 static bool
-alive (const poison_t *poison, const suspect_t *suspect)
+is_live (const poison_t *poison, const slot_t *slot)
 {
-  return suspect->count > 0
-         && clock_ms (poison->clock) < suspect->marked_ms + POISON_EXPIRY_MS;
+  return slot->crash_count > 0
+         && clock_ms (poison->clock) < slot->last_crash_ms + POISON_EXPIRY_MS;
 }
 
-static suspect_t *
-set_of (const poison_t *poison, poison_key_t key)
+static slot_t *
+key_set (const poison_t *poison, poison_key_t key)
 {
-  return &poison->suspects[key.high % SETS * WAYS];
+  return &poison->slots[key.high % SET_COUNT * SLOTS_PER_SET];
 }
 
-/* Return the record of KEY, or NULL.  */
-static const suspect_t *
-find_suspect (const poison_t *poison, poison_key_t key)
+/* Return the slot of KEY, or NULL if it has none that is not expired.  */
+static const slot_t *
+find_slot (const poison_t *poison, poison_key_t key)
 {
-  const suspect_t *set = set_of (poison, key);
+  const slot_t *set = key_set (poison, key);
 
-  for (int i = 0; i < WAYS; i++)
-    if (key_eq (set[i].key, key) && alive (poison, &set[i]))
+  for (int i = 0; i < SLOTS_PER_SET; i++)
+    if (is_same_key (set[i].key, key) && is_live (poison, &set[i]))
       return &set[i];
   return NULL;
 }
 
-/* Whether A is rather to be given up than B.  */
+/* Tell whether A is dropped before B: expired ones first, then those with
+   fewer crashes, then those that expire first.  */
 static bool
-matters_less (const poison_t *poison, const suspect_t *a, const suspect_t *b)
+is_dropped_before (const poison_t *poison, const slot_t *a, const slot_t *b)
 {
-  if (alive (poison, a) != alive (poison, b))
-    return !alive (poison, a);
-  if (a->count != b->count)
-    return a->count < b->count;
-  return a->marked_ms < b->marked_ms;
+  if (is_live (poison, a) != is_live (poison, b))
+    return !is_live (poison, a);
+  if (a->crash_count != b->crash_count)
+    return a->crash_count < b->crash_count;
+  return a->last_crash_ms < b->last_crash_ms;
 }
 
-/* Return a place for KEY, cleared.  */
-static suspect_t *
-make_suspect (poison_t *poison, poison_key_t key)
+/* Return an empty slot for KEY, dropping another key at need.  */
+static slot_t *
+allocate_slot (poison_t *poison, poison_key_t key)
 {
-  suspect_t *set = set_of (poison, key);
-  suspect_t *least = &set[0];
+  slot_t *set = key_set (poison, key);
+  slot_t *dropped = &set[0];
 
-  for (int i = 1; i < WAYS; i++)
-    if (matters_less (poison, &set[i], least))
-      least = &set[i];
-  *least = (suspect_t){ .key = key };
-  return least;
+  for (int i = 1; i < SLOTS_PER_SET; i++)
+    if (is_dropped_before (poison, &set[i], dropped))
+      dropped = &set[i];
+  *dropped = (slot_t){ .key = key };
+  return dropped;
 }
 
 bool
 poison_merge (poison_t *poison, const poison_mark_t *mark)
 {
-  suspect_t *suspect = (suspect_t *)find_suspect (poison, mark->key);
+  slot_t *slot = (slot_t *)find_slot (poison, mark->key);
   uint64_t now = clock_ms (poison->clock);
-  uint64_t marked_ms = now > mark->age_ms ? now - mark->age_ms : 0;
+  uint64_t last_crash_ms = now > mark->age_ms ? now - mark->age_ms : 0;
 
   if (mark->age_ms >= POISON_EXPIRY_MS)
     return false;
-  if (suspect == NULL)
-    suspect = make_suspect (poison, mark->key);
-  for (uint32_t i = 0; i < suspect->count; i++)
-    if (suspect->deaths[i] == mark->death)
+  if (slot == NULL)
+    slot = allocate_slot (poison, mark->key);
+  for (uint32_t i = 0; i < slot->crash_count; i++)
+    if (slot->crash_ids[i] == mark->death)
       return false;
-  /* Two are enough to refuse; a third tells nothing new.  */
-  if (suspect->count == POISON_DEATHS)
+  /* Further crashes change nothing for a key that is already refused.  */
+  if (slot->crash_count == POISON_CRASHES_TO_REFUSE)
     return false;
-  suspect->deaths[suspect->count++] = mark->death;
-  if (suspect->marked_ms < marked_ms)
-    suspect->marked_ms = marked_ms;
+  slot->crash_ids[slot->crash_count++] = mark->death;
+  if (slot->last_crash_ms < last_crash_ms)
+    slot->last_crash_ms = last_crash_ms;
   return true;
 }
 
@@ -154,17 +155,17 @@
 poison_judge (const poison_t *poison, poison_key_t digest,
               poison_key_t request)
 {
-  const suspect_t *by_digest = find_suspect (poison, digest);
-  const suspect_t *by_request = find_suspect (poison, request);
-  uint32_t deaths = 0;
+  const slot_t *by_digest = find_slot (poison, digest);
+  const slot_t *by_request = find_slot (poison, request);
+  uint32_t crash_count = 0;
 
   if (by_digest != NULL)
-    deaths = by_digest->count;
-  if (by_request != NULL && by_request->count > deaths)
-    deaths = by_request->count;
-  if (deaths >= POISON_DEATHS)
+    crash_count = by_digest->crash_count;
+  if (by_request != NULL && by_request->crash_count > crash_count)
+    crash_count = by_request->crash_count;
+  if (crash_count >= POISON_CRASHES_TO_REFUSE)
     return POISON_REFUSED;
-  return deaths > 0 ? POISON_SUSPECT : POISON_CLEAR;
+  return crash_count > 0 ? POISON_SUSPECT : POISON_CLEAR;
 }
 
 bool
@@ -186,17 +187,17 @@
 bool
 poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark)
 {
-  for (; *cursor < (size_t)POISON_KEYS * POISON_DEATHS; ++*cursor)
+  for (; *cursor < (size_t)POISON_KEYS * POISON_CRASHES_TO_REFUSE; ++*cursor)
     {
-      const suspect_t *suspect = &poison->suspects[*cursor / POISON_DEATHS];
-      size_t death = *cursor % POISON_DEATHS;
+      const slot_t *slot = &poison->slots[*cursor / POISON_CRASHES_TO_REFUSE];
+      size_t crash_index = *cursor % POISON_CRASHES_TO_REFUSE;
 
-      if (death >= suspect->count || !alive (poison, suspect))
+      if (crash_index >= slot->crash_count || !is_live (poison, slot))
         continue;
       ++*cursor;
-      mark->key = suspect->key;
-      mark->death = suspect->deaths[death];
-      mark->age_ms = clock_ms (poison->clock) - suspect->marked_ms;
+      mark->key = slot->key;
+      mark->death = slot->crash_ids[crash_index];
+      mark->age_ms = clock_ms (poison->clock) - slot->last_crash_ms;
       return true;
     }
   return false;
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -1,25 +1,27 @@
-/* Requests suspected of ending the upstreams that run them.
-
-   Answers: now and then one request crashes every upstream that runs it, and
-   its caller sends it again, with the same request id or a new one.  Without
-   this each resend takes down one more upstream, with all that runs there.
-
-   When an upstream dies every request in flight there gets the death as a
-   mark, under the digest of its content and under its request id.  One mark
-   makes a suspect, two of different deaths a refusal.  An innocent that was
-   beside the culprit must not be condemned by a second coincidence, so a
-   suspect shares an upstream with no other suspect (each death then condemns
-   one request at most), and with nothing that may not be repeated, which its
-   death would leave unknown.
-
-   Marks are pairs of key and death id, so a process may take in those of
-   another in any order and any number of times.
-
-   - POISON_KEYS 4096 of 48 bytes: a death marks as many requests as an
-     upstream runs, some dozens, under two keys; room for about thirty deaths
-     at a time.  When it is full, the mark that expires first gives way, a
-     refusal last.
-   - POISON_EXPIRY_MS 3600000: resends come within minutes; after an hour the
+/* Requests suspected of crashing the upstreams that run them.
+
+   Load pattern: now and then one request crashes every upstream that runs it,
+   and its caller sends it again, with the same request id or a new one.
+   Without this module each resend crashes one more upstream and ends all
+   requests that run there.
+
+   When an upstream crashes, the crash is recorded for every request in flight
+   there, under the digest of the request's content and under its request id.
+   A request with one recorded crash is a suspect, a request with two different
+   ones is refused.  A harmless request that ran beside the cause of one crash
+   must not be refused because of a second coincidence.  A suspect therefore
+   shares an upstream with no other suspect, so that each crash makes one
+   request refused at most; and with no request that must not be repeated,
+   whose outcome would be unknown after a crash.
+
+   Records are pairs of a key and a crash id, so that a process may merge those
+   of another one in any order and any number of times.
+
+   - POISON_KEYS 4096 of 48 bytes: a crash is recorded for all requests that an
+     upstream runs, some dozens, under two keys each, so there is room for
+   about thirty crashes at a time.  When there is no room, the record that
+   expires first is dropped, records of refused requests last.
+   - POISON_EXPIRY_MS 3600000: resends arrive within minutes; after an hour the
      upstream's software may have changed.  */
 
 #ifndef POLICY_POISON_H
@@ -33,7 +35,8 @@
 {
   POISON_KEYS = 4096,
   POISON_EXPIRY_MS = 3600000,
-  POISON_DEATHS = 2
+  /* Number of different crashes with which a request is refused.  */
+  POISON_CRASHES_TO_REFUSE = 2
 };
 
 typedef struct poison poison_t;
@@ -51,7 +54,7 @@
   POISON_REFUSED
 } poison_verdict_t;
 
-/* One mark, as it goes between processes.  */
+/* One recorded crash of one key, as processes exchange it.  */
 typedef struct
 {
   poison_key_t key;
@@ -59,7 +62,8 @@
   uint64_t age_ms;
 } poison_mark_t;
 
-/* What runs on an upstream, for poison_may_join.  */
+/* Numbers of requests that run on an upstream and restrict what may start
+   beside them, for poison_may_join.  */
 typedef struct
 {
   uint32_t suspects;
@@ -68,29 +72,33 @@
 
 /* CLOCK is borrowed.  */
 poison_t *poison_create (clock_iface_t *clock);
+/* NULL is accepted.  */
 void poison_destroy (poison_t *poison);
 
 /* Return the key of a digest of the request's content (model and body), and
-   that of a request id; the two never meet.  */
+   the key of a request id.  The two kinds never have equal keys.  */
 poison_key_t poison_digest_key (str_t digest);
 poison_key_t poison_request_key (str_t team, str_t request_id);
 
-/* The request with these keys was in flight where DEATH happened: an id the
-   sidecar drew at random for it.  */
+/* Record that the request with these keys was in flight in the crash DEATH, an
+   id that the sidecar drew at random.  */
 void poison_mark (poison_t *poison, poison_key_t digest, poison_key_t request,
                   uint64_t death);
 
-/* Judge a request by both its keys.  */
+/* Tell by both its keys whether a request may run.  */
 poison_verdict_t poison_judge (const poison_t *poison, poison_key_t digest,
                                poison_key_t request);
 
-/* Whether a request with VERDICT may start beside COMPANY on one upstream.  */
+/* Tell whether a request with VERDICT may start on an upstream where COMPANY
+   runs.  REPEATABLE: the request may be sent again after a crash.  */
 bool poison_may_join (poison_verdict_t verdict, bool repeatable,
                       const poison_company_t *company);
 
-/* Take in a mark of another process; return whether it was news.  */
+/* Add a record of another process.  Return false if it was known, is expired,
+   or its key already has enough crashes to be refused.  */
 bool poison_merge (poison_t *poison, const poison_mark_t *mark);
-/* Step through the marks: start with *CURSOR 0; return false at the end.  */
+/* Step through the records that are not expired: start with *CURSOR 0; return
+   false at the end.  */
 bool poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark);
 
 #endif
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -1,4 +1,4 @@
-/* Tests of requests that end their upstreams.  */
+/* Tests of requests that crash their upstreams.  */
 
 #include "policy/poison.h"
 
@@ -7,21 +7,21 @@
 
 #include <stdio.h>
 
-static clock_iface_t *manual;
+static clock_iface_t *manual_clock;
 static poison_t *poison;
 
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
-  poison = poison_create (manual);
+  manual_clock = clock_manual_create (0);
+  poison = poison_create (manual_clock);
 }
 
 static void
 teardown (void)
 {
   poison_destroy (poison);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (manual_clock);
 }
 
 static poison_key_t
@@ -37,7 +37,7 @@
 }
 
 static void
-mark (const char *content, const char *id, uint64_t death)
+record (const char *content, const char *id, uint64_t death)
 {
   poison_mark (poison, digest_key (content), request_key (id), death);
 }
@@ -48,43 +48,44 @@
   return poison_judge (poison, digest_key (content), request_key (id));
 }
 
-/* A request ends the upstream that runs it, its caller sends it again under a
-   new id, and it ends a second one.  A third must not go.  */
-START_TEST (resend_under_a_new_id_is_caught)
+/* A request crashes its upstream, its caller sends it again under a new id,
+   and it crashes a second one.  A third run would crash the next
+   upstream.  */
+START_TEST (resend_under_a_new_id_is_not_refused)
 {
   ck_assert_int_eq (judge ("bad", "one"), POISON_CLEAR);
-  mark ("bad", "one", 1);
+  record ("bad", "one", 1);
   ck_assert_int_eq (judge ("bad", "two"), POISON_SUSPECT);
-  mark ("bad", "two", 2);
+  record ("bad", "two", 2);
   ck_assert_int_eq (judge ("bad", "three"), POISON_REFUSED);
   ck_assert_int_eq (judge ("good", "four"), POISON_CLEAR);
 }
 END_TEST
 
-/* The caller's client adds a time stamp to each try: the content differs, the
-   id is the same.  */
-START_TEST (resend_with_other_content_is_caught)
+/* The caller's client adds a time stamp to each resend, so that the content
+   differs and only the request id is the same.  */
+START_TEST (resend_with_other_content_is_not_refused)
 {
-  mark ("bad at 1", "one", 1);
+  record ("bad at 1", "one", 1);
   ck_assert_int_eq (judge ("bad at 2", "one"), POISON_SUSPECT);
-  mark ("bad at 2", "one", 2);
+  record ("bad at 2", "one", 2);
   ck_assert_int_eq (judge ("bad at 3", "one"), POISON_REFUSED);
 }
 END_TEST
 
-/* Two entries report the same death.  It counts once, or an innocent beside
-   the culprit would be refused.  */
-START_TEST (a_death_counts_once)
+/* Two processes report the same crash.  Counted twice, it would refuse a
+   request that only ran beside the cause.  */
+START_TEST (crash_reported_twice_counts_twice)
 {
   for (int i = 0; i < 5; i++)
-    mark ("beside", "one", 1);
+    record ("beside", "one", 1);
   ck_assert_int_eq (judge ("beside", "one"), POISON_SUSPECT);
 }
 END_TEST
 
-START_TEST (same_id_of_another_team_is_another_request)
+START_TEST (request_id_of_another_team_is_suspected)
 {
-  mark ("bad", "one", 1);
+  record ("bad", "one", 1);
   ck_assert_int_eq (
       poison_judge (poison, digest_key ("good"),
                     poison_request_key (STR ("drift"), STR ("one"))),
@@ -92,16 +93,17 @@
 }
 END_TEST
 
-/* A suspect beside a booking could leave the booking's outcome unknown; two
-   suspects side by side could condemn an innocent one.  */
-START_TEST (company_of_suspects)
+/* A crash beside a request that must not be repeated leaves its outcome
+   unknown; of two suspects on one upstream, a crash may refuse the wrong
+   one.  */
+START_TEST (suspect_runs_beside_unsafe_requests)
 {
   static const struct
   {
     poison_verdict_t verdict;
     bool repeatable;
     poison_company_t company;
-    bool may;
+    bool may_join;
   } cases[] = {
     { POISON_CLEAR, true, { 0, 0 }, true },
     { POISON_CLEAR, true, { 1, 0 }, true },
@@ -117,78 +119,81 @@
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     ck_assert_msg (poison_may_join (cases[i].verdict, cases[i].repeatable,
                                     &cases[i].company)
-                       == cases[i].may,
+                       == cases[i].may_join,
                    "case %zu", i);
 }
 END_TEST
 
-START_TEST (marks_expire)
+START_TEST (records_do_not_expire)
 {
-  mark ("bad", "one", 1);
-  mark ("bad", "one", 2);
-  clock_manual_advance_us (manual, (uint64_t)POISON_EXPIRY_MS * 1000 - 1000);
+  record ("bad", "one", 1);
+  record ("bad", "one", 2);
+  clock_manual_advance_us (manual_clock,
+                           (uint64_t)POISON_EXPIRY_MS * 1000 - 1000);
   ck_assert_int_eq (judge ("bad", "one"), POISON_REFUSED);
-  clock_manual_advance_us (manual, 1000);
+  clock_manual_advance_us (manual_clock, 1000);
   ck_assert_int_eq (judge ("bad", "one"), POISON_CLEAR);
-  mark ("bad", "one", 3);
+  record ("bad", "one", 3);
   ck_assert_int_eq (judge ("bad", "one"), POISON_SUSPECT);
 }
 END_TEST
 
-/* Each of two sidecars saw one death.  Whatever process hears both, in
-   whatever order and however often, refuses.  */
-START_TEST (merges_as_a_set)
+/* Two sidecars each report one crash.  A process that merges both records, in
+   any order and any number of times, must refuse the request.  */
+START_TEST (merge_depends_on_order_or_redelivery)
 {
-  poison_t *other = poison_create (manual);
-  poison_mark_t mark_of;
+  poison_t *other = poison_create (manual_clock);
+  poison_mark_t exchanged;
   size_t cursor = 0;
 
-  mark ("bad", "one", 1);
-  clock_manual_advance_us (manual, 5000000);
+  record ("bad", "one", 1);
+  clock_manual_advance_us (manual_clock, 5000000);
   poison_mark (other, digest_key ("bad"), request_key ("two"), 2);
   for (int round = 0; round < 3; round++)
-    for (cursor = 0; poison_next (poison, &cursor, &mark_of);)
-      ck_assert (poison_merge (other, &mark_of) == (round == 0));
+    for (cursor = 0; poison_next (poison, &cursor, &exchanged);)
+      ck_assert (poison_merge (other, &exchanged) == (round == 0));
   ck_assert_int_eq (
       poison_judge (other, digest_key ("bad"), request_key ("three")),
       POISON_REFUSED);
-  /* The age travels: the mark does not grow young by being passed on.  */
+  /* The age is part of the record: a record that is passed on must not live
+     longer.  */
   cursor = 0;
-  ck_assert (poison_next (poison, &cursor, &mark_of));
-  ck_assert_uint_eq (mark_of.age_ms, 5000);
-  ck_assert_uint_eq (mark_of.death, 1);
-  /* A third death, heard late, neither lifts nor lengthens a refusal.  */
-  mark_of.key = digest_key ("bad");
-  mark_of.death = 3;
-  ck_assert (!poison_merge (other, &mark_of));
-  mark_of.key = digest_key ("old");
-  mark_of.age_ms = POISON_EXPIRY_MS;
-  ck_assert (!poison_merge (other, &mark_of));
-  mark_of.age_ms = POISON_EXPIRY_MS - 1000;
-  clock_manual_advance_us (manual, POISON_EXPIRY_MS * 1000ul);
-  ck_assert (poison_merge (other, &mark_of));
-  ck_assert_int_eq (poison_judge (other, mark_of.key, request_key ("none")),
+  ck_assert (poison_next (poison, &cursor, &exchanged));
+  ck_assert_uint_eq (exchanged.age_ms, 5000);
+  ck_assert_uint_eq (exchanged.death, 1);
+  /* A third crash that is reported late must neither lift nor prolong a
+     refusal.  */
+  exchanged.key = digest_key ("bad");
+  exchanged.death = 3;
+  ck_assert (!poison_merge (other, &exchanged));
+  exchanged.key = digest_key ("old");
+  exchanged.age_ms = POISON_EXPIRY_MS;
+  ck_assert (!poison_merge (other, &exchanged));
+  exchanged.age_ms = POISON_EXPIRY_MS - 1000;
+  clock_manual_advance_us (manual_clock, POISON_EXPIRY_MS * 1000ul);
+  ck_assert (poison_merge (other, &exchanged));
+  ck_assert_int_eq (poison_judge (other, exchanged.key, request_key ("none")),
                     POISON_SUSPECT);
-  clock_manual_advance_us (manual, 1000000);
-  ck_assert_int_eq (poison_judge (other, mark_of.key, request_key ("none")),
+  clock_manual_advance_us (manual_clock, 1000000);
+  ck_assert_int_eq (poison_judge (other, exchanged.key, request_key ("none")),
                     POISON_CLEAR);
   poison_destroy (other);
 }
 END_TEST
 
-/* Many deaths in an hour fill the memory.  Suspects give way, a refused
-   request does not.  */
-START_TEST (full_memory_keeps_refusals)
+/* Many crashes in an hour fill the memory.  If records of refused requests
+   were dropped, these requests would run again.  */
+START_TEST (full_memory_drops_refusals)
 {
-  mark ("bad", "one", 1);
-  mark ("bad", "one", 2);
+  record ("bad", "one", 1);
+  record ("bad", "one", 2);
   for (int i = 0; i < POISON_KEYS * 4; i++)
     {
       char text[16];
 
-      clock_manual_advance_us (manual, 1000);
+      clock_manual_advance_us (manual_clock, 1000);
       snprintf (text, sizeof text, "r%d", i);
-      mark (text, text, 10 + (uint64_t)i);
+      record (text, text, 10 + (uint64_t)i);
     }
   ck_assert_int_eq (judge ("bad", "new"), POISON_REFUSED);
   ck_assert_int_eq (judge ("r16383", "new"), POISON_SUSPECT);
@@ -203,14 +208,14 @@
   TCase *tcase = tcase_create ("poison");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, resend_under_a_new_id_is_caught);
-  tcase_add_test (tcase, resend_with_other_content_is_caught);
-  tcase_add_test (tcase, a_death_counts_once);
-  tcase_add_test (tcase, same_id_of_another_team_is_another_request);
-  tcase_add_test (tcase, company_of_suspects);
-  tcase_add_test (tcase, marks_expire);
-  tcase_add_test (tcase, merges_as_a_set);
-  tcase_add_test (tcase, full_memory_keeps_refusals);
+  tcase_add_test (tcase, resend_under_a_new_id_is_not_refused);
+  tcase_add_test (tcase, resend_with_other_content_is_not_refused);
+  tcase_add_test (tcase, crash_reported_twice_counts_twice);
+  tcase_add_test (tcase, request_id_of_another_team_is_suspected);
+  tcase_add_test (tcase, suspect_runs_beside_unsafe_requests);
+  tcase_add_test (tcase, records_do_not_expire);
+  tcase_add_test (tcase, merge_depends_on_order_or_redelivery);
+  tcase_add_test (tcase, full_memory_drops_refusals);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
