--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -12,26 +12,28 @@
   /* Fields of a cell, after the count of additions.  */
   FIELD_REQUESTS = 1,
   FIELD_UNANSWERED,
-  FIELD_FIRST,
-  FIELD_FIRST_LATE,
-  FIELD_BETWEEN,
-  FIELD_BETWEEN_LATE,
+  FIELD_FIRST_TOKENS,
+  FIELD_FIRST_TOKENS_LATE,
+  FIELD_BETWEEN_TOKENS,
+  FIELD_BETWEEN_TOKENS_LATE,
   FIELD_RATINGS,
   FIELD_RATING_SUM,
   FIELD_COST_SUM,
   FIELDS,
   FORMAT = 1,
   NAME_MAX_BYTES = 512,
-  /* Hours in the plots.  */
+  /* Number of hours in a plot.  */
   PLOT_HOURS = 72,
-  /* Names listed under a kind in text and HTML.  */
-  LISTED_MAX = 8 /* Two for each split.  */
+  /* Largest number of names listed below a kind in text and HTML, on average
+     two for each split.  */
+  LISTED_NAMES_MAX = 8
 };
 
-/* A budget of nothing would make any harm infinite.  */
-#define BUDGET_LEAST 1e-6
+/* Smallest budget; a budget of 0 would give an infinite burn rate.  */
+#define BUDGET_MIN 1e-6
 
-/* Three resolutions, so that short windows are sharp and long ones small.  */
+/* Epoch lengths: short ones make short windows exact, long ones keep the
+   memory for long windows small.  */
 enum
 {
   TIER_MINUTE,
@@ -78,7 +80,7 @@
 typedef struct
 {
   uint64_t hash;
-  uint64_t objective; /* Hash of its name.  */
+  uint64_t objective; /* Hash of the objective's name.  */
   burn_split_t split;
   char *name;
   int keys[TIERS];
@@ -86,7 +88,7 @@
 
 typedef struct
 {
-  burn_objective_t asked; /* Its strings are owned below.  */
+  burn_objective_t settings; /* Its strings point to NAME and TEAM.  */
   char *name;
   char *team;
   uint64_t hash;
@@ -122,7 +124,7 @@
 }
 
 static void
-objectives_clear (burn_t *b)
+clear_objectives (burn_t *b)
 {
   for (size_t i = 0; i < b->objective_count; i++)
     {
@@ -137,7 +139,7 @@
 {
   if (b == NULL)
     return;
-  objectives_clear (b);
+  clear_objectives (b);
   for (size_t i = 0; i < b->series_count; i++)
     free (b->series[i].name);
   map_destroy (b->by_hash);
@@ -158,10 +160,11 @@
   return map_get (b->by_hash, str_make ((const char *)&hash, sizeof hash));
 }
 
-/* Return the series of NAME, made on first use; that of "other" when there is
-   no room; NULL when there is not even that.  */
+/* Return the series of NAME, created on first use.  Without room, return that
+   of "other"; NULL if there is none.  */
 static series_t *
-series_get (burn_t *b, uint64_t objective, burn_split_t split, str_t name)
+series_find_or_add (burn_t *b, uint64_t objective, burn_split_t split,
+                    str_t name)
 {
   uint64_t hash = series_hash (objective, split, name);
   series_t *found = series_find (b, hash);
@@ -185,30 +188,31 @@
 burn_set_objectives (burn_t *b, const burn_objective_t *objectives,
                      size_t count)
 {
-  size_t taken = count < BURN_OBJECTIVES_MAX ? count : BURN_OBJECTIVES_MAX;
+  size_t kept_count
+      = count < BURN_OBJECTIVES_MAX ? count : BURN_OBJECTIVES_MAX;
 
-  objectives_clear (b);
-  for (size_t i = 0; i < taken; i++)
+  clear_objectives (b);
+  for (size_t i = 0; i < kept_count; i++)
     {
       objective_entry_t *o = &b->objectives[b->objective_count++];
-      o->asked = objectives[i];
+      o->settings = objectives[i];
       o->name = str_dup (objectives[i].name);
       o->team = str_dup (objectives[i].team);
-      o->asked.name = str_from (o->name);
-      o->asked.team = str_from (o->team);
-      o->hash = str_hash (o->asked.name, 0x62);
-      series_get (b, o->hash, BURN_ALL, STR ("all"));
-      /* So that names beyond the most have a place.  */
+      o->settings.name = str_from (o->name);
+      o->settings.team = str_from (o->team);
+      o->hash = str_hash (o->settings.name, 0x62);
+      series_find_or_add (b, o->hash, BURN_ALL, STR ("all"));
+      /* Reserved, so that names above the limit have a series.  */
       for (int split = BURN_TEAM; split < BURN_SPLIT_COUNT; split++)
-        series_get (b, o->hash, (burn_split_t)split, STR ("other"));
+        series_find_or_add (b, o->hash, (burn_split_t)split, STR ("other"));
     }
-  return taken == count;
+  return kept_count == count;
 }
 
 static bool
-covers (const objective_entry_t *o, str_t team)
+covers_team (const objective_entry_t *o, str_t team)
 {
-  return o->asked.team.len == 0 || str_eq (o->asked.team, team);
+  return o->settings.team.len == 0 || str_eq (o->settings.team, team);
 }
 
 static str_t
@@ -239,14 +243,14 @@
       str_t name = split_name (sample, (burn_split_t)split);
       if (name.len == 0)
         continue;
-      series_t *s = series_get (b, o->hash, (burn_split_t)split, name);
+      series_t *s = series_find_or_add (b, o->hash, (burn_split_t)split, name);
       for (int t = 0; s != NULL && t < TIERS; t++)
         evidence_add (b->tiers[t], s->keys[t], now_ms, fields);
     }
 }
 
 static void
-fill_rating (double rating, int64_t *fields)
+set_rating_fields (double rating, int64_t *fields)
 {
   if (isnan (rating))
     return;
@@ -255,25 +259,25 @@
 }
 
 static void
-fill_request (const burn_objective_t *asked, const burn_sample_t *sample,
-              int64_t *fields)
+set_request_fields (const burn_objective_t *settings,
+                    const burn_sample_t *sample, int64_t *fields)
 {
   fields[FIELD_REQUESTS] = 1;
   fields[FIELD_UNANSWERED] = !sample->answered;
   fields[FIELD_COST_SUM] = evidence_fixed (sample->cost);
   if (sample->answered && sample->first_token_ms > 0)
     {
-      fields[FIELD_FIRST] = 1;
-      fields[FIELD_FIRST_LATE]
-          = sample->first_token_ms > (double)asked->first_token_ms;
+      fields[FIELD_FIRST_TOKENS] = 1;
+      fields[FIELD_FIRST_TOKENS_LATE]
+          = sample->first_token_ms > (double)settings->first_token_ms;
     }
   if (sample->answered && sample->between_tokens_ms > 0)
     {
-      fields[FIELD_BETWEEN] = 1;
-      fields[FIELD_BETWEEN_LATE]
-          = sample->between_tokens_ms > (double)asked->between_tokens_ms;
+      fields[FIELD_BETWEEN_TOKENS] = 1;
+      fields[FIELD_BETWEEN_TOKENS_LATE]
+          = sample->between_tokens_ms > (double)settings->between_tokens_ms;
     }
-  fill_rating (sample->rating, fields);
+  set_rating_fields (sample->rating, fields);
 }
 
 void
@@ -283,9 +287,9 @@
     {
       const objective_entry_t *o = &b->objectives[i];
       int64_t fields[FIELDS] = { 0 };
-      if (!covers (o, sample->team))
+      if (!covers_team (o, sample->team))
         continue;
-      fill_request (&o->asked, sample, fields);
+      set_request_fields (&o->settings, sample, fields);
       add_to_splits (b, o, sample, fields, now_ms);
     }
 }
@@ -297,39 +301,41 @@
 
   if (isnan (sample->rating))
     return;
-  fill_rating (sample->rating, fields);
+  set_rating_fields (sample->rating, fields);
   for (size_t i = 0; i < b->objective_count; i++)
-    if (covers (&b->objectives[i], sample->team))
+    if (covers_team (&b->objectives[i], sample->team))
       add_to_splits (b, &b->objectives[i], sample, fields, now_ms);
 }
 
-/* What KIND of the objective allows of harm for each one counted; 0 when it
-   is not asked.  */
+/* Return the harm that the objective allows for each request or rating in
+   KIND; 0 if it has no such requirement.  */
 static double
-budget_of (const burn_objective_t *asked, burn_kind_t kind)
+kind_budget (const burn_objective_t *settings, burn_kind_t kind)
 {
   switch (kind)
     {
     case BURN_ANSWERED:
-      return asked->answered > 0 ? fmax (BUDGET_LEAST, 1 - asked->answered)
-                                 : 0;
+      return settings->answered > 0 ? fmax (BUDGET_MIN, 1 - settings->answered)
+                                    : 0;
     case BURN_FIRST_TOKEN:
-      return asked->first_token_ms > 0 ? fmax (BUDGET_LEAST, 1 - asked->within)
-                                       : 0;
+      return settings->first_token_ms > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->within)
+                 : 0;
     case BURN_BETWEEN_TOKENS:
-      return asked->between_tokens_ms > 0
-                 ? fmax (BUDGET_LEAST, 1 - asked->within)
+      return settings->between_tokens_ms > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->within)
                  : 0;
     case BURN_QUALITY:
-      return asked->quality > 0 ? fmax (BUDGET_LEAST, 1 - asked->quality) : 0;
+      return settings->quality > 0 ? fmax (BUDGET_MIN, 1 - settings->quality)
+                                   : 0;
     default:
-      return fmax (0, asked->cost);
+      return fmax (0, settings->cost);
     }
 }
 
-/* Rate of the summed FIELDS.  */
+/* Return the harm, count and burn rate for the sums in FIELDS.  */
 static burn_rate_t
-rate_of (const int64_t *fields, burn_kind_t kind, double budget)
+kind_rate (const int64_t *fields, burn_kind_t kind, double budget)
 {
   burn_rate_t r = { 0, 0, 0 };
 
@@ -340,12 +346,12 @@
       r.harm = (double)fields[FIELD_UNANSWERED];
       break;
     case BURN_FIRST_TOKEN:
-      r.count = (double)fields[FIELD_FIRST];
-      r.harm = (double)fields[FIELD_FIRST_LATE];
+      r.count = (double)fields[FIELD_FIRST_TOKENS];
+      r.harm = (double)fields[FIELD_FIRST_TOKENS_LATE];
       break;
     case BURN_BETWEEN_TOKENS:
-      r.count = (double)fields[FIELD_BETWEEN];
-      r.harm = (double)fields[FIELD_BETWEEN_LATE];
+      r.count = (double)fields[FIELD_BETWEEN_TOKENS];
+      r.harm = (double)fields[FIELD_BETWEEN_TOKENS_LATE];
       break;
     case BURN_QUALITY:
       r.count = (double)fields[FIELD_RATINGS];
@@ -377,17 +383,19 @@
 }
 
 static burn_rate_t
-series_rate (const burn_t *b, const burn_objective_t *asked, burn_kind_t kind,
-             const series_t *s, burn_window_t window, uint64_t now_ms)
+series_rate (const burn_t *b, const burn_objective_t *settings,
+             burn_kind_t kind, const series_t *s, burn_window_t window,
+             uint64_t now_ms)
 {
   int tier = windows[window].tier;
   uint64_t last = evidence_epoch (b->tiers[tier], now_ms);
   uint64_t length = windows[window].length_ms / tiers[tier].epoch_ms;
   int64_t fields[FIELDS];
 
-  /* The epoch that has just begun comes on top.  */
+  /* The current epoch has just begun, so the window includes one epoch
+     more.  */
   sum_epochs (b, s, tier, last > length ? last - length : 0, last, fields);
-  return rate_of (fields, kind, budget_of (asked, kind));
+  return kind_rate (fields, kind, kind_budget (settings, kind));
 }
 
 burn_rate_t
@@ -397,11 +405,12 @@
   if (index >= b->objective_count)
     return (burn_rate_t){ 0, 0, 0 };
   const objective_entry_t *o = &b->objectives[index];
-  str_t of = split == BURN_ALL ? STR ("all") : name;
-  const series_t *s = series_find (b, series_hash (o->hash, split, of));
+  str_t series_name = split == BURN_ALL ? STR ("all") : name;
+  const series_t *s
+      = series_find (b, series_hash (o->hash, split, series_name));
   if (s == NULL)
     return (burn_rate_t){ 0, 0, 0 };
-  return series_rate (b, &o->asked, kind, s, window, now_ms);
+  return series_rate (b, &o->settings, kind, s, window, now_ms);
 }
 
 double
@@ -413,7 +422,7 @@
                .rate;
 }
 
-/* One kind of one objective, ready to be written.  */
+/* One kind of one objective in the report.  */
 typedef struct
 {
   const objective_entry_t *objective;
@@ -421,16 +430,16 @@
   const series_t *all;
   burn_rate_t rates[BURN_WINDOW_COUNT];
   const char *state;
-} line_t;
+} report_line_t;
 
-/* Fill LINE; return false when the objective does not ask KIND.  */
+/* Fill LINE.  Return false if the objective has no requirement of KIND.  */
 static bool
-line_make (const burn_t *b, size_t index, burn_kind_t kind, uint64_t now_ms,
-           line_t *line)
+fill_report_line (const burn_t *b, size_t index, burn_kind_t kind,
+                  uint64_t now_ms, report_line_t *line)
 {
   const objective_entry_t *o = &b->objectives[index];
 
-  if (budget_of (&o->asked, kind) <= 0)
+  if (kind_budget (&o->settings, kind) <= 0)
     return false;
   line->objective = o;
   line->kind = kind;
@@ -438,7 +447,7 @@
   if (line->all == NULL)
     return false;
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
-    line->rates[w] = series_rate (b, &o->asked, kind, line->all,
+    line->rates[w] = series_rate (b, &o->settings, kind, line->all,
                                   (burn_window_t)w, now_ms);
   line->state = "ok";
   if (line->rates[BURN_6H].rate > BURN_TICKET
@@ -454,13 +463,13 @@
 {
   const series_t *series;
   burn_rate_t rates[BURN_WINDOW_COUNT];
-} culprit_t;
+} contributor_t;
 
 static int
-compare_culprits (const void *a, const void *b)
+compare_contributors (const void *a, const void *b)
 {
-  const culprit_t *left = a;
-  const culprit_t *right = b;
+  const contributor_t *left = a;
+  const contributor_t *right = b;
   double by_harm = right->rates[BURN_1H].harm - left->rates[BURN_1H].harm;
 
   if (by_harm == 0)
@@ -472,11 +481,12 @@
   return strcmp (left->series->name, right->series->name);
 }
 
-/* Gather the names behind LINE that saw anything in three days, greatest harm
-   of the last hour first.  Return how many.  */
+/* Collect all names of LINE's objective that were measured in three days,
+   sorted by their harm in the last hour, largest first.  Return their
+   number.  */
 static size_t
-gather_culprits (const burn_t *b, const line_t *line, uint64_t now_ms,
-                 culprit_t out[BURN_SERIES_MAX])
+collect_contributors (const burn_t *b, const report_line_t *line,
+                      uint64_t now_ms, contributor_t out[BURN_SERIES_MAX])
 {
   size_t count = 0;
 
@@ -485,25 +495,25 @@
       const series_t *s = &b->series[i];
       if (s->objective != line->objective->hash || s->split == BURN_ALL)
         continue;
-      culprit_t *c = &out[count];
+      contributor_t *c = &out[count];
       c->series = s;
       for (int w = 0; w < BURN_WINDOW_COUNT; w++)
-        c->rates[w] = series_rate (b, &line->objective->asked, line->kind, s,
-                                   (burn_window_t)w, now_ms);
+        c->rates[w] = series_rate (b, &line->objective->settings, line->kind,
+                                   s, (burn_window_t)w, now_ms);
       count += c->rates[BURN_3D].count > 0;
     }
-  qsort (out, count, sizeof *out, compare_culprits);
+  qsort (out, count, sizeof *out, compare_contributors);
   return count;
 }
 
 static double
-line_budget_left (const line_t *line)
+budget_left (const report_line_t *line)
 {
   return 1 - line->rates[BURN_3D].rate;
 }
 
 static void
-text_rates (const burn_rate_t *rates, buf_t *out)
+append_text_rates (const burn_rate_t *rates, buf_t *out)
 {
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
     if (rates[w].count > 0)
@@ -513,24 +523,24 @@
 }
 
 static void
-text_line (const burn_t *b, const line_t *line, uint64_t now_ms, buf_t *out)
+append_text_line (const burn_t *b, const report_line_t *line, uint64_t now_ms,
+                  buf_t *out)
 {
-  culprit_t culprits[BURN_SERIES_MAX];
-  size_t count = gather_culprits (b, line, now_ms, culprits);
+  contributor_t contributors[BURN_SERIES_MAX];
+  size_t count = collect_contributors (b, line, now_ms, contributors);
 
   buf_printf (out, "  %-24s", kind_names[line->kind]);
-  text_rates (line->rates, out);
-  buf_printf (out, " %6.1f%%  %s\n", line_budget_left (line) * 100,
-              line->state);
-  for (size_t i = 0; i < count && i < LISTED_MAX; i++)
+  append_text_rates (line->rates, out);
+  buf_printf (out, " %6.1f%%  %s\n", budget_left (line) * 100, line->state);
+  for (size_t i = 0; i < count && i < LISTED_NAMES_MAX; i++)
     {
-      const series_t *s = culprits[i].series;
-      if (culprits[i].rates[BURN_3D].harm <= 0)
+      const series_t *s = contributors[i].series;
+      if (contributors[i].rates[BURN_3D].harm <= 0)
         continue;
       int len = (int)strlen (split_names[s->split]);
       buf_printf (out, "    %s %-*s", split_names[s->split], 21 - len,
                   s->name);
-      text_rates (culprits[i].rates, out);
+      append_text_rates (contributors[i].rates, out);
       buf_append_char (out, '\n');
     }
 }
@@ -542,23 +552,24 @@
     buf_printf (out, "No objective is configured.\n");
   for (size_t i = 0; i < b->objective_count; i++)
     {
-      const burn_objective_t *asked = &b->objectives[i].asked;
+      const burn_objective_t *settings = &b->objectives[i].settings;
       buf_printf (out, "%-26s", b->objectives[i].name);
       for (int w = 0; w < BURN_WINDOW_COUNT; w++)
         buf_printf (out, " %7s", windows[w].name);
       buf_printf (out, "    left  state%s%.*s\n",
-                  asked->team.len > 0 ? "  team " : "", STR_ARG (asked->team));
+                  settings->team.len > 0 ? "  team " : "",
+                  STR_ARG (settings->team));
       for (int kind = 0; kind < BURN_KIND_COUNT; kind++)
         {
-          line_t line;
-          if (line_make (b, i, (burn_kind_t)kind, now_ms, &line))
-            text_line (b, &line, now_ms, out);
+          report_line_t line;
+          if (fill_report_line (b, i, (burn_kind_t)kind, now_ms, &line))
+            append_text_line (b, &line, now_ms, out);
         }
     }
 }
 
 static void
-json_rates (const burn_rate_t *rates, buf_t *out)
+append_json_rates (const burn_rate_t *rates, buf_t *out)
 {
   buf_printf (out, "\"windows\":{");
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
@@ -569,23 +580,24 @@
 }
 
 static void
-json_line (const burn_t *b, const line_t *line, uint64_t now_ms, buf_t *out)
+append_json_line (const burn_t *b, const report_line_t *line, uint64_t now_ms,
+                  buf_t *out)
 {
-  culprit_t culprits[BURN_SERIES_MAX];
-  size_t count = gather_culprits (b, line, now_ms, culprits);
+  contributor_t contributors[BURN_SERIES_MAX];
+  size_t count = collect_contributors (b, line, now_ms, contributors);
 
   buf_printf (out, "{\"kind\":\"%s\",\"state\":\"%s\",\"budget_left\":%.6g,",
-              kind_names[line->kind], line->state, line_budget_left (line));
-  json_rates (line->rates, out);
+              kind_names[line->kind], line->state, budget_left (line));
+  append_json_rates (line->rates, out);
   buf_printf (out, ",\"by\":[");
   for (size_t i = 0; i < count; i++)
     {
-      const series_t *s = culprits[i].series;
+      const series_t *s = contributors[i].series;
       buf_printf (out, "%s{\"split\":\"%s\",\"name\":\"", i > 0 ? "," : "",
                   split_names[s->split]);
       buf_append_json (out, str_from (s->name));
       buf_printf (out, "\",");
-      json_rates (culprits[i].rates, out);
+      append_json_rates (contributors[i].rates, out);
       buf_append_char (out, '}');
     }
   buf_printf (out, "]}");
@@ -600,17 +612,17 @@
     {
       const char *comma = "";
       buf_printf (out, "%s{\"name\":\"", i > 0 ? "," : "");
-      buf_append_json (out, b->objectives[i].asked.name);
+      buf_append_json (out, b->objectives[i].settings.name);
       buf_printf (out, "\",\"team\":\"");
-      buf_append_json (out, b->objectives[i].asked.team);
+      buf_append_json (out, b->objectives[i].settings.team);
       buf_printf (out, "\",\"kinds\":[");
       for (int kind = 0; kind < BURN_KIND_COUNT; kind++)
         {
-          line_t line;
-          if (!line_make (b, i, (burn_kind_t)kind, now_ms, &line))
+          report_line_t line;
+          if (!fill_report_line (b, i, (burn_kind_t)kind, now_ms, &line))
             continue;
           buf_printf (out, "%s", comma);
-          json_line (b, &line, now_ms, out);
+          append_json_line (b, &line, now_ms, out);
           comma = ",";
         }
       buf_printf (out, "]}");
@@ -619,7 +631,7 @@
 }
 
 static void
-html_text (const char *text, buf_t *out)
+append_html_escaped (const char *text, buf_t *out)
 {
   for (; *text != '\0'; text++)
     switch (*text)
@@ -647,20 +659,22 @@
   PLOT_HEIGHT = 150,
   PLOT_LEFT = 60,
   PLOT_BOTTOM = 30,
-  LABEL_HEIGHT = 24 /* On a phone, in the plot's units.  */
+  LABEL_HEIGHT_MAX = 24 /* Label height on a phone, in the plot's units.  */
 };
 
-/* Height of RATE on the plot, whose top is TOP.  */
+/* Return the vertical position of RATE in a plot whose largest rate is
+   RATE_MAX.  */
 static double
-plot_y (double rate, double top)
+plot_y (double rate, double rate_max)
 {
-  return (PLOT_HEIGHT - PLOT_BOTTOM) * (1 - fmin (rate, top) / top) + 4;
+  return (PLOT_HEIGHT - PLOT_BOTTOM) * (1 - fmin (rate, rate_max) / rate_max)
+         + 4;
 }
 
 static void
-plot_rule (double rate, double top, const char *label, buf_t *out)
+append_plot_line (double rate, double rate_max, const char *label, buf_t *out)
 {
-  double y = plot_y (rate, top);
+  double y = plot_y (rate, rate_max);
 
   buf_printf (out,
               "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' class='rule'/>"
@@ -669,15 +683,16 @@
               PLOT_LEFT, PLOT_WIDTH, y, y, PLOT_LEFT - 4, y + 4, label);
 }
 
-/* Bars of the burn rate of each of the last three days' hours.  */
+/* Append a bar chart of the burn rate by hour over the last three days.  */
 static void
-html_plot (const burn_t *b, const line_t *line, uint64_t now_ms, buf_t *out)
+append_html_plot (const burn_t *b, const report_line_t *line, uint64_t now_ms,
+                  buf_t *out)
 {
   uint64_t last = evidence_epoch (b->tiers[TIER_HOUR], now_ms);
-  double budget = budget_of (&line->objective->asked, line->kind);
+  double budget = kind_budget (&line->objective->settings, line->kind);
   double step = (double)(PLOT_WIDTH - PLOT_LEFT) / PLOT_HOURS;
   burn_rate_t hours[PLOT_HOURS];
-  double top = 2;
+  double rate_max = 2;
 
   for (uint64_t h = 0; h < PLOT_HOURS; h++)
     {
@@ -685,8 +700,8 @@
       uint64_t ago = PLOT_HOURS - 1 - h;
       uint64_t epoch = last > ago ? last - ago : 0;
       sum_epochs (b, line->all, TIER_HOUR, epoch, epoch, fields);
-      hours[h] = rate_of (fields, line->kind, budget);
-      top = fmax (top, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE));
+      hours[h] = kind_rate (fields, line->kind, budget);
+      rate_max = fmax (rate_max, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE));
     }
   buf_printf (out,
               "<svg viewBox='0 0 %d %d' role='img' aria-label='Burn rate of "
@@ -694,24 +709,26 @@
               PLOT_WIDTH, PLOT_HEIGHT, kind_names[line->kind]);
   for (int h = 0; h < PLOT_HOURS; h++)
     {
-      double y = plot_y (hours[h].rate, top);
+      double y = plot_y (hours[h].rate, rate_max);
       if (hours[h].count <= 0)
         continue;
       buf_printf (out,
                   "<rect x='%.1f' y='%.1f' width='%.1f' height='%.1f' "
                   "class='%s'><title>%d h ago: %.2f on %.0f</title></rect>\n",
-                  PLOT_LEFT + h * step, y, step - 1, plot_y (0, top) - y + 1,
+                  PLOT_LEFT + h * step, y, step - 1,
+                  plot_y (0, rate_max) - y + 1,
                   hours[h].rate >= BURN_PAGE    ? "page"
                   : hours[h].rate > BURN_TICKET ? "ticket"
                                                 : "ok",
                   PLOT_HOURS - 1 - h, hours[h].rate, hours[h].count);
     }
-  plot_rule (0, top, "0", out);
-  /* Under a high top the labels of 0 and 1 would cover each other.  */
-  bool apart = plot_y (0, top) - plot_y (1, top) >= LABEL_HEIGHT;
-  plot_rule (1, top, apart ? "1" : "", out);
-  if (top > BURN_PAGE)
-    plot_rule (BURN_PAGE, top, "14.4", out);
+  append_plot_line (0, rate_max, "0", out);
+  /* With a large RATE_MAX the labels of 0 and 1 would overlap.  */
+  bool has_label_room
+      = plot_y (0, rate_max) - plot_y (1, rate_max) >= LABEL_HEIGHT_MAX;
+  append_plot_line (1, rate_max, has_label_room ? "1" : "", out);
+  if (rate_max > BURN_PAGE)
+    append_plot_line (BURN_PAGE, rate_max, "14.4", out);
   buf_printf (out,
               "<text x='%d' y='%d' class='axis'>3 days ago</text>"
               "<text x='%d' y='%d' class='axis' text-anchor='end'>now</text>"
@@ -719,11 +736,11 @@
               PLOT_LEFT, PLOT_HEIGHT - 4, PLOT_WIDTH, PLOT_HEIGHT - 4);
 }
 
-/* A bar of the budget left.  */
+/* Append a bar of the remaining budget.  */
 static void
-html_budget (const line_t *line, buf_t *out)
+append_html_budget_bar (const report_line_t *line, buf_t *out)
 {
-  double left = fmax (0, fmin (1, line_budget_left (line)));
+  double left = fmax (0, fmin (1, budget_left (line)));
 
   buf_printf (out,
               "<svg viewBox='0 0 720 14' role='img' aria-label='Budget left'>"
@@ -734,7 +751,7 @@
 }
 
 static void
-html_rates (const burn_rate_t *rates, buf_t *out)
+append_html_rates (const burn_rate_t *rates, buf_t *out)
 {
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
     if (rates[w].count > 0)
@@ -745,32 +762,33 @@
 }
 
 static void
-html_line (const burn_t *b, const line_t *line, uint64_t now_ms, buf_t *out)
+append_html_line (const burn_t *b, const report_line_t *line, uint64_t now_ms,
+                  buf_t *out)
 {
-  culprit_t culprits[BURN_SERIES_MAX];
-  size_t count = gather_culprits (b, line, now_ms, culprits);
+  contributor_t contributors[BURN_SERIES_MAX];
+  size_t count = collect_contributors (b, line, now_ms, contributors);
 
   buf_printf (out,
               "<section><h3>%s <span class='%s'>%s</span></h3>\n"
               "<p>%.1f%% of the three days' budget left</p>\n",
               kind_names[line->kind], line->state, line->state,
-              line_budget_left (line) * 100);
-  html_budget (line, out);
-  html_plot (b, line, now_ms, out);
+              budget_left (line) * 100);
+  append_html_budget_bar (line, out);
+  append_html_plot (b, line, now_ms, out);
   buf_printf (out, "<table><tr><th>burn rate</th>");
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
     buf_printf (out, "<th>%s</th>", windows[w].name);
   buf_printf (out, "</tr>\n<tr><td>all</td>");
-  html_rates (line->rates, out);
-  for (size_t i = 0; i < count && i < LISTED_MAX; i++)
+  append_html_rates (line->rates, out);
+  for (size_t i = 0; i < count && i < LISTED_NAMES_MAX; i++)
     {
-      const series_t *s = culprits[i].series;
-      if (culprits[i].rates[BURN_3D].harm <= 0)
+      const series_t *s = contributors[i].series;
+      if (contributors[i].rates[BURN_3D].harm <= 0)
         continue;
       buf_printf (out, "<tr><td>%s ", split_names[s->split]);
-      html_text (s->name, out);
+      append_html_escaped (s->name, out);
       buf_printf (out, "</td>");
-      html_rates (culprits[i].rates, out);
+      append_html_rates (contributors[i].rates, out);
     }
   buf_printf (out, "</table></section>\n");
 }
@@ -816,19 +834,19 @@
   for (size_t i = 0; i < b->objective_count; i++)
     {
       buf_printf (out, "<h2>");
-      html_text (b->objectives[i].name, out);
-      if (b->objectives[i].asked.team.len > 0)
+      append_html_escaped (b->objectives[i].name, out);
+      if (b->objectives[i].settings.team.len > 0)
         {
           buf_printf (out, " (team ");
-          html_text (b->objectives[i].team, out);
+          append_html_escaped (b->objectives[i].team, out);
           buf_append_char (out, ')');
         }
       buf_printf (out, "</h2>\n");
       for (int kind = 0; kind < BURN_KIND_COUNT; kind++)
         {
-          line_t line;
-          if (line_make (b, i, (burn_kind_t)kind, now_ms, &line))
-            html_line (b, &line, now_ms, out);
+          report_line_t line;
+          if (fill_report_line (b, i, (burn_kind_t)kind, now_ms, &line))
+            append_html_line (b, &line, now_ms, out);
         }
     }
   buf_printf (out, "</body></html>\n");
@@ -872,7 +890,7 @@
 }
 
 static bool
-take_series (str_t *rest, uint64_t *objective, uint64_t *split, str_t *name)
+read_series (str_t *rest, uint64_t *objective, uint64_t *split, str_t *name)
 {
   return evidence_take (rest, objective) && evidence_take (rest, split)
          && *split < BURN_SPLIT_COUNT && evidence_take_str (rest, name)
@@ -893,7 +911,7 @@
     return VH_E_PROTOCOL;
   str_t names = bytes;
   for (uint64_t i = 0; i < count; i++)
-    if (!take_series (&bytes, &objective, &split, &name))
+    if (!read_series (&bytes, &objective, &split, &name))
       return VH_E_PROTOCOL;
   for (int t = 0; t < TIERS; t++)
     if (!evidence_take_str (&bytes, &parts[t])
@@ -902,8 +920,8 @@
   if (bytes.len != 0)
     return VH_E_PROTOCOL;
   for (uint64_t i = 0;
-       i < count && take_series (&names, &objective, &split, &name); i++)
-    series_get (b, objective, (burn_split_t)split, name);
+       i < count && read_series (&names, &objective, &split, &name); i++)
+    series_find_or_add (b, objective, (burn_split_t)split, name);
   for (int t = 0; t < TIERS; t++)
     evidence_merge (b->tiers[t], parts[t], now_ms);
   return VH_OK;
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -12,14 +12,14 @@
    Site Reliability Workbook" (2018), chapter 5.  Both windows of a pair must
    burn, so that an alert is neither raised by a short peak nor kept up after
    the problem has ended.  BURN_PAGE for 5 minutes and 1 hour, and BURN_TICKET
-   for 6 hours and 3 days, are the book's figures.  The remaining budget is that
-   of three days.
+   for 6 hours and 3 days, are the book's figures.  The remaining budget is
+   that of three days.
 
-   Cost and memory are bounded: sums are kept for the whole service and for each
-   team, model, version and zone by itself, not for their combinations, for at
-   most BURN_SERIES_MAX names in a process; further names count as "other".  The
-   sums are those of evidence.h, so that the states of several processes add up
-   in any order and a repeated message changes nothing.  */
+   Cost and memory are bounded: sums are kept for the whole service and for
+   each team, model, version and zone by itself, not for their combinations,
+   for at most BURN_SERIES_MAX names in a process; further names count as
+   "other".  The sums are those of evidence.h, so that the states of several
+   processes add up in any order and a repeated message changes nothing.  */
 
 #ifndef POLICY_BURN_H
 #define POLICY_BURN_H
@@ -32,8 +32,9 @@
 enum
 {
   BURN_OBJECTIVES_MAX = 16,
-  BURN_SERIES_MAX = 256, /* Objectives times names.  */
-  /* What one process fills at most: all names in all hours kept.  */
+  BURN_SERIES_MAX = 256, /* Largest number of pairs of an objective and a
+                            name.  */
+  /* Cells that one process fills at most: all names in all hours kept.  */
   BURN_CELLS_DEFAULT = 20480
 };
 
@@ -55,7 +56,7 @@
       BURN_WINDOW_COUNT
 } burn_window_t;
 
-/* X (symbol, name).  What an objective may ask.  */
+/* X (symbol, name).  Kinds of requirements that an objective may have.  */
 #define BURN_KINDS(X)                                                         \
   X (BURN_ANSWERED, "answered")                                               \
   X (BURN_FIRST_TOKEN, "first-token")                                         \
@@ -71,7 +72,7 @@
       BURN_KIND_COUNT
 } burn_kind_t;
 
-/* X (symbol, name).  By what a burn is split.  */
+/* X (symbol, name).  Dimensions by which a burn rate is split.  */
 #define BURN_SPLITS(X)                                                        \
   X (BURN_ALL, "all")                                                         \
   X (BURN_TEAM, "team")                                                       \
@@ -87,21 +88,22 @@
       BURN_SPLIT_COUNT
 } burn_split_t;
 
-/* The meaning of the fields is that of the configuration's [objective]; 0
-   means not asked.  */
+/* The fields mean the same as the configuration's in [objective]; 0 if the
+   objective has no such requirement.  */
 typedef struct
 {
   str_t name;
-  str_t team;      /* Empty: all.  */
-  double answered; /* Share, such as 0.999.  */
+  str_t team;      /* Empty for all teams.  */
+  double answered; /* Required share of answered requests, such as 0.999.  */
   uint64_t first_token_ms;
   uint64_t between_tokens_ms;
-  double within;  /* Share that must meet the two above.  */
-  double quality; /* Mean rating; its budget is 1 - QUALITY.  */
-  double cost;    /* Mean price units a request; it is the budget.  */
+  double within;  /* Share of requests that must meet the two times above.  */
+  double quality; /* Required mean rating; the budget is 1 - QUALITY.  */
+  double cost;    /* Budget: mean price units for a request.  */
 } burn_objective_t;
 
-/* One request's end.  What is not known is left 0, or NaN for the rating. */
+/* Measurements of one request at its end.  Unknown values are 0, or NaN for
+   the rating.  */
 typedef struct
 {
   str_t team;
@@ -110,55 +112,58 @@
   str_t zone;
   bool answered;
   double first_token_ms;
-  double between_tokens_ms; /* The longest, or a high percentile.  */
-  double rating;            /* NaN: not rated.  */
+  double between_tokens_ms; /* Longest gap, or a high percentile of the
+                               gaps.  */
+  double rating;            /* NaN if not rated.  */
   double cost;
 } burn_sample_t;
 
 /* Harm, count and burn rate of one kind in one window.  */
 typedef struct
 {
-  double count; /* Requests, or ratings, that it was measured on.  */
-  double harm;  /* Of them, lost; or the sum of what was lost of each.  */
-  double rate;  /* 1: the budget is spent exactly.  */
+  double count; /* Number of requests, or of ratings, that were measured.  */
+  double harm;  /* Number of failed or late ones; or the sum of what their
+                   ratings lack to 1, or of their costs.  */
+  double rate;  /* Burn rate; at 1 the budget is spent exactly.  */
 } burn_rate_t;
 
-/* WRITER as in evidence.h.  CELLS_MAX bounds the memory (about 1 KB a cell);
-   a process that merges many others' states asks for more than the
-   default.  */
+/* WRITER is that of evidence.h.  CELLS_MAX bounds the memory (about 1 KB for
+   each cell); a process that merges the states of many others needs more than
+   the default.  */
 burn_t *burn_create (uint64_t writer, uint32_t cells_max);
 /* NULL is accepted.  */
 void burn_destroy (burn_t *burn);
 
-/* Replace the objectives.  Evidence is kept under an objective's name: one
-   whose thresholds change goes on with the old counts until they age.
-   Objectives beyond BURN_OBJECTIVES_MAX are left out and false is
-   returned.  */
+/* Replace the objectives.  Sums are kept under an objective's name: if only
+   its thresholds change, it keeps the sums until they expire.  Return false if
+   there are more than BURN_OBJECTIVES_MAX; the rest is ignored.  */
 bool burn_set_objectives (burn_t *burn, const burn_objective_t *objectives,
                           size_t count);
 
 /* Count one request for every objective that covers its team.  NOW_MS is real
    time.  */
 void burn_observe (burn_t *burn, const burn_sample_t *sample, uint64_t now_ms);
-/* Count a rating that came after the request's end; only the names and the
+/* Count a rating that arrived after the request's end.  Only the names and the
    rating of SAMPLE are used.  */
 void burn_rated (burn_t *burn, const burn_sample_t *sample, uint64_t now_ms);
 
-/* Burn of KIND of objective INDEX over WINDOW, for NAME of SPLIT (BURN_ALL:
-   NAME is ignored).  Rate 0 when nothing is known or it is not asked.  */
+/* Return the burn of KIND of the objective with index INDEX over WINDOW, for
+   NAME of SPLIT; with BURN_ALL, NAME is ignored.  All values are 0 if nothing
+   was measured; the rate is 0 if the objective has no such requirement.  */
 burn_rate_t burn_rate (const burn_t *burn, size_t index, burn_kind_t kind,
                        burn_split_t split, str_t name, burn_window_t window,
                        uint64_t now_ms);
-/* Part of the three days' budget that is left; below 0 when overspent.  */
+/* Return the part of the three days' budget that is left; negative if more
+   than the budget was spent.  */
 double burn_budget_left (const burn_t *burn, size_t index, burn_kind_t kind,
                          uint64_t now_ms);
 
-/* Append the report.  The HTML is one page without outside parts.  */
+/* Append the report.  The HTML page loads no other files.  */
 void burn_write_text (const burn_t *burn, uint64_t now_ms, buf_t *out);
 void burn_write_json (const burn_t *burn, uint64_t now_ms, buf_t *out);
 void burn_write_html (const burn_t *burn, uint64_t now_ms, buf_t *out);
 
-/* State for the table and for other processes, as in evidence.h.  */
+/* Write, merge and compact the state, as in evidence.h.  */
 void burn_write (const burn_t *burn, bool own_only, buf_t *out);
 vh_code_t burn_merge (burn_t *burn, str_t bytes, uint64_t now_ms);
 void burn_settle (burn_t *burn, uint64_t generation, uint64_t now_ms);
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -1,4 +1,4 @@
-/* Tests of the service-level burn report.  */
+/* Tests of the report on burn rates of service-level objectives.  */
 
 #include "base/rng.h"
 #include "policy/burn.h"
@@ -26,7 +26,7 @@
 };
 
 static burn_t *
-make (uint64_t writer)
+create_burn (uint64_t writer)
 {
   burn_t *b = burn_create (writer, BURN_CELLS_DEFAULT);
 
@@ -49,40 +49,45 @@
 }
 
 static double
-all_rate (const burn_t *b, burn_kind_t kind, burn_window_t window,
-          uint64_t now_ms)
+total_rate (const burn_t *b, burn_kind_t kind, burn_window_t window,
+            uint64_t now_ms)
 {
   return burn_rate (b, 0, kind, BURN_ALL, STR_NULL, window, now_ms).rate;
 }
 
-START_TEST (rates_of_each_kind)
+START_TEST (burn_rate_of_a_kind_is_wrong)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
 
   for (int i = 0; i < 100; i++)
     {
       burn_sample_t s = good_sample ();
-      s.answered = i >= 2;                     /* 2 of 100 over 1%.  */
-      s.first_token_ms = i < 42 ? 600 : 200;   /* 40 of 98 over 10%.  */
-      s.between_tokens_ms = i < 12 ? 150 : 40; /* 10 of 98 over 10%.  */
-      s.rating = i < 50 ? 0.7 : NAN;           /* 0.3 lost over 0.2.  */
-      s.cost = 6;                              /* 6 over 4.  */
+      s.answered = i >= 2;                     /* 2 of 100 failed, with a
+                                                  budget of 1%.  */
+      s.first_token_ms = i < 42 ? 600 : 200;   /* 40 of 98 late, with a budget
+                                                  of 10%.  */
+      s.between_tokens_ms = i < 12 ? 150 : 40; /* 10 of 98 late, with a budget
+                                                  of 10%.  */
+      s.rating = i < 50 ? 0.7 : NAN;           /* 0.3 below 1, with a budget of
+                                                  0.2.  */
+      s.cost = 6;                              /* 6, with a budget of 4.  */
       burn_observe (b, &s, START_MS);
     }
-  ck_assert_double_eq_tol (all_rate (b, BURN_ANSWERED, BURN_5M, START_MS), 2,
+  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_5M, START_MS), 2,
                            1e-9);
-  ck_assert_double_eq_tol (all_rate (b, BURN_FIRST_TOKEN, BURN_1H, START_MS),
+  ck_assert_double_eq_tol (total_rate (b, BURN_FIRST_TOKEN, BURN_1H, START_MS),
                            40 / 98.0 / 0.1, 1e-9);
   ck_assert_double_eq_tol (
-      all_rate (b, BURN_BETWEEN_TOKENS, BURN_6H, START_MS), 10 / 98.0 / 0.1,
+      total_rate (b, BURN_BETWEEN_TOKENS, BURN_6H, START_MS), 10 / 98.0 / 0.1,
       1e-9);
-  ck_assert_double_eq_tol (all_rate (b, BURN_QUALITY, BURN_3D, START_MS), 1.5,
-                           1e-6);
-  ck_assert_double_eq_tol (all_rate (b, BURN_COST, BURN_3D, START_MS), 1.5,
+  ck_assert_double_eq_tol (total_rate (b, BURN_QUALITY, BURN_3D, START_MS),
+                           1.5, 1e-6);
+  ck_assert_double_eq_tol (total_rate (b, BURN_COST, BURN_3D, START_MS), 1.5,
                            1e-6);
   ck_assert_double_eq_tol (burn_budget_left (b, 0, BURN_QUALITY, START_MS),
                            -0.5, 1e-6);
-  /* Not asked by the second objective, or not of its team.  */
+  /* The second objective has no budget for cost, and the samples are not of
+     its team.  */
   ck_assert_double_eq (
       burn_rate (b, 1, BURN_COST, BURN_ALL, STR_NULL, BURN_3D, START_MS).rate,
       0);
@@ -94,9 +99,9 @@
 }
 END_TEST
 
-START_TEST (late_rating_counts_once)
+START_TEST (late_rating_counts_a_second_request)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   burn_sample_t s = good_sample ();
 
   burn_observe (b, &s, START_MS);
@@ -114,39 +119,38 @@
 }
 END_TEST
 
-/* A request a second for three days; for ten minutes, two hours ago, one in
-   five was not answered.  The short windows must be clean again, the six
-   hours must show it, and the three days must have spent their part.  */
-START_TEST (windows_see_what_they_cover)
+/* One request a second for three days; for ten minutes, two hours before the
+   end, one in five is not answered.  Windows of up to an hour must not include
+   the outage; six hours and three days must include their part of it.  */
+START_TEST (window_includes_or_misses_a_past_outage)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   uint64_t end = START_MS + 72 * HOUR_MS;
-  uint64_t bad = end - 2 * HOUR_MS;
+  uint64_t outage_start = end - 2 * HOUR_MS;
 
   for (uint64_t now = START_MS; now < end; now += 1000)
     {
       burn_sample_t s = good_sample ();
-      s.answered
-          = now < bad || now >= bad + 10 * MINUTE_MS || (now / 1000) % 5 != 0;
+      s.answered = now < outage_start || now >= outage_start + 10 * MINUTE_MS
+                   || (now / 1000) % 5 != 0;
       burn_observe (b, &s, now);
     }
-  ck_assert_double_eq (all_rate (b, BURN_ANSWERED, BURN_5M, end), 0);
-  ck_assert_double_eq (all_rate (b, BURN_ANSWERED, BURN_1H, end), 0);
-  ck_assert_double_eq_tol (all_rate (b, BURN_ANSWERED, BURN_6H, end),
+  ck_assert_double_eq (total_rate (b, BURN_ANSWERED, BURN_5M, end), 0);
+  ck_assert_double_eq (total_rate (b, BURN_ANSWERED, BURN_1H, end), 0);
+  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_6H, end),
                            120 / 21600.0 / 0.01, 0.03);
-  ck_assert_double_eq_tol (all_rate (b, BURN_ANSWERED, BURN_3D, end),
+  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_3D, end),
                            120 / 259200.0 / 0.01, 0.003);
-  /* Long after, nothing is left of it.  */
+  /* 80 hours later the outage is in no window.  */
   ck_assert_double_eq (
-      all_rate (b, BURN_ANSWERED, BURN_3D, end + 80 * HOUR_MS), 0);
+      total_rate (b, BURN_ANSWERED, BURN_3D, end + 80 * HOUR_MS), 0);
   burn_destroy (b);
 }
 END_TEST
 
-/* One version fails in one zone for one team.  The report must name them,
-   the worst first, and not the innocent.  */
+/* One version fails in one zone for one team.  */
 static void
-fill_one_culprit (burn_t *b, uint64_t now)
+observe_one_bad_version (burn_t *b, uint64_t now)
 {
   for (int i = 0; i < 1000; i++)
     {
@@ -162,12 +166,14 @@
     }
 }
 
-START_TEST (culprits_are_named)
+/* The report must list the version, team and zone that spend the budget, the
+   largest harm first, and no healthy version.  */
+START_TEST (report_does_not_name_the_cause)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   buf_t text = BUF_NULL;
 
-  fill_one_culprit (b, START_MS);
+  observe_one_bad_version (b, START_MS);
   ck_assert_double_eq_tol (burn_rate (b, 0, BURN_ANSWERED, BURN_VERSION,
                                       STR ("small@2"), BURN_1H, START_MS)
                                .rate,
@@ -180,11 +186,11 @@
                                       STR ("nairobi-b"), BURN_1H, START_MS)
                                .rate,
                            5, 1e-6);
-  burn_sample_t lesser = good_sample ();
-  lesser.zone = STR ("nairobi-c");
-  lesser.version = STR ("small@2");
-  lesser.answered = false;
-  burn_observe (b, &lesser, START_MS);
+  burn_sample_t smaller_harm = good_sample ();
+  smaller_harm.zone = STR ("nairobi-c");
+  smaller_harm.version = STR ("small@2");
+  smaller_harm.answered = false;
+  burn_observe (b, &smaller_harm, START_MS);
   burn_write_text (b, START_MS, &text);
   buf_append_char (&text, '\0');
   ck_assert (strstr (text.ptr, "zone nairobi-b")
@@ -192,11 +198,12 @@
   ck_assert_ptr_nonnull (strstr (text.ptr, "version small@2"));
   ck_assert_ptr_nonnull (strstr (text.ptr, "team coast-office"));
   ck_assert_ptr_nonnull (strstr (text.ptr, "zone nairobi-b"));
-  /* It costs something too, so it stands under that; not under this.  */
-  const char *innocent = strstr (text.ptr, "version small@1 ");
-  ck_assert_ptr_nonnull (innocent);
-  ck_assert (innocent > strstr (text.ptr, "first-token"));
-  /* 12.5% over 1% is a burn of 12.5.  */
+  /* The version has costs, so its name appears below the cost, after
+     first-token; it must not appear below answered.  */
+  const char *healthy_version = strstr (text.ptr, "version small@1 ");
+  ck_assert_ptr_nonnull (healthy_version);
+  ck_assert (healthy_version > strstr (text.ptr, "first-token"));
+  /* 12.5% failed, with a budget of 1%, give a burn rate of 12.5.  */
   ck_assert_ptr_null (strstr (text.ptr, "page"));
   ck_assert_ptr_nonnull (strstr (text.ptr, "ticket"));
   buf_free (&text);
@@ -204,9 +211,9 @@
 }
 END_TEST
 
-START_TEST (page_needs_both_windows)
+START_TEST (short_peak_raises_a_page)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   buf_t text = BUF_NULL;
 
   for (int i = 0; i < 4000; i++)
@@ -238,16 +245,16 @@
 }
 END_TEST
 
-START_TEST (json_is_valid)
+START_TEST (json_report_is_malformed)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   buf_t out = BUF_NULL;
-  burn_sample_t odd = good_sample ();
+  burn_sample_t special = good_sample ();
 
-  odd.team = STR ("a \"b\" \\ <c>");
-  odd.answered = false;
-  fill_one_culprit (b, START_MS);
-  burn_observe (b, &odd, START_MS);
+  special.team = STR ("a \"b\" \\ <c>");
+  special.answered = false;
+  observe_one_bad_version (b, START_MS);
+  burn_observe (b, &special, START_MS);
   burn_write_json (b, START_MS, &out);
   json_t *root = json_loadb (out.ptr, out.len, 0, NULL);
   ck_assert_ptr_nonnull (root);
@@ -266,55 +273,57 @@
 }
 END_TEST
 
-/* Check that every element that is opened is closed in order.  */
+/* Check that all elements are closed, in the reverse order of their opening
+   tags.  */
 static void
-check_nesting (const char *html)
+check_elements_are_closed (const char *html)
 {
   enum
   {
-    DEPTH = 32
+    OPEN_MAX = 32
   };
-  const char *stack[DEPTH];
-  size_t lens[DEPTH];
-  int depth = 0;
+  const char *open_elements[OPEN_MAX];
+  size_t name_lens[OPEN_MAX];
+  int open_count = 0;
 
   for (const char *at = strchr (html, '<'); at != NULL;
        at = strchr (at + 1, '<'))
     {
-      bool closing = at[1] == '/';
-      const char *name = at + 1 + closing;
-      size_t len = strcspn (name, " />\n");
+      bool is_closing = at[1] == '/';
+      const char *name = at + 1 + is_closing;
+      size_t name_len = strcspn (name, " />\n");
       const char *end = strchr (at, '>');
       ck_assert_ptr_nonnull (end);
       if (at[1] == '!' || end[-1] == '/' || strncmp (name, "meta", 4) == 0)
         continue;
-      if (!closing)
+      if (!is_closing)
         {
-          ck_assert_int_lt (depth, DEPTH);
-          stack[depth] = name;
-          lens[depth++] = len;
+          ck_assert_int_lt (open_count, OPEN_MAX);
+          open_elements[open_count] = name;
+          name_lens[open_count++] = name_len;
           continue;
         }
-      ck_assert_int_gt (depth, 0);
-      depth--;
-      ck_assert_msg (lens[depth] == len
-                         && memcmp (stack[depth], name, len) == 0,
+      ck_assert_int_gt (open_count, 0);
+      open_count--;
+      ck_assert_msg (name_lens[open_count] == name_len
+                         && memcmp (open_elements[open_count], name, name_len)
+                                == 0,
                      "near %.30s", at);
     }
-  ck_assert_int_eq (depth, 0);
+  ck_assert_int_eq (open_count, 0);
 }
 
-START_TEST (html_is_one_safe_page)
+START_TEST (html_report_is_unsafe_or_loads_files)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   buf_t out = BUF_NULL;
-  burn_sample_t odd = good_sample ();
+  burn_sample_t markup = good_sample ();
 
-  odd.team = STR ("<script>alert('x')</script>&\"");
-  odd.answered = false;
-  fill_one_culprit (b, START_MS);
+  markup.team = STR ("<script>alert('x')</script>&\"");
+  markup.answered = false;
+  observe_one_bad_version (b, START_MS);
   for (int i = 0; i < 500; i++)
-    burn_observe (b, &odd, START_MS);
+    burn_observe (b, &markup, START_MS);
   burn_write_html (b, START_MS, &out);
   buf_append_char (&out, '\0');
   ck_assert_ptr_null (strstr (out.ptr, "<script"));
@@ -325,14 +334,14 @@
   ck_assert_ptr_nonnull (strstr (out.ptr, "@media print"));
   ck_assert_ptr_nonnull (strstr (out.ptr, "<svg "));
   ck_assert_ptr_nonnull (strstr (out.ptr, "class='page'"));
-  check_nesting (out.ptr);
+  check_elements_are_closed (out.ptr);
   buf_free (&out);
   burn_destroy (b);
 }
 END_TEST
 
 static bool
-same_state (const burn_t *a, const burn_t *b)
+has_same_state (const burn_t *a, const burn_t *b)
 {
   buf_t left = BUF_NULL;
   buf_t right = BUF_NULL;
@@ -345,10 +354,10 @@
   return same;
 }
 
-/* An operator's report gathers the entries' states; some answer twice, some
-   late, in any order.  The report must be that of one process that saw
-   everything.  */
-START_TEST (merge_order_and_redelivery_do_not_matter)
+/* The operator's report gathers the states of several processes, some twice,
+   some late, in any order.  It must equal that of one process that observed
+   all requests.  */
+START_TEST (merge_depends_on_order_or_redelivery)
 {
   enum
   {
@@ -357,15 +366,15 @@
   };
   burn_t *writers[WRITERS];
   buf_t messages[MESSAGES];
-  burn_t *whole = make (50);
-  burn_t *ordered = make (51);
-  burn_t *shuffled = make (52);
+  burn_t *single_process = create_burn (50);
+  burn_t *ordered = create_burn (51);
+  burn_t *shuffled = create_burn (52);
   rng_t rng = rng_make (3);
   buf_t left = BUF_NULL;
   buf_t right = BUF_NULL;
 
   for (uint64_t i = 0; i < WRITERS; i++)
-    writers[i] = make (i + 1);
+    writers[i] = create_burn (i + 1);
   for (int m = 0; m < MESSAGES; m++)
     {
       uint64_t now = START_MS + (uint64_t)m * MINUTE_MS;
@@ -376,7 +385,7 @@
           s.rating = rng_double (&rng);
           s.zone = rng_below (&rng, 2) == 0 ? STR ("a") : STR ("b");
           burn_observe (writers[m % WRITERS], &s, now);
-          burn_observe (whole, &s, now);
+          burn_observe (single_process, &s, now);
         }
       messages[m] = BUF_NULL;
       burn_write (writers[m % WRITERS], true, &messages[m]);
@@ -390,15 +399,15 @@
                 end);
   for (int m = MESSAGES - 1; m >= 0; m--)
     burn_merge (shuffled, buf_str (&messages[m]), end);
-  ck_assert (same_state (ordered, shuffled));
-  burn_write_json (whole, end, &left);
+  ck_assert (has_same_state (ordered, shuffled));
+  burn_write_json (single_process, end, &left);
   burn_write_json (shuffled, end, &right);
   ck_assert (str_eq (buf_str (&left), buf_str (&right)));
-  burn_t *untouched = make (53);
-  buf_t copy = BUF_NULL;
-  burn_write (ordered, false, &copy);
-  burn_merge (untouched, buf_str (&copy), end);
-  buf_free (&copy);
+  burn_t *copied = create_burn (53);
+  buf_t copied_state = BUF_NULL;
+  burn_write (ordered, false, &copied_state);
+  burn_merge (copied, buf_str (&copied_state), end);
+  buf_free (&copied_state);
   burn_settle (shuffled, 9, end + 3 * HOUR_MS);
   right.len = 0;
   burn_write_json (shuffled, end, &right);
@@ -407,25 +416,25 @@
     ck_assert_int_eq (
         burn_merge (ordered, str_make (messages[5].ptr, len), end),
         VH_E_PROTOCOL);
-  ck_assert (same_state (ordered, untouched));
-  burn_destroy (untouched);
+  ck_assert (has_same_state (ordered, copied));
+  burn_destroy (copied);
   buf_free (&left);
   buf_free (&right);
   for (int m = 0; m < MESSAGES; m++)
     buf_free (&messages[m]);
   for (int i = 0; i < WRITERS; i++)
     burn_destroy (writers[i]);
-  burn_destroy (whole);
+  burn_destroy (single_process);
   burn_destroy (ordered);
   burn_destroy (shuffled);
 }
 END_TEST
 
-/* Two entries met the same names in a different order.  */
-START_TEST (order_of_names_does_not_matter)
+/* Two processes observe the same names in a different order.  */
+START_TEST (state_depends_on_the_order_of_names)
 {
-  burn_t *a = make (1);
-  burn_t *b = make (2);
+  burn_t *a = create_burn (1);
+  burn_t *b = create_burn (2);
   burn_sample_t s = good_sample ();
   burn_sample_t t = good_sample ();
   buf_t from_a = BUF_NULL;
@@ -440,7 +449,7 @@
   burn_write (b, true, &from_b);
   burn_merge (a, buf_str (&from_b), START_MS);
   burn_merge (b, buf_str (&from_a), START_MS);
-  ck_assert (same_state (a, b));
+  ck_assert (has_same_state (a, b));
   buf_free (&from_a);
   buf_free (&from_b);
   burn_destroy (a);
@@ -448,13 +457,14 @@
 }
 END_TEST
 
-/* A caller makes up a new name for each request.  Memory stays bounded, the
-   whole stays right, and the names beyond the most count as "other".  */
-START_TEST (names_are_bounded)
+/* A caller makes up a new name for each request.  Without a limit the memory
+   would grow with the names; with it, the total must stay exact and the names
+   above the limit must count as "other".  */
+START_TEST (names_exceed_the_memory)
 {
-  burn_t *b = make (1);
+  burn_t *b = create_burn (1);
   char name[24];
-  double named = 0;
+  double named_count = 0;
 
   for (int i = 0; i < 2000; i++)
     {
@@ -473,16 +483,17 @@
   for (int i = 0; i < 2000; i++)
     {
       int len = snprintf (name, sizeof name, "team-%d", i);
-      named += burn_rate (b, 0, BURN_ANSWERED, BURN_TEAM,
-                          str_make (name, (size_t)len), BURN_1H, START_MS)
-                   .count;
+      named_count
+          += burn_rate (b, 0, BURN_ANSWERED, BURN_TEAM,
+                        str_make (name, (size_t)len), BURN_1H, START_MS)
+                 .count;
     }
-  ck_assert_double_eq (named + other.count, 2000);
+  ck_assert_double_eq (named_count + other.count, 2000);
   burn_destroy (b);
 }
 END_TEST
 
-START_TEST (too_many_objectives_are_refused)
+START_TEST (too_many_objectives_are_accepted)
 {
   burn_t *b = burn_create (1, 64);
   burn_objective_t many[BURN_OBJECTIVES_MAX + 1];
@@ -506,17 +517,17 @@
   TCase *tcase = tcase_create ("burn");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, rates_of_each_kind);
-  tcase_add_test (tcase, late_rating_counts_once);
-  tcase_add_test (tcase, windows_see_what_they_cover);
-  tcase_add_test (tcase, culprits_are_named);
-  tcase_add_test (tcase, page_needs_both_windows);
-  tcase_add_test (tcase, json_is_valid);
-  tcase_add_test (tcase, html_is_one_safe_page);
-  tcase_add_test (tcase, merge_order_and_redelivery_do_not_matter);
-  tcase_add_test (tcase, order_of_names_does_not_matter);
-  tcase_add_test (tcase, names_are_bounded);
-  tcase_add_test (tcase, too_many_objectives_are_refused);
+  tcase_add_test (tcase, burn_rate_of_a_kind_is_wrong);
+  tcase_add_test (tcase, late_rating_counts_a_second_request);
+  tcase_add_test (tcase, window_includes_or_misses_a_past_outage);
+  tcase_add_test (tcase, report_does_not_name_the_cause);
+  tcase_add_test (tcase, short_peak_raises_a_page);
+  tcase_add_test (tcase, json_report_is_malformed);
+  tcase_add_test (tcase, html_report_is_unsafe_or_loads_files);
+  tcase_add_test (tcase, merge_depends_on_order_or_redelivery);
+  tcase_add_test (tcase, state_depends_on_the_order_of_names);
+  tcase_add_test (tcase, names_exceed_the_memory);
+  tcase_add_test (tcase, too_many_objectives_are_accepted);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
