--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -146,7 +146,7 @@
                      buf_str (&text));
       double begin = cpu_ns ();
       for (int i = 0; i < 200; i++)
-        if (trial_judge (trial, 2, false, &why) == TRIAL_FINISH)
+        if (trial_decide (trial, 2, false, &why) == TRIAL_FINISH)
           abort ();
       points_add (&cpu, sizes[s], (cpu_ns () - begin) / 200 / 1e3);
       buf_free (&text);
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -71,7 +71,7 @@
       = relay->phase == PHASE_ANSWERING ? relay->head_ms - relay->sent_ms : 0;
   trial_observe (trial, relay_arm (relay), trial_route (relay),
                  outcome == SEND_OK ? TRIAL_ANSWERED
-                 : relay->broke     ? TRIAL_BROKE
+                 : relay->broke     ? TRIAL_CONNECTION_LOST
                                     : TRIAL_FAILED,
                  wait_ms, relay->is_loaded);
 }
@@ -83,8 +83,9 @@
   trial_t *trial = running_trial (relay);
 
   if (trial != NULL)
-    trial_time (trial, relay_arm (relay), trial_route (relay), timing,
-                relay->load, ms, follow_store_ms (relay->belief->orders));
+    trial_observe_timing (trial, relay_arm (relay), trial_route (relay),
+                          timing, relay->load, ms,
+                          follow_store_ms (relay->belief->orders));
 }
 
 /* Let go of the present send.  */
--- a/packages/gateway/relay_hear.c
+++ b/packages/gateway/relay_hear.c
@@ -302,7 +302,7 @@
       return;
     }
   if (relay->is_ok)
-    relay_time_trial (relay, TIMING_FIRST,
+    relay_time_trial (relay, TRIAL_TIMING_FIRST_EVENT,
                       (double)(relay->last_ms - relay->sent_ms));
   if (relay->is_ok && escalate (relay, head))
     return;
@@ -332,7 +332,7 @@
       relay->event_count += count;
       if (relay->send_events <= PACE_EVENTS
           && relay->send_events + count > PACE_EVENTS)
-        relay_time_trial (relay, TIMING_GAP,
+        relay_time_trial (relay, TRIAL_TIMING_EVENT_GAP,
                           (double)(relay->last_ms - relay->head_ms)
                               / (double)(relay->send_events + count - 1));
       relay->send_events += count;
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -76,8 +76,8 @@
         want->arm = ARM_NEW;
       break;
     case TRIAL_RUNNING:
-      if (trial_choose (trial, relay->terms.session,
-                        follow_store_ms (belief->orders), &relay->on_trial)
+      if (trial_choose_arm (trial, relay->terms.session,
+                            follow_store_ms (belief->orders), &relay->on_trial)
               == TRIAL_NEW
           && has_version (relay, want->version))
         {
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -74,9 +74,10 @@
   buf_t head; /* Pairs of NAME NUL VALUE NUL.  */
   buf_t body;
   bool paused;
-  bool shed;             /* The last upstream said that it did not run it.  */
-  trial_sent_t on_trial; /* Its sends while a version is under trial.  */
-  const char *reason;    /* Of the last failure, for the log.  */
+  bool shed; /* The last upstream said that it did not run it.  */
+  trial_send_history_t
+      on_trial;       /* Its sends while a version is under trial.  */
+  const char *reason; /* Of the last failure, for the log.  */
 } relay_t;
 
 /* Endings.  */
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -79,7 +79,7 @@
         trial_set_phase (trial, phase);
         final = true;
       }
-  trial_set_written (trial, final);
+  trial_set_final_phase_stored (trial, final);
 }
 
 void
@@ -134,7 +134,7 @@
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
-      trial_set_seen (trial, follow_store_ms (belief->orders));
+      trial_set_order_seen_ms (trial, follow_store_ms (belief->orders));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -274,7 +274,7 @@
     {
       trial_t *trial = value;
       if (trial_phase (trial) != TRIAL_RUNNING
-          || trial_step (trial) == TRIAL_STEP_HELD)
+          || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
       trial_write (trial, tells, &items[count++].value);
@@ -312,17 +312,17 @@
   /* One that cannot reach the store still judges what it saw.  */
   if (!alone && !is_judge (rollouts))
     return;
-  trial_verdict_t verdict = trial_judge (trial, now_ms, alone, &why);
+  trial_decision_t verdict = trial_decide (trial, now_ms, alone, &why);
 
   switch (verdict)
     {
     case TRIAL_WAIT:
       break;
     case TRIAL_ADVANCE:
-      write_rollout (rollouts, service, trial, trial_start (trial),
-                     trial_step (trial) + 1, now_ms + TRIAL_NOTICE_MS);
+      write_rollout (rollouts, service, trial, trial_start_ms (trial),
+                     trial_step (trial) + 1, now_ms + TRIAL_STEP_NOTICE_MS);
       break;
-    case TRIAL_TAKE_BACK:
+    case TRIAL_ROLL_BACK:
     case TRIAL_FINISH:
       trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
                                                       : TRIAL_ROLLED_BACK);
@@ -342,26 +342,28 @@
 {
   uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
 
-  if (trial_start (trial) == 0)
+  if (trial_start_ms (trial) == 0)
     {
       /* The order's time runs from when it was seen, however late the row.  */
-      uint64_t start_ms
-          = trial_seen (trial) != 0 ? trial_seen (trial) : now_ms;
+      uint64_t start_ms = trial_order_seen_ms (trial) != 0
+                              ? trial_order_seen_ms (trial)
+                              : now_ms;
       write_rollout (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
   if (trial_phase (trial) == TRIAL_RUNNING)
     {
       if (is_second)
-        trial_fade (trial);
+        trial_decay (trial);
       judge_trial (rollouts, service, trial);
     }
   /* A decision is written again until the shared row has it or another.  */
-  if (trial_phase (trial) != TRIAL_RUNNING && !trial_written (trial))
-    write_rollout (rollouts, service, trial, trial_start (trial),
-                   trial_step (trial), trial_from (trial));
+  if (trial_phase (trial) != TRIAL_RUNNING
+      && !trial_is_final_phase_stored (trial))
+    write_rollout (rollouts, service, trial, trial_start_ms (trial),
+                   trial_step (trial), trial_step_start_ms (trial));
   else if (is_second && trial_phase (trial) == TRIAL_RUNNING
-           && trial_step (trial) > 0 && trial_dirty (trial)
+           && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_judge (rollouts))
     write_evidence (rollouts, service, trial);
 }
--- a/packages/policy/evidence.c
+++ b/packages/policy/evidence.c
@@ -22,7 +22,7 @@
 
 struct evidence
 {
-  evidence_options_t options;
+  crdt_options_t options;
   uint64_t *key_hashes; /* By key index.  */
   uint32_t key_count;
   uint32_t *key_table; /* Hash table of key index + 1; 0 marks a free slot.
@@ -53,10 +53,10 @@
   return size;
 }
 
-evidence_t *
-evidence_create (const evidence_options_t *options)
+crdt_t *
+crdt_create (const crdt_options_t *options)
 {
-  evidence_t *e = mem_zalloc (sizeof *e);
+  crdt_t *e = mem_zalloc (sizeof *e);
   uint32_t cell_table_len = hash_table_size (options->cells_max);
   uint32_t key_table_len = hash_table_size (options->keys_max);
   size_t fields = options->fields;
@@ -77,7 +77,7 @@
 }
 
 void
-evidence_destroy (evidence_t *e)
+crdt_destroy (crdt_t *e)
 {
   if (e == NULL)
     return;
@@ -102,7 +102,7 @@
 
 /* Return the slot of HASH in the key table, in use or free.  */
 static uint32_t
-key_slot (const evidence_t *e, uint64_t hash)
+key_slot (const crdt_t *e, uint64_t hash)
 {
   uint32_t slot_index = (uint32_t)mix_hash (hash) & e->key_mask;
 
@@ -113,13 +113,13 @@
 }
 
 int
-evidence_find (const evidence_t *e, uint64_t hash)
+crdt_key_find (const crdt_t *e, uint64_t hash)
 {
   return (int)e->key_table[key_slot (e, hash)] - 1;
 }
 
 int
-evidence_key (evidence_t *e, uint64_t hash)
+crdt_key_find_or_add (crdt_t *e, uint64_t hash)
 {
   uint32_t slot_index = key_slot (e, hash);
 
@@ -134,7 +134,7 @@
 }
 
 static int64_t *
-sums_at (const evidence_t *e, uint32_t key, uint64_t epoch)
+sums_at (const crdt_t *e, uint32_t key, uint64_t epoch)
 {
   size_t slot = epoch % e->options.epochs;
 
@@ -143,14 +143,14 @@
 }
 
 static int64_t *
-values_at (const evidence_t *e, uint32_t cell)
+values_at (const crdt_t *e, uint32_t cell)
 {
   return e->values + (size_t)cell * e->options.fields;
 }
 
 /* Return the slot of the cell, in use or free.  */
 static uint32_t
-cell_slot (const evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
+cell_slot (const crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
 {
   uint64_t hash = mix_hash (writer ^ mix_hash (epoch ^ ((uint64_t)key << 40)));
   uint32_t slot_index = (uint32_t)hash & e->cell_mask;
@@ -166,7 +166,7 @@
 /* Rebuild the table without the cells of epochs before FIRST_EPOCH and of
    DROPPED_EPOCH.  */
 static void
-rebuild_cells (evidence_t *e, uint64_t first_epoch, uint64_t dropped_epoch)
+rebuild_cells (crdt_t *e, uint64_t first_epoch, uint64_t dropped_epoch)
 {
   size_t size = (size_t)e->cell_mask + 1;
   size_t fields = e->options.fields;
@@ -193,7 +193,7 @@
 }
 
 static void
-clear_epoch (evidence_t *e, uint64_t epoch)
+clear_epoch (crdt_t *e, uint64_t epoch)
 {
   e->generations[epoch % e->options.epochs] = 0;
   for (uint32_t key = 0; key < e->key_count; key++)
@@ -202,7 +202,7 @@
 
 /* Drop all epochs before FIRST_EPOCH.  */
 static void
-drop_epochs_before (evidence_t *e, uint64_t first_epoch)
+drop_epochs_before (crdt_t *e, uint64_t first_epoch)
 {
   if (first_epoch <= e->first_epoch)
     return;
@@ -217,13 +217,13 @@
 }
 
 uint64_t
-evidence_epoch (const evidence_t *e, uint64_t now_ms)
+crdt_epoch_at (const crdt_t *e, uint64_t now_ms)
 {
   return now_ms / e->options.epoch_ms;
 }
 
 static void
-advance_to (evidence_t *e, uint64_t epoch)
+advance_to (crdt_t *e, uint64_t epoch)
 {
   if (epoch > e->last_epoch)
     e->last_epoch = epoch;
@@ -232,16 +232,16 @@
 }
 
 void
-evidence_advance (evidence_t *e, uint64_t now_ms)
+crdt_advance (crdt_t *e, uint64_t now_ms)
 {
-  advance_to (e, evidence_epoch (e, now_ms));
+  advance_to (e, crdt_epoch_at (e, now_ms));
 }
 
 /* Store the cell's slot in *SLOT_INDEX, creating the cell if it is missing;
    EPOCH must be kept.  Return false if EPOCH itself would have to be dropped
    to make room.  */
 static bool
-cell_find_or_add (evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
+cell_find_or_add (crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
                   uint32_t *slot_index)
 {
   *slot_index = cell_slot (e, key, writer, epoch);
@@ -261,9 +261,9 @@
 }
 
 bool
-evidence_add (evidence_t *e, int key, uint64_t now_ms, const int64_t *sample)
+crdt_add (crdt_t *e, int key, uint64_t now_ms, const int64_t *sample)
 {
-  uint64_t epoch = evidence_epoch (e, now_ms);
+  uint64_t epoch = crdt_epoch_at (e, now_ms);
   uint32_t slot_index;
 
   advance_to (e, epoch);
@@ -286,19 +286,19 @@
 }
 
 uint64_t
-evidence_first (const evidence_t *e)
+crdt_first_epoch (const crdt_t *e)
 {
   return e->first_epoch;
 }
 
 uint64_t
-evidence_last (const evidence_t *e)
+crdt_last_epoch (const crdt_t *e)
 {
   return e->last_epoch;
 }
 
 const int64_t *
-evidence_sums (const evidence_t *e, int key, uint64_t epoch)
+crdt_sums (const crdt_t *e, int key, uint64_t epoch)
 {
   if (key < 0 || epoch < e->first_epoch || epoch > e->last_epoch)
     return NULL;
@@ -307,14 +307,14 @@
 }
 
 uint64_t
-evidence_changes (const evidence_t *e)
+crdt_change_count (const crdt_t *e)
 {
   return e->changes;
 }
 
 /* Tell whether there are sums for EPOCH.  */
 static bool
-has_epoch (const evidence_t *e, uint64_t epoch)
+has_epoch (const crdt_t *e, uint64_t epoch)
 {
   for (uint32_t key = 0; key < e->key_count; key++)
     if (sums_at (e, key, epoch)[0] != 0)
@@ -323,7 +323,7 @@
 }
 
 bool
-evidence_settle (evidence_t *e, uint64_t epoch, uint64_t generation)
+crdt_compact (crdt_t *e, uint64_t epoch, uint64_t generation)
 {
   uint64_t *current = &e->generations[epoch % e->options.epochs];
 
@@ -345,15 +345,15 @@
 }
 
 int64_t
-evidence_fixed (double value)
+crdt_to_fixed_point (double value)
 {
   if (!isfinite (value))
     return 0;
-  return llround (fmax (-1e9, fmin (1e9, value)) * EVIDENCE_UNIT);
+  return llround (fmax (-1e9, fmin (1e9, value)) * CRDT_FIXED_POINT_ONE);
 }
 
 void
-evidence_put (buf_t *out, uint64_t n)
+crdt_write_varint (buf_t *out, uint64_t n)
 {
   for (; n >= 0x80; n >>= 7)
     buf_append_char (out, (char)(n | 0x80));
@@ -361,7 +361,7 @@
 }
 
 bool
-evidence_take (str_t *rest, uint64_t *n)
+crdt_read_varint (str_t *rest, uint64_t *n)
 {
   uint64_t value = 0;
 
@@ -381,11 +381,11 @@
 }
 
 bool
-evidence_take_str (str_t *rest, str_t *s)
+crdt_read_string (str_t *rest, str_t *s)
 {
   uint64_t len;
 
-  if (!evidence_take (rest, &len) || len > rest->len)
+  if (!crdt_read_varint (rest, &len) || len > rest->len)
     return false;
   *s = str_make (rest->ptr, len);
   rest->ptr += len;
@@ -434,26 +434,25 @@
 }
 
 static void
-append_cell (const evidence_t *e, const message_cell_t *message_cell,
-             buf_t *out)
+append_cell (const crdt_t *e, const message_cell_t *message_cell, buf_t *out)
 {
-  evidence_put (out, message_cell->epoch);
+  crdt_write_varint (out, message_cell->epoch);
   buf_append (out, &message_cell->hash, sizeof message_cell->hash);
   buf_append (out, &message_cell->writer, sizeof message_cell->writer);
   for (uint32_t f = 0; f < e->options.fields; f++)
-    evidence_put (out, zigzag (message_cell->values[f]));
+    crdt_write_varint (out, zigzag (message_cell->values[f]));
 }
 
 /* Tell whether cell C goes into a message to peers.  */
 static bool
-is_recent_own_cell (const evidence_t *e, const cell_t *c)
+is_recent_own_cell (const crdt_t *e, const cell_t *c)
 {
   return c->writer == e->options.writer
-         && c->epoch + EVIDENCE_NEWS_EPOCHS > e->last_epoch;
+         && c->epoch + CRDT_RECENT_EPOCHS > e->last_epoch;
 }
 
 void
-evidence_write (const evidence_t *e, bool own_only, buf_t *out)
+crdt_write (const crdt_t *e, bool own_only, buf_t *out)
 {
   message_cell_t *message_cells
       = mem_alloc ((e->cell_count + 1) * sizeof *message_cells);
@@ -472,17 +471,17 @@
   qsort (message_cells, count, sizeof *message_cells, compare_cells);
   for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
     generation_count += e->generations[epoch % e->options.epochs] != 0;
-  evidence_put (out, FORMAT);
-  evidence_put (out, e->options.fields);
-  evidence_put (out, e->options.epoch_ms);
-  evidence_put (out, generation_count);
+  crdt_write_varint (out, FORMAT);
+  crdt_write_varint (out, e->options.fields);
+  crdt_write_varint (out, e->options.epoch_ms);
+  crdt_write_varint (out, generation_count);
   for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
     if (e->generations[epoch % e->options.epochs] != 0)
       {
-        evidence_put (out, epoch);
-        evidence_put (out, e->generations[epoch % e->options.epochs]);
+        crdt_write_varint (out, epoch);
+        crdt_write_varint (out, e->generations[epoch % e->options.epochs]);
       }
-  evidence_put (out, count);
+  crdt_write_varint (out, count);
   for (size_t i = 0; i < count; i++)
     append_cell (e, &message_cells[i], out);
   free (message_cells);
@@ -502,17 +501,17 @@
 /* Read one cell at the start of *REST into *MESSAGE_CELL and VALUES, and skip
    it.  */
 static bool
-read_cell (const evidence_t *e, str_t *rest, message_cell_t *message_cell,
+read_cell (const crdt_t *e, str_t *rest, message_cell_t *message_cell,
            int64_t *values)
 {
-  if (!evidence_take (rest, &message_cell->epoch)
+  if (!crdt_read_varint (rest, &message_cell->epoch)
       || !read_word (rest, &message_cell->hash)
       || !read_word (rest, &message_cell->writer))
     return false;
   for (uint32_t f = 0; f < e->options.fields; f++)
     {
       uint64_t raw;
-      if (!evidence_take (rest, &raw) || raw >> VALUE_BITS_MAX != 0)
+      if (!crdt_read_varint (rest, &raw) || raw >> VALUE_BITS_MAX != 0)
         return false;
       values[f] = unzigzag (raw);
     }
@@ -534,14 +533,14 @@
 
 /* Tell whether a cell of EPOCH may be merged at NOW_EPOCH.  */
 static bool
-is_epoch_acceptable (const evidence_t *e, uint64_t epoch, uint64_t now_epoch)
+is_epoch_acceptable (const crdt_t *e, uint64_t epoch, uint64_t now_epoch)
 {
   return epoch >= e->first_epoch && epoch <= now_epoch + 1
          && epoch + e->options.epochs > now_epoch;
 }
 
 static void
-merge_generation (evidence_t *e, uint64_t epoch, uint64_t generation)
+merge_generation (crdt_t *e, uint64_t epoch, uint64_t generation)
 {
   uint64_t *current = &e->generations[epoch % e->options.epochs];
 
@@ -553,9 +552,9 @@
 }
 
 static void
-merge_cell (evidence_t *e, const message_cell_t *message_cell)
+merge_cell (crdt_t *e, const message_cell_t *message_cell)
 {
-  int key = evidence_key (e, message_cell->hash);
+  int key = crdt_key_find_or_add (e, message_cell->hash);
   uint32_t slot_index;
 
   if (key < 0
@@ -586,20 +585,22 @@
 /* Split BYTES into *MESSAGE.  Return false if the header is malformed or
    belongs to a state with other fields or another epoch length.  */
 static bool
-read_header (const evidence_t *e, str_t bytes, message_t *message)
+read_header (const crdt_t *e, str_t bytes, message_t *message)
 {
   uint64_t format, fields, epoch_ms, skipped;
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &fields) || fields != e->options.fields
-      || !evidence_take (&bytes, &epoch_ms) || epoch_ms != e->options.epoch_ms
-      || !evidence_take (&bytes, &message->compacted_count))
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &fields) || fields != e->options.fields
+      || !crdt_read_varint (&bytes, &epoch_ms)
+      || epoch_ms != e->options.epoch_ms
+      || !crdt_read_varint (&bytes, &message->compacted_count))
     return false;
   message->compacted = bytes;
   for (uint64_t i = 0; i < message->compacted_count; i++)
-    if (!evidence_take (&bytes, &skipped) || !evidence_take (&bytes, &skipped))
+    if (!crdt_read_varint (&bytes, &skipped)
+        || !crdt_read_varint (&bytes, &skipped))
       return false;
-  if (!evidence_take (&bytes, &message->cell_count))
+  if (!crdt_read_varint (&bytes, &message->cell_count))
     return false;
   message->cells = bytes;
   return true;
@@ -607,9 +608,9 @@
 
 /* Tell whether every cell is well formed and no bytes follow the last one.  */
 static bool
-has_valid_cells (const evidence_t *e, const message_t *message)
+has_valid_cells (const crdt_t *e, const message_t *message)
 {
-  int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
+  int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = message->cells;
   message_cell_t message_cell;
 
@@ -628,21 +629,22 @@
   uint64_t generation = 0;
 
   for (uint64_t i = 0; i < message->compacted_count; i++)
-    if (evidence_take (&rest, &compacted_epoch)
-        && evidence_take (&rest, &generation) && compacted_epoch == epoch)
+    if (crdt_read_varint (&rest, &compacted_epoch)
+        && crdt_read_varint (&rest, &generation) && compacted_epoch == epoch)
       return generation;
   return 0;
 }
 
 static void
-merge_compacted (evidence_t *e, const message_t *message, uint64_t now_epoch)
+merge_compacted (crdt_t *e, const message_t *message, uint64_t now_epoch)
 {
   str_t rest = message->compacted;
   uint64_t epoch = 0;
   uint64_t generation = 0;
 
   for (uint64_t i = 0; i < message->compacted_count; i++)
-    if (evidence_take (&rest, &epoch) && evidence_take (&rest, &generation)
+    if (crdt_read_varint (&rest, &epoch)
+        && crdt_read_varint (&rest, &generation)
         && is_epoch_acceptable (e, epoch, now_epoch))
       {
         advance_to (e, epoch);
@@ -651,9 +653,9 @@
 }
 
 static void
-merge_cells (evidence_t *e, const message_t *message, uint64_t now_epoch)
+merge_cells (crdt_t *e, const message_t *message, uint64_t now_epoch)
 {
-  int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
+  int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = message->cells;
   message_cell_t message_cell;
 
@@ -672,7 +674,7 @@
 }
 
 bool
-evidence_valid (const evidence_t *e, str_t bytes)
+crdt_is_valid (const crdt_t *e, str_t bytes)
 {
   message_t message = { 0 };
 
@@ -680,9 +682,9 @@
 }
 
 vh_code_t
-evidence_merge (evidence_t *e, str_t bytes, uint64_t now_ms)
+crdt_merge (crdt_t *e, str_t bytes, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (e, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (e, now_ms);
   message_t message = { 0 };
 
   if (!read_header (e, bytes, &message) || !has_valid_cells (e, &message))
--- a/packages/policy/evidence.h
+++ b/packages/policy/evidence.h
@@ -9,9 +9,9 @@
    The state is a join semilattice.  Each writer owns one cell for each key and
    epoch and only adds to it.  Field 0 of a cell counts the additions, so of
    two copies of a cell the one with the larger field 0 is newer, and merging
-   keeps it.  All fields are integers (EVIDENCE_UNIT for 1), so that sums do
-   not depend on the order of additions.  A writer id belongs to one run of one
-   process; a process must draw a new one at each start.
+   keeps it.  All fields are integers (CRDT_FIXED_POINT_ONE for 1), so that
+   sums do not depend on the order of additions.  A writer id belongs to one
+   run of one process; a process must draw a new one at each start.
 
    A lease holder may compact a closed epoch: one cell for each key replaces
    the cells of all writers, under the lease's fencing number as its
@@ -28,14 +28,14 @@
 #include "base/code.h"
 #include "base/str.h"
 
-typedef struct evidence evidence_t;
+typedef struct evidence crdt_t;
 
 enum
 {
-  EVIDENCE_FIELDS_MAX = 12,
-  EVIDENCE_NEWS_EPOCHS = 4,
+  CRDT_FIELDS_MAX = 12,
+  CRDT_RECENT_EPOCHS = 4,
   /* Fixed-point value of 1.  */
-  EVIDENCE_UNIT = 1000000
+  CRDT_FIXED_POINT_ONE = 1000000
 };
 
 typedef struct
@@ -46,67 +46,65 @@
   uint32_t fields;    /* Number of fields in a cell, field 0 included.  */
   uint32_t keys_max;  /* Largest number of distinct keys.  */
   uint32_t cells_max; /* Largest number of distinct (key, writer, epoch).  */
-} evidence_options_t;
+} crdt_options_t;
 
-evidence_t *evidence_create (const evidence_options_t *options);
+crdt_t *crdt_create (const crdt_options_t *options);
 /* NULL is accepted.  */
-void evidence_destroy (evidence_t *evidence);
+void crdt_destroy (crdt_t *evidence);
 
 /* Return the index of the key with hash HASH, created on first use; -1 if
    there is no room.  Indices are local to this process.  */
-int evidence_key (evidence_t *evidence, uint64_t hash);
+int crdt_key_find_or_add (crdt_t *evidence, uint64_t hash);
 /* Return the index of the key with hash HASH; -1 if there is none.  */
-int evidence_find (const evidence_t *evidence, uint64_t hash);
+int crdt_key_find (const crdt_t *evidence, uint64_t hash);
 
 /* Drop the epochs that are too old at NOW_MS (real time).  */
-void evidence_advance (evidence_t *evidence, uint64_t now_ms);
+void crdt_advance (crdt_t *evidence, uint64_t now_ms);
 /* Add SAMPLE, whose field 0 is ignored, to KEY at NOW_MS.  Return false if KEY
    is -1, or if the epoch of NOW_MS is no longer kept.  */
-bool evidence_add (evidence_t *evidence, int key, uint64_t now_ms,
-                   const int64_t *sample);
+bool crdt_add (crdt_t *evidence, int key, uint64_t now_ms,
+               const int64_t *sample);
 
-uint64_t evidence_epoch (const evidence_t *evidence, uint64_t now_ms);
+uint64_t crdt_epoch_at (const crdt_t *evidence, uint64_t now_ms);
 /* Return the first or the last epoch that may hold values.  */
-uint64_t evidence_first (const evidence_t *evidence);
-uint64_t evidence_last (const evidence_t *evidence);
+uint64_t crdt_first_epoch (const crdt_t *evidence);
+uint64_t crdt_last_epoch (const crdt_t *evidence);
 /* Return the sums over all writers of KEY in EPOCH, or NULL if there are none.
    The pointer is valid until the next call that changes EVIDENCE.  */
-const int64_t *evidence_sums (const evidence_t *evidence, int key,
-                              uint64_t epoch);
+const int64_t *crdt_sums (const crdt_t *evidence, int key, uint64_t epoch);
 /* Return a counter that changes whenever a sum may have changed.  */
-uint64_t evidence_changes (const evidence_t *evidence);
+uint64_t crdt_change_count (const crdt_t *evidence);
 
 /* Replace the cells of EPOCH by one cell for each key, under GENERATION, the
    fencing number of the caller's lease.  Return false, with nothing changed,
    if the epoch is empty or not kept, or already has this generation or a
    larger one.  */
-bool evidence_settle (evidence_t *evidence, uint64_t epoch,
-                      uint64_t generation);
+bool crdt_compact (crdt_t *evidence, uint64_t epoch, uint64_t generation);
 
 /* Append the state to OUT: all of it, or with OWN_ONLY only this writer's
-   cells of the last EVIDENCE_NEWS_EPOCHS, for peers.  Older cells were sent
+   cells of the last CRDT_RECENT_EPOCHS, for peers.  Older cells were sent
    before; a peer that was away reads the whole state from the store.  Equal
    states give equal bytes.  */
-void evidence_write (const evidence_t *evidence, bool own_only, buf_t *out);
-/* Tell whether evidence_merge would accept BYTES.  */
-bool evidence_valid (const evidence_t *evidence, str_t bytes);
-/* Merge what evidence_write wrote.  Cells more than an epoch ahead of NOW_MS,
+void crdt_write (const crdt_t *evidence, bool own_only, buf_t *out);
+/* Tell whether crdt_merge would accept BYTES.  */
+bool crdt_is_valid (const crdt_t *evidence, str_t bytes);
+/* Merge what crdt_write wrote.  Cells more than an epoch ahead of NOW_MS,
    which a peer with a wrong clock writes, and cells of epochs no longer kept
    are skipped.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
-vh_code_t evidence_merge (evidence_t *evidence, str_t bytes, uint64_t now_ms);
+vh_code_t crdt_merge (crdt_t *evidence, str_t bytes, uint64_t now_ms);
 
 /* Return VALUE in fixed point, rounded; absolute values above a billion are
    clipped, and 0 replaces a value that is not finite.  */
-int64_t evidence_fixed (double value);
+int64_t crdt_to_fixed_point (double value);
 
 /* Append N as a variable-length integer of seven bits a byte.  */
-void evidence_put (buf_t *out, uint64_t n);
+void crdt_write_varint (buf_t *out, uint64_t n);
 /* Read a variable-length integer at the start of *REST into *N and skip it.
    Return false if it is malformed.  */
-bool evidence_take (str_t *rest, uint64_t *n);
+bool crdt_read_varint (str_t *rest, uint64_t *n);
 /* Read a string that follows its length at the start of *REST into *S, which
    points into *REST's bytes, and skip it.  Return false if it is
    malformed.  */
-bool evidence_take_str (str_t *rest, str_t *s);
+bool crdt_read_string (str_t *rest, str_t *s);
 
 #endif
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -8,7 +8,7 @@
 {
   /* Set-associative table: a key may lie in any slot of its set.  */
   SLOTS_PER_SET = 8,
-  SET_COUNT = POISON_KEYS / SLOTS_PER_SET,
+  SET_COUNT = POISON_KEYS_MAX / SLOTS_PER_SET,
   DIGEST_SEED = 1,
   REQUEST_SEED = 2,
   TEAM_SEED = 4
@@ -34,7 +34,7 @@
   poison_t *poison = mem_zalloc (sizeof *poison);
 
   poison->clock = clock;
-  poison->slots = mem_zalloc (POISON_KEYS * sizeof (slot_t));
+  poison->slots = mem_zalloc (POISON_KEYS_MAX * sizeof (slot_t));
   return poison;
 }
 
@@ -121,7 +121,7 @@
 }
 
 bool
-poison_merge (poison_t *poison, const poison_mark_t *mark)
+poison_merge (poison_t *poison, const poison_record_t *mark)
 {
   slot_t *slot = (slot_t *)find_slot (poison, mark->key);
   uint64_t now = clock_ms (poison->clock);
@@ -144,16 +144,16 @@
 }
 
 void
-poison_mark (poison_t *poison, poison_key_t digest, poison_key_t request,
-             uint64_t death)
+poison_record_crash (poison_t *poison, poison_key_t digest,
+                     poison_key_t request, uint64_t death)
 {
-  poison_merge (poison, &(poison_mark_t){ digest, death, 0 });
-  poison_merge (poison, &(poison_mark_t){ request, death, 0 });
+  poison_merge (poison, &(poison_record_t){ digest, death, 0 });
+  poison_merge (poison, &(poison_record_t){ request, death, 0 });
 }
 
-poison_verdict_t
-poison_judge (const poison_t *poison, poison_key_t digest,
-              poison_key_t request)
+poison_class_t
+poison_classify (const poison_t *poison, poison_key_t digest,
+                 poison_key_t request)
 {
   const slot_t *by_digest = find_slot (poison, digest);
   const slot_t *by_request = find_slot (poison, request);
@@ -169,8 +169,8 @@
 }
 
 bool
-poison_may_join (poison_verdict_t verdict, bool repeatable,
-                 const poison_company_t *company)
+poison_may_run_beside (poison_class_t verdict, bool repeatable,
+                       const poison_in_flight_t *company)
 {
   switch (verdict)
     {
@@ -185,9 +185,11 @@
 }
 
 bool
-poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark)
+poison_next_record (const poison_t *poison, size_t *cursor,
+                    poison_record_t *mark)
 {
-  for (; *cursor < (size_t)POISON_KEYS * POISON_CRASHES_TO_REFUSE; ++*cursor)
+  for (; *cursor < (size_t)POISON_KEYS_MAX * POISON_CRASHES_TO_REFUSE;
+       ++*cursor)
     {
       const slot_t *slot = &poison->slots[*cursor / POISON_CRASHES_TO_REFUSE];
       size_t crash_index = *cursor % POISON_CRASHES_TO_REFUSE;
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -17,9 +17,9 @@
    Records are pairs of a key and a crash id, so that a process may merge those
    of another one in any order and any number of times.
 
-   - POISON_KEYS 4096 of 48 bytes: a crash is recorded for all requests that an
-     upstream runs, some dozens, under two keys each, so there is room for
-   about thirty crashes at a time.  When there is no room, the record that
+   - POISON_KEYS_MAX 4096 of 48 bytes: a crash is recorded for all requests
+   that an upstream runs, some dozens, under two keys each, so there is room
+   for about thirty crashes at a time.  When there is no room, the record that
    expires first is dropped, records of refused requests last.
    - POISON_EXPIRY_MS 3600000: resends arrive within minutes; after an hour the
      upstream's software may have changed.  */
@@ -33,7 +33,7 @@
 
 enum
 {
-  POISON_KEYS = 4096,
+  POISON_KEYS_MAX = 4096,
   POISON_EXPIRY_MS = 3600000,
   /* Number of different crashes with which a request is refused.  */
   POISON_CRASHES_TO_REFUSE = 2
@@ -52,7 +52,7 @@
   POISON_CLEAR,
   POISON_SUSPECT,
   POISON_REFUSED
-} poison_verdict_t;
+} poison_class_t;
 
 /* One recorded crash of one key, as processes exchange it.  */
 typedef struct
@@ -60,15 +60,15 @@
   poison_key_t key;
   uint64_t death;
   uint64_t age_ms;
-} poison_mark_t;
+} poison_record_t;
 
 /* Numbers of requests that run on an upstream and restrict what may start
-   beside them, for poison_may_join.  */
+   beside them, for poison_may_run_beside.  */
 typedef struct
 {
   uint32_t suspects;
   uint32_t not_repeatable;
-} poison_company_t;
+} poison_in_flight_t;
 
 /* CLOCK is borrowed.  */
 poison_t *poison_create (clock_iface_t *clock);
@@ -82,23 +82,24 @@
 
 /* Record that the request with these keys was in flight in the crash DEATH, an
    id that the sidecar drew at random.  */
-void poison_mark (poison_t *poison, poison_key_t digest, poison_key_t request,
-                  uint64_t death);
+void poison_record_crash (poison_t *poison, poison_key_t digest,
+                          poison_key_t request, uint64_t death);
 
 /* Tell by both its keys whether a request may run.  */
-poison_verdict_t poison_judge (const poison_t *poison, poison_key_t digest,
-                               poison_key_t request);
+poison_class_t poison_classify (const poison_t *poison, poison_key_t digest,
+                                poison_key_t request);
 
 /* Tell whether a request with VERDICT may start on an upstream where COMPANY
    runs.  REPEATABLE: the request may be sent again after a crash.  */
-bool poison_may_join (poison_verdict_t verdict, bool repeatable,
-                      const poison_company_t *company);
+bool poison_may_run_beside (poison_class_t verdict, bool repeatable,
+                            const poison_in_flight_t *company);
 
 /* Add a record of another process.  Return false if it was known, is expired,
    or its key already has enough crashes to be refused.  */
-bool poison_merge (poison_t *poison, const poison_mark_t *mark);
+bool poison_merge (poison_t *poison, const poison_record_t *mark);
 /* Step through the records that are not expired: start with *CURSOR 0; return
    false at the end.  */
-bool poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark);
+bool poison_next_record (const poison_t *poison, size_t *cursor,
+                         poison_record_t *mark);
 
 #endif
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -84,7 +84,7 @@
   ROLLOUT_STEPS (X)
 #undef X
       ROLLOUT_STEP_COUNT,
-  ROLLOUT_TASKS_MAX = 16,
+  ROLLOUT_TASK_CLASSES_MAX = 16,
   ROLLOUT_EPOCH_MS = 60 * 60 * 1000,
   ROLLOUT_EPOCHS = 48, /* Strata of two days are kept; older ones are
                           dropped.  */
@@ -131,7 +131,7 @@
   double tolerance; /* Tolerance of the current step.  */
   uint64_t count_new;
   uint64_t count_old;
-} rollout_evidence_t;
+} rollout_estimate_t;
 
 /* Create the state of a roll-out of NEW_VERSION that starts at START_MS (real
    time); WRITER is that of evidence.h.  All processes must pass the same
@@ -146,15 +146,15 @@
 /* Tell whether the session or request with hash KEY goes to the new version.
    All processes agree if they have the same share, and a larger share only
    adds keys.  */
-bool rollout_assign (const rollout_run_t *rollout, uint64_t key);
+bool rollout_is_assigned (const rollout_run_t *rollout, uint64_t key);
 /* Return the share of ARM's answers to send to the rating service: all
    answers, but for each version at most a tenth of the service's.  0 unless
    the roll-out runs or is paused.  */
-double rollout_rate_share (const rollout_run_t *rollout, rollout_arm_t arm);
+double rollout_rating_share (const rollout_run_t *rollout, rollout_arm_t arm);
 
 /* Count a request that is dispatched to ARM.  */
-void rollout_shown (rollout_run_t *rollout, rollout_arm_t arm,
-                    uint64_t now_ms);
+void rollout_count_exposure (rollout_run_t *rollout, rollout_arm_t arm,
+                             uint64_t now_ms);
 void rollout_observe (rollout_run_t *rollout, rollout_arm_t arm, str_t task,
                       const rollout_sample_t *sample, uint64_t now_ms);
 
@@ -162,7 +162,7 @@
    measurements.  Only the lease holder may call this, as often as it likes
    (such as once a second); it must write the state when this returns true, for
    a change.  */
-bool rollout_step (rollout_run_t *rollout, uint64_t now_ms);
+bool rollout_decide (rollout_run_t *rollout, uint64_t now_ms);
 
 /* Orders of the operator; each returns false if it does not apply to the
    current phase.  Resuming a roll-out that reached its step's cap grants the
@@ -177,12 +177,12 @@
 /* Return the index of the step, from 0; ROLLOUT_STEP_COUNT when complete.  */
 uint32_t rollout_step_index (const rollout_run_t *rollout);
 /* Return the number of requests sent to the new version.  */
-uint64_t rollout_exposed (const rollout_run_t *rollout);
+uint64_t rollout_exposed_count (const rollout_run_t *rollout);
 /* Return the number of requests at which the new version's share falls to 0 in
    the current step.  */
-uint64_t rollout_exposure_bound (const rollout_run_t *rollout);
+uint64_t rollout_exposure_cap (const rollout_run_t *rollout);
 /* Return the estimate of METRIC over all task classes.  */
-rollout_evidence_t rollout_evidence (const rollout_run_t *rollout,
+rollout_estimate_t rollout_estimate (const rollout_run_t *rollout,
                                      rollout_metric_t metric);
 /* Append one line, such as "halted at step 1 of 5 (1%), shown 90: rating worse
    by 0.12, at least 0.03, for draft".  */
@@ -198,7 +198,7 @@
    nothing merged.  */
 vh_code_t rollout_merge (rollout_run_t *rollout, str_t bytes, uint64_t now_ms);
 /* Compact all epochs except the last two (see evidence.h).  */
-void rollout_settle (rollout_run_t *rollout, uint64_t generation,
-                     uint64_t now_ms);
+void rollout_compact (rollout_run_t *rollout, uint64_t generation,
+                      uint64_t now_ms);
 
 #endif
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -107,7 +107,7 @@
 }
 
 uint64_t
-trial_within_ms (const trial_t *trial)
+trial_time_limit_ms (const trial_t *trial)
 {
   return trial->within_ms;
 }
@@ -133,13 +133,13 @@
 }
 
 void
-trial_set_written (trial_t *trial, bool written)
+trial_set_final_phase_stored (trial_t *trial, bool written)
 {
   trial->written = written;
 }
 
 bool
-trial_written (const trial_t *trial)
+trial_is_final_phase_stored (const trial_t *trial)
 {
   return trial->written;
 }
@@ -154,19 +154,19 @@
 }
 
 void
-trial_set_seen (trial_t *trial, uint64_t seen_ms)
+trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms)
 {
   trial->seen_ms = seen_ms;
 }
 
 uint64_t
-trial_seen (const trial_t *trial)
+trial_order_seen_ms (const trial_t *trial)
 {
   return trial->seen_ms;
 }
 
 uint64_t
-trial_start (const trial_t *trial)
+trial_start_ms (const trial_t *trial)
 {
   return trial->start_ms;
 }
@@ -178,7 +178,7 @@
 }
 
 uint64_t
-trial_from (const trial_t *trial)
+trial_step_start_ms (const trial_t *trial)
 {
   return trial->from_ms;
 }
@@ -207,8 +207,9 @@
   double first = initial_share (trial);
   double within_ms = (double)trial->within_ms;
   double from_ms = (double)trial->from_ms;
-  double share_start_ms = (double)trial->start_ms
-                          + within_ms * step_length_parts[TRIAL_STEP_HELD];
+  double share_start_ms
+      = (double)trial->start_ms
+        + within_ms * step_length_parts[TRIAL_STEP_NO_TRAFFIC];
   double left_ms = trial->exposure * TRIAL_EXPOSURE_USED * within_ms
                    - TRIAL_FINISH_LEAD_MS
                    - first * fmax (from_ms - share_start_ms, 0);
@@ -226,40 +227,40 @@
 
   if (trial->phase != TRIAL_RUNNING)
     return trial->phase == TRIAL_DONE ? 1 : 0;
-  if (step > TRIAL_STEP_HELD && now_ms < trial->from_ms)
+  if (step > TRIAL_STEP_NO_TRAFFIC && now_ms < trial->from_ms)
     step--;
-  if (trial->start_ms == 0 || step == TRIAL_STEP_HELD)
+  if (trial->start_ms == 0 || step == TRIAL_STEP_NO_TRAFFIC)
     return 0;
   return step == TRIAL_STEP_INITIAL ? initial_share (trial)
                                     : increased_share (trial);
 }
 
 bool
-trial_assign (const trial_t *trial, uint64_t key, uint64_t now_ms)
+trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms)
 {
   return (double)(key >> 11) * 0x1.0p-53 < trial_share (trial, now_ms);
 }
 
 trial_arm_t
-trial_choose (const trial_t *trial, uint64_t key, uint64_t now_ms,
-              const trial_sent_t *sent)
+trial_choose_arm (const trial_t *trial, uint64_t key, uint64_t now_ms,
+                  const trial_send_history_t *sent)
 {
   if (sent->failed)
     return TRIAL_OLD;
   if (sent->any)
     return sent->arm;
-  return trial_assign (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
+  return trial_is_assigned (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
 }
 
 static void
 sums_add_answer (trial_sums_t *sums, trial_outcome_t outcome)
 {
-  double weight = outcome == TRIAL_BROKE ? TRIAL_BROKEN_WEIGHT : 1;
+  double weight = outcome == TRIAL_CONNECTION_LOST ? TRIAL_BROKEN_WEIGHT : 1;
 
   sums->count += weight;
   if (outcome != TRIAL_ANSWERED)
     sums->failed += weight;
-  if (outcome == TRIAL_BROKE)
+  if (outcome == TRIAL_CONNECTION_LOST)
     {
       sums->broken += 1;
       return;
@@ -317,14 +318,16 @@
 }
 
 void
-trial_time (trial_t *trial, trial_arm_t arm, uint64_t route,
-            trial_timing_t timing, uint32_t load, double ms, uint64_t now_ms)
+trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
+                      trial_timing_t timing, uint32_t load, double ms,
+                      uint64_t now_ms)
 {
   size_t cell = route % TRIAL_ROUTE_CELLS;
   /* All requests of a batch receive tokens at the same rate, whatever their
      route.  */
   load_times_t *loads
-      = trial->usual_times[timing][timing == TIMING_GAP ? 0 : cell];
+      = trial
+            ->usual_times[timing][timing == TRIAL_TIMING_EVENT_GAP ? 0 : cell];
   size_t class = load_class (load);
   trial_sums_t *sums = &trial->own.sums[arm][cell];
   double usual_ms = usual_time_ms (loads, class);
@@ -332,7 +335,7 @@
   if (ms <= 0)
     return;
   bool is_warming_up
-      = arm == TRIAL_NEW && timing == TIMING_FIRST
+      = arm == TRIAL_NEW && timing == TRIAL_TIMING_FIRST_EVENT
         && trial->step == TRIAL_STEP_INITIAL
         && now_ms < trial->from_ms + TRIAL_WARM_UP_MS + (uint64_t)ms;
   if (usual_ms > 0 && !is_warming_up)
@@ -383,7 +386,7 @@
 }
 
 void
-trial_fade (trial_t *trial)
+trial_decay (trial_t *trial)
 {
   size_t cursor = 0;
   str_t key;
@@ -406,7 +409,7 @@
 }
 
 bool
-trial_dirty (const trial_t *trial)
+trial_has_unwritten_counts (const trial_t *trial)
 {
   return trial->dirty;
 }
@@ -630,8 +633,8 @@
   return false;
 }
 
-trial_verdict_t
-trial_judge (const trial_t *trial, uint64_t now_ms, bool alone, buf_t *why)
+trial_decision_t
+trial_decide (const trial_t *trial, uint64_t now_ms, bool alone, buf_t *why)
 {
   counts_t all = total_counts (trial, false);
   trial_sums_t sums[TRIAL_ARM_COUNT] = { 0 };
@@ -642,7 +645,7 @@
   for (size_t cell = 0; cell < TRIAL_CELL_COUNT; cell++)
     {
       if (is_bad (&all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell], why))
-        return TRIAL_TAKE_BACK;
+        return TRIAL_ROLL_BACK;
       has_inconclusive_cell |= is_cell_inconclusive (
           &all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell]);
       for (size_t arm = 0; arm < TRIAL_ARM_COUNT && cell < TRIAL_ROUTE_CELLS;
@@ -650,13 +653,13 @@
         sums_add (&sums[arm], &all.sums[arm][cell]);
     }
   if (is_bad (&sums[TRIAL_OLD], &sums[TRIAL_NEW], why))
-    return TRIAL_TAKE_BACK;
+    return TRIAL_ROLL_BACK;
   double within_ms = (double)trial->within_ms;
   double step_min_ms = step_length_parts[trial->step] * within_ms;
   /* The initial step applies from half the time limit on and is written
-     TRIAL_NOTICE_MS before.  */
-  if (trial->step == TRIAL_STEP_HELD)
-    step_min_ms -= TRIAL_NOTICE_MS;
+     TRIAL_STEP_NOTICE_MS before.  */
+  if (trial->step == TRIAL_STEP_NO_TRAFFIC)
+    step_min_ms -= TRIAL_STEP_NOTICE_MS;
   if (step_min_ms < TRIAL_STEP_MS_MIN)
     step_min_ms = TRIAL_STEP_MS_MIN;
   double in_step_ms
@@ -671,7 +674,7 @@
         || !is_ready_to_advance (
             &sums[TRIAL_OLD], &sums[TRIAL_NEW], in_step_ms, step_min_ms,
             is_due ? TRIAL_FINAL_HOLD_STDERRS : TRIAL_HOLD_STDERRS);
-  if (trial->step > TRIAL_STEP_HELD && is_held_back)
+  if (trial->step > TRIAL_STEP_NO_TRAFFIC && is_held_back)
     {
       if (sums[TRIAL_NEW].count < TRIAL_ADVANCE_ANSWERS_MIN
           || (double)now_ms + TRIAL_ROLLBACK_LEAD_MS
@@ -679,7 +682,7 @@
         return TRIAL_WAIT;
       buf_printf (why, "failures or latency not proven acceptable before the "
                        "time limit");
-      return TRIAL_TAKE_BACK;
+      return TRIAL_ROLL_BACK;
     }
   if (trial->step + 1 < TRIAL_STEP_COUNT)
     return TRIAL_ADVANCE;
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -64,8 +64,8 @@
    makes all requests late that are at one instance together.  The gap between
    events depends on the size of the batch alone.  */
 #define TRIAL_TIMINGS(X)                                                      \
-  X (TIMING_FIRST, 4.0, 16, 4.5, "first events")                              \
-  X (TIMING_GAP, 2.5, 8, 4.0, "gaps between events")
+  X (TRIAL_TIMING_FIRST_EVENT, 4.0, 16, 4.5, "first events")                  \
+  X (TRIAL_TIMING_EVENT_GAP, 2.5, 8, 4.0, "gaps between events")
 #define TRIAL_LATE_EXCESS 0.3
 /* A step does not advance while the new version's share of late times exceeds
    the old version's by this and by TRIAL_HOLD_STDERRS standard errors.  */
@@ -105,7 +105,7 @@
 
 /* X (symbol, minimum length of the step as a part of the time limit).  */
 #define TRIAL_STEPS(X)                                                        \
-  X (TRIAL_STEP_HELD, 0.50)                                                   \
+  X (TRIAL_STEP_NO_TRAFFIC, 0.50)                                             \
   X (TRIAL_STEP_INITIAL, 0.11)                                                \
   X (TRIAL_STEP_INCREASED, 0.06)
 /* Part of the operators' bound on exposure that the shares of all steps add up
@@ -144,7 +144,7 @@
   /* Time from writing a step to its start: all processes read the row within
      a second, and a second of answers must be evaluated before the next step.
    */
-  TRIAL_NOTICE_MS = 1000,
+  TRIAL_STEP_NOTICE_MS = 1000,
   /* Time after the new version's first requests in which its time to the first
      event is ignored: its instances have no prompt in their caches yet.  */
   TRIAL_WARM_UP_MS = 1000,
@@ -210,36 +210,36 @@
                        uint64_t within_ms, double exposure);
 /* Set the time of the store's clock at which this process first saw the order;
    0 if unknown.  */
-void trial_set_seen (trial_t *trial, uint64_t seen_ms);
-uint64_t trial_seen (const trial_t *trial);
+void trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms);
+uint64_t trial_order_seen_ms (const trial_t *trial);
 /* NULL is accepted.  */
 void trial_destroy (trial_t *trial);
 str_t trial_version (const trial_t *trial);
 uint64_t trial_order (const trial_t *trial);
-uint64_t trial_within_ms (const trial_t *trial);
+uint64_t trial_time_limit_ms (const trial_t *trial);
 trial_phase_t trial_phase (const trial_t *trial);
 const char *trial_phase_name (trial_phase_t phase);
 void trial_set_phase (trial_t *trial, trial_phase_t phase);
 /* Set whether the row in the store holds a final phase.  */
-void trial_set_written (trial_t *trial, bool written);
-bool trial_written (const trial_t *trial);
+void trial_set_final_phase_stored (trial_t *trial, bool written);
+bool trial_is_final_phase_stored (const trial_t *trial);
 /* Take over the row in the store: the time at which a process first saw the
    order, the step, and the time from which the step applies, by the store's
    clock.  */
 void trial_set_progress (trial_t *trial, uint64_t start_ms, uint32_t step,
                          uint64_t from_ms);
 /* Return the START_MS of trial_set_progress; 0 before the row was read.  */
-uint64_t trial_start (const trial_t *trial);
+uint64_t trial_start_ms (const trial_t *trial);
 uint32_t trial_step (const trial_t *trial);
 /* Return the time from which the step applies, by the store's clock.  */
-uint64_t trial_from (const trial_t *trial);
+uint64_t trial_step_start_ms (const trial_t *trial);
 
 /* Return the new version's share of the requests at NOW_MS of the store's
    clock.  */
 double trial_share (const trial_t *trial, uint64_t now_ms);
 /* Tell whether the session or request with hash KEY goes to the new version.
    When the share rises, keys are only added.  */
-bool trial_assign (const trial_t *trial, uint64_t key, uint64_t now_ms);
+bool trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms);
 
 /* Previous sends of one request.  */
 typedef struct
@@ -247,20 +247,21 @@
   bool any;        /* Whether the request was sent before, to ARM.  */
   trial_arm_t arm; /* Version of the first send.  */
   bool failed;     /* Whether a send to the new version failed.  */
-} trial_sent_t;
+} trial_send_history_t;
 
 /* Return the version for a request with hash KEY.  A request stays with the
    version of its first send: a stream that was interrupted on the old version
    must not continue on a version that may be bad, where a second failure would
    end it.  A request that failed on the new version goes to the old one.  */
-trial_arm_t trial_choose (const trial_t *trial, uint64_t key, uint64_t now_ms,
-                          const trial_sent_t *sent);
+trial_arm_t trial_choose_arm (const trial_t *trial, uint64_t key,
+                              uint64_t now_ms,
+                              const trial_send_history_t *sent);
 
 typedef enum
 {
   TRIAL_ANSWERED,
   TRIAL_FAILED, /* The upstream answered with a failure, or timed out.  */
-  TRIAL_BROKE   /* The connection was lost, or the instance is gone.  */
+  TRIAL_CONNECTION_LOST /* The connection was lost, or the instance is gone. */
 } trial_outcome_t;
 
 /* Count the outcome of a send on a route with hash ROUTE.  WAIT_MS is the time
@@ -271,11 +272,11 @@
 /* Count a measured time of MS for TIMING, which ended at NOW_MS of the store's
    clock, of a send on a route with hash ROUTE.  LOAD is the number of requests
    of all processes at the instance.  */
-void trial_time (trial_t *trial, trial_arm_t arm, uint64_t route,
-                 trial_timing_t timing, uint32_t load, double ms,
-                 uint64_t now_ms);
+void trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
+                           trial_timing_t timing, uint32_t load, double ms,
+                           uint64_t now_ms);
 /* Decay all counts; to be called once a second.  */
-void trial_fade (trial_t *trial);
+void trial_decay (trial_t *trial);
 
 /* Append the message to the other processes: this process's counts and, if
    ALL, the counts that were sent to it.  */
@@ -286,21 +287,21 @@
    changed; a message for another order is ignored.  */
 vh_code_t trial_merge (trial_t *trial, str_t entry, bool told, str_t text);
 /* Tell whether a count changed since the last trial_write.  */
-bool trial_dirty (const trial_t *trial);
+bool trial_has_unwritten_counts (const trial_t *trial);
 
 typedef enum
 {
   TRIAL_WAIT,      /* Nothing changes yet.  */
   TRIAL_ADVANCE,   /* The next step may start.  */
-  TRIAL_TAKE_BACK, /* The version is bad; all requests return to the old one.
+  TRIAL_ROLL_BACK, /* The version is bad; all requests return to the old one.
                     */
   TRIAL_FINISH     /* The version is good; the old one may stop.  */
-} trial_verdict_t;
+} trial_decision_t;
 
 /* Decide on the counts of all processes.  If the version is bad, append the
    reason to WHY.  ALONE: the store does not answer, so that counts of other
    processes may be missing.  */
-trial_verdict_t trial_judge (const trial_t *trial, uint64_t now_ms, bool alone,
-                             buf_t *why);
+trial_decision_t trial_decide (const trial_t *trial, uint64_t now_ms,
+                               bool alone, buf_t *why);
 
 #endif
--- a/packages/policy/watch.c
+++ b/packages/policy/watch.c
@@ -82,35 +82,35 @@
 
 struct watch
 {
-  evidence_t *evidence;
-  series_t series[WATCH_SERIES_MAX];
-  version_alarm_t versions[WATCH_VERSIONS_MAX];
+  crdt_t *evidence;
+  series_t series[DEGRADATION_SERIES_MAX];
+  version_alarm_t versions[DEGRADATION_VERSIONS_MAX];
   uint32_t version_count;
-  cusum_t cusums[WATCH_SERIES_MAX][ROLLOUT_METRIC_COUNT];
+  cusum_t cusums[DEGRADATION_SERIES_MAX][ROLLOUT_METRIC_COUNT];
   uint64_t evaluated_epoch;
 };
 
-watch_t *
-watch_create (uint64_t writer)
+degradation_t *
+degradation_create (uint64_t writer)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = WATCH_EPOCH_MS,
-                                       .epochs = WATCH_EPOCHS,
-                                       .fields = SAMPLE_FIELDS,
-                                       .keys_max = WATCH_SERIES_MAX,
-                                       .cells_max = WATCH_CELLS_MAX };
-  watch_t *w = mem_zalloc (sizeof *w);
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = DEGRADATION_EPOCH_MS,
+                                   .epochs = DEGRADATION_EPOCHS,
+                                   .fields = SAMPLE_FIELDS,
+                                   .keys_max = DEGRADATION_SERIES_MAX,
+                                   .cells_max = DEGRADATION_CELLS_MAX };
+  degradation_t *w = mem_zalloc (sizeof *w);
 
-  w->evidence = evidence_create (&options);
+  w->evidence = crdt_create (&options);
   return w;
 }
 
 void
-watch_destroy (watch_t *w)
+degradation_destroy (degradation_t *w)
 {
   if (w == NULL)
     return;
-  evidence_destroy (w->evidence);
+  crdt_destroy (w->evidence);
   free (w);
 }
 
@@ -122,7 +122,7 @@
 }
 
 static version_alarm_t *
-version_find (const watch_t *w, uint64_t hash)
+version_find (const degradation_t *w, uint64_t hash)
 {
   for (uint32_t i = 0; i < w->version_count; i++)
     if (w->versions[i].hash == hash)
@@ -133,11 +133,11 @@
 /* Return the alarm state of the version, created on first use; NULL if there
    is no room.  */
 static version_alarm_t *
-version_find_or_add (watch_t *w, uint64_t hash)
+version_find_or_add (degradation_t *w, uint64_t hash)
 {
   version_alarm_t *found = version_find (w, hash);
 
-  if (found != NULL || w->version_count == WATCH_VERSIONS_MAX)
+  if (found != NULL || w->version_count == DEGRADATION_VERSIONS_MAX)
     return found;
   w->versions[w->version_count].hash = hash;
   return &w->versions[w->version_count++];
@@ -146,14 +146,14 @@
 /* Return the key of the series, created on first use; -1 if there is no
    room.  */
 static int
-series_find_or_add (watch_t *w, uint64_t version, uint64_t task)
+series_find_or_add (degradation_t *w, uint64_t version, uint64_t task)
 {
   uint64_t hash = version ^ (task * 0x9e3779b97f4a7c15u);
   version_alarm_t *entry = version_find_or_add (w, version);
 
   if (entry == NULL)
     return -1;
-  int key = evidence_key (w->evidence, hash);
+  int key = crdt_key_find_or_add (w->evidence, hash);
   if (key >= 0 && w->series[key].version == 0)
     w->series[key]
         = (series_t){ version, task, (uint32_t)(entry - w->versions) };
@@ -161,14 +161,14 @@
 }
 
 void
-watch_observe (watch_t *w, str_t version, str_t task,
-               const rollout_sample_t *sample, uint64_t now_ms)
+degradation_observe (degradation_t *w, str_t version, str_t task,
+                     const rollout_sample_t *sample, uint64_t now_ms)
 {
   int64_t fields[SAMPLE_FIELDS];
   int key = series_find_or_add (w, hash_name (version), hash_name (task));
 
   sample_fields (sample, fields);
-  evidence_add (w->evidence, key, now_ms, fields);
+  crdt_add (w->evidence, key, now_ms, fields);
 }
 
 static bool
@@ -245,22 +245,22 @@
 /* Load the epoch into all CUSUMs of METRIC and sum the shifts by version.
    Return the sum over all versions.  */
 static shift_sum_t
-load_epoch_shifts (watch_t *w, uint64_t epoch, rollout_metric_t metric,
-                   shift_sum_t by_version[WATCH_VERSIONS_MAX])
+load_epoch_shifts (degradation_t *w, uint64_t epoch, rollout_metric_t metric,
+                   shift_sum_t by_version[DEGRADATION_VERSIONS_MAX])
 {
   shift_sum_t total = { 0, 0 };
 
-  memset (by_version, 0, WATCH_VERSIONS_MAX * sizeof *by_version);
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  memset (by_version, 0, DEGRADATION_VERSIONS_MAX * sizeof *by_version);
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
       cusum_t *cusum = &w->cusums[key][metric];
       const series_t *s = &w->series[key];
       uint64_t cleared_ms = w->versions[s->version_index].cleared_ms;
       cusum->epoch_moments = (moments_t){ 0, 0, 0 };
-      if (s->version == 0 || epoch * WATCH_EPOCH_MS < cleared_ms)
+      if (s->version == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
         continue;
       cusum->epoch_moments
-          = sample_moments (evidence_sums (w->evidence, key, epoch), metric);
+          = sample_moments (crdt_sums (w->evidence, key, epoch), metric);
       if (cusum->epoch_moments.count <= 0
           || cusum->reference.count < REFERENCE_ANSWERS_MIN)
         continue;
@@ -312,7 +312,7 @@
     }
   else
     {
-      cusum->value = fmin (cusum->value, 2 * WATCH_THRESHOLD);
+      cusum->value = fmin (cusum->value, 2 * DEGRADATION_CUSUM_THRESHOLD);
       cusum->own_answers += cusum->epoch_moments.count;
       cusum->own_shift_sum += cusum->epoch_moments.count * cusum->shift;
       /* Weighted by this series' answers, so that an epoch has the same weight
@@ -324,13 +324,13 @@
                                     * others->shift_sum / others->count;
         }
     }
-  if (cusum->value < FREEZE_THRESHOLD_PART * WATCH_THRESHOLD)
+  if (cusum->value < FREEZE_THRESHOLD_PART * DEGRADATION_CUSUM_THRESHOLD)
     reference_add_epoch (cusum);
-  if (cusum->value < WATCH_THRESHOLD)
+  if (cusum->value < DEGRADATION_CUSUM_THRESHOLD)
     return false;
   if (is_only_version_shifted (cusum, others))
     return true;
-  if (++cusum->shared_epochs >= WATCH_COMMON_EPOCHS)
+  if (++cusum->shared_epochs >= DEGRADATION_RELEARN_EPOCHS)
     *cusum = (cusum_t){ .shared_epochs = 0 };
   return false;
 }
@@ -338,19 +338,19 @@
 static void
 raise_alarm (version_alarm_t *v, rollout_metric_t metric, uint64_t epoch)
 {
-  v->since_ms = (epoch + 1) * WATCH_EPOCH_MS;
+  v->since_ms = (epoch + 1) * DEGRADATION_EPOCH_MS;
   v->metric = metric;
 }
 
 /* Add EPOCH to all CUSUMs of METRIC.  Return true if an alarm was raised.  */
 static bool
-evaluate_epoch (watch_t *w, uint64_t epoch, rollout_metric_t metric)
+evaluate_epoch (degradation_t *w, uint64_t epoch, rollout_metric_t metric)
 {
-  shift_sum_t by_version[WATCH_VERSIONS_MAX];
+  shift_sum_t by_version[DEGRADATION_VERSIONS_MAX];
   shift_sum_t total = load_epoch_shifts (w, epoch, metric, by_version);
   bool raised = false;
 
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
       const series_t *s = &w->series[key];
       if (s->version == 0)
@@ -370,12 +370,12 @@
 }
 
 bool
-watch_step (watch_t *w, uint64_t now_ms)
+degradation_check (degradation_t *w, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (w->evidence, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
   bool raised = false;
 
-  evidence_advance (w->evidence, now_ms);
+  crdt_advance (w->evidence, now_ms);
   if (now_epoch == w->evaluated_epoch)
     return false;
   w->evaluated_epoch = now_epoch;
@@ -383,7 +383,7 @@
      late or from other processes count in their epoch and all processes find
      the same.  */
   memset (w->cusums, 0, sizeof w->cusums);
-  uint64_t epoch = evidence_first (w->evidence);
+  uint64_t epoch = crdt_first_epoch (w->evidence);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
       raised = evaluate_epoch (w, epoch, (rollout_metric_t)m) || raised;
@@ -391,21 +391,22 @@
 }
 
 double
-watch_weight (const watch_t *w, str_t version, uint64_t now_ms)
+degradation_traffic_weight (const degradation_t *w, str_t version,
+                            uint64_t now_ms)
 {
   const version_alarm_t *v = version_find (w, hash_name (version));
 
   if (v == NULL || !has_alarm (v))
     return 1;
   uint64_t age_ms = now_ms > v->since_ms ? now_ms - v->since_ms : 0;
-  if (age_ms < WATCH_STEP_MS)
+  if (age_ms < DEGRADATION_WEIGHT_STEP_MS)
     return 0.5;
-  return age_ms < (uint64_t)2 * WATCH_STEP_MS ? 0.1 : 0;
+  return age_ms < (uint64_t)2 * DEGRADATION_WEIGHT_STEP_MS ? 0.1 : 0;
 }
 
 bool
-watch_alarm (const watch_t *w, str_t version, rollout_metric_t *metric,
-             uint64_t *since_ms)
+degradation_get_alarm (const degradation_t *w, str_t version,
+                       rollout_metric_t *metric, uint64_t *since_ms)
 {
   const version_alarm_t *v = version_find (w, hash_name (version));
 
@@ -417,7 +418,7 @@
 }
 
 void
-watch_clear (watch_t *w, str_t version, uint64_t now_ms)
+degradation_clear_alarm (degradation_t *w, str_t version, uint64_t now_ms)
 {
   version_alarm_t *v = version_find_or_add (w, hash_name (version));
 
@@ -426,38 +427,39 @@
 }
 
 void
-watch_write (const watch_t *w, bool own_only, buf_t *out)
+degradation_write (const degradation_t *w, bool own_only, buf_t *out)
 {
   uint64_t count = 0;
 
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     count += w->series[key].version != 0;
-  evidence_put (out, FORMAT);
-  evidence_put (out, count);
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  crdt_write_varint (out, FORMAT);
+  crdt_write_varint (out, count);
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     if (w->series[key].version != 0)
       {
-        evidence_put (out, w->series[key].version);
-        evidence_put (out, w->series[key].task);
+        crdt_write_varint (out, w->series[key].version);
+        crdt_write_varint (out, w->series[key].task);
       }
-  evidence_put (out, w->version_count);
+  crdt_write_varint (out, w->version_count);
   for (uint32_t i = 0; i < w->version_count; i++)
     {
       const version_alarm_t *v = &w->versions[i];
-      evidence_put (out, v->hash);
-      evidence_put (out, v->cleared_ms);
-      evidence_put (out, v->since_ms);
-      evidence_put (out, v->metric);
+      crdt_write_varint (out, v->hash);
+      crdt_write_varint (out, v->cleared_ms);
+      crdt_write_varint (out, v->since_ms);
+      crdt_write_varint (out, v->metric);
     }
-  evidence_write (w->evidence, own_only, out);
+  crdt_write (w->evidence, own_only, out);
 }
 
 static bool
 read_alarm (str_t *rest, version_alarm_t *v)
 {
-  return evidence_take (rest, &v->hash) && evidence_take (rest, &v->cleared_ms)
-         && evidence_take (rest, &v->since_ms)
-         && evidence_take (rest, &v->metric) && v->hash != 0
+  return crdt_read_varint (rest, &v->hash)
+         && crdt_read_varint (rest, &v->cleared_ms)
+         && crdt_read_varint (rest, &v->since_ms)
+         && crdt_read_varint (rest, &v->metric) && v->hash != 0
          && v->metric < ROLLOUT_METRIC_COUNT;
 }
 
@@ -479,31 +481,33 @@
 }
 
 vh_code_t
-watch_merge (watch_t *w, str_t bytes, uint64_t now_ms)
+degradation_merge (degradation_t *w, str_t bytes, uint64_t now_ms)
 {
   uint64_t format, series, versions;
   uint64_t version = 0;
   uint64_t task = 0;
   version_alarm_t alarm = { 0 };
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &series) || series > WATCH_SERIES_MAX)
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &series)
+      || series > DEGRADATION_SERIES_MAX)
     return VH_E_PROTOCOL;
   str_t names = bytes;
   for (uint64_t i = 0; i < series; i++)
-    if (!evidence_take (&bytes, &version) || !evidence_take (&bytes, &task)
-        || version == 0)
+    if (!crdt_read_varint (&bytes, &version)
+        || !crdt_read_varint (&bytes, &task) || version == 0)
       return VH_E_PROTOCOL;
-  if (!evidence_take (&bytes, &versions) || versions > WATCH_VERSIONS_MAX)
+  if (!crdt_read_varint (&bytes, &versions)
+      || versions > DEGRADATION_VERSIONS_MAX)
     return VH_E_PROTOCOL;
   str_t alarms = bytes;
   for (uint64_t i = 0; i < versions; i++)
     if (!read_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
-  if (!evidence_valid (w->evidence, bytes))
+  if (!crdt_is_valid (w->evidence, bytes))
     return VH_E_PROTOCOL;
-  for (uint64_t i = 0; i < series && evidence_take (&names, &version)
-                       && evidence_take (&names, &task);
+  for (uint64_t i = 0; i < series && crdt_read_varint (&names, &version)
+                       && crdt_read_varint (&names, &task);
        i++)
     series_find_or_add (w, version, task);
   for (uint64_t i = 0; i < versions && read_alarm (&alarms, &alarm); i++)
@@ -512,15 +516,15 @@
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
-  return evidence_merge (w->evidence, bytes, now_ms);
+  return crdt_merge (w->evidence, bytes, now_ms);
 }
 
 void
-watch_settle (watch_t *w, uint64_t generation, uint64_t now_ms)
+degradation_compact (degradation_t *w, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (w->evidence, now_ms);
-  uint64_t epoch = evidence_first (w->evidence);
+  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (w->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (w->evidence, epoch, generation);
+    crdt_compact (w->evidence, epoch, generation);
 }
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -106,7 +106,7 @@
 
   burn_observe (b, &s, START_MS);
   s.rating = 0.5;
-  burn_rated (b, &s, START_MS + MINUTE_MS);
+  burn_observe_rating (b, &s, START_MS + MINUTE_MS);
   burn_rate_t r = burn_rate (b, 0, BURN_QUALITY, BURN_VERSION, STR ("small@1"),
                              BURN_1H, START_MS + MINUTE_MS);
   ck_assert_double_eq (r.count, 1);
@@ -408,7 +408,7 @@
   burn_write (ordered, false, &copied_state);
   burn_merge (copied, buf_str (&copied_state), end);
   buf_free (&copied_state);
-  burn_settle (shuffled, 9, end + 3 * HOUR_MS);
+  burn_compact (shuffled, 9, end + 3 * HOUR_MS);
   right.len = 0;
   burn_write_json (shuffled, end, &right);
   ck_assert (str_eq (buf_str (&left), buf_str (&right)));
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -39,13 +39,13 @@
 static void
 record (const char *content, const char *id, uint64_t death)
 {
-  poison_mark (poison, digest_key (content), request_key (id), death);
+  poison_record_crash (poison, digest_key (content), request_key (id), death);
 }
 
-static poison_verdict_t
+static poison_class_t
 judge (const char *content, const char *id)
 {
-  return poison_judge (poison, digest_key (content), request_key (id));
+  return poison_classify (poison, digest_key (content), request_key (id));
 }
 
 /* A request crashes its upstream, its caller sends it again under a new id,
@@ -87,8 +87,8 @@
 {
   record ("bad", "one", 1);
   ck_assert_int_eq (
-      poison_judge (poison, digest_key ("good"),
-                    poison_request_key (STR ("drift"), STR ("one"))),
+      poison_classify (poison, digest_key ("good"),
+                       poison_request_key (STR ("drift"), STR ("one"))),
       POISON_CLEAR);
 }
 END_TEST
@@ -100,9 +100,9 @@
 {
   static const struct
   {
-    poison_verdict_t verdict;
+    poison_class_t verdict;
     bool repeatable;
-    poison_company_t company;
+    poison_in_flight_t company;
     bool may_join;
   } cases[] = {
     { POISON_CLEAR, true, { 0, 0 }, true },
@@ -117,8 +117,9 @@
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    ck_assert_msg (poison_may_join (cases[i].verdict, cases[i].repeatable,
-                                    &cases[i].company)
+    ck_assert_msg (poison_may_run_beside (cases[i].verdict,
+                                          cases[i].repeatable,
+                                          &cases[i].company)
                        == cases[i].may_join,
                    "case %zu", i);
 }
@@ -143,22 +144,22 @@
 START_TEST (merge_depends_on_order_or_redelivery)
 {
   poison_t *other = poison_create (manual_clock);
-  poison_mark_t exchanged;
+  poison_record_t exchanged;
   size_t cursor = 0;
 
   record ("bad", "one", 1);
   clock_manual_advance_us (manual_clock, 5000000);
-  poison_mark (other, digest_key ("bad"), request_key ("two"), 2);
+  poison_record_crash (other, digest_key ("bad"), request_key ("two"), 2);
   for (int round = 0; round < 3; round++)
-    for (cursor = 0; poison_next (poison, &cursor, &exchanged);)
+    for (cursor = 0; poison_next_record (poison, &cursor, &exchanged);)
       ck_assert (poison_merge (other, &exchanged) == (round == 0));
   ck_assert_int_eq (
-      poison_judge (other, digest_key ("bad"), request_key ("three")),
+      poison_classify (other, digest_key ("bad"), request_key ("three")),
       POISON_REFUSED);
   /* The age is part of the record: a record that is passed on must not live
      longer.  */
   cursor = 0;
-  ck_assert (poison_next (poison, &cursor, &exchanged));
+  ck_assert (poison_next_record (poison, &cursor, &exchanged));
   ck_assert_uint_eq (exchanged.age_ms, 5000);
   ck_assert_uint_eq (exchanged.death, 1);
   /* A third crash that is reported late must neither lift nor prolong a
@@ -172,11 +173,13 @@
   exchanged.age_ms = POISON_EXPIRY_MS - 1000;
   clock_manual_advance_us (manual_clock, POISON_EXPIRY_MS * 1000ul);
   ck_assert (poison_merge (other, &exchanged));
-  ck_assert_int_eq (poison_judge (other, exchanged.key, request_key ("none")),
-                    POISON_SUSPECT);
+  ck_assert_int_eq (
+      poison_classify (other, exchanged.key, request_key ("none")),
+      POISON_SUSPECT);
   clock_manual_advance_us (manual_clock, 1000000);
-  ck_assert_int_eq (poison_judge (other, exchanged.key, request_key ("none")),
-                    POISON_CLEAR);
+  ck_assert_int_eq (
+      poison_classify (other, exchanged.key, request_key ("none")),
+      POISON_CLEAR);
   poison_destroy (other);
 }
 END_TEST
@@ -187,7 +190,7 @@
 {
   record ("bad", "one", 1);
   record ("bad", "one", 2);
-  for (int i = 0; i < POISON_KEYS * 4; i++)
+  for (int i = 0; i < POISON_KEYS_MAX * 4; i++)
     {
       char text[16];
 
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -80,7 +80,7 @@
   if (is_affected)
     s.latency_ms *= w->regression.latency;
   s.rated = !s.failed && !w->is_rating_down
-            && rng_double (&w->rng) < rollout_rate_share (w->run, arm);
+            && rng_double (&w->rng) < rollout_rating_share (w->run, arm);
   s.rating = rating - (is_affected ? w->regression.rating : 0);
   if (w->requests >= w->zero_rating_from && w->requests < w->zero_rating_until)
     s.rating = 0;
@@ -92,17 +92,17 @@
 static void
 simulate_request (simulation_t *w)
 {
-  bool is_new = rollout_assign (w->run, rng_u64 (&w->rng));
+  bool is_new = rollout_is_assigned (w->run, rng_u64 (&w->rng));
   rollout_arm_t arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
   int task = draw_task (w);
 
-  rollout_shown (w->run, arm, w->now_ms);
+  rollout_count_exposure (w->run, arm, w->now_ms);
   rollout_sample_t s = draw_sample (w, arm, task);
   rollout_observe (w->run, arm, str_from (tasks[task]), &s, w->now_ms);
   w->requests++;
   w->now_ms += 100;
   if (w->requests % 10 == 0)
-    rollout_step (w->run, w->now_ms);
+    rollout_decide (w->run, w->now_ms);
 }
 
 static bool
@@ -152,7 +152,7 @@
                      "%s, seed %d: %s", regression->name, (int)seed,
                      rollout_phase_name (rollout_phase (w.run)));
       ck_assert_double_eq (rollout_share (w.run), 0);
-      exposed += rollout_exposed (w.run);
+      exposed += rollout_exposed_count (w.run);
       rollout_destroy (w.run);
     }
   ck_assert_msg (exposed / (SEEDS / 4) <= regression->exposed_max,
@@ -251,26 +251,26 @@
 START_TEST (cap_is_exceeded_without_ratings)
 {
   simulation_t w = simulation_create (4, &no_regression);
-  uint64_t cap = rollout_exposure_bound (w.run);
+  uint64_t cap = rollout_exposure_cap (w.run);
 
   w.is_rating_down = true;
   while (w.requests < REQUESTS_MAX)
     simulate_request (&w);
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
-  ck_assert_uint_eq (rollout_exposed (w.run), cap);
-  ck_assert (!rollout_assign (w.run, 12345));
+  ck_assert_uint_eq (rollout_exposed_count (w.run), cap);
+  ck_assert (!rollout_is_assigned (w.run, 12345));
   ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_bound (w.run), 2 * cap);
+  ck_assert_uint_eq (rollout_exposure_cap (w.run), 2 * cap);
   for (int i = 0; i < REQUESTS_MAX; i++)
     simulate_request (&w);
-  ck_assert_uint_eq (rollout_exposed (w.run), 2 * cap);
+  ck_assert_uint_eq (rollout_exposed_count (w.run), 2 * cap);
   /* A pause before the resume must not reduce the cap that the resume
      grants.  */
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
   ck_assert (rollout_pause (w.run));
   w.is_rating_down = false;
   ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_bound (w.run), 3 * cap);
+  ck_assert_uint_eq (rollout_exposure_cap (w.run), 3 * cap);
   for (int i = 0; i < REQUESTS_MAX && rollout_step_index (w.run) == 0; i++)
     simulate_request (&w);
   ck_assert_uint_ge (rollout_step_index (w.run), 1);
@@ -286,9 +286,9 @@
   rng_t rng = rng_make (3);
 
   for (int i = 0; i < REQUESTS_MAX; i++)
-    if (rollout_assign (run, rng_u64 (&rng)))
-      rollout_shown (run, ROLLOUT_NEW, START_MS + (uint64_t)i);
-  ck_assert_uint_eq (rollout_exposed (run), rollout_exposure_bound (run));
+    if (rollout_is_assigned (run, rng_u64 (&rng)))
+      rollout_count_exposure (run, ROLLOUT_NEW, START_MS + (uint64_t)i);
+  ck_assert_uint_eq (rollout_exposed_count (run), rollout_exposure_cap (run));
   rollout_destroy (run);
 }
 END_TEST
@@ -330,8 +330,8 @@
                             rollout_phase (interrupted.run));
           ck_assert_uint_eq (rollout_step_index (uninterrupted.run),
                              rollout_step_index (interrupted.run));
-          ck_assert_uint_eq (rollout_exposed (uninterrupted.run),
-                             rollout_exposed (interrupted.run));
+          ck_assert_uint_eq (rollout_exposed_count (uninterrupted.run),
+                             rollout_exposed_count (interrupted.run));
           if (rollout_step_index (interrupted.run) != replaced_at_step
               || interrupted.requests % 4999 == 0)
             {
@@ -387,7 +387,7 @@
                                  .latency_ms = 500 + 10 * i,
                                  .rated = true,
                                  .rating = rng_double (&rng) };
-          rollout_shown (run, arm, START_MS);
+          rollout_count_exposure (run, arm, START_MS);
           rollout_observe (run, arm, STR ("draft"), &s, START_MS);
         }
       messages[m] = BUF_NULL;
@@ -403,8 +403,8 @@
   for (int m = MESSAGES - 1; m >= 0; m--)
     rollout_merge (shuffled, buf_str (&messages[m]), START_MS);
   ck_assert (has_same_state (ordered, shuffled));
-  ck_assert_uint_eq (rollout_exposed (shuffled), EXPOSED);
-  ck_assert_uint_eq (rollout_evidence (shuffled, ROLLOUT_RATING).count_new,
+  ck_assert_uint_eq (rollout_exposed_count (shuffled), EXPOSED);
+  ck_assert_uint_eq (rollout_estimate (shuffled, ROLLOUT_RATING).count_new,
                      EXPOSED);
   for (int m = 0; m < MESSAGES; m++)
     buf_free (&messages[m]);
@@ -492,8 +492,8 @@
           buf_free (&state);
           for (uint64_t key = 0; key < KEYS; key++)
             {
-              bool is_new = rollout_assign (w.run, key);
-              ck_assert (is_new == rollout_assign (other, key));
+              bool is_new = rollout_is_assigned (w.run, key);
+              ck_assert (is_new == rollout_is_assigned (other, key));
               ck_assert (is_new || !is_assigned_new[key]);
               is_assigned_new[key] = is_new;
               count += is_new;
@@ -551,7 +551,7 @@
       char original = bytes.ptr[at];
       bytes.ptr[at] = (char)rng_u64 (&rng);
       rollout_merge (other, buf_str (&bytes), w.now_ms);
-      rollout_step (other, w.now_ms);
+      rollout_decide (other, w.now_ms);
       bytes.ptr[at] = original;
     }
   buf_free (&bytes);
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -31,7 +31,7 @@
 typedef struct
 {
   rng_t rng;
-  watch_t *watch;
+  degradation_t *watch;
   uint64_t now_ms;
   double large_share; /* Share of large@1 in the traffic; the rest is
                          small@1's.  */
@@ -54,14 +54,14 @@
 simulation_create (uint64_t seed)
 {
   return (simulation_t){ .rng = rng_make (seed * 31 + 7),
-                         .watch = watch_create (seed + 1),
+                         .watch = degradation_create (seed + 1),
                          .now_ms = START_MS,
                          .large_share = 0.2,
                          .small_latency_factor = 1 };
 }
 
 /* Simulate one minute of traffic, with 10 requests a second and one answer in
-   ten rated.  Return the result of watch_step at its end.  */
+   ten rated.  Return the result of degradation_check at its end.  */
 static bool
 simulate_minute (simulation_t *w)
 {
@@ -77,12 +77,13 @@
       s.latency_ms *= small ? w->small_latency_factor : 1;
       s.rated = !s.failed && rng_double (&w->rng) < 0.1;
       s.rating = rating - (small ? w->small_rating_loss : 0);
-      watch_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
-                     rng_below (&w->rng, 3) == 0 ? STR ("tag") : STR ("draft"),
-                     &s, w->now_ms);
+      degradation_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
+                           rng_below (&w->rng, 3) == 0 ? STR ("tag")
+                                                       : STR ("draft"),
+                           &s, w->now_ms);
       w->now_ms += MINUTE_MS / REQUESTS_PER_MINUTE;
     }
-  return watch_step (w->watch, w->now_ms);
+  return degradation_check (w->watch, w->now_ms);
 }
 
 static bool
@@ -91,7 +92,7 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return watch_alarm (w->watch, STR ("small@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->watch, STR ("small@1"), &metric, &since_ms);
 }
 
 static bool
@@ -100,7 +101,7 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return watch_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
 }
 
 static const regression_t regressions[] = {
@@ -123,8 +124,8 @@
       int minutes = 0;
       for (int i = 0; i < HEALTHY_MINUTES; i++)
         ck_assert (!simulate_minute (&w));
-      ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
-                           1);
+      ck_assert_double_eq (
+          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms), 1);
       w.small_rating_loss = regression->rating;
       w.small_error_increase = regression->error;
       w.small_latency_factor = regression->latency;
@@ -134,16 +135,19 @@
                      "%s, seed %d: alarm after %d min", regression->name,
                      (int)seed, minutes);
       ck_assert (!has_large_alarm (&w));
-      ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
-                           0.5);
       ck_assert_double_eq (
-          watch_weight (w.watch, STR ("small@1"), w.now_ms + WATCH_STEP_MS),
+          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms),
+          0.5);
+      ck_assert_double_eq (
+          degradation_traffic_weight (w.watch, STR ("small@1"),
+                                      w.now_ms + DEGRADATION_WEIGHT_STEP_MS),
           0.1);
+      ck_assert_double_eq (degradation_traffic_weight (
+                               w.watch, STR ("small@1"), w.now_ms + MINUTE_MS),
+                           0);
       ck_assert_double_eq (
-          watch_weight (w.watch, STR ("small@1"), w.now_ms + MINUTE_MS), 0);
-      ck_assert_double_eq (watch_weight (w.watch, STR ("large@1"), w.now_ms),
-                           1);
-      watch_destroy (w.watch);
+          degradation_traffic_weight (w.watch, STR ("large@1"), w.now_ms), 1);
+      degradation_destroy (w.watch);
     }
 }
 END_TEST
@@ -163,7 +167,7 @@
       for (; !has_small_alarm (&w) && minutes < 60; minutes++)
         simulate_minute (&w);
       ck_assert_msg (minutes < 60, "seed %d", (int)seed);
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
 }
 END_TEST
@@ -181,7 +185,7 @@
       for (int i = 0; i < 180; i++)
         raised = simulate_minute (&w) || raised;
       alarms += raised;
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
   ck_assert_int_lt (alarms, SEEDS / 20);
 }
@@ -203,7 +207,7 @@
           raised = simulate_minute (&w) || raised;
         }
       alarms += raised;
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
   ck_assert_int_eq (alarms, 0);
 }
@@ -226,7 +230,7 @@
     simulate_minute (&w);
   ck_assert_int_le (minutes, 5);
   ck_assert (!has_large_alarm (&w));
-  watch_destroy (w.watch);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
@@ -244,7 +248,7 @@
     simulate_minute (&w);
   ck_assert (has_small_alarm (&w));
   w.small_error_increase = 0;
-  watch_clear (w.watch, STR ("small@1"), w.now_ms);
+  degradation_clear_alarm (w.watch, STR ("small@1"), w.now_ms);
   ck_assert (!has_small_alarm (&w));
   for (int i = 0; i < HEALTHY_MINUTES; i++)
     ck_assert (!simulate_minute (&w));
@@ -252,7 +256,7 @@
   for (int i = 0; i < 5; i++)
     simulate_minute (&w);
   ck_assert (has_small_alarm (&w));
-  watch_destroy (w.watch);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
@@ -263,8 +267,8 @@
 START_TEST (alarm_is_lost_with_its_process)
 {
   simulation_t w = simulation_create (9);
-  watch_t *receiver = watch_create (77);
-  watch_t *untouched = watch_create (78);
+  degradation_t *receiver = degradation_create (77);
+  degradation_t *untouched = degradation_create (78);
   buf_t bytes = BUF_NULL;
   buf_t rewritten = BUF_NULL;
   rollout_metric_t metric, receiver_metric;
@@ -275,35 +279,39 @@
   w.small_error_increase = 0.3;
   for (int i = 0; i < 3; i++)
     simulate_minute (&w);
-  ck_assert (watch_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
+  ck_assert (
+      degradation_get_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
   ck_assert_int_eq (metric, ROLLOUT_ERROR);
-  watch_write (w.watch, false, &bytes);
-  ck_assert_int_eq (watch_merge (receiver, buf_str (&bytes), w.now_ms), VH_OK);
-  ck_assert_int_eq (watch_merge (receiver, buf_str (&bytes), w.now_ms), VH_OK);
-  ck_assert (watch_alarm (receiver, STR ("small@1"), &receiver_metric,
-                          &receiver_since_ms));
+  degradation_write (w.watch, false, &bytes);
+  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
+                    VH_OK);
+  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
+                    VH_OK);
+  ck_assert (degradation_get_alarm (receiver, STR ("small@1"),
+                                    &receiver_metric, &receiver_since_ms));
   ck_assert_uint_eq (since_ms, receiver_since_ms);
-  watch_write (receiver, false, &rewritten);
+  degradation_write (receiver, false, &rewritten);
   ck_assert (str_eq (buf_str (&bytes), buf_str (&rewritten)));
-  watch_clear (receiver, STR ("small@1"), since_ms + 1);
-  watch_merge (receiver, buf_str (&bytes), w.now_ms);
-  ck_assert (!watch_alarm (receiver, STR ("small@1"), &metric, &since_ms));
+  degradation_clear_alarm (receiver, STR ("small@1"), since_ms + 1);
+  degradation_merge (receiver, buf_str (&bytes), w.now_ms);
+  ck_assert (
+      !degradation_get_alarm (receiver, STR ("small@1"), &metric, &since_ms));
   buf_t cleared = BUF_NULL;
   rewritten.len = 0;
-  watch_write (receiver, false, &cleared);
-  watch_merge (w.watch, buf_str (&cleared), w.now_ms);
-  watch_write (w.watch, false, &rewritten);
+  degradation_write (receiver, false, &cleared);
+  degradation_merge (w.watch, buf_str (&cleared), w.now_ms);
+  degradation_write (w.watch, false, &rewritten);
   ck_assert (str_eq (buf_str (&cleared), buf_str (&rewritten)));
   buf_free (&cleared);
   for (size_t len = 0; len < bytes.len; len += 1 + len / 50)
     ck_assert_int_eq (
-        watch_merge (untouched, str_make (bytes.ptr, len), w.now_ms),
+        degradation_merge (untouched, str_make (bytes.ptr, len), w.now_ms),
         VH_E_PROTOCOL);
   buf_free (&bytes);
   buf_free (&rewritten);
-  watch_destroy (receiver);
-  watch_destroy (untouched);
-  watch_destroy (w.watch);
+  degradation_destroy (receiver);
+  degradation_destroy (untouched);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
