--- a/packages/entry/guard.c
+++ b/packages/entry/guard.c
@@ -78,7 +78,7 @@
   while (poison_next_record (entry->poison, &cursor, &mark))
     buf_printf (
         out, "%llu %llu %llu %llu\n", (unsigned long long)mark.key.high,
-        (unsigned long long)mark.key.low, (unsigned long long)mark.death,
+        (unsigned long long)mark.key.low, (unsigned long long)mark.crash_id,
         (unsigned long long)mark.age_ms);
 }
 
@@ -90,7 +90,7 @@
       poison_record_t mark = { 0 };
       str_t line = str_cut (bytes, '\n', &bytes);
       uint64_t *fields[]
-          = { &mark.key.high, &mark.key.low, &mark.death, &mark.age_ms };
+          = { &mark.key.high, &mark.key.low, &mark.crash_id, &mark.age_ms };
       for (size_t i = 0; i < sizeof fields / sizeof fields[0]; i++)
         if (!str_to_u64 (str_cut (line, ' ', &line), fields[i]))
           return;
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -104,7 +104,7 @@
       field_number (FIELD_SENDS, relay->sends + 1),
       field_number (FIELD_LEFT_MS, relay->terms.due_ms - now_ms),
       field_number (FIELD_REVISION, catalog_revision (relay->terms.catalog)));
-  relay->on_trial.any = true;
+  relay->on_trial.was_sent = true;
   relay->on_trial.arm = relay_arm (relay);
   relay->prompt_left = relay->terms.prompt;
   pool_started (belief->pool, relay->upstream, relay->terms.prompt);
--- a/packages/gateway/relay_hear.c
+++ b/packages/gateway/relay_hear.c
@@ -109,7 +109,7 @@
   remember_tried (relay);
   relay->shed = !ran;
   if (ran && relay_arm (relay) == TRIAL_NEW)
-    relay->on_trial.failed = true;
+    relay->on_trial.failed_on_new = true;
   relay_end_send (relay, ran ? SEND_FAILED : SEND_REFUSED);
   relay->head.len = 0;
   relay->body.len = 0;
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -132,12 +132,12 @@
   if (slot == NULL)
     slot = allocate_slot (poison, mark->key);
   for (uint32_t i = 0; i < slot->crash_count; i++)
-    if (slot->crash_ids[i] == mark->death)
+    if (slot->crash_ids[i] == mark->crash_id)
       return false;
   /* Further crashes change nothing for a key that is already refused.  */
   if (slot->crash_count == POISON_CRASHES_TO_REFUSE)
     return false;
-  slot->crash_ids[slot->crash_count++] = mark->death;
+  slot->crash_ids[slot->crash_count++] = mark->crash_id;
   if (slot->last_crash_ms < last_crash_ms)
     slot->last_crash_ms = last_crash_ms;
   return true;
@@ -177,7 +177,7 @@
     case POISON_CLEAR:
       return repeatable || company->suspects == 0;
     case POISON_SUSPECT:
-      return company->suspects == 0 && company->not_repeatable == 0;
+      return company->suspects == 0 && company->non_idempotent == 0;
     case POISON_REFUSED:
       break;
     }
@@ -198,7 +198,7 @@
         continue;
       ++*cursor;
       mark->key = slot->key;
-      mark->death = slot->crash_ids[crash_index];
+      mark->crash_id = slot->crash_ids[crash_index];
       mark->age_ms = clock_ms (poison->clock) - slot->last_crash_ms;
       return true;
     }
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -58,7 +58,7 @@
 typedef struct
 {
   poison_key_t key;
-  uint64_t death;
+  uint64_t crash_id;
   uint64_t age_ms;
 } poison_record_t;
 
@@ -67,7 +67,7 @@
 typedef struct
 {
   uint32_t suspects;
-  uint32_t not_repeatable;
+  uint32_t non_idempotent;
 } poison_in_flight_t;
 
 /* CLOCK is borrowed.  */
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -245,9 +245,9 @@
 trial_choose_arm (const trial_t *trial, uint64_t key, uint64_t now_ms,
                   const trial_send_history_t *sent)
 {
-  if (sent->failed)
+  if (sent->failed_on_new)
     return TRIAL_OLD;
-  if (sent->any)
+  if (sent->was_sent)
     return sent->arm;
   return trial_is_assigned (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
 }
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -244,9 +244,9 @@
 /* Previous sends of one request.  */
 typedef struct
 {
-  bool any;        /* Whether the request was sent before, to ARM.  */
-  trial_arm_t arm; /* Version of the first send.  */
-  bool failed;     /* Whether a send to the new version failed.  */
+  bool was_sent;      /* Whether the request was sent before, to ARM.  */
+  trial_arm_t arm;    /* Version of the first send.  */
+  bool failed_on_new; /* Whether a send to the new version failed.  */
 } trial_send_history_t;
 
 /* Return the version for a request with hash KEY.  A request stays with the
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -161,11 +161,11 @@
   cursor = 0;
   ck_assert (poison_next_record (poison, &cursor, &exchanged));
   ck_assert_uint_eq (exchanged.age_ms, 5000);
-  ck_assert_uint_eq (exchanged.death, 1);
+  ck_assert_uint_eq (exchanged.crash_id, 1);
   /* A third crash that is reported late must neither lift nor prolong a
      refusal.  */
   exchanged.key = digest_key ("bad");
-  exchanged.death = 3;
+  exchanged.crash_id = 3;
   ck_assert (!poison_merge (other, &exchanged));
   exchanged.key = digest_key ("old");
   exchanged.age_ms = POISON_EXPIRY_MS;
--- a/tests/test_trial.c
+++ b/tests/test_trial.c
@@ -538,13 +538,13 @@
 
   trial_set_progress (trial, START_MS, TRIAL_STEP_NO_TRAFFIC, START_MS);
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
-  sent = (trial_send_history_t){ .any = true, .arm = TRIAL_OLD };
+  sent = (trial_send_history_t){ .was_sent = true, .arm = TRIAL_OLD };
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   ck_assert (trial_is_assigned (trial, key, START_MS));
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
   sent.arm = TRIAL_NEW;
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_NEW);
-  sent.failed = true;
+  sent.failed_on_new = true;
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
   trial_destroy (trial);
 }
