--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -32,8 +32,8 @@
 enum
 {
   BURN_OBJECTIVES_MAX = 16,
-  BURN_SERIES_MAX = 256, /* Largest number of pairs of an objective and a
-                            name.  */
+  /* Largest number of pairs of an objective and a name.  */
+  BURN_SERIES_MAX = 256,
   /* Cells that one process fills at most: all names in all hours kept.  */
   BURN_CELLS_DEFAULT = 20480
 };
@@ -112,9 +112,9 @@
   str_t zone;
   bool answered;
   double first_token_ms;
-  double between_tokens_ms; /* Longest gap, or a high percentile of the
-                               gaps.  */
-  double rating;            /* NaN if not rated.  */
+  /* Longest gap, or a high percentile of the gaps.  */
+  double between_tokens_ms;
+  double rating; /* NaN if not rated.  */
   double cost;
 } burn_sample_t;
 
--- a/packages/policy/evidence.c
+++ b/packages/policy/evidence.c
@@ -20,7 +20,7 @@
   uint32_t used;
 } cell_t;
 
-struct evidence
+struct crdt
 {
   crdt_options_t options;
   uint64_t *key_hashes; /* By key index.  */
@@ -28,11 +28,11 @@
   uint32_t *key_table; /* Hash table of key index + 1; 0 marks a free slot.
                           The size is a power of two.  */
   uint32_t key_mask;
-  cell_t *cells; /* Hash table by (key, writer, epoch), with open
-                    addressing.  */
+  /* Hash table by (key, writer, epoch), with open addressing.  */
+  cell_t *cells;
   int64_t *values;
-  cell_t *spare_cells; /* Second table, so that a rebuild needs no
-                          allocation.  */
+  /* Second table, so that a rebuild needs no allocation.  */
+  cell_t *spare_cells;
   int64_t *spare_values;
   uint32_t cell_mask;
   uint32_t cell_count;
@@ -575,8 +575,8 @@
 /* Parts of a message after its header.  */
 typedef struct
 {
-  str_t compacted; /* Starts with the compacted epochs and their
-                      generations.  */
+  /* Starts with the compacted epochs and their generations.  */
+  str_t compacted;
   uint64_t compacted_count;
   str_t cells;
   uint64_t cell_count;
--- a/packages/policy/evidence.h
+++ b/packages/policy/evidence.h
@@ -16,8 +16,8 @@
    A lease holder may compact a closed epoch: one cell for each key replaces
    the cells of all writers, under the lease's fencing number as its
    generation.  Of two generations the larger one is kept.  The state therefore
-   fits into a few rows of the store, whatever the number of writers. Additions
-   that a writer has not delivered by then are lost.
+   fits into a few rows of the store, whatever the number of writers.
+   Additions that a writer has not delivered by then are lost.
 
    Memory is fixed at creation.  When all cells are in use, the oldest epoch is
    dropped whole, never in part, so that no sum lacks some of its cells.  */
@@ -28,7 +28,7 @@
 #include "base/code.h"
 #include "base/str.h"
 
-typedef struct evidence crdt_t;
+typedef struct crdt crdt_t;
 
 enum
 {
@@ -50,48 +50,47 @@
 
 crdt_t *crdt_create (const crdt_options_t *options);
 /* NULL is accepted.  */
-void crdt_destroy (crdt_t *evidence);
+void crdt_destroy (crdt_t *crdt);
 
 /* Return the index of the key with hash HASH, created on first use; -1 if
    there is no room.  Indices are local to this process.  */
-int crdt_key_find_or_add (crdt_t *evidence, uint64_t hash);
+int crdt_key_find_or_add (crdt_t *crdt, uint64_t hash);
 /* Return the index of the key with hash HASH; -1 if there is none.  */
-int crdt_key_find (const crdt_t *evidence, uint64_t hash);
+int crdt_key_find (const crdt_t *crdt, uint64_t hash);
 
 /* Drop the epochs that are too old at NOW_MS (real time).  */
-void crdt_advance (crdt_t *evidence, uint64_t now_ms);
+void crdt_advance (crdt_t *crdt, uint64_t now_ms);
 /* Add SAMPLE, whose field 0 is ignored, to KEY at NOW_MS.  Return false if KEY
    is -1, or if the epoch of NOW_MS is no longer kept.  */
-bool crdt_add (crdt_t *evidence, int key, uint64_t now_ms,
-               const int64_t *sample);
+bool crdt_add (crdt_t *crdt, int key, uint64_t now_ms, const int64_t *sample);
 
-uint64_t crdt_epoch_at (const crdt_t *evidence, uint64_t now_ms);
+uint64_t crdt_epoch_at (const crdt_t *crdt, uint64_t now_ms);
 /* Return the first or the last epoch that may hold values.  */
-uint64_t crdt_first_epoch (const crdt_t *evidence);
-uint64_t crdt_last_epoch (const crdt_t *evidence);
+uint64_t crdt_first_epoch (const crdt_t *crdt);
+uint64_t crdt_last_epoch (const crdt_t *crdt);
 /* Return the sums over all writers of KEY in EPOCH, or NULL if there are none.
-   The pointer is valid until the next call that changes EVIDENCE.  */
-const int64_t *crdt_sums (const crdt_t *evidence, int key, uint64_t epoch);
+   The pointer is valid until the next call that changes CRDT.  */
+const int64_t *crdt_sums (const crdt_t *crdt, int key, uint64_t epoch);
 /* Return a counter that changes whenever a sum may have changed.  */
-uint64_t crdt_change_count (const crdt_t *evidence);
+uint64_t crdt_change_count (const crdt_t *crdt);
 
 /* Replace the cells of EPOCH by one cell for each key, under GENERATION, the
    fencing number of the caller's lease.  Return false, with nothing changed,
    if the epoch is empty or not kept, or already has this generation or a
    larger one.  */
-bool crdt_compact (crdt_t *evidence, uint64_t epoch, uint64_t generation);
+bool crdt_compact (crdt_t *crdt, uint64_t epoch, uint64_t generation);
 
 /* Append the state to OUT: all of it, or with OWN_ONLY only this writer's
    cells of the last CRDT_RECENT_EPOCHS, for peers.  Older cells were sent
    before; a peer that was away reads the whole state from the store.  Equal
    states give equal bytes.  */
-void crdt_write (const crdt_t *evidence, bool own_only, buf_t *out);
+void crdt_write (const crdt_t *crdt, bool own_only, buf_t *out);
 /* Tell whether crdt_merge would accept BYTES.  */
-bool crdt_is_valid (const crdt_t *evidence, str_t bytes);
+bool crdt_is_valid (const crdt_t *crdt, str_t bytes);
 /* Merge what crdt_write wrote.  Cells more than an epoch ahead of NOW_MS,
    which a peer with a wrong clock writes, and cells of epochs no longer kept
    are skipped.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
-vh_code_t crdt_merge (crdt_t *evidence, str_t bytes, uint64_t now_ms);
+vh_code_t crdt_merge (crdt_t *crdt, str_t bytes, uint64_t now_ms);
 
 /* Return VALUE in fixed point, rounded; absolute values above a billion are
    clipped, and 0 replaces a value that is not finite.  */
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -121,23 +121,23 @@
 }
 
 bool
-poison_merge (poison_t *poison, const poison_record_t *mark)
+poison_merge (poison_t *poison, const poison_record_t *record)
 {
-  slot_t *slot = (slot_t *)find_slot (poison, mark->key);
+  slot_t *slot = (slot_t *)find_slot (poison, record->key);
   uint64_t now = clock_ms (poison->clock);
-  uint64_t last_crash_ms = now > mark->age_ms ? now - mark->age_ms : 0;
+  uint64_t last_crash_ms = now > record->age_ms ? now - record->age_ms : 0;
 
-  if (mark->age_ms >= POISON_EXPIRY_MS)
+  if (record->age_ms >= POISON_EXPIRY_MS)
     return false;
   if (slot == NULL)
-    slot = allocate_slot (poison, mark->key);
+    slot = allocate_slot (poison, record->key);
   for (uint32_t i = 0; i < slot->crash_count; i++)
-    if (slot->crash_ids[i] == mark->crash_id)
+    if (slot->crash_ids[i] == record->crash_id)
       return false;
   /* Further crashes change nothing for a key that is already refused.  */
   if (slot->crash_count == POISON_CRASHES_TO_REFUSE)
     return false;
-  slot->crash_ids[slot->crash_count++] = mark->crash_id;
+  slot->crash_ids[slot->crash_count++] = record->crash_id;
   if (slot->last_crash_ms < last_crash_ms)
     slot->last_crash_ms = last_crash_ms;
   return true;
@@ -145,10 +145,10 @@
 
 void
 poison_record_crash (poison_t *poison, poison_key_t digest,
-                     poison_key_t request, uint64_t death)
+                     poison_key_t request, uint64_t crash_id)
 {
-  poison_merge (poison, &(poison_record_t){ digest, death, 0 });
-  poison_merge (poison, &(poison_record_t){ request, death, 0 });
+  poison_merge (poison, &(poison_record_t){ digest, crash_id, 0 });
+  poison_merge (poison, &(poison_record_t){ request, crash_id, 0 });
 }
 
 poison_class_t
@@ -169,15 +169,15 @@
 }
 
 bool
-poison_may_run_beside (poison_class_t verdict, bool repeatable,
-                       const poison_in_flight_t *company)
+poison_may_run_beside (poison_class_t class, bool idempotent,
+                       const poison_in_flight_t *in_flight)
 {
-  switch (verdict)
+  switch (class)
     {
     case POISON_CLEAR:
-      return repeatable || company->suspects == 0;
+      return idempotent || in_flight->suspects == 0;
     case POISON_SUSPECT:
-      return company->suspects == 0 && company->non_idempotent == 0;
+      return in_flight->suspects == 0 && in_flight->non_idempotent == 0;
     case POISON_REFUSED:
       break;
     }
@@ -186,7 +186,7 @@
 
 bool
 poison_next_record (const poison_t *poison, size_t *cursor,
-                    poison_record_t *mark)
+                    poison_record_t *record)
 {
   for (; *cursor < (size_t)POISON_KEYS_MAX * POISON_CRASHES_TO_REFUSE;
        ++*cursor)
@@ -197,9 +197,9 @@
       if (crash_index >= slot->crash_count || !is_live (poison, slot))
         continue;
       ++*cursor;
-      mark->key = slot->key;
-      mark->crash_id = slot->crash_ids[crash_index];
-      mark->age_ms = clock_ms (poison->clock) - slot->last_crash_ms;
+      record->key = slot->key;
+      record->crash_id = slot->crash_ids[crash_index];
+      record->age_ms = clock_ms (poison->clock) - slot->last_crash_ms;
       return true;
     }
   return false;
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -11,16 +11,16 @@
    ones is refused.  A harmless request that ran beside the cause of one crash
    must not be refused because of a second coincidence.  A suspect therefore
    shares an upstream with no other suspect, so that each crash makes one
-   request refused at most; and with no request that must not be repeated,
-   whose outcome would be unknown after a crash.
+   request refused at most; and with no request that is not idempotent, whose
+   outcome would be unknown after a crash.
 
    Records are pairs of a key and a crash id, so that a process may merge those
    of another one in any order and any number of times.
 
    - POISON_KEYS_MAX 4096 of 48 bytes: a crash is recorded for all requests
-   that an upstream runs, some dozens, under two keys each, so there is room
-   for about thirty crashes at a time.  When there is no room, the record that
-   expires first is dropped, records of refused requests last.
+     that an upstream runs, some dozens, under two keys each, so there is room
+     for about thirty crashes at a time.  When there is no room, the record
+     that expires first is dropped, records of refused requests last.
    - POISON_EXPIRY_MS 3600000: resends arrive within minutes; after an hour the
      upstream's software may have changed.  */
 
@@ -80,26 +80,27 @@
 poison_key_t poison_digest_key (str_t digest);
 poison_key_t poison_request_key (str_t team, str_t request_id);
 
-/* Record that the request with these keys was in flight in the crash DEATH, an
-   id that the sidecar drew at random.  */
+/* Record that the request with these keys was in flight when an upstream
+   crashed.  CRASH_ID is the id that the sidecar drew at random for the
+   crash.  */
 void poison_record_crash (poison_t *poison, poison_key_t digest,
-                          poison_key_t request, uint64_t death);
+                          poison_key_t request, uint64_t crash_id);
 
 /* Tell by both its keys whether a request may run.  */
 poison_class_t poison_classify (const poison_t *poison, poison_key_t digest,
                                 poison_key_t request);
 
-/* Tell whether a request with VERDICT may start on an upstream where COMPANY
-   runs.  REPEATABLE: the request may be sent again after a crash.  */
-bool poison_may_run_beside (poison_class_t verdict, bool repeatable,
-                            const poison_in_flight_t *company);
+/* Tell whether a request of CLASS may start on an upstream that runs
+   IN_FLIGHT.  IDEMPOTENT: the request may be sent again after a crash.  */
+bool poison_may_run_beside (poison_class_t class, bool idempotent,
+                            const poison_in_flight_t *in_flight);
 
 /* Add a record of another process.  Return false if it was known, is expired,
    or its key already has enough crashes to be refused.  */
-bool poison_merge (poison_t *poison, const poison_record_t *mark);
+bool poison_merge (poison_t *poison, const poison_record_t *record);
 /* Step through the records that are not expired: start with *CURSOR 0; return
    false at the end.  */
 bool poison_next_record (const poison_t *poison, size_t *cursor,
-                         poison_record_t *mark);
+                         poison_record_t *record);
 
 #endif
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -58,10 +58,10 @@
   uint64_t exposure_base; /* Requests sent to the new version when the step
                              began or its cap was last granted.  */
   uint64_t metric;        /* Metric that caused a halt.  */
-  uint64_t task;          /* Hash of the task class that caused a halt; 0 if it
-                             was the sum of all.  */
-  uint64_t harm_ppm;      /* Estimated difference at a halt, and its lower
-                             bound, in millionths.  */
+  uint64_t task; /* Hash of the task class that caused a halt; 0 if it was the
+                    sum of all.  */
+  uint64_t harm_ppm; /* Estimated difference at a halt, and its lower bound, in
+                        millionths.  */
   uint64_t lower_ppm;
 } decision_t;
 
@@ -69,22 +69,21 @@
 {
   char *name;
   uint64_t hash;
-  int keys[ROLLOUT_STEP_COUNT][2]; /* Evidence keys by step and arm.  */
+  int keys[ROLLOUT_STEP_COUNT][2]; /* Keys in MEASUREMENTS by step and arm.  */
 } task_class_t;
 
 struct rollout_run
 {
-  uint64_t salt;        /* Hash of the version and the start, which separates
-                           roll-outs.  */
+  /* Hash of the version and the start, which separates roll-outs.  */
+  uint64_t salt;
   uint64_t first_epoch; /* First epoch that counts: the one before the start,
                            for peers whose clock is behind.  */
   decision_t decision;
-  crdt_t *evidence;
+  crdt_t *measurements;
   crdt_t *exposure; /* Requests by arm, in one epoch that never ends.  */
   int exposure_keys[2];
-  task_class_t tasks[ROLLOUT_TASK_CLASSES_MAX + 1]; /* The last one takes all
-                                                task classes for which there is
-                                                no room.  */
+  /* The last one takes all task classes for which there is no room.  */
+  task_class_t tasks[ROLLOUT_TASK_CLASSES_MAX + 1];
   size_t task_count;
 };
 
@@ -123,8 +122,8 @@
   task->hash = hash;
   for (uint64_t step = 0; step < ROLLOUT_STEP_COUNT; step++)
     for (int arm = ROLLOUT_OLD; arm <= ROLLOUT_NEW; arm++)
-      task->keys[step][arm]
-          = arm_key (r->evidence, r->salt ^ hash, step, (rollout_arm_t)arm);
+      task->keys[step][arm] = arm_key (r->measurements, r->salt ^ hash, step,
+                                       (rollout_arm_t)arm);
   return task;
 }
 
@@ -148,8 +147,8 @@
   rollout_run_t *r = mem_zalloc (sizeof *r);
 
   r->salt = str_hash (new_version, start_ms) & ~(uint64_t)3;
-  r->evidence = crdt_create (&options);
-  r->first_epoch = crdt_epoch_at (r->evidence, start_ms);
+  r->measurements = crdt_create (&options);
+  r->first_epoch = crdt_epoch_at (r->measurements, start_ms);
   r->first_epoch -= r->first_epoch > 0;
   r->exposure = crdt_create (&exposure_options);
   r->exposure_keys[ROLLOUT_OLD]
@@ -167,7 +166,7 @@
   for (size_t i = 0; i < r->task_count; i++)
     free (r->tasks[i].name);
   crdt_destroy (r->exposure);
-  crdt_destroy (r->evidence);
+  crdt_destroy (r->measurements);
   free (r);
 }
 
@@ -198,9 +197,9 @@
     case ROLLOUT_PHASE_COMPLETE:
       return 1;
     case ROLLOUT_PHASE_RUNNING:
+    /* Bounds the exposure while there is no lease holder: each process stops
+       at the cap by itself.  */
     case ROLLOUT_PHASE_PAUSED:
-      /* Bounds the exposure while there is no lease holder: each process stops
-         at the cap by itself.  */
       if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
         return 0;
       return steps[r->decision.step].share;
@@ -255,7 +254,7 @@
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
   sample_fields (sample, fields);
-  crdt_add (r->evidence, task_class_get (r, task)->keys[step][arm], now_ms,
+  crdt_add (r->measurements, task_class_get (r, task)->keys[step][arm], now_ms,
             fields);
 }
 
@@ -263,10 +262,10 @@
 typedef struct
 {
   double weight;
-  double difference; /* Sum of the strata's differences, each times its
-                        weight.  */
-  double variance_factor_new; /* Sum over the strata of weight^2 / count of
-                                 the new version's answers.  */
+  /* Sum of the strata's differences, each times its weight.  */
+  double difference;
+  double variance_factor_new; /* Sum over the strata of weight^2 / count of the
+                                 new version's answers.  */
   double variance_factor_old; /* The same for the old version.  */
   moments_t pooled_new;       /* Pooled over the strata; SQUARES is the sum of
                                  squared deviations from each stratum's mean.  */
@@ -333,8 +332,8 @@
 strata_add_task_class (const rollout_run_t *r, const task_class_t *task,
                        rollout_metric_t metric, stratified_sums_t *s)
 {
-  uint64_t last = crdt_last_epoch (r->evidence);
-  uint64_t epoch = crdt_first_epoch (r->evidence);
+  uint64_t last = crdt_last_epoch (r->measurements);
+  uint64_t epoch = crdt_first_epoch (r->measurements);
 
   if (epoch < r->first_epoch)
     epoch = r->first_epoch;
@@ -343,9 +342,9 @@
       {
         const int *keys = task->keys[step];
         moments_t new = sample_moments (
-            crdt_sums (r->evidence, keys[ROLLOUT_NEW], epoch), metric);
+            crdt_sums (r->measurements, keys[ROLLOUT_NEW], epoch), metric);
         moments_t old = sample_moments (
-            crdt_sums (r->evidence, keys[ROLLOUT_OLD], epoch), metric);
+            crdt_sums (r->measurements, keys[ROLLOUT_OLD], epoch), metric);
         stratum_add (s, &new, &old);
       }
 }
@@ -466,7 +465,7 @@
 {
   rollout_phase_t phase = (rollout_phase_t)r->decision.phase;
 
-  crdt_advance (r->evidence, now_ms);
+  crdt_advance (r->measurements, now_ms);
   if (phase == ROLLOUT_PHASE_HALTED || phase == ROLLOUT_PHASE_ABORTED
       || phase == ROLLOUT_PHASE_COMPLETE)
     return false;
@@ -611,7 +610,7 @@
       buf_append_str (out, name);
     }
   append_length_prefixed (r->exposure, own_only, out);
-  append_length_prefixed (r->evidence, own_only, out);
+  append_length_prefixed (r->measurements, own_only, out);
 }
 
 static bool
@@ -659,7 +658,7 @@
 {
   decision_t decision = { 0 };
   uint64_t format, salt, task_count;
-  str_t name, exposure, evidence;
+  str_t name, exposure, measurements;
 
   if (!crdt_read_varint (&bytes, &format) || format != FORMAT
       || !crdt_read_varint (&bytes, &salt) || salt != r->salt
@@ -672,14 +671,14 @@
     if (!crdt_read_string (&bytes, &name) || name.len > TASK_NAME_MAX)
       return VH_E_PROTOCOL;
   if (!crdt_read_string (&bytes, &exposure)
-      || !crdt_read_string (&bytes, &evidence) || bytes.len != 0)
+      || !crdt_read_string (&bytes, &measurements) || bytes.len != 0)
     return VH_E_PROTOCOL;
-  if (!crdt_is_valid (r->evidence, evidence)
+  if (!crdt_is_valid (r->measurements, measurements)
       || !crdt_is_valid (r->exposure, exposure))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < task_count && crdt_read_string (&names, &name); i++)
     task_class_get (r, name);
-  crdt_merge (r->evidence, evidence, now_ms);
+  crdt_merge (r->measurements, measurements, now_ms);
   crdt_merge (r->exposure, exposure, now_ms);
   if (supersedes (&decision, &r->decision))
     r->decision = decision;
@@ -689,9 +688,9 @@
 void
 rollout_compact (rollout_run_t *r, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (r->evidence, now_ms);
-  uint64_t epoch = crdt_first_epoch (r->evidence);
+  uint64_t now_epoch = crdt_epoch_at (r->measurements, now_ms);
+  uint64_t epoch = crdt_first_epoch (r->measurements);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (r->evidence, epoch, generation);
+    crdt_compact (r->measurements, epoch, generation);
 }
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -11,11 +11,11 @@
    normal mixture over effects of the scale in ROLLOUT_METRICS (H. Robbins
    1970; always-valid form for two samples: R. Johari et al. 2017).  Inverted,
    it gives confidence sequences that hold at all times together.  Differences
-   are taken inside strata (epoch, step, task class) and weighted by
-   n*m/(n+m), with the answer counts n and m of the two versions.  Inside a
-   stratum the ratio of the two versions' traffic is constant, so that a rating
-   service that is wrong for a while, or a change of the traffic, affects both
-   versions equally.
+   are taken inside strata (epoch, step, task class) and weighted by n*m/(n+m),
+   with the answer counts n and m of the two versions.  Inside a stratum the
+   ratio of the two versions' traffic is constant, so that a rating service
+   that is wrong for a while, or a change of the traffic, affects both versions
+   equally.
 
    ROLLOUT_ALPHA, the probability of halting a version that is within the
    margin, is split over the metrics.  Half of a metric's part goes to the test
@@ -86,8 +86,8 @@
       ROLLOUT_STEP_COUNT,
   ROLLOUT_TASK_CLASSES_MAX = 16,
   ROLLOUT_EPOCH_MS = 60 * 60 * 1000,
-  ROLLOUT_EPOCHS = 48, /* Strata of two days are kept; older ones are
-                          dropped.  */
+  /* Strata of two days are kept; older ones are dropped.  */
+  ROLLOUT_EPOCHS = 48,
   ROLLOUT_CELLS_MAX = 16384
 };
 
@@ -96,9 +96,8 @@
   ROLLOUT_PHASE_RUNNING,
   ROLLOUT_PHASE_STARVED, /* At the step's cap: share 0 until more measurements
                             arrive or the operator resumes.  */
-  ROLLOUT_PHASE_PAUSED,  /* Paused by the operator; the share stays as it
-                            is.  */
-  ROLLOUT_PHASE_HALTED,  /* Halted by the measurements; share 0.  */
+  ROLLOUT_PHASE_PAUSED, /* Paused by the operator; the share stays as it is. */
+  ROLLOUT_PHASE_HALTED, /* Halted by the measurements; share 0.  */
   ROLLOUT_PHASE_ABORTED, /* Aborted by the operator; share 0.  */
   ROLLOUT_PHASE_COMPLETE
 } rollout_phase_t;
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -46,32 +46,34 @@
   char *service;
   char *version;
   uint64_t order;
-  uint64_t within_ms;
+  uint64_t time_limit_ms;
   double exposure;
-  uint64_t seen_ms;
+  uint64_t order_seen_ms;
   uint64_t start_ms;
   uint32_t step;
-  uint64_t from_ms; /* Time from which STEP applies; until then the step
-                       before it does.  */
+  uint64_t step_start_ms; /* Time from which STEP applies; until then the step
+                             before it does.  */
   trial_phase_t phase;
-  bool written; /* Whether the row in the store holds a final phase.  */
+  bool is_final_phase_stored; /* Whether the row in the store holds a final
+                                 phase.  */
   counts_t own;
   load_times_t usual_times[TRIAL_TIMING_COUNT][TRIAL_ROUTE_CELLS]
                           [TRIAL_LOAD_CLASSES];
-  map_t *peers; /* Name of a process to its counts_t.  */
-  bool dirty;   /* Whether a count changed since the last message.  */
+  map_t *peers;              /* Name of a process to its counts_t.  */
+  bool has_unwritten_counts; /* Whether a count changed since the last
+                                message.  */
 };
 
 trial_t *
-trial_create (str_t service, str_t version, uint64_t order, uint64_t within_ms,
-              double exposure)
+trial_create (str_t service, str_t version, uint64_t order,
+              uint64_t time_limit_ms, double exposure)
 {
   trial_t *trial = mem_zalloc (sizeof *trial);
 
   trial->service = str_dup (service);
   trial->version = str_dup (version);
   trial->order = order;
-  trial->within_ms = within_ms;
+  trial->time_limit_ms = time_limit_ms;
   trial->exposure = exposure;
   trial->peers = map_create ();
   return trial;
@@ -109,7 +111,7 @@
 uint64_t
 trial_time_limit_ms (const trial_t *trial)
 {
-  return trial->within_ms;
+  return trial->time_limit_ms;
 }
 
 trial_phase_t
@@ -133,36 +135,36 @@
 }
 
 void
-trial_set_final_phase_stored (trial_t *trial, bool written)
+trial_set_final_phase_stored (trial_t *trial, bool is_final_phase_stored)
 {
-  trial->written = written;
+  trial->is_final_phase_stored = is_final_phase_stored;
 }
 
 bool
 trial_is_final_phase_stored (const trial_t *trial)
 {
-  return trial->written;
+  return trial->is_final_phase_stored;
 }
 
 void
 trial_set_progress (trial_t *trial, uint64_t start_ms, uint32_t step,
-                    uint64_t from_ms)
+                    uint64_t step_start_ms)
 {
   trial->start_ms = start_ms;
   trial->step = step < TRIAL_STEP_COUNT ? step : TRIAL_STEP_COUNT - 1;
-  trial->from_ms = from_ms;
+  trial->step_start_ms = step_start_ms;
 }
 
 void
-trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms)
+trial_set_order_seen_ms (trial_t *trial, uint64_t order_seen_ms)
 {
-  trial->seen_ms = seen_ms;
+  trial->order_seen_ms = order_seen_ms;
 }
 
 uint64_t
 trial_order_seen_ms (const trial_t *trial)
 {
-  return trial->seen_ms;
+  return trial->order_seen_ms;
 }
 
 uint64_t
@@ -180,7 +182,7 @@
 uint64_t
 trial_step_start_ms (const trial_t *trial)
 {
-  return trial->from_ms;
+  return trial->step_start_ms;
 }
 
 /* Return the time at which the version is to be declared good, so that the
@@ -188,7 +190,7 @@
 static double
 finish_time_ms (const trial_t *trial)
 {
-  return (double)trial->start_ms + (double)trial->within_ms
+  return (double)trial->start_ms + (double)trial->time_limit_ms
          - TRIAL_FINISH_LEAD_MS;
 }
 
@@ -205,15 +207,15 @@
 increased_share (const trial_t *trial)
 {
   double first = initial_share (trial);
-  double within_ms = (double)trial->within_ms;
-  double from_ms = (double)trial->from_ms;
+  double time_limit_ms = (double)trial->time_limit_ms;
+  double step_start_ms = (double)trial->step_start_ms;
   double share_start_ms
       = (double)trial->start_ms
-        + within_ms * step_length_parts[TRIAL_STEP_NO_TRAFFIC];
-  double left_ms = trial->exposure * TRIAL_EXPOSURE_USED * within_ms
+        + time_limit_ms * step_length_parts[TRIAL_STEP_NO_TRAFFIC];
+  double left_ms = trial->exposure * TRIAL_EXPOSURE_USED * time_limit_ms
                    - TRIAL_FINISH_LEAD_MS
-                   - first * fmax (from_ms - share_start_ms, 0);
-  double share_length_ms = finish_time_ms (trial) - from_ms;
+                   - first * fmax (step_start_ms - share_start_ms, 0);
+  double share_length_ms = finish_time_ms (trial) - step_start_ms;
 
   if (share_length_ms <= 0)
     return TRIAL_SHARE_MAX;
@@ -227,7 +229,7 @@
 
   if (trial->phase != TRIAL_RUNNING)
     return trial->phase == TRIAL_DONE ? 1 : 0;
-  if (step > TRIAL_STEP_NO_TRAFFIC && now_ms < trial->from_ms)
+  if (step > TRIAL_STEP_NO_TRAFFIC && now_ms < trial->step_start_ms)
     step--;
   if (trial->start_ms == 0 || step == TRIAL_STEP_NO_TRAFFIC)
     return 0;
@@ -243,12 +245,12 @@
 
 trial_arm_t
 trial_choose_arm (const trial_t *trial, uint64_t key, uint64_t now_ms,
-                  const trial_send_history_t *sent)
+                  const trial_send_history_t *history)
 {
-  if (sent->failed_on_new)
+  if (history->failed_on_new)
     return TRIAL_OLD;
-  if (sent->was_sent)
-    return sent->arm;
+  if (history->was_sent)
+    return history->arm;
   return trial_is_assigned (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
 }
 
@@ -287,7 +289,7 @@
       sums->log_wait += log_wait;
       sums->log_wait_squared += log_wait * log_wait;
     }
-  trial->dirty = true;
+  trial->has_unwritten_counts = true;
 }
 
 /* Return the class of LOAD: its number of binary digits, at most the last
@@ -337,13 +339,13 @@
   bool is_warming_up
       = arm == TRIAL_NEW && timing == TRIAL_TIMING_FIRST_EVENT
         && trial->step == TRIAL_STEP_INITIAL
-        && now_ms < trial->from_ms + TRIAL_WARM_UP_MS + (uint64_t)ms;
+        && now_ms < trial->step_start_ms + TRIAL_WARM_UP_MS + (uint64_t)ms;
   if (usual_ms > 0 && !is_warming_up)
     {
       sums->timed[timing] += 1;
       if (ms > usual_ms * timings[timing].late_factor)
         sums->late[timing] += 1;
-      trial->dirty = true;
+      trial->has_unwritten_counts = true;
     }
   if (arm != TRIAL_OLD)
     return;
@@ -411,7 +413,7 @@
 bool
 trial_has_unwritten_counts (const trial_t *trial)
 {
-  return trial->dirty;
+  return trial->has_unwritten_counts;
 }
 
 /* Return the sum of this process's counts and those of its peers; with
@@ -455,7 +457,7 @@
           buf_printf (out, " %.2f %.2f", sums->timed[timing],
                       sums->late[timing]);
       }
-  trial->dirty = false;
+  trial->has_unwritten_counts = false;
 }
 
 /* Read the next number of *REST into *VALUE.  Return false unless it is finite
@@ -470,9 +472,9 @@
 }
 
 vh_code_t
-trial_merge (trial_t *trial, str_t entry, bool told, str_t text)
+trial_merge (trial_t *trial, str_t process, bool was_sent, str_t text)
 {
-  counts_t received = { .was_sent = told };
+  counts_t received = { .was_sent = was_sent };
   double order;
 
   if (!read_number (&text, &order))
@@ -493,15 +495,15 @@
               || !read_number (&text, &sums->late[timing]))
             return VH_E_PROTOCOL;
       }
-  counts_t *peer = map_get (trial->peers, entry);
+  counts_t *peer = map_get (trial->peers, process);
   if (peer == NULL)
     {
       peer = mem_alloc (sizeof *peer);
-      map_put (trial->peers, entry, peer);
+      map_put (trial->peers, process, peer);
     }
   *peer = received;
-  if (told)
-    trial->dirty = true;
+  if (was_sent)
+    trial->has_unwritten_counts = true;
   return VH_OK;
 }
 
@@ -596,16 +598,16 @@
 }
 
 /* Tell whether the sums of one cell show that the new version is bad; if so,
-   append the reason to WHY.  */
+   append the reason to REASON.  */
 static bool
-is_bad (const trial_sums_t *old, const trial_sums_t *new, buf_t *why)
+is_bad (const trial_sums_t *old, const trial_sums_t *new, buf_t *reason)
 {
   if (new->count >= TRIAL_ANSWERS_MIN
       && has_share_excess (old->failed, old->count, new->failed, new->count,
                            TRIAL_FAILURE_EXCESS, TRIAL_FAILURE_STDERRS))
     {
       buf_printf (
-          why,
+          reason,
           "failed answers: %.0f of %.0f; of the old version: %.0f of %.0f",
           new->failed, new->count, old->failed, old->count);
       return true;
@@ -613,7 +615,8 @@
   if (has_slow_first_events (old, new))
     {
       buf_printf (
-          why, "time to the first event: %.0f ms; of the old version: %.0f ms",
+          reason,
+          "time to the first event: %.0f ms; of the old version: %.0f ms",
           exp (new->log_wait / new->first_events),
           exp (old->log_wait / old->first_events));
       return true;
@@ -624,7 +627,7 @@
                              new->late[timing], new->timed[timing],
                              TRIAL_LATE_EXCESS, timings[timing].stderrs))
       {
-        buf_printf (why,
+        buf_printf (reason,
                     "late %s: %.0f of %.0f; of the old version: %.0f of %.0f",
                     timings[timing].name, new->late[timing],
                     new->timed[timing], old->late[timing], old->timed[timing]);
@@ -634,7 +637,8 @@
 }
 
 trial_decision_t
-trial_decide (const trial_t *trial, uint64_t now_ms, bool alone, buf_t *why)
+trial_decide (const trial_t *trial, uint64_t now_ms, bool is_store_down,
+              buf_t *reason)
 {
   counts_t all = total_counts (trial, false);
   trial_sums_t sums[TRIAL_ARM_COUNT] = { 0 };
@@ -644,7 +648,8 @@
     return TRIAL_WAIT;
   for (size_t cell = 0; cell < TRIAL_CELL_COUNT; cell++)
     {
-      if (is_bad (&all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell], why))
+      if (is_bad (&all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell],
+                  reason))
         return TRIAL_ROLL_BACK;
       has_inconclusive_cell |= is_cell_inconclusive (
           &all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell]);
@@ -652,19 +657,20 @@
            arm++)
         sums_add (&sums[arm], &all.sums[arm][cell]);
     }
-  if (is_bad (&sums[TRIAL_OLD], &sums[TRIAL_NEW], why))
+  if (is_bad (&sums[TRIAL_OLD], &sums[TRIAL_NEW], reason))
     return TRIAL_ROLL_BACK;
-  double within_ms = (double)trial->within_ms;
-  double step_min_ms = step_length_parts[trial->step] * within_ms;
+  double time_limit_ms = (double)trial->time_limit_ms;
+  double step_min_ms = step_length_parts[trial->step] * time_limit_ms;
   /* The initial step applies from half the time limit on and is written
      TRIAL_STEP_NOTICE_MS before.  */
   if (trial->step == TRIAL_STEP_NO_TRAFFIC)
     step_min_ms -= TRIAL_STEP_NOTICE_MS;
   if (step_min_ms < TRIAL_STEP_MS_MIN)
     step_min_ms = TRIAL_STEP_MS_MIN;
-  double in_step_ms
-      = now_ms > trial->from_ms ? (double)(now_ms - trial->from_ms) : 0;
-  if (alone || in_step_ms < step_min_ms)
+  double in_step_ms = now_ms > trial->step_start_ms
+                          ? (double)(now_ms - trial->step_start_ms)
+                          : 0;
+  if (is_store_down || in_step_ms < step_min_ms)
     return TRIAL_WAIT;
   bool is_due = (double)now_ms >= finish_time_ms (trial);
   /* A cell that is inconclusive because of a few answers may become conclusive
@@ -678,10 +684,11 @@
     {
       if (sums[TRIAL_NEW].count < TRIAL_ADVANCE_ANSWERS_MIN
           || (double)now_ms + TRIAL_ROLLBACK_LEAD_MS
-                 < (double)trial->start_ms + within_ms)
+                 < (double)trial->start_ms + time_limit_ms)
         return TRIAL_WAIT;
-      buf_printf (why, "failures or latency not proven acceptable before the "
-                       "time limit");
+      buf_printf (reason,
+                  "failures or latency not proven acceptable before the "
+                  "time limit");
       return TRIAL_ROLL_BACK;
     }
   if (trial->step + 1 < TRIAL_STEP_COUNT)
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -23,14 +23,14 @@
      processes are added up on the way to the process that reads the store for
      the others, which decides.  Counts decay with a half-life of about 4 s, so
      that the good start of a version that turns bad does not hide its
-   failures.
+     failures.
    - An instance that crashes ends all its requests, at each process: one event
      looks like many failures of the version.  A lost connection therefore has
      the weight TRIAL_BROKEN_WEIGHT, with which a version that loses half of
-   its connections is still detected.
+     its connections is still detected.
    - A version may fail only on loaded instances, and its answers from the
-   other instances would hide that, so answers of loaded instances also count
-   in a cell of their own.
+     other instances would hide that, so answers of loaded instances also count
+     in a cell of their own.
    - A version that is still held back by the measurements shortly before the
      time limit is rolled back: what holds it back is evidence against it.
    - A version is bad when in one cell the share of its answers that failed
@@ -41,9 +41,9 @@
    - A version that fails no request and is only slow shows in the time to the
      first event and in the gaps between events, compared at instances with the
      same load: a time that is a fixed multiple of the usual one at that load
-   is late, and late answers are tested as failures are.  If load were ignored,
-   a version eight times as slow would pass, since its instances are nearly
-     empty.  */
+     is late, and late answers are tested as failures are.  If load were
+     ignored, a version eight times as slow would pass, since its instances are
+     nearly empty.  */
 
 #ifndef POLICY_TRIAL_H
 #define POLICY_TRIAL_H
@@ -141,9 +141,9 @@
   /* Number of load classes; a class holds the loads between two powers of
      two.  */
   TRIAL_LOAD_CLASSES = 8,
-  /* Time from writing a step to its start: all processes read the row within
-     a second, and a second of answers must be evaluated before the next step.
-   */
+  /* Time from writing a step to its start: all processes read the row within a
+     second, and a second of answers must be evaluated before the next
+     step.  */
   TRIAL_STEP_NOTICE_MS = 1000,
   /* Time after the new version's first requests in which its time to the first
      event is ignored: its instances have no prompt in their caches yet.  */
@@ -205,12 +205,12 @@
 
 /* ORDER is the number of the operators' order, which tells two orders for the
    same version apart.  EXPOSURE is the part of the service's requests that the
-   version may get within WITHIN_MS, the time limit.  */
+   version may get within TIME_LIMIT_MS.  */
 trial_t *trial_create (str_t service, str_t version, uint64_t order,
-                       uint64_t within_ms, double exposure);
+                       uint64_t time_limit_ms, double exposure);
 /* Set the time of the store's clock at which this process first saw the order;
    0 if unknown.  */
-void trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms);
+void trial_set_order_seen_ms (trial_t *trial, uint64_t order_seen_ms);
 uint64_t trial_order_seen_ms (const trial_t *trial);
 /* NULL is accepted.  */
 void trial_destroy (trial_t *trial);
@@ -221,14 +221,15 @@
 const char *trial_phase_name (trial_phase_t phase);
 void trial_set_phase (trial_t *trial, trial_phase_t phase);
 /* Set whether the row in the store holds a final phase.  */
-void trial_set_final_phase_stored (trial_t *trial, bool written);
+void trial_set_final_phase_stored (trial_t *trial, bool is_final_phase_stored);
 bool trial_is_final_phase_stored (const trial_t *trial);
 /* Take over the row in the store: the time at which a process first saw the
    order, the step, and the time from which the step applies, by the store's
    clock.  */
 void trial_set_progress (trial_t *trial, uint64_t start_ms, uint32_t step,
-                         uint64_t from_ms);
-/* Return the START_MS of trial_set_progress; 0 before the row was read.  */
+                         uint64_t step_start_ms);
+/* Return the time at which a process first saw the order, by the store's
+   clock; 0 before the row was read.  */
 uint64_t trial_start_ms (const trial_t *trial);
 uint32_t trial_step (const trial_t *trial);
 /* Return the time from which the step applies, by the store's clock.  */
@@ -255,7 +256,7 @@
    end it.  A request that failed on the new version goes to the old one.  */
 trial_arm_t trial_choose_arm (const trial_t *trial, uint64_t key,
                               uint64_t now_ms,
-                              const trial_send_history_t *sent);
+                              const trial_send_history_t *history);
 
 typedef enum
 {
@@ -278,14 +279,16 @@
 /* Decay all counts; to be called once a second.  */
 void trial_decay (trial_t *trial);
 
-/* Append the message to the other processes: this process's counts and, if
-   ALL, the counts that were sent to it.  */
+/* Append the message to the other processes: this process's counts and, with
+   ALL, the counts that others sent to it.  */
 void trial_write (trial_t *trial, bool all, buf_t *out);
-/* Replace the counts of process ENTRY by message TEXT.  TOLD: it was sent to
-   this process, rather than read from the store.  The counts expire after
-   TRIAL_PEER_EXPIRY_S seconds.  Return VH_OK, or VH_E_PROTOCOL with nothing
-   changed; a message for another order is ignored.  */
-vh_code_t trial_merge (trial_t *trial, str_t entry, bool told, str_t text);
+/* Replace the counts of PROCESS by those in the message TEXT.  WAS_SENT: the
+   message was sent to this process, rather than read from the store.  The
+   counts expire after TRIAL_PEER_EXPIRY_S seconds.  Return VH_OK, or
+   VH_E_PROTOCOL with nothing changed; a message for another order is
+   ignored.  */
+vh_code_t trial_merge (trial_t *trial, str_t process, bool was_sent,
+                       str_t text);
 /* Tell whether a count changed since the last trial_write.  */
 bool trial_has_unwritten_counts (const trial_t *trial);
 
@@ -293,15 +296,15 @@
 {
   TRIAL_WAIT,      /* Nothing changes yet.  */
   TRIAL_ADVANCE,   /* The next step may start.  */
-  TRIAL_ROLL_BACK, /* The version is bad; all requests return to the old one.
-                    */
+  TRIAL_ROLL_BACK, /* The version is bad; all requests return to the old
+                      one.  */
   TRIAL_FINISH     /* The version is good; the old one may stop.  */
 } trial_decision_t;
 
 /* Decide on the counts of all processes.  If the version is bad, append the
-   reason to WHY.  ALONE: the store does not answer, so that counts of other
-   processes may be missing.  */
+   reason to REASON.  IS_STORE_DOWN: the counts of other processes may be
+   missing, and no step advances.  */
 trial_decision_t trial_decide (const trial_t *trial, uint64_t now_ms,
-                               bool alone, buf_t *why);
+                               bool is_store_down, buf_t *reason);
 
 #endif
--- a/packages/policy/watch.c
+++ b/packages/policy/watch.c
@@ -35,7 +35,7 @@
   [ROLLOUT_LATENCY] = { 0.2, 0.01 },
 };
 
-/* One version and task class, at the index of its evidence key.  */
+/* One version and task class, at the index of its key in MEASUREMENTS.  */
 typedef struct
 {
   uint64_t version; /* Hash of the version; 0 if a merged key came without a
@@ -56,9 +56,9 @@
 /* The CUSUM of one metric of one series.  */
 typedef struct
 {
-  moments_t reference; /* SQUARES is the sum of squared deviations from the
-                          mean.  */
-  double value;        /* Sum of log-likelihood ratios; not below 0.  */
+  /* SQUARES is the sum of squared deviations from the mean.  */
+  moments_t reference;
+  double value; /* Sum of log-likelihood ratios; not below 0.  */
   /* Sums since the CUSUM was last 0, of this series' answers and of their
      shifts, and of those in the epochs in which other versions had
      answers.  */
@@ -80,9 +80,9 @@
   double shift_sum; /* Sum of the shifts, each times its series' answers.  */
 } shift_sum_t;
 
-struct watch
+struct degradation
 {
-  crdt_t *evidence;
+  crdt_t *measurements;
   series_t series[DEGRADATION_SERIES_MAX];
   version_alarm_t versions[DEGRADATION_VERSIONS_MAX];
   uint32_t version_count;
@@ -101,7 +101,7 @@
                                    .cells_max = DEGRADATION_CELLS_MAX };
   degradation_t *w = mem_zalloc (sizeof *w);
 
-  w->evidence = crdt_create (&options);
+  w->measurements = crdt_create (&options);
   return w;
 }
 
@@ -110,7 +110,7 @@
 {
   if (w == NULL)
     return;
-  crdt_destroy (w->evidence);
+  crdt_destroy (w->measurements);
   free (w);
 }
 
@@ -153,7 +153,7 @@
 
   if (entry == NULL)
     return -1;
-  int key = crdt_key_find_or_add (w->evidence, hash);
+  int key = crdt_key_find_or_add (w->measurements, hash);
   if (key >= 0 && w->series[key].version == 0)
     w->series[key]
         = (series_t){ version, task, (uint32_t)(entry - w->versions) };
@@ -168,7 +168,7 @@
   int key = series_find_or_add (w, hash_name (version), hash_name (task));
 
   sample_fields (sample, fields);
-  crdt_add (w->evidence, key, now_ms, fields);
+  crdt_add (w->measurements, key, now_ms, fields);
 }
 
 static bool
@@ -260,7 +260,7 @@
       if (s->version == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
         continue;
       cusum->epoch_moments
-          = sample_moments (crdt_sums (w->evidence, key, epoch), metric);
+          = sample_moments (crdt_sums (w->measurements, key, epoch), metric);
       if (cusum->epoch_moments.count <= 0
           || cusum->reference.count < REFERENCE_ANSWERS_MIN)
         continue;
@@ -372,10 +372,10 @@
 bool
 degradation_check (degradation_t *w, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (w->measurements, now_ms);
   bool raised = false;
 
-  crdt_advance (w->evidence, now_ms);
+  crdt_advance (w->measurements, now_ms);
   if (now_epoch == w->evaluated_epoch)
     return false;
   w->evaluated_epoch = now_epoch;
@@ -383,7 +383,7 @@
      late or from other processes count in their epoch and all processes find
      the same.  */
   memset (w->cusums, 0, sizeof w->cusums);
-  uint64_t epoch = crdt_first_epoch (w->evidence);
+  uint64_t epoch = crdt_first_epoch (w->measurements);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
       raised = evaluate_epoch (w, epoch, (rollout_metric_t)m) || raised;
@@ -450,7 +450,7 @@
       crdt_write_varint (out, v->since_ms);
       crdt_write_varint (out, v->metric);
     }
-  crdt_write (w->evidence, own_only, out);
+  crdt_write (w->measurements, own_only, out);
 }
 
 static bool
@@ -504,7 +504,7 @@
   for (uint64_t i = 0; i < versions; i++)
     if (!read_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
-  if (!crdt_is_valid (w->evidence, bytes))
+  if (!crdt_is_valid (w->measurements, bytes))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < series && crdt_read_varint (&names, &version)
                        && crdt_read_varint (&names, &task);
@@ -516,15 +516,15 @@
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
-  return crdt_merge (w->evidence, bytes, now_ms);
+  return crdt_merge (w->measurements, bytes, now_ms);
 }
 
 void
 degradation_compact (degradation_t *w, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
-  uint64_t epoch = crdt_first_epoch (w->evidence);
+  uint64_t now_epoch = crdt_epoch_at (w->measurements, now_ms);
+  uint64_t epoch = crdt_first_epoch (w->measurements);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (w->evidence, epoch, generation);
+    crdt_compact (w->measurements, epoch, generation);
 }
--- a/packages/policy/watch.h
+++ b/packages/policy/watch.h
@@ -29,7 +29,7 @@
 
 #include "policy/rollout.h"
 
-typedef struct watch degradation_t;
+typedef struct degradation degradation_t;
 
 #define DEGRADATION_CUSUM_THRESHOLD 20.0
 
@@ -38,41 +38,43 @@
   DEGRADATION_EPOCH_MS = 60 * 1000,
   DEGRADATION_EPOCHS = 240,
   DEGRADATION_RELEARN_EPOCHS = 30,
-  DEGRADATION_SERIES_MAX = 128, /* Largest number of pairs of a version and a
-                             task class.  */
+  /* Largest number of pairs of a version and a task class.  */
+  DEGRADATION_SERIES_MAX = 128,
   DEGRADATION_VERSIONS_MAX = 64,
   DEGRADATION_CELLS_MAX = 32768,
-  DEGRADATION_WEIGHT_STEP_MS = 30 * 1000 /* Time from one reduction of the
-                               traffic to the next.  */
+  /* Time from one reduction of the traffic to the next.  */
+  DEGRADATION_WEIGHT_STEP_MS = 30 * 1000
 };
 
 /* WRITER is that of evidence.h.  */
 degradation_t *degradation_create (uint64_t writer);
 /* NULL is accepted.  */
-void degradation_destroy (degradation_t *watch);
-void degradation_observe (degradation_t *watch, str_t version, str_t task,
-                          const rollout_sample_t *sample, uint64_t now_ms);
+void degradation_destroy (degradation_t *degradation);
+void degradation_observe (degradation_t *degradation, str_t version,
+                          str_t task, const rollout_sample_t *sample,
+                          uint64_t now_ms);
 /* Evaluate the closed epochs.  Return true if an alarm was raised.  Any
    process may call this; only the lease holder writes the result to the
    store.  */
-bool degradation_check (degradation_t *watch, uint64_t now_ms);
+bool degradation_check (degradation_t *degradation, uint64_t now_ms);
 /* Return the part of its usual traffic that VERSION keeps: 1, or less under
    alarm.  */
-double degradation_traffic_weight (const degradation_t *watch, str_t version,
-                                   uint64_t now_ms);
+double degradation_traffic_weight (const degradation_t *degradation,
+                                   str_t version, uint64_t now_ms);
 /* Tell whether VERSION is under alarm; if so, store the metric and the start
    of the alarm.  */
-bool degradation_get_alarm (const degradation_t *watch, str_t version,
+bool degradation_get_alarm (const degradation_t *degradation, str_t version,
                             rollout_metric_t *metric, uint64_t *since_ms);
 /* End the alarm on VERSION by order of the operator.  Measurements before
    NOW_MS no longer count.  */
-void degradation_clear_alarm (degradation_t *watch, str_t version,
+void degradation_clear_alarm (degradation_t *degradation, str_t version,
                               uint64_t now_ms);
 /* Write, merge and compact the state, as in evidence.h.  */
-void degradation_write (const degradation_t *watch, bool own_only, buf_t *out);
-vh_code_t degradation_merge (degradation_t *watch, str_t bytes,
+void degradation_write (const degradation_t *degradation, bool own_only,
+                        buf_t *out);
+vh_code_t degradation_merge (degradation_t *degradation, str_t bytes,
                              uint64_t now_ms);
-void degradation_compact (degradation_t *watch, uint64_t generation,
+void degradation_compact (degradation_t *degradation, uint64_t generation,
                           uint64_t now_ms);
 
 #endif
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -62,15 +62,16 @@
   for (int i = 0; i < 100; i++)
     {
       burn_sample_t s = good_sample ();
-      s.answered = i >= 2;                     /* 2 of 100 failed, with a
-                                                  budget of 1%.  */
-      s.first_token_ms = i < 42 ? 600 : 200;   /* 40 of 98 late, with a budget
-                                                  of 10%.  */
-      s.between_tokens_ms = i < 12 ? 150 : 40; /* 10 of 98 late, with a budget
-                                                  of 10%.  */
-      s.rating = i < 50 ? 0.7 : NAN;           /* 0.3 below 1, with a budget of
-                                                  0.2.  */
-      s.cost = 6;                              /* 6, with a budget of 4.  */
+      /* 2 of 100 failed, with a budget of 1%.  */
+      s.answered = i >= 2;
+      /* 40 of 98 late, with a budget of 10%.  */
+      s.first_token_ms = i < 42 ? 600 : 200;
+      /* 10 of 98 late, with a budget of 10%.  */
+      s.between_tokens_ms = i < 12 ? 150 : 40;
+      /* 0.3 below 1, with a budget of 0.2.  */
+      s.rating = i < 50 ? 0.7 : NAN;
+      /* 6, with a budget of 4.  */
+      s.cost = 6;
       burn_observe (b, &s, START_MS);
     }
   ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_5M, START_MS), 2,
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -37,9 +37,10 @@
 }
 
 static void
-record (const char *content, const char *id, uint64_t death)
+record (const char *content, const char *id, uint64_t crash_id)
 {
-  poison_record_crash (poison, digest_key (content), request_key (id), death);
+  poison_record_crash (poison, digest_key (content), request_key (id),
+                       crash_id);
 }
 
 static poison_class_t
@@ -93,17 +94,16 @@
 }
 END_TEST
 
-/* A crash beside a request that must not be repeated leaves its outcome
-   unknown; of two suspects on one upstream, a crash may refuse the wrong
-   one.  */
+/* A crash leaves the outcome of a request unknown that is not idempotent; of
+   two suspects on one upstream, a crash may refuse the wrong one.  */
 START_TEST (suspect_runs_beside_unsafe_requests)
 {
   static const struct
   {
-    poison_class_t verdict;
-    bool repeatable;
-    poison_in_flight_t company;
-    bool may_join;
+    poison_class_t class;
+    bool idempotent;
+    poison_in_flight_t in_flight;
+    bool may_run;
   } cases[] = {
     { POISON_CLEAR, true, { 0, 0 }, true },
     { POISON_CLEAR, true, { 1, 0 }, true },
@@ -117,10 +117,9 @@
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    ck_assert_msg (poison_may_run_beside (cases[i].verdict,
-                                          cases[i].repeatable,
-                                          &cases[i].company)
-                       == cases[i].may_join,
+    ck_assert_msg (poison_may_run_beside (cases[i].class, cases[i].idempotent,
+                                          &cases[i].in_flight)
+                       == cases[i].may_run,
                    "case %zu", i);
 }
 END_TEST
--- a/tests/test_trial.c
+++ b/tests/test_trial.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  WITHIN_MS = 24000,
+  TIME_LIMIT_MS = 24000,
   START_MS = 100000,
   TICK_MS = 100,
   REQUESTS_PER_TICK = 8, /* 80 requests a second.  */
@@ -21,8 +21,7 @@
 
 typedef struct
 {
-  double failure_share;  /* Share of the new version's answers that
-                            fail.  */
+  double failure_share;  /* Share of the new version's answers that fail.  */
   bool loses_connection; /* Whether they fail by a lost connection.  */
   uint64_t crash_ms; /* Time at which an instance of the new version crashes,
                         in ms after the order; 0 if none does.  */
@@ -53,13 +52,13 @@
 run_rollout (const behavior_t *version, uint64_t seed)
 {
   trial_t *trial
-      = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
+      = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
   rng_t rng = rng_make (seed);
-  result_t outcome = { 0 };
-  buf_t why = BUF_NULL;
+  result_t result = { 0 };
+  buf_t reason = BUF_NULL;
 
   trial_set_progress (trial, START_MS, 0, START_MS);
-  for (uint64_t ms = 0; ms < 2 * WITHIN_MS; ms += TICK_MS)
+  for (uint64_t ms = 0; ms < 2 * TIME_LIMIT_MS; ms += TICK_MS)
     {
       uint64_t now_ms = START_MS + ms;
       bool is_store_down
@@ -75,14 +74,14 @@
                         && (version->bad_route < 0
                             || version->bad_route == (int)route);
           double common_failure_share
-              = ms >= WITHIN_MS / 2 ? version->common_failure_share : 0;
+              = ms >= TIME_LIMIT_MS / 2 ? version->common_failure_share : 0;
           double failure_share
               = common_failure_share
                 + (1 - common_failure_share)
                       * (is_bad ? version->failure_share : 0.01);
           uint64_t wait_ms = 50 + rng_below (&rng, 300);
-          outcome.requests++;
-          outcome.new_requests += is_new;
+          result.requests++;
+          result.new_requests += is_new;
           trial_outcome_t failure = version->loses_connection && is_new
                                         ? TRIAL_CONNECTION_LOST
                                         : TRIAL_FAILED;
@@ -94,12 +93,12 @@
       for (int i = 0;
            ms == version->crash_ms && ms > 0 && i < CRASH_LOST_REQUESTS; i++)
         trial_observe (trial, TRIAL_NEW, 0, TRIAL_CONNECTION_LOST, 0, false);
-      if (ms == WITHIN_MS / 2 - TICK_MS)
-        outcome.share_at_half = trial_share (trial, now_ms);
+      if (ms == TIME_LIMIT_MS / 2 - TICK_MS)
+        result.share_at_half = trial_share (trial, now_ms);
       if (ms % 1000 != 0)
         continue;
       trial_decay (trial);
-      switch (trial_decide (trial, now_ms, is_store_down, &why))
+      switch (trial_decide (trial, now_ms, is_store_down, &reason))
         {
         case TRIAL_WAIT:
           break;
@@ -108,19 +107,19 @@
                               now_ms + TRIAL_STEP_NOTICE_MS);
           break;
         case TRIAL_ROLL_BACK:
-          outcome.phase = TRIAL_ROLLED_BACK;
-          outcome.end_ms = ms;
+          result.phase = TRIAL_ROLLED_BACK;
+          result.end_ms = ms;
           goto finished;
         case TRIAL_FINISH:
-          outcome.phase = TRIAL_DONE;
-          outcome.end_ms = ms;
+          result.phase = TRIAL_DONE;
+          result.end_ms = ms;
           goto finished;
         }
     }
 finished:
-  buf_free (&why);
+  buf_free (&reason);
   trial_destroy (trial);
-  return outcome;
+  return result;
 }
 
 START_TEST (good_version_is_rolled_back_or_finished_late)
@@ -131,12 +130,12 @@
 
   for (uint64_t seed = 1; seed <= 200; seed++)
     {
-      result_t outcome = run_rollout (&good, seed);
-      ck_assert_double_eq (outcome.share_at_half, 0);
-      if (outcome.phase == TRIAL_ROLLED_BACK)
+      result_t result = run_rollout (&good, seed);
+      ck_assert_double_eq (result.share_at_half, 0);
+      if (result.phase == TRIAL_ROLLED_BACK)
         rolled_back++;
       else
-        ck_assert_uint_le (outcome.end_ms, WITHIN_MS);
+        ck_assert_uint_le (result.end_ms, TIME_LIMIT_MS);
     }
   /* A false roll-back in a hundred roll-outs would make two.  */
   ck_assert_int_le (rolled_back, 4);
@@ -164,12 +163,12 @@
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     for (uint64_t seed = 1; seed <= 50; seed++)
       {
-        result_t outcome = run_rollout (&bad[i], seed);
-        ck_assert_msg (outcome.phase == TRIAL_ROLLED_BACK,
+        result_t result = run_rollout (&bad[i], seed);
+        ck_assert_msg (result.phase == TRIAL_ROLLED_BACK,
                        "version %zu, seed %d", i, (int)seed);
-        ck_assert_msg (outcome.new_requests < 0.15 * 80 * 24 + 30,
+        ck_assert_msg (result.new_requests < 0.15 * 80 * 24 + 30,
                        "version %zu, seed %d: new version got %u requests", i,
-                       (int)seed, outcome.new_requests);
+                       (int)seed, result.new_requests);
       }
 }
 END_TEST
@@ -198,14 +197,14 @@
    other routes.  */
 START_TEST (version_accepted_without_answers_on_a_busy_route)
 {
-  const uint64_t end_ms = START_MS + WITHIN_MS - TRIAL_ROLLBACK_LEAD_MS;
+  const uint64_t end_ms = START_MS + TIME_LIMIT_MS - TRIAL_ROLLBACK_LEAD_MS;
 
   for (int answers = 0; answers <= TRIAL_BUSY_CELL_NEW_MIN;
        answers += TRIAL_BUSY_CELL_NEW_MIN)
     {
       trial_t *trial
-          = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-      buf_t why = BUF_NULL;
+          = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
+      buf_t reason = BUF_NULL;
       trial_set_progress (trial, START_MS, TRIAL_STEP_INCREASED, START_MS);
       for (int i = 0; i < 400; i++)
         trial_observe (trial, TRIAL_OLD, (uint64_t)i % 2, TRIAL_ANSWERED, 50,
@@ -214,9 +213,9 @@
         trial_observe (trial, TRIAL_NEW, 0, TRIAL_ANSWERED, 50, false);
       for (int i = 0; i < answers; i++)
         trial_observe (trial, TRIAL_NEW, 1, TRIAL_ANSWERED, 50, false);
-      ck_assert_int_eq (trial_decide (trial, end_ms, false, &why),
+      ck_assert_int_eq (trial_decide (trial, end_ms, false, &reason),
                         answers > 0 ? TRIAL_FINISH : TRIAL_ROLL_BACK);
-      buf_free (&why);
+      buf_free (&reason);
       trial_destroy (trial);
     }
 }
@@ -228,7 +227,7 @@
 START_TEST (hidden_fault_exceeds_exposure_bound)
 {
   static const int requests_per_s_values[] = { 2, 8, 30 };
-  const double ticks = (double)WITHIN_MS / TICK_MS;
+  const double ticks = (double)TIME_LIMIT_MS / TICK_MS;
 
   for (size_t i = 0;
        i < sizeof requests_per_s_values / sizeof requests_per_s_values[0]; i++)
@@ -239,13 +238,13 @@
                 .latency_factor = 1,
                 .bad_route = -1,
                 .requests_per_tick = requests_per_s_values[i] };
-        result_t outcome = run_rollout (&no_visible_fault, seed);
-        if (outcome.phase == TRIAL_ROLLED_BACK)
+        result_t result = run_rollout (&no_visible_fault, seed);
+        if (result.phase == TRIAL_ROLLED_BACK)
           continue;
-        ck_assert_uint_le (outcome.end_ms, WITHIN_MS);
+        ck_assert_uint_le (result.end_ms, TIME_LIMIT_MS);
         double ticks_after_end
-            = (double)(WITHIN_MS - outcome.end_ms) / TICK_MS;
-        ck_assert_double_lt (outcome.new_requests
+            = (double)(TIME_LIMIT_MS - result.end_ms) / TICK_MS;
+        ck_assert_double_lt (result.new_requests
                                  + requests_per_s_values[i] * ticks_after_end,
                              EXPOSURE * requests_per_s_values[i] * ticks + 30);
       }
@@ -260,12 +259,12 @@
   for (uint64_t seed = 1; seed <= 50; seed++)
     {
       trial_t *trial
-          = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-      trial_decision_t verdict = TRIAL_WAIT;
+          = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
+      trial_decision_t decision = TRIAL_WAIT;
       rng_t rng = rng_make (seed);
-      buf_t why = BUF_NULL;
+      buf_t reason = BUF_NULL;
       trial_set_progress (trial, START_MS, TRIAL_STEP_INCREASED, START_MS);
-      for (int i = 0; i < 1200 && verdict == TRIAL_WAIT; i++)
+      for (int i = 0; i < 1200 && decision == TRIAL_WAIT; i++)
         {
           trial_arm_t arm = i % 2 == 0 ? TRIAL_NEW : TRIAL_OLD;
           bool is_loaded = i / 2 % 8 == 0;
@@ -274,10 +273,10 @@
           trial_observe (trial, arm, rng_below (&rng, TRIAL_ROUTE_CELLS),
                          is_failure ? TRIAL_FAILED : TRIAL_ANSWERED, 60,
                          is_loaded);
-          verdict = trial_decide (trial, START_MS + 1, false, &why);
+          decision = trial_decide (trial, START_MS + 1, false, &reason);
         }
-      ck_assert_int_eq (verdict, TRIAL_ROLL_BACK);
-      buf_free (&why);
+      ck_assert_int_eq (decision, TRIAL_ROLL_BACK);
+      buf_free (&reason);
       trial_destroy (trial);
     }
 }
@@ -317,29 +316,30 @@
                   double *new_requests)
 {
   trial_t *trial
-      = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
+      = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
   rng_t rng = rng_make (seed);
   trial_phase_t phase = TRIAL_RUNNING;
-  buf_t why = BUF_NULL;
+  buf_t reason = BUF_NULL;
 
   *new_requests = 0;
   trial_set_progress (trial, START_MS, 0, START_MS);
-  for (uint64_t ms = 0; ms <= WITHIN_MS && phase == TRIAL_RUNNING; ms += 1000)
+  for (uint64_t ms = 0; ms <= TIME_LIMIT_MS && phase == TRIAL_RUNNING;
+       ms += 1000)
     {
       uint64_t now_ms = START_MS + ms;
       *new_requests += requests_per_s * trial_share (trial, now_ms);
       observe_second (trial, &rng, requests_per_s, latency_factor, now_ms);
       trial_decay (trial);
-      trial_decision_t verdict = trial_decide (trial, now_ms, false, &why);
-      if (verdict == TRIAL_ADVANCE)
+      trial_decision_t decision = trial_decide (trial, now_ms, false, &reason);
+      if (decision == TRIAL_ADVANCE)
         trial_set_progress (trial, START_MS, trial_step (trial) + 1,
                             now_ms + TRIAL_STEP_NOTICE_MS);
-      else if (verdict == TRIAL_ROLL_BACK)
+      else if (decision == TRIAL_ROLL_BACK)
         phase = TRIAL_ROLLED_BACK;
-      else if (verdict == TRIAL_FINISH)
+      else if (decision == TRIAL_FINISH)
         phase = TRIAL_DONE;
     }
-  buf_free (&why);
+  buf_free (&reason);
   trial_destroy (trial);
   return phase;
 }
@@ -365,7 +365,7 @@
                             TRIAL_ROLLED_BACK);
           ck_assert_double_lt (
               new_requests,
-              0.15 * requests_per_s_values[i] * WITHIN_MS / 1000 + 30);
+              0.15 * requests_per_s_values[i] * TIME_LIMIT_MS / 1000 + 30);
           rolled_back += run_slow_rollout (requests_per_s_values[i], 1, seed,
                                            &new_requests)
                          == TRIAL_ROLLED_BACK;
@@ -384,8 +384,8 @@
 {
   const uint64_t after_warm_up_ms = START_MS + 2 * TRIAL_WARM_UP_MS;
   trial_t *trial
-      = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-  buf_t why = BUF_NULL;
+      = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
+  buf_t reason = BUF_NULL;
 
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   for (int i = 0; i < 200; i++)
@@ -400,12 +400,12 @@
       trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
                             i % 4 == 0 ? 500 : 50, after_warm_up_ms);
     }
-  const uint64_t last_ms = START_MS + WITHIN_MS - TRIAL_ROLLBACK_LEAD_MS;
-  ck_assert_int_eq (trial_decide (trial, last_ms - 1, false, &why),
+  const uint64_t last_ms = START_MS + TIME_LIMIT_MS - TRIAL_ROLLBACK_LEAD_MS;
+  ck_assert_int_eq (trial_decide (trial, last_ms - 1, false, &reason),
                     TRIAL_WAIT);
-  ck_assert_int_eq (trial_decide (trial, last_ms, false, &why),
+  ck_assert_int_eq (trial_decide (trial, last_ms, false, &reason),
                     TRIAL_ROLL_BACK);
-  buf_free (&why);
+  buf_free (&reason);
   trial_destroy (trial);
 }
 END_TEST
@@ -416,8 +416,8 @@
 START_TEST (cold_prompt_caches_roll_back_a_good_version)
 {
   trial_t *trial
-      = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-  buf_t why = BUF_NULL;
+      = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
+  buf_t reason = BUF_NULL;
 
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   for (uint64_t ms = 0; ms < 2000; ms += 5)
@@ -428,9 +428,10 @@
       if (ms % 50 == 0)
         trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
                               ms < 1000 ? 400 : 50, now_ms);
-      ck_assert_int_eq (trial_decide (trial, now_ms, false, &why), TRIAL_WAIT);
+      ck_assert_int_eq (trial_decide (trial, now_ms, false, &reason),
+                        TRIAL_WAIT);
     }
-  buf_free (&why);
+  buf_free (&reason);
   trial_destroy (trial);
 }
 END_TEST
@@ -492,8 +493,8 @@
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     for (uint64_t seed = 1; seed <= 100; seed++)
       {
-        result_t outcome = run_rollout (&bad[i], seed);
-        ck_assert_msg (outcome.phase != TRIAL_DONE, "version %zu, seed %d", i,
+        result_t result = run_rollout (&bad[i], seed);
+        ck_assert_msg (result.phase != TRIAL_DONE, "version %zu, seed %d", i,
                        (int)seed);
       }
 }
@@ -514,13 +515,13 @@
                             .bad_route = -1,
                             .outage_from_ms = 9000,
                             .outage_until_ms = 23000 };
-  result_t outcome = run_rollout (&bad, 1);
+  result_t result = run_rollout (&bad, 1);
 
-  ck_assert_int_eq (outcome.phase, TRIAL_ROLLED_BACK);
-  ck_assert_uint_lt (outcome.new_requests, 100);
-  outcome = run_rollout (&good, 1);
-  ck_assert_int_eq (outcome.phase, TRIAL_DONE);
-  ck_assert_uint_gt (outcome.end_ms, 23000 + 3 * TRIAL_STEP_MS_MIN);
+  ck_assert_int_eq (result.phase, TRIAL_ROLLED_BACK);
+  ck_assert_uint_lt (result.new_requests, 100);
+  result = run_rollout (&good, 1);
+  ck_assert_int_eq (result.phase, TRIAL_DONE);
+  ck_assert_uint_gt (result.end_ms, 23000 + 3 * TRIAL_STEP_MS_MIN);
 }
 END_TEST
 
@@ -531,21 +532,25 @@
 START_TEST (request_changes_version_between_sends)
 {
   trial_t *trial
-      = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-  trial_send_history_t sent = { 0 };
-  const uint64_t key = 0; /* The first key that is assigned to a new
-                             version.  */
+      = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
+  trial_send_history_t history = { 0 };
+  /* The first key that is assigned to a new version.  */
+  const uint64_t key = 0;
 
   trial_set_progress (trial, START_MS, TRIAL_STEP_NO_TRAFFIC, START_MS);
-  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
-  sent = (trial_send_history_t){ .was_sent = true, .arm = TRIAL_OLD };
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
+                    TRIAL_OLD);
+  history = (trial_send_history_t){ .was_sent = true, .arm = TRIAL_OLD };
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   ck_assert (trial_is_assigned (trial, key, START_MS));
-  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
-  sent.arm = TRIAL_NEW;
-  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_NEW);
-  sent.failed_on_new = true;
-  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
+                    TRIAL_OLD);
+  history.arm = TRIAL_NEW;
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
+                    TRIAL_NEW);
+  history.failed_on_new = true;
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
+                    TRIAL_OLD);
   trial_destroy (trial);
 }
 END_TEST
@@ -555,11 +560,11 @@
 START_TEST (counts_of_other_processes_are_lost)
 {
   trial_t *sender
-      = trial_create (STR ("llm"), STR ("v2"), 7, WITHIN_MS, EXPOSURE);
+      = trial_create (STR ("llm"), STR ("v2"), 7, TIME_LIMIT_MS, EXPOSURE);
   trial_t *receiver
-      = trial_create (STR ("llm"), STR ("v2"), 7, WITHIN_MS, EXPOSURE);
+      = trial_create (STR ("llm"), STR ("v2"), 7, TIME_LIMIT_MS, EXPOSURE);
   buf_t text = BUF_NULL;
-  buf_t why = BUF_NULL;
+  buf_t reason = BUF_NULL;
 
   trial_set_progress (receiver, START_MS, 1, START_MS);
   for (int i = 0; i < 40; i++)
@@ -567,17 +572,17 @@
       trial_observe (sender, TRIAL_OLD, 1, false, 100, false);
       trial_observe (sender, TRIAL_NEW, 1, i % 2 == 0, 100, false);
     }
-  ck_assert_int_eq (trial_decide (receiver, START_MS, false, &why),
+  ck_assert_int_eq (trial_decide (receiver, START_MS, false, &reason),
                     TRIAL_WAIT);
   trial_write (sender, true, &text);
   ck_assert_int_eq (
       trial_merge (receiver, STR ("one"), false, buf_str (&text)), VH_OK);
-  ck_assert_int_eq (trial_decide (receiver, START_MS, true, &why),
+  ck_assert_int_eq (trial_decide (receiver, START_MS, true, &reason),
                     TRIAL_ROLL_BACK);
   ck_assert_int_eq (trial_merge (receiver, STR ("one"), false, STR ("7 x")),
                     VH_E_PROTOCOL);
   buf_free (&text);
-  buf_free (&why);
+  buf_free (&reason);
   trial_destroy (sender);
   trial_destroy (receiver);
 }
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -31,15 +31,15 @@
 typedef struct
 {
   rng_t rng;
-  degradation_t *watch;
+  degradation_t *degradation;
   uint64_t now_ms;
   double large_share; /* Share of large@1 in the traffic; the rest is
                          small@1's.  */
   double small_rating_loss;
   double small_error_increase;
   double small_latency_factor;
-  double common_rating_loss; /* Subtracted from the ratings of both
-                                versions.  */
+  /* Subtracted from the ratings of both versions.  */
+  double common_rating_loss;
 } simulation_t;
 
 static double
@@ -54,7 +54,7 @@
 simulation_create (uint64_t seed)
 {
   return (simulation_t){ .rng = rng_make (seed * 31 + 7),
-                         .watch = degradation_create (seed + 1),
+                         .degradation = degradation_create (seed + 1),
                          .now_ms = START_MS,
                          .large_share = 0.2,
                          .small_latency_factor = 1 };
@@ -77,13 +77,13 @@
       s.latency_ms *= small ? w->small_latency_factor : 1;
       s.rated = !s.failed && rng_double (&w->rng) < 0.1;
       s.rating = rating - (small ? w->small_rating_loss : 0);
-      degradation_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
-                           rng_below (&w->rng, 3) == 0 ? STR ("tag")
-                                                       : STR ("draft"),
-                           &s, w->now_ms);
+      degradation_observe (
+          w->degradation, small ? STR ("small@1") : STR ("large@1"),
+          rng_below (&w->rng, 3) == 0 ? STR ("tag") : STR ("draft"), &s,
+          w->now_ms);
       w->now_ms += MINUTE_MS / REQUESTS_PER_MINUTE;
     }
-  return degradation_check (w->watch, w->now_ms);
+  return degradation_check (w->degradation, w->now_ms);
 }
 
 static bool
@@ -92,7 +92,8 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return degradation_get_alarm (w->watch, STR ("small@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->degradation, STR ("small@1"), &metric,
+                                &since_ms);
 }
 
 static bool
@@ -101,7 +102,8 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return degradation_get_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->degradation, STR ("large@1"), &metric,
+                                &since_ms);
 }
 
 static const regression_t regressions[] = {
@@ -124,8 +126,9 @@
       int minutes = 0;
       for (int i = 0; i < HEALTHY_MINUTES; i++)
         ck_assert (!simulate_minute (&w));
-      ck_assert_double_eq (
-          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms), 1);
+      ck_assert_double_eq (degradation_traffic_weight (
+                               w.degradation, STR ("small@1"), w.now_ms),
+                           1);
       w.small_rating_loss = regression->rating;
       w.small_error_increase = regression->error;
       w.small_latency_factor = regression->latency;
@@ -135,19 +138,21 @@
                      "%s, seed %d: alarm after %d min", regression->name,
                      (int)seed, minutes);
       ck_assert (!has_large_alarm (&w));
+      ck_assert_double_eq (degradation_traffic_weight (
+                               w.degradation, STR ("small@1"), w.now_ms),
+                           0.5);
       ck_assert_double_eq (
-          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms),
-          0.5);
-      ck_assert_double_eq (
-          degradation_traffic_weight (w.watch, STR ("small@1"),
+          degradation_traffic_weight (w.degradation, STR ("small@1"),
                                       w.now_ms + DEGRADATION_WEIGHT_STEP_MS),
           0.1);
-      ck_assert_double_eq (degradation_traffic_weight (
-                               w.watch, STR ("small@1"), w.now_ms + MINUTE_MS),
+      ck_assert_double_eq (degradation_traffic_weight (w.degradation,
+                                                       STR ("small@1"),
+                                                       w.now_ms + MINUTE_MS),
                            0);
-      ck_assert_double_eq (
-          degradation_traffic_weight (w.watch, STR ("large@1"), w.now_ms), 1);
-      degradation_destroy (w.watch);
+      ck_assert_double_eq (degradation_traffic_weight (
+                               w.degradation, STR ("large@1"), w.now_ms),
+                           1);
+      degradation_destroy (w.degradation);
     }
 }
 END_TEST
@@ -167,7 +172,7 @@
       for (; !has_small_alarm (&w) && minutes < 60; minutes++)
         simulate_minute (&w);
       ck_assert_msg (minutes < 60, "seed %d", (int)seed);
-      degradation_destroy (w.watch);
+      degradation_destroy (w.degradation);
     }
 }
 END_TEST
@@ -185,7 +190,7 @@
       for (int i = 0; i < 180; i++)
         raised = simulate_minute (&w) || raised;
       alarms += raised;
-      degradation_destroy (w.watch);
+      degradation_destroy (w.degradation);
     }
   ck_assert_int_lt (alarms, SEEDS / 20);
 }
@@ -207,7 +212,7 @@
           raised = simulate_minute (&w) || raised;
         }
       alarms += raised;
-      degradation_destroy (w.watch);
+      degradation_destroy (w.degradation);
     }
   ck_assert_int_eq (alarms, 0);
 }
@@ -230,7 +235,7 @@
     simulate_minute (&w);
   ck_assert_int_le (minutes, 5);
   ck_assert (!has_large_alarm (&w));
-  degradation_destroy (w.watch);
+  degradation_destroy (w.degradation);
 }
 END_TEST
 
@@ -248,7 +253,7 @@
     simulate_minute (&w);
   ck_assert (has_small_alarm (&w));
   w.small_error_increase = 0;
-  degradation_clear_alarm (w.watch, STR ("small@1"), w.now_ms);
+  degradation_clear_alarm (w.degradation, STR ("small@1"), w.now_ms);
   ck_assert (!has_small_alarm (&w));
   for (int i = 0; i < HEALTHY_MINUTES; i++)
     ck_assert (!simulate_minute (&w));
@@ -256,7 +261,7 @@
   for (int i = 0; i < 5; i++)
     simulate_minute (&w);
   ck_assert (has_small_alarm (&w));
-  degradation_destroy (w.watch);
+  degradation_destroy (w.degradation);
 }
 END_TEST
 
@@ -279,10 +284,10 @@
   w.small_error_increase = 0.3;
   for (int i = 0; i < 3; i++)
     simulate_minute (&w);
-  ck_assert (
-      degradation_get_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
+  ck_assert (degradation_get_alarm (w.degradation, STR ("small@1"), &metric,
+                                    &since_ms));
   ck_assert_int_eq (metric, ROLLOUT_ERROR);
-  degradation_write (w.watch, false, &bytes);
+  degradation_write (w.degradation, false, &bytes);
   ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
                     VH_OK);
   ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
@@ -299,8 +304,8 @@
   buf_t cleared = BUF_NULL;
   rewritten.len = 0;
   degradation_write (receiver, false, &cleared);
-  degradation_merge (w.watch, buf_str (&cleared), w.now_ms);
-  degradation_write (w.watch, false, &rewritten);
+  degradation_merge (w.degradation, buf_str (&cleared), w.now_ms);
+  degradation_write (w.degradation, false, &rewritten);
   ck_assert (str_eq (buf_str (&cleared), buf_str (&rewritten)));
   buf_free (&cleared);
   for (size_t len = 0; len < bytes.len; len += 1 + len / 50)
@@ -311,7 +316,7 @@
   buf_free (&rewritten);
   degradation_destroy (receiver);
   degradation_destroy (untouched);
-  degradation_destroy (w.watch);
+  degradation_destroy (w.degradation);
 }
 END_TEST
 
