--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -152,7 +152,7 @@
 {
   entry_t *entry = request->entry;
   double weight = degradation_traffic_weight (
-      entry->watch, version->name, clock_realtime_ms (entry->clock));
+      entry->degradation, version->name, clock_realtime_ms (entry->clock));
   rng_t draw = rng_make (str_hash (str_from (request->request_id), 7));
 
   return weight < 1.0 && rng_double (&draw) >= weight;
@@ -170,7 +170,7 @@
       const version_t *was = snapshot_version (last, now->name);
       if (was != NULL && was->state == VERSION_WITHDRAWN
           && now->state != VERSION_WITHDRAWN)
-        degradation_clear_alarm (entry->watch, now->name,
+        degradation_clear_alarm (entry->degradation, now->name,
                                  clock_realtime_ms (entry->clock));
     }
 }
@@ -180,7 +180,7 @@
 {
   if (request->version == NULL)
     return;
-  degradation_observe (request->entry->watch, request->version->name,
+  degradation_observe (request->entry->degradation, request->version->name,
                        request->version->model->task, sample,
                        clock_realtime_ms (request->entry->clock));
   if (request->rollout == NULL)
@@ -252,7 +252,7 @@
   const rollout_sample_t rated = { .rated = true, .rating = score };
 
   quality_add (entry->quality, task, version, score, now_ms);
-  degradation_observe (entry->watch, version, task, &rated, now_ms);
+  degradation_observe (entry->degradation, version, task, &rated, now_ms);
   learn_rollout_t *rollout
       = rating->rollout != NULL
             ? learn_rollout_find (entry, str_from (rating->rollout))
@@ -394,7 +394,7 @@
 
   quality_settle (entry->quality, generation, now_ms);
   cascade_settle (entry->cascade, generation, now_ms);
-  degradation_compact (entry->watch, generation, now_ms);
+  degradation_compact (entry->degradation, generation, now_ms);
   burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
     rollout_compact (CONTAINER_OF (at, learn_rollout_t, link)->run, generation,
@@ -412,7 +412,7 @@
   cascade_write (entry->cascade, own_only, &bytes);
   append_row (out, "cascade", STR ("-"), 0, &bytes);
   bytes.len = 0;
-  degradation_write (entry->watch, own_only, &bytes);
+  degradation_write (entry->degradation, own_only, &bytes);
   append_row (out, "watch", STR ("-"), 0, &bytes);
   bytes.len = 0;
   burn_write (entry->burn, own_only, &bytes);
@@ -444,7 +444,7 @@
   else if (str_eq (kind, STR ("cascade")))
     cascade_merge (entry->cascade, bytes, now_ms);
   else if (str_eq (kind, STR ("watch")))
-    degradation_merge (entry->watch, bytes, now_ms);
+    degradation_merge (entry->degradation, bytes, now_ms);
   else if (str_eq (kind, STR ("burn")))
     burn_merge (entry->burn, bytes, now_ms);
   else if (str_eq (kind, STR ("poison")))
@@ -540,7 +540,7 @@
   if (now_ms - entry->exchanged_ms < EXCHANGE_MS)
     return;
   entry->exchanged_ms = now_ms;
-  if (degradation_check (entry->watch, clock_realtime_ms (entry->clock)))
+  if (degradation_check (entry->degradation, clock_realtime_ms (entry->clock)))
     log_warning ("entry", "A version in service has turned bad; its share "
                           "goes to the others.");
   member_t *partner = next_partner (entry);
@@ -577,7 +577,7 @@
        && (version = snapshot_version_at (entry->snapshot, i)) != NULL;
        i++)
     {
-      if (!degradation_get_alarm (entry->watch, version->name, &metric,
+      if (!degradation_get_alarm (entry->degradation, version->name, &metric,
                                   &since_ms))
         continue;
       buf_printf (
@@ -586,7 +586,7 @@
           "\"since_ms\":%llu,\"weight\":%g}",
           first ? "" : ",", STR_ARG (version->name),
           rollout_metric_name (metric), (unsigned long long)since_ms,
-          degradation_traffic_weight (entry->watch, version->name,
+          degradation_traffic_weight (entry->degradation, version->name,
                                       clock_realtime_ms (entry->clock)));
       first = false;
     }
