--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -6,7 +6,7 @@
 #include "base/str.h"
 #include "policy/cascade.h"
 #include "policy/rollout.h"
-#include "policy/watch.h"
+#include "policy/degradation.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -19,7 +19,7 @@
 #include "policy/quality.h"
 #include "policy/retry.h"
 #include "policy/rollout.h"
-#include "policy/watch.h"
+#include "policy/degradation.h"
 #include "wire/httpd.h"
 
 #include <jansson.h>
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -2,7 +2,7 @@
 
 #include "base/map.h"
 #include "base/mem.h"
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -18,7 +18,7 @@
    Cost and memory are bounded: sums are kept for the whole service and for
    each team, model, version and zone by itself, not for their combinations,
    for at most BURN_SERIES_MAX names in a process; further names count as
-   "other".  The sums are those of evidence.h, so that the states of several
+   "other".  The sums are those of crdt.h, so that the states of several
    processes add up in any order and a repeated message changes nothing.  */
 
 #ifndef POLICY_BURN_H
@@ -127,7 +127,7 @@
   double rate;  /* Burn rate; at 1 the budget is spent exactly.  */
 } burn_rate_t;
 
-/* WRITER is that of evidence.h.  CELLS_MAX bounds the memory (about 1 KB for
+/* WRITER is that of crdt.h.  CELLS_MAX bounds the memory (about 1 KB for
    each cell); a process that merges the states of many others needs more than
    the default.  */
 burn_t *burn_create (uint64_t writer, uint32_t cells_max);
@@ -164,7 +164,7 @@
 void burn_write_json (const burn_t *burn, uint64_t now_ms, buf_t *out);
 void burn_write_html (const burn_t *burn, uint64_t now_ms, buf_t *out);
 
-/* Write, merge and compact the state, as in evidence.h.  */
+/* Write, merge and compact the state, as in crdt.h.  */
 void burn_write (const burn_t *burn, bool own_only, buf_t *out);
 vh_code_t burn_merge (burn_t *burn, str_t bytes, uint64_t now_ms);
 void burn_compact (burn_t *burn, uint64_t generation, uint64_t now_ms);
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -1,7 +1,7 @@
 #include "policy/cascade.h"
 
 #include "base/mem.h"
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -149,7 +149,7 @@
   double lower;
 } cascade_plan_t;
 
-/* WRITER as in evidence.h.  */
+/* WRITER as in crdt.h.  */
 cascade_t *cascade_create (uint64_t writer);
 /* NULL is accepted.  */
 void cascade_destroy (cascade_t *cascade);
--- a/packages/policy/evidence.c
+++ b/packages/policy/crdt.c
@@ -1,4 +1,4 @@
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 
 #include "base/mem.h"
 
--- a/packages/policy/evidence.h
+++ b/packages/policy/crdt.h
@@ -22,8 +22,8 @@
    Memory is fixed at creation.  When all cells are in use, the oldest epoch is
    dropped whole, never in part, so that no sum lacks some of its cells.  */
 
-#ifndef POLICY_EVIDENCE_H
-#define POLICY_EVIDENCE_H
+#ifndef POLICY_CRDT_H
+#define POLICY_CRDT_H
 
 #include "base/code.h"
 #include "base/str.h"
--- a/packages/policy/watch.c
+++ b/packages/policy/degradation.c
@@ -1,7 +1,7 @@
-#include "policy/watch.h"
+#include "policy/degradation.h"
 
 #include "base/mem.h"
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 #include "policy/sample.h"
 
 #include <math.h>
--- a/packages/policy/watch.h
+++ b/packages/policy/degradation.h
@@ -24,8 +24,8 @@
    and nothing, so that the load on the pools that take over does not rise at
    once.  Only the operator ends the alarm (degradation_clear_alarm).  */
 
-#ifndef POLICY_WATCH_H
-#define POLICY_WATCH_H
+#ifndef POLICY_DEGRADATION_H
+#define POLICY_DEGRADATION_H
 
 #include "policy/rollout.h"
 
@@ -46,7 +46,7 @@
   DEGRADATION_WEIGHT_STEP_MS = 30 * 1000
 };
 
-/* WRITER is that of evidence.h.  */
+/* WRITER is that of crdt.h.  */
 degradation_t *degradation_create (uint64_t writer);
 /* NULL is accepted.  */
 void degradation_destroy (degradation_t *degradation);
@@ -69,7 +69,7 @@
    NOW_MS no longer count.  */
 void degradation_clear_alarm (degradation_t *degradation, str_t version,
                               uint64_t now_ms);
-/* Write, merge and compact the state, as in evidence.h.  */
+/* Write, merge and compact the state, as in crdt.h.  */
 void degradation_write (const degradation_t *degradation, bool own_only,
                         buf_t *out);
 vh_code_t degradation_merge (degradation_t *degradation, str_t bytes,
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -1,7 +1,7 @@
 #include "policy/quality.h"
 
 #include "base/mem.h"
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -78,7 +78,7 @@
   double weight; /* Effective ratings, after decay; 0: prior alone.  */
 } quality_bound_t;
 
-/* WRITER is unique to this life of this process (see evidence.h).  */
+/* WRITER is unique to this life of this process (see crdt.h).  */
 quality_t *quality_create (uint64_t writer,
                            const quality_sampling_t *sampling);
 /* NULL is accepted.  */
@@ -107,7 +107,7 @@
 /* False while it is left alone.  */
 bool quality_rater_ok (const quality_t *quality, uint64_t now_ms);
 
-/* As in evidence.h: fold epochs older than the last two under a lease's
+/* As in crdt.h: fold epochs older than the last two under a lease's
    fencing number, write (news for gossip, all for the table), merge.  */
 void quality_settle (quality_t *quality, uint64_t generation, uint64_t now_ms);
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -32,7 +32,7 @@
    send while the state travels (share x request rate x gossip delay).
 
    Any process can resume a roll-out from its state: the measurements are sums
-   (see evidence.h), and the decision is a function of them.  */
+   (see crdt.h), and the decision is a function of them.  */
 
 #ifndef POLICY_ROLLOUT_H
 #define POLICY_ROLLOUT_H
@@ -133,7 +133,7 @@
 } rollout_estimate_t;
 
 /* Create the state of a roll-out of NEW_VERSION that starts at START_MS (real
-   time); WRITER is that of evidence.h.  All processes must pass the same
+   time); WRITER is that of crdt.h.  All processes must pass the same
    version and start.  */
 rollout_run_t *rollout_create (uint64_t writer, str_t new_version,
                                uint64_t start_ms);
@@ -189,14 +189,14 @@
 
 /* Append the state: the decision and the measurements, or with OWN_ONLY only
    the decision and the recent measurements of this process (see
-   evidence.h).  */
+   crdt.h).  */
 void rollout_write (const rollout_run_t *rollout, bool own_only, buf_t *out);
 /* Merge what rollout_write wrote.  Of two decisions, the one with the larger
    sequence number is kept; of two with the same number, the one that sends
    fewer requests to the new version.  Return VH_OK, or VH_E_PROTOCOL with
    nothing merged.  */
 vh_code_t rollout_merge (rollout_run_t *rollout, str_t bytes, uint64_t now_ms);
-/* Compact all epochs except the last two (see evidence.h).  */
+/* Compact all epochs except the last two (see crdt.h).  */
 void rollout_compact (rollout_run_t *rollout, uint64_t generation,
                       uint64_t now_ms);
 
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -1,6 +1,6 @@
 #include "policy/sample.h"
 
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 
 #include <math.h>
 
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -1,7 +1,7 @@
 /* Tests of learned quality and of the mergeable sums below it.  */
 
 #include "base/rng.h"
-#include "policy/evidence.h"
+#include "policy/crdt.h"
 #include "policy/quality.h"
 
 #include <check.h>
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -2,7 +2,7 @@
    simulated traffic.  */
 
 #include "base/rng.h"
-#include "policy/watch.h"
+#include "policy/degradation.h"
 
 #include <check.h>
 #include <math.h>
