--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -88,7 +88,8 @@
 
 typedef struct
 {
-  burn_objective_t settings; /* Its strings point to NAME and TEAM.  */
+  burn_objective_t
+      settings; /* Its strings point to the fields NAME and TEAM below.  */
   char *name;
   char *team;
   uint64_t hash;
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -34,7 +34,8 @@
   BURN_OBJECTIVES_MAX = 16,
   /* Largest number of pairs of an objective and a name.  */
   BURN_SERIES_MAX = 256,
-  /* Cells that one process fills at most: all names in all hours kept.  */
+  /* Largest number of cells that one process fills: all names in each of the
+     hours kept.  */
   BURN_CELLS_DEFAULT = 20480
 };
 
@@ -118,7 +119,7 @@
   double cost;
 } burn_sample_t;
 
-/* Harm, count and burn rate of one kind in one window.  */
+/* Harm, count and burn rate of one kind of requirement in one window.  */
 typedef struct
 {
   double count; /* Number of requests, or of ratings, that were measured.  */
--- a/packages/policy/crdt.c
+++ b/packages/policy/crdt.c
@@ -56,40 +56,41 @@
 crdt_t *
 crdt_create (const crdt_options_t *options)
 {
-  crdt_t *e = mem_zalloc (sizeof *e);
+  crdt_t *crdt = mem_zalloc (sizeof *crdt);
   uint32_t cell_table_len = hash_table_size (options->cells_max);
   uint32_t key_table_len = hash_table_size (options->keys_max);
   size_t fields = options->fields;
 
-  e->options = *options;
-  e->key_hashes = mem_zalloc (options->keys_max * sizeof *e->key_hashes);
-  e->key_table = mem_zalloc (key_table_len * sizeof *e->key_table);
-  e->key_mask = key_table_len - 1;
-  e->cells = mem_zalloc (cell_table_len * sizeof *e->cells);
-  e->values = mem_zalloc (cell_table_len * fields * sizeof *e->values);
-  e->spare_cells = mem_zalloc (cell_table_len * sizeof *e->cells);
-  e->spare_values = mem_zalloc (cell_table_len * fields * sizeof *e->values);
-  e->cell_mask = cell_table_len - 1;
-  e->generations = mem_zalloc (options->epochs * sizeof *e->generations);
-  e->sums = mem_zalloc ((size_t)options->keys_max * options->epochs * fields
-                        * sizeof *e->sums);
-  return e;
+  crdt->options = *options;
+  crdt->key_hashes = mem_zalloc (options->keys_max * sizeof *crdt->key_hashes);
+  crdt->key_table = mem_zalloc (key_table_len * sizeof *crdt->key_table);
+  crdt->key_mask = key_table_len - 1;
+  crdt->cells = mem_zalloc (cell_table_len * sizeof *crdt->cells);
+  crdt->values = mem_zalloc (cell_table_len * fields * sizeof *crdt->values);
+  crdt->spare_cells = mem_zalloc (cell_table_len * sizeof *crdt->cells);
+  crdt->spare_values
+      = mem_zalloc (cell_table_len * fields * sizeof *crdt->values);
+  crdt->cell_mask = cell_table_len - 1;
+  crdt->generations = mem_zalloc (options->epochs * sizeof *crdt->generations);
+  crdt->sums = mem_zalloc ((size_t)options->keys_max * options->epochs * fields
+                           * sizeof *crdt->sums);
+  return crdt;
 }
 
 void
-crdt_destroy (crdt_t *e)
+crdt_destroy (crdt_t *crdt)
 {
-  if (e == NULL)
+  if (crdt == NULL)
     return;
-  free (e->sums);
-  free (e->generations);
-  free (e->spare_values);
-  free (e->spare_cells);
-  free (e->values);
-  free (e->cells);
-  free (e->key_table);
-  free (e->key_hashes);
-  free (e);
+  free (crdt->sums);
+  free (crdt->generations);
+  free (crdt->spare_values);
+  free (crdt->spare_cells);
+  free (crdt->values);
+  free (crdt->cells);
+  free (crdt->key_table);
+  free (crdt->key_hashes);
+  free (crdt);
 }
 
 static uint64_t
@@ -102,245 +103,247 @@
 
 /* Return the slot of HASH in the key table, in use or free.  */
 static uint32_t
-key_slot (const crdt_t *e, uint64_t hash)
+key_slot (const crdt_t *crdt, uint64_t hash)
 {
-  uint32_t slot_index = (uint32_t)mix_hash (hash) & e->key_mask;
+  uint32_t slot_index = (uint32_t)mix_hash (hash) & crdt->key_mask;
 
-  while (e->key_table[slot_index] != 0
-         && e->key_hashes[e->key_table[slot_index] - 1] != hash)
-    slot_index = (slot_index + 1) & e->key_mask;
+  while (crdt->key_table[slot_index] != 0
+         && crdt->key_hashes[crdt->key_table[slot_index] - 1] != hash)
+    slot_index = (slot_index + 1) & crdt->key_mask;
   return slot_index;
 }
 
 int
-crdt_key_find (const crdt_t *e, uint64_t hash)
+crdt_key_find (const crdt_t *crdt, uint64_t hash)
 {
-  return (int)e->key_table[key_slot (e, hash)] - 1;
+  return (int)crdt->key_table[key_slot (crdt, hash)] - 1;
 }
 
 int
-crdt_key_find_or_add (crdt_t *e, uint64_t hash)
+crdt_key_find_or_add (crdt_t *crdt, uint64_t hash)
 {
-  uint32_t slot_index = key_slot (e, hash);
+  uint32_t slot_index = key_slot (crdt, hash);
 
-  if (e->key_table[slot_index] == 0)
+  if (crdt->key_table[slot_index] == 0)
     {
-      if (e->key_count == e->options.keys_max)
+      if (crdt->key_count == crdt->options.keys_max)
         return -1;
-      e->key_hashes[e->key_count++] = hash;
-      e->key_table[slot_index] = e->key_count;
+      crdt->key_hashes[crdt->key_count++] = hash;
+      crdt->key_table[slot_index] = crdt->key_count;
     }
-  return (int)e->key_table[slot_index] - 1;
+  return (int)crdt->key_table[slot_index] - 1;
 }
 
 static int64_t *
-sums_at (const crdt_t *e, uint32_t key, uint64_t epoch)
+sums_at (const crdt_t *crdt, uint32_t key, uint64_t epoch)
 {
-  size_t slot = epoch % e->options.epochs;
+  size_t slot = epoch % crdt->options.epochs;
 
-  return e->sums
-         + ((size_t)key * e->options.epochs + slot) * e->options.fields;
+  return crdt->sums
+         + ((size_t)key * crdt->options.epochs + slot) * crdt->options.fields;
 }
 
 static int64_t *
-values_at (const crdt_t *e, uint32_t cell)
+values_at (const crdt_t *crdt, uint32_t cell)
 {
-  return e->values + (size_t)cell * e->options.fields;
+  return crdt->values + (size_t)cell * crdt->options.fields;
 }
 
 /* Return the slot of the cell, in use or free.  */
 static uint32_t
-cell_slot (const crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
+cell_slot (const crdt_t *crdt, uint32_t key, uint64_t writer, uint64_t epoch)
 {
   uint64_t hash = mix_hash (writer ^ mix_hash (epoch ^ ((uint64_t)key << 40)));
-  uint32_t slot_index = (uint32_t)hash & e->cell_mask;
+  uint32_t slot_index = (uint32_t)hash & crdt->cell_mask;
 
-  while (e->cells[slot_index].used
-         && (e->cells[slot_index].key != key
-             || e->cells[slot_index].writer != writer
-             || e->cells[slot_index].epoch != epoch))
-    slot_index = (slot_index + 1) & e->cell_mask;
+  while (crdt->cells[slot_index].used
+         && (crdt->cells[slot_index].key != key
+             || crdt->cells[slot_index].writer != writer
+             || crdt->cells[slot_index].epoch != epoch))
+    slot_index = (slot_index + 1) & crdt->cell_mask;
   return slot_index;
 }
 
 /* Rebuild the table without the cells of epochs before FIRST_EPOCH and of
    DROPPED_EPOCH.  */
 static void
-rebuild_cells (crdt_t *e, uint64_t first_epoch, uint64_t dropped_epoch)
-{
-  size_t size = (size_t)e->cell_mask + 1;
-  size_t fields = e->options.fields;
-  cell_t *cells = e->cells;
-  int64_t *values = e->values;
-
-  e->cells = e->spare_cells;
-  e->values = e->spare_values;
-  e->spare_cells = cells;
-  e->spare_values = values;
-  memset (e->cells, 0, size * sizeof *e->cells);
-  e->cell_count = 0;
+rebuild_cells (crdt_t *crdt, uint64_t first_epoch, uint64_t dropped_epoch)
+{
+  size_t size = (size_t)crdt->cell_mask + 1;
+  size_t fields = crdt->options.fields;
+  cell_t *cells = crdt->cells;
+  int64_t *values = crdt->values;
+
+  crdt->cells = crdt->spare_cells;
+  crdt->values = crdt->spare_values;
+  crdt->spare_cells = cells;
+  crdt->spare_values = values;
+  memset (crdt->cells, 0, size * sizeof *crdt->cells);
+  crdt->cell_count = 0;
   for (size_t i = 0; i < size; i++)
     {
       const cell_t *c = &cells[i];
       if (!c->used || c->epoch < first_epoch || c->epoch == dropped_epoch)
         continue;
-      uint32_t slot_index = cell_slot (e, c->key, c->writer, c->epoch);
-      e->cells[slot_index] = *c;
-      memcpy (values_at (e, slot_index), values + i * fields,
+      uint32_t slot_index = cell_slot (crdt, c->key, c->writer, c->epoch);
+      crdt->cells[slot_index] = *c;
+      memcpy (values_at (crdt, slot_index), values + i * fields,
               fields * sizeof *values);
-      e->cell_count++;
+      crdt->cell_count++;
     }
 }
 
 static void
-clear_epoch (crdt_t *e, uint64_t epoch)
+clear_epoch (crdt_t *crdt, uint64_t epoch)
 {
-  e->generations[epoch % e->options.epochs] = 0;
-  for (uint32_t key = 0; key < e->key_count; key++)
-    memset (sums_at (e, key, epoch), 0, e->options.fields * sizeof *e->sums);
+  crdt->generations[epoch % crdt->options.epochs] = 0;
+  for (uint32_t key = 0; key < crdt->key_count; key++)
+    memset (sums_at (crdt, key, epoch), 0,
+            crdt->options.fields * sizeof *crdt->sums);
 }
 
 /* Drop all epochs before FIRST_EPOCH.  */
 static void
-drop_epochs_before (crdt_t *e, uint64_t first_epoch)
+drop_epochs_before (crdt_t *crdt, uint64_t first_epoch)
 {
-  if (first_epoch <= e->first_epoch)
+  if (first_epoch <= crdt->first_epoch)
     return;
-  uint64_t end = first_epoch < e->first_epoch + e->options.epochs
+  uint64_t end = first_epoch < crdt->first_epoch + crdt->options.epochs
                      ? first_epoch
-                     : e->first_epoch + e->options.epochs;
-  for (uint64_t epoch = e->first_epoch; epoch < end; epoch++)
-    clear_epoch (e, epoch);
-  e->first_epoch = first_epoch;
-  rebuild_cells (e, first_epoch, UINT64_MAX);
-  e->changes++;
+                     : crdt->first_epoch + crdt->options.epochs;
+  for (uint64_t epoch = crdt->first_epoch; epoch < end; epoch++)
+    clear_epoch (crdt, epoch);
+  crdt->first_epoch = first_epoch;
+  rebuild_cells (crdt, first_epoch, UINT64_MAX);
+  crdt->changes++;
 }
 
 uint64_t
-crdt_epoch_at (const crdt_t *e, uint64_t now_ms)
+crdt_epoch_at (const crdt_t *crdt, uint64_t now_ms)
 {
-  return now_ms / e->options.epoch_ms;
+  return now_ms / crdt->options.epoch_ms;
 }
 
 static void
-advance_to (crdt_t *e, uint64_t epoch)
+advance_to (crdt_t *crdt, uint64_t epoch)
 {
-  if (epoch > e->last_epoch)
-    e->last_epoch = epoch;
-  if (e->last_epoch + 1 > e->options.epochs)
-    drop_epochs_before (e, e->last_epoch + 1 - e->options.epochs);
+  if (epoch > crdt->last_epoch)
+    crdt->last_epoch = epoch;
+  if (crdt->last_epoch + 1 > crdt->options.epochs)
+    drop_epochs_before (crdt, crdt->last_epoch + 1 - crdt->options.epochs);
 }
 
 void
-crdt_advance (crdt_t *e, uint64_t now_ms)
+crdt_advance (crdt_t *crdt, uint64_t now_ms)
 {
-  advance_to (e, crdt_epoch_at (e, now_ms));
+  advance_to (crdt, crdt_epoch_at (crdt, now_ms));
 }
 
 /* Store the cell's slot in *SLOT_INDEX, creating the cell if it is missing;
    EPOCH must be kept.  Return false if EPOCH itself would have to be dropped
    to make room.  */
 static bool
-cell_find_or_add (crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
+cell_find_or_add (crdt_t *crdt, uint32_t key, uint64_t writer, uint64_t epoch,
                   uint32_t *slot_index)
 {
-  *slot_index = cell_slot (e, key, writer, epoch);
-  if (e->cells[*slot_index].used)
+  *slot_index = cell_slot (crdt, key, writer, epoch);
+  if (crdt->cells[*slot_index].used)
     return true;
-  while (e->cell_count >= e->options.cells_max)
+  while (crdt->cell_count >= crdt->options.cells_max)
     {
-      if (e->first_epoch >= epoch)
+      if (crdt->first_epoch >= epoch)
         return false;
-      drop_epochs_before (e, e->first_epoch + 1);
+      drop_epochs_before (crdt, crdt->first_epoch + 1);
     }
-  *slot_index = cell_slot (e, key, writer, epoch);
-  e->cells[*slot_index] = (cell_t){ writer, epoch, key, 1 };
-  memset (values_at (e, *slot_index), 0, e->options.fields * sizeof (int64_t));
-  e->cell_count++;
+  *slot_index = cell_slot (crdt, key, writer, epoch);
+  crdt->cells[*slot_index] = (cell_t){ writer, epoch, key, 1 };
+  memset (values_at (crdt, *slot_index), 0,
+          crdt->options.fields * sizeof (int64_t));
+  crdt->cell_count++;
   return true;
 }
 
 bool
-crdt_add (crdt_t *e, int key, uint64_t now_ms, const int64_t *sample)
+crdt_add (crdt_t *crdt, int key, uint64_t now_ms, const int64_t *sample)
 {
-  uint64_t epoch = crdt_epoch_at (e, now_ms);
+  uint64_t epoch = crdt_epoch_at (crdt, now_ms);
   uint32_t slot_index;
 
-  advance_to (e, epoch);
-  if (key < 0 || epoch < e->first_epoch)
+  advance_to (crdt, epoch);
+  if (key < 0 || epoch < crdt->first_epoch)
     return false;
-  if (!cell_find_or_add (e, (uint32_t)key, e->options.writer, epoch,
+  if (!cell_find_or_add (crdt, (uint32_t)key, crdt->options.writer, epoch,
                          &slot_index))
     return false;
-  int64_t *cell = values_at (e, slot_index);
-  int64_t *sums = sums_at (e, (uint32_t)key, epoch);
+  int64_t *cell = values_at (crdt, slot_index);
+  int64_t *sums = sums_at (crdt, (uint32_t)key, epoch);
   cell[0]++;
   sums[0]++;
-  for (uint32_t f = 1; f < e->options.fields; f++)
+  for (uint32_t f = 1; f < crdt->options.fields; f++)
     {
       cell[f] += sample[f];
       sums[f] += sample[f];
     }
-  e->changes++;
+  crdt->changes++;
   return true;
 }
 
 uint64_t
-crdt_first_epoch (const crdt_t *e)
+crdt_first_epoch (const crdt_t *crdt)
 {
-  return e->first_epoch;
+  return crdt->first_epoch;
 }
 
 uint64_t
-crdt_last_epoch (const crdt_t *e)
+crdt_last_epoch (const crdt_t *crdt)
 {
-  return e->last_epoch;
+  return crdt->last_epoch;
 }
 
 const int64_t *
-crdt_sums (const crdt_t *e, int key, uint64_t epoch)
+crdt_sums (const crdt_t *crdt, int key, uint64_t epoch)
 {
-  if (key < 0 || epoch < e->first_epoch || epoch > e->last_epoch)
+  if (key < 0 || epoch < crdt->first_epoch || epoch > crdt->last_epoch)
     return NULL;
-  const int64_t *sums = sums_at (e, (uint32_t)key, epoch);
+  const int64_t *sums = sums_at (crdt, (uint32_t)key, epoch);
   return sums[0] != 0 ? sums : NULL;
 }
 
 uint64_t
-crdt_change_count (const crdt_t *e)
+crdt_change_count (const crdt_t *crdt)
 {
-  return e->changes;
+  return crdt->changes;
 }
 
 /* Tell whether there are sums for EPOCH.  */
 static bool
-has_epoch (const crdt_t *e, uint64_t epoch)
+has_epoch (const crdt_t *crdt, uint64_t epoch)
 {
-  for (uint32_t key = 0; key < e->key_count; key++)
-    if (sums_at (e, key, epoch)[0] != 0)
+  for (uint32_t key = 0; key < crdt->key_count; key++)
+    if (sums_at (crdt, key, epoch)[0] != 0)
       return true;
   return false;
 }
 
 bool
-crdt_compact (crdt_t *e, uint64_t epoch, uint64_t generation)
+crdt_compact (crdt_t *crdt, uint64_t epoch, uint64_t generation)
 {
-  uint64_t *current = &e->generations[epoch % e->options.epochs];
+  uint64_t *current = &crdt->generations[epoch % crdt->options.epochs];
 
-  if (epoch < e->first_epoch || epoch > e->last_epoch || *current >= generation
-      || !has_epoch (e, epoch))
+  if (epoch < crdt->first_epoch || epoch > crdt->last_epoch
+      || *current >= generation || !has_epoch (crdt, epoch))
     return false;
   *current = generation;
-  rebuild_cells (e, e->first_epoch, epoch);
-  for (uint32_t key = 0; key < e->key_count; key++)
+  rebuild_cells (crdt, crdt->first_epoch, epoch);
+  for (uint32_t key = 0; key < crdt->key_count; key++)
     {
       uint32_t slot_index;
-      const int64_t *sums = sums_at (e, key, epoch);
-      if (sums[0] != 0 && cell_find_or_add (e, key, 0, epoch, &slot_index))
-        memcpy (values_at (e, slot_index), sums,
-                e->options.fields * sizeof *sums);
+      const int64_t *sums = sums_at (crdt, key, epoch);
+      if (sums[0] != 0 && cell_find_or_add (crdt, key, 0, epoch, &slot_index))
+        memcpy (values_at (crdt, slot_index), sums,
+                crdt->options.fields * sizeof *sums);
     }
-  e->changes++;
+  crdt->changes++;
   return true;
 }
 
@@ -434,56 +437,58 @@
 }
 
 static void
-append_cell (const crdt_t *e, const message_cell_t *message_cell, buf_t *out)
+append_cell (const crdt_t *crdt, const message_cell_t *message_cell,
+             buf_t *out)
 {
   crdt_write_varint (out, message_cell->epoch);
   buf_append (out, &message_cell->hash, sizeof message_cell->hash);
   buf_append (out, &message_cell->writer, sizeof message_cell->writer);
-  for (uint32_t f = 0; f < e->options.fields; f++)
+  for (uint32_t f = 0; f < crdt->options.fields; f++)
     crdt_write_varint (out, zigzag (message_cell->values[f]));
 }
 
 /* Tell whether cell C goes into a message to peers.  */
 static bool
-is_recent_own_cell (const crdt_t *e, const cell_t *c)
+is_recent_own_cell (const crdt_t *crdt, const cell_t *c)
 {
-  return c->writer == e->options.writer
-         && c->epoch + CRDT_RECENT_EPOCHS > e->last_epoch;
+  return c->writer == crdt->options.writer
+         && c->epoch + CRDT_RECENT_EPOCHS > crdt->last_epoch;
 }
 
 void
-crdt_write (const crdt_t *e, bool own_only, buf_t *out)
+crdt_write (const crdt_t *crdt, bool own_only, buf_t *out)
 {
   message_cell_t *message_cells
-      = mem_alloc ((e->cell_count + 1) * sizeof *message_cells);
+      = mem_alloc ((crdt->cell_count + 1) * sizeof *message_cells);
   size_t count = 0;
   size_t generation_count = 0;
 
-  for (uint32_t i = 0; i <= e->cell_mask; i++)
+  for (uint32_t i = 0; i <= crdt->cell_mask; i++)
     {
-      const cell_t *c = &e->cells[i];
-      if (!c->used || (own_only && !is_recent_own_cell (e, c)))
+      const cell_t *c = &crdt->cells[i];
+      if (!c->used || (own_only && !is_recent_own_cell (crdt, c)))
         continue;
       message_cells[count++]
-          = (message_cell_t){ c->epoch, e->key_hashes[c->key], c->writer,
-                              values_at (e, i) };
+          = (message_cell_t){ c->epoch, crdt->key_hashes[c->key], c->writer,
+                              values_at (crdt, i) };
     }
   qsort (message_cells, count, sizeof *message_cells, compare_cells);
-  for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
-    generation_count += e->generations[epoch % e->options.epochs] != 0;
+  for (uint64_t epoch = crdt->first_epoch; epoch <= crdt->last_epoch; epoch++)
+    generation_count += crdt->generations[epoch % crdt->options.epochs] != 0;
   crdt_write_varint (out, FORMAT);
-  crdt_write_varint (out, e->options.fields);
-  crdt_write_varint (out, e->options.epoch_ms);
+  crdt_write_varint (out, crdt->options.fields);
+  crdt_write_varint (out, crdt->options.epoch_ms);
   crdt_write_varint (out, generation_count);
-  for (uint64_t epoch = e->first_epoch; epoch <= e->last_epoch; epoch++)
-    if (e->generations[epoch % e->options.epochs] != 0)
+  for (uint64_t epoch = crdt->first_epoch; epoch <= crdt->last_epoch; epoch++)
+    if (crdt->generations[epoch % crdt->options.epochs] != 0)
       {
         crdt_write_varint (out, epoch);
-        crdt_write_varint (out, e->generations[epoch % e->options.epochs]);
+        crdt_write_varint (out,
+                           crdt->generations[epoch % crdt->options.epochs]);
       }
   crdt_write_varint (out, count);
   for (size_t i = 0; i < count; i++)
-    append_cell (e, &message_cells[i], out);
+    append_cell (crdt, &message_cells[i], out);
   free (message_cells);
 }
 
@@ -501,14 +506,14 @@
 /* Read one cell at the start of *REST into *MESSAGE_CELL and VALUES, and skip
    it.  */
 static bool
-read_cell (const crdt_t *e, str_t *rest, message_cell_t *message_cell,
+read_cell (const crdt_t *crdt, str_t *rest, message_cell_t *message_cell,
            int64_t *values)
 {
   if (!crdt_read_varint (rest, &message_cell->epoch)
       || !read_word (rest, &message_cell->hash)
       || !read_word (rest, &message_cell->writer))
     return false;
-  for (uint32_t f = 0; f < e->options.fields; f++)
+  for (uint32_t f = 0; f < crdt->options.fields; f++)
     {
       uint64_t raw;
       if (!crdt_read_varint (rest, &raw) || raw >> VALUE_BITS_MAX != 0)
@@ -533,39 +538,39 @@
 
 /* Tell whether a cell of EPOCH may be merged at NOW_EPOCH.  */
 static bool
-is_epoch_acceptable (const crdt_t *e, uint64_t epoch, uint64_t now_epoch)
+is_epoch_acceptable (const crdt_t *crdt, uint64_t epoch, uint64_t now_epoch)
 {
-  return epoch >= e->first_epoch && epoch <= now_epoch + 1
-         && epoch + e->options.epochs > now_epoch;
+  return epoch >= crdt->first_epoch && epoch <= now_epoch + 1
+         && epoch + crdt->options.epochs > now_epoch;
 }
 
 static void
-merge_generation (crdt_t *e, uint64_t epoch, uint64_t generation)
+merge_generation (crdt_t *crdt, uint64_t epoch, uint64_t generation)
 {
-  uint64_t *current = &e->generations[epoch % e->options.epochs];
+  uint64_t *current = &crdt->generations[epoch % crdt->options.epochs];
 
   if (generation <= *current)
     return;
-  rebuild_cells (e, e->first_epoch, epoch);
-  clear_epoch (e, epoch);
+  rebuild_cells (crdt, crdt->first_epoch, epoch);
+  clear_epoch (crdt, epoch);
   *current = generation;
 }
 
 static void
-merge_cell (crdt_t *e, const message_cell_t *message_cell)
+merge_cell (crdt_t *crdt, const message_cell_t *message_cell)
 {
-  int key = crdt_key_find_or_add (e, message_cell->hash);
+  int key = crdt_key_find_or_add (crdt, message_cell->hash);
   uint32_t slot_index;
 
   if (key < 0
-      || !cell_find_or_add (e, (uint32_t)key, message_cell->writer,
+      || !cell_find_or_add (crdt, (uint32_t)key, message_cell->writer,
                             message_cell->epoch, &slot_index)
-      || !is_newer (message_cell->values, values_at (e, slot_index),
-                    e->options.fields))
+      || !is_newer (message_cell->values, values_at (crdt, slot_index),
+                    crdt->options.fields))
     return;
-  int64_t *cell = values_at (e, slot_index);
-  int64_t *sums = sums_at (e, (uint32_t)key, message_cell->epoch);
-  for (uint32_t f = 0; f < e->options.fields; f++)
+  int64_t *cell = values_at (crdt, slot_index);
+  int64_t *sums = sums_at (crdt, (uint32_t)key, message_cell->epoch);
+  for (uint32_t f = 0; f < crdt->options.fields; f++)
     {
       sums[f] += message_cell->values[f] - cell[f];
       cell[f] = message_cell->values[f];
@@ -575,7 +580,7 @@
 /* Parts of a message after its header.  */
 typedef struct
 {
-  /* Starts with the compacted epochs and their generations.  */
+  /* Bytes from the compacted epochs and their generations on.  */
   str_t compacted;
   uint64_t compacted_count;
   str_t cells;
@@ -585,14 +590,14 @@
 /* Split BYTES into *MESSAGE.  Return false if the header is malformed or
    belongs to a state with other fields or another epoch length.  */
 static bool
-read_header (const crdt_t *e, str_t bytes, message_t *message)
+read_header (const crdt_t *crdt, str_t bytes, message_t *message)
 {
   uint64_t format, fields, epoch_ms, skipped;
 
   if (!crdt_read_varint (&bytes, &format) || format != FORMAT
-      || !crdt_read_varint (&bytes, &fields) || fields != e->options.fields
+      || !crdt_read_varint (&bytes, &fields) || fields != crdt->options.fields
       || !crdt_read_varint (&bytes, &epoch_ms)
-      || epoch_ms != e->options.epoch_ms
+      || epoch_ms != crdt->options.epoch_ms
       || !crdt_read_varint (&bytes, &message->compacted_count))
     return false;
   message->compacted = bytes;
@@ -608,14 +613,14 @@
 
 /* Tell whether every cell is well formed and no bytes follow the last one.  */
 static bool
-has_valid_cells (const crdt_t *e, const message_t *message)
+has_valid_cells (const crdt_t *crdt, const message_t *message)
 {
   int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = message->cells;
   message_cell_t message_cell;
 
   for (uint64_t i = 0; i < message->cell_count; i++)
-    if (!read_cell (e, &rest, &message_cell, values))
+    if (!read_cell (crdt, &rest, &message_cell, values))
       return false;
   return rest.len == 0;
 }
@@ -636,7 +641,7 @@
 }
 
 static void
-merge_compacted (crdt_t *e, const message_t *message, uint64_t now_epoch)
+merge_compacted (crdt_t *crdt, const message_t *message, uint64_t now_epoch)
 {
   str_t rest = message->compacted;
   uint64_t epoch = 0;
@@ -645,15 +650,15 @@
   for (uint64_t i = 0; i < message->compacted_count; i++)
     if (crdt_read_varint (&rest, &epoch)
         && crdt_read_varint (&rest, &generation)
-        && is_epoch_acceptable (e, epoch, now_epoch))
+        && is_epoch_acceptable (crdt, epoch, now_epoch))
       {
-        advance_to (e, epoch);
-        merge_generation (e, epoch, generation);
+        advance_to (crdt, epoch);
+        merge_generation (crdt, epoch, generation);
       }
 }
 
 static void
-merge_cells (crdt_t *e, const message_t *message, uint64_t now_epoch)
+merge_cells (crdt_t *crdt, const message_t *message, uint64_t now_epoch)
 {
   int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = message->cells;
@@ -661,37 +666,39 @@
 
   for (uint64_t i = 0; i < message->cell_count; i++)
     {
-      if (!read_cell (e, &rest, &message_cell, values))
+      if (!read_cell (crdt, &rest, &message_cell, values))
         return;
-      if (!is_epoch_acceptable (e, message_cell.epoch, now_epoch))
+      if (!is_epoch_acceptable (crdt, message_cell.epoch, now_epoch))
         continue;
-      advance_to (e, message_cell.epoch);
+      advance_to (crdt, message_cell.epoch);
       /* The cells of an older generation are already in the compacted cell. */
       if (message_generation (message, message_cell.epoch)
-          == e->generations[message_cell.epoch % e->options.epochs])
-        merge_cell (e, &message_cell);
+          == crdt->generations[message_cell.epoch % crdt->options.epochs])
+        merge_cell (crdt, &message_cell);
     }
 }
 
 bool
-crdt_is_valid (const crdt_t *e, str_t bytes)
+crdt_is_valid (const crdt_t *crdt, str_t bytes)
 {
   message_t message = { 0 };
 
-  return read_header (e, bytes, &message) && has_valid_cells (e, &message);
+  return read_header (crdt, bytes, &message)
+         && has_valid_cells (crdt, &message);
 }
 
 vh_code_t
-crdt_merge (crdt_t *e, str_t bytes, uint64_t now_ms)
+crdt_merge (crdt_t *crdt, str_t bytes, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (e, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (crdt, now_ms);
   message_t message = { 0 };
 
-  if (!read_header (e, bytes, &message) || !has_valid_cells (e, &message))
+  if (!read_header (crdt, bytes, &message)
+      || !has_valid_cells (crdt, &message))
     return VH_E_PROTOCOL;
-  advance_to (e, now_epoch);
-  merge_compacted (e, &message, now_epoch);
-  merge_cells (e, &message, now_epoch);
-  e->changes++;
+  advance_to (crdt, now_epoch);
+  merge_compacted (crdt, &message, now_epoch);
+  merge_cells (crdt, &message, now_epoch);
+  crdt->changes++;
   return VH_OK;
 }
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -56,7 +56,8 @@
 /* The CUSUM of one metric of one series.  */
 typedef struct
 {
-  /* SQUARES is the sum of squared deviations from the mean.  */
+  /* Moments of the usual values; SQUARES is the sum of squared deviations from
+     the mean.  */
   moments_t reference;
   double value; /* Sum of log-likelihood ratios; not below 0.  */
   /* Sums since the CUSUM was last 0, of this series' answers and of their
@@ -99,19 +100,19 @@
                                    .fields = SAMPLE_FIELDS,
                                    .keys_max = DEGRADATION_SERIES_MAX,
                                    .cells_max = DEGRADATION_CELLS_MAX };
-  degradation_t *w = mem_zalloc (sizeof *w);
+  degradation_t *d = mem_zalloc (sizeof *d);
 
-  w->measurements = crdt_create (&options);
-  return w;
+  d->measurements = crdt_create (&options);
+  return d;
 }
 
 void
-degradation_destroy (degradation_t *w)
+degradation_destroy (degradation_t *d)
 {
-  if (w == NULL)
+  if (d == NULL)
     return;
-  crdt_destroy (w->measurements);
-  free (w);
+  crdt_destroy (d->measurements);
+  free (d);
 }
 
 static uint64_t
@@ -122,53 +123,53 @@
 }
 
 static version_alarm_t *
-version_find (const degradation_t *w, uint64_t hash)
+version_find (const degradation_t *d, uint64_t hash)
 {
-  for (uint32_t i = 0; i < w->version_count; i++)
-    if (w->versions[i].hash == hash)
-      return (version_alarm_t *)&w->versions[i];
+  for (uint32_t i = 0; i < d->version_count; i++)
+    if (d->versions[i].hash == hash)
+      return (version_alarm_t *)&d->versions[i];
   return NULL;
 }
 
 /* Return the alarm state of the version, created on first use; NULL if there
    is no room.  */
 static version_alarm_t *
-version_find_or_add (degradation_t *w, uint64_t hash)
+version_find_or_add (degradation_t *d, uint64_t hash)
 {
-  version_alarm_t *found = version_find (w, hash);
+  version_alarm_t *found = version_find (d, hash);
 
-  if (found != NULL || w->version_count == DEGRADATION_VERSIONS_MAX)
+  if (found != NULL || d->version_count == DEGRADATION_VERSIONS_MAX)
     return found;
-  w->versions[w->version_count].hash = hash;
-  return &w->versions[w->version_count++];
+  d->versions[d->version_count].hash = hash;
+  return &d->versions[d->version_count++];
 }
 
 /* Return the key of the series, created on first use; -1 if there is no
    room.  */
 static int
-series_find_or_add (degradation_t *w, uint64_t version, uint64_t task)
+series_find_or_add (degradation_t *d, uint64_t version, uint64_t task)
 {
   uint64_t hash = version ^ (task * 0x9e3779b97f4a7c15u);
-  version_alarm_t *entry = version_find_or_add (w, version);
+  version_alarm_t *alarm_state = version_find_or_add (d, version);
 
-  if (entry == NULL)
+  if (alarm_state == NULL)
     return -1;
-  int key = crdt_key_find_or_add (w->measurements, hash);
-  if (key >= 0 && w->series[key].version == 0)
-    w->series[key]
-        = (series_t){ version, task, (uint32_t)(entry - w->versions) };
+  int key = crdt_key_find_or_add (d->measurements, hash);
+  if (key >= 0 && d->series[key].version == 0)
+    d->series[key]
+        = (series_t){ version, task, (uint32_t)(alarm_state - d->versions) };
   return key;
 }
 
 void
-degradation_observe (degradation_t *w, str_t version, str_t task,
+degradation_observe (degradation_t *d, str_t version, str_t task,
                      const rollout_sample_t *sample, uint64_t now_ms)
 {
   int64_t fields[SAMPLE_FIELDS];
-  int key = series_find_or_add (w, hash_name (version), hash_name (task));
+  int key = series_find_or_add (d, hash_name (version), hash_name (task));
 
   sample_fields (sample, fields);
-  crdt_add (w->measurements, key, now_ms, fields);
+  crdt_add (d->measurements, key, now_ms, fields);
 }
 
 static bool
@@ -245,7 +246,7 @@
 /* Load the epoch into all CUSUMs of METRIC and sum the shifts by version.
    Return the sum over all versions.  */
 static shift_sum_t
-load_epoch_shifts (degradation_t *w, uint64_t epoch, rollout_metric_t metric,
+load_epoch_shifts (degradation_t *d, uint64_t epoch, rollout_metric_t metric,
                    shift_sum_t by_version[DEGRADATION_VERSIONS_MAX])
 {
   shift_sum_t total = { 0, 0 };
@@ -253,14 +254,14 @@
   memset (by_version, 0, DEGRADATION_VERSIONS_MAX * sizeof *by_version);
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
-      cusum_t *cusum = &w->cusums[key][metric];
-      const series_t *s = &w->series[key];
-      uint64_t cleared_ms = w->versions[s->version_index].cleared_ms;
+      cusum_t *cusum = &d->cusums[key][metric];
+      const series_t *s = &d->series[key];
+      uint64_t cleared_ms = d->versions[s->version_index].cleared_ms;
       cusum->epoch_moments = (moments_t){ 0, 0, 0 };
       if (s->version == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
         continue;
       cusum->epoch_moments
-          = sample_moments (crdt_sums (w->measurements, key, epoch), metric);
+          = sample_moments (crdt_sums (d->measurements, key, epoch), metric);
       if (cusum->epoch_moments.count <= 0
           || cusum->reference.count < REFERENCE_ANSWERS_MIN)
         continue;
@@ -344,22 +345,22 @@
 
 /* Add EPOCH to all CUSUMs of METRIC.  Return true if an alarm was raised.  */
 static bool
-evaluate_epoch (degradation_t *w, uint64_t epoch, rollout_metric_t metric)
+evaluate_epoch (degradation_t *d, uint64_t epoch, rollout_metric_t metric)
 {
   shift_sum_t by_version[DEGRADATION_VERSIONS_MAX];
-  shift_sum_t total = load_epoch_shifts (w, epoch, metric, by_version);
+  shift_sum_t total = load_epoch_shifts (d, epoch, metric, by_version);
   bool raised = false;
 
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
-      const series_t *s = &w->series[key];
+      const series_t *s = &d->series[key];
       if (s->version == 0)
         continue;
       shift_sum_t others
           = { total.count - by_version[s->version_index].count,
               total.shift_sum - by_version[s->version_index].shift_sum };
-      version_alarm_t *v = &w->versions[s->version_index];
-      if (cusum_add_epoch (&w->cusums[key][metric], metric, &others)
+      version_alarm_t *v = &d->versions[s->version_index];
+      if (cusum_add_epoch (&d->cusums[key][metric], metric, &others)
           && !has_alarm (v))
         {
           raise_alarm (v, metric, epoch);
@@ -370,31 +371,31 @@
 }
 
 bool
-degradation_check (degradation_t *w, uint64_t now_ms)
+degradation_check (degradation_t *d, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (w->measurements, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (d->measurements, now_ms);
   bool raised = false;
 
-  crdt_advance (w->measurements, now_ms);
-  if (now_epoch == w->evaluated_epoch)
+  crdt_advance (d->measurements, now_ms);
+  if (now_epoch == d->evaluated_epoch)
     return false;
-  w->evaluated_epoch = now_epoch;
+  d->evaluated_epoch = now_epoch;
   /* Start again at the first epoch kept, so that measurements that arrived
      late or from other processes count in their epoch and all processes find
      the same.  */
-  memset (w->cusums, 0, sizeof w->cusums);
-  uint64_t epoch = crdt_first_epoch (w->measurements);
+  memset (d->cusums, 0, sizeof d->cusums);
+  uint64_t epoch = crdt_first_epoch (d->measurements);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
-      raised = evaluate_epoch (w, epoch, (rollout_metric_t)m) || raised;
+      raised = evaluate_epoch (d, epoch, (rollout_metric_t)m) || raised;
   return raised;
 }
 
 double
-degradation_traffic_weight (const degradation_t *w, str_t version,
+degradation_traffic_weight (const degradation_t *d, str_t version,
                             uint64_t now_ms)
 {
-  const version_alarm_t *v = version_find (w, hash_name (version));
+  const version_alarm_t *v = version_find (d, hash_name (version));
 
   if (v == NULL || !has_alarm (v))
     return 1;
@@ -405,10 +406,10 @@
 }
 
 bool
-degradation_get_alarm (const degradation_t *w, str_t version,
+degradation_get_alarm (const degradation_t *d, str_t version,
                        rollout_metric_t *metric, uint64_t *since_ms)
 {
-  const version_alarm_t *v = version_find (w, hash_name (version));
+  const version_alarm_t *v = version_find (d, hash_name (version));
 
   if (v == NULL || !has_alarm (v))
     return false;
@@ -418,39 +419,39 @@
 }
 
 void
-degradation_clear_alarm (degradation_t *w, str_t version, uint64_t now_ms)
+degradation_clear_alarm (degradation_t *d, str_t version, uint64_t now_ms)
 {
-  version_alarm_t *v = version_find_or_add (w, hash_name (version));
+  version_alarm_t *v = version_find_or_add (d, hash_name (version));
 
   if (v != NULL && v->cleared_ms < now_ms)
     clear_alarm (v, now_ms);
 }
 
 void
-degradation_write (const degradation_t *w, bool own_only, buf_t *out)
+degradation_write (const degradation_t *d, bool own_only, buf_t *out)
 {
   uint64_t count = 0;
 
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
-    count += w->series[key].version != 0;
+    count += d->series[key].version != 0;
   crdt_write_varint (out, FORMAT);
   crdt_write_varint (out, count);
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
-    if (w->series[key].version != 0)
+    if (d->series[key].version != 0)
       {
-        crdt_write_varint (out, w->series[key].version);
-        crdt_write_varint (out, w->series[key].task);
+        crdt_write_varint (out, d->series[key].version);
+        crdt_write_varint (out, d->series[key].task);
       }
-  crdt_write_varint (out, w->version_count);
-  for (uint32_t i = 0; i < w->version_count; i++)
+  crdt_write_varint (out, d->version_count);
+  for (uint32_t i = 0; i < d->version_count; i++)
     {
-      const version_alarm_t *v = &w->versions[i];
+      const version_alarm_t *v = &d->versions[i];
       crdt_write_varint (out, v->hash);
       crdt_write_varint (out, v->cleared_ms);
       crdt_write_varint (out, v->since_ms);
       crdt_write_varint (out, v->metric);
     }
-  crdt_write (w->measurements, own_only, out);
+  crdt_write (d->measurements, own_only, out);
 }
 
 static bool
@@ -481,7 +482,7 @@
 }
 
 vh_code_t
-degradation_merge (degradation_t *w, str_t bytes, uint64_t now_ms)
+degradation_merge (degradation_t *d, str_t bytes, uint64_t now_ms)
 {
   uint64_t format, series, versions;
   uint64_t version = 0;
@@ -504,27 +505,27 @@
   for (uint64_t i = 0; i < versions; i++)
     if (!read_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
-  if (!crdt_is_valid (w->measurements, bytes))
+  if (!crdt_is_valid (d->measurements, bytes))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < series && crdt_read_varint (&names, &version)
                        && crdt_read_varint (&names, &task);
        i++)
-    series_find_or_add (w, version, task);
+    series_find_or_add (d, version, task);
   for (uint64_t i = 0; i < versions && read_alarm (&alarms, &alarm); i++)
     {
-      version_alarm_t *own = version_find_or_add (w, alarm.hash);
+      version_alarm_t *own = version_find_or_add (d, alarm.hash);
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
-  return crdt_merge (w->measurements, bytes, now_ms);
+  return crdt_merge (d->measurements, bytes, now_ms);
 }
 
 void
-degradation_compact (degradation_t *w, uint64_t generation, uint64_t now_ms)
+degradation_compact (degradation_t *d, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (w->measurements, now_ms);
-  uint64_t epoch = crdt_first_epoch (w->measurements);
+  uint64_t now_epoch = crdt_epoch_at (d->measurements, now_ms);
+  uint64_t epoch = crdt_first_epoch (d->measurements);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (w->measurements, epoch, generation);
+    crdt_compact (d->measurements, epoch, generation);
 }
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -56,7 +56,7 @@
   trial_phase_t phase;
   bool is_final_phase_stored; /* Whether the row in the store holds a final
                                  phase.  */
-  counts_t own;
+  counts_t own_counts;
   load_times_t usual_times[TRIAL_TIMING_COUNT][TRIAL_ROUTE_CELLS]
                           [TRIAL_LOAD_CLASSES];
   map_t *peers;              /* Name of a process to its counts_t.  */
@@ -257,14 +257,15 @@
 static void
 sums_add_answer (trial_sums_t *sums, trial_outcome_t outcome)
 {
-  double weight = outcome == TRIAL_CONNECTION_LOST ? TRIAL_BROKEN_WEIGHT : 1;
+  double weight
+      = outcome == TRIAL_CONNECTION_LOST ? TRIAL_LOST_CONNECTION_WEIGHT : 1;
 
   sums->count += weight;
   if (outcome != TRIAL_ANSWERED)
     sums->failed += weight;
   if (outcome == TRIAL_CONNECTION_LOST)
     {
-      sums->broken += 1;
+      sums->lost_connections += 1;
       return;
     }
   sums->total_count += 1;
@@ -276,8 +277,8 @@
 trial_observe (trial_t *trial, trial_arm_t arm, uint64_t route,
                trial_outcome_t outcome, uint64_t wait_ms, bool is_loaded)
 {
-  trial_sums_t *sums = &trial->own.sums[arm][route % TRIAL_ROUTE_CELLS];
-  trial_sums_t *loaded = &trial->own.sums[arm][TRIAL_ROUTE_CELLS];
+  trial_sums_t *sums = &trial->own_counts.sums[arm][route % TRIAL_ROUTE_CELLS];
+  trial_sums_t *loaded = &trial->own_counts.sums[arm][TRIAL_ROUTE_CELLS];
 
   if (is_loaded)
     sums_add_answer (loaded, outcome);
@@ -286,8 +287,8 @@
     {
       double log_wait = log ((double)wait_ms);
       sums->first_events += 1;
-      sums->log_wait += log_wait;
-      sums->log_wait_squared += log_wait * log_wait;
+      sums->log_wait_sum += log_wait;
+      sums->log_wait_square_sum += log_wait * log_wait;
     }
   trial->has_unwritten_counts = true;
 }
@@ -331,7 +332,7 @@
       = trial
             ->usual_times[timing][timing == TRIAL_TIMING_EVENT_GAP ? 0 : cell];
   size_t class = load_class (load);
-  trial_sums_t *sums = &trial->own.sums[arm][cell];
+  trial_sums_t *sums = &trial->own_counts.sums[arm][cell];
   double usual_ms = usual_time_ms (loads, class);
 
   if (ms <= 0)
@@ -342,9 +343,9 @@
         && now_ms < trial->step_start_ms + TRIAL_WARM_UP_MS + (uint64_t)ms;
   if (usual_ms > 0 && !is_warming_up)
     {
-      sums->timed[timing] += 1;
+      sums->timing_count[timing] += 1;
       if (ms > usual_ms * timings[timing].late_factor)
-        sums->late[timing] += 1;
+        sums->late_count[timing] += 1;
       trial->has_unwritten_counts = true;
     }
   if (arm != TRIAL_OLD)
@@ -361,8 +362,8 @@
 #undef X
   for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
     {
-      sums->timed[timing] *= TRIAL_TIMING_DECAY_PER_S;
-      sums->late[timing] *= TRIAL_TIMING_DECAY_PER_S;
+      sums->timing_count[timing] *= TRIAL_TIMING_DECAY_PER_S;
+      sums->late_count[timing] *= TRIAL_TIMING_DECAY_PER_S;
     }
 }
 
@@ -374,8 +375,8 @@
 #undef X
   for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
     {
-      to->timed[timing] += from->timed[timing];
-      to->late[timing] += from->late[timing];
+      to->timing_count[timing] += from->timing_count[timing];
+      to->late_count[timing] += from->late_count[timing];
     }
 }
 
@@ -394,7 +395,7 @@
   str_t key;
   void *value;
 
-  counts_decay (&trial->own);
+  counts_decay (&trial->own_counts);
   load_times_t *usual_times = &trial->usual_times[0][0][0];
   for (size_t i = 0;
        i < (size_t)TRIAL_TIMING_COUNT * TRIAL_ROUTE_CELLS * TRIAL_LOAD_CLASSES;
@@ -421,7 +422,7 @@
 static counts_t
 total_counts (const trial_t *trial, bool sent_only)
 {
-  counts_t all = trial->own;
+  counts_t all = trial->own_counts;
   size_t cursor = 0;
   str_t key;
   void *value;
@@ -442,7 +443,7 @@
 void
 trial_write (trial_t *trial, bool all, buf_t *out)
 {
-  const counts_t counts = all ? total_counts (trial, true) : trial->own;
+  const counts_t counts = all ? total_counts (trial, true) : trial->own_counts;
 
   buf_printf (out, "%llu", (unsigned long long)trial->order);
   for (size_t arm = 0; arm < TRIAL_ARM_COUNT; arm++)
@@ -454,8 +455,8 @@
         TRIAL_SUMS (X)
 #undef X
         for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
-          buf_printf (out, " %.2f %.2f", sums->timed[timing],
-                      sums->late[timing]);
+          buf_printf (out, " %.2f %.2f", sums->timing_count[timing],
+                      sums->late_count[timing]);
       }
   trial->has_unwritten_counts = false;
 }
@@ -491,8 +492,8 @@
         TRIAL_SUMS (X)
 #undef X
         for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
-          if (!read_number (&text, &sums->timed[timing])
-              || !read_number (&text, &sums->late[timing]))
+          if (!read_number (&text, &sums->timing_count[timing])
+              || !read_number (&text, &sums->late_count[timing]))
             return VH_E_PROTOCOL;
       }
   counts_t *peer = map_get (trial->peers, process);
@@ -532,12 +533,13 @@
 }
 
 /* Return the share of SUMS that failed, with a weight of
-   TRIAL_ADVANCE_BROKEN_WEIGHT for lost connections.  */
+   TRIAL_ADVANCE_LOST_CONNECTION_WEIGHT for lost connections.  */
 static double
 advance_failure_share (const trial_sums_t *sums)
 {
-  double extra
-      = sums->broken * (TRIAL_ADVANCE_BROKEN_WEIGHT - TRIAL_BROKEN_WEIGHT);
+  double extra = sums->lost_connections
+                 * (TRIAL_ADVANCE_LOST_CONNECTION_WEIGHT
+                    - TRIAL_LOST_CONNECTION_WEIGHT);
 
   return (sums->failed + extra) / (sums->count + extra);
 }
@@ -552,10 +554,11 @@
   if (new->count < TRIAL_ADVANCE_ANSWERS_MIN)
     return in_step_ms >= TRIAL_STEP_TIMEOUT_FACTOR * step_min_ms;
   for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
-    if (new->timed[timing] > 0
-        && has_share_excess (old->late[timing], old->timed[timing],
-                             new->late[timing], new->timed[timing],
-                             TRIAL_HOLD_LATE_EXCESS, stderrs))
+    if (new->timing_count[timing] > 0
+        && has_share_excess (
+            old->late_count[timing], old->timing_count[timing],
+            new->late_count[timing], new->timing_count[timing],
+            TRIAL_HOLD_LATE_EXCESS, stderrs))
       return false;
   return advance_failure_share (new)
              - old_failure_share (old->failed, old->count)
@@ -584,12 +587,12 @@
   if (new->first_events < TRIAL_ANSWERS_MIN
       || old->first_events < TRIAL_ANSWERS_MIN)
     return false;
-  double mean_new = new->log_wait / new->first_events;
-  double mean_old = old->log_wait / old->first_events;
+  double mean_new = new->log_wait_sum / new->first_events;
+  double mean_old = old->log_wait_sum / old->first_events;
   double var_new
-      = new->log_wait_squared / new->first_events - mean_new *mean_new;
+      = new->log_wait_square_sum / new->first_events - mean_new *mean_new;
   double var_old
-      = old->log_wait_squared / old->first_events - mean_old * mean_old;
+      = old->log_wait_square_sum / old->first_events - mean_old * mean_old;
   double std_error = sqrt (fmax (var_new, 0.05) / new->first_events
                            + fmax (var_old, 0.05) / old->first_events);
   return mean_new - mean_old > log (TRIAL_FIRST_EVENT_RATIO)
@@ -617,20 +620,22 @@
       buf_printf (
           reason,
           "time to the first event: %.0f ms; of the old version: %.0f ms",
-          exp (new->log_wait / new->first_events),
-          exp (old->log_wait / old->first_events));
+          exp (new->log_wait_sum / new->first_events),
+          exp (old->log_wait_sum / old->first_events));
       return true;
     }
   for (size_t timing = 0; timing < TRIAL_TIMING_COUNT; timing++)
-    if (new->timed[timing] >= timings[timing].samples_min
-        && has_share_excess (old->late[timing], old->timed[timing],
-                             new->late[timing], new->timed[timing],
-                             TRIAL_LATE_EXCESS, timings[timing].stderrs))
+    if (new->timing_count[timing] >= timings[timing].samples_min
+        && has_share_excess (
+            old->late_count[timing], old->timing_count[timing],
+            new->late_count[timing], new->timing_count[timing],
+            TRIAL_LATE_EXCESS, timings[timing].stderrs))
       {
         buf_printf (reason,
                     "late %s: %.0f of %.0f; of the old version: %.0f of %.0f",
-                    timings[timing].name, new->late[timing],
-                    new->timed[timing], old->late[timing], old->timed[timing]);
+                    timings[timing].name, new->late_count[timing],
+                    new->timing_count[timing], old->late_count[timing],
+                    old->timing_count[timing]);
         return true;
       }
   return false;
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -26,8 +26,8 @@
      failures.
    - An instance that crashes ends all its requests, at each process: one event
      looks like many failures of the version.  A lost connection therefore has
-     the weight TRIAL_BROKEN_WEIGHT, with which a version that loses half of
-     its connections is still detected.
+     the weight TRIAL_LOST_CONNECTION_WEIGHT, with which a version that loses
+   half of its connections is still detected.
    - A version may fail only on loaded instances, and its answers from the
      other instances would hide that, so answers of loaded instances also count
      in a cell of their own.
@@ -76,9 +76,9 @@
 #define TRIAL_FINAL_HOLD_STDERRS 3.0
 /* Weight of a lost connection as a failure when the version is tested for
    being bad: a crash loses several connections at once.  */
-#define TRIAL_BROKEN_WEIGHT 0.2
+#define TRIAL_LOST_CONNECTION_WEIGHT 0.2
 /* Weight of a lost connection as a failure when a step is to advance.  */
-#define TRIAL_ADVANCE_BROKEN_WEIGHT 0.5
+#define TRIAL_ADVANCE_LOST_CONNECTION_WEIGHT 0.5
 /* Factor by which counts of answers decay in a second.  */
 #define TRIAL_DECAY_PER_S 0.85
 /* Factor by which counts of late times decay in a second; larger, since a
@@ -108,8 +108,8 @@
   X (TRIAL_STEP_NO_TRAFFIC, 0.50)                                             \
   X (TRIAL_STEP_INITIAL, 0.11)                                                \
   X (TRIAL_STEP_INCREASED, 0.06)
-/* Part of the operators' bound on exposure that the shares of all steps add up
-   to.  */
+/* Part of the operators' bound on exposure that the requests of all steps make
+   up together.  */
 #define TRIAL_EXPOSURE_USED 0.8
 /* Share in TRIAL_STEP_INITIAL, as a part of the operators' bound.  */
 #define TRIAL_INITIAL_EXPOSURE 0.7
@@ -148,7 +148,7 @@
   /* Time after the new version's first requests in which its time to the first
      event is ignored: its instances have no prompt in their caches yet.  */
   TRIAL_WARM_UP_MS = 1000,
-  /* Age at which a process's counts no longer count.  Processes report every
+  /* Age at which the counts of another process expire.  Processes report every
      second, and one that changes to another reader of the store must not count
      twice for long.  */
   TRIAL_PEER_EXPIRY_S = 4,
@@ -157,7 +157,7 @@
      operators read the result within the limit.  */
   TRIAL_FINISH_LEAD_MS = 700,
   /* Time before the limit at which a version that is held back is rolled back,
-     for the same reason.  */
+     so that the operators read the result within the limit.  */
   TRIAL_ROLLBACK_LEAD_MS = 300
 };
 
@@ -182,16 +182,16 @@
 #define TRIAL_SUMS(X)                                                         \
   X (count, 2, TRIAL_DECAY_PER_S)                                             \
   X (failed, 2, TRIAL_DECAY_PER_S)                                            \
-  /* Lost connections, without weight.  */                                    \
-  X (broken, 2, TRIAL_DECAY_PER_S)                                            \
+  /* Number of lost connections, without weight.  */                          \
+  X (lost_connections, 2, TRIAL_DECAY_PER_S)                                  \
   /* Answers and failed ones since the start, without decay and without lost  \
      connections.  */                                                         \
   X (total_count, 1, 1)                                                       \
   X (total_failed, 1, 1)                                                      \
   /* Answers with a first event.  */                                          \
   X (first_events, 2, TRIAL_DECAY_PER_S)                                      \
-  X (log_wait, 3, TRIAL_DECAY_PER_S)                                          \
-  X (log_wait_squared, 3, TRIAL_DECAY_PER_S)
+  X (log_wait_sum, 3, TRIAL_DECAY_PER_S)                                      \
+  X (log_wait_square_sum, 3, TRIAL_DECAY_PER_S)
 
 /* Sums over the answers of one version in one cell.  */
 typedef struct
@@ -199,8 +199,8 @@
 #define X(field, decimals, decay) double field;
   TRIAL_SUMS (X)
 #undef X
-  double timed[TRIAL_TIMING_COUNT]; /* Measured times.  */
-  double late[TRIAL_TIMING_COUNT];  /* Measured times that were late.  */
+  double timing_count[TRIAL_TIMING_COUNT]; /* Number of measured times.  */
+  double late_count[TRIAL_TIMING_COUNT]; /* Number of late ones among them.  */
 } trial_sums_t;
 
 /* ORDER is the number of the operators' order, which tells two orders for the
@@ -242,7 +242,7 @@
    When the share rises, keys are only added.  */
 bool trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms);
 
-/* Previous sends of one request.  */
+/* Earlier sends of one request.  */
 typedef struct
 {
   bool was_sent;      /* Whether the request was sent before, to ARM.  */
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -56,33 +56,35 @@
 }
 
 static int
-draw_task (simulation_t *w)
+draw_task (simulation_t *sim)
 {
-  double u = rng_double (&w->rng);
+  double u = rng_double (&sim->rng);
 
-  if (w->has_changing_mix && (w->requests / 20000) % 2 == 1)
+  if (sim->has_changing_mix && (sim->requests / 20000) % 2 == 1)
     u = 1 - u;
   return u < 0.5 ? 0 : u < 0.8 ? 1 : 2;
 }
 
 static rollout_sample_t
-draw_sample (simulation_t *w, rollout_arm_t arm, int task)
+draw_sample (simulation_t *sim, rollout_arm_t arm, int task)
 {
   static const double means[TASKS] = { 0.9, 0.8, 0.6 };
-  bool is_affected = arm == ROLLOUT_NEW
-                     && (w->regression.task < 0 || w->regression.task == task);
-  double error = 0.005 + (is_affected ? w->regression.error : 0);
-  double rating = means[task] + 0.15 * draw_normal (&w->rng);
+  bool is_affected
+      = arm == ROLLOUT_NEW
+        && (sim->regression.task < 0 || sim->regression.task == task);
+  double error = 0.005 + (is_affected ? sim->regression.error : 0);
+  double rating = means[task] + 0.15 * draw_normal (&sim->rng);
   rollout_sample_t s = { .finished = true };
 
-  s.failed = rng_double (&w->rng) < error;
-  s.latency_ms = 800 * exp (0.4 * draw_normal (&w->rng));
+  s.failed = rng_double (&sim->rng) < error;
+  s.latency_ms = 800 * exp (0.4 * draw_normal (&sim->rng));
   if (is_affected)
-    s.latency_ms *= w->regression.latency;
-  s.rated = !s.failed && !w->is_rating_down
-            && rng_double (&w->rng) < rollout_rating_share (w->run, arm);
-  s.rating = rating - (is_affected ? w->regression.rating : 0);
-  if (w->requests >= w->zero_rating_from && w->requests < w->zero_rating_until)
+    s.latency_ms *= sim->regression.latency;
+  s.rated = !s.failed && !sim->is_rating_down
+            && rng_double (&sim->rng) < rollout_rating_share (sim->run, arm);
+  s.rating = rating - (is_affected ? sim->regression.rating : 0);
+  if (sim->requests >= sim->zero_rating_from
+      && sim->requests < sim->zero_rating_until)
     s.rating = 0;
   return s;
 }
@@ -90,39 +92,39 @@
 /* Simulate one request, at ten requests a second, and let the roll-out decide
    once a second.  */
 static void
-simulate_request (simulation_t *w)
+simulate_request (simulation_t *sim)
 {
-  bool is_new = rollout_is_assigned (w->run, rng_u64 (&w->rng));
+  bool is_new = rollout_is_assigned (sim->run, rng_u64 (&sim->rng));
   rollout_arm_t arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
-  int task = draw_task (w);
-
-  rollout_count_exposure (w->run, arm, w->now_ms);
-  rollout_sample_t s = draw_sample (w, arm, task);
-  rollout_observe (w->run, arm, str_from (tasks[task]), &s, w->now_ms);
-  w->requests++;
-  w->now_ms += 100;
-  if (w->requests % 10 == 0)
-    rollout_decide (w->run, w->now_ms);
+  int task = draw_task (sim);
+
+  rollout_count_exposure (sim->run, arm, sim->now_ms);
+  rollout_sample_t s = draw_sample (sim, arm, task);
+  rollout_observe (sim->run, arm, str_from (tasks[task]), &s, sim->now_ms);
+  sim->requests++;
+  sim->now_ms += 100;
+  if (sim->requests % 10 == 0)
+    rollout_decide (sim->run, sim->now_ms);
 }
 
 static bool
-has_ended (const simulation_t *w)
+has_ended (const simulation_t *sim)
 {
-  rollout_phase_t phase = rollout_phase (w->run);
+  rollout_phase_t phase = rollout_phase (sim->run);
 
-  return w->requests >= REQUESTS_MAX || phase == ROLLOUT_PHASE_HALTED
+  return sim->requests >= REQUESTS_MAX || phase == ROLLOUT_PHASE_HALTED
          || phase == ROLLOUT_PHASE_COMPLETE;
 }
 
 static simulation_t
 simulation_create (uint64_t seed, const regression_t *regression)
 {
-  simulation_t w = { .rng = rng_make (seed * 7919 + 1),
-                     .regression = *regression,
-                     .now_ms = START_MS };
+  simulation_t sim = { .rng = rng_make (seed * 7919 + 1),
+                       .regression = *regression,
+                       .now_ms = START_MS };
 
-  w.run = rollout_create (seed + 1, STR ("small@2"), START_MS);
-  return w;
+  sim.run = rollout_create (seed + 1, STR ("small@2"), START_MS);
+  return sim;
 }
 
 static const regression_t no_regression = { "none", 0, 0, 1, -1, 0 };
@@ -145,15 +147,15 @@
 
   for (uint64_t seed = 0; seed < SEEDS / 4; seed++)
     {
-      simulation_t w = simulation_create (seed, regression);
-      while (!has_ended (&w))
-        simulate_request (&w);
-      ck_assert_msg (rollout_phase (w.run) == ROLLOUT_PHASE_HALTED,
+      simulation_t sim = simulation_create (seed, regression);
+      while (!has_ended (&sim))
+        simulate_request (&sim);
+      ck_assert_msg (rollout_phase (sim.run) == ROLLOUT_PHASE_HALTED,
                      "%s, seed %d: %s", regression->name, (int)seed,
-                     rollout_phase_name (rollout_phase (w.run)));
-      ck_assert_double_eq (rollout_share (w.run), 0);
-      exposed += rollout_exposed_count (w.run);
-      rollout_destroy (w.run);
+                     rollout_phase_name (rollout_phase (sim.run)));
+      ck_assert_double_eq (rollout_share (sim.run), 0);
+      exposed += rollout_exposed_count (sim.run);
+      rollout_destroy (sim.run);
     }
   ck_assert_msg (exposed / (SEEDS / 4) <= regression->exposed_max,
                  "%s: %d requests on average", regression->name,
@@ -172,12 +174,12 @@
   *complete = 0;
   for (uint64_t seed = 0; seed < seeds; seed++)
     {
-      simulation_t w = create (seed);
-      while (!has_ended (&w))
-        simulate_request (&w);
-      halted += rollout_phase (w.run) == ROLLOUT_PHASE_HALTED;
-      *complete += rollout_phase (w.run) == ROLLOUT_PHASE_COMPLETE;
-      rollout_destroy (w.run);
+      simulation_t sim = create (seed);
+      while (!has_ended (&sim))
+        simulate_request (&sim);
+      halted += rollout_phase (sim.run) == ROLLOUT_PHASE_HALTED;
+      *complete += rollout_phase (sim.run) == ROLLOUT_PHASE_COMPLETE;
+      rollout_destroy (sim.run);
     }
   *complete *= 100.0 / (double)seeds;
   return halted * 100 / (double)seeds;
@@ -192,20 +194,20 @@
 static simulation_t
 create_with_zero_ratings (uint64_t seed)
 {
-  simulation_t w = simulation_create (seed, &no_regression);
+  simulation_t sim = simulation_create (seed, &no_regression);
 
-  w.zero_rating_from = 2000 + 500 * (seed % 7);
-  w.zero_rating_until = w.zero_rating_from + 12000;
-  return w;
+  sim.zero_rating_from = 2000 + 500 * (seed % 7);
+  sim.zero_rating_until = sim.zero_rating_from + 12000;
+  return sim;
 }
 
 static simulation_t
 create_with_changing_mix (uint64_t seed)
 {
-  simulation_t w = simulation_create (seed, &no_regression);
+  simulation_t sim = simulation_create (seed, &no_regression);
 
-  w.has_changing_mix = true;
-  return w;
+  sim.has_changing_mix = true;
+  return sim;
 }
 
 /* A version is as good as the old one.  By chance at most one roll-out in
@@ -250,31 +252,31 @@
    share for good; a resume by the operator grants the cap once more.  */
 START_TEST (cap_is_exceeded_without_ratings)
 {
-  simulation_t w = simulation_create (4, &no_regression);
-  uint64_t cap = rollout_exposure_cap (w.run);
-
-  w.is_rating_down = true;
-  while (w.requests < REQUESTS_MAX)
-    simulate_request (&w);
-  ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
-  ck_assert_uint_eq (rollout_exposed_count (w.run), cap);
-  ck_assert (!rollout_is_assigned (w.run, 12345));
-  ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_cap (w.run), 2 * cap);
+  simulation_t sim = simulation_create (4, &no_regression);
+  uint64_t cap = rollout_exposure_cap (sim.run);
+
+  sim.is_rating_down = true;
+  while (sim.requests < REQUESTS_MAX)
+    simulate_request (&sim);
+  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_STARVED);
+  ck_assert_uint_eq (rollout_exposed_count (sim.run), cap);
+  ck_assert (!rollout_is_assigned (sim.run, 12345));
+  ck_assert (rollout_resume (sim.run));
+  ck_assert_uint_eq (rollout_exposure_cap (sim.run), 2 * cap);
   for (int i = 0; i < REQUESTS_MAX; i++)
-    simulate_request (&w);
-  ck_assert_uint_eq (rollout_exposed_count (w.run), 2 * cap);
+    simulate_request (&sim);
+  ck_assert_uint_eq (rollout_exposed_count (sim.run), 2 * cap);
   /* A pause before the resume must not reduce the cap that the resume
      grants.  */
-  ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
-  ck_assert (rollout_pause (w.run));
-  w.is_rating_down = false;
-  ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_cap (w.run), 3 * cap);
-  for (int i = 0; i < REQUESTS_MAX && rollout_step_index (w.run) == 0; i++)
-    simulate_request (&w);
-  ck_assert_uint_ge (rollout_step_index (w.run), 1);
-  rollout_destroy (w.run);
+  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_STARVED);
+  ck_assert (rollout_pause (sim.run));
+  sim.is_rating_down = false;
+  ck_assert (rollout_resume (sim.run));
+  ck_assert_uint_eq (rollout_exposure_cap (sim.run), 3 * cap);
+  for (int i = 0; i < REQUESTS_MAX && rollout_step_index (sim.run) == 0; i++)
+    simulate_request (&sim);
+  ck_assert_uint_ge (rollout_step_index (sim.run), 1);
+  rollout_destroy (sim.run);
 }
 END_TEST
 
@@ -296,17 +298,19 @@
 /* Replace the process that runs the roll-out by a new one that has only the
    written state.  */
 static void
-replace_process (simulation_t *w, uint64_t writer)
+replace_process (simulation_t *sim, uint64_t writer)
 {
   rollout_run_t *next = rollout_create (writer, STR ("small@2"), START_MS);
   buf_t state = BUF_NULL;
 
-  rollout_write (w->run, false, &state);
-  ck_assert_int_eq (rollout_merge (next, buf_str (&state), w->now_ms), VH_OK);
-  ck_assert_int_eq (rollout_merge (next, buf_str (&state), w->now_ms), VH_OK);
+  rollout_write (sim->run, false, &state);
+  ck_assert_int_eq (rollout_merge (next, buf_str (&state), sim->now_ms),
+                    VH_OK);
+  ck_assert_int_eq (rollout_merge (next, buf_str (&state), sim->now_ms),
+                    VH_OK);
   buf_free (&state);
-  rollout_destroy (w->run);
-  w->run = next;
+  rollout_destroy (sim->run);
+  sim->run = next;
 }
 
 /* The process that holds the lease is replaced several times, also right after
@@ -444,15 +448,15 @@
 
 START_TEST (pause_changes_the_share_or_prevents_a_halt)
 {
-  simulation_t w = simulation_create (2, &regressions[5]);
+  simulation_t sim = simulation_create (2, &regressions[5]);
 
-  ck_assert (rollout_pause (w.run));
-  ck_assert (!rollout_pause (w.run));
-  ck_assert_double_eq (rollout_share (w.run), 0.01);
-  while (!has_ended (&w))
-    simulate_request (&w);
-  ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_HALTED);
-  rollout_destroy (w.run);
+  ck_assert (rollout_pause (sim.run));
+  ck_assert (!rollout_pause (sim.run));
+  ck_assert_double_eq (rollout_share (sim.run), 0.01);
+  while (!has_ended (&sim))
+    simulate_request (&sim);
+  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_HALTED);
+  rollout_destroy (sim.run);
 
   simulation_t good = simulation_create (2, &no_regression);
   rollout_pause (good.run);
@@ -476,59 +480,59 @@
     KEYS = 20000
   };
   static bool is_assigned_new[KEYS];
-  simulation_t w = simulation_create (6, &no_regression);
+  simulation_t sim = simulation_create (6, &no_regression);
   rollout_run_t *other = rollout_create (77, STR ("small@2"), START_MS);
   uint32_t step = UINT32_MAX;
 
-  while (!has_ended (&w))
+  while (!has_ended (&sim))
     {
-      if (rollout_step_index (w.run) != step)
+      if (rollout_step_index (sim.run) != step)
         {
           buf_t state = BUF_NULL;
           int count = 0;
-          step = rollout_step_index (w.run);
-          rollout_write (w.run, false, &state);
-          rollout_merge (other, buf_str (&state), w.now_ms);
+          step = rollout_step_index (sim.run);
+          rollout_write (sim.run, false, &state);
+          rollout_merge (other, buf_str (&state), sim.now_ms);
           buf_free (&state);
           for (uint64_t key = 0; key < KEYS; key++)
             {
-              bool is_new = rollout_is_assigned (w.run, key);
+              bool is_new = rollout_is_assigned (sim.run, key);
               ck_assert (is_new == rollout_is_assigned (other, key));
               ck_assert (is_new || !is_assigned_new[key]);
               is_assigned_new[key] = is_new;
               count += is_new;
             }
-          ck_assert_double_eq_tol ((double)count / KEYS, rollout_share (w.run),
-                                   0.012);
+          ck_assert_double_eq_tol ((double)count / KEYS,
+                                   rollout_share (sim.run), 0.012);
         }
-      simulate_request (&w);
+      simulate_request (&sim);
     }
-  ck_assert_double_eq (rollout_share (w.run), 1);
+  ck_assert_double_eq (rollout_share (sim.run), 1);
   rollout_destroy (other);
-  rollout_destroy (w.run);
+  rollout_destroy (sim.run);
 }
 END_TEST
 
 START_TEST (halt_reason_is_missing)
 {
-  simulation_t w = simulation_create (1, &regressions[2]);
+  simulation_t sim = simulation_create (1, &regressions[2]);
   buf_t text = BUF_NULL;
 
-  while (!has_ended (&w))
-    simulate_request (&w);
-  rollout_explain (w.run, &text);
+  while (!has_ended (&sim))
+    simulate_request (&sim);
+  rollout_explain (sim.run, &text);
   buf_append_char (&text, '\0');
   ck_assert_ptr_nonnull (strstr (text.ptr, "halted at step"));
   ck_assert_ptr_nonnull (strstr (text.ptr, "rating worse by 0."));
   ck_assert_ptr_nonnull (strstr (text.ptr, "for tag"));
   buf_free (&text);
-  rollout_destroy (w.run);
+  rollout_destroy (sim.run);
 }
 END_TEST
 
 START_TEST (malformed_message_changes_the_state)
 {
-  simulation_t w = simulation_create (1, &no_regression);
+  simulation_t sim = simulation_create (1, &no_regression);
   rollout_run_t *other = rollout_create (5, STR ("small@2"), START_MS);
   rollout_run_t *untouched = rollout_create (5, STR ("small@2"), START_MS);
   rollout_run_t *other_rollout = rollout_create (6, STR ("small@3"), START_MS);
@@ -536,26 +540,27 @@
   rng_t rng = rng_make (3);
 
   for (int i = 0; i < 2000; i++)
-    simulate_request (&w);
-  rollout_write (w.run, false, &bytes);
+    simulate_request (&sim);
+  rollout_write (sim.run, false, &bytes);
   for (size_t len = 0; len < bytes.len; len++)
     ck_assert_int_eq (
-        rollout_merge (other, str_make (bytes.ptr, len), w.now_ms),
+        rollout_merge (other, str_make (bytes.ptr, len), sim.now_ms),
         VH_E_PROTOCOL);
   ck_assert (has_same_state (other, untouched));
-  ck_assert_int_eq (rollout_merge (other_rollout, buf_str (&bytes), w.now_ms),
-                    VH_E_PROTOCOL);
+  ck_assert_int_eq (
+      rollout_merge (other_rollout, buf_str (&bytes), sim.now_ms),
+      VH_E_PROTOCOL);
   for (int i = 0; i < 3000; i++)
     {
       size_t at = rng_below (&rng, bytes.len);
       char original = bytes.ptr[at];
       bytes.ptr[at] = (char)rng_u64 (&rng);
-      rollout_merge (other, buf_str (&bytes), w.now_ms);
-      rollout_decide (other, w.now_ms);
+      rollout_merge (other, buf_str (&bytes), sim.now_ms);
+      rollout_decide (other, sim.now_ms);
       bytes.ptr[at] = original;
     }
   buf_free (&bytes);
-  rollout_destroy (w.run);
+  rollout_destroy (sim.run);
   rollout_destroy (other);
   rollout_destroy (untouched);
   rollout_destroy (other_rollout);
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -63,46 +63,46 @@
 /* Simulate one minute of traffic, with 10 requests a second and one answer in
    ten rated.  Return the result of degradation_check at its end.  */
 static bool
-simulate_minute (simulation_t *w)
+simulate_minute (simulation_t *sim)
 {
   for (int i = 0; i < REQUESTS_PER_MINUTE; i++)
     {
-      bool small = rng_double (&w->rng) >= w->large_share;
+      bool small = rng_double (&sim->rng) >= sim->large_share;
       rollout_sample_t s = { .finished = true };
       double rating
-          = 0.85 + 0.15 * draw_normal (&w->rng) - w->common_rating_loss;
-      double error = 0.005 + (small ? w->small_error_increase : 0);
-      s.failed = rng_double (&w->rng) < error;
-      s.latency_ms = 800 * exp (0.4 * draw_normal (&w->rng));
-      s.latency_ms *= small ? w->small_latency_factor : 1;
-      s.rated = !s.failed && rng_double (&w->rng) < 0.1;
-      s.rating = rating - (small ? w->small_rating_loss : 0);
+          = 0.85 + 0.15 * draw_normal (&sim->rng) - sim->common_rating_loss;
+      double error = 0.005 + (small ? sim->small_error_increase : 0);
+      s.failed = rng_double (&sim->rng) < error;
+      s.latency_ms = 800 * exp (0.4 * draw_normal (&sim->rng));
+      s.latency_ms *= small ? sim->small_latency_factor : 1;
+      s.rated = !s.failed && rng_double (&sim->rng) < 0.1;
+      s.rating = rating - (small ? sim->small_rating_loss : 0);
       degradation_observe (
-          w->degradation, small ? STR ("small@1") : STR ("large@1"),
-          rng_below (&w->rng, 3) == 0 ? STR ("tag") : STR ("draft"), &s,
-          w->now_ms);
-      w->now_ms += MINUTE_MS / REQUESTS_PER_MINUTE;
+          sim->degradation, small ? STR ("small@1") : STR ("large@1"),
+          rng_below (&sim->rng, 3) == 0 ? STR ("tag") : STR ("draft"), &s,
+          sim->now_ms);
+      sim->now_ms += MINUTE_MS / REQUESTS_PER_MINUTE;
     }
-  return degradation_check (w->degradation, w->now_ms);
+  return degradation_check (sim->degradation, sim->now_ms);
 }
 
 static bool
-has_small_alarm (const simulation_t *w)
+has_small_alarm (const simulation_t *sim)
 {
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return degradation_get_alarm (w->degradation, STR ("small@1"), &metric,
+  return degradation_get_alarm (sim->degradation, STR ("small@1"), &metric,
                                 &since_ms);
 }
 
 static bool
-has_large_alarm (const simulation_t *w)
+has_large_alarm (const simulation_t *sim)
 {
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return degradation_get_alarm (w->degradation, STR ("large@1"), &metric,
+  return degradation_get_alarm (sim->degradation, STR ("large@1"), &metric,
                                 &since_ms);
 }
 
@@ -122,37 +122,37 @@
 
   for (uint64_t seed = 0; seed < 10; seed++)
     {
-      simulation_t w = simulation_create (seed);
+      simulation_t sim = simulation_create (seed);
       int minutes = 0;
       for (int i = 0; i < HEALTHY_MINUTES; i++)
-        ck_assert (!simulate_minute (&w));
+        ck_assert (!simulate_minute (&sim));
       ck_assert_double_eq (degradation_traffic_weight (
-                               w.degradation, STR ("small@1"), w.now_ms),
+                               sim.degradation, STR ("small@1"), sim.now_ms),
                            1);
-      w.small_rating_loss = regression->rating;
-      w.small_error_increase = regression->error;
-      w.small_latency_factor = regression->latency;
-      for (; !has_small_alarm (&w) && minutes < 60; minutes++)
-        simulate_minute (&w);
+      sim.small_rating_loss = regression->rating;
+      sim.small_error_increase = regression->error;
+      sim.small_latency_factor = regression->latency;
+      for (; !has_small_alarm (&sim) && minutes < 60; minutes++)
+        simulate_minute (&sim);
       ck_assert_msg (minutes <= regression->minutes_max,
                      "%s, seed %d: alarm after %d min", regression->name,
                      (int)seed, minutes);
-      ck_assert (!has_large_alarm (&w));
+      ck_assert (!has_large_alarm (&sim));
       ck_assert_double_eq (degradation_traffic_weight (
-                               w.degradation, STR ("small@1"), w.now_ms),
+                               sim.degradation, STR ("small@1"), sim.now_ms),
                            0.5);
       ck_assert_double_eq (
-          degradation_traffic_weight (w.degradation, STR ("small@1"),
-                                      w.now_ms + DEGRADATION_WEIGHT_STEP_MS),
+          degradation_traffic_weight (sim.degradation, STR ("small@1"),
+                                      sim.now_ms + DEGRADATION_WEIGHT_STEP_MS),
           0.1);
-      ck_assert_double_eq (degradation_traffic_weight (w.degradation,
+      ck_assert_double_eq (degradation_traffic_weight (sim.degradation,
                                                        STR ("small@1"),
-                                                       w.now_ms + MINUTE_MS),
+                                                       sim.now_ms + MINUTE_MS),
                            0);
       ck_assert_double_eq (degradation_traffic_weight (
-                               w.degradation, STR ("large@1"), w.now_ms),
+                               sim.degradation, STR ("large@1"), sim.now_ms),
                            1);
-      degradation_destroy (w.degradation);
+      degradation_destroy (sim.degradation);
     }
 }
 END_TEST
@@ -164,15 +164,15 @@
 {
   for (uint64_t seed = 0; seed < 10; seed++)
     {
-      simulation_t w = simulation_create (seed);
+      simulation_t sim = simulation_create (seed);
       int minutes = 0;
       for (int i = 0; i < 10; i++)
-        simulate_minute (&w);
-      w.small_rating_loss = 0.08;
-      for (; !has_small_alarm (&w) && minutes < 60; minutes++)
-        simulate_minute (&w);
+        simulate_minute (&sim);
+      sim.small_rating_loss = 0.08;
+      for (; !has_small_alarm (&sim) && minutes < 60; minutes++)
+        simulate_minute (&sim);
       ck_assert_msg (minutes < 60, "seed %d", (int)seed);
-      degradation_destroy (w.degradation);
+      degradation_destroy (sim.degradation);
     }
 }
 END_TEST
@@ -185,12 +185,12 @@
 
   for (uint64_t seed = 100; seed < 100 + SEEDS; seed++)
     {
-      simulation_t w = simulation_create (seed);
+      simulation_t sim = simulation_create (seed);
       bool raised = false;
       for (int i = 0; i < 180; i++)
-        raised = simulate_minute (&w) || raised;
+        raised = simulate_minute (&sim) || raised;
       alarms += raised;
-      degradation_destroy (w.degradation);
+      degradation_destroy (sim.degradation);
     }
   ck_assert_int_lt (alarms, SEEDS / 20);
 }
@@ -204,15 +204,15 @@
 
   for (uint64_t seed = 0; seed < SEEDS; seed++)
     {
-      simulation_t w = simulation_create (seed);
+      simulation_t sim = simulation_create (seed);
       bool raised = false;
       for (int i = 0; i < 100; i++)
         {
-          w.common_rating_loss = i >= 60 && i < 70 ? 0.5 : 0;
-          raised = simulate_minute (&w) || raised;
+          sim.common_rating_loss = i >= 60 && i < 70 ? 0.5 : 0;
+          raised = simulate_minute (&sim) || raised;
         }
       alarms += raised;
-      degradation_destroy (w.degradation);
+      degradation_destroy (sim.degradation);
     }
   ck_assert_int_eq (alarms, 0);
 }
@@ -222,20 +222,20 @@
    follow, a version that becomes worse afterwards would be missed.  */
 START_TEST (reference_stays_at_an_old_rating_scale)
 {
-  simulation_t w = simulation_create (3);
+  simulation_t sim = simulation_create (3);
   int minutes = 0;
 
   for (int i = 0; i < HEALTHY_MINUTES; i++)
-    simulate_minute (&w);
-  w.common_rating_loss = 0.3;
+    simulate_minute (&sim);
+  sim.common_rating_loss = 0.3;
   for (int i = 0; i < 100; i++)
-    ck_assert (!simulate_minute (&w));
-  w.small_rating_loss = 0.3;
-  for (; !has_small_alarm (&w) && minutes < 60; minutes++)
-    simulate_minute (&w);
+    ck_assert (!simulate_minute (&sim));
+  sim.small_rating_loss = 0.3;
+  for (; !has_small_alarm (&sim) && minutes < 60; minutes++)
+    simulate_minute (&sim);
   ck_assert_int_le (minutes, 5);
-  ck_assert (!has_large_alarm (&w));
-  degradation_destroy (w.degradation);
+  ck_assert (!has_large_alarm (&sim));
+  degradation_destroy (sim.degradation);
 }
 END_TEST
 
@@ -244,24 +244,24 @@
    missed.  */
 START_TEST (cleared_alarm_returns_or_hides_a_new_fault)
 {
-  simulation_t w = simulation_create (5);
+  simulation_t sim = simulation_create (5);
 
   for (int i = 0; i < HEALTHY_MINUTES; i++)
-    simulate_minute (&w);
-  w.small_error_increase = 0.3;
+    simulate_minute (&sim);
+  sim.small_error_increase = 0.3;
   for (int i = 0; i < 5; i++)
-    simulate_minute (&w);
-  ck_assert (has_small_alarm (&w));
-  w.small_error_increase = 0;
-  degradation_clear_alarm (w.degradation, STR ("small@1"), w.now_ms);
-  ck_assert (!has_small_alarm (&w));
+    simulate_minute (&sim);
+  ck_assert (has_small_alarm (&sim));
+  sim.small_error_increase = 0;
+  degradation_clear_alarm (sim.degradation, STR ("small@1"), sim.now_ms);
+  ck_assert (!has_small_alarm (&sim));
   for (int i = 0; i < HEALTHY_MINUTES; i++)
-    ck_assert (!simulate_minute (&w));
-  w.small_error_increase = 0.3;
+    ck_assert (!simulate_minute (&sim));
+  sim.small_error_increase = 0.3;
   for (int i = 0; i < 5; i++)
-    simulate_minute (&w);
-  ck_assert (has_small_alarm (&w));
-  degradation_destroy (w.degradation);
+    simulate_minute (&sim);
+  ck_assert (has_small_alarm (&sim));
+  degradation_destroy (sim.degradation);
 }
 END_TEST
 
@@ -271,7 +271,7 @@
    that was ended.  */
 START_TEST (alarm_is_lost_with_its_process)
 {
-  simulation_t w = simulation_create (9);
+  simulation_t sim = simulation_create (9);
   degradation_t *receiver = degradation_create (77);
   degradation_t *untouched = degradation_create (78);
   buf_t bytes = BUF_NULL;
@@ -280,17 +280,17 @@
   uint64_t since_ms, receiver_since_ms;
 
   for (int i = 0; i < HEALTHY_MINUTES; i++)
-    simulate_minute (&w);
-  w.small_error_increase = 0.3;
+    simulate_minute (&sim);
+  sim.small_error_increase = 0.3;
   for (int i = 0; i < 3; i++)
-    simulate_minute (&w);
-  ck_assert (degradation_get_alarm (w.degradation, STR ("small@1"), &metric,
+    simulate_minute (&sim);
+  ck_assert (degradation_get_alarm (sim.degradation, STR ("small@1"), &metric,
                                     &since_ms));
   ck_assert_int_eq (metric, ROLLOUT_ERROR);
-  degradation_write (w.degradation, false, &bytes);
-  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
+  degradation_write (sim.degradation, false, &bytes);
+  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), sim.now_ms),
                     VH_OK);
-  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), w.now_ms),
+  ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), sim.now_ms),
                     VH_OK);
   ck_assert (degradation_get_alarm (receiver, STR ("small@1"),
                                     &receiver_metric, &receiver_since_ms));
@@ -298,25 +298,25 @@
   degradation_write (receiver, false, &rewritten);
   ck_assert (str_eq (buf_str (&bytes), buf_str (&rewritten)));
   degradation_clear_alarm (receiver, STR ("small@1"), since_ms + 1);
-  degradation_merge (receiver, buf_str (&bytes), w.now_ms);
+  degradation_merge (receiver, buf_str (&bytes), sim.now_ms);
   ck_assert (
       !degradation_get_alarm (receiver, STR ("small@1"), &metric, &since_ms));
   buf_t cleared = BUF_NULL;
   rewritten.len = 0;
   degradation_write (receiver, false, &cleared);
-  degradation_merge (w.degradation, buf_str (&cleared), w.now_ms);
-  degradation_write (w.degradation, false, &rewritten);
+  degradation_merge (sim.degradation, buf_str (&cleared), sim.now_ms);
+  degradation_write (sim.degradation, false, &rewritten);
   ck_assert (str_eq (buf_str (&cleared), buf_str (&rewritten)));
   buf_free (&cleared);
   for (size_t len = 0; len < bytes.len; len += 1 + len / 50)
     ck_assert_int_eq (
-        degradation_merge (untouched, str_make (bytes.ptr, len), w.now_ms),
+        degradation_merge (untouched, str_make (bytes.ptr, len), sim.now_ms),
         VH_E_PROTOCOL);
   buf_free (&bytes);
   buf_free (&rewritten);
   degradation_destroy (receiver);
   degradation_destroy (untouched);
-  degradation_destroy (w.degradation);
+  degradation_destroy (sim.degradation);
 }
 END_TEST
 
