--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -39,7 +39,7 @@
 
 struct duties
 {
-  belief_t *belief;
+  gateway_state_t *belief;
   rows_t *rows;
   share_t *share;
   loader_t *loader;
@@ -64,8 +64,8 @@
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
   duties_t *duties = arg;
-  belief_t *belief = duties->belief;
-  uint64_t read_ms = belief_reading_for_ms (belief);
+  gateway_state_t *belief = duties->belief;
+  uint64_t read_ms = gateway_config_load_ms (belief);
 
   /* While a later one waits the keys go on ageing.  */
   if (!loader_busy (duties->loader))
@@ -97,7 +97,7 @@
 static void
 take_catalog (duties_t *duties, const rows_row_t *row)
 {
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
 
   log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
              field_number (FIELD_BYTES, row->value.len));
@@ -110,22 +110,22 @@
 on_order_put (void *arg, const rows_row_t *row)
 {
   duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
   str_t name;
 
   switch (belief->dialect->order_kind (row->key, &name))
     {
-    case ORDER_CATALOG:
+    case OPERATOR_ROW_CATALOG:
       take_catalog (duties, row);
       break;
-    case ORDER_ROLLOUT:
+    case OPERATOR_ROW_ROLLOUT:
       rollouts_order (duties->rollouts, row);
       break;
-    case ORDER_ZONE_OUT:
+    case OPERATOR_ROW_ZONE_EXCLUSION:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
-      pool_zone_out (belief->pool, name, true);
+      pool_set_zone_disabled (belief->pool, name, true);
       break;
-    case ORDER_NONE:
+    case OPERATOR_ROW_UNKNOWN:
       break;
     }
 }
@@ -136,10 +136,11 @@
   duties_t *duties = arg;
   str_t name;
 
-  if (duties->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
+  if (duties->belief->dialect->order_kind (key, &name)
+      != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_zone_out (duties->belief->pool, name, false);
+  pool_set_zone_disabled (duties->belief->pool, name, false);
 }
 
 /* Instances.  */
@@ -148,7 +149,7 @@
 on_instance_put (void *arg, const rows_row_t *row)
 {
   duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
   upstream_info_t info;
   void *holder = NULL;
   vh_code_t code
@@ -174,7 +175,7 @@
 on_instance_removed (void *arg, str_t key)
 {
   duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   uint64_t keep_ms = 0;
 
@@ -191,7 +192,7 @@
 set_prepared (duties_t *duties)
 {
   if (duties->own_read && duties->instances_read)
-    duties->belief->is_prepared = true;
+    duties->belief->is_initialized = true;
 }
 
 static void
@@ -246,7 +247,7 @@
 {
   duties_t *duties = arg;
   str_t rest;
-  str_t kind = row_kind (row->key, &rest);
+  str_t kind = row_key_prefix (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
     rollouts_row (duties->rollouts, rest, row);
@@ -268,9 +269,9 @@
   duties_t *duties = arg;
   str_t rest;
 
-  if (str_eq (row_kind (key, &rest), STR ("entry")))
+  if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
-      allotment_leave (duties->belief->fleet, rest);
+      allotment_remove (duties->belief->fleet, rest);
       if (duties->share != NULL)
         share_remove (duties->share, rest);
     }
@@ -280,20 +281,20 @@
 static void
 divide_shares (duties_t *duties)
 {
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
   size_t cursor = 0;
   str_t key;
   void *value;
 
   allotment_expire (belief->fleet);
-  uint32_t entries = (uint32_t)allotment_size (belief->fleet);
+  uint32_t entries = (uint32_t)allotment_gateway_count (belief->fleet);
   if (entries == belief->entries)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, entries),
              field_number (FIELD_BEFORE, belief->entries));
   belief->entries = entries;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_set_entries (value, entries);
+    send_budget_set_gateway_count (value, entries);
 }
 
 static void
@@ -304,7 +305,7 @@
   (void)full;
   duties->own_read = true;
   set_prepared (duties);
-  allotment_read (duties->belief->fleet);
+  allotment_set_loaded (duties->belief->fleet);
   divide_shares (duties);
 }
 
@@ -351,7 +352,7 @@
 on_tick (uv_timer_t *timer)
 {
   duties_t *duties = timer->data;
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
   bool is_second = ++duties->ticks % TICKS_PER_S == 0;
 
   if (belief->stopping_ms != 0 || !duties->own_read)
@@ -381,7 +382,7 @@
       = { on_instance_put, on_instance_removed, on_instances_caught_up,
           on_instances_reach };
   duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  gateway_state_t *belief = duties->belief;
 
   (void)full;
   if (duties->instances == NULL)
@@ -405,7 +406,7 @@
 }
 
 duties_t *
-duties_create (belief_t *belief, rows_t *rows, share_t *share)
+duties_create (gateway_state_t *belief, rows_t *rows, share_t *share)
 {
   static const follow_options_t orders = { .table = ROWS_ORDERS,
                                            .name = "orders",
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -98,8 +98,8 @@
   if (relay->upstream == NULL)
     return;
   tell_trial (relay, outcome);
-  pool_finished (relay->belief->pool, relay->upstream, relay->prompt_left,
-                 outcome);
+  pool_request_finished (relay->belief->pool, relay->upstream,
+                         relay->prompt_left, outcome);
   relay->upstream = NULL;
 }
 
@@ -141,7 +141,7 @@
 relay_tell_end (const relay_t *relay, log_event_t event, int status,
                 const char *reason, uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   const log_event_info_t *info = log_event_info (event);
   uint64_t age_ms = follow_age_ms (belief->orders);
   str_t route
@@ -174,7 +174,7 @@
 relay_reply (relay_t *relay, int status, vh_code_t code, const char *reason,
              uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   buf_t body = BUF_NULL;
   buf_t retry = BUF_NULL;
   httpc_header_t headers[3] = {
@@ -185,7 +185,7 @@
   bool not_run = status != 502 && status != 504;
   uint64_t wait_ms = 0;
 
-  relay_end_send (relay, SEND_DROPPED);
+  relay_end_send (relay, SEND_CANCELLED);
   if (relay->started)
     {
       relay_tell_end (relay, EVENT_CUT, status, reason, 0);
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -20,7 +20,7 @@
 
 struct rollouts
 {
-  belief_t *belief;
+  gateway_state_t *belief;
   rows_t *rows;
   share_t *share;
   bool commit_pending; /* Of a shared row.  */
@@ -39,7 +39,8 @@
     {
       str_t version = str_cut (text, ' ', &text);
       if (trial == NULL || !str_eq (version, trial_version (trial)))
-        pool_withdraw (rollouts->belief->pool, service, version, true);
+        pool_set_version_withdrawn (rollouts->belief->pool, service, version,
+                                    true);
     }
 }
 
@@ -111,8 +112,8 @@
 void
 rollouts_order (rollouts_t *rollouts, const rows_row_t *row)
 {
-  belief_t *belief = rollouts->belief;
-  rollout_order_t order;
+  gateway_state_t *belief = rollouts->belief;
+  rollout_spec_t order;
   void *holder = NULL;
   vh_code_t code = belief->dialect->read_rollout (row->value, &order, &holder);
 
@@ -128,9 +129,10 @@
       /* The instances of a version that was taken back are there for a while:
          they must not pass for the old version of the next order.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
-        pool_withdraw (belief->pool, order.service, trial_version (trial),
-                       true);
-      pool_withdraw (belief->pool, order.service, order.version, false);
+        pool_set_version_withdrawn (belief->pool, order.service,
+                                    trial_version (trial), true);
+      pool_set_version_withdrawn (belief->pool, order.service, order.version,
+                                  false);
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
@@ -151,7 +153,7 @@
   str_t rest;
   str_t entry;
 
-  if (!str_eq (row_kind (key, &rest), STR ("evidence")))
+  if (!str_eq (row_key_prefix (key, &rest), STR ("evidence")))
     return;
   str_t service = str_cut (rest, '/', &entry);
   trial_t *trial = map_get (rollouts->belief->trials, service);
@@ -205,7 +207,7 @@
                uint64_t start_ms, uint32_t step, uint64_t from_ms)
 {
   static const rollout_state_t states[]
-      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_TAKEN_BACK };
+      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_ROLLED_BACK };
   trial_phase_t phase = trial_phase (trial);
   rows_write_t writes[2] = { 0 };
   buf_t key = BUF_NULL;
@@ -221,7 +223,7 @@
               (unsigned long long)trial_order (trial),
               (unsigned long long)start_ms, step, (unsigned long long)from_ms,
               trial_phase_name (phase));
-  pool_write_withdrawn (rollouts->belief->pool, service, &value);
+  pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
   writes[0].table = ROWS_OWN;
@@ -380,7 +382,7 @@
 }
 
 rollouts_t *
-rollouts_create (belief_t *belief, rows_t *rows, share_t *share)
+rollouts_create (gateway_state_t *belief, rows_t *rows, share_t *share)
 {
   static const share_news_t news = { list_news, on_news };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -13,7 +13,8 @@
 typedef struct rollouts rollouts_t;
 
 /* SHARE may be NULL: this entry is alone.  */
-rollouts_t *rollouts_create (belief_t *belief, rows_t *rows, share_t *share);
+rollouts_t *rollouts_create (gateway_state_t *belief, rows_t *rows,
+                             share_t *share);
 void rollouts_destroy (rollouts_t *rollouts);
 
 /* An operators' order was read.  */
--- a/packages/gateway/share.c
+++ b/packages/gateway/share.c
@@ -83,7 +83,7 @@
   char *name;
   rpc_node_t *node;
   rpc_server_t *server;
-  readers_t *readers;
+  fanout_t *readers;
   map_t *entries;
   share_news_t news;
   void *news_arg;
@@ -125,7 +125,8 @@
   void *owner;
 
   return !share->leaving
-         && readers_choose (share->readers, &owner) == ASKS_STORE;
+         && fanout_choose_source (share->readers, &owner)
+                == FANOUT_READS_STORE;
 }
 
 /* Serving.  */
@@ -187,15 +188,15 @@
 
   if (share->leaving)
     return false;
-  if (readers_hears (share->readers))
+  if (fanout_is_store_reachable (share->readers))
     return true;
-  switch (readers_choose (share->readers, &owner))
+  switch (fanout_choose_source (share->readers, &owner))
     {
-    case ASKS_STORE:
+    case FANOUT_READS_STORE:
       return true;
-    case ASKS_ROOT:
+    case FANOUT_READS_ROOT:
       return !tells;
-    case ASKS_HEAD:
+    case FANOUT_READS_HEAD:
       break;
     }
   return false;
@@ -302,7 +303,7 @@
       EVENT_READER, field_text (FIELD_READER, str_from (pending->reader)),
       field_number (FIELD_CODE, code),
       field_number (FIELD_TOOK_MS, boot_ms (share) - pending->asked_ms));
-  readers_failed (share->readers, str_from (pending->reader), silent);
+  fanout_source_failed (share->readers, str_from (pending->reader), silent);
 }
 
 static void
@@ -320,12 +321,12 @@
   else
     {
       rowcache_lost (cache);
-      readers_store_said (share->readers, false);
+      fanout_store_call_ended (share->readers, false);
       if (pending->call != NULL)
         return;
     }
   if (code == VH_OK)
-    readers_store_said (share->readers, true);
+    fanout_store_call_ended (share->readers, true);
   if (pending->call != NULL)
     reader_failed (pending, VH_E_TIMEOUT, true);
   pending_end (pending, code, result);
@@ -430,7 +431,7 @@
 ask_further (pending_t *pending)
 {
   share_t *share = pending->share;
-  entry_t *next = readers_next (share->readers);
+  entry_t *next = fanout_next_source (share->readers);
 
   if (next != NULL && pending->asked < ASKED_MAX
       && strcmp (next->name, pending->reader) != 0)
@@ -438,7 +439,7 @@
       ask_reader (pending, next, true);
       return;
     }
-  if (readers_may_probe (share->readers))
+  if (fanout_may_probe_store (share->readers))
     {
       ask_store (pending, STR (""));
       return;
@@ -544,13 +545,13 @@
 ask (pending_t *pending, str_t from)
 {
   void *entry;
-  readers_role_t role = readers_choose (pending->share->readers, &entry);
+  fanout_role_t role = fanout_choose_source (pending->share->readers, &entry);
 
   /* A page of the store can only be followed by its next one.  */
-  if (role == ASKS_STORE || (pending->is_read && !pending->first_page))
+  if (role == FANOUT_READS_STORE || (pending->is_read && !pending->first_page))
     ask_store (pending, from);
   else
-    ask_reader (pending, entry, role == ASKS_ROOT);
+    ask_reader (pending, entry, role == FANOUT_READS_ROOT);
 }
 
 static pending_t *
@@ -639,7 +640,7 @@
 {
   entry_t *entry = map_remove (share->entries, name);
 
-  readers_remove (share->readers, name);
+  fanout_remove (share->readers, name);
   if (entry != NULL)
     entry_free (entry);
 }
@@ -659,14 +660,14 @@
   entry->name = str_dup (name);
   entry->address = str_dup (address);
   map_put (share->entries, name, entry);
-  readers_put (share->readers, name, zone, link_mbps, entry);
+  fanout_put (share->readers, name, zone, link_mbps, entry);
 }
 
 void
 share_leave (share_t *share)
 {
   share->leaving = true;
-  readers_leave (share->readers);
+  fanout_stop_serving (share->readers);
 }
 
 void
@@ -717,8 +718,8 @@
   share->clock = clock;
   share->store = store;
   share->name = str_dup (options->name);
-  share->readers = readers_create (clock, seed, options->name, options->zone,
-                                   options->link_mbps);
+  share->readers = fanout_create (clock, seed, options->name, options->zone,
+                                  options->link_mbps);
   share->entries = map_create ();
   list_init (&share->pending);
   list_init (&share->waiters);
@@ -767,6 +768,6 @@
   for (size_t i = 0; i < TABLES; i++)
     rowcache_destroy (share->caches[i]);
   free (share->name);
-  readers_destroy (share->readers);
+  fanout_destroy (share->readers);
   uv_close ((uv_handle_t *)&share->tick, on_tick_closed);
 }
