--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -115,7 +115,7 @@
       field_number (FIELD_SENDS, relay->sends + 1),
       field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
       field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
-  relay->trial_sends.any = true;
+  relay->trial_sends.was_sent = true;
   relay->trial_sends.arm = relay_trial_arm (relay);
   relay->unread_prompt_tokens = relay->attrs.prompt_tokens;
   pool_request_started (state->pool, relay->upstream,
