--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -6,11 +6,11 @@
 #include <ctype.h>
 #include <stdlib.h>
 
-typedef struct piece
+typedef struct allocation
 {
-  struct piece *next;
+  struct allocation *next;
   max_align_t bytes[];
-} piece_t;
+} allocation_t;
 
 struct catalog
 {
@@ -18,26 +18,27 @@
   uint64_t revision;
   caller_limits_t limits;
   map_t *services;
-  map_t *routes; /* By HOST NUL PREFIX.  */
+  map_t *routes; /* Host, a NUL byte and prefix to route_t.  */
   map_t *teams;
-  map_t *keys;
-  piece_t *pieces; /* Everything that the maps point at.  */
+  map_t *keys;               /* Key to the team_t that holds it.  */
+  allocation_t *allocations; /* Memory of all values of the maps.  */
 };
 
+/* Allocate SIZE zeroed bytes, released with CATALOG.  */
 static void *
-keep (catalog_t *catalog, size_t size)
+alloc_owned (catalog_t *catalog, size_t size)
 {
-  piece_t *piece = mem_zalloc (sizeof *piece + size);
+  allocation_t *allocation = mem_zalloc (sizeof *allocation + size);
 
-  piece->next = catalog->pieces;
-  catalog->pieces = piece;
-  return piece->bytes;
+  allocation->next = catalog->allocations;
+  catalog->allocations = allocation;
+  return allocation->bytes;
 }
 
 static str_t
-keep_str (catalog_t *catalog, str_t s)
+copy_str (catalog_t *catalog, str_t s)
 {
-  char *copy = keep (catalog, s.len + 1);
+  char *copy = alloc_owned (catalog, s.len + 1);
 
   if (s.len > 0)
     memcpy (copy, s.ptr, s.len);
@@ -73,11 +74,11 @@
   map_destroy (catalog->routes);
   map_destroy (catalog->teams);
   map_destroy (catalog->keys);
-  while (catalog->pieces != NULL)
+  while (catalog->allocations != NULL)
     {
-      piece_t *piece = catalog->pieces;
-      catalog->pieces = piece->next;
-      free (piece);
+      allocation_t *allocation = catalog->allocations;
+      catalog->allocations = allocation->next;
+      free (allocation);
     }
   free (catalog);
 }
@@ -87,17 +88,17 @@
 {
   if (map_get (catalog->services, service->name) != NULL)
     return VH_E_BAD_CONFIG;
-  service_t *copy = keep (catalog, sizeof *copy);
+  service_t *copy = alloc_owned (catalog, sizeof *copy);
   *copy = *service;
-  copy->name = keep_str (catalog, service->name);
-  copy->health_path = keep_str (catalog, service->health_path);
+  copy->name = copy_str (catalog, service->name);
+  copy->health_path = copy_str (catalog, service->health_path);
   for (size_t i = 0; i < copy->model_count; i++)
-    copy->models[i].name = keep_str (catalog, copy->models[i].name);
+    copy->models[i].name = copy_str (catalog, copy->models[i].name);
   map_put (catalog->services, copy->name, copy);
   return VH_OK;
 }
 
-/* Append the key of HOST and PREFIX to OUT.  */
+/* Append the key in catalog->routes for HOST and PREFIX to OUT.  */
 static void
 append_route_key (buf_t *out, str_t host, str_t prefix)
 {
@@ -116,15 +117,15 @@
   append_route_key (&key, route->host, route->prefix);
   if (map_get (catalog->routes, buf_str (&key)) != NULL)
     goto done;
-  route_t *copy = keep (catalog, sizeof *copy);
+  route_t *copy = alloc_owned (catalog, sizeof *copy);
   *copy = *route;
-  copy->name = keep_str (catalog, route->name);
-  copy->host = keep_str (catalog, route->host);
-  copy->prefix = keep_str (catalog, route->prefix);
+  copy->name = copy_str (catalog, route->name);
+  copy->host = copy_str (catalog, route->host);
+  copy->prefix = copy_str (catalog, route->prefix);
   for (size_t i = 0; i < copy->split_count; i++)
-    copy->splits[i].service = keep_str (catalog, copy->splits[i].service);
+    copy->splits[i].service = copy_str (catalog, copy->splits[i].service);
   for (size_t i = 0; i < copy->model_count; i++)
-    copy->models[i] = keep_str (catalog, copy->models[i]);
+    copy->models[i] = copy_str (catalog, copy->models[i]);
   map_put (catalog->routes, buf_str (&key), copy);
   code = VH_OK;
 done:
@@ -141,9 +142,9 @@
   for (size_t i = 0; i < key_count; i++)
     if (map_get (catalog->keys, keys[i]) != NULL)
       return VH_E_BAD_CONFIG;
-  team_t *copy = keep (catalog, sizeof *copy);
+  team_t *copy = alloc_owned (catalog, sizeof *copy);
   *copy = *team;
-  copy->name = keep_str (catalog, team->name);
+  copy->name = copy_str (catalog, team->name);
   map_put (catalog->teams, copy->name, copy);
   for (size_t i = 0; i < key_count; i++)
     map_put (catalog->keys, keys[i], copy);
@@ -183,13 +184,13 @@
 
   host = str_cut (host, ':', &port);
   append_route_key (&key, host, path);
-  size_t head = key.len - path.len;
-  while (route == NULL && key.len > head)
+  size_t host_len = key.len - path.len;
+  while (route == NULL && key.len > host_len)
     {
-      /* Prefixes end with a slash: step back from one to the next.  */
-      while (key.len > head && key.ptr[key.len - 1] != '/')
+      /* Prefixes end with a slash: cut the path after the previous one.  */
+      while (key.len > host_len && key.ptr[key.len - 1] != '/')
         key.len--;
-      if (key.len == head)
+      if (key.len == host_len)
         break;
       route = map_get (catalog->routes, buf_str (&key));
       key.len--;
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -1,6 +1,6 @@
-/* The routes, services and teams of one accepted configuration.  A catalog
-   is filled once and then never changes; requests keep the one that they
-   started under.  */
+/* The routes, services and teams of one accepted configuration.  A catalog is
+   filled once and not changed afterwards.  A request holds a reference to the
+   catalog under which it started.  */
 
 #ifndef GATEWAY_CATALOG_H
 #define GATEWAY_CATALOG_H
@@ -12,9 +12,11 @@
 
 typedef enum
 {
-  ROUTE_IDEMPOTENT, /* May run more than once.  */
-  ROUTE_ONCE,       /* Runs at most once.  */
-  ROUTE_STREAM      /* An event stream; as ROUTE_ONCE unless resumable.  */
+  ROUTE_IDEMPOTENT, /* Requests may be executed more than once.  */
+  ROUTE_ONCE,       /* Requests are executed at most once.  */
+  /* Answers are event streams.  Requests are executed at most once, unless
+     streams of the route can be resumed.  */
+  ROUTE_STREAM
 } route_kind_t;
 
 enum
@@ -27,18 +29,21 @@
 typedef struct
 {
   str_t name;
-  double cost; /* For 1,000 tokens generated; tokens read count a quarter.  */
+  double cost; /* Price of 1,000 output tokens; an input token costs a quarter
+                  of an output token.  */
 } service_model_t;
 
 typedef struct
 {
   str_t name;
   str_t health_path;
-  uint32_t connections_max; /* At one instance, from all callers.  */
-  double cold_s;            /* How long a fresh instance stays cold.  */
-  double cold_per_s;        /* Requests a second a cold one bears; 0: any.  */
-  bool is_engine;
-  uint64_t kv_tokens; /* Memory of an engine; 0: not known.  */
+  /* Connections allowed to one instance, from all gateways together.  */
+  uint32_t connections_max;
+  double cold_s;      /* Time for which a new instance counts as cold.  */
+  double cold_per_s;  /* Requests a second that a cold instance can take; 0: no
+                         bound.  */
+  bool is_engine;     /* Whether the instances are inference engines.  */
+  uint64_t kv_tokens; /* Capacity of an engine's KV cache; 0: unknown.  */
   service_model_t models[SERVICE_MODELS_MAX];
   size_t model_count;
 } service_t;
@@ -53,18 +58,21 @@
 {
   str_t name;
   str_t host;
-  str_t prefix; /* Begins and ends with a slash.  */
+  str_t prefix; /* Path prefix; begins and ends with a slash.  */
   route_kind_t kind;
-  uint64_t timeout_ms;   /* Longest time a caller is kept waiting.  */
-  uint64_t objective_ms; /* An answer, or its first event, is due.  */
-  uint64_t pause_ms;     /* Longest pause between events that is on time.  */
-  uint32_t attempts_max; /* Upstreams that one submission may run on.  */
+  uint64_t timeout_ms; /* Longest time for which a client may wait.  */
+  /* Latency objective of the answer, or of the first event of a stream.  */
+  uint64_t objective_ms;
+  uint64_t pause_ms;     /* Longest time between two events of a stream that
+                            meets the objective.  */
+  uint32_t attempts_max; /* Upstreams on which one request may be executed.  */
   uint32_t priority;     /* 0 is the highest.  */
-  bool is_public;        /* Needs no key.  */
-  bool resumable;
+  bool is_public;        /* Whether clients need no key.  */
+  bool resumable; /* Whether a broken stream may go on at another upstream.  */
   route_split_t splits[ROUTE_SPLITS_MAX];
   size_t split_count;
-  str_t models[ROUTE_MODELS_MAX]; /* To choose from, smallest first.  */
+  /* Models to choose from, in ascending order of size.  */
+  str_t models[ROUTE_MODELS_MAX];
   size_t model_count;
 } route_t;
 
@@ -72,26 +80,28 @@
 {
   str_t name;
   uint32_t priority;
-  bool has_priority; /* Goes before that of the route.  */
+  bool has_priority; /* Whether PRIORITY overrides that of the route.  */
 } team_t;
 
+/* Limits on the requests of clients.  */
 typedef struct
 {
   uint64_t header_bytes;
   uint64_t body_bytes;
-  uint64_t header_ms;
-  uint64_t idle_ms;
+  uint64_t header_ms; /* Time in which a request's headers must arrive.  */
+  uint64_t idle_ms;   /* Time after which an idle connection is closed.  */
 } caller_limits_t;
 
-/* REVISION grows with each configuration.  The catalog starts with one
-   reference.  */
+/* REVISION grows with each configuration.  The caller owns the only reference
+   to the result.  */
 catalog_t *catalog_create (uint64_t revision);
 void catalog_ref (catalog_t *catalog);
 /* Drop a reference; NULL is accepted.  */
 void catalog_unref (catalog_t *catalog);
 
-/* Fill: everything is copied.  Return VH_E_BAD_CONFIG for a second one of the
-   same name, prefix or key, with nothing added.  */
+/* Add to a catalog that is being filled; arguments are copied.  Return
+   VH_E_BAD_CONFIG and add nothing when the name, the prefix at this host or a
+   key is already present.  */
 vh_code_t catalog_add_service (catalog_t *catalog, const service_t *service);
 vh_code_t catalog_add_route (catalog_t *catalog, const route_t *route);
 vh_code_t catalog_add_team (catalog_t *catalog, const team_t *team,
@@ -100,12 +110,13 @@
 
 uint64_t catalog_revision (const catalog_t *catalog);
 const caller_limits_t *catalog_limits (const catalog_t *catalog);
+/* The service NAME, or NULL.  */
 const service_t *catalog_service (const catalog_t *catalog, str_t name);
-/* The route of HOST (a port is ignored) with the longest prefix that begins
-   PATH, or NULL.  */
+/* The route of HOST with the longest prefix of PATH, or NULL.  A port in HOST
+   is ignored.  */
 const route_t *catalog_route (const catalog_t *catalog, str_t host,
                               str_t path);
-/* Tell whether any team is known: without one no key is needed.  */
+/* Return whether the catalog has teams; without any, clients need no key.  */
 bool catalog_has_teams (const catalog_t *catalog);
 /* The team that holds KEY, or NULL.  */
 const team_t *catalog_team (const catalog_t *catalog, str_t key);
--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -6,26 +6,26 @@
 
 enum
 {
-  /* Leaves the core to the loop for at least a turn.  */
+  /* Lets the event loop run for at least one turn.  */
   PAUSE_MS = 1
 };
 
 struct loader
 {
   uv_loop_t *loop;
-  loader_read_t read;
+  loader_read_t parse;
   loader_cb_t cb;
   void *arg;
-  bool destroyed; /* While a text was being read.  */
-  bool is_reading;
+  bool is_destroyed; /* loader_destroy was called while a text was parsed.  */
+  bool is_parsing;
   uv_work_t work;
-  buf_t text; /* Being read.  */
-  catalog_t *catalog;
+  buf_t text;         /* The text that is being parsed.  */
+  catalog_t *catalog; /* Result for TEXT; NULL if it is invalid.  */
   vh_code_t code;
-  buf_t next; /* To be read after it; empty: none.  */
+  buf_t next; /* The text to parse after TEXT; empty: none.  */
 };
 
-static void start (loader_t *loader);
+static void parse_next (loader_t *loader);
 
 static void
 loader_free (loader_t *loader)
@@ -36,34 +36,35 @@
 }
 
 static void
-leave_core (void)
+yield_to_loop (void)
 {
   uv_sleep (PAUSE_MS);
 }
 
-/* On a thread of the pool: touches nothing that the loop touches meanwhile. */
+/* Run on a thread of the pool.  The loop does not access these fields before
+   on_work_done.  */
 static void
 on_work (uv_work_t *work)
 {
   loader_t *loader = work->data;
 
-  loader->code
-      = loader->read (buf_str (&loader->text), leave_core, &loader->catalog);
+  loader->code = loader->parse (buf_str (&loader->text), yield_to_loop,
+                                &loader->catalog);
 }
 
 static void
-on_worked (uv_work_t *work, int status)
+on_work_done (uv_work_t *work, int status)
 {
   loader_t *loader = work->data;
   catalog_t *catalog = loader->catalog;
 
-  loader->is_reading = false;
+  loader->is_parsing = false;
   if (status == UV_ECANCELED)
     {
       loader->code = VH_E_INTERNAL;
       catalog = NULL;
     }
-  if (loader->destroyed)
+  if (loader->is_destroyed)
     {
       catalog_unref (catalog);
       loader_free (loader);
@@ -71,12 +72,12 @@
     }
   loader->cb (loader->arg, loader->code, catalog, loader->text.len);
   if (loader->next.len > 0)
-    start (loader);
+    parse_next (loader);
 }
 
-/* Read what waits.  */
+/* Parse the next text on the thread pool.  */
 static void
-start (loader_t *loader)
+parse_next (loader_t *loader)
 {
   buf_t text = loader->text;
 
@@ -84,45 +85,46 @@
   loader->next = text;
   loader->next.len = 0;
   loader->catalog = NULL;
-  loader->is_reading = true;
+  loader->is_parsing = true;
   loader->work.data = loader;
-  if (uv_queue_work (loader->loop, &loader->work, on_work, on_worked) == 0)
+  if (uv_queue_work (loader->loop, &loader->work, on_work, on_work_done) == 0)
     return;
-  /* No pool: better late streams than an old configuration.  */
+  /* Without the pool, delaying streams is better than keeping an old
+     configuration.  */
   on_work (&loader->work);
-  on_worked (&loader->work, 0);
+  on_work_done (&loader->work, 0);
 }
 
 void
-loader_take (loader_t *loader, str_t text, bool first)
+loader_take (loader_t *loader, str_t text, bool is_first)
 {
   catalog_t *catalog = NULL;
 
-  if (!loader->is_reading && (first || text.len < LOADER_LONG))
+  if (!loader->is_parsing && (is_first || text.len < LOADER_LONG))
     {
-      vh_code_t code = loader->read (text, NULL, &catalog);
+      vh_code_t code = loader->parse (text, NULL, &catalog);
       loader->cb (loader->arg, code, catalog, text.len);
       return;
     }
   loader->next.len = 0;
   buf_append_str (&loader->next, text);
-  if (!loader->is_reading)
-    start (loader);
+  if (!loader->is_parsing)
+    parse_next (loader);
 }
 
 bool
 loader_busy (const loader_t *loader)
 {
-  return loader->is_reading || loader->next.len > 0;
+  return loader->is_parsing || loader->next.len > 0;
 }
 
 loader_t *
-loader_create (uv_loop_t *loop, loader_read_t read, loader_cb_t cb, void *arg)
+loader_create (uv_loop_t *loop, loader_read_t parse, loader_cb_t cb, void *arg)
 {
   loader_t *loader = mem_zalloc (sizeof *loader);
 
   loader->loop = loop;
-  loader->read = read;
+  loader->parse = parse;
   loader->cb = cb;
   loader->arg = arg;
   return loader;
@@ -133,11 +135,11 @@
 {
   if (loader == NULL)
     return;
-  if (!loader->is_reading)
+  if (!loader->is_parsing)
     {
       loader_free (loader);
       return;
     }
-  loader->destroyed = true;
+  loader->is_destroyed = true;
   uv_cancel ((uv_req_t *)&loader->work);
 }
--- a/packages/gateway/storeclock.c
+++ b/packages/gateway/storeclock.c
@@ -1,39 +1,41 @@
 #include "gateway/storeclock.h"
 
-/* By how much the store's clock is ahead at most, at NOW_MS.  */
+/* Upper bound on store clock minus local clock, at local time NOW_MS.  */
 static int64_t
-ahead_at (const store_clock_t *clock, uint64_t now_ms)
+ahead_bound_at (const store_clock_t *clock, uint64_t now_ms)
 {
-  uint64_t passed_ms
+  uint64_t elapsed_ms
       = now_ms > clock->sampled_ms ? now_ms - clock->sampled_ms : 0;
 
   return clock->ahead_ms
-         + (int64_t)((double)passed_ms * STORE_CLOCK_DRIFT + 0.5);
+         + (int64_t)((double)elapsed_ms * STORE_CLOCK_DRIFT + 0.5);
 }
 
 void
 store_clock_sample (store_clock_t *clock, uint64_t store_ms, uint64_t sent_ms,
-                    uint64_t got_ms)
+                    uint64_t received_ms)
 {
-  int64_t most = (int64_t)store_ms - (int64_t)sent_ms;
-  int64_t least = (int64_t)store_ms - (int64_t)got_ms;
-  int64_t ahead = ahead_at (clock, got_ms);
+  int64_t ahead_max_ms = (int64_t)store_ms - (int64_t)sent_ms;
+  int64_t ahead_min_ms = (int64_t)store_ms - (int64_t)received_ms;
+  int64_t bound_ms = ahead_bound_at (clock, received_ms);
 
-  /* Ahead by more than the most that was possible: another clock.  */
-  if (clock->known && most >= ahead && least <= ahead)
+  /* Keep a bound in the range that this call allows.  A higher bound is looser
+     or the store's clock jumped back; a lower bound is impossible unless the
+     store's clock jumped ahead.  */
+  if (clock->is_known && ahead_max_ms >= bound_ms && ahead_min_ms <= bound_ms)
     return;
-  clock->known = true;
-  clock->ahead_ms = most;
-  clock->sampled_ms = got_ms;
+  clock->is_known = true;
+  clock->ahead_ms = ahead_max_ms;
+  clock->sampled_ms = received_ms;
 }
 
 uint64_t
 store_clock_local (const store_clock_t *clock, uint64_t store_ms,
                    uint64_t now_ms)
 {
-  int64_t local = (int64_t)store_ms - ahead_at (clock, now_ms);
+  int64_t local_ms = (int64_t)store_ms - ahead_bound_at (clock, now_ms);
 
-  if (!clock->known || local <= 0)
+  if (!clock->is_known || local_ms <= 0)
     return 0;
-  return (uint64_t)local < now_ms ? (uint64_t)local : now_ms;
+  return (uint64_t)local_ms < now_ms ? (uint64_t)local_ms : now_ms;
 }
--- a/packages/gateway/storeclock.h
+++ b/packages/gateway/storeclock.h
@@ -1,18 +1,18 @@
-/* When the store said something, by this process's own clock.
-
-   Answers: an outage of the store, in which each entry lets callers' keys in
-   for as long as its last confirmation is young enough.  A call that waits for
-   news may be answered a second after it was sent.  To count its answer from
-   the sending is safe and makes the confirmation look older than it is by the
-   whole wait, so that callers are refused that much sooner (2.5 s of 4.5 with
-   one entry reading for others).
-
-   The store bears a steady clock in each answer.  Of a call that was sent at
-   S, by our clock, and answered with N, by the store's, the answer was made no
-   earlier than S; so the store's clock is ahead of ours by N - S at most.  The
-   least of these differences tells the latest moment by our clock that is
-   certainly no later than N.  It gives way by STORE_CLOCK_DRIFT, as two steady
-   clocks do.  */
+/* Converts times of the store's clock to this process's clock.
+
+   Answers: an outage of the store, in which each gateway accepts clients' keys
+   only while its last confirmation is recent enough.  A watch call may be
+   answered a second after it was sent.  Dating the confirmation at the time of
+   sending is safe, but makes it look older than it is by the whole wait, so
+   that clients are refused that much sooner (2.5 s of 4.5 s when one gateway
+   reads the store for others).
+
+   The store sends its steady clock with each answer.  If a call was sent at S
+   by the local clock and the store's answer carries N, the store made the
+   answer no earlier than S, so the store's clock is ahead by at most N - S.
+   The smallest of these differences gives the latest local time that is
+   certainly no later than a given time of the store.  The bound is widened by
+   STORE_CLOCK_DRIFT over time, because two steady clocks drift apart.  */
 
 #ifndef GATEWAY_STORECLOCK_H
 #define GATEWAY_STORECLOCK_H
@@ -20,23 +20,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Twice what the worst quartz clocks differ by.  */
+/* Twice the largest difference in rate between two quartz clocks.  */
 #define STORE_CLOCK_DRIFT 0.0005
 
 typedef struct
 {
-  bool known;
-  int64_t ahead_ms; /* The store's clock is ahead of ours by this at most. */
-  uint64_t sampled_ms; /* When that was learned, by our clock.  */
+  bool is_known;       /* Whether there is a sample.  */
+  int64_t ahead_ms;    /* Upper bound on store clock minus local clock.  */
+  uint64_t sampled_ms; /* Local time of the sample behind AHEAD_MS.  */
 } store_clock_t;
 
-/* The store itself answered with its clock at STORE_MS to a call that was sent
-   at SENT_MS; the answer came at GOT_MS.  A store's clock that jumped is
-   learned anew.  */
+/* Add the clock value STORE_MS that the store itself sent in answer to a call.
+   The call was sent at local time SENT_MS, and the answer arrived at local
+   time RECEIVED_MS.  A jump of the store's clock drops earlier samples.  */
 void store_clock_sample (store_clock_t *clock, uint64_t store_ms,
-                         uint64_t sent_ms, uint64_t got_ms);
-/* The latest moment by our clock that is no later than the store's STORE_MS;
-   0 when nothing is known.  NOW_MS is ours.  */
+                         uint64_t sent_ms, uint64_t received_ms);
+/* The latest local time that is no later than STORE_MS of the store's clock; 0
+   if there is no sample.  NOW_MS is the local time now.  */
 uint64_t store_clock_local (const store_clock_t *clock, uint64_t store_ms,
                             uint64_t now_ms);
 
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -1,4 +1,4 @@
-/* Routes, services and teams of one configuration.  */
+/* Lookups in the catalog, and additions that it must reject.  */
 
 #include "gateway/catalog.h"
 #include "suite.h"
@@ -11,7 +11,7 @@
                     .prefix = str_from (prefix) };
 }
 
-START_TEST (the_longest_prefix_of_the_host_wins)
+START_TEST (longest_prefix_of_the_host_is_selected)
 {
   static const struct
   {
@@ -51,7 +51,7 @@
 }
 END_TEST
 
-START_TEST (a_key_belongs_to_one_team)
+START_TEST (key_of_another_team_is_rejected)
 {
   catalog_t *catalog = catalog_create (1);
   const team_t coast = { .name = STR ("coast") };
@@ -68,7 +68,7 @@
 }
 END_TEST
 
-START_TEST (what_stands_twice_is_refused)
+START_TEST (duplicate_route_and_service_are_rejected)
 {
   catalog_t *catalog = catalog_create (1);
   route_t route = route_make ("one", "a", "/x/");
@@ -89,9 +89,9 @@
   Suite *suite = suite_create ("catalog");
   TCase *tcase = tcase_create ("catalog");
 
-  tcase_add_test (tcase, the_longest_prefix_of_the_host_wins);
-  tcase_add_test (tcase, a_key_belongs_to_one_team);
-  tcase_add_test (tcase, what_stands_twice_is_refused);
+  tcase_add_test (tcase, longest_prefix_of_the_host_is_selected);
+  tcase_add_test (tcase, key_of_another_team_is_rejected);
+  tcase_add_test (tcase, duplicate_route_and_service_are_rejected);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_loader.c
+++ b/tests/test_loader.c
@@ -1,4 +1,4 @@
-/* Long configurations, read beside the loop.  */
+/* Parsing of long configurations on the thread pool.  */
 
 #include "gateway/loader.h"
 #include "suite.h"
@@ -9,7 +9,7 @@
 
 enum
 {
-  LONG = LOADER_LONG + 1,
+  LONG_BYTES = LOADER_LONG + 1,
   WORK_MS = 150
 };
 
@@ -17,20 +17,21 @@
 {
   uv_loop_t loop;
   loader_t *loader;
-  uint64_t revisions[8]; /* That came, in order.  */
+  uint64_t revisions[8]; /* Revisions of the parsed catalogs, in order.  */
   size_t count;
   size_t failed;
-  bool busy_at; /* When the last one came.  */
+  bool was_busy; /* Whether the loader was busy at the last callback.  */
   uv_timer_t tick;
-  uint64_t last_ms;
-  uint64_t worst_ms; /* Longest that the loop stood still.  */
+  uint64_t last_turn_ms;
+  uint64_t turn_max_ms; /* Longest time between two turns of the loop.  */
 } fixture_t;
 
-/* The revision is the first byte; a long one takes its time.  */
+/* The first byte of TEXT is the revision; `x' is invalid.  A long text takes
+   WORK_MS.  */
 static vh_code_t
-read_slowly (str_t text, void (*pause) (void), catalog_t **out)
+parse_slowly (str_t text, void (*pause) (void), catalog_t **out)
 {
-  if (text.len >= LONG)
+  if (text.len >= LONG_BYTES)
     for (int i = 0; i < WORK_MS / 2; i++)
       {
         uv_sleep (1);
@@ -53,7 +54,7 @@
     f->failed++;
   else
     f->revisions[f->count++] = catalog_revision (catalog);
-  f->busy_at = loader_busy (f->loader);
+  f->was_busy = loader_busy (f->loader);
   catalog_unref (catalog);
 }
 
@@ -63,9 +64,9 @@
   fixture_t *f = timer->data;
   uint64_t now_ms = uv_hrtime () / 1000000;
 
-  if (f->last_ms != 0 && now_ms - f->last_ms > f->worst_ms)
-    f->worst_ms = now_ms - f->last_ms;
-  f->last_ms = now_ms;
+  if (f->last_turn_ms != 0 && now_ms - f->last_turn_ms > f->turn_max_ms)
+    f->turn_max_ms = now_ms - f->last_turn_ms;
+  f->last_turn_ms = now_ms;
 }
 
 static void
@@ -73,7 +74,7 @@
 {
   memset (f, 0, sizeof *f);
   uv_loop_init (&f->loop);
-  f->loader = loader_create (&f->loop, read_slowly, on_catalog, f);
+  f->loader = loader_create (&f->loop, parse_slowly, on_catalog, f);
   uv_timer_init (&f->loop, &f->tick);
   f->tick.data = f;
   uv_timer_start (&f->tick, on_tick, 0, 1);
@@ -89,71 +90,71 @@
 }
 
 static void
-take (fixture_t *f, char revision, size_t len, bool first)
+submit (fixture_t *f, char revision, size_t len, bool is_first)
 {
   char *text = calloc (1, len);
 
   memset (text, revision, len);
-  loader_take (f->loader, str_make (text, len), first);
+  loader_take (f->loader, str_make (text, len), is_first);
   free (text);
 }
 
-/* A large configuration comes while streams pass through.  Each event of
-   theirs goes on at once: the loop does not stand still for the reading.  Of
-   two more that come meanwhile the last one is read.  */
-START_TEST (streams_go_on_while_a_long_one_is_read)
+/* Parsing a large configuration on the event loop delays all streams.  Of two
+   more texts that arrive meanwhile, only the newest is parsed.  */
+START_TEST (long_text_does_not_block_the_loop)
 {
   fixture_t f;
 
   setup (&f);
-  take (&f, '1', LONG, false);
+  submit (&f, '1', LONG_BYTES, false);
   ck_assert (loader_busy (f.loader));
   ck_assert_uint_eq (f.count, 0);
-  take (&f, '2', LONG, false);
-  take (&f, '3', 10, false);
+  submit (&f, '2', LONG_BYTES, false);
+  submit (&f, '3', 10, false);
   while (f.count < 1)
     uv_run (&f.loop, UV_RUN_ONCE);
-  /* What came is not the newest.  */
-  ck_assert (f.busy_at);
+  /* The parsed text is not the newest one.  */
+  ck_assert (f.was_busy);
   while (f.count < 2)
     uv_run (&f.loop, UV_RUN_ONCE);
-  ck_assert (!f.busy_at);
+  ck_assert (!f.was_busy);
   ck_assert_uint_eq (f.revisions[0], 1);
   ck_assert_uint_eq (f.revisions[1], 3);
   ck_assert (!loader_busy (f.loader));
-  ck_assert_uint_lt (f.worst_ms, WORK_MS / 2);
+  ck_assert_uint_lt (f.turn_max_ms, WORK_MS / 2);
   teardown (&f);
 }
 END_TEST
 
-/* The first one and short ones are in force at once, bad ones are told.  */
-START_TEST (the_first_and_short_ones_are_read_at_once)
+/* The first text and short texts must be in force at once, and invalid texts
+   must be reported.  */
+START_TEST (first_and_short_texts_are_parsed_at_once)
 {
   fixture_t f;
 
   setup (&f);
-  take (&f, '1', LONG, true);
+  submit (&f, '1', LONG_BYTES, true);
   ck_assert_uint_eq (f.count, 1);
-  take (&f, '2', 10, false);
+  submit (&f, '2', 10, false);
   ck_assert_uint_eq (f.count, 2);
-  take (&f, 'x', 10, false);
+  submit (&f, 'x', 10, false);
   ck_assert_uint_eq (f.failed, 1);
-  take (&f, 'x', LONG, false);
+  submit (&f, 'x', LONG_BYTES, false);
   while (f.failed < 2)
     uv_run (&f.loop, UV_RUN_ONCE);
   teardown (&f);
 }
 END_TEST
 
-/* The process stops while one is read: nothing is told any more, and nothing
-   is left behind.  */
-START_TEST (a_stop_does_not_wait)
+/* The loader is destroyed while a text is parsed.  The callback must not be
+   called any more, and no memory may leak.  */
+START_TEST (destroy_while_parsing_calls_no_callback)
 {
   fixture_t f;
 
   setup (&f);
-  take (&f, '1', LONG, false);
-  take (&f, '2', LONG, false);
+  submit (&f, '1', LONG_BYTES, false);
+  submit (&f, '2', LONG_BYTES, false);
   teardown (&f);
   ck_assert_uint_eq (f.count, 0);
 }
@@ -165,9 +166,9 @@
   Suite *suite = suite_create ("loader");
   TCase *tcase = tcase_create ("loader");
 
-  tcase_add_test (tcase, streams_go_on_while_a_long_one_is_read);
-  tcase_add_test (tcase, the_first_and_short_ones_are_read_at_once);
-  tcase_add_test (tcase, a_stop_does_not_wait);
+  tcase_add_test (tcase, long_text_does_not_block_the_loop);
+  tcase_add_test (tcase, first_and_short_texts_are_parsed_at_once);
+  tcase_add_test (tcase, destroy_while_parsing_calls_no_callback);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_storeclock.c
+++ b/tests/test_storeclock.c
@@ -1,48 +1,49 @@
-/* How old an answer of the store is, by this process's own clock.  */
+/* Conversion of the store's times to local time.  */
 
 #include "gateway/storeclock.h"
 #include "suite.h"
 
 enum
 {
-  AHEAD_MS = 50000 /* Of the store's clock before ours.  */
+  AHEAD_MS = 50000 /* Store clock minus local clock.  */
 };
 
-/* A call waits a second for news and is answered at its end.  The answer is
-   as old as its way back and not as old as the wait: entries that took the
-   wait for its age refused callers a second too soon in an outage.  */
-START_TEST (a_long_wait_does_not_age_its_answer)
+/* A watch call is answered after a wait of a second.  Gateways that counted
+   the wait as part of the answer's age refused clients a second too soon in an
+   outage.  */
+START_TEST (wait_of_a_watch_does_not_age_its_answer)
 {
   store_clock_t clock = { 0 };
 
   ck_assert_uint_eq (store_clock_local (&clock, AHEAD_MS + 1000, 2000), 0);
   store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
   store_clock_sample (&clock, AHEAD_MS + 2502, 1500, 2504);
-  uint64_t local = store_clock_local (&clock, AHEAD_MS + 2502, 2504);
-  ck_assert_uint_ge (local, 2498);
-  ck_assert_uint_le (local, 2502);
+  uint64_t local_ms = store_clock_local (&clock, AHEAD_MS + 2502, 2504);
+  ck_assert_uint_ge (local_ms, 2498);
+  ck_assert_uint_le (local_ms, 2502);
 }
 END_TEST
 
-/* An answer is held up for three seconds on its way.  It must not pass for a
-   fresh one: a key may have been taken away meanwhile.  */
-START_TEST (a_late_answer_is_as_old_as_it_is)
+/* An answer is delayed for three seconds on the network.  It must not count as
+   recent, because a key may have been revoked meanwhile.  */
+START_TEST (delayed_answer_does_not_count_as_recent)
 {
   store_clock_t clock = { 0 };
 
   store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
   store_clock_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
   ck_assert_uint_le (store_clock_local (&clock, AHEAD_MS + 5002, 8000), 5002);
-  /* Also when it is the first that is known.  */
-  store_clock_t other = { 0 };
-  store_clock_sample (&other, AHEAD_MS + 5002, 5000, 8000);
-  ck_assert_uint_le (store_clock_local (&other, AHEAD_MS + 5002, 8000), 5002);
+  /* The same when the late answer is the first sample.  */
+  store_clock_t fresh_clock = { 0 };
+  store_clock_sample (&fresh_clock, AHEAD_MS + 5002, 5000, 8000);
+  ck_assert_uint_le (store_clock_local (&fresh_clock, AHEAD_MS + 5002, 8000),
+                     5002);
 }
 END_TEST
 
-/* The store comes back with another clock, ahead or behind.  What the old one
-   told must make no answer look younger than it is.  */
-START_TEST (a_clock_that_jumped_is_learned_anew)
+/* The store restarts with another clock, ahead or behind.  Samples of the old
+   clock must make no answer look more recent than it is.  */
+START_TEST (samples_of_a_clock_that_jumped_are_dropped)
 {
   static const int64_t jumps[] = { -40000, 40000 };
 
@@ -57,17 +58,17 @@
 }
 END_TEST
 
-/* An hour after the last answer of the store itself two steady clocks may
-   differ by more: what others tell counts as older then.  */
-START_TEST (clocks_drift)
+/* An hour after the last sample, two steady clocks may have drifted apart, so
+   answers passed on by other gateways must count as older.  */
+START_TEST (drift_widens_the_bound_over_time)
 {
   store_clock_t clock = { 0 };
   uint64_t hour_ms = 3600000;
 
   store_clock_sample (&clock, AHEAD_MS + 1000, 1000, 1002);
-  uint64_t local
+  uint64_t local_ms
       = store_clock_local (&clock, AHEAD_MS + 1000 + hour_ms, 1002 + hour_ms);
-  ck_assert_uint_le (local, 1000 + hour_ms - 1000);
+  ck_assert_uint_le (local_ms, 1000 + hour_ms - 1000);
 }
 END_TEST
 
@@ -77,10 +78,10 @@
   Suite *suite = suite_create ("storeclock");
   TCase *tcase = tcase_create ("storeclock");
 
-  tcase_add_test (tcase, a_long_wait_does_not_age_its_answer);
-  tcase_add_test (tcase, a_late_answer_is_as_old_as_it_is);
-  tcase_add_test (tcase, a_clock_that_jumped_is_learned_anew);
-  tcase_add_test (tcase, clocks_drift);
+  tcase_add_test (tcase, wait_of_a_watch_does_not_age_its_answer);
+  tcase_add_test (tcase, delayed_answer_does_not_count_as_recent);
+  tcase_add_test (tcase, samples_of_a_clock_that_jumped_are_dropped);
+  tcase_add_test (tcase, drift_widens_the_bound_over_time);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
