--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -1,6 +1,6 @@
-/* What a gateway learns from the platform's store and does there: the
-   configuration, the instances, the operators' orders and the other entries.
-   What follows from orders of roll-outs is in rollouts.c.  */
+/* Synchronises a gateway with the platform's store: reads the configuration,
+   the operators' orders, the upstream instances and the other gateways, and
+   registers this gateway.  Roll-outs are carried out in rollouts.c.  */
 
 #include "gateway/gatewayint.h"
 
@@ -12,63 +12,76 @@
 
 enum
 {
-  /* Steps of a roll-out are taken on time to a quarter of a second: a good
-     version has some seconds to spare in all.  */
+  /* Roll-out steps may be late by this much: a good version reaches all
+     requests some seconds before its time limit.  */
   TICK_MS = 250,
   TICKS_PER_S = 4,
-  /* A key that was taken away must be unusable within seconds, and the age of
-     a confirmation is at most two waits and a timeout.  */
+  /* Longest time that the store holds a watch for orders.  A revoked key must
+     be refused within seconds, and a confirmation gets as old as two such
+     waits and a timeout.  */
   ORDERS_WAIT_MS = 1500,
-  ORDERS_SLACK_MS = 500,
-  /* A departure is told at once; the wait only bounds a silent connection.  */
+  ORDERS_TIMEOUT_SLACK_MS = 500,
+  /* The store reports a removed instance at once, so this wait only bounds how
+     long a silent connection goes undetected.  */
   INSTANCES_WAIT_MS = 2500,
-  INSTANCES_SLACK_MS = 600,
-  /* Listings come in bursts; a departure may be acted on within 2 s.  */
-  INSTANCES_GAP_MS = 300,
-  /* Entries and steps of roll-outs.  Evidence goes with these calls, so the
-     gap bounds how old it is.  */
-  OWN_WAIT_MS = 8000,
-  OWN_SLACK_MS = 1000,
-  OWN_GAP_MS = 150,
-  /* In an outage the orders are asked for on behalf of all tables: 22 entries
-     that asked for three each made 120 calls a second.  */
-  RETRY_LAST_MS = 4000,
-  /* An entry that is not listed yet only lacks its part of what is shared.  */
-  NODE_RETRY_MS = 2000
+  INSTANCES_TIMEOUT_SLACK_MS = 600,
+  /* Instances register in bursts, and a removed instance may get requests for
+     up to 2 s.  */
+  INSTANCES_CALL_GAP_MS = 300,
+  /* Calls for the rows that gateways share: registrations and roll-out states.
+     Roll-out evidence is piggybacked on these calls, so the gap bounds the age
+     of the evidence.  */
+  SHARED_WAIT_MS = 8000,
+  SHARED_TIMEOUT_SLACK_MS = 1000,
+  SHARED_CALL_GAP_MS = 150,
+  /* Longest retry delay for the other tables.  In an outage only the calls for
+     orders probe the store: 22 gateways that retried all three tables made 120
+     calls a second.  */
+  OTHER_TABLES_RETRY_MAX_MS = 4000,
+  /* Delay before a failed registration is repeated.  Until it is registered, a
+     gateway only lacks its part of the limits that gateways share.  */
+  REGISTRATION_RETRY_MS = 2000
 };
 
 struct duties
 {
   belief_t *belief;
   rows_t *rows;
-  share_t *share;
+  share_t *peer_rows;
   loader_t *loader;
   follow_t *instances;
-  follow_t *own;
+  follow_t *shared_rows;
   uv_timer_t tick;
   uint64_t ticks;
-  bool own_read; /* The shared rows were read once.  */
-  bool instances_read;
-  bool node_written;
-  bool node_pending;
-  uint64_t node_again_ms; /* Not before this, after a write that failed.  */
-  bool away;              /* Some table could not be read.  */
-  uint64_t returned_ms;   /* When the store came back, monotonic.  */
+  bool has_read_shared_rows; /* The shared rows were read at least once.  */
+  bool has_read_instances;   /* The instances were read at least once.  */
+  /* The last write of this gateway's registration succeeded.  */
+  bool is_registered;
+  /* A write of this gateway's registration has no answer yet.  */
+  bool is_registration_pending;
+  /* Earliest monotonic time of the next registration, after a failed one.  */
+  uint64_t registration_retry_ms;
+  /* Whether the store was reported as down last, by any table.  */
+  bool is_store_down;
+  /* Monotonic time at which the store answered again after an outage; 0: there
+     was no outage.  */
+  uint64_t store_back_ms;
   rollouts_t *rollouts;
 };
 
 /* Orders.  */
 
-/* A configuration of LEN bytes was read.  */
+/* A configuration text of LEN bytes was parsed.  */
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
-  duties_t *duties = arg;
-  belief_t *belief = duties->belief;
-  uint64_t read_ms = belief_reading_for_ms (belief);
+  duties_t *sync = arg;
+  belief_t *belief = sync->belief;
+  uint64_t parse_ms = belief_reading_for_ms (belief);
 
-  /* While a later one waits the keys go on ageing.  */
-  if (!loader_busy (duties->loader))
+  /* While a later configuration waits to be parsed, the confirmation of the
+     keys in force continues to age.  */
+  if (!loader_busy (sync->loader))
     belief->reading_ms = 0;
   if (code != VH_OK)
     {
@@ -87,39 +100,39 @@
       field_number (FIELD_BEFORE, belief->catalog != NULL
                                       ? catalog_revision (belief->catalog)
                                       : 0),
-      field_number (FIELD_READ_MS, read_ms));
+      field_number (FIELD_READ_MS, parse_ms));
   catalog_unref (belief->catalog);
   belief->catalog = catalog;
 }
 
-/* Read the configuration in ROW.  What is in force until then is as old as the
-   last confirmation before this one.  */
+/* Parse the configuration in ROW.  Until it is parsed, the configuration in
+   force counts as confirmed before ROW was read.  */
 static void
-take_catalog (duties_t *duties, const rows_row_t *row)
+parse_catalog (duties_t *sync, const rows_row_t *row)
 {
-  belief_t *belief = duties->belief;
+  belief_t *belief = sync->belief;
 
   log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
              field_number (FIELD_BYTES, row->value.len));
   if (belief->reading_ms == 0)
     belief->reading_ms = clock_boot_ms (belief->clock);
-  loader_take (duties->loader, row->value, belief->catalog == NULL);
+  loader_take (sync->loader, row->value, belief->catalog == NULL);
 }
 
 static void
 on_order_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  duties_t *sync = arg;
+  belief_t *belief = sync->belief;
   str_t name;
 
   switch (belief->dialect->order_kind (row->key, &name))
     {
     case ORDER_CATALOG:
-      take_catalog (duties, row);
+      parse_catalog (sync, row);
       break;
     case ORDER_ROLLOUT:
-      rollouts_order (duties->rollouts, row);
+      rollouts_order (sync->rollouts, row);
       break;
     case ORDER_ZONE_OUT:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
@@ -133,13 +146,13 @@
 static void
 on_order_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
   str_t name;
 
-  if (duties->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
+  if (sync->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_zone_out (duties->belief->pool, name, false);
+  pool_zone_out (sync->belief->pool, name, false);
 }
 
 /* Instances.  */
@@ -147,8 +160,8 @@
 static void
 on_instance_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  duties_t *sync = arg;
+  belief_t *belief = sync->belief;
   upstream_info_t info;
   void *holder = NULL;
   vh_code_t code
@@ -173,60 +186,63 @@
 static void
 on_instance_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
-  belief_t *belief = duties->belief;
+  duties_t *sync = arg;
+  belief_t *belief = sync->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   uint64_t keep_ms = 0;
 
-  if (duties->returned_ms != 0
-      && now_ms - duties->returned_ms < belief->options.lapse_ms)
-    keep_ms = belief->options.lapse_ms - (now_ms - duties->returned_ms);
+  if (sync->store_back_ms != 0
+      && now_ms - sync->store_back_ms < belief->options.lapse_ms)
+    keep_ms = belief->options.lapse_ms - (now_ms - sync->store_back_ms);
   log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
              field_number (FIELD_KEEP_MS, keep_ms));
   pool_remove (belief->pool, key, keep_ms);
 }
 
-/* Requests may be served once all tables were read.  */
+/* Allow requests to be served once all tables were read.  */
 static void
-set_prepared (duties_t *duties)
+update_prepared (duties_t *sync)
 {
-  if (duties->own_read && duties->instances_read)
-    duties->belief->is_prepared = true;
+  if (sync->has_read_shared_rows && sync->has_read_instances)
+    sync->belief->is_prepared = true;
 }
 
 static void
-on_instances_caught_up (void *arg, bool full)
+on_instances_synced (void *arg, bool is_full_read)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
 
-  (void)full;
-  duties->instances_read = true;
-  set_prepared (duties);
+  (void)is_full_read;
+  sync->has_read_instances = true;
+  update_prepared (sync);
 }
 
-/* Registrations that lapsed in an outage count from the first sign that the
-   store is back, whichever table it is on.  The instances may be read seconds
-   after the orders, when their call hung on a connection that was cut: counted
-   from there, an instance that had left 13 s before got a request.  */
+/* Record that the store stopped answering calls for a table (IS_DOWN) or
+   answers again.  Registrations that expired during an outage are kept for
+   options.lapse_ms from the first answer for any table.  The instances may
+   be read seconds after the orders, if their call hung on a broken connection.
+   Counted from the read of the instances, an instance that had left 13 s
+   before got a request.  */
 static void
-note_reach (duties_t *duties, bool down)
+record_reachability (duties_t *sync, bool is_down)
 {
-  if (!down && duties->away)
-    duties->returned_ms = clock_ms (duties->belief->clock);
-  duties->away = down;
+  if (!is_down && sync->is_store_down)
+    sync->store_back_ms = clock_ms (sync->belief->clock);
+  sync->is_store_down = is_down;
 }
 
 static void
-on_instances_reach (void *arg, bool down)
+on_instances_reachability (void *arg, bool is_down)
 {
-  note_reach (arg, down);
+  record_reachability (arg, is_down);
 }
 
-/* Shared rows.  */
+/* Rows that gateways share.  */
 
-/* Take in an entry that listed itself: ZONE ADDRESS LINK.  */
+/* Add the gateway NAME with the registration TEXT, which is ZONE ADDRESS LINK.
+   LINK is the bandwidth of its link in Mbit/s.  */
 static void
-take_entry (share_t *share, str_t name, str_t text)
+add_gateway (share_t *peer_rows, str_t name, str_t text)
 {
   str_t rest;
   str_t zone = str_cut (text, ' ', &rest);
@@ -238,111 +254,115 @@
   if (rest.ptr != NULL && !str_to_u64 (rest, &link_mbps))
     log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, name),
                field_number (FIELD_CODE, VH_E_BAD_FIELD));
-  share_put (share, name, zone, address, (uint32_t)link_mbps);
+  share_put (peer_rows, name, zone, address, (uint32_t)link_mbps);
 }
 
 static void
-on_own_put (void *arg, const rows_row_t *row)
+on_shared_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
   str_t rest;
   str_t kind = row_kind (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
-    rollouts_row (duties->rollouts, rest, row);
+    rollouts_row (sync->rollouts, rest, row);
   else if (str_eq (kind, STR ("evidence")))
-    rollouts_evidence (duties->rollouts, row->key, false, row->value);
+    rollouts_evidence (sync->rollouts, row->key, false, row->value);
   else if (str_eq (kind, STR ("entry")) && rest.len > 0)
     {
-      str_t more;
-      allotment_put (duties->belief->fleet, rest,
-                     str_cut (row->value, ' ', &more));
-      if (duties->share != NULL)
-        take_entry (duties->share, rest, row->value);
+      str_t after_zone;
+      allotment_put (sync->belief->fleet, rest,
+                     str_cut (row->value, ' ', &after_zone));
+      if (sync->peer_rows != NULL)
+        add_gateway (sync->peer_rows, rest, row->value);
     }
 }
 
 static void
-on_own_removed (void *arg, str_t key)
+on_shared_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
   str_t rest;
 
   if (str_eq (row_kind (key, &rest), STR ("entry")))
     {
-      allotment_leave (duties->belief->fleet, rest);
-      if (duties->share != NULL)
-        share_remove (duties->share, rest);
+      allotment_leave (sync->belief->fleet, rest);
+      if (sync->peer_rows != NULL)
+        share_remove (sync->peer_rows, rest);
     }
 }
 
-/* Divide what all entries may use among those that there are now.  */
+/* Divide the limits that gateways share by the number of gateways that are
+   registered now.  */
 static void
-divide_shares (duties_t *duties)
+divide_limits (duties_t *sync)
 {
-  belief_t *belief = duties->belief;
+  belief_t *belief = sync->belief;
   size_t cursor = 0;
   str_t key;
   void *value;
 
   allotment_expire (belief->fleet);
-  uint32_t entries = (uint32_t)allotment_size (belief->fleet);
-  if (entries == belief->entries)
+  uint32_t gateways = (uint32_t)allotment_size (belief->fleet);
+  if (gateways == belief->entries)
     return;
-  log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, entries),
+  log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, gateways),
              field_number (FIELD_BEFORE, belief->entries));
-  belief->entries = entries;
+  belief->entries = gateways;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_set_entries (value, entries);
+    allowance_set_entries (value, gateways);
 }
 
 static void
-on_own_caught_up (void *arg, bool full)
+on_shared_synced (void *arg, bool is_full_read)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
 
-  (void)full;
-  duties->own_read = true;
-  set_prepared (duties);
-  allotment_read (duties->belief->fleet);
-  divide_shares (duties);
+  (void)is_full_read;
+  sync->has_read_shared_rows = true;
+  update_prepared (sync);
+  allotment_read (sync->belief->fleet);
+  divide_limits (sync);
 }
 
 /* Writing.  */
 
 static void
-on_node_written (void *arg, vh_code_t code, const rows_result_t *result)
+on_registration_written (void *arg, vh_code_t code,
+                         const rows_result_t *result)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
 
   (void)result;
-  duties->node_pending = false;
-  duties->node_written = code == VH_OK;
+  sync->is_registration_pending = false;
+  sync->is_registered = code == VH_OK;
   if (code == VH_OK)
     return;
-  duties->node_again_ms = clock_ms (duties->belief->clock) + NODE_RETRY_MS;
+  sync->registration_retry_ms
+      = clock_ms (sync->belief->clock) + REGISTRATION_RETRY_MS;
   log_event (EVENT_ENTRY_WRITE, field_number (FIELD_CODE, code));
 }
 
-/* Tell the others that there is one more to share with, or one less.  */
+/* Write the row that registers this gateway with the others, or delete it if
+   IS_LEAVING.  */
 static void
-write_node (duties_t *duties, bool leaves)
+write_registration (duties_t *sync, bool is_leaving)
 {
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
 
   buf_append_str (&key, STR ("entry/"));
-  buf_append_str (&key, duties->belief->options.name);
-  buf_printf (&value, "%.*s %.*s %u", STR_ARG (duties->belief->options.zone),
-              STR_ARG (duties->belief->options.rpc),
-              (unsigned)duties->belief->options.link_mbps);
+  buf_append_str (&key, sync->belief->options.name);
+  buf_printf (&value, "%.*s %.*s %u", STR_ARG (sync->belief->options.zone),
+              STR_ARG (sync->belief->options.rpc),
+              (unsigned)sync->belief->options.link_mbps);
   rows_write_t write = { .table = ROWS_OWN,
                          .key = buf_str (&key),
                          .value = buf_str (&value),
-                         .remove = leaves };
-  duties->node_pending = true;
-  duties->rows->ops->commit (duties->rows, &write, 1, DUTIES_COMMIT_MS,
-                             on_node_written, duties);
+                         .remove = is_leaving };
+  sync->is_registration_pending = true;
+  sync->rows->ops->commit (sync->rows, &write, 1, DUTIES_COMMIT_MS,
+                           on_registration_written, sync);
   buf_free (&key);
   buf_free (&value);
 }
@@ -350,107 +370,111 @@
 static void
 on_tick (uv_timer_t *timer)
 {
-  duties_t *duties = timer->data;
-  belief_t *belief = duties->belief;
-  bool is_second = ++duties->ticks % TICKS_PER_S == 0;
+  duties_t *sync = timer->data;
+  belief_t *belief = sync->belief;
+  bool is_second = ++sync->ticks % TICKS_PER_S == 0;
 
-  if (belief->stopping_ms != 0 || !duties->own_read)
+  if (belief->stopping_ms != 0 || !sync->has_read_shared_rows)
     return;
-  if (!duties->node_written && !duties->node_pending
-      && clock_ms (belief->clock) >= duties->node_again_ms)
-    write_node (duties, false);
+  if (!sync->is_registered && !sync->is_registration_pending
+      && clock_ms (belief->clock) >= sync->registration_retry_ms)
+    write_registration (sync, false);
   if (is_second)
-    divide_shares (duties);
-  rollouts_tick (duties->rollouts, is_second);
+    divide_limits (sync);
+  rollouts_tick (sync->rollouts, is_second);
 }
 
 /* Start and end.  */
 
-/* The first configuration and its orders are known: an instance of a version
-   under trial must not be taken for any other.  */
+/* Start to read instances, now that the orders for roll-outs are known: an
+   instance of a new version must not be taken for one of the old version.  */
 static void
-on_orders_caught_up (void *arg, bool full)
+on_orders_synced (void *arg, bool is_full_read)
 {
-  static const follow_options_t instances = { .table = ROWS_INSTANCES,
-                                              .name = "instances",
-                                              .gap_ms = INSTANCES_GAP_MS,
-                                              .wait_ms = INSTANCES_WAIT_MS,
-                                              .retry_last_ms = RETRY_LAST_MS,
-                                              .slack_ms = INSTANCES_SLACK_MS };
+  static const follow_options_t instances
+      = { .table = ROWS_INSTANCES,
+          .name = "instances",
+          .call_gap_ms = INSTANCES_CALL_GAP_MS,
+          .wait_ms = INSTANCES_WAIT_MS,
+          .retry_max_ms = OTHER_TABLES_RETRY_MAX_MS,
+          .timeout_slack_ms = INSTANCES_TIMEOUT_SLACK_MS };
   static const follow_events_t events
-      = { on_instance_put, on_instance_removed, on_instances_caught_up,
-          on_instances_reach };
-  duties_t *duties = arg;
-  belief_t *belief = duties->belief;
-
-  (void)full;
-  if (duties->instances == NULL)
-    duties->instances
-        = follow_create (belief->loop, belief->clock, duties->rows,
-                         rng_u64 (&belief->rng), &instances, &events, duties);
+      = { on_instance_put, on_instance_removed, on_instances_synced,
+          on_instances_reachability };
+  duties_t *sync = arg;
+  belief_t *belief = sync->belief;
+
+  (void)is_full_read;
+  if (sync->instances == NULL)
+    sync->instances
+        = follow_create (belief->loop, belief->clock, sync->rows,
+                         rng_u64 (&belief->rng), &instances, &events, sync);
 }
 
-/* The store is back: the other tables are read at once.  */
+/* Retry the other tables at once when the store answers again.  */
 static void
-on_orders_reach (void *arg, bool down)
+on_orders_reachability (void *arg, bool is_down)
 {
-  duties_t *duties = arg;
+  duties_t *sync = arg;
 
-  note_reach (duties, down);
-  if (down)
+  record_reachability (sync, is_down);
+  if (is_down)
     return;
-  follow_retry (duties->own);
-  if (duties->instances != NULL)
-    follow_retry (duties->instances);
+  follow_retry (sync->shared_rows);
+  if (sync->instances != NULL)
+    follow_retry (sync->instances);
 }
 
 duties_t *
-duties_create (belief_t *belief, rows_t *rows, share_t *share)
+duties_create (belief_t *belief, rows_t *rows, share_t *peer_rows)
 {
-  static const follow_options_t orders = { .table = ROWS_ORDERS,
-                                           .name = "orders",
-                                           .wait_ms = ORDERS_WAIT_MS,
-                                           .slack_ms = ORDERS_SLACK_MS };
+  static const follow_options_t orders
+      = { .table = ROWS_ORDERS,
+          .name = "orders",
+          .wait_ms = ORDERS_WAIT_MS,
+          .timeout_slack_ms = ORDERS_TIMEOUT_SLACK_MS };
   static const follow_events_t order_events
-      = { on_order_put, on_order_removed, on_orders_caught_up,
-          on_orders_reach };
-  static const follow_options_t own = { .table = ROWS_OWN,
-                                        .name = "own",
-                                        .wait_ms = OWN_WAIT_MS,
-                                        .retry_last_ms = RETRY_LAST_MS,
-                                        .slack_ms = OWN_SLACK_MS,
-                                        .gap_ms = OWN_GAP_MS };
-  static const follow_events_t own_events
-      = { on_own_put, on_own_removed, on_own_caught_up, NULL };
-  duties_t *duties = mem_zalloc (sizeof *duties);
-
-  duties->belief = belief;
-  duties->rows = rows;
-  duties->share = share;
-  duties->rollouts = rollouts_create (belief, rows, share);
-  duties->loader = loader_create (belief->loop, belief->dialect->read_catalog,
-                                  on_catalog, duties);
+      = { on_order_put, on_order_removed, on_orders_synced,
+          on_orders_reachability };
+  static const follow_options_t shared_rows
+      = { .table = ROWS_OWN,
+          .name = "own",
+          .wait_ms = SHARED_WAIT_MS,
+          .retry_max_ms = OTHER_TABLES_RETRY_MAX_MS,
+          .timeout_slack_ms = SHARED_TIMEOUT_SLACK_MS,
+          .call_gap_ms = SHARED_CALL_GAP_MS };
+  static const follow_events_t shared_events
+      = { on_shared_put, on_shared_removed, on_shared_synced, NULL };
+  duties_t *sync = mem_zalloc (sizeof *sync);
+
+  sync->belief = belief;
+  sync->rows = rows;
+  sync->peer_rows = peer_rows;
+  sync->rollouts = rollouts_create (belief, rows, peer_rows);
+  sync->loader = loader_create (belief->loop, belief->dialect->read_catalog,
+                                on_catalog, sync);
   belief->orders
       = follow_create (belief->loop, belief->clock, rows,
-                       rng_u64 (&belief->rng), &orders, &order_events, duties);
-  /* With the orders, as it tells who reads them for this entry.  */
-  duties->own
-      = follow_create (belief->loop, belief->clock, rows,
-                       rng_u64 (&belief->rng), &own, &own_events, duties);
-  uv_timer_init (belief->loop, &duties->tick);
-  duties->tick.data = duties;
-  uv_timer_start (&duties->tick, on_tick,
-                  rng_below (&belief->rng, TICK_MS) + 1, TICK_MS);
-  return duties;
+                       rng_u64 (&belief->rng), &orders, &order_events, sync);
+  /* Read together with the orders: this table lists the gateways among which
+     is the reader of the orders.  */
+  sync->shared_rows = follow_create (belief->loop, belief->clock, rows,
+                                     rng_u64 (&belief->rng), &shared_rows,
+                                     &shared_events, sync);
+  uv_timer_init (belief->loop, &sync->tick);
+  sync->tick.data = sync;
+  uv_timer_start (&sync->tick, on_tick, rng_below (&belief->rng, TICK_MS) + 1,
+                  TICK_MS);
+  return sync;
 }
 
 void
-duties_stop (duties_t *duties)
+duties_stop (duties_t *sync)
 {
-  if (duties->share != NULL)
-    share_leave (duties->share);
-  if (duties->node_written)
-    write_node (duties, true);
+  if (sync->peer_rows != NULL)
+    share_leave (sync->peer_rows);
+  if (sync->is_registered)
+    write_registration (sync, true);
 }
 
 static void
@@ -460,16 +484,16 @@
 }
 
 void
-duties_destroy (duties_t *duties)
+duties_destroy (duties_t *sync)
 {
-  if (duties == NULL)
+  if (sync == NULL)
     return;
-  follow_destroy (duties->belief->orders);
-  duties->belief->orders = NULL;
-  loader_destroy (duties->loader);
-  follow_destroy (duties->instances);
-  follow_destroy (duties->own);
-  rollouts_destroy (duties->rollouts);
-  duties->rows->ops->forget (duties->rows, duties);
-  uv_close ((uv_handle_t *)&duties->tick, on_tick_closed);
+  follow_destroy (sync->belief->orders);
+  sync->belief->orders = NULL;
+  loader_destroy (sync->loader);
+  follow_destroy (sync->instances);
+  follow_destroy (sync->shared_rows);
+  rollouts_destroy (sync->rollouts);
+  sync->rows->ops->forget (sync->rows, sync);
+  uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
 }
--- a/packages/gateway/follow.c
+++ b/packages/gateway/follow.c
@@ -9,14 +9,16 @@
 
 enum
 {
-  /* A first retry soon enough for a lost reply.  */
-  RETRY_FIRST_MS = 100,
+  /* Delay before the first retry; short, for the case that only one reply was
+     lost.  */
+  RETRY_MIN_MS = 100,
   READ_TIMEOUT_MS = 1500,
-  /* A watch without news that is answered at once must not become a loop.  */
+  /* Shortest pause between watch calls.  Keeps watches that the store answers
+     at once without changes from becoming a busy loop.  */
   WATCH_GAP_MS = 20
 };
 
-struct follow
+struct table_sync
 {
   clock_iface_t *clock;
   rows_t *rows;
@@ -25,220 +27,228 @@
   void *arg;
   rng_t rng;
   uv_timer_t timer;
-  map_t *known; /* Key to a mark of the read that saw it last.  */
-  uintptr_t pass;
-  buf_t next; /* First key of the next page of a read.  */
-  bool reading;
-  bool down;
-  uint64_t version;      /* Newest of the store that was seen.  */
-  uint64_t read_version; /* Of the first page of a read.  */
-  uint64_t sent_ms;      /* Of the call that is out, by boot time.  */
-  uint64_t read_sent_ms; /* Of the first page.  */
-  bool confirmed;
-  uint64_t confirmed_ms;     /* By boot time.  */
-  store_clock_t store_clock; /* Against boot time.  */
-  uint64_t store_ms;
-  uint64_t store_seen_ms; /* When STORE_MS was told, by boot time.  */
-  uint64_t retry_ms;
+  /* Key of each known row to READ_NUMBER when the row was put.  */
+  map_t *row_marks;
+  uintptr_t read_number; /* Number of the last read of the whole table.  */
+  buf_t next_key; /* First key of the next page; empty: the first page.  */
+  bool is_reading;
+  bool is_down;
+  uint64_t version;      /* Highest store version that was applied.  */
+  uint64_t read_version; /* Store version of the first page of a read.  */
+  /* Time of the last call, in ms of the boot clock.  */
+  uint64_t sent_ms;
+  uint64_t read_sent_ms; /* The same of the call for the first page.  */
+  bool is_confirmed;
+  /* Time of the last confirmation, in ms of the boot clock.  */
+  uint64_t confirmed_ms;
+  store_clock_t store_clock;  /* Converts store time to boot time.  */
+  uint64_t store_ms;          /* Store clock in the last answer; 0: none.  */
+  uint64_t store_received_ms; /* Boot clock when STORE_MS was received.  */
+  uint64_t retry_delay_ms;
 };
 
-static void step (follow_t *follow);
+static void send_call (follow_t *sync);
 
 static void
 on_timer (uv_timer_t *timer)
 {
-  step (timer->data);
+  send_call (timer->data);
 }
 
 static void
-step_after (follow_t *follow, uint64_t wait_ms)
+schedule_call (follow_t *sync, uint64_t delay_ms)
 {
-  uv_timer_start (&follow->timer, on_timer, wait_ms, 0);
+  uv_timer_start (&sync->timer, on_timer, delay_ms, 0);
 }
 
 static void
-set_down (follow_t *follow, bool down, vh_code_t code)
+set_down (follow_t *sync, bool is_down, vh_code_t code)
 {
-  if (follow->down == down)
+  if (sync->is_down == is_down)
     return;
-  follow->down = down;
-  if (down)
+  sync->is_down = is_down;
+  if (is_down)
     log_event (EVENT_STORE_LOST,
-               field_text (FIELD_TABLE, str_from (follow->options.name)),
+               field_text (FIELD_TABLE, str_from (sync->options.name)),
                field_number (FIELD_CODE, code));
   else
     log_event (EVENT_STORE_BACK,
-               field_text (FIELD_TABLE, str_from (follow->options.name)));
-  if (follow->events.reach != NULL)
-    follow->events.reach (follow->arg, down);
+               field_text (FIELD_TABLE, str_from (sync->options.name)));
+  if (sync->events.reachability != NULL)
+    sync->events.reachability (sync->arg, is_down);
 }
 
+/* Schedule the next call after a call that failed with CODE.  */
 static void
-fail (follow_t *follow, vh_code_t code)
+handle_failure (follow_t *sync, vh_code_t code)
 {
   if (code == VH_E_NOT_FOUND)
     {
       log_event (EVENT_STORE_FORGOT,
-                 field_text (FIELD_TABLE, str_from (follow->options.name)));
-      follow->reading = true;
-      follow->next.len = 0;
-      step_after (follow, WATCH_GAP_MS);
+                 field_text (FIELD_TABLE, str_from (sync->options.name)));
+      sync->is_reading = true;
+      sync->next_key.len = 0;
+      schedule_call (sync, WATCH_GAP_MS);
       return;
     }
-  set_down (follow, true, code);
-  if (follow->reading)
-    follow->next.len = 0;
-  step_after (follow, rng_jitter (&follow->rng, follow->retry_ms));
-  follow->retry_ms = follow->retry_ms * 2 < follow->options.retry_last_ms
-                         ? follow->retry_ms * 2
-                         : follow->options.retry_last_ms;
+  set_down (sync, true, code);
+  if (sync->is_reading)
+    sync->next_key.len = 0;
+  schedule_call (sync, rng_jitter (&sync->rng, sync->retry_delay_ms));
+  sync->retry_delay_ms = sync->retry_delay_ms * 2 < sync->options.retry_max_ms
+                             ? sync->retry_delay_ms * 2
+                             : sync->options.retry_max_ms;
 }
 
+/* Report ROW and mark it as returned by the current read.  */
 static void
-put (follow_t *follow, const rows_row_t *row)
+apply_row (follow_t *sync, const rows_row_t *row)
 {
-  map_put (follow->known, row->key, (void *)follow->pass);
-  follow->events.put (follow->arg, row);
+  map_put (sync->row_marks, row->key, (void *)sync->read_number);
+  sync->events.put (sync->arg, row);
 }
 
-/* Tell of the rows that the read just over did not see.  */
+/* Report the rows that the completed read did not return as removed.  */
 static void
-sweep (follow_t *follow)
+report_removed (follow_t *sync)
 {
-  buf_t gone = BUF_NULL;
+  buf_t removed_keys = BUF_NULL;
   size_t cursor = 0;
   str_t key;
   void *mark;
 
-  while (map_next (follow->known, &cursor, &key, &mark))
-    if ((uintptr_t)mark != follow->pass)
+  while (map_next (sync->row_marks, &cursor, &key, &mark))
+    if ((uintptr_t)mark != sync->read_number)
       {
-        buf_append_str (&gone, key);
-        buf_append_char (&gone, '\0');
+        buf_append_str (&removed_keys, key);
+        buf_append_char (&removed_keys, '\0');
       }
-  for (size_t at = 0; at < gone.len;)
+  for (size_t at = 0; at < removed_keys.len;)
     {
-      str_t lost = str_from (gone.ptr + at);
-      at += lost.len + 1;
-      map_remove (follow->known, lost);
-      follow->events.removed (follow->arg, lost);
+      str_t removed_key = str_from (removed_keys.ptr + at);
+      at += removed_key.len + 1;
+      map_remove (sync->row_marks, removed_key);
+      sync->events.removed (sync->arg, removed_key);
     }
-  buf_free (&gone);
+  buf_free (&removed_keys);
 }
 
+/* Record the confirmation by RESULT, whose call was sent at SENT_MS of the
+   boot clock.  */
 static void
-confirm (follow_t *follow, const rows_result_t *result, uint64_t sent_ms)
+record_confirmation (follow_t *sync, const rows_result_t *result,
+                     uint64_t sent_ms)
 {
-  uint64_t now_ms = clock_boot_ms (follow->clock);
+  uint64_t now_ms = clock_boot_ms (sync->clock);
 
   if (result->direct)
-    store_clock_sample (&follow->store_clock, result->said_ms, sent_ms,
-                        now_ms);
-  uint64_t said_ms
-      = store_clock_local (&follow->store_clock, result->said_ms, now_ms);
-  follow->confirmed = true;
-  follow->confirmed_ms
-      = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
-  /* Both are moments at which the store had no later word.  */
-  if (said_ms > follow->confirmed_ms)
-    follow->confirmed_ms = said_ms;
-  follow->store_ms = result->now_ms;
-  follow->store_seen_ms = now_ms;
-  follow->retry_ms = RETRY_FIRST_MS;
+    store_clock_sample (&sync->store_clock, result->said_ms, sent_ms, now_ms);
+  uint64_t store_answer_local_ms
+      = store_clock_local (&sync->store_clock, result->said_ms, now_ms);
+  sync->is_confirmed = true;
+  sync->confirmed_ms = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
+  /* The table is confirmed as of both times, so the later one counts.  */
+  if (store_answer_local_ms > sync->confirmed_ms)
+    sync->confirmed_ms = store_answer_local_ms;
+  sync->store_ms = result->now_ms;
+  sync->store_received_ms = now_ms;
+  sync->retry_delay_ms = RETRY_MIN_MS;
 }
 
 static void
-take_read (follow_t *follow, const rows_result_t *result)
+apply_page (follow_t *sync, const rows_result_t *result)
 {
-  if (follow->next.len == 0)
+  if (sync->next_key.len == 0)
     {
-      follow->pass++;
-      follow->read_version = result->version;
-      follow->read_sent_ms = follow->sent_ms;
+      sync->read_number++;
+      sync->read_version = result->version;
+      sync->read_sent_ms = sync->sent_ms;
     }
   for (size_t i = 0; i < result->count; i++)
-    put (follow, &result->rows[i]);
-  follow->next.len = 0;
+    apply_row (sync, &result->rows[i]);
+  sync->next_key.len = 0;
   if (result->more && result->count > 0)
     {
-      /* The least key past the last one.  */
-      buf_append_str (&follow->next, result->rows[result->count - 1].key);
-      buf_append_char (&follow->next, '\x01');
-      step (follow);
+      /* The smallest key after the last one of this page.  */
+      buf_append_str (&sync->next_key, result->rows[result->count - 1].key);
+      buf_append_char (&sync->next_key, '\x01');
+      send_call (sync);
       return;
     }
-  sweep (follow);
-  follow->reading = false;
-  follow->version = follow->read_version;
-  confirm (follow, result, follow->read_sent_ms);
-  follow->events.caught_up (follow->arg, true);
-  step_after (follow, 0);
+  report_removed (sync);
+  sync->is_reading = false;
+  sync->version = sync->read_version;
+  record_confirmation (sync, result, sync->read_sent_ms);
+  sync->events.synced (sync->arg, true);
+  schedule_call (sync, 0);
 }
 
 static void
-take_watch (follow_t *follow, const rows_result_t *result)
+apply_changes (follow_t *sync, const rows_result_t *result)
 {
   for (size_t i = 0; i < result->count; i++)
     {
       const rows_row_t *row = &result->rows[i];
       if (!row->deleted)
-        put (follow, row);
-      else if (map_remove (follow->known, row->key) != NULL)
-        follow->events.removed (follow->arg, row->key);
+        apply_row (sync, row);
+      else if (map_remove (sync->row_marks, row->key) != NULL)
+        sync->events.removed (sync->arg, row->key);
     }
-  follow->version = result->version;
-  confirm (follow, result, follow->sent_ms);
-  follow->events.caught_up (follow->arg, false);
-  step_after (follow, follow->options.gap_ms > WATCH_GAP_MS
-                          ? follow->options.gap_ms
-                          : WATCH_GAP_MS);
+  sync->version = result->version;
+  record_confirmation (sync, result, sync->sent_ms);
+  sync->events.synced (sync->arg, false);
+  schedule_call (sync, sync->options.call_gap_ms > WATCH_GAP_MS
+                           ? sync->options.call_gap_ms
+                           : WATCH_GAP_MS);
 }
 
 static void
 on_result (void *arg, vh_code_t code, const rows_result_t *result)
 {
-  follow_t *follow = arg;
+  follow_t *sync = arg;
 
   if (code != VH_OK)
     {
-      fail (follow, code);
+      handle_failure (sync, code);
       return;
     }
-  if (result->version < follow->version)
+  if (result->version < sync->version)
     {
-      /* A read of the past would take back what is in force.  */
+      /* Applying older rows would undo changes that are in force.  */
       log_event (EVENT_STORE_STALE,
-                 field_text (FIELD_TABLE, str_from (follow->options.name)),
+                 field_text (FIELD_TABLE, str_from (sync->options.name)),
                  field_number (FIELD_ORDER, result->version),
-                 field_number (FIELD_SEEN, follow->version));
-      follow->next.len = 0;
-      step_after (follow, rng_jitter (&follow->rng, FOLLOW_RETRY_LAST_MS));
+                 field_number (FIELD_SEEN, sync->version));
+      sync->next_key.len = 0;
+      schedule_call (sync, rng_jitter (&sync->rng, FOLLOW_RETRY_LAST_MS));
       return;
     }
-  /* Before the rows: what an outage means for them must be known.  */
-  set_down (follow, false, VH_OK);
-  if (follow->reading)
-    take_read (follow, result);
+  /* Report the end of an outage before the rows, because the callee treats
+     rows removed right after an outage differently.  */
+  set_down (sync, false, VH_OK);
+  if (sync->is_reading)
+    apply_page (sync, result);
   else
-    take_watch (follow, result);
+    apply_changes (sync, result);
 }
 
+/* Send the next read or watch call.  */
 static void
-step (follow_t *follow)
+send_call (follow_t *sync)
 {
-  follow->sent_ms = clock_boot_ms (follow->clock);
-  if (follow->reading)
-    follow->rows->ops->read (follow->rows, follow->options.table,
-                             buf_str (&follow->next), READ_TIMEOUT_MS,
-                             on_result, follow);
+  sync->sent_ms = clock_boot_ms (sync->clock);
+  if (sync->is_reading)
+    sync->rows->ops->read (sync->rows, sync->options.table,
+                           buf_str (&sync->next_key), READ_TIMEOUT_MS,
+                           on_result, sync);
   else
     {
-      /* After a failure the wait is none, so that the state is confirmed at
-         once rather than after a whole wait.  */
-      uint64_t wait_ms = follow->down ? 0 : follow->options.wait_ms;
-      follow->rows->ops->watch (
-          follow->rows, follow->options.table, follow->version, wait_ms,
-          wait_ms + follow->options.slack_ms, on_result, follow);
+      /* After a failure the store answers without waiting for changes, so that
+         the table is confirmed at once.  */
+      uint64_t wait_ms = sync->is_down ? 0 : sync->options.wait_ms;
+      sync->rows->ops->watch (
+          sync->rows, sync->options.table, sync->version, wait_ms,
+          wait_ms + sync->options.timeout_slack_ms, on_result, sync);
     }
 }
 
@@ -247,75 +257,75 @@
                uint64_t seed, const follow_options_t *options,
                const follow_events_t *events, void *arg)
 {
-  follow_t *follow = mem_zalloc (sizeof *follow);
+  follow_t *sync = mem_zalloc (sizeof *sync);
 
-  follow->clock = clock;
-  follow->rows = rows;
-  follow->options = *options;
-  if (follow->options.retry_last_ms == 0)
-    follow->options.retry_last_ms = FOLLOW_RETRY_LAST_MS;
-  follow->events = *events;
-  follow->arg = arg;
-  follow->rng = rng_make (seed);
-  follow->known = map_create ();
-  follow->reading = true;
-  follow->retry_ms = RETRY_FIRST_MS;
-  uv_timer_init (loop, &follow->timer);
-  follow->timer.data = follow;
-  step_after (follow, 0);
-  return follow;
+  sync->clock = clock;
+  sync->rows = rows;
+  sync->options = *options;
+  if (sync->options.retry_max_ms == 0)
+    sync->options.retry_max_ms = FOLLOW_RETRY_LAST_MS;
+  sync->events = *events;
+  sync->arg = arg;
+  sync->rng = rng_make (seed);
+  sync->row_marks = map_create ();
+  sync->is_reading = true;
+  sync->retry_delay_ms = RETRY_MIN_MS;
+  uv_timer_init (loop, &sync->timer);
+  sync->timer.data = sync;
+  schedule_call (sync, 0);
+  return sync;
 }
 
 void
-follow_retry (follow_t *follow)
+follow_retry (follow_t *sync)
 {
-  if (!follow->down)
+  if (!sync->is_down)
     return;
-  /* A call that is out may hang on a connection that was cut.  */
-  follow->rows->ops->forget (follow->rows, follow);
-  if (follow->reading)
-    follow->next.len = 0;
-  step_after (follow, 0);
+  /* A pending call may hang on a broken connection.  */
+  sync->rows->ops->forget (sync->rows, sync);
+  if (sync->is_reading)
+    sync->next_key.len = 0;
+  schedule_call (sync, 0);
 }
 
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  follow_t *follow = handle->data;
+  follow_t *sync = handle->data;
 
-  map_destroy (follow->known);
-  buf_free (&follow->next);
-  free (follow);
+  map_destroy (sync->row_marks);
+  buf_free (&sync->next_key);
+  free (sync);
 }
 
 void
-follow_destroy (follow_t *follow)
+follow_destroy (follow_t *sync)
 {
-  if (follow == NULL)
+  if (sync == NULL)
     return;
-  follow->rows->ops->forget (follow->rows, follow);
-  uv_close ((uv_handle_t *)&follow->timer, on_timer_closed);
+  sync->rows->ops->forget (sync->rows, sync);
+  uv_close ((uv_handle_t *)&sync->timer, on_timer_closed);
 }
 
 uint64_t
-follow_age_ms (const follow_t *follow)
+follow_age_ms (const follow_t *sync)
 {
-  return !follow->confirmed
+  return !sync->is_confirmed
              ? UINT64_MAX
-             : clock_boot_ms (follow->clock) - follow->confirmed_ms;
+             : clock_boot_ms (sync->clock) - sync->confirmed_ms;
 }
 
 bool
-follow_down (const follow_t *follow)
+follow_down (const follow_t *sync)
 {
-  return follow->down;
+  return sync->is_down;
 }
 
 uint64_t
-follow_store_ms (const follow_t *follow)
+follow_store_ms (const follow_t *sync)
 {
-  return follow->store_ms == 0
+  return sync->store_ms == 0
              ? 0
-             : follow->store_ms
-                   + (clock_boot_ms (follow->clock) - follow->store_seen_ms);
+             : sync->store_ms
+                   + (clock_boot_ms (sync->clock) - sync->store_received_ms);
 }
--- a/packages/gateway/follow.h
+++ b/packages/gateway/follow.h
@@ -1,16 +1,18 @@
-/* Keeps a table of the platform's store up to date in this process: reads it
-   whole, then waits for changes, and begins anew where the history it needs
-   is gone.
+/* Keeps a table of the platform's store up to date in this process: reads the
+   whole table, then watches for changes, and reads the whole table again when
+   the store no longer has the history of changes that is needed.
 
-   Answers: a store that is down, slow, reset or silent, for all or for this
-   process alone.  Every call has a bound on silence and its own connection, so
-   that a connection that fell silent costs one bound, and a large answer takes
-   as long as the link needs.  Failed calls are repeated with a jittered wait
-   that doubles, so that entries do not return in step.
+   Answers: a store that is down, slow, reset or silent, for all processes or
+   only for this one.  Every call has a bound on silence and a connection of
+   its own, so a connection that went silent costs one timeout, and a large
+   answer may take as long as the link needs.  Failed calls are repeated after
+   a jittered delay that doubles with each failure, so that gateways do not
+   retry in step.
 
-   A confirmation is the moment at which a call was sent whose answer shows
-   the table as of then or later.  An answer whose store version lies behind
-   one already seen is stale: it is neither applied nor a confirmation.  */
+   A confirmation is the time at which a call was sent whose answer shows the
+   table as of that time or later.  An answer whose store version is lower than
+   one already seen is stale: its rows are not applied, and it does not count
+   as a confirmation.  */
 
 #ifndef GATEWAY_FOLLOW_H
 #define GATEWAY_FOLLOW_H
@@ -21,53 +23,60 @@
 
 #include <uv.h>
 
-typedef struct follow follow_t;
+typedef struct table_sync follow_t;
 
 enum
 {
-  /* Slow enough that a store that is down is not pressed: calls are priced,
-     refused ones too.  */
+  /* Long enough not to load a store that is down: every call is charged for,
+     refused calls too.  */
   FOLLOW_RETRY_LAST_MS = 800
 };
 
 typedef struct
 {
   rows_table_t table;
-  const char *name;  /* For log lines.  */
-  uint64_t wait_ms;  /* Longest wait of one call for changes.  */
-  uint64_t slack_ms; /* Silence beyond that ends the call.  */
-  uint64_t gap_ms;   /* Between calls; news come together.  0: at once.  */
-  /* Longest pause between calls while the store does not answer; 0: that of
+  const char *name; /* Table name in log lines.  */
+  uint64_t wait_ms; /* Longest time that the store may hold one watch call.  */
+  /* Silence of the store beyond WAIT_MS that ends a watch call.  */
+  uint64_t timeout_slack_ms;
+  /* Shortest pause between watch calls, in which changes accumulate; 0: the
+     default.  */
+  uint64_t call_gap_ms;
+  /* Longest delay between calls while the store does not answer; 0:
      FOLLOW_RETRY_LAST_MS.  */
-  uint64_t retry_last_ms;
+  uint64_t retry_max_ms;
 } follow_options_t;
 
 typedef struct
 {
-  /* A row is there, is new or has changed.  */
+  /* ROW was read, and may be new, changed or unchanged.  */
   void (*put) (void *arg, const rows_row_t *row);
   void (*removed) (void *arg, str_t key);
-  /* All rows of an answer were told.  FULL after a whole read: what was not
-     put since the last call is gone, and was told by removed.  */
-  void (*caught_up) (void *arg, bool full);
-  /* The store was lost (DOWN) or is back.  */
-  void (*reach) (void *arg, bool down);
+  /* All rows of an answer were passed to put and removed.  IS_FULL_READ: the
+     answer completed a read of the whole table, and each row that the read did
+     not return was passed to removed.  */
+  void (*synced) (void *arg, bool is_full_read);
+  /* The store stopped answering (IS_DOWN) or answers again; may be NULL.  */
+  void (*reachability) (void *arg, bool is_down);
 } follow_events_t;
 
+/* ROWS must outlive the result; OPTIONS and EVENTS are copied.  */
 follow_t *follow_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
                          uint64_t seed, const follow_options_t *options,
                          const follow_events_t *events, void *arg);
 /* NULL is accepted.  */
-void follow_destroy (follow_t *follow);
-/* The store answers others: do not wait longer before the next call.  */
-void follow_retry (follow_t *follow);
+void follow_destroy (follow_t *sync);
+/* Send the next call at once if calls are failing, because the store was seen
+   to answer other calls.  */
+void follow_retry (follow_t *sync);
 
-/* Milliseconds since the last confirmation, by a clock that counts while the
-   machine is suspended; UINT64_MAX before the first.  */
-uint64_t follow_age_ms (const follow_t *follow);
-/* Tell whether calls fail now.  */
-bool follow_down (const follow_t *follow);
-/* The store's steady clock, estimated; 0 before the first answer.  */
-uint64_t follow_store_ms (const follow_t *follow);
+/* Milliseconds since the last confirmation, by a clock that also runs while
+   the machine is suspended; UINT64_MAX before the first confirmation.  */
+uint64_t follow_age_ms (const follow_t *sync);
+/* Return whether the last call failed.  */
+bool follow_down (const follow_t *sync);
+/* Estimate of the store's steady clock now, in ms; 0 before the first
+   answer.  */
+uint64_t follow_store_ms (const follow_t *sync);
 
 #endif
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -6,32 +6,34 @@
 
 enum
 {
-  /* Who reads the store for others writes the steps of roll-outs too; the
-     others do when a step is so late that this one is lost.  */
-  WRITER_LATE_MS = 1200
+  /* The gateway that reads the store for others also writes the steps of
+     roll-outs.  Any gateway writes a step that is this late, because the
+     reader must then be lost.  */
+  WRITER_TIMEOUT_MS = 1200
 };
 
-/* The shared row of a roll-out as it was read last.  */
+/* The state row of a roll-out as it was read last.  */
 typedef struct
 {
-  uint64_t version; /* The store's.  */
+  uint64_t version; /* Version of the row in the store.  */
   buf_t text;
-} shared_row_t;
+} state_row_t;
 
 struct rollouts
 {
   belief_t *belief;
   rows_t *rows;
   share_t *share;
-  bool commit_pending; /* Of a shared row.  */
-  uint64_t want_ms;    /* Since when a row is to be written; 0: none is.  */
-  map_t *shared;       /* Service to shared_row_t.  */
+  bool is_commit_pending; /* A write of a state row has no answer yet.  */
+  /* Monotonic time since which a state row is due to be written; 0: none.  */
+  uint64_t write_due_ms;
+  map_t *state_rows; /* Service to state_row_t.  */
 };
 
-/* Take in the versions that were taken back before, as words of TEXT: this
-   entry may have started after that.  */
+/* Withdraw the versions of SERVICE that TEXT lists, separated by spaces.  They
+   were rolled back earlier, maybe before this gateway started.  */
 static void
-take_withdrawn (rollouts_t *rollouts, str_t service, str_t text)
+apply_withdrawn_versions (rollouts_t *rollouts, str_t service, str_t text)
 {
   const trial_t *trial = map_get (rollouts->belief->trials, service);
 
@@ -43,14 +45,16 @@
     }
 }
 
-/* Take in what the shared row of SERVICE's roll-out says, ORDER START STEP
-   FROM PHASE VERSION..., the versions that were taken back before.  The row
-   may be read sooner than its order is known.  */
+/* Apply the state row of SERVICE's roll-out, if there is one.  Its text is
+   ORDER START STEP FROM PHASE VERSION...: the store version of the order, the
+   store time at which the order was first read, the step in force, the store
+   time from which that step is in force, the phase, and the versions that were
+   rolled back earlier.  The row may be read before the order.  */
 static void
-apply_rollout_row (rollouts_t *rollouts, str_t service)
+apply_state_row (rollouts_t *rollouts, str_t service)
 {
   trial_t *trial = map_get (rollouts->belief->trials, service);
-  const shared_row_t *row = map_get (rollouts->shared, service);
+  const state_row_t *row = map_get (rollouts->state_rows, service);
   uint64_t numbers[4];
 
   if (row == NULL)
@@ -61,7 +65,7 @@
         || !str_to_u64 (str_cut (rest, ' ', &rest), &numbers[i]))
       return;
   str_t phase_name = str_cut (rest, ' ', &rest);
-  take_withdrawn (rollouts, service, rest);
+  apply_withdrawn_versions (rollouts, service, rest);
   if (trial == NULL || phase_name.ptr == NULL
       || numbers[0] != trial_order (trial))
     return;
@@ -71,41 +75,42 @@
              field_number (FIELD_STEP, numbers[2]),
              field_number (FIELD_FROM, numbers[3]),
              field_text (FIELD_PHASE, phase_name));
-  /* A decision made here and not yet written stays over `running'.  */
-  bool final = false;
+  /* The phase `running' in the row does not override a decision of this
+     gateway that is not written yet.  */
+  bool is_final = false;
   for (trial_phase_t phase = TRIAL_DONE; phase <= TRIAL_ROLLED_BACK; phase++)
     if (str_eq (phase_name, str_from (trial_phase_name (phase))))
       {
         trial_set_phase (trial, phase);
-        final = true;
+        is_final = true;
       }
-  trial_set_written (trial, final);
+  trial_set_written (trial, is_final);
 }
 
 void
 rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row)
 {
-  shared_row_t *shared = map_get (rollouts->shared, service);
+  state_row_t *state_row = map_get (rollouts->state_rows, service);
 
-  if (shared == NULL)
+  if (state_row == NULL)
     {
-      shared = mem_zalloc (sizeof *shared);
-      map_put (rollouts->shared, service, shared);
+      state_row = mem_zalloc (sizeof *state_row);
+      map_put (rollouts->state_rows, service, state_row);
     }
-  shared->version = row->version;
-  shared->text.len = 0;
-  buf_append_str (&shared->text, row->value);
-  rollouts->want_ms = 0;
-  apply_rollout_row (rollouts, service);
+  state_row->version = row->version;
+  state_row->text.len = 0;
+  buf_append_str (&state_row->text, row->value);
+  rollouts->write_due_ms = 0;
+  apply_state_row (rollouts, service);
 }
 
-/* The store's version of the shared row of SERVICE's roll-out; 0: none.  */
+/* Version of the state row of SERVICE's roll-out in the store; 0: no row.  */
 static uint64_t
-rollout_row_version (const rollouts_t *rollouts, str_t service)
+state_row_version (const rollouts_t *rollouts, str_t service)
 {
-  const shared_row_t *shared = map_get (rollouts->shared, service);
+  const state_row_t *state_row = map_get (rollouts->state_rows, service);
 
-  return shared != NULL ? shared->version : 0;
+  return state_row != NULL ? state_row->version : 0;
 }
 
 void
@@ -125,8 +130,8 @@
   trial_t *trial = map_get (belief->trials, order.service);
   if (trial == NULL || trial_order (trial) != row->version)
     {
-      /* The instances of a version that was taken back are there for a while:
-         they must not pass for the old version of the next order.  */
+      /* Instances of a rolled-back version stay registered for a while.  They
+         must not count as the old version of the next order.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
         pool_withdraw (belief->pool, order.service, trial_version (trial),
                        true);
@@ -140,69 +145,73 @@
                  field_text (FIELD_VERSION, order.version),
                  field_number (FIELD_WITHIN_MS, order.within_ms),
                  field_number (FIELD_ORDER, row->version));
-      apply_rollout_row (rollouts, order.service);
+      apply_state_row (rollouts, order.service);
     }
   belief->dialect->free_holder (holder);
 }
 
 void
-rollouts_evidence (rollouts_t *rollouts, str_t key, bool told, str_t text)
+rollouts_evidence (rollouts_t *rollouts, str_t key, bool is_direct, str_t text)
 {
   str_t rest;
-  str_t entry;
+  str_t gateway;
 
   if (!str_eq (row_kind (key, &rest), STR ("evidence")))
     return;
-  str_t service = str_cut (rest, '/', &entry);
+  str_t service = str_cut (rest, '/', &gateway);
   trial_t *trial = map_get (rollouts->belief->trials, service);
-  if (trial != NULL && !str_eq (entry, rollouts->belief->options.name)
-      && trial_merge (trial, entry, told, text) != VH_OK)
+  if (trial != NULL && !str_eq (gateway, rollouts->belief->options.name)
+      && trial_merge (trial, gateway, is_direct, text) != VH_OK)
     log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, key),
                field_number (FIELD_CODE, VH_E_PROTOCOL));
 }
 
 static void
-on_news (void *arg, str_t key, str_t value)
+on_evidence_received (void *arg, str_t key, str_t value)
 {
   rollouts_evidence (arg, key, true, value);
 }
 
 static void
-on_rollout_written (void *arg, vh_code_t code, const rows_result_t *result)
+on_state_written (void *arg, vh_code_t code, const rows_result_t *result)
 {
   rollouts_t *rollouts = arg;
 
   (void)result;
-  rollouts->commit_pending = false;
+  rollouts->is_commit_pending = false;
   if (code != VH_OK && code != VH_E_CONFLICT)
     log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
 }
 
-/* Tell whether this entry has the evidence of others, and is to judge it.  */
+/* Return whether this gateway gets the evidence of others, and so decides on
+   roll-outs.  */
 static bool
-is_judge (const rollouts_t *rollouts)
+is_decider (const rollouts_t *rollouts)
 {
   return rollouts->share == NULL || share_reads (rollouts->share);
 }
 
-/* Tell whether this entry is to write a roll-out's row now.  All entries come
-   to the same decision at the same time: without this each writes it, 114
-   calls of the store on a day of 22 entries, all but five of them in vain.  */
+/* Return whether this gateway is to write a state row now.  All gateways come
+   to the same decision at the same time.  If each wrote it, 22 gateways would
+   make 114 calls to the store in a day, and all but five of them in vain.  The
+   first call since a state row was read starts the timeout for the reader.  */
 static bool
-may_write (rollouts_t *rollouts)
+is_writer (rollouts_t *rollouts)
 {
   uint64_t now_ms = clock_ms (rollouts->belief->clock);
 
-  if (rollouts->want_ms == 0)
-    rollouts->want_ms = now_ms;
-  return is_judge (rollouts) || now_ms - rollouts->want_ms >= WRITER_LATE_MS;
+  if (rollouts->write_due_ms == 0)
+    rollouts->write_due_ms = now_ms;
+  return is_decider (rollouts)
+         || now_ms - rollouts->write_due_ms >= WRITER_TIMEOUT_MS;
 }
 
-/* Write the state of TRIAL with STEP from FROM_MS on for the entries and for
-   the operators, in one transaction and only over the row as it was seen.  */
+/* Write the state of TRIAL, with STEP in force from FROM_MS on, to the state
+   row and to the operators' status row.  Both are written in one transaction,
+   and only if the state row was not changed since it was read.  */
 static void
-write_rollout (rollouts_t *rollouts, str_t service, const trial_t *trial,
-               uint64_t start_ms, uint32_t step, uint64_t from_ms)
+write_state (rollouts_t *rollouts, str_t service, const trial_t *trial,
+             uint64_t start_ms, uint32_t step, uint64_t from_ms)
 {
   static const rollout_state_t states[]
       = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_TAKEN_BACK };
@@ -213,7 +222,7 @@
   buf_t status_key = BUF_NULL;
   buf_t status = BUF_NULL;
 
-  if (rollouts->commit_pending || !may_write (rollouts))
+  if (rollouts->is_commit_pending || !is_writer (rollouts))
     return;
   buf_append_str (&key, STR ("rollout/"));
   buf_append_str (&key, service);
@@ -228,13 +237,13 @@
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
   writes[0].conditional = true;
-  writes[0].expected = rollout_row_version (rollouts, service);
+  writes[0].expected = state_row_version (rollouts, service);
   writes[1].table = ROWS_STATUS;
   writes[1].key = buf_str (&status_key);
   writes[1].value = buf_str (&status);
-  rollouts->commit_pending = true;
+  rollouts->is_commit_pending = true;
   rollouts->rows->ops->commit (rollouts->rows, writes, 2, DUTIES_COMMIT_MS,
-                               on_rollout_written, rollouts);
+                               on_state_written, rollouts);
   buf_free (&key);
   buf_free (&value);
   buf_free (&status_key);
@@ -259,9 +268,10 @@
   buf_append_str (out, rollouts->belief->options.name);
 }
 
-/* What the entry that reads for this one is told of the roll-outs.  */
+/* List the evidence on running roll-outs that is sent to the reader.  With
+   IS_RELAY it includes the evidence that other gateways sent to this one.  */
 static size_t
-list_news (void *arg, bool tells, share_item_t *items, size_t most)
+list_evidence (void *arg, bool is_relay, share_item_t *items, size_t items_max)
 {
   rollouts_t *rollouts = arg;
   size_t count = 0;
@@ -269,7 +279,7 @@
   str_t service;
   void *value;
 
-  while (count < most
+  while (count < items_max
          && map_next (rollouts->belief->trials, &cursor, &service, &value))
     {
       trial_t *trial = value;
@@ -277,13 +287,13 @@
           || trial_step (trial) == TRIAL_STEP_HELD)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
-      trial_write (trial, tells, &items[count++].value);
+      trial_write (trial, is_relay, &items[count++].value);
     }
   return count;
 }
 
-/* Tell other entries that read the store, as in other zones that are cut off
-   from this one.  */
+/* Write the evidence on TRIAL to the store, for other gateways that read the
+   store, such as those in zones that this gateway cannot reach.  */
 static void
 write_evidence (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
@@ -301,26 +311,26 @@
   buf_free (&value);
 }
 
-/* Carry out what the evidence says of a running TRIAL.  */
+/* Evaluate the evidence on a running TRIAL and carry out the verdict.  */
 static void
-judge_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
+evaluate_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
   uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
-  bool alone = follow_down (rollouts->belief->orders);
-  buf_t why = BUF_NULL;
+  bool is_isolated = follow_down (rollouts->belief->orders);
+  buf_t reason = BUF_NULL;
 
-  /* One that cannot reach the store still judges what it saw.  */
-  if (!alone && !is_judge (rollouts))
+  /* A gateway that cannot reach the store judges its own evidence.  */
+  if (!is_isolated && !is_decider (rollouts))
     return;
-  trial_verdict_t verdict = trial_judge (trial, now_ms, alone, &why);
+  trial_verdict_t verdict = trial_judge (trial, now_ms, is_isolated, &reason);
 
   switch (verdict)
     {
     case TRIAL_WAIT:
       break;
     case TRIAL_ADVANCE:
-      write_rollout (rollouts, service, trial, trial_start (trial),
-                     trial_step (trial) + 1, now_ms + TRIAL_NOTICE_MS);
+      write_state (rollouts, service, trial, trial_start (trial),
+                   trial_step (trial) + 1, now_ms + TRIAL_NOTICE_MS);
       break;
     case TRIAL_TAKE_BACK:
     case TRIAL_FINISH:
@@ -330,39 +340,41 @@
                  field_text (FIELD_VERSION, trial_version (trial)),
                  field_text (FIELD_PHASE, str_from (trial_phase_name (
                                               trial_phase (trial)))),
-                 field_text (FIELD_WHY, buf_str (&why)));
+                 field_text (FIELD_WHY, buf_str (&reason)));
       break;
     }
-  buf_free (&why);
+  buf_free (&reason);
 }
 
+/* Take the step of TRIAL that is due.  IS_SECOND as for rollouts_tick.  */
 static void
-step_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
+tick_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
 {
   uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
 
   if (trial_start (trial) == 0)
     {
-      /* The order's time runs from when it was seen, however late the row.  */
+      /* The order's time limit runs from when this gateway read the order,
+         even if the state row is written late.  */
       uint64_t start_ms
           = trial_seen (trial) != 0 ? trial_seen (trial) : now_ms;
-      write_rollout (rollouts, service, trial, start_ms, 0, start_ms);
+      write_state (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
   if (trial_phase (trial) == TRIAL_RUNNING)
     {
       if (is_second)
         trial_fade (trial);
-      judge_trial (rollouts, service, trial);
+      evaluate_trial (rollouts, service, trial);
     }
-  /* A decision is written again until the shared row has it or another.  */
+  /* Write the decision until the state row has this or another decision.  */
   if (trial_phase (trial) != TRIAL_RUNNING && !trial_written (trial))
-    write_rollout (rollouts, service, trial, trial_start (trial),
-                   trial_step (trial), trial_from (trial));
+    write_state (rollouts, service, trial, trial_start (trial),
+                 trial_step (trial), trial_from (trial));
   else if (is_second && trial_phase (trial) == TRIAL_RUNNING
            && trial_step (trial) > 0 && trial_dirty (trial)
-           && is_judge (rollouts))
+           && is_decider (rollouts))
     write_evidence (rollouts, service, trial);
 }
 
@@ -374,21 +386,22 @@
   void *value;
 
   while (map_next (rollouts->belief->trials, &cursor, &service, &value))
-    step_trial (rollouts, service, value, is_second);
+    tick_trial (rollouts, service, value, is_second);
 }
 
 rollouts_t *
 rollouts_create (belief_t *belief, rows_t *rows, share_t *share)
 {
-  static const share_news_t news = { list_news, on_news };
+  static const share_news_t piggyback
+      = { list_evidence, on_evidence_received };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
 
   rollouts->belief = belief;
   rollouts->rows = rows;
   rollouts->share = share;
-  rollouts->shared = map_create ();
+  rollouts->state_rows = map_create ();
   if (share != NULL)
-    share_set_news (share, &news, rollouts);
+    share_set_news (share, &piggyback, rollouts);
   return rollouts;
 }
 
@@ -400,11 +413,11 @@
   void *value;
 
   rollouts->rows->ops->forget (rollouts->rows, rollouts);
-  while (map_next (rollouts->shared, &cursor, &key, &value))
+  while (map_next (rollouts->state_rows, &cursor, &key, &value))
     {
-      buf_free (&((shared_row_t *)value)->text);
+      buf_free (&((state_row_t *)value)->text);
       free (value);
     }
-  map_destroy (rollouts->shared);
+  map_destroy (rollouts->state_rows);
   free (rollouts);
 }
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -1,9 +1,11 @@
-/* The roll-outs that all entries carry out together: operators' orders, the
-   shared row of each, and the evidence on which one entry judges it.
+/* The roll-outs that all gateways carry out together: the operators' orders,
+   the state row of each roll-out in the store, and the evidence by which a
+   gateway judges the new version.
 
-   No entry is appointed.  The shared row is written under the condition that
-   it is as the writer saw it, by an entry that reads the store for the others,
-   or by any when that one is late; evidence comes to it with their calls.  */
+   No gateway is appointed as the leader.  A state row is written only if it
+   still has the version that the writer read.  It is written by a gateway that
+   reads the store for other gateways and gets their evidence with their calls,
+   or by any gateway when that gateway is late.  */
 
 #ifndef GATEWAY_ROLLOUTSINT_H
 #define GATEWAY_ROLLOUTSINT_H
@@ -12,20 +14,23 @@
 
 typedef struct rollouts rollouts_t;
 
-/* SHARE may be NULL: this entry is alone.  */
+/* BELIEF, ROWS and SHARE must outlive the result.  SHARE is NULL when this
+   gateway calls the store itself.  */
 rollouts_t *rollouts_create (belief_t *belief, rows_t *rows, share_t *share);
 void rollouts_destroy (rollouts_t *rollouts);
 
-/* An operators' order was read.  */
+/* Apply an operator's order, read from the store as ROW.  */
 void rollouts_order (rollouts_t *rollouts, const rows_row_t *row);
-/* The shared row of SERVICE's roll-out was read, maybe before its order.  */
+/* Apply the state row of SERVICE's roll-out, which may be read before the
+   order for the roll-out.  */
 void rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row);
-/* Evidence under KEY, evidence/SERVICE/ENTRY, was TOLD to this entry, or read
-   as a row.  */
-void rollouts_evidence (rollouts_t *rollouts, str_t key, bool told,
+/* Apply the evidence TEXT under KEY, which is evidence/SERVICE/GATEWAY.
+   IS_DIRECT: the gateway sent the evidence to this one; false: the evidence
+   was read from the store.  */
+void rollouts_evidence (rollouts_t *rollouts, str_t key, bool is_direct,
                         str_t text);
 /* Take the steps that are due.  IS_SECOND: a second has passed since the last
-   call that said so.  */
+   call with IS_SECOND.  */
 void rollouts_tick (rollouts_t *rollouts, bool is_second);
 
 #endif
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -9,64 +9,67 @@
 
 enum
 {
-  /* Removed rows are remembered for askers that did not hear of them; who
-     asks later reads the whole table.  */
-  TOMBSTONE_MS = 30000,
-  /* Rows of fewer bytes in all are told as they are.  */
-  PACK_LEAST = 2048,
-  /* The whole table is told as it was so long ago at most, and the changes
-     since then to the asker's next call: entries that start together each ask
-     for it, and packing all of it for each takes longer than they wait.  */
-  WHOLE_KEEP_MS = 1000
+  /* Time for which a deleted row is kept for callers that do not know of the
+     deletion.  A caller that asks later must read the whole table.  */
+  TOMBSTONE_TTL_MS = 30000,
+  /* Rows with fewer bytes of values in total are sent unpacked.  */
+  PACK_BYTES_MIN = 2048,
+  /* Time for which a packed answer with the whole table is reused.  The next
+     watch call returns the changes since then.  Gateways that start together
+     each read the whole table, and packing it for each takes longer than their
+     calls wait.  */
+  WHOLE_ANSWER_TTL_MS = 1000
 };
 
 typedef struct
 {
   char *key;
   buf_t value;
-  buf_t small;   /* VALUE deflated, made when it is first told.  */
-  bool is_plain; /* VALUE does not get smaller.  */
+  buf_t deflated; /* VALUE deflated; empty before the row is first sent.  */
+  bool is_incompressible; /* VALUE is sent plain: deflating does not help.  */
   uint64_t version;
   bool deleted;
-  uint64_t deleted_ms;
-} cached_t;
+  uint64_t deleted_ms; /* Time of the deletion, in ms of the boot clock.  */
+} cached_row_t;
 
-/* An answer of many rows that was packed, for askers to come.  */
+/* A packed answer of many rows, kept for further callers.  */
 typedef struct
 {
-  uint64_t after;   /* Of changes.  */
-  uint64_t version; /* 0: none.  */
-  uint64_t made_ms; /* By boot time.  */
-  uint64_t confirmed_ms;
-  uint64_t said_ms;
+  uint64_t after;     /* Version after which the rows changed.  */
+  uint64_t version;   /* Store version of the rows; 0: no answer is kept.  */
+  uint64_t packed_ms; /* Time of packing, in ms of the boot clock.  */
+  uint64_t confirmed_ms;    /* CONFIRMED_MS of the cache at that time.  */
+  uint64_t store_answer_ms; /* STORE_ANSWER_MS of the cache at that time.  */
   buf_t bytes;
   size_t plain_len;
-} packed_t;
+} packed_answer_t;
 
 struct rowcache
 {
   clock_iface_t *clock;
-  map_t *rows; /* Key to cached_t.  */
-  bool complete;
-  bool down;
-  uint64_t version;
-  uint64_t read_version; /* Of the first page of a read.  */
-  uint64_t floor;
-  uint64_t confirmed_ms; /* By boot time.  */
-  uint64_t now_ms;       /* The store's clock, at NOW_SEEN_MS.  */
-  uint64_t now_seen_ms;
-  uint64_t said_ms; /* The store's clock at its last answer.  */
-  packed_t whole;
-  packed_t changes;
+  map_t *rows;            /* Key to cached_row_t.  */
+  bool is_complete;       /* All rows of the table are known.  */
+  bool is_down;           /* The store did not answer the last call.  */
+  uint64_t version;       /* Store version of the rows.  */
+  uint64_t read_version;  /* Store version of the first page of a read.  */
+  uint64_t history_floor; /* Deletions up to this version are unknown.  */
+  /* Time at which the store confirmed the rows, in ms of the boot clock.  */
+  uint64_t confirmed_ms;
+  uint64_t store_now_ms;      /* Store clock in the last answer.  */
+  uint64_t store_received_ms; /* Boot clock at the last answer.  */
+  /* Store clock when the store confirmed the rows.  */
+  uint64_t store_answer_ms;
+  packed_answer_t whole;
+  packed_answer_t changes;
 };
 
 static void
-cached_free (cached_t *cached)
+cached_row_free (cached_row_t *cached_row)
 {
-  free (cached->key);
-  buf_free (&cached->value);
-  buf_free (&cached->small);
-  free (cached);
+  free (cached_row->key);
+  buf_free (&cached_row->value);
+  buf_free (&cached_row->deflated);
+  free (cached_row);
 }
 
 static void
@@ -77,7 +80,7 @@
   void *value;
 
   while (map_next (cache->rows, &cursor, &key, &value))
-    cached_free (value);
+    cached_row_free (value);
   map_destroy (cache->rows);
 }
 
@@ -102,29 +105,30 @@
   free (cache);
 }
 
+/* Insert or replace ROW, which may be a deletion.  */
 static void
-put (rowcache_t *cache, const rows_row_t *row)
+store_row (rowcache_t *cache, const rows_row_t *row)
 {
-  cached_t *cached = map_get (cache->rows, row->key);
+  cached_row_t *cached_row = map_get (cache->rows, row->key);
 
-  if (cached == NULL)
+  if (cached_row == NULL)
     {
-      cached = mem_zalloc (sizeof *cached);
-      cached->key = str_dup (row->key);
-      map_put (cache->rows, row->key, cached);
+      cached_row = mem_zalloc (sizeof *cached_row);
+      cached_row->key = str_dup (row->key);
+      map_put (cache->rows, row->key, cached_row);
     }
-  cached->value.len = 0;
-  cached->small.len = 0;
-  cached->is_plain = row->value.len < DEFLATE_LEAST;
-  buf_append_str (&cached->value, row->value);
-  cached->version = row->version;
-  cached->deleted = row->deleted;
-  cached->deleted_ms = clock_boot_ms (cache->clock);
+  cached_row->value.len = 0;
+  cached_row->deflated.len = 0;
+  cached_row->is_incompressible = row->value.len < DEFLATE_LEAST;
+  buf_append_str (&cached_row->value, row->value);
+  cached_row->version = row->version;
+  cached_row->deleted = row->deleted;
+  cached_row->deleted_ms = clock_boot_ms (cache->clock);
 }
 
-/* Forget removed rows whose time is over.  */
+/* Drop the deleted rows older than TOMBSTONE_TTL_MS, and raise the floor.  */
 static void
-prune (rowcache_t *cache)
+expire_tombstones (rowcache_t *cache)
 {
   size_t cursor = 0;
   str_t key;
@@ -132,75 +136,75 @@
 
   while (map_next (cache->rows, &cursor, &key, &value))
     {
-      cached_t *cached = value;
-      if (!cached->deleted
-          || clock_boot_ms (cache->clock) - cached->deleted_ms < TOMBSTONE_MS)
+      cached_row_t *cached_row = value;
+      if (!cached_row->deleted
+          || clock_boot_ms (cache->clock) - cached_row->deleted_ms
+                 < TOMBSTONE_TTL_MS)
         continue;
-      if (cached->version > cache->floor)
-        cache->floor = cached->version;
+      if (cached_row->version > cache->history_floor)
+        cache->history_floor = cached_row->version;
       map_remove (cache->rows, key);
-      cached_free (cached);
+      cached_row_free (cached_row);
       cursor = 0;
     }
 }
 
 void
-rowcache_take (rowcache_t *cache, const rowcache_answer_t *answer,
+rowcache_take (rowcache_t *cache, const rowcache_answer_t *call,
                const rows_result_t *result)
 {
-  if (answer->is_read && answer->is_first_page)
+  if (call->is_read && call->is_first_page)
     {
       free_rows (cache);
       cache->rows = map_create ();
-      cache->complete = false;
+      cache->is_complete = false;
       cache->read_version = result->version;
-      cache->floor = result->version;
+      cache->history_floor = result->version;
     }
-  else if (!answer->is_read && result->version < cache->version)
+  else if (!call->is_read && result->version < cache->version)
     return;
   for (size_t i = 0; i < result->count; i++)
-    put (cache, &result->rows[i]);
-  if (answer->is_read && !result->more)
-    cache->complete = true;
-  cache->version = answer->is_read ? cache->read_version : result->version;
-  cache->confirmed_ms = answer->asked_ms > result->age_ms
-                            ? answer->asked_ms - result->age_ms
-                            : 0;
-  cache->now_ms = result->now_ms;
-  cache->now_seen_ms = clock_boot_ms (cache->clock);
-  cache->said_ms = result->said_ms;
-  cache->down = false;
-  prune (cache);
+    store_row (cache, &result->rows[i]);
+  if (call->is_read && !result->more)
+    cache->is_complete = true;
+  cache->version = call->is_read ? cache->read_version : result->version;
+  cache->confirmed_ms
+      = call->sent_ms > result->age_ms ? call->sent_ms - result->age_ms : 0;
+  cache->store_now_ms = result->now_ms;
+  cache->store_received_ms = clock_boot_ms (cache->clock);
+  cache->store_answer_ms = result->said_ms;
+  cache->is_down = false;
+  expire_tombstones (cache);
 }
 
 void
 rowcache_lost (rowcache_t *cache)
 {
-  cache->down = true;
+  cache->is_down = true;
 }
 
 void
 rowcache_forget (rowcache_t *cache)
 {
-  cache->complete = false;
+  cache->is_complete = false;
 }
 
 bool
 rowcache_is_down (const rowcache_t *cache)
 {
-  return cache->down;
+  return cache->is_down;
 }
 
 bool
 rowcache_is_complete (const rowcache_t *cache)
 {
-  return cache->complete;
+  return cache->is_complete;
 }
 
 bool
 rowcache_reaches (const rowcache_t *cache, uint64_t after)
 {
-  return after >= cache->floor;
+  return after >= cache->history_floor;
 }
 
 bool
@@ -213,56 +217,62 @@
   if (cache->version <= after)
     return false;
   while (map_next (cache->rows, &cursor, &key, &value))
-    if (((cached_t *)value)->version > after)
+    if (((cached_row_t *)value)->version > after)
       return true;
   return false;
 }
 
-/* Fill ROW with what is told of CACHED.  A long configuration that is told in
-   full to every asker keeps the reader's link busy for seconds, and its
-   streams wait behind that.  */
+/* Fill ROW with CACHED_ROW, whose value is deflated if that shortens it.  A
+   long configuration that is sent in full to every caller keeps the reader's
+   link busy for seconds, and delays the streams on the link.  */
 static void
-write_row (cached_t *cached, wire_row_t *row)
+encode_row (cached_row_t *cached_row, wire_row_t *row)
 {
-  const buf_t *told = &cached->value;
-
-  if (!cached->is_plain && cached->small.len == 0)
-    cached->is_plain
-        = !deflate_text (buf_str (&cached->value), &cached->small);
-  if (!cached->is_plain)
-    told = &cached->small;
-  row->key = cached->key;
-  row->value.value_val = told->ptr;
-  row->value.value_len = (u_int)told->len;
-  row->plain_len = cached->is_plain ? 0 : (u_int)cached->value.len;
-  row->row_version = cached->version;
-  row->deleted = cached->deleted;
+  const buf_t *sent = &cached_row->value;
+
+  if (!cached_row->is_incompressible && cached_row->deflated.len == 0)
+    cached_row->is_incompressible
+        = !deflate_text (buf_str (&cached_row->value), &cached_row->deflated);
+  if (!cached_row->is_incompressible)
+    sent = &cached_row->deflated;
+  row->key = cached_row->key;
+  row->value.value_val = sent->ptr;
+  row->value.value_len = (u_int)sent->len;
+  row->plain_len
+      = cached_row->is_incompressible ? 0 : (u_int)cached_row->value.len;
+  row->row_version = cached_row->version;
+  row->deleted = cached_row->deleted;
 }
 
-/* The packed answer for changes after AFTER, or of the WHOLE, that still
-   serves; else NULL.  */
-static const packed_t *
-kept_answer (const rowcache_t *cache, uint64_t after, bool whole)
+/* The kept answer with the changes after version AFTER, or with the whole
+   table if IS_WHOLE; NULL if there is none that is still valid.  */
+static const packed_answer_t *
+find_packed_answer (const rowcache_t *cache, uint64_t after, bool is_whole)
 {
-  const packed_t *packed = whole ? &cache->whole : &cache->changes;
-  uint64_t age_ms = clock_boot_ms (cache->clock) - packed->made_ms;
+  const packed_answer_t *packed = is_whole ? &cache->whole : &cache->changes;
+  uint64_t age_ms = clock_boot_ms (cache->clock) - packed->packed_ms;
 
   if (packed->version == 0)
     return NULL;
-  if (whole)
-    return age_ms < WHOLE_KEEP_MS && packed->version >= cache->floor ? packed
-                                                                     : NULL;
+  if (is_whole)
+    return age_ms < WHOLE_ANSWER_TTL_MS
+                   && packed->version >= cache->history_floor
+               ? packed
+               : NULL;
   return packed->version == cache->version && packed->after == after ? packed
                                                                      : NULL;
 }
 
-/* Deflate the ROWS together, after AFTER or WHOLE, where that makes them
-   smaller: registrations are much alike.  NULL: they are told as they are, as
-   few rows are and those that an asker would not unpack.  */
-static const packed_t *
-pack (rowcache_t *cache, wire_row_list_t *rows, uint64_t after, bool whole)
+/* Pack the answer ROWS with the changes after version AFTER, or with the whole
+   table if IS_WHOLE.  Deflating many rows together shortens registrations
+   well, because they are much alike.  Return NULL if the rows are to be sent
+   unpacked: if they are few, do not get shorter, include a value deflated by
+   itself, or have more bytes than a caller accepts.  */
+static const packed_answer_t *
+pack_rows (rowcache_t *cache, wire_row_list_t *rows, uint64_t after,
+           bool is_whole)
 {
-  packed_t *packed = whole ? &cache->whole : &cache->changes;
+  packed_answer_t *packed = is_whole ? &cache->whole : &cache->changes;
   size_t bytes = 0;
 
   for (u_int i = 0; i < rows->rows.rows_len; i++)
@@ -271,35 +281,35 @@
         return NULL;
       bytes += rows->rows.rows_val[i].value.value_len;
     }
-  if (bytes < PACK_LEAST)
+  if (bytes < PACK_BYTES_MIN)
     return NULL;
-  u_int room = (u_int)xdr_sizeof ((xdrproc_t)xdr_wire_row_list_t, rows);
-  if (room > WIRE_BODY_MAX)
+  u_int plain_bytes = (u_int)xdr_sizeof ((xdrproc_t)xdr_wire_row_list_t, rows);
+  if (plain_bytes > WIRE_BODY_MAX)
     return NULL;
-  char *plain = mem_alloc (room);
+  char *plain = mem_alloc (plain_bytes);
   XDR xdr;
-  xdrmem_create (&xdr, plain, room, XDR_ENCODE);
+  xdrmem_create (&xdr, plain, plain_bytes, XDR_ENCODE);
   packed->bytes.len = 0;
   packed->version = 0;
   if (xdr_wire_row_list_t (&xdr, rows)
-      && deflate_text (str_make (plain, room), &packed->bytes))
+      && deflate_text (str_make (plain, plain_bytes), &packed->bytes))
     {
       packed->after = after;
       packed->version = cache->version;
-      packed->made_ms = clock_boot_ms (cache->clock);
+      packed->packed_ms = clock_boot_ms (cache->clock);
       packed->confirmed_ms = cache->confirmed_ms;
-      packed->said_ms = cache->said_ms;
-      packed->plain_len = room;
+      packed->store_answer_ms = cache->store_answer_ms;
+      packed->plain_len = plain_bytes;
     }
   xdr_destroy (&xdr);
   free (plain);
   return packed->version != 0 ? packed : NULL;
 }
 
-/* The rows after AFTER, or all live ones when WHOLE; the list is the caller's
-   to free.  */
+/* The rows that changed after version AFTER, or all live rows if IS_WHOLE. The
+   caller frees the array, whose strings are borrowed.  */
 static wire_row_list_t
-list_rows (rowcache_t *cache, uint64_t after, bool whole)
+list_rows (rowcache_t *cache, uint64_t after, bool is_whole)
 {
   wire_row_t *rows = mem_zalloc ((map_size (cache->rows) + 1) * sizeof *rows);
   size_t cursor = 0;
@@ -310,34 +320,34 @@
   while (map_next (cache->rows, &cursor, &key, &value)
          && count < WIRE_ROWS_MAX)
     {
-      cached_t *cached = value;
-      if (whole ? cached->deleted : cached->version <= after)
+      cached_row_t *cached_row = value;
+      if (is_whole ? cached_row->deleted : cached_row->version <= after)
         continue;
-      write_row (cached, &rows[count++]);
+      encode_row (cached_row, &rows[count++]);
     }
   return (wire_row_list_t){ .rows = { count, rows } };
 }
 
 void
-rowcache_tell (rowcache_t *cache, uint64_t after, bool whole,
+rowcache_tell (rowcache_t *cache, uint64_t after, bool is_whole,
                wire_rows_res_t *result)
 {
   uint64_t boot_ms = clock_boot_ms (cache->clock);
-  const packed_t *packed = kept_answer (cache, after, whole);
+  const packed_answer_t *packed = find_packed_answer (cache, after, is_whole);
   wire_row_list_t list = { { 0, NULL } };
 
   if (packed == NULL)
     {
-      list = list_rows (cache, after, whole);
-      packed = pack (cache, &list, after, whole);
+      list = list_rows (cache, after, is_whole);
+      packed = pack_rows (cache, &list, after, is_whole);
     }
   *result
       = (wire_rows_res_t){ .code = VH_OK,
                            .newest = cache->version,
-                           .now_ms
-                           = cache->now_ms + boot_ms - cache->now_seen_ms,
+                           .now_ms = cache->store_now_ms + boot_ms
+                                     - cache->store_received_ms,
                            .age_ms = (u_int)(boot_ms - cache->confirmed_ms),
-                           .said_ms = cache->said_ms };
+                           .said_ms = cache->store_answer_ms };
   if (packed == NULL)
     {
       result->rows.rows_val = list.rows.rows_val;
@@ -348,11 +358,11 @@
   result->packed.packed_val = packed->bytes.ptr;
   result->packed.packed_len = (u_int)packed->bytes.len;
   result->plain_len = (u_int)packed->plain_len;
-  if (!whole)
+  if (!is_whole)
     return;
   result->newest = packed->version;
   result->age_ms = (u_int)(boot_ms - packed->confirmed_ms);
-  result->said_ms = packed->said_ms;
+  result->said_ms = packed->store_answer_ms;
 }
 
 vh_code_t
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -1,8 +1,9 @@
-/* What an entry knows of one table of the platform's store, kept so that it
-   can tell others: the rows, those removed of late, and how old that is.
+/* A copy of one table of the platform's store from which a gateway answers
+   other gateways: the live rows, recently deleted rows, and the age of both.
 
-   Versions are the store's.  Who asks for changes after a version below the
-   floor must read the whole table, as removals before it are forgotten.  */
+   Versions are those of the store.  Deletions up to the floor version are no
+   longer known, so a caller that asks for changes after a lower version must
+   read the whole table.  */
 
 #ifndef GATEWAY_ROWCACHE_H
 #define GATEWAY_ROWCACHE_H
@@ -14,42 +15,47 @@
 struct wire_row_list_t;
 typedef struct rowcache rowcache_t;
 
-/* Where an answer of the store or of a reader belongs.  */
+/* The call that an answer of the store or of a reader belongs to.  */
 typedef struct
 {
-  bool is_read; /* Of rows, not of changes.  */
-  bool is_first_page;
-  uint64_t asked_ms; /* When it was asked for, by boot time.  */
+  bool is_read;       /* A read of rows; false: a watch for changes.  */
+  bool is_first_page; /* Of a read of the whole table.  */
+  uint64_t sent_ms;   /* Time of the call, in ms of the boot clock.  */
 } rowcache_answer_t;
 
 rowcache_t *rowcache_create (clock_iface_t *clock);
 /* NULL is accepted.  */
 void rowcache_destroy (rowcache_t *cache);
 
-/* Take in RESULT.  Changes older than what is known are left out.  */
-void rowcache_take (rowcache_t *cache, const rowcache_answer_t *answer,
+/* Apply the answer RESULT to CALL.  Changes of a store version lower than the
+   cached one are ignored.  */
+void rowcache_take (rowcache_t *cache, const rowcache_answer_t *call,
                     const rows_result_t *result);
-/* The store did not answer.  */
+/* Record that the store did not answer; rowcache_take records that it did.  */
 void rowcache_lost (rowcache_t *cache);
-/* The history that the table was followed by is gone.  */
+/* Mark the table as incomplete until the next read of the whole table, because
+   the store no longer has the history of changes.  */
 void rowcache_forget (rowcache_t *cache);
 
-/* Tell whether the store did not answer the last call.  */
+/* Return whether the store did not answer the last call.  */
 bool rowcache_is_down (const rowcache_t *cache);
-/* Tell whether the whole table is known.  */
+/* Return whether all rows of the table are known.  */
 bool rowcache_is_complete (const rowcache_t *cache);
-/* Tell whether removals after version AFTER are known.  */
+/* Return whether all deletions after version AFTER are known.  */
 bool rowcache_reaches (const rowcache_t *cache, uint64_t after);
+/* Return whether a row changed after version AFTER.  */
 bool rowcache_has_news (const rowcache_t *cache, uint64_t after);
 
-/* Fill RESULT with the rows after AFTER, or with all live ones when WHOLE;
-   many of them are packed together.  Its rows, but not what they point at, are
-   the caller's to free; what is packed is borrowed until the next call.  */
-void rowcache_tell (rowcache_t *cache, uint64_t after, bool whole,
+/* Fill RESULT with the rows that changed after version AFTER, or with all live
+   rows if IS_WHOLE.  Many rows are packed into one deflated string.  The
+   caller frees the array of rows, but not the strings in it; the packed string
+   is borrowed until the next call.  */
+void rowcache_tell (rowcache_t *cache, uint64_t after, bool is_whole,
                     struct wire_rows_res_t *result);
 
-/* The rows that were PACKED out of PLAIN_LEN bytes, to be released by
-   xdr_free. Return VH_E_PROTOCOL with none when they cannot be read.  */
+/* Unpack the rows in PACKED, which inflates to PLAIN_LEN bytes, into LIST; the
+   caller releases LIST with xdr_free.  Return VH_E_PROTOCOL and an empty list
+   when PACKED is invalid.  */
 vh_code_t rowcache_unpack (str_t packed, size_t plain_len,
                            struct wire_row_list_t *list);
 
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -1,14 +1,17 @@
-/* The platform's store as the gateway uses it: four tables of rows, reads of
-   a whole table, a wait for changes, and conditional writes.
+/* Interface to the platform's store: five tables of rows, reads of a whole
+   table, watches for changes, and conditional writes.
 
-   Calls are asynchronous and complete on a later turn, exactly once, unless
-   they are forgotten or the store is destroyed.  Results are borrowed for the
-   callback.  A call is given up when the store was silent for TIMEOUT_MS: how
-   long a whole answer takes depends on its size and on the link, and one that
-   is begun anew for taking long may never end.  Codes: VH_OK; VH_E_CONFLICT a
-   condition did not hold; VH_E_NOT_FOUND the history asked for is gone;
-   VH_E_STORE_BUSY and VH_E_STORE_DOWN nothing was done; VH_E_STORE_LATE a
-   write may have been done, or may still be.  */
+   Calls are asynchronous.  Each calls its callback exactly once, on a later
+   turn of the loop, unless the call is cancelled or the store is destroyed.
+   Results are borrowed for the duration of the callback.  A call fails when
+   the store was silent for TIMEOUT_MS.  There is no bound on the time for a
+   whole answer, which depends on its size and on the link: an answer that is
+   requested again for taking long may never arrive.
+
+   Codes: VH_OK; VH_E_CONFLICT, a condition of a write did not hold;
+   VH_E_NOT_FOUND, the store no longer has the history of changes asked for;
+   VH_E_STORE_BUSY and VH_E_STORE_DOWN, nothing was written; VH_E_STORE_LATE, a
+   write may have been applied or may still be.  */
 
 #ifndef GATEWAY_ROWS_H
 #define GATEWAY_ROWS_H
@@ -19,10 +22,10 @@
 typedef enum
 {
   ROWS_ORDERS,    /* Configuration and operators' orders; read only.  */
-  ROWS_INSTANCES, /* Where upstreams register; read only.  */
-  ROWS_STATUS,    /* What operators read of us.  */
-  ROWS_OWN,       /* What entries tell each other.  */
-  ROWS_BILLS      /* Batches of bills; written only.  */
+  ROWS_INSTANCES, /* Registrations of upstream instances; read only.  */
+  ROWS_STATUS,    /* Status reports of gateways to operators.  */
+  ROWS_OWN,       /* Rows that gateways share with each other.  */
+  ROWS_BILLS      /* Batches of billing records; written only.  */
 } rows_table_t;
 
 typedef struct
@@ -30,19 +33,22 @@
   str_t key;
   str_t value; /* Decoded.  */
   uint64_t version;
-  bool deleted; /* By the answers of watch only.  */
+  bool deleted; /* Set only in answers to watches.  */
 } rows_row_t;
 
 typedef struct
 {
   const rows_row_t *rows;
   size_t count;
-  bool more;        /* The read has further rows after the last one.  */
-  uint64_t version; /* The newest in the whole store.  */
-  uint64_t now_ms;  /* The store's steady clock.  */
-  uint64_t age_ms;  /* Since the store said so; 0 from the store itself.  */
-  bool direct;      /* From the store itself.  */
-  uint64_t said_ms; /* The store's clock when it said so.  */
+  bool more;        /* The table has rows after the last row of this page.  */
+  uint64_t version; /* Highest version in the whole store.  */
+  uint64_t now_ms;  /* The store's steady clock at this answer, in ms.  */
+  /* Age of the store's confirmation of these rows at this answer, in ms; 0 in
+     an answer of the store itself.  */
+  uint64_t age_ms;
+  bool direct; /* Answered by the store itself, not by a peer gateway.  */
+  /* The store's steady clock at its confirmation of these rows, in ms.  */
+  uint64_t said_ms;
 } rows_result_t;
 
 typedef void (*rows_cb_t) (void *arg, vh_code_t code,
@@ -53,16 +59,16 @@
   rows_table_t table;
   str_t key;
   str_t value;
-  bool remove;
-  bool conditional;
-  uint64_t expected; /* Version that the row must have; 0: no row.  */
+  bool remove;       /* Delete the row.  */
+  bool conditional;  /* Write only if the row has version EXPECTED.  */
+  uint64_t expected; /* 0: the row must not exist.  */
 } rows_write_t;
 
 typedef struct rows rows_t;
 
 typedef struct
 {
-  /* Read TABLE from key FROM on.  */
+  /* Read TABLE, starting at key FROM.  */
   void (*read) (rows_t *rows, rows_table_t table, str_t from,
                 uint64_t timeout_ms, rows_cb_t cb, void *arg);
   /* Wait up to WAIT_MS for changes after version AFTER.  */
@@ -72,10 +78,11 @@
   /* Apply all writes or none.  */
   void (*commit) (rows_t *rows, const rows_write_t *writes, size_t count,
                   uint64_t timeout_ms, rows_cb_t cb, void *arg);
-  /* Drop the calls made with ARG that are pending, without their
-     callbacks.  */
+  /* Cancel the pending calls that were made with ARG; their callbacks are not
+     called.  */
   void (*forget) (rows_t *rows, const void *arg);
-  /* Drop what is pending without its callbacks, and release ROWS.  */
+  /* Cancel all pending calls without calling their callbacks, and release
+     ROWS.  */
   void (*destroy) (rows_t *rows);
 } rows_ops_t;
 
--- a/packages/gateway/share.c
+++ b/packages/gateway/share.c
@@ -12,70 +12,79 @@
 
 enum
 {
-  TABLES = ROWS_OWN + 1,
+  TABLE_COUNT = ROWS_OWN + 1,
   TICK_MS = 100,
-  /* A reader waits so long for news for an asker: short against the age that
-     a confirmation may have.  */
-  ASK_WAIT_MS = 700,
-  /* One that tells others in turn waits shorter, as the waits add up.  */
-  TELLER_WAIT_MS = 350,
-  /* More than that, and the store is asked as well: a turn of a slow machine
-     and both ways.  */
-  ASK_SLACK_MS = 350,
-  /* A reader that takes in a large table is busy for some tenths of a second;
-     whichever answers first is taken.  */
+  /* Longest time that a reader holds a watch call of a gateway.  Short against
+     the age up to which a confirmation is trusted.  */
+  WATCH_WAIT_MS = 700,
+  /* The same for a caller that serves other gateways in turn.  Shorter,
+     because the wait of its own callers is added.  */
+  RELAYED_WATCH_WAIT_MS = 350,
+  /* A call that a reader has not answered this long after the watch time is
+     sent to the store as well.  Covers the round trip and one turn of the
+     event loop on a slow machine.  */
+  HEDGE_DELAY_MS = 350,
+  /* Further time in which the reader's answer is still accepted, if the
+     store's does not come first: a reader that applies a large table is busy
+     for some tenths of a second.  */
   BUSY_READER_MS = 1000,
-  /* Entries asked for one answer, one after the other.  */
-  ASKED_MAX = 3,
-  /* Askers of a reader must not find its confirmation old.  */
-  READER_WAIT_MS = 800
+  /* Readers called for one answer, one after the other.  */
+  READERS_TRIED_MAX = 3,
+  /* Longest time that the store may hold a watch call of a reader.  Bounds the
+     age of the confirmation that the reader's callers get.  */
+  STORE_WATCH_WAIT_MS = 800
 };
 
 typedef struct
 {
   char *name;
   char *address;
-  rpc_peer_t *peer; /* Made when first asked.  */
-} entry_t;
+  rpc_peer_t *peer; /* NULL before the first call to this gateway.  */
+} gateway_peer_t;
 
-/* A call of this entry, to a reader or to the store.  */
+/* A call of this gateway to a reader, to the store, or to both.  */
 typedef struct
 {
   list_t link;
-  share_t *share;
+  share_t *peer_rows;
   rows_table_t table;
   bool is_read;
-  bool first_page;
-  uint64_t after;
-  uint64_t wait_ms;
+  bool is_first_page;
+  uint64_t after;   /* Store version after which changes are awaited.  */
+  uint64_t wait_ms; /* Longest wait for changes; 0 for a read.  */
   uint64_t timeout_ms;
-  uint64_t asked_ms;  /* By boot time.  */
-  uint64_t stored_ms; /* The same, of the store.  */
-  char *reader;       /* Name of the entry asked last.  */
-  unsigned asked;     /* How many, one after the other.  */
-  rpc_call_t *call;   /* To it; NULL: none is out.  */
-  uint64_t hedge_ms;  /* When the store is asked as well.  */
+  /* Time of the last call to a reader, in ms of the boot clock; before the
+     first such call, time at which this struct was created.  */
+  uint64_t sent_ms;
+  /* Time of the call to the store, in ms of the boot clock.  */
+  uint64_t store_sent_ms;
+  char *reader_name;      /* Name of the reader called last; NULL: none.  */
+  unsigned readers_tried; /* Number of readers called.  */
+  /* Call to that reader that has no answer yet; NULL: none.  */
+  rpc_call_t *rpc_call;
+  /* Monotonic time from which the store is called too, in ms.  */
+  uint64_t hedge_at_ms;
   enum
   {
-    STORE_UNASKED,
-    STORE_ASKED,
+    STORE_NOT_CALLED,
+    STORE_CALLED,
     STORE_ANSWERED
-  } store;
+  } store_state;
   rows_cb_t cb;
   void *arg;
-} pending_t;
+} pending_call_t;
 
-/* A call of another entry that waits for news.  */
+/* A watch call of another gateway that waits for changes.  */
 typedef struct
 {
   list_t link;
   rpc_request_t *request;
   rows_table_t table;
-  uint64_t after;
-  uint64_t due_ms;
-} waiter_t;
+  uint64_t after;      /* Changes after this store version are awaited.  */
+  uint64_t expires_ms; /* Monotonic time at which the call is answered.  */
+} watch_request_t;
 
-struct share
+struct peer_rows
 {
   rows_t base;
   clock_iface_t *clock;
@@ -84,60 +93,61 @@
   rpc_node_t *node;
   rpc_server_t *server;
   readers_t *readers;
-  map_t *entries;
-  share_news_t news;
-  void *news_arg;
-  rowcache_t *caches[TABLES];
-  list_t pending;
-  list_t waiters;
+  map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
+  share_news_t piggyback;
+  void *piggyback_arg;
+  rowcache_t *caches[TABLE_COUNT]; /* By rows_table_t.  */
+  list_t pending;                  /* Calls of this gateway.  */
+  list_t watches;                  /* Watch calls of other gateways.  */
   uv_timer_t tick;
-  bool leaving;
+  bool is_stopping;
 };
 
 static uint64_t
-boot_ms (const share_t *share)
+boot_ms (const share_t *peer_rows)
 {
-  return clock_boot_ms (share->clock);
+  return clock_boot_ms (peer_rows->clock);
 }
 
-static void answer_waiters (share_t *share, rows_table_t table);
+static void answer_watches (share_t *peer_rows, rows_table_t table);
 
-/* Take in an answer to PENDING, by the store or by a reader, which was asked
-   at ASKED_MS.  */
+/* Apply RESULT, the answer of the store or of a reader to the call PENDING
+   sent at boot time SENT_MS, to the cache of its table.  */
 static void
-take_result (const pending_t *pending, uint64_t asked_ms,
-             const rows_result_t *result)
+apply_result (const pending_call_t *pending, uint64_t sent_ms,
+              const rows_result_t *result)
 {
-  share_t *share = pending->share;
-  rowcache_t *cache = share->caches[pending->table];
+  share_t *peer_rows = pending->peer_rows;
+  rowcache_t *cache = peer_rows->caches[pending->table];
   const rowcache_answer_t answer = { .is_read = pending->is_read,
-                                     .is_first_page = pending->first_page,
-                                     .asked_ms = asked_ms };
+                                     .is_first_page = pending->is_first_page,
+                                     .sent_ms = sent_ms };
 
   rowcache_take (cache, &answer, result);
   if (rowcache_is_complete (cache))
-    answer_waiters (share, pending->table);
+    answer_watches (peer_rows, pending->table);
 }
 
 bool
-share_reads (share_t *share)
+share_reads (share_t *peer_rows)
 {
   void *owner;
 
-  return !share->leaving
-         && readers_choose (share->readers, &owner) == ASKS_STORE;
+  return !peer_rows->is_stopping
+         && readers_choose (peer_rows->readers, &owner) == ASKS_STORE;
 }
 
-/* Serving.  */
+/* Answering other gateways.  */
 
-/* Answer REQUEST with the rows after AFTER, or with all live ones.  */
+/* Answer REQUEST with the rows of TABLE that changed after version AFTER, or
+   with all live rows if IS_WHOLE.  */
 static void
-reply_rows (share_t *share, rpc_request_t *request, rows_table_t table,
-            uint64_t after, bool whole)
+reply_rows (share_t *peer_rows, rpc_request_t *request, rows_table_t table,
+            uint64_t after, bool is_whole)
 {
   wire_rows_res_t result;
 
-  rowcache_tell (share->caches[table], after, whole, &result);
+  rowcache_tell (peer_rows->caches[table], after, is_whole, &result);
   rpc_reply (request, &result);
   free (result.rows.rows_val);
 }
@@ -151,65 +161,66 @@
 }
 
 static void
-waiter_end (share_t *share, waiter_t *waiter)
+finish_watch (share_t *peer_rows, watch_request_t *watch)
 {
-  const rowcache_t *cache = share->caches[waiter->table];
+  const rowcache_t *cache = peer_rows->caches[watch->table];
 
-  list_remove (&waiter->link);
-  if (rowcache_is_down (cache) || share->leaving)
-    reply_code (waiter->request, VH_E_STORE_DOWN);
-  else if (!rowcache_reaches (cache, waiter->after))
-    reply_code (waiter->request, VH_E_NOT_FOUND);
+  list_remove (&watch->link);
+  if (rowcache_is_down (cache) || peer_rows->is_stopping)
+    reply_code (watch->request, VH_E_STORE_DOWN);
+  else if (!rowcache_reaches (cache, watch->after))
+    reply_code (watch->request, VH_E_NOT_FOUND);
   else
-    reply_rows (share, waiter->request, waiter->table, waiter->after, false);
-  free (waiter);
+    reply_rows (peer_rows, watch->request, watch->table, watch->after, false);
+  free (watch);
 }
 
 static void
-answer_waiters (share_t *share, rows_table_t table)
+answer_watches (share_t *peer_rows, rows_table_t table)
 {
-  LIST_EACH (at, &share->waiters)
+  LIST_EACH (at, &peer_rows->watches)
     {
-      waiter_t *waiter = CONTAINER_OF (at, waiter_t, link);
-      if (waiter->table == table
-          && rowcache_has_news (share->caches[table], waiter->after))
-        waiter_end (share, waiter);
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      if (watch->table == table
+          && rowcache_has_news (peer_rows->caches[table], watch->after))
+        finish_watch (peer_rows, watch);
     }
 }
 
-/* Tell whether this entry answers one that TELLS others in turn, or does not.
-   What is told comes from the store by two hands at most: beliefs must not age
-   on the way.  */
+/* Return whether this gateway answers a call.  IS_RELAY: the caller serves
+   other gateways in turn.  At most two gateways relay an answer of the store,
+   because rows age on the way.  */
 static bool
-may_tell (share_t *share, bool tells)
+may_answer (share_t *peer_rows, bool is_relay)
 {
   void *owner;
 
-  if (share->leaving)
+  if (peer_rows->is_stopping)
     return false;
-  if (readers_hears (share->readers))
+  if (readers_hears (peer_rows->readers))
     return true;
-  switch (readers_choose (share->readers, &owner))
+  switch (readers_choose (peer_rows->readers, &owner))
     {
     case ASKS_STORE:
       return true;
     case ASKS_ROOT:
-      return !tells;
+      return !is_relay;
     case ASKS_HEAD:
       break;
     }
   return false;
 }
 
-/* Pass on what ASK brought besides.  */
+/* Pass on the data piggybacked on CALL.  */
 static void
-take_news (const share_t *share, const wire_rows_args_t *ask)
+receive_piggyback (const share_t *peer_rows, const wire_rows_args_t *call)
 {
-  for (u_int i = 0; i < ask->news.news_len && share->news.take != NULL; i++)
+  for (u_int i = 0;
+       i < call->news.news_len && peer_rows->piggyback.receive != NULL; i++)
     {
-      const wire_news_t *news = &ask->news.news_val[i];
-      share->news.take (
-          share->news_arg, str_from (news->key),
+      const wire_news_t *news = &call->news.news_val[i];
+      peer_rows->piggyback.receive (
+          peer_rows->piggyback_arg, str_from (news->key),
           str_make (news->value.value_val, news->value.value_len));
     }
 }
@@ -217,146 +228,154 @@
 static void
 on_request (void *arg, rpc_request_t *request, uint32_t proc, void *args)
 {
-  share_t *share = arg;
-  const wire_rows_args_t *ask = args;
+  share_t *peer_rows = arg;
+  const wire_rows_args_t *call = args;
 
-  if (proc != WIRE_ROWS || ask->table >= TABLES)
+  if (proc != WIRE_ROWS || call->table >= TABLE_COUNT)
     {
       rpc_drop (request);
       return;
     }
-  const rowcache_t *cache = share->caches[ask->table];
-  bool answers = may_tell (share, ask->tells);
-  if (answers)
-    take_news (share, ask);
-  if (!rowcache_is_complete (cache) || rowcache_is_down (cache) || !answers)
+  const rowcache_t *cache = peer_rows->caches[call->table];
+  bool is_answering = may_answer (peer_rows, call->tells);
+  if (is_answering)
+    receive_piggyback (peer_rows, call);
+  if (!rowcache_is_complete (cache) || rowcache_is_down (cache)
+      || !is_answering)
     reply_code (request, VH_E_STORE_DOWN);
-  else if (ask->whole)
-    reply_rows (share, request, ask->table, 0, true);
-  else if (!rowcache_reaches (cache, ask->after))
+  else if (call->whole)
+    reply_rows (peer_rows, request, call->table, 0, true);
+  else if (!rowcache_reaches (cache, call->after))
     reply_code (request, VH_E_NOT_FOUND);
-  else if (ask->wait_ms == 0 || rowcache_has_news (cache, ask->after))
-    reply_rows (share, request, ask->table, ask->after, false);
+  else if (call->wait_ms == 0 || rowcache_has_news (cache, call->after))
+    reply_rows (peer_rows, request, call->table, call->after, false);
   else
     {
-      waiter_t *waiter = mem_zalloc (sizeof *waiter);
-      waiter->request = request;
-      waiter->table = (rows_table_t)ask->table;
-      waiter->after = ask->after;
-      waiter->due_ms = clock_ms (share->clock) + ask->wait_ms;
-      list_append (&share->waiters, &waiter->link);
+      watch_request_t *watch = mem_zalloc (sizeof *watch);
+      watch->request = request;
+      watch->table = (rows_table_t)call->table;
+      watch->after = call->after;
+      watch->expires_ms = clock_ms (peer_rows->clock) + call->wait_ms;
+      list_append (&peer_rows->watches, &watch->link);
     }
 }
 
-static void ask_late_answers (share_t *share, uint64_t now_ms);
+static void hedge_late_calls (share_t *peer_rows, uint64_t now_ms);
 
 static void
 on_tick (uv_timer_t *timer)
 {
-  share_t *share = timer->data;
-  uint64_t now_ms = clock_ms (share->clock);
+  share_t *peer_rows = timer->data;
+  uint64_t now_ms = clock_ms (peer_rows->clock);
 
-  ask_late_answers (share, now_ms);
-  LIST_EACH (at, &share->waiters)
+  hedge_late_calls (peer_rows, now_ms);
+  LIST_EACH (at, &peer_rows->watches)
     {
-      waiter_t *waiter = CONTAINER_OF (at, waiter_t, link);
-      if (now_ms >= waiter->due_ms || share->leaving
-          || rowcache_is_down (share->caches[waiter->table]))
-        waiter_end (share, waiter);
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      if (now_ms >= watch->expires_ms || peer_rows->is_stopping
+          || rowcache_is_down (peer_rows->caches[watch->table]))
+        finish_watch (peer_rows, watch);
     }
 }
 
-/* Asking.  */
+/* Calling readers and the store.  */
 
-/* Drop what PENDING still waits for.  */
+/* Release PENDING and cancel its calls without calling its callback.  */
 static void
-pending_free (pending_t *pending)
+pending_call_free (pending_call_t *pending)
 {
-  rows_t *store = pending->share->store;
+  rows_t *store = pending->peer_rows->store;
 
-  rpc_cancel (pending->call);
-  if (pending->store == STORE_ASKED)
+  rpc_cancel (pending->rpc_call);
+  if (pending->store_state == STORE_CALLED)
     store->ops->forget (store, pending);
   list_remove (&pending->link);
-  free (pending->reader);
+  free (pending->reader_name);
   free (pending);
 }
 
 static void
-pending_end (pending_t *pending, vh_code_t code, const rows_result_t *result)
+finish_call (pending_call_t *pending, vh_code_t code,
+             const rows_result_t *result)
 {
   rows_cb_t cb = pending->cb;
   void *arg = pending->arg;
 
-  pending_free (pending);
+  pending_call_free (pending);
   cb (arg, code, result);
 }
 
-/* The reader that PENDING asked is not to be asked for a while.  */
+/* Record that the reader called for PENDING failed, so that it is not called
+   for a while.  IS_SILENT: the reader did not answer.  */
 static void
-reader_failed (const pending_t *pending, vh_code_t code, bool silent)
+record_reader_failure (const pending_call_t *pending, vh_code_t code,
+                       bool is_silent)
 {
-  share_t *share = pending->share;
+  share_t *peer_rows = pending->peer_rows;
 
   log_event (
-      EVENT_READER, field_text (FIELD_READER, str_from (pending->reader)),
+      EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
       field_number (FIELD_CODE, code),
-      field_number (FIELD_TOOK_MS, boot_ms (share) - pending->asked_ms));
-  readers_failed (share->readers, str_from (pending->reader), silent);
+      field_number (FIELD_TOOK_MS, boot_ms (peer_rows) - pending->sent_ms));
+  readers_failed (peer_rows->readers, str_from (pending->reader_name),
+                  is_silent);
 }
 
 static void
-on_stored (void *arg, vh_code_t code, const rows_result_t *result)
+on_store_answer (void *arg, vh_code_t code, const rows_result_t *result)
 {
-  pending_t *pending = arg;
-  share_t *share = pending->share;
-  rowcache_t *cache = share->caches[pending->table];
+  pending_call_t *pending = arg;
+  share_t *peer_rows = pending->peer_rows;
+  rowcache_t *cache = peer_rows->caches[pending->table];
 
-  pending->store = STORE_ANSWERED;
+  pending->store_state = STORE_ANSWERED;
   if (code == VH_OK)
-    take_result (pending, pending->stored_ms, result);
+    apply_result (pending, pending->store_sent_ms, result);
   else if (code == VH_E_NOT_FOUND)
     rowcache_forget (cache);
   else
     {
       rowcache_lost (cache);
-      readers_store_said (share->readers, false);
-      if (pending->call != NULL)
+      readers_store_said (peer_rows->readers, false);
+      if (pending->rpc_call != NULL)
         return;
     }
   if (code == VH_OK)
-    readers_store_said (share->readers, true);
-  if (pending->call != NULL)
-    reader_failed (pending, VH_E_TIMEOUT, true);
-  pending_end (pending, code, result);
+    readers_store_said (peer_rows->readers, true);
+  if (pending->rpc_call != NULL)
+    record_reader_failure (pending, VH_E_TIMEOUT, true);
+  finish_call (pending, code, result);
 }
 
-/* Ask the store itself.  */
+/* Call the store itself, from key FROM on if PENDING is a read.  */
 static void
-ask_store (pending_t *pending, str_t from)
+call_store (pending_call_t *pending, str_t from)
 {
-  share_t *share = pending->share;
+  share_t *peer_rows = pending->peer_rows;
   uint64_t wait_ms = pending->wait_ms;
 
-  pending->store = STORE_ASKED;
-  pending->stored_ms = boot_ms (share);
-  /* One that asks in place of its reader goes back to it soon.  */
-  if ((pending->table == ROWS_ORDERS || pending->reader != NULL)
-      && map_size (share->entries) > 0 && wait_ms > READER_WAIT_MS)
-    wait_ms = READER_WAIT_MS;
+  pending->store_state = STORE_CALLED;
+  pending->store_sent_ms = boot_ms (peer_rows);
+  /* Wait shorter, so that the orders at a reader are confirmed often and a
+     gateway whose reader failed soon calls a reader again.  */
+  if ((pending->table == ROWS_ORDERS || pending->reader_name != NULL)
+      && map_size (peer_rows->gateways) > 0 && wait_ms > STORE_WATCH_WAIT_MS)
+    wait_ms = STORE_WATCH_WAIT_MS;
   if (pending->is_read)
-    share->store->ops->read (share->store, pending->table, from,
-                             pending->timeout_ms, on_stored, pending);
+    peer_rows->store->ops->read (peer_rows->store, pending->table, from,
+                                 pending->timeout_ms, on_store_answer,
+                                 pending);
   else
-    share->store->ops->watch (
-        share->store, pending->table, pending->after, wait_ms,
-        pending->timeout_ms - (pending->wait_ms - wait_ms), on_stored,
+    peer_rows->store->ops->watch (
+        peer_rows->store, pending->table, pending->after, wait_ms,
+        pending->timeout_ms - (pending->wait_ms - wait_ms), on_store_answer,
         pending);
 }
 
-/* Read ROW, whose value is inflated into *PLAIN where it was made smaller.  */
+/* Decode ROW into OUT, which borrows from ROW and PLAIN.  A deflated value is
+   inflated into PLAIN.  */
 static vh_code_t
-read_row (const wire_row_t *row, buf_t *plain, rows_row_t *out)
+decode_row (const wire_row_t *row, buf_t *plain, rows_row_t *out)
 {
   vh_code_t code = VH_OK;
   str_t value = str_make (row->value.value_val, row->value.value_len);
@@ -375,11 +394,11 @@
   return code;
 }
 
-/* Tell the caller of PENDING the ROWS that a reader answered.  Return
-   VH_E_PROTOCOL with nothing told when they cannot be read.  */
+/* End PENDING with the COUNT rows WIRE_ROWS of a reader's ANSWER.  Return
+   an error, with PENDING unchanged, when a row is invalid.  */
 static vh_code_t
-take_rows (pending_t *pending, const wire_rows_res_t *answer,
-           const wire_row_t *told, u_int count)
+deliver_rows (pending_call_t *pending, const wire_rows_res_t *answer,
+              const wire_row_t *wire_rows, u_int count)
 {
   vh_code_t code = VH_OK;
   rows_row_t *rows = mem_zalloc ((count + 1) * sizeof *rows);
@@ -392,11 +411,11 @@
                            .said_ms = answer->said_ms };
 
   for (u_int i = 0; i < count && code == VH_OK; i++)
-    code = read_row (&told[i], &plain[i], &rows[i]);
+    code = decode_row (&wire_rows[i], &plain[i], &rows[i]);
   if (code == VH_OK)
     {
-      take_result (pending, pending->asked_ms, &result);
-      pending_end (pending, VH_OK, &result);
+      apply_result (pending, pending->sent_ms, &result);
+      finish_call (pending, VH_OK, &result);
     }
   for (u_int i = 0; i < count; i++)
     buf_free (&plain[i]);
@@ -405,112 +424,119 @@
   return code;
 }
 
+/* End PENDING with a reader's ANSWER, as deliver_rows does.  */
 static vh_code_t
-take_answer (pending_t *pending, const wire_rows_res_t *answer)
+deliver_answer (pending_call_t *pending, const wire_rows_res_t *answer)
 {
   wire_row_list_t list;
 
   if (answer->plain_len == 0)
-    return take_rows (pending, answer, answer->rows.rows_val,
-                      answer->rows.rows_len);
+    return deliver_rows (pending, answer, answer->rows.rows_val,
+                         answer->rows.rows_len);
   vh_code_t code = rowcache_unpack (
       str_make (answer->packed.packed_val, answer->packed.packed_len),
       answer->plain_len, &list);
   if (code == VH_OK)
-    code = take_rows (pending, answer, list.rows.rows_val, list.rows.rows_len);
+    code = deliver_rows (pending, answer, list.rows.rows_val,
+                         list.rows.rows_len);
   xdr_free ((xdrproc_t)xdr_wire_row_list_t, (char *)&list);
   return code;
 }
 
-static void ask_reader (pending_t *pending, entry_t *entry, bool tells);
+static void call_reader (pending_call_t *pending, gateway_peer_t *gateway,
+                         bool is_relay);
 
-/* The reader of PENDING answered that it cannot tell: ask another, then the
-   store, and give up when none is to be asked now.  */
+/* Call another reader for PENDING, whose reader answered that it cannot serve
+   the call, or else the store.  Fail when neither is to be called now.  */
 static void
-ask_further (pending_t *pending)
+call_next_reader (pending_call_t *pending)
 {
-  share_t *share = pending->share;
-  entry_t *next = readers_next (share->readers);
+  share_t *peer_rows = pending->peer_rows;
+  gateway_peer_t *next = readers_next (peer_rows->readers);
 
-  if (next != NULL && pending->asked < ASKED_MAX
-      && strcmp (next->name, pending->reader) != 0)
+  if (next != NULL && pending->readers_tried < READERS_TRIED_MAX
+      && strcmp (next->name, pending->reader_name) != 0)
     {
-      ask_reader (pending, next, true);
+      call_reader (pending, next, true);
       return;
     }
-  if (readers_may_probe (share->readers))
+  if (readers_may_probe (peer_rows->readers))
     {
-      ask_store (pending, STR (""));
+      call_store (pending, STR (""));
       return;
     }
-  rowcache_lost (share->caches[pending->table]);
-  pending_end (pending, VH_E_STORE_DOWN, NULL);
+  rowcache_lost (peer_rows->caches[pending->table]);
+  finish_call (pending, VH_E_STORE_DOWN, NULL);
 }
 
 static void
-on_answer (void *arg, vh_code_t code, void *result, unsigned sent)
+on_reader_answer (void *arg, vh_code_t code, void *result, unsigned sent)
 {
-  pending_t *pending = arg;
+  pending_call_t *pending = arg;
   const wire_rows_res_t *answer = result;
 
   (void)sent;
-  pending->call = NULL;
-  bool silent = code != VH_OK;
+  pending->rpc_call = NULL;
+  bool is_silent = code != VH_OK;
   if (code == VH_OK)
     code = (vh_code_t)answer->code;
   if (code == VH_OK)
-    code = take_answer (pending, answer);
+    code = deliver_answer (pending, answer);
   if (code == VH_OK)
     return;
   if (code == VH_E_NOT_FOUND)
     {
-      pending_end (pending, code, NULL);
+      finish_call (pending, code, NULL);
       return;
     }
-  reader_failed (pending, code, silent);
-  if (pending->store == STORE_UNASKED && silent)
-    ask_store (pending, STR (""));
-  else if (pending->store == STORE_UNASKED)
-    ask_further (pending);
-  else if (pending->store == STORE_ANSWERED)
-    pending_end (pending, VH_E_STORE_DOWN, NULL);
+  record_reader_failure (pending, code, is_silent);
+  if (pending->store_state == STORE_NOT_CALLED && is_silent)
+    call_store (pending, STR (""));
+  else if (pending->store_state == STORE_NOT_CALLED)
+    call_next_reader (pending);
+  else if (pending->store_state == STORE_ANSWERED)
+    finish_call (pending, VH_E_STORE_DOWN, NULL);
 }
 
-/* Ask the store too for what readers should have answered.  */
+/* Call the store too for each call that its reader should have answered by
+   now.  */
 static void
-ask_late_answers (share_t *share, uint64_t now_ms)
+hedge_late_calls (share_t *peer_rows, uint64_t now_ms)
 {
-  LIST_EACH (at, &share->pending)
+  LIST_EACH (at, &peer_rows->pending)
     {
-      pending_t *pending = CONTAINER_OF (at, pending_t, link);
-      if (pending->call != NULL && pending->store == STORE_UNASKED
-          && now_ms >= pending->hedge_ms && !rpc_is_carried (pending->call))
-        ask_store (pending, STR (""));
+      pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
+      if (pending->rpc_call != NULL && pending->store_state == STORE_NOT_CALLED
+          && now_ms >= pending->hedge_at_ms
+          && !rpc_is_carried (pending->rpc_call))
+        call_store (pending, STR (""));
     }
 }
 
-/* Ask ENTRY, whose answer this entry TELLS others, or does not.  */
+/* Call GATEWAY.  IS_RELAY: this gateway serves other gateways in turn.  */
 static void
-ask_reader (pending_t *pending, entry_t *entry, bool tells)
+call_reader (pending_call_t *pending, gateway_peer_t *gateway, bool is_relay)
 {
-  static const rpc_peer_events_t none = { NULL, NULL };
-  share_t *share = pending->share;
-  uint64_t most_ms = tells ? TELLER_WAIT_MS : ASK_WAIT_MS;
-  uint64_t wait_ms = pending->wait_ms < most_ms ? pending->wait_ms : most_ms;
+  static const rpc_peer_events_t no_events = { NULL, NULL };
+  share_t *peer_rows = pending->peer_rows;
+  uint64_t wait_max_ms = is_relay ? RELAYED_WATCH_WAIT_MS : WATCH_WAIT_MS;
+  uint64_t wait_ms
+      = pending->wait_ms < wait_max_ms ? pending->wait_ms : wait_max_ms;
   share_item_t items[WIRE_NEWS_MAX] = { 0 };
   wire_news_t news[WIRE_NEWS_MAX];
   size_t count = 0;
 
-  if (entry->peer == NULL)
-    entry->peer = rpc_peer_create (share->node, str_from (entry->address),
-                                   &none, entry);
-  if (entry->peer == NULL)
+  if (gateway->peer == NULL)
+    gateway->peer = rpc_peer_create (
+        peer_rows->node, str_from (gateway->address), &no_events, gateway);
+  if (gateway->peer == NULL)
     {
-      ask_store (pending, STR (""));
+      call_store (pending, STR (""));
       return;
     }
-  if (pending->table == ROWS_OWN && share->news.list != NULL)
-    count = share->news.list (share->news_arg, tells, items, WIRE_NEWS_MAX);
+  if (pending->table == ROWS_OWN && peer_rows->piggyback.list != NULL)
+    count = peer_rows->piggyback.list (peer_rows->piggyback_arg, is_relay,
+                                       items, WIRE_NEWS_MAX);
   for (size_t i = 0; i < count; i++)
     {
       buf_append_char (&items[i].key, '\0');
@@ -522,16 +548,17 @@
                             .after = pending->after,
                             .wait_ms = (u_int)wait_ms,
                             .whole = pending->is_read,
-                            .tells = tells,
+                            .tells = is_relay,
                             .news = { (u_int)count, news } };
-  free (pending->reader);
-  pending->reader = str_dup (str_from (entry->name));
-  pending->asked++;
-  pending->asked_ms = boot_ms (share);
-  pending->hedge_ms = clock_ms (share->clock) + wait_ms + ASK_SLACK_MS;
-  pending->call = rpc_peer_call (entry->peer, WIRE_ROWS, &args,
-                                 wait_ms + ASK_SLACK_MS + BUSY_READER_MS,
-                                 on_answer, pending);
+  free (pending->reader_name);
+  pending->reader_name = str_dup (str_from (gateway->name));
+  pending->readers_tried++;
+  pending->sent_ms = boot_ms (peer_rows);
+  pending->hedge_at_ms
+      = clock_ms (peer_rows->clock) + wait_ms + HEDGE_DELAY_MS;
+  pending->rpc_call = rpc_peer_call (gateway->peer, WIRE_ROWS, &args,
+                                     wait_ms + HEDGE_DELAY_MS + BUSY_READER_MS,
+                                     on_reader_answer, pending);
   for (size_t i = 0; i < count; i++)
     {
       buf_free (&items[i].key);
@@ -539,156 +566,162 @@
     }
 }
 
-/* Ask whoever is to be asked for PENDING, from row FROM on.  */
+/* Call the reader or the store for PENDING, from key FROM on if PENDING is a
+   read.  */
 static void
-ask (pending_t *pending, str_t from)
+start_call (pending_call_t *pending, str_t from)
 {
-  void *entry;
-  readers_role_t role = readers_choose (pending->share->readers, &entry);
+  void *gateway;
+  readers_role_t role = readers_choose (pending->peer_rows->readers, &gateway);
 
-  /* A page of the store can only be followed by its next one.  */
-  if (role == ASKS_STORE || (pending->is_read && !pending->first_page))
-    ask_store (pending, from);
+  /* Only the store answers in pages, so the next page must come from the
+     store.  */
+  if (role == ASKS_STORE || (pending->is_read && !pending->is_first_page))
+    call_store (pending, from);
   else
-    ask_reader (pending, entry, role == ASKS_ROOT);
+    call_reader (pending, gateway, role == ASKS_ROOT);
 }
 
-static pending_t *
-pending_create (share_t *share, rows_table_t table, uint64_t timeout_ms,
-                rows_cb_t cb, void *arg)
+static pending_call_t *
+pending_call_create (share_t *peer_rows, rows_table_t table,
+                     uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  pending_t *pending = mem_zalloc (sizeof *pending);
+  pending_call_t *pending = mem_zalloc (sizeof *pending);
 
-  pending->share = share;
+  pending->peer_rows = peer_rows;
   pending->table = table;
   pending->timeout_ms = timeout_ms;
-  pending->asked_ms = boot_ms (share);
+  pending->sent_ms = boot_ms (peer_rows);
   pending->cb = cb;
   pending->arg = arg;
-  list_append (&share->pending, &pending->link);
+  list_append (&peer_rows->pending, &pending->link);
   return pending;
 }
 
 static void
-share_read (rows_t *rows, rows_table_t table, str_t from, uint64_t timeout_ms,
-            rows_cb_t cb, void *arg)
+peer_rows_read (rows_t *rows, rows_table_t table, str_t from,
+                uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *share = (share_t *)rows;
-  pending_t *pending = pending_create (share, table, timeout_ms, cb, arg);
+  share_t *peer_rows = (share_t *)rows;
+  pending_call_t *pending
+      = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
 
   pending->is_read = true;
-  pending->first_page = from.len == 0;
-  ask (pending, from);
+  pending->is_first_page = from.len == 0;
+  start_call (pending, from);
 }
 
 static void
-share_watch (rows_t *rows, rows_table_t table, uint64_t after,
-             uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb, void *arg)
+peer_rows_watch (rows_t *rows, rows_table_t table, uint64_t after,
+                 uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb,
+                 void *arg)
 {
-  share_t *share = (share_t *)rows;
-  pending_t *pending = pending_create (share, table, timeout_ms, cb, arg);
+  share_t *peer_rows = (share_t *)rows;
+  pending_call_t *pending
+      = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
 
   pending->after = after;
   pending->wait_ms = wait_ms;
-  ask (pending, STR (""));
+  start_call (pending, STR (""));
 }
 
 static void
-share_commit (rows_t *rows, const rows_write_t *writes, size_t count,
-              uint64_t timeout_ms, rows_cb_t cb, void *arg)
+peer_rows_commit (rows_t *rows, const rows_write_t *writes, size_t count,
+                  uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *share = (share_t *)rows;
+  share_t *peer_rows = (share_t *)rows;
 
-  share->store->ops->commit (share->store, writes, count, timeout_ms, cb, arg);
+  peer_rows->store->ops->commit (peer_rows->store, writes, count, timeout_ms,
+                                 cb, arg);
 }
 
 static void
-share_forget (rows_t *rows, const void *arg)
+peer_rows_cancel (rows_t *rows, const void *arg)
 {
-  share_t *share = (share_t *)rows;
+  share_t *peer_rows = (share_t *)rows;
 
-  LIST_EACH (at, &share->pending)
+  LIST_EACH (at, &peer_rows->pending)
     {
-      pending_t *pending = CONTAINER_OF (at, pending_t, link);
+      pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
       if (pending->arg == arg)
-        pending_free (pending);
+        pending_call_free (pending);
     }
-  share->store->ops->forget (share->store, arg);
+  peer_rows->store->ops->forget (peer_rows->store, arg);
 }
 
-/* Released with the share.  */
+/* The interface is part of share_t and is released with it.  */
 static void
-share_release (rows_t *rows)
+peer_rows_release (rows_t *rows)
 {
   (void)rows;
 }
 
-/* Entries.  */
+/* The other gateways.  */
 
 static void
-entry_free (entry_t *entry)
+gateway_peer_free (gateway_peer_t *gateway)
 {
-  rpc_peer_destroy (entry->peer);
-  free (entry->name);
-  free (entry->address);
-  free (entry);
+  rpc_peer_destroy (gateway->peer);
+  free (gateway->name);
+  free (gateway->address);
+  free (gateway);
 }
 
 void
-share_remove (share_t *share, str_t name)
+share_remove (share_t *peer_rows, str_t name)
 {
-  entry_t *entry = map_remove (share->entries, name);
+  gateway_peer_t *gateway = map_remove (peer_rows->gateways, name);
 
-  readers_remove (share->readers, name);
-  if (entry != NULL)
-    entry_free (entry);
+  readers_remove (peer_rows->readers, name);
+  if (gateway != NULL)
+    gateway_peer_free (gateway);
 }
 
 void
-share_put (share_t *share, str_t name, str_t zone, str_t address,
+share_put (share_t *peer_rows, str_t name, str_t zone, str_t address,
            uint32_t link_mbps)
 {
-  entry_t *entry = map_get (share->entries, name);
+  gateway_peer_t *gateway = map_get (peer_rows->gateways, name);
 
-  if (str_eq (name, str_from (share->name)))
+  if (str_eq (name, str_from (peer_rows->name)))
     return;
-  if (entry != NULL && str_eq (str_from (entry->address), address))
+  if (gateway != NULL && str_eq (str_from (gateway->address), address))
     return;
-  share_remove (share, name);
-  entry = mem_zalloc (sizeof *entry);
-  entry->name = str_dup (name);
-  entry->address = str_dup (address);
-  map_put (share->entries, name, entry);
-  readers_put (share->readers, name, zone, link_mbps, entry);
+  share_remove (peer_rows, name);
+  gateway = mem_zalloc (sizeof *gateway);
+  gateway->name = str_dup (name);
+  gateway->address = str_dup (address);
+  map_put (peer_rows->gateways, name, gateway);
+  readers_put (peer_rows->readers, name, zone, link_mbps, gateway);
 }
 
 void
-share_leave (share_t *share)
+share_leave (share_t *peer_rows)
 {
-  share->leaving = true;
-  readers_leave (share->readers);
+  peer_rows->is_stopping = true;
+  readers_leave (peer_rows->readers);
 }
 
 void
-share_set_news (share_t *share, const share_news_t *news, void *arg)
+share_set_news (share_t *peer_rows, const share_news_t *piggyback, void *arg)
 {
-  share->news = *news;
-  share->news_arg = arg;
+  peer_rows->piggyback = *piggyback;
+  peer_rows->piggyback_arg = arg;
 }
 
 rows_t *
-share_rows (share_t *share)
+share_rows (share_t *peer_rows)
 {
-  return &share->base;
+  return &peer_rows->base;
 }
 
 uint16_t
-share_port (const share_t *share)
+share_port (const share_t *peer_rows)
 {
-  return rpc_server_port (share->server);
+  return rpc_server_port (peer_rows->server);
 }
 
-/* Nothing rides on these messages.  */
+/* The context of these messages is neither filled nor read.  */
 static void
 on_outgoing (void *arg, wire_context_t *context)
 {
@@ -709,30 +742,31 @@
               rows_t *store, const share_options_t *options, share_t **out)
 {
   static const rows_ops_t ops
-      = { share_read, share_watch, share_commit, share_forget, share_release };
+      = { peer_rows_read, peer_rows_watch, peer_rows_commit, peer_rows_cancel,
+          peer_rows_release };
   static const rpc_hooks_t hooks = { on_outgoing, on_incoming };
-  share_t *share = mem_zalloc (sizeof *share);
-
-  share->base.ops = &ops;
-  share->clock = clock;
-  share->store = store;
-  share->name = str_dup (options->name);
-  share->readers = readers_create (clock, seed, options->name, options->zone,
-                                   options->link_mbps);
-  share->entries = map_create ();
-  list_init (&share->pending);
-  list_init (&share->waiters);
-  for (size_t i = 0; i < TABLES; i++)
-    share->caches[i] = rowcache_create (clock);
-  uv_timer_init (loop, &share->tick);
-  share->tick.data = share;
-  uv_timer_start (&share->tick, on_tick, TICK_MS, TICK_MS);
-  share->node
+  share_t *peer_rows = mem_zalloc (sizeof *peer_rows);
+
+  peer_rows->base.ops = &ops;
+  peer_rows->clock = clock;
+  peer_rows->store = store;
+  peer_rows->name = str_dup (options->name);
+  peer_rows->readers = readers_create (clock, seed, options->name,
+                                       options->zone, options->link_mbps);
+  peer_rows->gateways = map_create ();
+  list_init (&peer_rows->pending);
+  list_init (&peer_rows->watches);
+  for (size_t i = 0; i < TABLE_COUNT; i++)
+    peer_rows->caches[i] = rowcache_create (clock);
+  uv_timer_init (loop, &peer_rows->tick);
+  peer_rows->tick.data = peer_rows;
+  uv_timer_start (&peer_rows->tick, on_tick, TICK_MS, TICK_MS);
+  peer_rows->node
       = rpc_node_create (loop, clock, rng_make (seed), options->name,
                          options->keys, options->key_count, &hooks, NULL);
-  *out = share;
-  return rpc_server_create (share->node, options->listen, on_request, share,
-                            &share->server);
+  *out = peer_rows;
+  return rpc_server_create (peer_rows->node, options->listen, on_request,
+                            peer_rows, &peer_rows->server);
 }
 
 static void
@@ -742,31 +776,31 @@
 }
 
 void
-share_destroy (share_t *share)
+share_destroy (share_t *peer_rows)
 {
   size_t cursor = 0;
   str_t key;
   void *value;
 
-  if (share == NULL)
+  if (peer_rows == NULL)
     return;
-  LIST_EACH (at, &share->waiters)
+  LIST_EACH (at, &peer_rows->watches)
     {
-      waiter_t *waiter = CONTAINER_OF (at, waiter_t, link);
-      rpc_drop (waiter->request);
-      free (waiter);
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      rpc_drop (watch->request);
+      free (watch);
     }
-  LIST_EACH (at, &share->pending)
-    pending_free (CONTAINER_OF (at, pending_t, link));
-  while (map_next (share->entries, &cursor, &key, &value))
-    entry_free (value);
-  map_destroy (share->entries);
-  if (share->server != NULL)
-    rpc_server_destroy (share->server);
-  rpc_node_destroy (share->node);
-  for (size_t i = 0; i < TABLES; i++)
-    rowcache_destroy (share->caches[i]);
-  free (share->name);
-  readers_destroy (share->readers);
-  uv_close ((uv_handle_t *)&share->tick, on_tick_closed);
+  LIST_EACH (at, &peer_rows->pending)
+    pending_call_free (CONTAINER_OF (at, pending_call_t, link));
+  while (map_next (peer_rows->gateways, &cursor, &key, &value))
+    gateway_peer_free (value);
+  map_destroy (peer_rows->gateways);
+  if (peer_rows->server != NULL)
+    rpc_server_destroy (peer_rows->server);
+  rpc_node_destroy (peer_rows->node);
+  for (size_t i = 0; i < TABLE_COUNT; i++)
+    rowcache_destroy (peer_rows->caches[i]);
+  free (peer_rows->name);
+  readers_destroy (peer_rows->readers);
+  uv_close ((uv_handle_t *)&peer_rows->tick, on_tick_closed);
 }
--- a/packages/gateway/share.h
+++ b/packages/gateway/share.h
@@ -1,24 +1,26 @@
-/* Entries read the platform's store for each other.
+/* Reads of the platform's store through peer gateways.
 
-   Answers: many entries that each wait for changes at a store with a bound on
-   calls, where each call has a price.  One entry asks the store; the others
-   ask it, or in a large fleet the one of their zone that does, over ONC RPC
-   with the same calls.  Without this the calls grow with the entries: 730
-   would make 3,000 of the 2,000 a second that the store allows.  Who asks whom
-   is worked out by policy/readers.h.
+   Answers: many gateways that each watch the tables of a store which charges
+   for every call and limits the rate of calls.  One gateway, the reader, calls
+   the store.  The others call the reader, or in a large fleet the reader of
+   their availability zone, over ONC RPC with the same reads and watches.
+   Without this the number of calls grows with the number of gateways: 730
+   gateways would make 3,000 calls a second where the store allows 2,000.
+   policy/readers.h decides which gateway calls which.
 
-   Whoever has no answer in time asks the store beside the reader and takes
-   what comes first, so that a reader that died or hangs costs its askers one
-   wait, and nothing depends on agreement.  An entry that cannot reach the
-   store is served by one that can.
+   A gateway whose reader does not answer in time calls the store as well and
+   uses the first answer of the two.  So a reader that crashed or hangs costs
+   its callers one timeout, and the gateways need not agree on the reader.  A
+   gateway that cannot reach the store is served by a gateway that can.
 
-   What entries tell each other and no operator needs to read goes with the
-   calls, from each entry to the one that reads for it, and from there on: as
-   rows of the store it would be a write for each entry, and a row of each told
-   to each.
+   Data that gateways exchange and operators do not read is piggybacked on the
+   calls, from each gateway to its reader and on to the gateway that calls the
+   store.  As rows of the store the data would cost a write for each gateway,
+   and every row would be sent to every gateway.
 
-   An answer bears the age of the store's confirmation at the reader; the asker
-   counts it from when it asked.  So no belief looks younger than it is.  */
+   An answer carries the time since the store confirmed it to the reader.  The
+   caller adds the time since it sent its call, so rows never look more recent
+   than they are.  */
 
 #ifndef GATEWAY_SHARE_H
 #define GATEWAY_SHARE_H
@@ -28,19 +30,19 @@
 
 #include <uv.h>
 
-typedef struct share share_t;
+typedef struct peer_rows share_t;
 
 typedef struct
 {
-  str_t name;
-  str_t zone;
-  str_t listen; /* RPC, HOST:PORT.  */
+  str_t name;   /* Of this gateway.  */
+  str_t zone;   /* Availability zone of this gateway.  */
+  str_t listen; /* HOST:PORT on which the RPC server listens.  */
   const str_t *keys;
   size_t key_count;
-  uint32_t link_mbps; /* Of this instance; 0: not known.  */
+  uint32_t link_mbps; /* Bandwidth of this gateway's link; 0: unknown.  */
 } share_options_t;
 
-/* Something for the entry that reads for this one.  */
+/* A key and value piggybacked on a call to the reader.  */
 typedef struct
 {
   buf_t key;
@@ -49,35 +51,41 @@
 
 typedef struct
 {
-  /* Fill up to MOST ITEMS, which the caller frees; return how many.  TELLS:
-     with what others told this entry.  */
-  size_t (*list) (void *arg, bool tells, share_item_t *items, size_t most);
-  /* Another entry told KEY.  */
-  void (*take) (void *arg, str_t key, str_t value);
+  /* Fill at most ITEMS_MAX ITEMS, whose buffers the caller frees; return their
+     number.  IS_RELAY: this gateway serves other gateways in turn, so the
+     items include what those sent.  */
+  size_t (*list) (void *arg, bool is_relay, share_item_t *items,
+                  size_t items_max);
+  /* Another gateway sent KEY with VALUE; both are borrowed.  */
+  void (*receive) (void *arg, str_t key, str_t value);
 } share_news_t;
 
-/* STORE outlives the share; strings are copied.  Return VH_OK and *OUT, or
-   VH_E_IO when it cannot listen.  */
+/* STORE must outlive the result; strings are copied.  Return VH_OK with *OUT
+   set, or VH_E_IO when the RPC server cannot listen.  */
 vh_code_t share_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
                         rows_t *store, const share_options_t *options,
                         share_t **out);
 /* NULL is accepted.  */
-void share_destroy (share_t *share);
+void share_destroy (share_t *peer_rows);
 
-/* The rows as this entry is to ask for them; it lives as long as SHARE.  */
-rows_t *share_rows (share_t *share);
-uint16_t share_port (const share_t *share);
+/* The interface through which this gateway reads tables; valid until
+   PEER_ROWS is destroyed.  */
+rows_t *share_rows (share_t *peer_rows);
+uint16_t share_port (const share_t *peer_rows);
 
-/* An entry is listed, or no longer.  LINK_MBPS 0: not known.  */
-void share_put (share_t *share, str_t name, str_t zone, str_t address,
+/* Add the gateway NAME, whose RPC server listens on ADDRESS, or replace its
+   address.  LINK_MBPS is the bandwidth of its link; 0: unknown.  */
+void share_put (share_t *peer_rows, str_t name, str_t zone, str_t address,
                 uint32_t link_mbps);
-void share_remove (share_t *share, str_t name);
-/* What goes along with the calls for table ROWS_OWN.  */
-void share_set_news (share_t *share, const share_news_t *news, void *arg);
-/* Read for nobody from now on: a planned stop has begun.  */
-void share_leave (share_t *share);
-/* Tell whether this entry asks the store itself, and so has what all others
-   tell.  */
-bool share_reads (share_t *share);
+void share_remove (share_t *peer_rows, str_t name);
+/* Set the source and the receiver of the data piggybacked on calls for table
+   ROWS_OWN.  PIGGYBACK is copied.  */
+void share_set_news (share_t *peer_rows, const share_news_t *piggyback,
+                     void *arg);
+/* Stop serving other gateways for good, because a planned stop began.  */
+void share_leave (share_t *peer_rows);
+/* Return whether this gateway calls the store itself, and so receives the
+   piggybacked data of all gateways that it serves.  */
+bool share_reads (share_t *peer_rows);
 
 #endif
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -18,7 +18,7 @@
   char *value;
   uint64_t version;
   bool deleted;
-} stored_t;
+} stored_row_t;
 
 typedef struct
 {
@@ -33,7 +33,7 @@
   } kind;
   rows_table_t table;
   uint64_t after;
-  vh_code_t code; /* Of a commit.  */
+  vh_code_t code; /* Result of a commit; VH_OK for other calls.  */
   rows_cb_t cb;
   void *arg;
 } fake_call_t;
@@ -42,15 +42,16 @@
 {
   rows_t base;
   uv_loop_t *loop;
-  stored_t rows[ROWS_MAX];
+  stored_row_t rows[ROWS_MAX];
   size_t count;
   uint64_t version;
-  uint64_t stale;
-  uint64_t forgotten; /* Watches after less than this end.  */
-  uint64_t extra_ms;
-  bool down;
-  bool refuses_writes;
-  bool held[ROWS_OWN + 1];
+  uint64_t stale_version; /* Version that answers show; 0: newest.  */
+  /* Watches after a version lower than this end with VH_E_NOT_FOUND.  */
+  uint64_t history_floor;
+  uint64_t advanced_ms; /* Time that was added by fake_rows_advance.  */
+  bool is_down;
+  bool is_refusing_writes;
+  bool is_stalled[ROWS_OWN + 1];
   size_t calls;
   list_t pending;
 };
@@ -58,16 +59,16 @@
 uint64_t
 fake_rows_now_ms (const fake_rows_t *fake)
 {
-  return STORE_START_MS + uv_now (fake->loop) + fake->extra_ms;
+  return STORE_START_MS + uv_now (fake->loop) + fake->advanced_ms;
 }
 
-static stored_t *
+static stored_row_t *
 find_row (const fake_rows_t *fake, rows_table_t table, str_t key)
 {
   for (size_t i = 0; i < fake->count; i++)
     if (fake->rows[i].table == table
         && str_eq (str_from (fake->rows[i].key), key))
-      return (stored_t *)&fake->rows[i];
+      return (stored_row_t *)&fake->rows[i];
   return NULL;
 }
 
@@ -78,41 +79,43 @@
 }
 
 static void
-call_over (fake_call_t *call)
+call_end (fake_call_t *call)
 {
   list_remove (&call->link);
   uv_close ((uv_handle_t *)&call->timer, on_call_closed);
 }
 
-/* Answer CALL with the rows of its table that changed after AFTER.  */
+/* Answer CALL with the rows of its table that changed after its version.  */
 static void
-call_tell (fake_call_t *call)
+call_answer (fake_call_t *call)
 {
   fake_rows_t *fake = call->fake;
   rows_row_t rows[ROWS_MAX];
   rows_cb_t cb = call->cb;
   void *arg = call->arg;
-  uint64_t limit = fake->stale != 0 ? fake->stale : fake->version;
+  uint64_t version_max
+      = fake->stale_version != 0 ? fake->stale_version : fake->version;
   rows_result_t result = { .rows = rows,
-                           .version = limit,
+                           .version = version_max,
                            .now_ms = fake_rows_now_ms (fake),
                            .direct = true,
                            .said_ms = fake_rows_now_ms (fake) };
-  vh_code_t code = fake->down ? VH_E_STORE_DOWN : call->code;
+  vh_code_t code = fake->is_down ? VH_E_STORE_DOWN : call->code;
 
-  if (call->kind == CALL_WATCH && call->after < fake->forgotten)
+  if (call->kind == CALL_WATCH && call->after < fake->history_floor)
     code = VH_E_NOT_FOUND;
   for (size_t i = 0; i < fake->count && call->kind != CALL_COMMIT; i++)
     {
-      const stored_t *row = &fake->rows[i];
+      const stored_row_t *row = &fake->rows[i];
       if (row->table != call->table || row->version <= call->after
-          || row->version > limit || (call->kind == CALL_READ && row->deleted))
+          || row->version > version_max
+          || (call->kind == CALL_READ && row->deleted))
         continue;
       rows[result.count++]
           = (rows_row_t){ str_from (row->key), str_from (row->value),
                           row->version, row->deleted };
     }
-  call_over (call);
+  call_end (call);
   cb (arg, code, code == VH_OK ? &result : NULL);
 }
 
@@ -121,8 +124,8 @@
 {
   fake_call_t *call = timer->data;
 
-  if (!call->fake->held[call->table])
-    call_tell (call);
+  if (!call->fake->is_stalled[call->table])
+    call_answer (call);
 }
 
 static fake_call_t *
@@ -141,7 +144,7 @@
   list_append (&fake->pending, &call->link);
   uv_timer_init (fake->loop, &call->timer);
   call->timer.data = call;
-  uv_timer_start (&call->timer, on_call_timer, fake->down ? 1 : wait_ms, 0);
+  uv_timer_start (&call->timer, on_call_timer, fake->is_down ? 1 : wait_ms, 0);
   return call;
 }
 
@@ -159,18 +162,19 @@
             uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
   fake_rows_t *fake = (fake_rows_t *)rows;
-  bool news = after < fake->forgotten;
+  bool has_changes = after < fake->history_floor;
 
   (void)timeout_ms;
   for (size_t i = 0; i < fake->count; i++)
     if (fake->rows[i].table == table && fake->rows[i].version > after)
-      news = true;
-  call_add (fake, CALL_WATCH, table, after, news ? 1 : wait_ms, cb, arg);
+      has_changes = true;
+  call_add (fake, CALL_WATCH, table, after, has_changes ? 1 : wait_ms, cb,
+            arg);
 }
 
-/* Wake the watches that have news.  */
+/* Answer the watches on TABLE on a later turn.  */
 static void
-wake (fake_rows_t *fake, rows_table_t table)
+answer_watches (fake_rows_t *fake, rows_table_t table)
 {
   LIST_EACH (at, &fake->pending)
     {
@@ -184,7 +188,7 @@
 store_row (fake_rows_t *fake, rows_table_t table, str_t key, str_t value,
            bool deleted)
 {
-  stored_t *row = find_row (fake, table, key);
+  stored_row_t *row = find_row (fake, table, key);
 
   if (row == NULL)
     {
@@ -197,7 +201,7 @@
   row->value = str_dup (value);
   row->deleted = deleted;
   row->version = fake->version;
-  wake (fake, table);
+  answer_watches (fake, table);
 }
 
 static void
@@ -208,13 +212,14 @@
   fake_call_t *call = call_add (fake, CALL_COMMIT, ROWS_OWN, 0, 1, cb, arg);
 
   (void)timeout_ms;
-  if (fake->refuses_writes)
+  if (fake->is_refusing_writes)
     call->code = VH_E_STORE_DOWN;
-  if (fake->down || fake->refuses_writes)
+  if (fake->is_down || fake->is_refusing_writes)
     return;
   for (size_t i = 0; i < count; i++)
     {
-      const stored_t *row = find_row (fake, writes[i].table, writes[i].key);
+      const stored_row_t *row
+          = find_row (fake, writes[i].table, writes[i].key);
       uint64_t version = row == NULL || row->deleted ? 0 : row->version;
       if (writes[i].conditional && version != writes[i].expected)
         call->code = VH_E_CONFLICT;
@@ -228,7 +233,7 @@
 }
 
 static void
-fake_forget (rows_t *rows, const void *arg)
+fake_cancel (rows_t *rows, const void *arg)
 {
   fake_rows_t *fake = (fake_rows_t *)rows;
 
@@ -236,7 +241,7 @@
     {
       fake_call_t *call = CONTAINER_OF (at, fake_call_t, link);
       if (call->arg == arg)
-        call_over (call);
+        call_end (call);
     }
 }
 
@@ -246,7 +251,7 @@
   fake_rows_t *fake = (fake_rows_t *)rows;
 
   LIST_EACH (at, &fake->pending)
-    call_over (CONTAINER_OF (at, fake_call_t, link));
+    call_end (CONTAINER_OF (at, fake_call_t, link));
   for (size_t i = 0; i < fake->count; i++)
     {
       free (fake->rows[i].key);
@@ -259,7 +264,7 @@
 fake_rows_create (uv_loop_t *loop)
 {
   static const rows_ops_t ops
-      = { fake_read, fake_watch, fake_commit, fake_forget, fake_destroy };
+      = { fake_read, fake_watch, fake_commit, fake_cancel, fake_destroy };
   fake_rows_t *fake = mem_zalloc (sizeof *fake);
 
   fake->base.ops = &ops;
@@ -293,39 +298,39 @@
 const char *
 fake_rows_get (const fake_rows_t *fake, rows_table_t table, const char *key)
 {
-  const stored_t *row = find_row (fake, table, str_from (key));
+  const stored_row_t *row = find_row (fake, table, str_from (key));
 
   return row == NULL || row->deleted ? NULL : row->value;
 }
 
 void
-fake_rows_refuse_writes (fake_rows_t *fake, bool refuses)
+fake_rows_refuse_writes (fake_rows_t *fake, bool is_refusing)
 {
-  fake->refuses_writes = refuses;
+  fake->is_refusing_writes = is_refusing;
 }
 
 void
-fake_rows_down (fake_rows_t *fake, bool down)
+fake_rows_down (fake_rows_t *fake, bool is_down)
 {
-  fake->down = down;
+  fake->is_down = is_down;
   LIST_EACH (at, &fake->pending)
     uv_timer_start (&CONTAINER_OF (at, fake_call_t, link)->timer,
                     on_call_timer, 1, 0);
 }
 
 void
-fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool hold)
+fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool is_stalled)
 {
-  fake->held[table] = hold;
-  wake (fake, table);
+  fake->is_stalled[table] = is_stalled;
+  answer_watches (fake, table);
 }
 
 void
 fake_rows_stale (fake_rows_t *fake, uint64_t version)
 {
-  fake->stale = version;
+  fake->stale_version = version;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
-    wake (fake, table);
+    answer_watches (fake, table);
 }
 
 uint64_t
@@ -338,17 +343,17 @@
 fake_rows_forget (fake_rows_t *fake)
 {
   fake->version++;
-  fake->forgotten = fake->version;
+  fake->history_floor = fake->version;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
-    wake (fake, table);
+    answer_watches (fake, table);
 }
 
 void
 fake_rows_advance (fake_rows_t *fake, uint64_t ms)
 {
-  fake->extra_ms += ms;
+  fake->advanced_ms += ms;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
-    wake (fake, table);
+    answer_watches (fake, table);
 }
 
 size_t
--- a/tests/fake_rows.h
+++ b/tests/fake_rows.h
@@ -1,4 +1,4 @@
-/* The platform's store as rows in memory, with its faults.  */
+/* A store in memory behind the rows_t interface, with simulated faults.  */
 
 #ifndef TESTS_FAKE_ROWS_H
 #define TESTS_FAKE_ROWS_H
@@ -9,6 +9,7 @@
 
 typedef struct fake_rows fake_rows_t;
 
+/* The result is released through its rows_t interface.  */
 fake_rows_t *fake_rows_create (uv_loop_t *loop);
 rows_t *fake_rows_iface (fake_rows_t *fake);
 /* Write a row as an operator or another process would.  */
@@ -18,22 +19,23 @@
 /* The value under KEY, or NULL.  */
 const char *fake_rows_get (const fake_rows_t *fake, rows_table_t table,
                            const char *key);
-/* From now on all calls fail, or are answered again.  */
-void fake_rows_down (fake_rows_t *fake, bool down);
-/* From now on writes are refused, or taken again.  */
-void fake_rows_refuse_writes (fake_rows_t *fake, bool refuses);
-/* Calls on TABLE are not answered, as on a connection that is cut, or are
-   again.  */
-void fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool hold);
-/* Reads and watches are answered as of version VERSION (0: of now).  */
+/* Set whether all calls fail with VH_E_STORE_DOWN.  */
+void fake_rows_down (fake_rows_t *fake, bool is_down);
+/* Set whether all writes fail with VH_E_STORE_DOWN.  */
+void fake_rows_refuse_writes (fake_rows_t *fake, bool is_refusing);
+/* Set whether calls on TABLE get no answer, as on a broken connection.  */
+void fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool is_stalled);
+/* Answer reads and watches with the rows as of VERSION; 0: as of now.  */
 void fake_rows_stale (fake_rows_t *fake, uint64_t version);
 uint64_t fake_rows_version (const fake_rows_t *fake);
-/* The history up to now is gone: watches end with VH_E_NOT_FOUND.  */
+/* Drop the history of changes: watches after an older version end with
+   VH_E_NOT_FOUND.  */
 void fake_rows_forget (fake_rows_t *fake);
-/* The store's clock moves on by MS.  */
+/* Advance the store's clock by MS.  */
 void fake_rows_advance (fake_rows_t *fake, uint64_t ms);
-/* The store's clock.  */
+/* The store's clock, in ms.  */
 uint64_t fake_rows_now_ms (const fake_rows_t *fake);
+/* The number of calls since the store was created.  */
 size_t fake_rows_calls (const fake_rows_t *fake);
 
 #endif
--- a/tests/test_rowcache.c
+++ b/tests/test_rowcache.c
@@ -1,4 +1,4 @@
-/* What an entry tells others of a table.  */
+/* Answers to other gateways from the cached rows of a table.  */
 
 #include "gateway/rowcache.h"
 #include "suite.h"
@@ -20,9 +20,10 @@
   rows_row_t rows[ROWS];
 } fixture_t;
 
-/* Let the cache take COUNT rows as changes up to VERSION.  */
+/* Apply COUNT rows with VERSION to the cache, as the answer to a read or to a
+   watch.  */
 static void
-take (fixture_t *f, size_t count, uint64_t version, bool is_read)
+apply_rows (fixture_t *f, size_t count, uint64_t version, bool is_read)
 {
   const rowcache_answer_t answer
       = { .is_read = is_read, .is_first_page = is_read };
@@ -49,7 +50,7 @@
 {
   f->clock = clock_manual_create (0);
   f->cache = rowcache_create (f->clock);
-  take (f, ROWS, 5, true);
+  apply_rows (f, ROWS, 5, true);
 }
 
 static void
@@ -59,31 +60,31 @@
   clock_manual_destroy (f->clock);
 }
 
-/* A reader that tells each registration in full to each of its askers sends
-   bytes that grow as both.  */
-START_TEST (many_rows_are_told_small)
+/* A reader that sends each registration in full to each caller sends bytes
+   that grow with the product of their numbers.  */
+START_TEST (many_rows_are_packed)
 {
   static fixture_t f;
-  wire_rows_res_t told;
+  wire_rows_res_t reply;
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
-  ck_assert_uint_eq (told.rows.rows_len, 0);
-  ck_assert_uint_gt (told.plain_len, ROWS * 100);
-  ck_assert_uint_lt (told.packed.packed_len, told.plain_len / 5);
-  ck_assert_int_eq (rowcache_unpack (str_make (told.packed.packed_val,
-                                               told.packed.packed_len),
-                                     told.plain_len, &list),
+  rowcache_tell (f.cache, 0, true, &reply);
+  ck_assert_uint_eq (reply.rows.rows_len, 0);
+  ck_assert_uint_gt (reply.plain_len, ROWS * 100);
+  ck_assert_uint_lt (reply.packed.packed_len, reply.plain_len / 5);
+  ck_assert_int_eq (rowcache_unpack (str_make (reply.packed.packed_val,
+                                               reply.packed.packed_len),
+                                     reply.plain_len, &list),
                     VH_OK);
   ck_assert_uint_eq (list.rows.rows_len, ROWS);
   for (u_int i = 0; i < ROWS; i++)
     {
       const wire_row_t *row = &list.rows.rows_val[i];
-      size_t at;
-      ck_assert_int_eq (sscanf (row->key, "i-%zu", &at), 1);
-      ck_assert_uint_eq (row->value.value_len, strlen (f.values[at]));
-      ck_assert_mem_eq (row->value.value_val, f.values[at],
+      size_t index;
+      ck_assert_int_eq (sscanf (row->key, "i-%zu", &index), 1);
+      ck_assert_uint_eq (row->value.value_len, strlen (f.values[index]));
+      ck_assert_mem_eq (row->value.value_val, f.values[index],
                         row->value.value_len);
       ck_assert_uint_eq (row->row_version, 5);
     }
@@ -92,57 +93,58 @@
 }
 END_TEST
 
-/* An answer that is kept for the next asker must not be told to one that knows
-   other rows, nor once there is news.  */
-START_TEST (a_kept_answer_is_told_to_none_but_its_like)
+/* A packed answer that is kept for further callers must not be sent to a
+   caller with another version, nor after a change.  */
+START_TEST (kept_answer_is_not_sent_to_other_calls)
 {
   static fixture_t f;
-  wire_rows_res_t told;
+  wire_rows_res_t reply;
   wire_row_list_t list;
   static const struct
   {
     uint64_t after;
-    bool whole;
+    bool is_whole;
     u_int count;
     uint64_t newest;
-  } asks[] = {
-    /* As it was a moment ago.  */
+  } cases[] = {
+    /* Answered with the packed table that is kept.  */
     { 0, true, ROWS, 5 }, { 5, false, 20, 6 }, { 4, false, ROWS, 6 },
     { 6, false, 0, 6 },   { 5, false, 20, 6 },
   };
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
-  free (told.rows.rows_val);
-  take (&f, 20, 6, false);
-  for (size_t i = 0; i < sizeof asks / sizeof asks[0]; i++)
+  rowcache_tell (f.cache, 0, true, &reply);
+  free (reply.rows.rows_val);
+  apply_rows (&f, 20, 6, false);
+  for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       u_int count;
-      rowcache_tell (f.cache, asks[i].after, asks[i].whole, &told);
-      ck_assert_uint_eq (told.newest, asks[i].newest);
-      count = told.rows.rows_len;
-      free (told.rows.rows_val);
-      if (told.plain_len > 0)
+      rowcache_tell (f.cache, cases[i].after, cases[i].is_whole, &reply);
+      ck_assert_uint_eq (reply.newest, cases[i].newest);
+      count = reply.rows.rows_len;
+      free (reply.rows.rows_val);
+      if (reply.plain_len > 0)
         {
-          ck_assert_int_eq (rowcache_unpack (str_make (told.packed.packed_val,
-                                                       told.packed.packed_len),
-                                             told.plain_len, &list),
-                            VH_OK);
+          ck_assert_int_eq (
+              rowcache_unpack (
+                  str_make (reply.packed.packed_val, reply.packed.packed_len),
+                  reply.plain_len, &list),
+              VH_OK);
           count = list.rows.rows_len;
           xdr_free ((xdrproc_t)xdr_wire_row_list_t, (char *)&list);
         }
-      ck_assert_uint_eq (count, asks[i].count);
+      ck_assert_uint_eq (count, cases[i].count);
     }
   clock_manual_advance_us (f.clock, 1000000);
-  rowcache_tell (f.cache, 0, true, &told);
-  ck_assert_uint_eq (told.newest, 6);
+  rowcache_tell (f.cache, 0, true, &reply);
+  ck_assert_uint_eq (reply.newest, 6);
   teardown (&f);
 }
 END_TEST
 
-/* A table that is larger than what an asker takes as packed is told as it is:
-   packed, each asker would refuse it and read the store for itself.  */
-START_TEST (a_table_too_large_to_unpack_is_told_plain)
+/* A table that is larger than callers accept after unpacking must be sent
+   unpacked: each caller would reject it packed, and read the store itself.  */
+START_TEST (table_too_large_to_unpack_is_sent_unpacked)
 {
   enum
   {
@@ -157,7 +159,7 @@
       = { .rows = rows, .count = LARGE_ROWS, .version = 5 };
   clock_iface_t *clock = clock_manual_create (0);
   rowcache_t *cache = rowcache_create (clock);
-  wire_rows_res_t told;
+  wire_rows_res_t reply;
 
   memset (value, 'x', VALUE_BYTES);
   for (size_t i = 0; i < LARGE_ROWS; i++)
@@ -168,26 +170,26 @@
                               .version = 5 };
     }
   rowcache_take (cache, &answer, &result);
-  rowcache_tell (cache, 0, true, &told);
-  ck_assert_uint_eq (told.plain_len, 0);
-  ck_assert_uint_eq (told.rows.rows_len, LARGE_ROWS);
-  free (told.rows.rows_val);
+  rowcache_tell (cache, 0, true, &reply);
+  ck_assert_uint_eq (reply.plain_len, 0);
+  ck_assert_uint_eq (reply.rows.rows_len, LARGE_ROWS);
+  free (reply.rows.rows_val);
   rowcache_destroy (cache);
   clock_manual_destroy (clock);
 }
 END_TEST
 
-/* What a peer packed is checked before it is believed.  */
-START_TEST (bytes_that_are_no_rows_are_refused)
+/* Packed rows from a peer are not trusted and must be validated.  */
+START_TEST (invalid_packed_rows_are_rejected)
 {
   static fixture_t f;
-  wire_rows_res_t told;
+  wire_rows_res_t reply;
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
-  str_t packed = str_make (told.packed.packed_val, told.packed.packed_len);
-  ck_assert_int_eq (rowcache_unpack (packed, told.plain_len + 1, &list),
+  rowcache_tell (f.cache, 0, true, &reply);
+  str_t packed = str_make (reply.packed.packed_val, reply.packed.packed_len);
+  ck_assert_int_eq (rowcache_unpack (packed, reply.plain_len + 1, &list),
                     VH_E_PROTOCOL);
   ck_assert_int_eq (rowcache_unpack (packed, SIZE_MAX, &list), VH_E_PROTOCOL);
   ck_assert_int_eq (rowcache_unpack (STR ("no rows"), 100, &list),
@@ -203,10 +205,10 @@
   Suite *suite = suite_create ("rowcache");
   TCase *tcase = tcase_create ("rowcache");
 
-  tcase_add_test (tcase, many_rows_are_told_small);
-  tcase_add_test (tcase, a_kept_answer_is_told_to_none_but_its_like);
-  tcase_add_test (tcase, a_table_too_large_to_unpack_is_told_plain);
-  tcase_add_test (tcase, bytes_that_are_no_rows_are_refused);
+  tcase_add_test (tcase, many_rows_are_packed);
+  tcase_add_test (tcase, kept_answer_is_not_sent_to_other_calls);
+  tcase_add_test (tcase, table_too_large_to_unpack_is_sent_unpacked);
+  tcase_add_test (tcase, invalid_packed_rows_are_rejected);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -1,5 +1,5 @@
-/* The platform's store over HTTP, behind a link that is narrow for what it
-   has to say: which answers are waited for, and which are given up.  */
+/* The client of the platform's store, over HTTP and a slow link: large answers
+   must arrive, and answers that stop must time out.  */
 
 #include "base/mem.h"
 #include "gateway/follow.h"
@@ -15,13 +15,14 @@
 
 enum
 {
-  LIMIT_MS = 12000,
+  WAIT_LIMIT_MS = 12000,
   BYTES_PER_S = 200000,
-  /* Takes the link 2 s, coded: longer than any single wait of a follower.  */
+  /* The link needs 2 s to carry this in base64, which is longer than any
+     single timeout of a table sync.  */
   LARGE_BYTES = 300000
 };
 
-/* One connection of the stand-in for the store.  */
+/* A connection to the simulated store.  */
 typedef struct conn conn_t;
 
 typedef struct
@@ -30,13 +31,13 @@
   uv_tcp_t listener;
   loop_wait_t wait;
   list_t conns;
-  buf_t value; /* Of the store's one row, coded.  */
+  buf_t value; /* Value of the store's only row, in base64.  */
   uint64_t version;
   size_t calls;
   narrow_link_t *link;
   rows_t *rows;
-  follow_t *follow;
-  /* What was told.  */
+  follow_t *sync;
+  /* Length of the value that was read last.  */
   size_t value_len;
   bool is_done;
   vh_code_t code;
@@ -51,8 +52,8 @@
   uv_write_t write;
   buf_t request;
   buf_t answer;
-  bool answered;
-  uint64_t after;
+  bool is_answered;
+  uint64_t known_version;
   int open_handles;
 };
 
@@ -78,16 +79,16 @@
   uv_close ((uv_handle_t *)&conn->timer, on_conn_closed);
 }
 
-/* Answer with the row, unless the caller knows it.  */
+/* Answer with the row, unless the client already has its version.  */
 static void
 conn_answer (conn_t *conn)
 {
   fixture_t *f = conn->f;
   buf_t body = BUF_NULL;
 
-  conn->answered = true;
+  conn->is_answered = true;
   buf_append_str (&body, STR ("{\"rows\":["));
-  if (conn->after < f->version)
+  if (conn->known_version < f->version)
     {
       buf_append_str (&body, STR ("{\"table\":\"op\",\"part\":\"\","
                                   "\"key\":\"config\",\"value\":\""));
@@ -106,14 +107,14 @@
 }
 
 static void
-on_waited (uv_timer_t *timer)
+on_watch_timer (uv_timer_t *timer)
 {
   conn_answer (timer->data);
 }
 
-/* The number after NAME in the target of CONN's request, 0 without it.  */
+/* The number after NAME in CONN's request; 0 without NAME.  */
 static uint64_t
-query (const conn_t *conn, const char *name)
+query_number (const conn_t *conn, const char *name)
 {
   const char *at = strstr (conn->request.ptr, name);
 
@@ -131,26 +132,27 @@
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+on_read (uv_stream_t *stream, ssize_t received, const uv_buf_t *buf)
 {
   conn_t *conn = stream->data;
 
-  if (got < 0)
+  if (received < 0)
     {
       conn_close (conn);
       return;
     }
-  buf_append (&conn->request, buf->base, (size_t)got);
+  buf_append (&conn->request, buf->base, (size_t)received);
   buf_append_char (&conn->request, '\0');
   conn->request.len--;
-  if (strstr (conn->request.ptr, "\r\n\r\n") == NULL || conn->answered)
+  if (strstr (conn->request.ptr, "\r\n\r\n") == NULL || conn->is_answered)
     return;
   conn->f->calls++;
-  conn->after = query (conn, "after=");
-  if (conn->after < conn->f->version)
+  conn->known_version = query_number (conn, "after=");
+  if (conn->known_version < conn->f->version)
     conn_answer (conn);
   else
-    uv_timer_start (&conn->timer, on_waited, query (conn, "waitMs="), 0);
+    uv_timer_start (&conn->timer, on_watch_timer,
+                    query_number (conn, "waitMs="), 0);
 }
 
 static void
@@ -171,7 +173,7 @@
   uv_read_start ((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
-/* Write a value of LEN bytes, as an operator would.  */
+/* Store a value of LEN bytes and answer the waiting calls.  */
 static void
 store_put (fixture_t *f, size_t len)
 {
@@ -188,7 +190,7 @@
   LIST_EACH (at, &f->conns)
     {
       conn_t *conn = CONTAINER_OF (at, conn_t, link);
-      if (conn->request.len > 0 && !conn->answered)
+      if (conn->request.len > 0 && !conn->is_answered)
         {
           uv_timer_stop (&conn->timer);
           conn_answer (conn);
@@ -198,7 +200,7 @@
 
 #define WAIT_FOR(f, cond) LOOP_WAIT (&(f)->wait, cond)
 
-/* A store whose row has LEN bytes, behind a narrow link.  */
+/* Start a store whose row has LEN bytes, behind a slow link.  */
 static void
 setup (fixture_t *f, size_t len)
 {
@@ -207,7 +209,7 @@
   memset (f, 0, sizeof *f);
   list_init (&f->conns);
   uv_loop_init (&f->loop);
-  loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
+  loop_wait_init (&f->wait, &f->loop, WAIT_LIMIT_MS);
   uint16_t port = loopback_listen (&f->loop, &f->listener, f, on_accept);
   f->link = narrow_link_create (&f->loop, port, BYTES_PER_S);
   snprintf (text, sizeof text, "127.0.0.1:%u", narrow_link_port (f->link));
@@ -218,7 +220,7 @@
 static void
 teardown (fixture_t *f)
 {
-  follow_destroy (f->follow);
+  follow_destroy (f->sync);
   f->rows->ops->destroy (f->rows);
   narrow_link_destroy (f->link);
   LIST_EACH (at, &f->conns)
@@ -244,24 +246,25 @@
 }
 
 static void
-on_caught_up (void *arg, bool full)
+on_synced (void *arg, bool is_full_read)
 {
   (void)arg;
-  (void)full;
+  (void)is_full_read;
 }
 
-/* Follow the table as a gateway follows its configuration.  */
+/* Start to sync the table as a gateway syncs its configuration.  */
 static void
-follow (fixture_t *f)
+start_sync (fixture_t *f)
 {
-  static const follow_options_t options = {
-    .table = ROWS_ORDERS, .name = "orders", .wait_ms = 1500, .slack_ms = 500
-  };
+  static const follow_options_t options = { .table = ROWS_ORDERS,
+                                            .name = "orders",
+                                            .wait_ms = 1500,
+                                            .timeout_slack_ms = 500 };
   static const follow_events_t events
-      = { on_put, on_removed, on_caught_up, NULL };
+      = { on_put, on_removed, on_synced, NULL };
 
-  f->follow = follow_create (&f->loop, clock_system (), f->rows, 1, &options,
-                             &events, f);
+  f->sync = follow_create (&f->loop, clock_system (), f->rows, 1, &options,
+                           &events, f);
 }
 
 static void
@@ -275,54 +278,55 @@
     f->value_len = result->rows[0].value.len;
 }
 
-/* A configuration that takes the link longer than a follower waits was begun
-   anew for ever, and the one before it stayed in force.  */
-START_TEST (a_large_configuration_arrives_over_a_narrow_link)
+/* A configuration that the link carries in more time than the sync waits was
+   requested again and again, and the previous one stayed in force.  */
+START_TEST (large_configuration_arrives_over_a_slow_link)
 {
   fixture_t f;
 
   setup (&f, 100);
-  follow (&f);
+  start_sync (&f);
   WAIT_FOR (&f, f.value_len == 100);
-  /* Late in the wait of a call for changes.  */
+  /* Reach the end of the wait of a watch call.  */
   loop_wait_pass (&f.wait, 1200);
   store_put (&f, LARGE_BYTES);
   uint64_t start_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 4000);
-  WAIT_FOR (&f, follow_age_ms (f.follow) < 2000);
+  WAIT_FOR (&f, follow_age_ms (f.sync) < 2000);
   teardown (&f);
 }
 END_TEST
 
-/* A gateway that starts with such a configuration never became ready.  */
-START_TEST (a_first_read_ends_over_a_narrow_link)
+/* A gateway never became ready if its first configuration took the link longer
+   than one timeout.  */
+START_TEST (first_read_completes_over_a_slow_link)
 {
   fixture_t f;
 
   setup (&f, LARGE_BYTES);
-  follow (&f);
+  start_sync (&f);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
   ck_assert_uint_eq (f.calls, 1);
   teardown (&f);
 }
 END_TEST
 
-/* A connection that goes silent in the middle of an answer is given up when
-   nothing came for the time that the caller gave, and no later.  */
-START_TEST (an_answer_that_stops_is_given_up)
+/* A connection goes silent in the middle of an answer.  The call must fail
+   once nothing arrived for the caller's timeout.  */
+START_TEST (answer_that_stops_times_out)
 {
   enum
   {
     TIMEOUT_MS = 300,
-    PASSED = 50000
+    BYTES_PASSED = 50000
   };
   fixture_t f;
 
   setup (&f, LARGE_BYTES);
-  narrow_link_stop_after (f.link, PASSED);
+  narrow_link_stop_after (f.link, BYTES_PASSED);
   f.rows->ops->read (f.rows, ROWS_ORDERS, STR (""), TIMEOUT_MS, on_result, &f);
-  WAIT_FOR (&f, narrow_link_passed (f.link) == PASSED || f.is_done);
+  WAIT_FOR (&f, narrow_link_passed (f.link) == BYTES_PASSED || f.is_done);
   uint64_t stopped_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.is_done);
   ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
@@ -339,9 +343,9 @@
   TCase *tcase = tcase_create ("rows");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, a_large_configuration_arrives_over_a_narrow_link);
-  tcase_add_test (tcase, a_first_read_ends_over_a_narrow_link);
-  tcase_add_test (tcase, an_answer_that_stops_is_given_up);
+  tcase_add_test (tcase, large_configuration_arrives_over_a_slow_link);
+  tcase_add_test (tcase, first_read_completes_over_a_slow_link);
+  tcase_add_test (tcase, answer_that_stops_times_out);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -1,6 +1,6 @@
-/* Entries that read the store for each other, on real RPC and a store in
-   memory: who asks it, what becomes of the others when the reader is lost, and
-   how old what they believe is.  */
+/* Gateways that read the store through peer gateways, over real RPC and with a
+   store in memory: which gateway calls the store, what happens when the reader
+   is lost, and the age of the rows at each gateway.  */
 
 #include "fake_rows.h"
 #include "gateway/follow.h"
@@ -14,132 +14,135 @@
 
 enum
 {
-  ENTRIES = 3,
-  LIMIT_MS = 8000
+  GATEWAYS = 3,
+  WAIT_LIMIT_MS = 8000
 };
 
 typedef struct
 {
-  share_t *share;
-  follow_t *follow;
-  char value[64]; /* Of row `a', as this entry knows it.  */
+  share_t *peer_rows;
+  follow_t *sync;
+  char value[64]; /* Value of row `a' at this gateway, cut to fit.  */
   size_t value_len;
   size_t puts;
-  bool removed;
-} member_t;
+  bool is_removed;
+} fleet_gateway_t;
 
 typedef struct
 {
-  const char *zones[ENTRIES];
-  uint32_t links[ENTRIES]; /* Mbit/s.  */
+  const char *zones[GATEWAYS];
+  uint32_t link_mbps[GATEWAYS]; /* Bandwidth in Mbit/s; 0: unknown.  */
   uv_loop_t loop;
   fake_rows_t *store;
-  member_t members[ENTRIES];
-  /* Of what each entry tells the others; 0: they meet without a link.  */
+  fleet_gateway_t gateways[GATEWAYS];
+  /* Bandwidth of a simulated link to each gateway; 0: no simulation.  */
   size_t link_bytes_per_s;
-  narrow_link_t *narrow[ENTRIES];
+  narrow_link_t *narrow_links[GATEWAYS];
   loop_wait_t wait;
 } fixture_t;
 
 static void
 on_put (void *arg, const rows_row_t *row)
 {
-  member_t *member = arg;
+  fleet_gateway_t *gateway = arg;
 
-  member->puts++;
-  member->value_len = row->value.len;
-  snprintf (member->value, sizeof member->value, "%.*s", STR_ARG (row->value));
+  gateway->puts++;
+  gateway->value_len = row->value.len;
+  snprintf (gateway->value, sizeof gateway->value, "%.*s",
+            STR_ARG (row->value));
 }
 
 static void
 on_removed (void *arg, str_t key)
 {
   (void)key;
-  ((member_t *)arg)->removed = true;
+  ((fleet_gateway_t *)arg)->is_removed = true;
 }
 
 static void
-on_caught_up (void *arg, bool full)
+on_synced (void *arg, bool is_full_read)
 {
   (void)arg;
-  (void)full;
+  (void)is_full_read;
 }
 
 #define WAIT_FOR(f, cond) LOOP_WAIT (&(f)->wait, cond)
 
 static void
-pass (fixture_t *f, uint64_t ms)
+run_for (fixture_t *f, uint64_t ms)
 {
   loop_wait_pass (&f->wait, ms);
 }
 
 static void
-member_start (fixture_t *f, int index)
+fleet_gateway_start (fixture_t *f, int index)
 {
-  static const follow_options_t options = {
-    .table = ROWS_ORDERS, .name = "orders", .wait_ms = 1500, .slack_ms = 500
-  };
+  static const follow_options_t sync_options = { .table = ROWS_ORDERS,
+                                                 .name = "orders",
+                                                 .wait_ms = 1500,
+                                                 .timeout_slack_ms = 500 };
   static const follow_events_t events
-      = { on_put, on_removed, on_caught_up, NULL };
-  member_t *member = &f->members[index];
+      = { on_put, on_removed, on_synced, NULL };
+  fleet_gateway_t *gateway = &f->gateways[index];
   char name[16];
 
   snprintf (name, sizeof name, "entry-%d", index);
-  const share_options_t share = { .name = str_from (name),
-                                  .zone = str_from (f->zones[index]),
-                                  .listen = STR ("127.0.0.1:0"),
-                                  .link_mbps = f->links[index] };
+  const share_options_t options = { .name = str_from (name),
+                                    .zone = str_from (f->zones[index]),
+                                    .listen = STR ("127.0.0.1:0"),
+                                    .link_mbps = f->link_mbps[index] };
   ck_assert_int_eq (
       share_create (&f->loop, clock_system (), (uint64_t)index + 1,
-                    fake_rows_iface (f->store), &share, &member->share),
+                    fake_rows_iface (f->store), &options, &gateway->peer_rows),
       VH_OK);
-  member->follow
-      = follow_create (&f->loop, clock_system (), share_rows (member->share),
-                       1, &options, &events, member);
+  gateway->sync = follow_create (&f->loop, clock_system (),
+                                 share_rows (gateway->peer_rows), 1,
+                                 &sync_options, &events, gateway);
 }
 
 static void
-introduce (fixture_t *f)
+connect_all (fixture_t *f)
 {
   char name[16];
   char address[32];
-  uint16_t ports[ENTRIES];
+  uint16_t ports[GATEWAYS];
 
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     {
-      ports[i] = share_port (f->members[i].share);
+      ports[i] = share_port (f->gateways[i].peer_rows);
       if (f->link_bytes_per_s == 0)
         continue;
-      f->narrow[i]
+      f->narrow_links[i]
           = narrow_link_create (&f->loop, ports[i], f->link_bytes_per_s);
-      ports[i] = narrow_link_port (f->narrow[i]);
+      ports[i] = narrow_link_port (f->narrow_links[i]);
     }
-  for (int i = 0; i < ENTRIES; i++)
-    for (int j = 0; j < ENTRIES; j++)
+  for (int i = 0; i < GATEWAYS; i++)
+    for (int j = 0; j < GATEWAYS; j++)
       {
         snprintf (name, sizeof name, "entry-%d", j);
         snprintf (address, sizeof address, "127.0.0.1:%u", ports[j]);
-        share_put (f->members[i].share, str_from (name),
-                   str_from (f->zones[j]), str_from (address), f->links[j]);
+        share_put (f->gateways[i].peer_rows, str_from (name),
+                   str_from (f->zones[j]), str_from (address),
+                   f->link_mbps[j]);
       }
 }
 
-/* Start the entries whose zones and links are set.  */
+/* Start all gateways; zones and links are set before.  */
 static void
 start_all (fixture_t *f)
 {
   uv_loop_init (&f->loop);
-  loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
+  loop_wait_init (&f->wait, &f->loop, WAIT_LIMIT_MS);
   f->store = fake_rows_create (&f->loop);
   fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
-  for (int i = 0; i < ENTRIES; i++)
-    member_start (f, i);
-  introduce (f);
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (f, strcmp (f->members[i].value, "one") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    fleet_gateway_start (f, i);
+  connect_all (f);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (f, strcmp (f->gateways[i].value, "one") == 0);
 }
 
-/* Entries in ZONES.  */
+/* Start one gateway in each of ZONES.  */
 static void
 setup_zones (fixture_t *f, const char *const *zones)
 {
@@ -151,29 +154,29 @@
 static void
 setup (fixture_t *f)
 {
-  static const char *const zones[ENTRIES] = { "zone-a", "zone-a", "zone-a" };
+  static const char *const zones[GATEWAYS] = { "zone-a", "zone-a", "zone-a" };
 
   setup_zones (f, zones);
 }
 
 static void
-member_stop (member_t *member)
+fleet_gateway_stop (fleet_gateway_t *gateway)
 {
-  follow_destroy (member->follow);
-  share_destroy (member->share);
-  member->follow = NULL;
-  member->share = NULL;
+  follow_destroy (gateway->sync);
+  share_destroy (gateway->peer_rows);
+  gateway->sync = NULL;
+  gateway->peer_rows = NULL;
 }
 
 static void
 teardown (fixture_t *f)
 {
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     {
-      if (f->members[i].share != NULL)
-        member_stop (&f->members[i]);
-      if (f->narrow[i] != NULL)
-        narrow_link_destroy (f->narrow[i]);
+      if (f->gateways[i].peer_rows != NULL)
+        fleet_gateway_stop (&f->gateways[i]);
+      if (f->narrow_links[i] != NULL)
+        narrow_link_destroy (f->narrow_links[i]);
     }
   rows_t *rows = fake_rows_iface (f->store);
   rows->ops->destroy (rows);
@@ -187,77 +190,79 @@
 {
   int count = 0;
 
-  for (int i = 0; i < ENTRIES; i++)
-    count += f->members[i].share != NULL && share_reads (f->members[i].share);
+  for (int i = 0; i < GATEWAYS; i++)
+    count += f->gateways[i].peer_rows != NULL
+             && share_reads (f->gateways[i].peer_rows);
   return count;
 }
 
-/* Wait until one entry alone reads; return which.  */
+/* Wait until exactly one gateway is a reader; return its index.  */
 static int
-the_reader (fixture_t *f)
+wait_for_reader (fixture_t *f)
 {
   WAIT_FOR (f, count_readers (f) == 1);
-  for (int i = 0; i < ENTRIES; i++)
-    if (f->members[i].share != NULL && share_reads (f->members[i].share))
+  for (int i = 0; i < GATEWAYS; i++)
+    if (f->gateways[i].peer_rows != NULL
+        && share_reads (f->gateways[i].peer_rows))
       return i;
   return -1;
 }
 
-/* One entry asks the store for all three, and a change is at each of them in
-   a moment.  */
-START_TEST (one_entry_reads_for_all)
+/* Without shared reads each gateway calls the store.  With them, a change must
+   still reach each gateway at once.  */
+START_TEST (one_gateway_calls_the_store_for_all)
 {
   fixture_t f;
 
   setup (&f);
-  the_reader (&f);
-  pass (&f, 2000);
-  size_t before = fake_rows_calls (f.store);
-  pass (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 5);
+  wait_for_reader (&f);
+  run_for (&f, 2000);
+  size_t calls_before = fake_rows_calls (f.store);
+  run_for (&f, 3000);
+  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 5);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   fake_rows_remove (f.store, ROWS_ORDERS, "a");
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, f.members[i].removed);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (&f, f.gateways[i].is_removed);
   teardown (&f);
 }
 END_TEST
 
-/* Few entries in three zones: one asks the store for all of them.  It dies
-   without a word, and each zone goes on by itself: none waits for another that
-   may be as far away.  */
-START_TEST (few_entries_share_a_reader_over_zones)
+/* The only reader of a small fleet in three zones crashes.  Each zone must
+   then read the store itself, without waiting for a reader in another zone
+   that may be unreachable too.  */
+START_TEST (few_gateways_use_one_reader_across_zones)
 {
-  static const char *const zones[ENTRIES] = { "zone-a", "zone-b", "zone-c" };
+  static const char *const zones[GATEWAYS] = { "zone-a", "zone-b", "zone-c" };
   fixture_t f;
 
   setup_zones (&f, zones);
-  int lost = the_reader (&f);
-  pass (&f, 2000);
-  size_t before = fake_rows_calls (f.store);
-  pass (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 5);
-  member_stop (&f.members[lost]);
-  WAIT_FOR (&f, count_readers (&f) == ENTRIES - 1);
+  int crashed = wait_for_reader (&f);
+  run_for (&f, 2000);
+  size_t calls_before = fake_rows_calls (f.store);
+  run_for (&f, 3000);
+  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 5);
+  fleet_gateway_stop (&f.gateways[crashed]);
+  WAIT_FOR (&f, count_readers (&f) == GATEWAYS - 1);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
-  for (int i = 0; i < ENTRIES; i++)
-    if (i != lost)
-      WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    if (i != crashed)
+      WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   teardown (&f);
 }
 END_TEST
 
-/* A large configuration is accepted.  The entry that reads for the others
-   sends it to each of them, and its own streams wait behind that on its link:
-   so the entry with the widest link reads, whatever the hash of its name, and
-   the rows that are told get smaller.  Each entry has the whole of it.  */
-START_TEST (the_widest_link_reads_large_rows)
+/* The reader sends a large configuration to each gateway, which delays its own
+   streams on its link.  So the gateway with the widest link must be the
+   reader, whatever the hash of its name, and each gateway must get the whole
+   text.  */
+START_TEST (gateway_with_the_widest_link_is_reader)
 {
   enum
   {
@@ -269,32 +274,32 @@
 
   for (size_t i = 0; i < BYTES; i++)
     text[i] = route[i % (sizeof route - 1)];
-  for (int widest = 0; widest < ENTRIES; widest++)
+  for (int widest = 0; widest < GATEWAYS; widest++)
     {
       memset (&f, 0, sizeof f);
-      for (int i = 0; i < ENTRIES; i++)
+      for (int i = 0; i < GATEWAYS; i++)
         {
           f.zones[i] = "zone-a";
-          f.links[i] = i == widest ? 200 : 10;
+          f.link_mbps[i] = i == widest ? 200 : 10;
         }
       start_all (&f);
-      ck_assert_int_eq (the_reader (&f), widest);
+      ck_assert_int_eq (wait_for_reader (&f), widest);
       fake_rows_put (f.store, ROWS_ORDERS, "a", text);
-      for (int i = 0; i < ENTRIES; i++)
-        WAIT_FOR (&f, f.members[i].value_len == BYTES);
+      for (int i = 0; i < GATEWAYS; i++)
+        WAIT_FOR (&f, f.gateways[i].value_len == BYTES);
       teardown (&f);
     }
 }
 END_TEST
 
-/* A reader that took longer to hand out a large configuration than its askers
-   waited passed for lost: each of them gave up what it had got of the answer
-   and fetched the whole from the store.  */
-START_TEST (a_reader_is_waited_for_while_its_answer_comes)
+/* A reader that needs longer to send a large configuration than its callers
+   wait counted as lost: each caller dropped the part that had arrived and read
+   the whole text from the store.  */
+START_TEST (slow_answer_of_a_reader_is_not_abandoned)
 {
   enum
   {
-    /* Two askers take the link 2 s.  */
+    /* The link carries the text to two callers in 2 s.  */
     BYTES = 300000,
     BYTES_PER_S = 200000
   };
@@ -305,28 +310,28 @@
   for (size_t i = 0; i < BYTES; i++)
     text[i] = (char)('0' + rng_below (&rng, 64));
   memset (&f, 0, sizeof f);
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     f.zones[i] = "zone-a";
   f.link_bytes_per_s = BYTES_PER_S;
   start_all (&f);
-  the_reader (&f);
-  pass (&f, 1000);
-  size_t before = fake_rows_calls (f.store);
+  wait_for_reader (&f);
+  run_for (&f, 1000);
+  size_t calls_before = fake_rows_calls (f.store);
   fake_rows_put (f.store, ROWS_ORDERS, "a", text);
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     {
-      WAIT_FOR (&f, f.members[i].value_len == BYTES);
+      WAIT_FOR (&f, f.gateways[i].value_len == BYTES);
       ck_assert_int_eq (count_readers (&f), 1);
     }
-  /* Those of the reader alone.  */
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 8);
+  /* Only the reader called the store.  */
+  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 8);
   teardown (&f);
 }
 END_TEST
 
-/* A reader that was busy with a large table for longer than its askers waited
-   passed for lost, and what it said a moment later was dropped.  */
-START_TEST (a_late_answer_of_a_reader_is_taken)
+/* A reader that was busy with a large table for longer than its callers waited
+   counted as lost, and its answer a moment later was dropped.  */
+START_TEST (late_answer_of_a_busy_reader_is_used)
 {
   enum
   {
@@ -335,21 +340,21 @@
   fixture_t f;
 
   memset (&f, 0, sizeof f);
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     f.zones[i] = "zone-a";
   f.link_bytes_per_s = 1000000;
   start_all (&f);
-  int busy = the_reader (&f);
-  pass (&f, 1000);
-  narrow_link_stop_after (f.narrow[busy], 0);
+  int reader = wait_for_reader (&f);
+  run_for (&f, 1000);
+  narrow_link_stop_after (f.narrow_links[reader], 0);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
-  WAIT_FOR (&f, strcmp (f.members[busy].value, "two") == 0);
+  WAIT_FOR (&f, strcmp (f.gateways[reader].value, "two") == 0);
   fake_rows_hold (f.store, ROWS_ORDERS, true);
-  pass (&f, BUSY_MS);
-  narrow_link_stop_after (f.narrow[busy], SIZE_MAX);
+  run_for (&f, BUSY_MS);
+  narrow_link_stop_after (f.narrow_links[reader], SIZE_MAX);
   uint64_t start_ms = uv_now (&f.loop);
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   ck_assert_int_eq (count_readers (&f), 1);
   fake_rows_hold (f.store, ROWS_ORDERS, false);
@@ -357,72 +362,73 @@
 }
 END_TEST
 
-/* The reader dies without a word.  Its zone goes on after a timeout, with
-   another reader, and no confirmation grows old meanwhile.  */
-START_TEST (a_lost_reader_is_replaced)
+/* The reader crashes.  Its callers must switch to another reader after one
+   timeout, and no confirmation may get too old meanwhile.  */
+START_TEST (crashed_reader_is_replaced)
 {
   fixture_t f;
 
   setup (&f);
-  pass (&f, 500);
-  int lost = the_reader (&f);
-  member_stop (&f.members[lost]);
+  run_for (&f, 500);
+  int crashed = wait_for_reader (&f);
+  fleet_gateway_stop (&f.gateways[crashed]);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
-  for (int i = 0; i < ENTRIES; i++)
-    if (i != lost)
-      WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    if (i != crashed)
+      WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 2500);
   for (int ms = 0; ms < 4000; ms += 100)
     {
-      pass (&f, 100);
-      for (int i = 0; i < ENTRIES; i++)
-        if (i != lost)
-          ck_assert_uint_lt (follow_age_ms (f.members[i].follow), 4000);
+      run_for (&f, 100);
+      for (int i = 0; i < GATEWAYS; i++)
+        if (i != crashed)
+          ck_assert_uint_lt (follow_age_ms (f.gateways[i].sync), 4000);
     }
   teardown (&f);
 }
 END_TEST
 
-/* The store goes away for all.  No entry's belief looks younger than the last
-   answer of the store, through whomever it came.  */
-START_TEST (an_age_counts_from_the_store)
+/* The store is down for all gateways.  No gateway's rows may look more recent
+   than the store's last answer, whichever gateway passed it on.  */
+START_TEST (age_counts_from_the_answer_of_the_store)
 {
   fixture_t f;
 
   setup (&f);
-  pass (&f, 2000);
-  for (int i = 0; i < ENTRIES; i++)
-    ck_assert_uint_lt (follow_age_ms (f.members[i].follow), 3500);
+  run_for (&f, 2000);
+  for (int i = 0; i < GATEWAYS; i++)
+    ck_assert_uint_lt (follow_age_ms (f.gateways[i].sync), 3500);
   fake_rows_down (f.store, true);
   uint64_t down_ms = uv_now (&f.loop);
   for (int ms = 0; ms < 3000; ms += 200)
     {
-      pass (&f, 200);
-      for (int i = 0; i < ENTRIES; i++)
-        ck_assert_uint_ge (follow_age_ms (f.members[i].follow) + 30,
+      run_for (&f, 200);
+      for (int i = 0; i < GATEWAYS; i++)
+        ck_assert_uint_ge (follow_age_ms (f.gateways[i].sync) + 30,
                            uv_now (&f.loop) - down_ms);
     }
   fake_rows_down (f.store, false);
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, follow_age_ms (f.members[i].follow) < 2000);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (&f, follow_age_ms (f.gateways[i].sync) < 2000);
   teardown (&f);
 }
 END_TEST
 
-/* A reader that stops as planned leaves at once: nobody waits for it.  */
-START_TEST (a_leaving_reader_hands_over)
+/* A reader begins a planned stop.  Its callers must switch at once, without a
+   timeout.  */
+START_TEST (stopping_reader_is_replaced_at_once)
 {
   fixture_t f;
 
   setup (&f);
-  pass (&f, 500);
-  int left = the_reader (&f);
-  share_leave (f.members[left].share);
+  run_for (&f, 500);
+  int stopped = wait_for_reader (&f);
+  share_leave (f.gateways[stopped].peer_rows);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
-  for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 1500);
   teardown (&f);
 }
@@ -436,14 +442,14 @@
   TCase *tcase = tcase_create ("share");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, one_entry_reads_for_all);
-  tcase_add_test (tcase, few_entries_share_a_reader_over_zones);
-  tcase_add_test (tcase, the_widest_link_reads_large_rows);
-  tcase_add_test (tcase, a_reader_is_waited_for_while_its_answer_comes);
-  tcase_add_test (tcase, a_late_answer_of_a_reader_is_taken);
-  tcase_add_test (tcase, a_lost_reader_is_replaced);
-  tcase_add_test (tcase, an_age_counts_from_the_store);
-  tcase_add_test (tcase, a_leaving_reader_hands_over);
+  tcase_add_test (tcase, one_gateway_calls_the_store_for_all);
+  tcase_add_test (tcase, few_gateways_use_one_reader_across_zones);
+  tcase_add_test (tcase, gateway_with_the_widest_link_is_reader);
+  tcase_add_test (tcase, slow_answer_of_a_reader_is_not_abandoned);
+  tcase_add_test (tcase, late_answer_of_a_busy_reader_is_used);
+  tcase_add_test (tcase, crashed_reader_is_replaced);
+  tcase_add_test (tcase, age_counts_from_the_answer_of_the_store);
+  tcase_add_test (tcase, stopping_reader_is_replaced_at_once);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
