--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -1,6 +1,7 @@
-/* A large fleet whose entries read the store for each other, on real RPC and a
-   store in memory: who asks it, and what becomes of the others when those who
-   read are lost, refused or told that it is away.  */
+/* A large fleet of gateways that read the store through peer gateways, over
+   real RPC and with a store in memory: which gateways call the store, and what
+   happens when readers are lost, when the store refuses them, and in an
+   outage.  */
 
 #include "fake_rows.h"
 #include "gateway/follow.h"
@@ -13,92 +14,93 @@
 
 enum
 {
-  ENTRIES = 40,
+  GATEWAYS = 40,
   ZONES = 4,
-  LIMIT_MS = 8000,
-  /* A confirmation that is older does not let callers in.  */
-  TRUST_MS = 4500,
-  /* What was told counts so long.  */
-  TOLD_MS = 3000
+  WAIT_LIMIT_MS = 8000,
+  /* Age from which a confirmation no longer suffices to accept keys.  */
+  TRUSTED_AGE_MS = 4500,
+  /* Time for which a received sum counts.  */
+  SUM_TTL_MS = 3000
 };
 
-/* A store that refuses this entry alone.  */
+/* A store that can refuse the calls of one gateway.  */
 typedef struct
 {
   rows_t base;
   rows_t *store;
-  rows_t *dark;
-  bool refuses;
-} gate_t;
+  rows_t *down_store; /* A store that is down.  */
+  bool is_refusing;
+} refusing_store_t;
 
 typedef struct
 {
-  gate_t gate;
-  share_t *share;
-  follow_t *follow;
+  refusing_store_t refusing_store;
+  share_t *peer_rows;
+  follow_t *sync;
   char name[16];
-  char value[16]; /* Of row `a', as this entry knows it.  */
-  uint32_t told;  /* Sum that it tells its reader, see list_news.  */
-  uint32_t heard[ENTRIES];
-  uint64_t heard_ms[ENTRIES];
+  char value[16];  /* Value of row `a' at this gateway.  */
+  uint32_t number; /* Number that this gateway adds to the sum.  */
+  uint32_t received_sums[GATEWAYS]; /* Last sum from each gateway.  */
+  uint64_t received_ms[GATEWAYS];   /* Time of that sum.  */
   uv_loop_t *loop;
-  follow_t *own; /* Its calls carry the news.  */
-} member_t;
+  follow_t *shared_sync; /* Sync whose calls carry the piggybacked sums.  */
+} fleet_gateway_t;
 
 typedef struct
 {
   uv_loop_t loop;
   fake_rows_t *store;
-  fake_rows_t *dark;
-  member_t members[ENTRIES];
+  fake_rows_t *down_store;
+  fleet_gateway_t gateways[GATEWAYS];
   loop_wait_t wait;
 } fixture_t;
 
 static rows_t *
-behind (const rows_t *rows)
+target_store (const rows_t *rows)
 {
-  const gate_t *gate = (const gate_t *)rows;
+  const refusing_store_t *refusing = (const refusing_store_t *)rows;
 
-  return gate->refuses ? gate->dark : gate->store;
+  return refusing->is_refusing ? refusing->down_store : refusing->store;
 }
 
 static void
-gate_read (rows_t *rows, rows_table_t table, str_t from, uint64_t timeout_ms,
-           rows_cb_t cb, void *arg)
+refusing_read (rows_t *rows, rows_table_t table, str_t from,
+               uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  rows_t *store = behind (rows);
+  rows_t *store = target_store (rows);
 
   store->ops->read (store, table, from, timeout_ms, cb, arg);
 }
 
 static void
-gate_watch (rows_t *rows, rows_table_t table, uint64_t after, uint64_t wait_ms,
-            uint64_t timeout_ms, rows_cb_t cb, void *arg)
+refusing_watch (rows_t *rows, rows_table_t table, uint64_t after,
+                uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  rows_t *store = behind (rows);
+  rows_t *store = target_store (rows);
 
   store->ops->watch (store, table, after, wait_ms, timeout_ms, cb, arg);
 }
 
 static void
-gate_forget (rows_t *rows, const void *arg)
+refusing_cancel (rows_t *rows, const void *arg)
 {
-  const gate_t *gate = (const gate_t *)rows;
+  const refusing_store_t *refusing = (const refusing_store_t *)rows;
 
-  gate->store->ops->forget (gate->store, arg);
-  gate->dark->ops->forget (gate->dark, arg);
+  refusing->store->ops->forget (refusing->store, arg);
+  refusing->down_store->ops->forget (refusing->down_store, arg);
 }
 
 static void
 on_put (void *arg, const rows_row_t *row)
 {
-  member_t *member = arg;
+  fleet_gateway_t *gateway = arg;
 
-  snprintf (member->value, sizeof member->value, "%.*s", STR_ARG (row->value));
+  snprintf (gateway->value, sizeof gateway->value, "%.*s",
+            STR_ARG (row->value));
 }
 
 static void
-on_other_put (void *arg, const rows_row_t *row)
+ignore_put (void *arg, const rows_row_t *row)
 {
   (void)arg;
   (void)row;
@@ -112,76 +114,80 @@
 }
 
 static void
-on_caught_up (void *arg, bool full)
+on_synced (void *arg, bool is_full_read)
 {
   (void)arg;
-  (void)full;
+  (void)is_full_read;
 }
 
-/* What MEMBER knows of the sum over all entries.  */
+/* The sum of the numbers of GATEWAY and of those that sent theirs to GATEWAY
+   recently.  */
 static uint32_t
-sum_of (const member_t *member)
+sum_at (const fleet_gateway_t *gateway)
 {
-  uint32_t sum = member->told;
+  uint32_t sum = gateway->number;
 
-  for (size_t i = 0; i < ENTRIES; i++)
-    if (uv_now (member->loop) - member->heard_ms[i] < TOLD_MS)
-      sum += member->heard[i];
+  for (size_t i = 0; i < GATEWAYS; i++)
+    if (uv_now (gateway->loop) - gateway->received_ms[i] < SUM_TTL_MS)
+      sum += gateway->received_sums[i];
   return sum;
 }
 
 static size_t
-list_news (void *arg, bool tells, share_item_t *items, size_t most)
+list_sums (void *arg, bool is_relay, share_item_t *items, size_t items_max)
 {
-  const member_t *member = arg;
+  const fleet_gateway_t *gateway = arg;
 
-  ck_assert_uint_ge (most, 1);
-  buf_append_str (&items[0].key, str_from (member->name));
-  buf_printf (&items[0].value, "%u", tells ? sum_of (member) : member->told);
+  ck_assert_uint_ge (items_max, 1);
+  buf_append_str (&items[0].key, str_from (gateway->name));
+  buf_printf (&items[0].value, "%u",
+              is_relay ? sum_at (gateway) : gateway->number);
   return 1;
 }
 
 static void
-take_news (void *arg, str_t key, str_t value)
+receive_sum (void *arg, str_t key, str_t value)
 {
-  member_t *member = arg;
+  fleet_gateway_t *gateway = arg;
   uint64_t index;
   uint64_t sum;
   str_t rest;
 
   str_cut (key, '-', &rest);
-  ck_assert (str_to_u64 (rest, &index) && index < ENTRIES);
+  ck_assert (str_to_u64 (rest, &index) && index < GATEWAYS);
   ck_assert (str_to_u64 (value, &sum));
-  member->heard[index] = (uint32_t)sum;
-  member->heard_ms[index] = uv_now (member->loop);
+  gateway->received_sums[index] = (uint32_t)sum;
+  gateway->received_ms[index] = uv_now (gateway->loop);
 }
 
 static void
-member_start (fixture_t *f, int index)
+fleet_gateway_start (fixture_t *f, int index)
 {
   static const char *const zones[ZONES] = { "a", "b", "c", "d" };
-  static const rows_ops_t gate
-      = { gate_read, gate_watch, NULL, gate_forget, NULL };
-  static const share_news_t news = { list_news, take_news };
-  member_t *member = &f->members[index];
-
-  member->gate = (gate_t){ .base.ops = &gate,
-                           .store = fake_rows_iface (f->store),
-                           .dark = fake_rows_iface (f->dark) };
-  member->told = 1;
-  member->loop = &f->loop;
-  snprintf (member->name, sizeof member->name, "entry-%d", index);
-  const share_options_t share
-      = { .name = str_from (member->name),
+  static const rows_ops_t ops
+      = { refusing_read, refusing_watch, NULL, refusing_cancel, NULL };
+  static const share_news_t piggyback = { list_sums, receive_sum };
+  fleet_gateway_t *gateway = &f->gateways[index];
+
+  gateway->refusing_store
+      = (refusing_store_t){ .base.ops = &ops,
+                            .store = fake_rows_iface (f->store),
+                            .down_store = fake_rows_iface (f->down_store) };
+  gateway->number = 1;
+  gateway->loop = &f->loop;
+  snprintf (gateway->name, sizeof gateway->name, "entry-%d", index);
+  const share_options_t options
+      = { .name = str_from (gateway->name),
           .zone = str_from (zones[index % ZONES]),
           .listen = STR ("127.0.0.1:0"),
-          /* The first of each zone, and of all, is known.  */
-          .link_mbps = (uint32_t)(ENTRIES - index) * 10 };
+          /* Makes the order of readers known: gateway 0 is the root.  */
+          .link_mbps = (uint32_t)(GATEWAYS - index) * 10 };
   ck_assert_int_eq (share_create (&f->loop, clock_system (),
-                                  (uint64_t)index + 1, &member->gate.base,
-                                  &share, &member->share),
+                                  (uint64_t)index + 1,
+                                  &gateway->refusing_store.base, &options,
+                                  &gateway->peer_rows),
                     VH_OK);
-  share_set_news (member->share, &news, member);
+  share_set_news (gateway->peer_rows, &piggyback, gateway);
 }
 
 static void
@@ -191,66 +197,67 @@
 
   memset (f, 0, sizeof *f);
   uv_loop_init (&f->loop);
-  loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
+  loop_wait_init (&f->wait, &f->loop, WAIT_LIMIT_MS);
   f->store = fake_rows_create (&f->loop);
-  f->dark = fake_rows_create (&f->loop);
-  fake_rows_down (f->dark, true);
+  f->down_store = fake_rows_create (&f->loop);
+  fake_rows_down (f->down_store, true);
   fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
-  for (int i = 0; i < ENTRIES; i++)
-    member_start (f, i);
-  for (int i = 0; i < ENTRIES; i++)
-    for (int j = 0; j < ENTRIES; j++)
+  for (int i = 0; i < GATEWAYS; i++)
+    fleet_gateway_start (f, i);
+  for (int i = 0; i < GATEWAYS; i++)
+    for (int j = 0; j < GATEWAYS; j++)
       {
         char address[32];
         snprintf (address, sizeof address, "127.0.0.1:%u",
-                  share_port (f->members[j].share));
-        share_put (f->members[i].share, str_from (f->members[j].name),
+                  share_port (f->gateways[j].peer_rows));
+        share_put (f->gateways[i].peer_rows, str_from (f->gateways[j].name),
                    str_from (zones[j % ZONES]), str_from (address),
-                   (uint32_t)(ENTRIES - j) * 10);
+                   (uint32_t)(GATEWAYS - j) * 10);
       }
-  for (int i = 0; i < ENTRIES; i++)
+  for (int i = 0; i < GATEWAYS; i++)
     {
       static const follow_options_t orders = { .table = ROWS_ORDERS,
                                                .name = "orders",
                                                .wait_ms = 1500,
-                                               .slack_ms = 500 };
-      static const follow_options_t own = {
-        .table = ROWS_OWN, .name = "own", .wait_ms = 8000, .slack_ms = 1000
-      };
+                                               .timeout_slack_ms = 500 };
+      static const follow_options_t shared = { .table = ROWS_OWN,
+                                               .name = "own",
+                                               .wait_ms = 8000,
+                                               .timeout_slack_ms = 1000 };
       static const follow_events_t events
-          = { on_put, on_removed, on_caught_up, NULL };
-      static const follow_events_t no_events
-          = { on_other_put, on_removed, on_caught_up, NULL };
-      member_t *member = &f->members[i];
-      rows_t *rows = share_rows (member->share);
-      member->follow = follow_create (&f->loop, clock_system (), rows, 1,
-                                      &orders, &events, member);
-      member->own = follow_create (&f->loop, clock_system (), rows, 2, &own,
-                                   &no_events, member);
+          = { on_put, on_removed, on_synced, NULL };
+      static const follow_events_t shared_events
+          = { ignore_put, on_removed, on_synced, NULL };
+      fleet_gateway_t *gateway = &f->gateways[i];
+      rows_t *rows = share_rows (gateway->peer_rows);
+      gateway->sync = follow_create (&f->loop, clock_system (), rows, 1,
+                                     &orders, &events, gateway);
+      gateway->shared_sync = follow_create (&f->loop, clock_system (), rows, 2,
+                                            &shared, &shared_events, gateway);
     }
-  for (int i = 0; i < ENTRIES; i++)
-    LOOP_WAIT (&f->wait, strcmp (f->members[i].value, "one") == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    LOOP_WAIT (&f->wait, strcmp (f->gateways[i].value, "one") == 0);
   loop_wait_pass (&f->wait, 500);
 }
 
 static void
-member_stop (member_t *member)
+fleet_gateway_stop (fleet_gateway_t *gateway)
 {
-  follow_destroy (member->follow);
-  follow_destroy (member->own);
-  share_destroy (member->share);
-  member->follow = NULL;
-  member->share = NULL;
+  follow_destroy (gateway->sync);
+  follow_destroy (gateway->shared_sync);
+  share_destroy (gateway->peer_rows);
+  gateway->sync = NULL;
+  gateway->peer_rows = NULL;
 }
 
 static void
 teardown (fixture_t *f)
 {
-  fake_rows_t *stores[] = { f->store, f->dark };
+  fake_rows_t *stores[] = { f->store, f->down_store };
 
-  for (int i = 0; i < ENTRIES; i++)
-    if (f->members[i].share != NULL)
-      member_stop (&f->members[i]);
+  for (int i = 0; i < GATEWAYS; i++)
+    if (f->gateways[i].peer_rows != NULL)
+      fleet_gateway_stop (&f->gateways[i]);
   for (int i = 0; i < 2; i++)
     {
       rows_t *rows = fake_rows_iface (stores[i]);
@@ -261,50 +268,51 @@
   ck_assert_int_eq (uv_loop_close (&f->loop), 0);
 }
 
-/* Write VALUE and wait until all entries that run know it; return after how
-   many ms.  */
+/* Write VALUE and wait until all running gateways have it; return the time
+   that took, in ms.  */
 static uint64_t
-spread (fixture_t *f, const char *value)
+propagate (fixture_t *f, const char *value)
 {
   uint64_t start_ms = uv_now (&f->loop);
 
   fake_rows_put (f->store, ROWS_ORDERS, "a", value);
-  for (int i = 0; i < ENTRIES; i++)
-    LOOP_WAIT (&f->wait, f->members[i].share == NULL
-                             || strcmp (f->members[i].value, value) == 0);
+  for (int i = 0; i < GATEWAYS; i++)
+    LOOP_WAIT (&f->wait, f->gateways[i].peer_rows == NULL
+                             || strcmp (f->gateways[i].value, value) == 0);
   return uv_now (&f->loop) - start_ms;
 }
 
-/* Pass MS; no entry's confirmation gets too old meanwhile.  */
+/* Run for MS and check that no gateway's confirmation gets too old.  */
 static void
-pass_trusted (fixture_t *f, uint64_t ms)
+run_trusted (fixture_t *f, uint64_t ms)
 {
-  for (uint64_t passed = 0; passed < ms; passed += 100)
+  for (uint64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += 100)
     {
       loop_wait_pass (&f->wait, 100);
-      for (int i = 0; i < ENTRIES; i++)
-        if (f->members[i].share != NULL)
-          ck_assert_uint_lt (follow_age_ms (f->members[i].follow), TRUST_MS);
+      for (int i = 0; i < GATEWAYS; i++)
+        if (f->gateways[i].peer_rows != NULL)
+          ck_assert_uint_lt (follow_age_ms (f->gateways[i].sync),
+                             TRUSTED_AGE_MS);
     }
 }
 
-/* A reader in each zone makes the calls grow with the zones.  */
-START_TEST (one_entry_reads_for_a_large_fleet)
+/* With a reader in each zone, the calls grow with the number of zones.  */
+START_TEST (one_gateway_calls_the_store_for_a_large_fleet)
 {
   fixture_t f;
 
   setup (&f);
-  size_t before = fake_rows_calls (f.store);
-  pass_trusted (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 6);
-  ck_assert_uint_lt (spread (&f, "two"), 500);
+  size_t calls_before = fake_rows_calls (f.store);
+  run_trusted (&f, 3000);
+  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 6);
+  ck_assert_uint_lt (propagate (&f, "two"), 500);
   teardown (&f);
 }
 END_TEST
 
-/* The store goes away.  Each entry found that out for itself, again and again,
-   and the store got most of its calls when it could bear none.  */
-START_TEST (an_outage_is_not_asked_about_by_all)
+/* The store is down.  Each gateway probed the store repeatedly, so the store
+   got most calls while it was least able to handle them.  */
+START_TEST (gateways_do_not_all_probe_a_store_that_is_down)
 {
   enum
   {
@@ -314,85 +322,87 @@
 
   setup (&f);
   fake_rows_down (f.store, true);
-  size_t before = fake_rows_calls (f.store);
+  size_t calls_before = fake_rows_calls (f.store);
   loop_wait_pass (&f.wait, OUTAGE_S * 1000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, OUTAGE_S * 30);
+  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, OUTAGE_S * 30);
   fake_rows_down (f.store, false);
-  ck_assert_uint_lt (spread (&f, "two"), 1500);
+  ck_assert_uint_lt (propagate (&f, "two"), 1500);
   teardown (&f);
 }
 END_TEST
 
-/* The entry that reads for all dies without a word.  */
-START_TEST (a_lost_root_is_replaced)
+/* The gateway that reads the store for all others crashes.  */
+START_TEST (crashed_root_is_replaced)
 {
   fixture_t f;
 
   setup (&f);
-  ck_assert (share_reads (f.members[0].share));
-  member_stop (&f.members[0]);
-  ck_assert_uint_lt (spread (&f, "two"), 3000);
-  pass_trusted (&f, 3000);
+  ck_assert (share_reads (f.gateways[0].peer_rows));
+  fleet_gateway_stop (&f.gateways[0]);
+  ck_assert_uint_lt (propagate (&f, "two"), 3000);
+  run_trusted (&f, 3000);
   teardown (&f);
 }
 END_TEST
 
-/* Two readers die together, and nobody that they served grows stale.  */
-START_TEST (lost_readers_are_replaced)
+/* The readers of all zones crash together.  The confirmations of the gateways
+   that they served must not get too old.  */
+START_TEST (crashed_zone_readers_are_replaced)
 {
   fixture_t f;
 
   setup (&f);
   for (int i = 0; i < ZONES; i++)
-    member_stop (&f.members[i]);
-  ck_assert_uint_lt (spread (&f, "two"), 3000);
-  pass_trusted (&f, 3000);
+    fleet_gateway_stop (&f.gateways[i]);
+  ck_assert_uint_lt (propagate (&f, "two"), 3000);
+  run_trusted (&f, 3000);
   teardown (&f);
 }
 END_TEST
 
-/* The store refuses the entry that reads for all, and the head of a zone, and
-   serves the others.  */
-START_TEST (refused_readers_are_gone_round)
+/* The store refuses the calls of the root and of the reader of one zone, and
+   answers all other gateways.  */
+START_TEST (readers_refused_by_the_store_are_bypassed)
 {
   fixture_t f;
 
   setup (&f);
-  f.members[0].gate.refuses = true;
-  f.members[1].gate.refuses = true;
-  ck_assert_uint_lt (spread (&f, "two"), 4000);
-  pass_trusted (&f, 6000);
-  f.members[0].gate.refuses = false;
-  f.members[1].gate.refuses = false;
+  f.gateways[0].refusing_store.is_refusing = true;
+  f.gateways[1].refusing_store.is_refusing = true;
+  ck_assert_uint_lt (propagate (&f, "two"), 4000);
+  run_trusted (&f, 6000);
+  f.gateways[0].refusing_store.is_refusing = false;
+  f.gateways[1].refusing_store.is_refusing = false;
   loop_wait_pass (&f.wait, 4000);
-  ck_assert_uint_lt (spread (&f, "three"), 1000);
+  ck_assert_uint_lt (propagate (&f, "three"), 1000);
   teardown (&f);
 }
 END_TEST
 
-/* What all entries that ask the store were told.  */
+/* The total of the sums at the gateways that call the store.  */
 static uint32_t
-sum_of_readers (const fixture_t *f)
+sum_at_readers (const fixture_t *f)
 {
   uint32_t sum = 0;
 
-  for (int i = 0; i < ENTRIES; i++)
-    if (f->members[i].share != NULL && share_reads (f->members[i].share))
-      sum += sum_of (&f->members[i]);
+  for (int i = 0; i < GATEWAYS; i++)
+    if (f->gateways[i].peer_rows != NULL
+        && share_reads (f->gateways[i].peer_rows))
+      sum += sum_at (&f->gateways[i]);
   return sum;
 }
 
-/* What each entry has to tell comes to the one that reads for all, added up on
-   the way, and after that one's death to those that read then.  */
-START_TEST (news_come_to_the_root)
+/* Piggybacked data must reach the root, aggregated by the readers on the way,
+   and after a crash of the root the gateways that read the store then.  */
+START_TEST (piggybacked_data_reaches_the_root)
 {
   fixture_t f;
 
   setup (&f);
-  LOOP_WAIT (&f.wait, sum_of (&f.members[0]) == ENTRIES);
-  member_stop (&f.members[0]);
-  spread (&f, "two");
-  LOOP_WAIT (&f.wait, sum_of_readers (&f) == ENTRIES - 1);
+  LOOP_WAIT (&f.wait, sum_at (&f.gateways[0]) == GATEWAYS);
+  fleet_gateway_stop (&f.gateways[0]);
+  propagate (&f, "two");
+  LOOP_WAIT (&f.wait, sum_at_readers (&f) == GATEWAYS - 1);
   teardown (&f);
 }
 END_TEST
@@ -405,12 +415,12 @@
   TCase *tcase = tcase_create ("share_fleet");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, one_entry_reads_for_a_large_fleet);
-  tcase_add_test (tcase, an_outage_is_not_asked_about_by_all);
-  tcase_add_test (tcase, a_lost_root_is_replaced);
-  tcase_add_test (tcase, lost_readers_are_replaced);
-  tcase_add_test (tcase, refused_readers_are_gone_round);
-  tcase_add_test (tcase, news_come_to_the_root);
+  tcase_add_test (tcase, one_gateway_calls_the_store_for_a_large_fleet);
+  tcase_add_test (tcase, gateways_do_not_all_probe_a_store_that_is_down);
+  tcase_add_test (tcase, crashed_root_is_replaced);
+  tcase_add_test (tcase, crashed_zone_readers_are_replaced);
+  tcase_add_test (tcase, readers_refused_by_the_store_are_bypassed);
+  tcase_add_test (tcase, piggybacked_data_reaches_the_root);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
