--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -113,7 +113,8 @@
       for (int i = 0; i < 20000; i++)
         {
           snprintf (prefix, sizeof prefix, "/r%d/a/b", i % sizes[s]);
-          if (catalog_route (catalog, STR ("desk.example"), str_from (prefix))
+          if (catalog_match_route (catalog, STR ("desk.example"),
+                                   str_from (prefix))
               == NULL)
             abort ();
         }
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -12,8 +12,8 @@
 
 typedef enum
 {
-  ROUTE_IDEMPOTENT, /* Requests may be executed more than once.  */
-  ROUTE_ONCE,       /* Requests are executed at most once.  */
+  ROUTE_IDEMPOTENT,   /* Requests may be executed more than once.  */
+  ROUTE_AT_MOST_ONCE, /* Requests are executed at most once.  */
   /* Answers are event streams.  Requests are executed at most once, unless
      streams of the route can be resumed.  */
   ROUTE_STREAM
@@ -39,11 +39,11 @@
   str_t health_path;
   /* Connections allowed to one instance, from all gateways together.  */
   uint32_t connections_max;
-  double cold_s;      /* Time for which a new instance counts as cold.  */
-  double cold_per_s;  /* Requests a second that a cold instance can take; 0: no
-                         bound.  */
-  bool is_engine;     /* Whether the instances are inference engines.  */
-  uint64_t kv_tokens; /* Capacity of an engine's KV cache; 0: unknown.  */
+  double cold_start_s; /* Time for which a new instance counts as cold.  */
+  double cold_per_s; /* Requests a second that a cold instance can take; 0: no
+                        bound.  */
+  bool is_engine;    /* Whether the instances are inference engines.  */
+  uint64_t kv_cache_tokens; /* Capacity of an engine's KV cache; 0: unknown. */
   service_model_t models[SERVICE_MODELS_MAX];
   size_t model_count;
 } service_t;
@@ -68,7 +68,8 @@
   uint32_t attempts_max; /* Upstreams on which one request may be executed.  */
   uint32_t priority;     /* 0 is the highest.  */
   bool is_public;        /* Whether clients need no key.  */
-  bool resumable; /* Whether a broken stream may go on at another upstream.  */
+  bool is_resumable; /* Whether a broken stream may go on at another upstream.
+                      */
   route_split_t splits[ROUTE_SPLITS_MAX];
   size_t split_count;
   /* Models to choose from, in ascending order of size.  */
@@ -90,7 +91,7 @@
   uint64_t body_bytes;
   uint64_t header_ms; /* Time in which a request's headers must arrive.  */
   uint64_t idle_ms;   /* Time after which an idle connection is closed.  */
-} caller_limits_t;
+} client_limits_t;
 
 /* REVISION grows with each configuration.  The caller owns the only reference
    to the result.  */
@@ -106,19 +107,19 @@
 vh_code_t catalog_add_route (catalog_t *catalog, const route_t *route);
 vh_code_t catalog_add_team (catalog_t *catalog, const team_t *team,
                             const str_t *keys, size_t key_count);
-void catalog_set_limits (catalog_t *catalog, const caller_limits_t *limits);
+void catalog_set_limits (catalog_t *catalog, const client_limits_t *limits);
 
 uint64_t catalog_revision (const catalog_t *catalog);
-const caller_limits_t *catalog_limits (const catalog_t *catalog);
+const client_limits_t *catalog_limits (const catalog_t *catalog);
 /* The service NAME, or NULL.  */
-const service_t *catalog_service (const catalog_t *catalog, str_t name);
+const service_t *catalog_find_service (const catalog_t *catalog, str_t name);
 /* The route of HOST with the longest prefix of PATH, or NULL.  A port in HOST
    is ignored.  */
-const route_t *catalog_route (const catalog_t *catalog, str_t host,
-                              str_t path);
+const route_t *catalog_match_route (const catalog_t *catalog, str_t host,
+                                    str_t path);
 /* Return whether the catalog has teams; without any, clients need no key.  */
 bool catalog_has_teams (const catalog_t *catalog);
 /* The team that holds KEY, or NULL.  */
-const team_t *catalog_team (const catalog_t *catalog, str_t key);
+const team_t *catalog_find_team (const catalog_t *catalog, str_t key);
 
 #endif
--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -47,10 +47,10 @@
 {
   belief_t *belief;
   rows_t *rows;
-  share_t *peer_rows;
+  peer_rows_t *peer_rows;
   loader_t *loader;
-  follow_t *instances;
-  follow_t *shared_rows;
+  table_sync_t *instances;
+  table_sync_t *shared_rows;
   uv_timer_t tick;
   uint64_t ticks;
   bool has_read_shared_rows; /* The shared rows were read at least once.  */
@@ -75,13 +75,13 @@
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   belief_t *belief = sync->belief;
   uint64_t parse_ms = belief_reading_for_ms (belief);
 
   /* While a later configuration waits to be parsed, the confirmation of the
      keys in force continues to age.  */
-  if (!loader_busy (sync->loader))
+  if (!loader_is_busy (sync->loader))
     belief->reading_ms = 0;
   if (code != VH_OK)
     {
@@ -108,7 +108,7 @@
 /* Parse the configuration in ROW.  Until it is parsed, the configuration in
    force counts as confirmed before ROW was read.  */
 static void
-parse_catalog (duties_t *sync, const rows_row_t *row)
+parse_catalog (store_sync_t *sync, const rows_row_t *row)
 {
   belief_t *belief = sync->belief;
 
@@ -116,13 +116,13 @@
              field_number (FIELD_BYTES, row->value.len));
   if (belief->reading_ms == 0)
     belief->reading_ms = clock_boot_ms (belief->clock);
-  loader_take (sync->loader, row->value, belief->catalog == NULL);
+  loader_submit (sync->loader, row->value, belief->catalog == NULL);
 }
 
 static void
 on_order_put (void *arg, const rows_row_t *row)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   belief_t *belief = sync->belief;
   str_t name;
 
@@ -132,7 +132,7 @@
       parse_catalog (sync, row);
       break;
     case ORDER_ROLLOUT:
-      rollouts_order (sync->rollouts, row);
+      rollouts_apply_order (sync->rollouts, row);
       break;
     case ORDER_ZONE_OUT:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
@@ -146,7 +146,7 @@
 static void
 on_order_removed (void *arg, str_t key)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   str_t name;
 
   if (sync->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
@@ -160,7 +160,7 @@
 static void
 on_instance_put (void *arg, const rows_row_t *row)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   belief_t *belief = sync->belief;
   upstream_info_t info;
   void *holder = NULL;
@@ -186,7 +186,7 @@
 static void
 on_instance_removed (void *arg, str_t key)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   belief_t *belief = sync->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   uint64_t keep_ms = 0;
@@ -201,7 +201,7 @@
 
 /* Allow requests to be served once all tables were read.  */
 static void
-update_prepared (duties_t *sync)
+update_prepared (store_sync_t *sync)
 {
   if (sync->has_read_shared_rows && sync->has_read_instances)
     sync->belief->is_prepared = true;
@@ -210,7 +210,7 @@
 static void
 on_instances_synced (void *arg, bool is_full_read)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
 
   (void)is_full_read;
   sync->has_read_instances = true;
@@ -224,7 +224,7 @@
    Counted from the read of the instances, an instance that had left 13 s
    before got a request.  */
 static void
-record_reachability (duties_t *sync, bool is_down)
+record_reachability (store_sync_t *sync, bool is_down)
 {
   if (!is_down && sync->is_store_down)
     sync->store_back_ms = clock_ms (sync->belief->clock);
@@ -242,7 +242,7 @@
 /* Add the gateway NAME with the registration TEXT, which is ZONE ADDRESS LINK.
    LINK is the bandwidth of its link in Mbit/s.  */
 static void
-add_gateway (share_t *peer_rows, str_t name, str_t text)
+add_gateway (peer_rows_t *peer_rows, str_t name, str_t text)
 {
   str_t rest;
   str_t zone = str_cut (text, ' ', &rest);
@@ -254,20 +254,20 @@
   if (rest.ptr != NULL && !str_to_u64 (rest, &link_mbps))
     log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, name),
                field_number (FIELD_CODE, VH_E_BAD_FIELD));
-  share_put (peer_rows, name, zone, address, (uint32_t)link_mbps);
+  peer_rows_add_gateway (peer_rows, name, zone, address, (uint32_t)link_mbps);
 }
 
 static void
 on_shared_put (void *arg, const rows_row_t *row)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   str_t rest;
   str_t kind = row_kind (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
-    rollouts_row (sync->rollouts, rest, row);
+    rollouts_apply_state_row (sync->rollouts, rest, row);
   else if (str_eq (kind, STR ("evidence")))
-    rollouts_evidence (sync->rollouts, row->key, false, row->value);
+    rollouts_apply_evidence (sync->rollouts, row->key, false, row->value);
   else if (str_eq (kind, STR ("entry")) && rest.len > 0)
     {
       str_t after_zone;
@@ -281,21 +281,21 @@
 static void
 on_shared_removed (void *arg, str_t key)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   str_t rest;
 
   if (str_eq (row_kind (key, &rest), STR ("entry")))
     {
       allotment_leave (sync->belief->fleet, rest);
       if (sync->peer_rows != NULL)
-        share_remove (sync->peer_rows, rest);
+        peer_rows_remove_gateway (sync->peer_rows, rest);
     }
 }
 
 /* Divide the limits that gateways share by the number of gateways that are
    registered now.  */
 static void
-divide_limits (duties_t *sync)
+divide_limits (store_sync_t *sync)
 {
   belief_t *belief = sync->belief;
   size_t cursor = 0;
@@ -316,7 +316,7 @@
 static void
 on_shared_synced (void *arg, bool is_full_read)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
 
   (void)is_full_read;
   sync->has_read_shared_rows = true;
@@ -331,7 +331,7 @@
 on_registration_written (void *arg, vh_code_t code,
                          const rows_result_t *result)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
 
   (void)result;
   sync->is_registration_pending = false;
@@ -346,7 +346,7 @@
 /* Write the row that registers this gateway with the others, or delete it if
    IS_LEAVING.  */
 static void
-write_registration (duties_t *sync, bool is_leaving)
+write_registration (store_sync_t *sync, bool is_leaving)
 {
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
@@ -356,12 +356,12 @@
   buf_printf (&value, "%.*s %.*s %u", STR_ARG (sync->belief->options.zone),
               STR_ARG (sync->belief->options.rpc),
               (unsigned)sync->belief->options.link_mbps);
-  rows_write_t write = { .table = ROWS_OWN,
+  rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value),
                          .remove = is_leaving };
   sync->is_registration_pending = true;
-  sync->rows->ops->commit (sync->rows, &write, 1, DUTIES_COMMIT_MS,
+  sync->rows->ops->commit (sync->rows, &write, 1, STORE_SYNC_COMMIT_TIMEOUT_MS,
                            on_registration_written, sync);
   buf_free (&key);
   buf_free (&value);
@@ -370,7 +370,7 @@
 static void
 on_tick (uv_timer_t *timer)
 {
-  duties_t *sync = timer->data;
+  store_sync_t *sync = timer->data;
   belief_t *belief = sync->belief;
   bool is_second = ++sync->ticks % TICKS_PER_S == 0;
 
@@ -391,61 +391,61 @@
 static void
 on_orders_synced (void *arg, bool is_full_read)
 {
-  static const follow_options_t instances
+  static const table_sync_options_t instances
       = { .table = ROWS_INSTANCES,
           .name = "instances",
           .call_gap_ms = INSTANCES_CALL_GAP_MS,
           .wait_ms = INSTANCES_WAIT_MS,
           .retry_max_ms = OTHER_TABLES_RETRY_MAX_MS,
           .timeout_slack_ms = INSTANCES_TIMEOUT_SLACK_MS };
-  static const follow_events_t events
+  static const table_sync_events_t events
       = { on_instance_put, on_instance_removed, on_instances_synced,
           on_instances_reachability };
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
   belief_t *belief = sync->belief;
 
   (void)is_full_read;
   if (sync->instances == NULL)
-    sync->instances
-        = follow_create (belief->loop, belief->clock, sync->rows,
-                         rng_u64 (&belief->rng), &instances, &events, sync);
+    sync->instances = table_sync_create (belief->loop, belief->clock,
+                                         sync->rows, rng_u64 (&belief->rng),
+                                         &instances, &events, sync);
 }
 
 /* Retry the other tables at once when the store answers again.  */
 static void
 on_orders_reachability (void *arg, bool is_down)
 {
-  duties_t *sync = arg;
+  store_sync_t *sync = arg;
 
   record_reachability (sync, is_down);
   if (is_down)
     return;
-  follow_retry (sync->shared_rows);
+  table_sync_retry_now (sync->shared_rows);
   if (sync->instances != NULL)
-    follow_retry (sync->instances);
+    table_sync_retry_now (sync->instances);
 }
 
-duties_t *
-duties_create (belief_t *belief, rows_t *rows, share_t *peer_rows)
+store_sync_t *
+store_sync_create (belief_t *belief, rows_t *rows, peer_rows_t *peer_rows)
 {
-  static const follow_options_t orders
+  static const table_sync_options_t orders
       = { .table = ROWS_ORDERS,
           .name = "orders",
           .wait_ms = ORDERS_WAIT_MS,
           .timeout_slack_ms = ORDERS_TIMEOUT_SLACK_MS };
-  static const follow_events_t order_events
+  static const table_sync_events_t order_events
       = { on_order_put, on_order_removed, on_orders_synced,
           on_orders_reachability };
-  static const follow_options_t shared_rows
-      = { .table = ROWS_OWN,
+  static const table_sync_options_t shared_rows
+      = { .table = ROWS_SHARED,
           .name = "own",
           .wait_ms = SHARED_WAIT_MS,
           .retry_max_ms = OTHER_TABLES_RETRY_MAX_MS,
           .timeout_slack_ms = SHARED_TIMEOUT_SLACK_MS,
           .call_gap_ms = SHARED_CALL_GAP_MS };
-  static const follow_events_t shared_events
+  static const table_sync_events_t shared_events
       = { on_shared_put, on_shared_removed, on_shared_synced, NULL };
-  duties_t *sync = mem_zalloc (sizeof *sync);
+  store_sync_t *sync = mem_zalloc (sizeof *sync);
 
   sync->belief = belief;
   sync->rows = rows;
@@ -453,14 +453,14 @@
   sync->rollouts = rollouts_create (belief, rows, peer_rows);
   sync->loader = loader_create (belief->loop, belief->dialect->read_catalog,
                                 on_catalog, sync);
-  belief->orders
-      = follow_create (belief->loop, belief->clock, rows,
-                       rng_u64 (&belief->rng), &orders, &order_events, sync);
+  belief->orders = table_sync_create (belief->loop, belief->clock, rows,
+                                      rng_u64 (&belief->rng), &orders,
+                                      &order_events, sync);
   /* Read together with the orders: this table lists the gateways among which
      is the reader of the orders.  */
-  sync->shared_rows = follow_create (belief->loop, belief->clock, rows,
-                                     rng_u64 (&belief->rng), &shared_rows,
-                                     &shared_events, sync);
+  sync->shared_rows = table_sync_create (belief->loop, belief->clock, rows,
+                                         rng_u64 (&belief->rng), &shared_rows,
+                                         &shared_events, sync);
   uv_timer_init (belief->loop, &sync->tick);
   sync->tick.data = sync;
   uv_timer_start (&sync->tick, on_tick, rng_below (&belief->rng, TICK_MS) + 1,
@@ -469,10 +469,10 @@
 }
 
 void
-duties_stop (duties_t *sync)
+store_sync_stop (store_sync_t *sync)
 {
   if (sync->peer_rows != NULL)
-    share_leave (sync->peer_rows);
+    peer_rows_stop_serving (sync->peer_rows);
   if (sync->is_registered)
     write_registration (sync, true);
 }
@@ -484,15 +484,15 @@
 }
 
 void
-duties_destroy (duties_t *sync)
+store_sync_destroy (store_sync_t *sync)
 {
   if (sync == NULL)
     return;
-  follow_destroy (sync->belief->orders);
+  table_sync_destroy (sync->belief->orders);
   sync->belief->orders = NULL;
   loader_destroy (sync->loader);
-  follow_destroy (sync->instances);
-  follow_destroy (sync->shared_rows);
+  table_sync_destroy (sync->instances);
+  table_sync_destroy (sync->shared_rows);
   rollouts_destroy (sync->rollouts);
   sync->rows->ops->forget (sync->rows, sync);
   uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
--- a/packages/gateway/follow.c
+++ b/packages/gateway/follow.c
@@ -22,8 +22,8 @@
 {
   clock_iface_t *clock;
   rows_t *rows;
-  follow_options_t options;
-  follow_events_t events;
+  table_sync_options_t options;
+  table_sync_events_t events;
   void *arg;
   rng_t rng;
   uv_timer_t timer;
@@ -47,7 +47,7 @@
   uint64_t retry_delay_ms;
 };
 
-static void send_call (follow_t *sync);
+static void send_call (table_sync_t *sync);
 
 static void
 on_timer (uv_timer_t *timer)
@@ -56,13 +56,13 @@
 }
 
 static void
-schedule_call (follow_t *sync, uint64_t delay_ms)
+schedule_call (table_sync_t *sync, uint64_t delay_ms)
 {
   uv_timer_start (&sync->timer, on_timer, delay_ms, 0);
 }
 
 static void
-set_down (follow_t *sync, bool is_down, vh_code_t code)
+set_down (table_sync_t *sync, bool is_down, vh_code_t code)
 {
   if (sync->is_down == is_down)
     return;
@@ -80,7 +80,7 @@
 
 /* Schedule the next call after a call that failed with CODE.  */
 static void
-handle_failure (follow_t *sync, vh_code_t code)
+handle_failure (table_sync_t *sync, vh_code_t code)
 {
   if (code == VH_E_NOT_FOUND)
     {
@@ -102,7 +102,7 @@
 
 /* Report ROW and mark it as returned by the current read.  */
 static void
-apply_row (follow_t *sync, const rows_row_t *row)
+apply_row (table_sync_t *sync, const rows_row_t *row)
 {
   map_put (sync->row_marks, row->key, (void *)sync->read_number);
   sync->events.put (sync->arg, row);
@@ -110,7 +110,7 @@
 
 /* Report the rows that the completed read did not return as removed.  */
 static void
-report_removed (follow_t *sync)
+report_removed (table_sync_t *sync)
 {
   buf_t removed_keys = BUF_NULL;
   size_t cursor = 0;
@@ -136,15 +136,16 @@
 /* Record the confirmation by RESULT, whose call was sent at SENT_MS of the
    boot clock.  */
 static void
-record_confirmation (follow_t *sync, const rows_result_t *result,
+record_confirmation (table_sync_t *sync, const rows_result_t *result,
                      uint64_t sent_ms)
 {
   uint64_t now_ms = clock_boot_ms (sync->clock);
 
   if (result->direct)
-    store_clock_sample (&sync->store_clock, result->said_ms, sent_ms, now_ms);
+    store_clock_add_sample (&sync->store_clock, result->said_ms, sent_ms,
+                            now_ms);
   uint64_t store_answer_local_ms
-      = store_clock_local (&sync->store_clock, result->said_ms, now_ms);
+      = store_clock_to_local (&sync->store_clock, result->said_ms, now_ms);
   sync->is_confirmed = true;
   sync->confirmed_ms = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
   /* The table is confirmed as of both times, so the later one counts.  */
@@ -156,7 +157,7 @@
 }
 
 static void
-apply_page (follow_t *sync, const rows_result_t *result)
+apply_page (table_sync_t *sync, const rows_result_t *result)
 {
   if (sync->next_key.len == 0)
     {
@@ -184,7 +185,7 @@
 }
 
 static void
-apply_changes (follow_t *sync, const rows_result_t *result)
+apply_changes (table_sync_t *sync, const rows_result_t *result)
 {
   for (size_t i = 0; i < result->count; i++)
     {
@@ -205,7 +206,7 @@
 static void
 on_result (void *arg, vh_code_t code, const rows_result_t *result)
 {
-  follow_t *sync = arg;
+  table_sync_t *sync = arg;
 
   if (code != VH_OK)
     {
@@ -220,7 +221,7 @@
                  field_number (FIELD_ORDER, result->version),
                  field_number (FIELD_SEEN, sync->version));
       sync->next_key.len = 0;
-      schedule_call (sync, rng_jitter (&sync->rng, FOLLOW_RETRY_LAST_MS));
+      schedule_call (sync, rng_jitter (&sync->rng, TABLE_SYNC_RETRY_MAX_MS));
       return;
     }
   /* Report the end of an outage before the rows, because the callee treats
@@ -234,7 +235,7 @@
 
 /* Send the next read or watch call.  */
 static void
-send_call (follow_t *sync)
+send_call (table_sync_t *sync)
 {
   sync->sent_ms = clock_boot_ms (sync->clock);
   if (sync->is_reading)
@@ -252,18 +253,18 @@
     }
 }
 
-follow_t *
-follow_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
-               uint64_t seed, const follow_options_t *options,
-               const follow_events_t *events, void *arg)
+table_sync_t *
+table_sync_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
+                   uint64_t seed, const table_sync_options_t *options,
+                   const table_sync_events_t *events, void *arg)
 {
-  follow_t *sync = mem_zalloc (sizeof *sync);
+  table_sync_t *sync = mem_zalloc (sizeof *sync);
 
   sync->clock = clock;
   sync->rows = rows;
   sync->options = *options;
   if (sync->options.retry_max_ms == 0)
-    sync->options.retry_max_ms = FOLLOW_RETRY_LAST_MS;
+    sync->options.retry_max_ms = TABLE_SYNC_RETRY_MAX_MS;
   sync->events = *events;
   sync->arg = arg;
   sync->rng = rng_make (seed);
@@ -277,7 +278,7 @@
 }
 
 void
-follow_retry (follow_t *sync)
+table_sync_retry_now (table_sync_t *sync)
 {
   if (!sync->is_down)
     return;
@@ -291,7 +292,7 @@
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  follow_t *sync = handle->data;
+  table_sync_t *sync = handle->data;
 
   map_destroy (sync->row_marks);
   buf_free (&sync->next_key);
@@ -299,7 +300,7 @@
 }
 
 void
-follow_destroy (follow_t *sync)
+table_sync_destroy (table_sync_t *sync)
 {
   if (sync == NULL)
     return;
@@ -308,7 +309,7 @@
 }
 
 uint64_t
-follow_age_ms (const follow_t *sync)
+table_sync_age_ms (const table_sync_t *sync)
 {
   return !sync->is_confirmed
              ? UINT64_MAX
@@ -316,13 +317,13 @@
 }
 
 bool
-follow_down (const follow_t *sync)
+table_sync_is_down (const table_sync_t *sync)
 {
   return sync->is_down;
 }
 
 uint64_t
-follow_store_ms (const follow_t *sync)
+table_sync_store_now_ms (const table_sync_t *sync)
 {
   return sync->store_ms == 0
              ? 0
--- a/packages/gateway/follow.h
+++ b/packages/gateway/follow.h
@@ -14,8 +14,8 @@
    one already seen is stale: its rows are not applied, and it does not count
    as a confirmation.  */
 
-#ifndef GATEWAY_FOLLOW_H
-#define GATEWAY_FOLLOW_H
+#ifndef GATEWAY_TABLESYNC_H
+#define GATEWAY_TABLESYNC_H
 
 #include "base/clock.h"
 #include "base/rng.h"
@@ -23,13 +23,13 @@
 
 #include <uv.h>
 
-typedef struct table_sync follow_t;
+typedef struct table_sync table_sync_t;
 
 enum
 {
   /* Long enough not to load a store that is down: every call is charged for,
      refused calls too.  */
-  FOLLOW_RETRY_LAST_MS = 800
+  TABLE_SYNC_RETRY_MAX_MS = 800
 };
 
 typedef struct
@@ -43,9 +43,9 @@
      default.  */
   uint64_t call_gap_ms;
   /* Longest delay between calls while the store does not answer; 0:
-     FOLLOW_RETRY_LAST_MS.  */
+     TABLE_SYNC_RETRY_MAX_MS.  */
   uint64_t retry_max_ms;
-} follow_options_t;
+} table_sync_options_t;
 
 typedef struct
 {
@@ -58,25 +58,26 @@
   void (*synced) (void *arg, bool is_full_read);
   /* The store stopped answering (IS_DOWN) or answers again; may be NULL.  */
   void (*reachability) (void *arg, bool is_down);
-} follow_events_t;
+} table_sync_events_t;
 
 /* ROWS must outlive the result; OPTIONS and EVENTS are copied.  */
-follow_t *follow_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
-                         uint64_t seed, const follow_options_t *options,
-                         const follow_events_t *events, void *arg);
+table_sync_t *table_sync_create (uv_loop_t *loop, clock_iface_t *clock,
+                                 rows_t *rows, uint64_t seed,
+                                 const table_sync_options_t *options,
+                                 const table_sync_events_t *events, void *arg);
 /* NULL is accepted.  */
-void follow_destroy (follow_t *sync);
+void table_sync_destroy (table_sync_t *sync);
 /* Send the next call at once if calls are failing, because the store was seen
    to answer other calls.  */
-void follow_retry (follow_t *sync);
+void table_sync_retry_now (table_sync_t *sync);
 
 /* Milliseconds since the last confirmation, by a clock that also runs while
    the machine is suspended; UINT64_MAX before the first confirmation.  */
-uint64_t follow_age_ms (const follow_t *sync);
+uint64_t table_sync_age_ms (const table_sync_t *sync);
 /* Return whether the last call failed.  */
-bool follow_down (const follow_t *sync);
+bool table_sync_is_down (const table_sync_t *sync);
 /* Estimate of the store's steady clock now, in ms; 0 before the first
    answer.  */
-uint64_t follow_store_ms (const follow_t *sync);
+uint64_t table_sync_store_now_ms (const table_sync_t *sync);
 
 #endif
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -26,8 +26,8 @@
   httpd_t *front;
   httpd_t *ready;
   httpd_t *admin;
-  share_t *share; /* NULL: each entry asks the store.  */
-  duties_t *duties;
+  peer_rows_t *share; /* NULL: each entry asks the store.  */
+  store_sync_t *duties;
   uv_timer_t watch;
   bool over;
   size_t cut;
@@ -82,7 +82,7 @@
      the one in force ages from the moment at which that came.  */
   if (belief_reading_for_ms (belief) > bound_ms / 2)
     return false;
-  return follow_age_ms (belief->orders) <= bound_ms;
+  return table_sync_age_ms (belief->orders) <= bound_ms;
 }
 
 static void
@@ -134,7 +134,7 @@
 set_gauges (gateway_t *gateway)
 {
   belief_t *belief = &gateway->belief;
-  uint64_t age_ms = follow_age_ms (belief->orders);
+  uint64_t age_ms = table_sync_age_ms (belief->orders);
   size_t cursor = 0;
   str_t service;
   void *value;
@@ -185,9 +185,10 @@
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
-      set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
-                 "Share of the requests for the ordered version.",
-                 trial_share (value, follow_store_ms (belief->orders)));
+      set_gauge (
+          gateway, "vanillahook_gateway_rollout_share", labels.ptr,
+          "Share of the requests for the ordered version.",
+          trial_share (value, table_sync_store_now_ms (belief->orders)));
       buf_free (&labels);
     }
 }
@@ -267,7 +268,7 @@
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
   belief_t *belief = &gateway->belief;
-  const share_options_t options
+  const peer_rows_options_t options
       = { .name = belief->options.name,
           .zone = belief->options.zone,
           .listen = belief->options.rpc,
@@ -278,10 +279,10 @@
   if (options.listen.len == 0)
     return VH_OK;
   vh_code_t code
-      = share_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
-                      *rows, &options, &gateway->share);
+      = peer_rows_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
+                          *rows, &options, &gateway->share);
   if (code == VH_OK)
-    *rows = share_rows (gateway->share);
+    *rows = peer_rows_iface (gateway->share);
   return code;
 }
 
@@ -332,8 +333,8 @@
   httpd_destroy (gateway->ready);
   httpd_destroy (gateway->admin);
   billing_destroy (gateway->belief.bills);
-  duties_destroy (gateway->duties);
-  share_destroy (gateway->share);
+  store_sync_destroy (gateway->duties);
+  peer_rows_destroy (gateway->share);
   reach_destroy (gateway->belief.reach);
   free_beliefs (&gateway->belief);
   uv_close ((uv_handle_t *)&gateway->watch, on_watch_closed);
@@ -373,7 +374,7 @@
   if (belief->stopping_ms != 0)
     return;
   belief->stopping_ms = clock_ms (belief->clock);
-  duties_stop (gateway->duties);
+  store_sync_stop (gateway->duties);
   log_event (EVENT_STOP,
              field_number (FIELD_IN_FLIGHT, httpd_in_flight (gateway->front)));
   uv_timer_start (&gateway->watch, on_watch, WATCH_MS, WATCH_MS);
@@ -443,7 +444,7 @@
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = duties_create (belief, rows, gateway->share);
+  gateway->duties = store_sync_create (belief, rows, gateway->share);
   belief->bills = billing_create (loop, rows, belief->options.name,
                                   rng_u64 (&belief->rng));
   if (code != VH_OK)
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -49,16 +49,16 @@
   gateway_options_t options;
   rng_t rng;
   pool_t *pool;
-  reach_t *reach;      /* Looks at silent instances of POOL.  */
-  catalog_t *catalog;  /* NULL until one is known.  */
-  uint64_t reading_ms; /* Since when a later one is being read, by boot time;
-                          0: none is.  */
-  map_t *trials;       /* Service to trial_t.  */
-  map_t *allowances;   /* Service to allowance_t.  */
-  map_t *escalations;  /* Service to escalation_t.  */
-  allotment_t *fleet;  /* Entries that share what all may use.  */
-  uint32_t entries;    /* How many these are, as the allowances know.  */
-  follow_t *orders;    /* Tells how old the configuration is.  */
+  reach_t *reach;       /* Looks at silent instances of POOL.  */
+  catalog_t *catalog;   /* NULL until one is known.  */
+  uint64_t reading_ms;  /* Since when a later one is being read, by boot time;
+                           0: none is.  */
+  map_t *trials;        /* Service to trial_t.  */
+  map_t *allowances;    /* Service to allowance_t.  */
+  map_t *escalations;   /* Service to escalation_t.  */
+  allotment_t *fleet;   /* Entries that share what all may use.  */
+  uint32_t entries;     /* How many these are, as the allowances know.  */
+  table_sync_t *orders; /* Tells how old the configuration is.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   tally_t *tally;
@@ -79,7 +79,7 @@
 enum
 {
   /* A write that the store is silent on for so long may have been done.  */
-  DUTIES_COMMIT_MS = 2000
+  STORE_SYNC_COMMIT_TIMEOUT_MS = 2000
 };
 
 /* Split KEY of a row that entries share at its first slash; *REST is empty
@@ -95,13 +95,14 @@
 }
 
 /* Duties: follows the store and does what entries do together.  */
-typedef struct duties duties_t;
+typedef struct duties store_sync_t;
 
 /* SHARE may be NULL.  */
-duties_t *duties_create (belief_t *belief, rows_t *rows, share_t *share);
+store_sync_t *store_sync_create (belief_t *belief, rows_t *rows,
+                                 peer_rows_t *share);
 /* A planned stop begins: the other entries need not count on this one.  */
-void duties_stop (duties_t *duties);
-void duties_destroy (duties_t *duties);
+void store_sync_stop (store_sync_t *duties);
+void store_sync_destroy (store_sync_t *duties);
 
 /* Extra sends of SERVICE; made on first use.  */
 allowance_t *belief_allowance (belief_t *belief, str_t service);
--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -13,7 +13,7 @@
 struct loader
 {
   uv_loop_t *loop;
-  loader_read_t parse;
+  loader_parse_t parse;
   loader_cb_t cb;
   void *arg;
   bool is_destroyed; /* loader_destroy was called while a text was parsed.  */
@@ -96,11 +96,11 @@
 }
 
 void
-loader_take (loader_t *loader, str_t text, bool is_first)
+loader_submit (loader_t *loader, str_t text, bool is_first)
 {
   catalog_t *catalog = NULL;
 
-  if (!loader->is_parsing && (is_first || text.len < LOADER_LONG))
+  if (!loader->is_parsing && (is_first || text.len < LOADER_ASYNC_BYTES_MIN))
     {
       vh_code_t code = loader->parse (text, NULL, &catalog);
       loader->cb (loader->arg, code, catalog, text.len);
@@ -113,13 +113,14 @@
 }
 
 bool
-loader_busy (const loader_t *loader)
+loader_is_busy (const loader_t *loader)
 {
   return loader->is_parsing || loader->next.len > 0;
 }
 
 loader_t *
-loader_create (uv_loop_t *loop, loader_read_t parse, loader_cb_t cb, void *arg)
+loader_create (uv_loop_t *loop, loader_parse_t parse, loader_cb_t cb,
+               void *arg)
 {
   loader_t *loader = mem_zalloc (sizeof *loader);
 
--- a/packages/gateway/loader.h
+++ b/packages/gateway/loader.h
@@ -26,30 +26,30 @@
 {
   /* Length in bytes from which a text is parsed on the thread pool.  A tenth
      of a core parses a shorter one in less than 40 ms.  */
-  LOADER_LONG = 32768
+  LOADER_ASYNC_BYTES_MIN = 32768
 };
 
 typedef struct loader loader_t;
 
 /* Parse TEXT into *OUT, which the caller owns; may run on any thread.  PAUSE
    is called after each half millisecond of work; NULL: no pauses.  */
-typedef vh_code_t (*loader_read_t) (str_t text, void (*pause) (void),
-                                    catalog_t **out);
+typedef vh_code_t (*loader_parse_t) (str_t text, void (*pause) (void),
+                                     catalog_t **out);
 /* A text of LEN bytes was parsed.  With VH_OK the callee owns CATALOG; any
    other CODE tells why the text is invalid.  */
 typedef void (*loader_cb_t) (void *arg, vh_code_t code, catalog_t *catalog,
                              size_t len);
 
-loader_t *loader_create (uv_loop_t *loop, loader_read_t parse, loader_cb_t cb,
+loader_t *loader_create (uv_loop_t *loop, loader_parse_t parse, loader_cb_t cb,
                          void *arg);
 /* The callback is not called any more; NULL is accepted.  */
 void loader_destroy (loader_t *loader);
 /* Parse TEXT, which is copied.  A short text is parsed before the function
    returns, and so is any text if IS_FIRST, unless another text is being
    parsed.  */
-void loader_take (loader_t *loader, str_t text, bool is_first);
+void loader_submit (loader_t *loader, str_t text, bool is_first);
 /* Return whether a text is being parsed or waits; may be called from the
    callback.  */
-bool loader_busy (const loader_t *loader);
+bool loader_is_busy (const loader_t *loader);
 
 #endif
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -84,7 +84,8 @@
 
   if (trial != NULL)
     trial_time (trial, relay_arm (relay), trial_route (relay), timing,
-                relay->load, ms, follow_store_ms (relay->belief->orders));
+                relay->load, ms,
+                table_sync_store_now_ms (relay->belief->orders));
 }
 
 /* Let go of the present send.  */
@@ -142,7 +143,7 @@
 {
   belief_t *belief = relay->belief;
   const log_event_info_t *info = log_event_info (event);
-  uint64_t age_ms = follow_age_ms (belief->orders);
+  uint64_t age_ms = table_sync_age_ms (belief->orders);
   str_t route
       = relay->terms.route != NULL ? relay->terms.route->name : STR ("-");
   str_t team = relay->terms.team != NULL ? relay->terms.team->name : STR ("-");
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -48,7 +48,7 @@
 few_of (const relay_t *relay, const trial_t *trial)
 {
   const belief_t *belief = relay->belief;
-  double share = trial_share (trial, follow_store_ms (belief->orders));
+  double share = trial_share (trial, table_sync_store_now_ms (belief->orders));
   size_t old = pool_count (belief->pool, relay->terms.service->name, ARM_OLD,
                            trial_version (trial), SIZE_MAX);
   size_t few = (size_t)ceil (share * (double)old / crowding);
@@ -77,7 +77,8 @@
       break;
     case TRIAL_RUNNING:
       if (trial_choose (trial, relay->terms.session,
-                        follow_store_ms (belief->orders), &relay->on_trial)
+                        table_sync_store_now_ms (belief->orders),
+                        &relay->on_trial)
               == TRIAL_NEW
           && has_version (relay, want->version))
         {
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -23,7 +23,7 @@
 {
   belief_t *belief;
   rows_t *rows;
-  share_t *share;
+  peer_rows_t *share;
   bool is_commit_pending; /* A write of a state row has no answer yet.  */
   /* Monotonic time since which a state row is due to be written; 0: none.  */
   uint64_t write_due_ms;
@@ -88,7 +88,8 @@
 }
 
 void
-rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row)
+rollouts_apply_state_row (rollouts_t *rollouts, str_t service,
+                          const rows_row_t *row)
 {
   state_row_t *state_row = map_get (rollouts->state_rows, service);
 
@@ -114,7 +115,7 @@
 }
 
 void
-rollouts_order (rollouts_t *rollouts, const rows_row_t *row)
+rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row)
 {
   belief_t *belief = rollouts->belief;
   rollout_order_t order;
@@ -139,7 +140,7 @@
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
-      trial_set_seen (trial, follow_store_ms (belief->orders));
+      trial_set_seen (trial, table_sync_store_now_ms (belief->orders));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -151,7 +152,8 @@
 }
 
 void
-rollouts_evidence (rollouts_t *rollouts, str_t key, bool is_direct, str_t text)
+rollouts_apply_evidence (rollouts_t *rollouts, str_t key, bool is_direct,
+                         str_t text)
 {
   str_t rest;
   str_t gateway;
@@ -169,7 +171,7 @@
 static void
 on_evidence_received (void *arg, str_t key, str_t value)
 {
-  rollouts_evidence (arg, key, true, value);
+  rollouts_apply_evidence (arg, key, true, value);
 }
 
 static void
@@ -188,7 +190,7 @@
 static bool
 is_decider (const rollouts_t *rollouts)
 {
-  return rollouts->share == NULL || share_reads (rollouts->share);
+  return rollouts->share == NULL || peer_rows_is_reader (rollouts->share);
 }
 
 /* Return whether this gateway is to write a state row now.  All gateways come
@@ -233,7 +235,7 @@
   pool_write_withdrawn (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
-  writes[0].table = ROWS_OWN;
+  writes[0].table = ROWS_SHARED;
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
   writes[0].conditional = true;
@@ -242,8 +244,9 @@
   writes[1].key = buf_str (&status_key);
   writes[1].value = buf_str (&status);
   rollouts->is_commit_pending = true;
-  rollouts->rows->ops->commit (rollouts->rows, writes, 2, DUTIES_COMMIT_MS,
-                               on_state_written, rollouts);
+  rollouts->rows->ops->commit (rollouts->rows, writes, 2,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS, on_state_written,
+                               rollouts);
   buf_free (&key);
   buf_free (&value);
   buf_free (&status_key);
@@ -271,7 +274,8 @@
 /* List the evidence on running roll-outs that is sent to the reader.  With
    IS_RELAY it includes the evidence that other gateways sent to this one.  */
 static size_t
-list_evidence (void *arg, bool is_relay, share_item_t *items, size_t items_max)
+list_evidence (void *arg, bool is_relay, peer_rows_item_t *items,
+               size_t items_max)
 {
   rollouts_t *rollouts = arg;
   size_t count = 0;
@@ -302,10 +306,11 @@
 
   append_evidence_key (rollouts, service, &key);
   trial_write (trial, true, &value);
-  rows_write_t write = { .table = ROWS_OWN,
+  rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value) };
-  rollouts->rows->ops->commit (rollouts->rows, &write, 1, DUTIES_COMMIT_MS,
+  rollouts->rows->ops->commit (rollouts->rows, &write, 1,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS,
                                on_evidence_written, rollouts);
   buf_free (&key);
   buf_free (&value);
@@ -315,8 +320,8 @@
 static void
 evaluate_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
-  bool is_isolated = follow_down (rollouts->belief->orders);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->orders);
+  bool is_isolated = table_sync_is_down (rollouts->belief->orders);
   buf_t reason = BUF_NULL;
 
   /* A gateway that cannot reach the store judges its own evidence.  */
@@ -351,7 +356,7 @@
 tick_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->orders);
 
   if (trial_start (trial) == 0)
     {
@@ -390,9 +395,9 @@
 }
 
 rollouts_t *
-rollouts_create (belief_t *belief, rows_t *rows, share_t *share)
+rollouts_create (belief_t *belief, rows_t *rows, peer_rows_t *share)
 {
-  static const share_news_t piggyback
+  static const peer_rows_piggyback_t piggyback
       = { list_evidence, on_evidence_received };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
 
@@ -401,7 +406,7 @@
   rollouts->share = share;
   rollouts->state_rows = map_create ();
   if (share != NULL)
-    share_set_news (share, &piggyback, rollouts);
+    peer_rows_set_piggyback (share, &piggyback, rollouts);
   return rollouts;
 }
 
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -16,19 +16,21 @@
 
 /* BELIEF, ROWS and SHARE must outlive the result.  SHARE is NULL when this
    gateway calls the store itself.  */
-rollouts_t *rollouts_create (belief_t *belief, rows_t *rows, share_t *share);
+rollouts_t *rollouts_create (belief_t *belief, rows_t *rows,
+                             peer_rows_t *share);
 void rollouts_destroy (rollouts_t *rollouts);
 
 /* Apply an operator's order, read from the store as ROW.  */
-void rollouts_order (rollouts_t *rollouts, const rows_row_t *row);
+void rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row);
 /* Apply the state row of SERVICE's roll-out, which may be read before the
    order for the roll-out.  */
-void rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row);
+void rollouts_apply_state_row (rollouts_t *rollouts, str_t service,
+                               const rows_row_t *row);
 /* Apply the evidence TEXT under KEY, which is evidence/SERVICE/GATEWAY.
    IS_DIRECT: the gateway sent the evidence to this one; false: the evidence
    was read from the store.  */
-void rollouts_evidence (rollouts_t *rollouts, str_t key, bool is_direct,
-                        str_t text);
+void rollouts_apply_evidence (rollouts_t *rollouts, str_t key, bool is_direct,
+                              str_t text);
 /* Take the steps that are due.  IS_SECOND: a second has passed since the last
    call with IS_SECOND.  */
 void rollouts_tick (rollouts_t *rollouts, bool is_second);
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -150,8 +150,8 @@
 }
 
 void
-rowcache_take (rowcache_t *cache, const rowcache_answer_t *call,
-               const rows_result_t *result)
+rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *call,
+                       const rows_result_t *result)
 {
   if (call->is_read && call->is_first_page)
     {
@@ -178,13 +178,13 @@
 }
 
 void
-rowcache_lost (rowcache_t *cache)
+rowcache_set_down (rowcache_t *cache)
 {
   cache->is_down = true;
 }
 
 void
-rowcache_forget (rowcache_t *cache)
+rowcache_set_incomplete (rowcache_t *cache)
 {
   cache->is_complete = false;
 }
@@ -202,13 +202,13 @@
 }
 
 bool
-rowcache_reaches (const rowcache_t *cache, uint64_t after)
+rowcache_has_history (const rowcache_t *cache, uint64_t after)
 {
   return after >= cache->history_floor;
 }
 
 bool
-rowcache_has_news (const rowcache_t *cache, uint64_t after)
+rowcache_has_changes (const rowcache_t *cache, uint64_t after)
 {
   size_t cursor = 0;
   str_t key;
@@ -329,8 +329,8 @@
 }
 
 void
-rowcache_tell (rowcache_t *cache, uint64_t after, bool is_whole,
-               wire_rows_res_t *result)
+rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool is_whole,
+                     wire_rows_res_t *result)
 {
   uint64_t boot_ms = clock_boot_ms (cache->clock);
   const packed_answer_t *packed = find_packed_answer (cache, after, is_whole);
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -21,7 +21,7 @@
   bool is_read;       /* A read of rows; false: a watch for changes.  */
   bool is_first_page; /* Of a read of the whole table.  */
   uint64_t sent_ms;   /* Time of the call, in ms of the boot clock.  */
-} rowcache_answer_t;
+} rowcache_call_t;
 
 rowcache_t *rowcache_create (clock_iface_t *clock);
 /* NULL is accepted.  */
@@ -29,29 +29,30 @@
 
 /* Apply the answer RESULT to CALL.  Changes of a store version lower than the
    cached one are ignored.  */
-void rowcache_take (rowcache_t *cache, const rowcache_answer_t *call,
-                    const rows_result_t *result);
-/* Record that the store did not answer; rowcache_take records that it did.  */
-void rowcache_lost (rowcache_t *cache);
+void rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *call,
+                            const rows_result_t *result);
+/* Record that the store did not answer; rowcache_apply_answer records that it
+ * did.  */
+void rowcache_set_down (rowcache_t *cache);
 /* Mark the table as incomplete until the next read of the whole table, because
    the store no longer has the history of changes.  */
-void rowcache_forget (rowcache_t *cache);
+void rowcache_set_incomplete (rowcache_t *cache);
 
 /* Return whether the store did not answer the last call.  */
 bool rowcache_is_down (const rowcache_t *cache);
 /* Return whether all rows of the table are known.  */
 bool rowcache_is_complete (const rowcache_t *cache);
 /* Return whether all deletions after version AFTER are known.  */
-bool rowcache_reaches (const rowcache_t *cache, uint64_t after);
+bool rowcache_has_history (const rowcache_t *cache, uint64_t after);
 /* Return whether a row changed after version AFTER.  */
-bool rowcache_has_news (const rowcache_t *cache, uint64_t after);
+bool rowcache_has_changes (const rowcache_t *cache, uint64_t after);
 
 /* Fill RESULT with the rows that changed after version AFTER, or with all live
    rows if IS_WHOLE.  Many rows are packed into one deflated string.  The
    caller frees the array of rows, but not the strings in it; the packed string
    is borrowed until the next call.  */
-void rowcache_tell (rowcache_t *cache, uint64_t after, bool is_whole,
-                    struct wire_rows_res_t *result);
+void rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool is_whole,
+                          struct wire_rows_res_t *result);
 
 /* Unpack the rows in PACKED, which inflates to PLAIN_LEN bytes, into LIST; the
    caller releases LIST with xdr_free.  Return VH_E_PROTOCOL and an empty list
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -24,7 +24,7 @@
   ROWS_ORDERS,    /* Configuration and operators' orders; read only.  */
   ROWS_INSTANCES, /* Registrations of upstream instances; read only.  */
   ROWS_STATUS,    /* Status reports of gateways to operators.  */
-  ROWS_OWN,       /* Rows that gateways share with each other.  */
+  ROWS_SHARED,    /* Rows that gateways share with each other.  */
   ROWS_BILLS      /* Batches of billing records; written only.  */
 } rows_table_t;
 
--- a/packages/gateway/share.c
+++ b/packages/gateway/share.c
@@ -12,7 +12,7 @@
 
 enum
 {
-  TABLE_COUNT = ROWS_OWN + 1,
+  TABLE_COUNT = ROWS_SHARED + 1,
   TICK_MS = 100,
   /* Longest time that a reader holds a watch call of a gateway.  Short against
      the age up to which a confirmation is trusted.  */
@@ -46,7 +46,7 @@
 typedef struct
 {
   list_t link;
-  share_t *peer_rows;
+  peer_rows_t *peer_rows;
   rows_table_t table;
   bool is_read;
   bool is_first_page;
@@ -94,7 +94,7 @@
   rpc_server_t *server;
   readers_t *readers;
   map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
-  share_news_t piggyback;
+  peer_rows_piggyback_t piggyback;
   void *piggyback_arg;
   rowcache_t *caches[TABLE_COUNT]; /* By rows_table_t.  */
   list_t pending;                  /* Calls of this gateway.  */
@@ -104,12 +104,12 @@
 };
 
 static uint64_t
-boot_ms (const share_t *peer_rows)
+boot_ms (const peer_rows_t *peer_rows)
 {
   return clock_boot_ms (peer_rows->clock);
 }
 
-static void answer_watches (share_t *peer_rows, rows_table_t table);
+static void answer_watches (peer_rows_t *peer_rows, rows_table_t table);
 
 /* Apply RESULT, the answer of the store or of a reader to the call PENDING
    sent at boot time SENT_MS, to the cache of its table.  */
@@ -117,19 +117,19 @@
 apply_result (const pending_call_t *pending, uint64_t sent_ms,
               const rows_result_t *result)
 {
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
   rowcache_t *cache = peer_rows->caches[pending->table];
-  const rowcache_answer_t answer = { .is_read = pending->is_read,
-                                     .is_first_page = pending->is_first_page,
-                                     .sent_ms = sent_ms };
+  const rowcache_call_t answer = { .is_read = pending->is_read,
+                                   .is_first_page = pending->is_first_page,
+                                   .sent_ms = sent_ms };
 
-  rowcache_take (cache, &answer, result);
+  rowcache_apply_answer (cache, &answer, result);
   if (rowcache_is_complete (cache))
     answer_watches (peer_rows, pending->table);
 }
 
 bool
-share_reads (share_t *peer_rows)
+peer_rows_is_reader (peer_rows_t *peer_rows)
 {
   void *owner;
 
@@ -142,12 +142,12 @@
 /* Answer REQUEST with the rows of TABLE that changed after version AFTER, or
    with all live rows if IS_WHOLE.  */
 static void
-reply_rows (share_t *peer_rows, rpc_request_t *request, rows_table_t table,
+reply_rows (peer_rows_t *peer_rows, rpc_request_t *request, rows_table_t table,
             uint64_t after, bool is_whole)
 {
   wire_rows_res_t result;
 
-  rowcache_tell (peer_rows->caches[table], after, is_whole, &result);
+  rowcache_fill_reply (peer_rows->caches[table], after, is_whole, &result);
   rpc_reply (request, &result);
   free (result.rows.rows_val);
 }
@@ -161,14 +161,14 @@
 }
 
 static void
-finish_watch (share_t *peer_rows, watch_request_t *watch)
+finish_watch (peer_rows_t *peer_rows, watch_request_t *watch)
 {
   const rowcache_t *cache = peer_rows->caches[watch->table];
 
   list_remove (&watch->link);
   if (rowcache_is_down (cache) || peer_rows->is_stopping)
     reply_code (watch->request, VH_E_STORE_DOWN);
-  else if (!rowcache_reaches (cache, watch->after))
+  else if (!rowcache_has_history (cache, watch->after))
     reply_code (watch->request, VH_E_NOT_FOUND);
   else
     reply_rows (peer_rows, watch->request, watch->table, watch->after, false);
@@ -176,13 +176,13 @@
 }
 
 static void
-answer_watches (share_t *peer_rows, rows_table_t table)
+answer_watches (peer_rows_t *peer_rows, rows_table_t table)
 {
   LIST_EACH (at, &peer_rows->watches)
     {
       watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
       if (watch->table == table
-          && rowcache_has_news (peer_rows->caches[table], watch->after))
+          && rowcache_has_changes (peer_rows->caches[table], watch->after))
         finish_watch (peer_rows, watch);
     }
 }
@@ -191,7 +191,7 @@
    other gateways in turn.  At most two gateways relay an answer of the store,
    because rows age on the way.  */
 static bool
-may_answer (share_t *peer_rows, bool is_relay)
+may_answer (peer_rows_t *peer_rows, bool is_relay)
 {
   void *owner;
 
@@ -213,7 +213,7 @@
 
 /* Pass on the data piggybacked on CALL.  */
 static void
-receive_piggyback (const share_t *peer_rows, const wire_rows_args_t *call)
+receive_piggyback (const peer_rows_t *peer_rows, const wire_rows_args_t *call)
 {
   for (u_int i = 0;
        i < call->news.news_len && peer_rows->piggyback.receive != NULL; i++)
@@ -228,7 +228,7 @@
 static void
 on_request (void *arg, rpc_request_t *request, uint32_t proc, void *args)
 {
-  share_t *peer_rows = arg;
+  peer_rows_t *peer_rows = arg;
   const wire_rows_args_t *call = args;
 
   if (proc != WIRE_ROWS || call->table >= TABLE_COUNT)
@@ -245,9 +245,9 @@
     reply_code (request, VH_E_STORE_DOWN);
   else if (call->whole)
     reply_rows (peer_rows, request, call->table, 0, true);
-  else if (!rowcache_reaches (cache, call->after))
+  else if (!rowcache_has_history (cache, call->after))
     reply_code (request, VH_E_NOT_FOUND);
-  else if (call->wait_ms == 0 || rowcache_has_news (cache, call->after))
+  else if (call->wait_ms == 0 || rowcache_has_changes (cache, call->after))
     reply_rows (peer_rows, request, call->table, call->after, false);
   else
     {
@@ -260,12 +260,12 @@
     }
 }
 
-static void hedge_late_calls (share_t *peer_rows, uint64_t now_ms);
+static void hedge_late_calls (peer_rows_t *peer_rows, uint64_t now_ms);
 
 static void
 on_tick (uv_timer_t *timer)
 {
-  share_t *peer_rows = timer->data;
+  peer_rows_t *peer_rows = timer->data;
   uint64_t now_ms = clock_ms (peer_rows->clock);
 
   hedge_late_calls (peer_rows, now_ms);
@@ -311,7 +311,7 @@
 record_reader_failure (const pending_call_t *pending, vh_code_t code,
                        bool is_silent)
 {
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
 
   log_event (
       EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
@@ -325,17 +325,17 @@
 on_store_answer (void *arg, vh_code_t code, const rows_result_t *result)
 {
   pending_call_t *pending = arg;
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
   rowcache_t *cache = peer_rows->caches[pending->table];
 
   pending->store_state = STORE_ANSWERED;
   if (code == VH_OK)
     apply_result (pending, pending->store_sent_ms, result);
   else if (code == VH_E_NOT_FOUND)
-    rowcache_forget (cache);
+    rowcache_set_incomplete (cache);
   else
     {
-      rowcache_lost (cache);
+      rowcache_set_down (cache);
       readers_store_said (peer_rows->readers, false);
       if (pending->rpc_call != NULL)
         return;
@@ -351,7 +351,7 @@
 static void
 call_store (pending_call_t *pending, str_t from)
 {
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
   uint64_t wait_ms = pending->wait_ms;
 
   pending->store_state = STORE_CALLED;
@@ -451,7 +451,7 @@
 static void
 call_next_reader (pending_call_t *pending)
 {
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
   gateway_peer_t *next = readers_next (peer_rows->readers);
 
   if (next != NULL && pending->readers_tried < READERS_TRIED_MAX
@@ -465,7 +465,7 @@
       call_store (pending, STR (""));
       return;
     }
-  rowcache_lost (peer_rows->caches[pending->table]);
+  rowcache_set_down (peer_rows->caches[pending->table]);
   finish_call (pending, VH_E_STORE_DOWN, NULL);
 }
 
@@ -501,7 +501,7 @@
 /* Call the store too for each call that its reader should have answered by
    now.  */
 static void
-hedge_late_calls (share_t *peer_rows, uint64_t now_ms)
+hedge_late_calls (peer_rows_t *peer_rows, uint64_t now_ms)
 {
   LIST_EACH (at, &peer_rows->pending)
     {
@@ -518,11 +518,11 @@
 call_reader (pending_call_t *pending, gateway_peer_t *gateway, bool is_relay)
 {
   static const rpc_peer_events_t no_events = { NULL, NULL };
-  share_t *peer_rows = pending->peer_rows;
+  peer_rows_t *peer_rows = pending->peer_rows;
   uint64_t wait_max_ms = is_relay ? RELAYED_WATCH_WAIT_MS : WATCH_WAIT_MS;
   uint64_t wait_ms
       = pending->wait_ms < wait_max_ms ? pending->wait_ms : wait_max_ms;
-  share_item_t items[WIRE_NEWS_MAX] = { 0 };
+  peer_rows_item_t items[WIRE_NEWS_MAX] = { 0 };
   wire_news_t news[WIRE_NEWS_MAX];
   size_t count = 0;
 
@@ -534,7 +534,7 @@
       call_store (pending, STR (""));
       return;
     }
-  if (pending->table == ROWS_OWN && peer_rows->piggyback.list != NULL)
+  if (pending->table == ROWS_SHARED && peer_rows->piggyback.list != NULL)
     count = peer_rows->piggyback.list (peer_rows->piggyback_arg, is_relay,
                                        items, WIRE_NEWS_MAX);
   for (size_t i = 0; i < count; i++)
@@ -583,7 +583,7 @@
 }
 
 static pending_call_t *
-pending_call_create (share_t *peer_rows, rows_table_t table,
+pending_call_create (peer_rows_t *peer_rows, rows_table_t table,
                      uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
   pending_call_t *pending = mem_zalloc (sizeof *pending);
@@ -602,7 +602,7 @@
 peer_rows_read (rows_t *rows, rows_table_t table, str_t from,
                 uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *peer_rows = (share_t *)rows;
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
   pending_call_t *pending
       = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
 
@@ -616,7 +616,7 @@
                  uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb,
                  void *arg)
 {
-  share_t *peer_rows = (share_t *)rows;
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
   pending_call_t *pending
       = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
 
@@ -629,7 +629,7 @@
 peer_rows_commit (rows_t *rows, const rows_write_t *writes, size_t count,
                   uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *peer_rows = (share_t *)rows;
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
 
   peer_rows->store->ops->commit (peer_rows->store, writes, count, timeout_ms,
                                  cb, arg);
@@ -638,7 +638,7 @@
 static void
 peer_rows_cancel (rows_t *rows, const void *arg)
 {
-  share_t *peer_rows = (share_t *)rows;
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
 
   LIST_EACH (at, &peer_rows->pending)
     {
@@ -649,7 +649,7 @@
   peer_rows->store->ops->forget (peer_rows->store, arg);
 }
 
-/* The interface is part of share_t and is released with it.  */
+/* The interface is part of peer_rows_t and is released with it.  */
 static void
 peer_rows_release (rows_t *rows)
 {
@@ -668,7 +668,7 @@
 }
 
 void
-share_remove (share_t *peer_rows, str_t name)
+peer_rows_remove_gateway (peer_rows_t *peer_rows, str_t name)
 {
   gateway_peer_t *gateway = map_remove (peer_rows->gateways, name);
 
@@ -678,8 +678,8 @@
 }
 
 void
-share_put (share_t *peer_rows, str_t name, str_t zone, str_t address,
-           uint32_t link_mbps)
+peer_rows_add_gateway (peer_rows_t *peer_rows, str_t name, str_t zone,
+                       str_t address, uint32_t link_mbps)
 {
   gateway_peer_t *gateway = map_get (peer_rows->gateways, name);
 
@@ -687,7 +687,7 @@
     return;
   if (gateway != NULL && str_eq (str_from (gateway->address), address))
     return;
-  share_remove (peer_rows, name);
+  peer_rows_remove_gateway (peer_rows, name);
   gateway = mem_zalloc (sizeof *gateway);
   gateway->name = str_dup (name);
   gateway->address = str_dup (address);
@@ -696,27 +696,28 @@
 }
 
 void
-share_leave (share_t *peer_rows)
+peer_rows_stop_serving (peer_rows_t *peer_rows)
 {
   peer_rows->is_stopping = true;
   readers_leave (peer_rows->readers);
 }
 
 void
-share_set_news (share_t *peer_rows, const share_news_t *piggyback, void *arg)
+peer_rows_set_piggyback (peer_rows_t *peer_rows,
+                         const peer_rows_piggyback_t *piggyback, void *arg)
 {
   peer_rows->piggyback = *piggyback;
   peer_rows->piggyback_arg = arg;
 }
 
 rows_t *
-share_rows (share_t *peer_rows)
+peer_rows_iface (peer_rows_t *peer_rows)
 {
   return &peer_rows->base;
 }
 
 uint16_t
-share_port (const share_t *peer_rows)
+peer_rows_port (const peer_rows_t *peer_rows)
 {
   return rpc_server_port (peer_rows->server);
 }
@@ -738,14 +739,15 @@
 }
 
 vh_code_t
-share_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
-              rows_t *store, const share_options_t *options, share_t **out)
+peer_rows_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
+                  rows_t *store, const peer_rows_options_t *options,
+                  peer_rows_t **out)
 {
   static const rows_ops_t ops
       = { peer_rows_read, peer_rows_watch, peer_rows_commit, peer_rows_cancel,
           peer_rows_release };
   static const rpc_hooks_t hooks = { on_outgoing, on_incoming };
-  share_t *peer_rows = mem_zalloc (sizeof *peer_rows);
+  peer_rows_t *peer_rows = mem_zalloc (sizeof *peer_rows);
 
   peer_rows->base.ops = &ops;
   peer_rows->clock = clock;
@@ -776,7 +778,7 @@
 }
 
 void
-share_destroy (share_t *peer_rows)
+peer_rows_destroy (peer_rows_t *peer_rows)
 {
   size_t cursor = 0;
   str_t key;
--- a/packages/gateway/share.h
+++ b/packages/gateway/share.h
@@ -22,15 +22,15 @@
    caller adds the time since it sent its call, so rows never look more recent
    than they are.  */
 
-#ifndef GATEWAY_SHARE_H
-#define GATEWAY_SHARE_H
+#ifndef GATEWAY_PEERROWS_H
+#define GATEWAY_PEERROWS_H
 
 #include "base/clock.h"
 #include "gateway/rows.h"
 
 #include <uv.h>
 
-typedef struct peer_rows share_t;
+typedef struct peer_rows peer_rows_t;
 
 typedef struct
 {
@@ -40,52 +40,54 @@
   const str_t *keys;
   size_t key_count;
   uint32_t link_mbps; /* Bandwidth of this gateway's link; 0: unknown.  */
-} share_options_t;
+} peer_rows_options_t;
 
 /* A key and value piggybacked on a call to the reader.  */
 typedef struct
 {
   buf_t key;
   buf_t value;
-} share_item_t;
+} peer_rows_item_t;
 
 typedef struct
 {
   /* Fill at most ITEMS_MAX ITEMS, whose buffers the caller frees; return their
      number.  IS_RELAY: this gateway serves other gateways in turn, so the
      items include what those sent.  */
-  size_t (*list) (void *arg, bool is_relay, share_item_t *items,
+  size_t (*list) (void *arg, bool is_relay, peer_rows_item_t *items,
                   size_t items_max);
   /* Another gateway sent KEY with VALUE; both are borrowed.  */
   void (*receive) (void *arg, str_t key, str_t value);
-} share_news_t;
+} peer_rows_piggyback_t;
 
 /* STORE must outlive the result; strings are copied.  Return VH_OK with *OUT
    set, or VH_E_IO when the RPC server cannot listen.  */
-vh_code_t share_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
-                        rows_t *store, const share_options_t *options,
-                        share_t **out);
+vh_code_t peer_rows_create (uv_loop_t *loop, clock_iface_t *clock,
+                            uint64_t seed, rows_t *store,
+                            const peer_rows_options_t *options,
+                            peer_rows_t **out);
 /* NULL is accepted.  */
-void share_destroy (share_t *peer_rows);
+void peer_rows_destroy (peer_rows_t *peer_rows);
 
 /* The interface through which this gateway reads tables; valid until
    PEER_ROWS is destroyed.  */
-rows_t *share_rows (share_t *peer_rows);
-uint16_t share_port (const share_t *peer_rows);
+rows_t *peer_rows_iface (peer_rows_t *peer_rows);
+uint16_t peer_rows_port (const peer_rows_t *peer_rows);
 
 /* Add the gateway NAME, whose RPC server listens on ADDRESS, or replace its
    address.  LINK_MBPS is the bandwidth of its link; 0: unknown.  */
-void share_put (share_t *peer_rows, str_t name, str_t zone, str_t address,
-                uint32_t link_mbps);
-void share_remove (share_t *peer_rows, str_t name);
+void peer_rows_add_gateway (peer_rows_t *peer_rows, str_t name, str_t zone,
+                            str_t address, uint32_t link_mbps);
+void peer_rows_remove_gateway (peer_rows_t *peer_rows, str_t name);
 /* Set the source and the receiver of the data piggybacked on calls for table
-   ROWS_OWN.  PIGGYBACK is copied.  */
-void share_set_news (share_t *peer_rows, const share_news_t *piggyback,
-                     void *arg);
+   ROWS_SHARED.  PIGGYBACK is copied.  */
+void peer_rows_set_piggyback (peer_rows_t *peer_rows,
+                              const peer_rows_piggyback_t *piggyback,
+                              void *arg);
 /* Stop serving other gateways for good, because a planned stop began.  */
-void share_leave (share_t *peer_rows);
+void peer_rows_stop_serving (peer_rows_t *peer_rows);
 /* Return whether this gateway calls the store itself, and so receives the
    piggybacked data of all gateways that it serves.  */
-bool share_reads (share_t *peer_rows);
+bool peer_rows_is_reader (peer_rows_t *peer_rows);
 
 #endif
--- a/packages/gateway/storeclock.c
+++ b/packages/gateway/storeclock.c
@@ -12,8 +12,8 @@
 }
 
 void
-store_clock_sample (store_clock_t *clock, uint64_t store_ms, uint64_t sent_ms,
-                    uint64_t received_ms)
+store_clock_add_sample (store_clock_t *clock, uint64_t store_ms,
+                        uint64_t sent_ms, uint64_t received_ms)
 {
   int64_t ahead_max_ms = (int64_t)store_ms - (int64_t)sent_ms;
   int64_t ahead_min_ms = (int64_t)store_ms - (int64_t)received_ms;
@@ -30,8 +30,8 @@
 }
 
 uint64_t
-store_clock_local (const store_clock_t *clock, uint64_t store_ms,
-                   uint64_t now_ms)
+store_clock_to_local (const store_clock_t *clock, uint64_t store_ms,
+                      uint64_t now_ms)
 {
   int64_t local_ms = (int64_t)store_ms - ahead_bound_at (clock, now_ms);
 
--- a/packages/gateway/storeclock.h
+++ b/packages/gateway/storeclock.h
@@ -33,11 +33,11 @@
 /* Add the clock value STORE_MS that the store itself sent in answer to a call.
    The call was sent at local time SENT_MS, and the answer arrived at local
    time RECEIVED_MS.  A jump of the store's clock drops earlier samples.  */
-void store_clock_sample (store_clock_t *clock, uint64_t store_ms,
-                         uint64_t sent_ms, uint64_t received_ms);
+void store_clock_add_sample (store_clock_t *clock, uint64_t store_ms,
+                             uint64_t sent_ms, uint64_t received_ms);
 /* The latest local time that is no later than STORE_MS of the store's clock; 0
    if there is no sample.  NOW_MS is the local time now.  */
-uint64_t store_clock_local (const store_clock_t *clock, uint64_t store_ms,
-                            uint64_t now_ms);
+uint64_t store_clock_to_local (const store_clock_t *clock, uint64_t store_ms,
+                               uint64_t now_ms);
 
 #endif
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -48,10 +48,10 @@
   uint64_t stale_version; /* Version that answers show; 0: newest.  */
   /* Watches after a version lower than this end with VH_E_NOT_FOUND.  */
   uint64_t history_floor;
-  uint64_t advanced_ms; /* Time that was added by fake_rows_advance.  */
+  uint64_t advanced_ms; /* Time that was added by fake_rows_advance_clock.  */
   bool is_down;
   bool is_refusing_writes;
-  bool is_stalled[ROWS_OWN + 1];
+  bool is_stalled[ROWS_SHARED + 1];
   size_t calls;
   list_t pending;
 };
@@ -209,7 +209,7 @@
              uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
   fake_rows_t *fake = (fake_rows_t *)rows;
-  fake_call_t *call = call_add (fake, CALL_COMMIT, ROWS_OWN, 0, 1, cb, arg);
+  fake_call_t *call = call_add (fake, CALL_COMMIT, ROWS_SHARED, 0, 1, cb, arg);
 
   (void)timeout_ms;
   if (fake->is_refusing_writes)
@@ -304,13 +304,13 @@
 }
 
 void
-fake_rows_refuse_writes (fake_rows_t *fake, bool is_refusing)
+fake_rows_set_refusing_writes (fake_rows_t *fake, bool is_refusing)
 {
   fake->is_refusing_writes = is_refusing;
 }
 
 void
-fake_rows_down (fake_rows_t *fake, bool is_down)
+fake_rows_set_down (fake_rows_t *fake, bool is_down)
 {
   fake->is_down = is_down;
   LIST_EACH (at, &fake->pending)
@@ -319,17 +319,17 @@
 }
 
 void
-fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool is_stalled)
+fake_rows_set_stalled (fake_rows_t *fake, rows_table_t table, bool is_stalled)
 {
   fake->is_stalled[table] = is_stalled;
   answer_watches (fake, table);
 }
 
 void
-fake_rows_stale (fake_rows_t *fake, uint64_t version)
+fake_rows_set_stale_version (fake_rows_t *fake, uint64_t version)
 {
   fake->stale_version = version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     answer_watches (fake, table);
 }
 
@@ -340,24 +340,24 @@
 }
 
 void
-fake_rows_forget (fake_rows_t *fake)
+fake_rows_drop_history (fake_rows_t *fake)
 {
   fake->version++;
   fake->history_floor = fake->version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     answer_watches (fake, table);
 }
 
 void
-fake_rows_advance (fake_rows_t *fake, uint64_t ms)
+fake_rows_advance_clock (fake_rows_t *fake, uint64_t ms)
 {
   fake->advanced_ms += ms;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     answer_watches (fake, table);
 }
 
 size_t
-fake_rows_calls (const fake_rows_t *fake)
+fake_rows_call_count (const fake_rows_t *fake)
 {
   return fake->calls;
 }
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -206,7 +206,7 @@
     { .name = { "book", 4 },
       .host = { "desk.example", 12 },
       .prefix = { "/book/", 6 },
-      .kind = ROUTE_ONCE,
+      .kind = ROUTE_AT_MOST_ONCE,
       .timeout_ms = 600,
       .objective_ms = 300,
       .attempts_max = 1,
@@ -220,7 +220,7 @@
       .objective_ms = 600,
       .pause_ms = 500,
       .attempts_max = 3,
-      .resumable = true,
+      .is_resumable = true,
       .splits = { { { "llm", 3 }, 1 } },
       .split_count = 1,
       .models = { { "small", 5 }, { "large", 5 } },
@@ -242,7 +242,7 @@
 
   (void)pause;
   /* On a thread of its own: see the loader.  */
-  if (value.len >= LOADER_LONG)
+  if (value.len >= LOADER_ASYNC_BYTES_MIN)
     uv_sleep (GATEWAY_FIXTURE_READ_MS);
 
   if (!str_to_u64 (str_cut (value, ' ', &key), &revision))
@@ -383,7 +383,7 @@
   uv_loop_init (&f->loop);
   loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
   f->rows = fake_rows_create (&f->loop);
-  fake_rows_down (f->rows, true);
+  fake_rows_set_down (f->rows, true);
   fake_rows_put (f->rows, ROWS_ORDERS, "catalog", "1 key-1");
   for (size_t i = 0; i < upstreams; i++)
     {
@@ -403,7 +403,7 @@
 gateway_fixture_setup (gateway_fixture_t *f, size_t upstreams)
 {
   gateway_fixture_setup_early (f, upstreams);
-  fake_rows_down (f->rows, false);
+  fake_rows_set_down (f->rows, false);
   gateway_fixture_wait (f, gateway_fixture_ready (f) == 200);
 }
 
--- a/tests/test_loader.c
+++ b/tests/test_loader.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  LONG_BYTES = LOADER_LONG + 1,
+  LONG_BYTES = LOADER_ASYNC_BYTES_MIN + 1,
   WORK_MS = 150
 };
 
@@ -54,7 +54,7 @@
     f->failed++;
   else
     f->revisions[f->count++] = catalog_revision (catalog);
-  f->was_busy = loader_busy (f->loader);
+  f->was_busy = loader_is_busy (f->loader);
   catalog_unref (catalog);
 }
 
@@ -95,7 +95,7 @@
   char *text = calloc (1, len);
 
   memset (text, revision, len);
-  loader_take (f->loader, str_make (text, len), is_first);
+  loader_submit (f->loader, str_make (text, len), is_first);
   free (text);
 }
 
@@ -107,7 +107,7 @@
 
   setup (&f);
   submit (&f, '1', LONG_BYTES, false);
-  ck_assert (loader_busy (f.loader));
+  ck_assert (loader_is_busy (f.loader));
   ck_assert_uint_eq (f.count, 0);
   submit (&f, '2', LONG_BYTES, false);
   submit (&f, '3', 10, false);
@@ -120,7 +120,7 @@
   ck_assert (!f.was_busy);
   ck_assert_uint_eq (f.revisions[0], 1);
   ck_assert_uint_eq (f.revisions[1], 3);
-  ck_assert (!loader_busy (f.loader));
+  ck_assert (!loader_is_busy (f.loader));
   ck_assert_uint_lt (f.turn_max_ms, WORK_MS / 2);
   teardown (&f);
 }
--- a/tests/test_rowcache.c
+++ b/tests/test_rowcache.c
@@ -25,7 +25,7 @@
 static void
 apply_rows (fixture_t *f, size_t count, uint64_t version, bool is_read)
 {
-  const rowcache_answer_t answer
+  const rowcache_call_t answer
       = { .is_read = is_read, .is_first_page = is_read };
   rows_result_t result
       = { .rows = f->rows, .count = count, .version = version };
@@ -42,7 +42,7 @@
                                  .value = str_from (f->values[i]),
                                  .version = version };
     }
-  rowcache_take (f->cache, &answer, &result);
+  rowcache_apply_answer (f->cache, &answer, &result);
 }
 
 static void
@@ -69,7 +69,7 @@
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &reply);
+  rowcache_fill_reply (f.cache, 0, true, &reply);
   ck_assert_uint_eq (reply.rows.rows_len, 0);
   ck_assert_uint_gt (reply.plain_len, ROWS * 100);
   ck_assert_uint_lt (reply.packed.packed_len, reply.plain_len / 5);
@@ -113,13 +113,13 @@
   };
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &reply);
+  rowcache_fill_reply (f.cache, 0, true, &reply);
   free (reply.rows.rows_val);
   apply_rows (&f, 20, 6, false);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       u_int count;
-      rowcache_tell (f.cache, cases[i].after, cases[i].is_whole, &reply);
+      rowcache_fill_reply (f.cache, cases[i].after, cases[i].is_whole, &reply);
       ck_assert_uint_eq (reply.newest, cases[i].newest);
       count = reply.rows.rows_len;
       free (reply.rows.rows_val);
@@ -136,7 +136,7 @@
       ck_assert_uint_eq (count, cases[i].count);
     }
   clock_manual_advance_us (f.clock, 1000000);
-  rowcache_tell (f.cache, 0, true, &reply);
+  rowcache_fill_reply (f.cache, 0, true, &reply);
   ck_assert_uint_eq (reply.newest, 6);
   teardown (&f);
 }
@@ -154,7 +154,7 @@
   static char value[VALUE_BYTES + 1];
   static char keys[LARGE_ROWS][32];
   static rows_row_t rows[LARGE_ROWS];
-  const rowcache_answer_t answer = { .is_read = true, .is_first_page = true };
+  const rowcache_call_t answer = { .is_read = true, .is_first_page = true };
   const rows_result_t result
       = { .rows = rows, .count = LARGE_ROWS, .version = 5 };
   clock_iface_t *clock = clock_manual_create (0);
@@ -169,8 +169,8 @@
                               .value = str_from (value),
                               .version = 5 };
     }
-  rowcache_take (cache, &answer, &result);
-  rowcache_tell (cache, 0, true, &reply);
+  rowcache_apply_answer (cache, &answer, &result);
+  rowcache_fill_reply (cache, 0, true, &reply);
   ck_assert_uint_eq (reply.plain_len, 0);
   ck_assert_uint_eq (reply.rows.rows_len, LARGE_ROWS);
   free (reply.rows.rows_val);
@@ -187,7 +187,7 @@
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &reply);
+  rowcache_fill_reply (f.cache, 0, true, &reply);
   str_t packed = str_make (reply.packed.packed_val, reply.packed.packed_len);
   ck_assert_int_eq (rowcache_unpack (packed, reply.plain_len + 1, &list),
                     VH_E_PROTOCOL);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -36,7 +36,7 @@
   size_t calls;
   narrow_link_t *link;
   rows_t *rows;
-  follow_t *sync;
+  table_sync_t *sync;
   /* Length of the value that was read last.  */
   size_t value_len;
   bool is_done;
@@ -220,7 +220,7 @@
 static void
 teardown (fixture_t *f)
 {
-  follow_destroy (f->sync);
+  table_sync_destroy (f->sync);
   f->rows->ops->destroy (f->rows);
   narrow_link_destroy (f->link);
   LIST_EACH (at, &f->conns)
@@ -256,15 +256,15 @@
 static void
 start_sync (fixture_t *f)
 {
-  static const follow_options_t options = { .table = ROWS_ORDERS,
-                                            .name = "orders",
-                                            .wait_ms = 1500,
-                                            .timeout_slack_ms = 500 };
-  static const follow_events_t events
+  static const table_sync_options_t options = { .table = ROWS_ORDERS,
+                                                .name = "orders",
+                                                .wait_ms = 1500,
+                                                .timeout_slack_ms = 500 };
+  static const table_sync_events_t events
       = { on_put, on_removed, on_synced, NULL };
 
-  f->sync = follow_create (&f->loop, clock_system (), f->rows, 1, &options,
-                           &events, f);
+  f->sync = table_sync_create (&f->loop, clock_system (), f->rows, 1, &options,
+                               &events, f);
 }
 
 static void
@@ -293,7 +293,7 @@
   uint64_t start_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 4000);
-  WAIT_FOR (&f, follow_age_ms (f.sync) < 2000);
+  WAIT_FOR (&f, table_sync_age_ms (f.sync) < 2000);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -20,8 +20,8 @@
 
 typedef struct
 {
-  share_t *peer_rows;
-  follow_t *sync;
+  peer_rows_t *peer_rows;
+  table_sync_t *sync;
   char value[64]; /* Value of row `a' at this gateway, cut to fit.  */
   size_t value_len;
   size_t puts;
@@ -77,27 +77,28 @@
 static void
 fleet_gateway_start (fixture_t *f, int index)
 {
-  static const follow_options_t sync_options = { .table = ROWS_ORDERS,
-                                                 .name = "orders",
-                                                 .wait_ms = 1500,
-                                                 .timeout_slack_ms = 500 };
-  static const follow_events_t events
+  static const table_sync_options_t sync_options = { .table = ROWS_ORDERS,
+                                                     .name = "orders",
+                                                     .wait_ms = 1500,
+                                                     .timeout_slack_ms = 500 };
+  static const table_sync_events_t events
       = { on_put, on_removed, on_synced, NULL };
   fleet_gateway_t *gateway = &f->gateways[index];
   char name[16];
 
   snprintf (name, sizeof name, "entry-%d", index);
-  const share_options_t options = { .name = str_from (name),
-                                    .zone = str_from (f->zones[index]),
-                                    .listen = STR ("127.0.0.1:0"),
-                                    .link_mbps = f->link_mbps[index] };
-  ck_assert_int_eq (
-      share_create (&f->loop, clock_system (), (uint64_t)index + 1,
-                    fake_rows_iface (f->store), &options, &gateway->peer_rows),
-      VH_OK);
-  gateway->sync = follow_create (&f->loop, clock_system (),
-                                 share_rows (gateway->peer_rows), 1,
-                                 &sync_options, &events, gateway);
+  const peer_rows_options_t options = { .name = str_from (name),
+                                        .zone = str_from (f->zones[index]),
+                                        .listen = STR ("127.0.0.1:0"),
+                                        .link_mbps = f->link_mbps[index] };
+  ck_assert_int_eq (peer_rows_create (&f->loop, clock_system (),
+                                      (uint64_t)index + 1,
+                                      fake_rows_iface (f->store), &options,
+                                      &gateway->peer_rows),
+                    VH_OK);
+  gateway->sync = table_sync_create (&f->loop, clock_system (),
+                                     peer_rows_iface (gateway->peer_rows), 1,
+                                     &sync_options, &events, gateway);
 }
 
 static void
@@ -109,7 +110,7 @@
 
   for (int i = 0; i < GATEWAYS; i++)
     {
-      ports[i] = share_port (f->gateways[i].peer_rows);
+      ports[i] = peer_rows_port (f->gateways[i].peer_rows);
       if (f->link_bytes_per_s == 0)
         continue;
       f->narrow_links[i]
@@ -121,9 +122,9 @@
       {
         snprintf (name, sizeof name, "entry-%d", j);
         snprintf (address, sizeof address, "127.0.0.1:%u", ports[j]);
-        share_put (f->gateways[i].peer_rows, str_from (name),
-                   str_from (f->zones[j]), str_from (address),
-                   f->link_mbps[j]);
+        peer_rows_add_gateway (f->gateways[i].peer_rows, str_from (name),
+                               str_from (f->zones[j]), str_from (address),
+                               f->link_mbps[j]);
       }
 }
 
@@ -162,8 +163,8 @@
 static void
 fleet_gateway_stop (fleet_gateway_t *gateway)
 {
-  follow_destroy (gateway->sync);
-  share_destroy (gateway->peer_rows);
+  table_sync_destroy (gateway->sync);
+  peer_rows_destroy (gateway->peer_rows);
   gateway->sync = NULL;
   gateway->peer_rows = NULL;
 }
@@ -192,7 +193,7 @@
 
   for (int i = 0; i < GATEWAYS; i++)
     count += f->gateways[i].peer_rows != NULL
-             && share_reads (f->gateways[i].peer_rows);
+             && peer_rows_is_reader (f->gateways[i].peer_rows);
   return count;
 }
 
@@ -203,7 +204,7 @@
   WAIT_FOR (f, count_readers (f) == 1);
   for (int i = 0; i < GATEWAYS; i++)
     if (f->gateways[i].peer_rows != NULL
-        && share_reads (f->gateways[i].peer_rows))
+        && peer_rows_is_reader (f->gateways[i].peer_rows))
       return i;
   return -1;
 }
@@ -217,9 +218,9 @@
   setup (&f);
   wait_for_reader (&f);
   run_for (&f, 2000);
-  size_t calls_before = fake_rows_calls (f.store);
+  size_t calls_before = fake_rows_call_count (f.store);
   run_for (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 5);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 5);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
@@ -243,9 +244,9 @@
   setup_zones (&f, zones);
   int crashed = wait_for_reader (&f);
   run_for (&f, 2000);
-  size_t calls_before = fake_rows_calls (f.store);
+  size_t calls_before = fake_rows_call_count (f.store);
   run_for (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 5);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 5);
   fleet_gateway_stop (&f.gateways[crashed]);
   WAIT_FOR (&f, count_readers (&f) == GATEWAYS - 1);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
@@ -316,7 +317,7 @@
   start_all (&f);
   wait_for_reader (&f);
   run_for (&f, 1000);
-  size_t calls_before = fake_rows_calls (f.store);
+  size_t calls_before = fake_rows_call_count (f.store);
   fake_rows_put (f.store, ROWS_ORDERS, "a", text);
   for (int i = 0; i < GATEWAYS; i++)
     {
@@ -324,7 +325,7 @@
       ck_assert_int_eq (count_readers (&f), 1);
     }
   /* Only the reader called the store.  */
-  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 8);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 8);
   teardown (&f);
 }
 END_TEST
@@ -349,7 +350,7 @@
   narrow_link_stop_after (f.narrow_links[reader], 0);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   WAIT_FOR (&f, strcmp (f.gateways[reader].value, "two") == 0);
-  fake_rows_hold (f.store, ROWS_ORDERS, true);
+  fake_rows_set_stalled (f.store, ROWS_ORDERS, true);
   run_for (&f, BUSY_MS);
   narrow_link_stop_after (f.narrow_links[reader], SIZE_MAX);
   uint64_t start_ms = uv_now (&f.loop);
@@ -357,7 +358,7 @@
     WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   ck_assert_int_eq (count_readers (&f), 1);
-  fake_rows_hold (f.store, ROWS_ORDERS, false);
+  fake_rows_set_stalled (f.store, ROWS_ORDERS, false);
   teardown (&f);
 }
 END_TEST
@@ -383,7 +384,7 @@
       run_for (&f, 100);
       for (int i = 0; i < GATEWAYS; i++)
         if (i != crashed)
-          ck_assert_uint_lt (follow_age_ms (f.gateways[i].sync), 4000);
+          ck_assert_uint_lt (table_sync_age_ms (f.gateways[i].sync), 4000);
     }
   teardown (&f);
 }
@@ -398,19 +399,19 @@
   setup (&f);
   run_for (&f, 2000);
   for (int i = 0; i < GATEWAYS; i++)
-    ck_assert_uint_lt (follow_age_ms (f.gateways[i].sync), 3500);
-  fake_rows_down (f.store, true);
+    ck_assert_uint_lt (table_sync_age_ms (f.gateways[i].sync), 3500);
+  fake_rows_set_down (f.store, true);
   uint64_t down_ms = uv_now (&f.loop);
   for (int ms = 0; ms < 3000; ms += 200)
     {
       run_for (&f, 200);
       for (int i = 0; i < GATEWAYS; i++)
-        ck_assert_uint_ge (follow_age_ms (f.gateways[i].sync) + 30,
+        ck_assert_uint_ge (table_sync_age_ms (f.gateways[i].sync) + 30,
                            uv_now (&f.loop) - down_ms);
     }
-  fake_rows_down (f.store, false);
+  fake_rows_set_down (f.store, false);
   for (int i = 0; i < GATEWAYS; i++)
-    WAIT_FOR (&f, follow_age_ms (f.gateways[i].sync) < 2000);
+    WAIT_FOR (&f, table_sync_age_ms (f.gateways[i].sync) < 2000);
   teardown (&f);
 }
 END_TEST
@@ -424,7 +425,7 @@
   setup (&f);
   run_for (&f, 500);
   int stopped = wait_for_reader (&f);
-  share_leave (f.gateways[stopped].peer_rows);
+  peer_rows_stop_serving (f.gateways[stopped].peer_rows);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -35,15 +35,15 @@
 typedef struct
 {
   refusing_store_t refusing_store;
-  share_t *peer_rows;
-  follow_t *sync;
+  peer_rows_t *peer_rows;
+  table_sync_t *sync;
   char name[16];
   char value[16];  /* Value of row `a' at this gateway.  */
   uint32_t number; /* Number that this gateway adds to the sum.  */
   uint32_t received_sums[GATEWAYS]; /* Last sum from each gateway.  */
   uint64_t received_ms[GATEWAYS];   /* Time of that sum.  */
   uv_loop_t *loop;
-  follow_t *shared_sync; /* Sync whose calls carry the piggybacked sums.  */
+  table_sync_t *shared_sync; /* Sync whose calls carry the piggybacked sums. */
 } fleet_gateway_t;
 
 typedef struct
@@ -134,7 +134,7 @@
 }
 
 static size_t
-list_sums (void *arg, bool is_relay, share_item_t *items, size_t items_max)
+list_sums (void *arg, bool is_relay, peer_rows_item_t *items, size_t items_max)
 {
   const fleet_gateway_t *gateway = arg;
 
@@ -166,7 +166,7 @@
   static const char *const zones[ZONES] = { "a", "b", "c", "d" };
   static const rows_ops_t ops
       = { refusing_read, refusing_watch, NULL, refusing_cancel, NULL };
-  static const share_news_t piggyback = { list_sums, receive_sum };
+  static const peer_rows_piggyback_t piggyback = { list_sums, receive_sum };
   fleet_gateway_t *gateway = &f->gateways[index];
 
   gateway->refusing_store
@@ -176,18 +176,18 @@
   gateway->number = 1;
   gateway->loop = &f->loop;
   snprintf (gateway->name, sizeof gateway->name, "entry-%d", index);
-  const share_options_t options
+  const peer_rows_options_t options
       = { .name = str_from (gateway->name),
           .zone = str_from (zones[index % ZONES]),
           .listen = STR ("127.0.0.1:0"),
           /* Makes the order of readers known: gateway 0 is the root.  */
           .link_mbps = (uint32_t)(GATEWAYS - index) * 10 };
-  ck_assert_int_eq (share_create (&f->loop, clock_system (),
-                                  (uint64_t)index + 1,
-                                  &gateway->refusing_store.base, &options,
-                                  &gateway->peer_rows),
+  ck_assert_int_eq (peer_rows_create (&f->loop, clock_system (),
+                                      (uint64_t)index + 1,
+                                      &gateway->refusing_store.base, &options,
+                                      &gateway->peer_rows),
                     VH_OK);
-  share_set_news (gateway->peer_rows, &piggyback, gateway);
+  peer_rows_set_piggyback (gateway->peer_rows, &piggyback, gateway);
 }
 
 static void
@@ -200,7 +200,7 @@
   loop_wait_init (&f->wait, &f->loop, WAIT_LIMIT_MS);
   f->store = fake_rows_create (&f->loop);
   f->down_store = fake_rows_create (&f->loop);
-  fake_rows_down (f->down_store, true);
+  fake_rows_set_down (f->down_store, true);
   fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
   for (int i = 0; i < GATEWAYS; i++)
     fleet_gateway_start (f, i);
@@ -209,31 +209,33 @@
       {
         char address[32];
         snprintf (address, sizeof address, "127.0.0.1:%u",
-                  share_port (f->gateways[j].peer_rows));
-        share_put (f->gateways[i].peer_rows, str_from (f->gateways[j].name),
-                   str_from (zones[j % ZONES]), str_from (address),
-                   (uint32_t)(GATEWAYS - j) * 10);
+                  peer_rows_port (f->gateways[j].peer_rows));
+        peer_rows_add_gateway (f->gateways[i].peer_rows,
+                               str_from (f->gateways[j].name),
+                               str_from (zones[j % ZONES]), str_from (address),
+                               (uint32_t)(GATEWAYS - j) * 10);
       }
   for (int i = 0; i < GATEWAYS; i++)
     {
-      static const follow_options_t orders = { .table = ROWS_ORDERS,
-                                               .name = "orders",
-                                               .wait_ms = 1500,
-                                               .timeout_slack_ms = 500 };
-      static const follow_options_t shared = { .table = ROWS_OWN,
-                                               .name = "own",
-                                               .wait_ms = 8000,
-                                               .timeout_slack_ms = 1000 };
-      static const follow_events_t events
+      static const table_sync_options_t orders = { .table = ROWS_ORDERS,
+                                                   .name = "orders",
+                                                   .wait_ms = 1500,
+                                                   .timeout_slack_ms = 500 };
+      static const table_sync_options_t shared = { .table = ROWS_SHARED,
+                                                   .name = "own",
+                                                   .wait_ms = 8000,
+                                                   .timeout_slack_ms = 1000 };
+      static const table_sync_events_t events
           = { on_put, on_removed, on_synced, NULL };
-      static const follow_events_t shared_events
+      static const table_sync_events_t shared_events
           = { ignore_put, on_removed, on_synced, NULL };
       fleet_gateway_t *gateway = &f->gateways[i];
-      rows_t *rows = share_rows (gateway->peer_rows);
-      gateway->sync = follow_create (&f->loop, clock_system (), rows, 1,
-                                     &orders, &events, gateway);
-      gateway->shared_sync = follow_create (&f->loop, clock_system (), rows, 2,
-                                            &shared, &shared_events, gateway);
+      rows_t *rows = peer_rows_iface (gateway->peer_rows);
+      gateway->sync = table_sync_create (&f->loop, clock_system (), rows, 1,
+                                         &orders, &events, gateway);
+      gateway->shared_sync
+          = table_sync_create (&f->loop, clock_system (), rows, 2, &shared,
+                               &shared_events, gateway);
     }
   for (int i = 0; i < GATEWAYS; i++)
     LOOP_WAIT (&f->wait, strcmp (f->gateways[i].value, "one") == 0);
@@ -243,9 +245,9 @@
 static void
 fleet_gateway_stop (fleet_gateway_t *gateway)
 {
-  follow_destroy (gateway->sync);
-  follow_destroy (gateway->shared_sync);
-  share_destroy (gateway->peer_rows);
+  table_sync_destroy (gateway->sync);
+  table_sync_destroy (gateway->shared_sync);
+  peer_rows_destroy (gateway->peer_rows);
   gateway->sync = NULL;
   gateway->peer_rows = NULL;
 }
@@ -291,7 +293,7 @@
       loop_wait_pass (&f->wait, 100);
       for (int i = 0; i < GATEWAYS; i++)
         if (f->gateways[i].peer_rows != NULL)
-          ck_assert_uint_lt (follow_age_ms (f->gateways[i].sync),
+          ck_assert_uint_lt (table_sync_age_ms (f->gateways[i].sync),
                              TRUSTED_AGE_MS);
     }
 }
@@ -302,9 +304,9 @@
   fixture_t f;
 
   setup (&f);
-  size_t calls_before = fake_rows_calls (f.store);
+  size_t calls_before = fake_rows_call_count (f.store);
   run_trusted (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, 6);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 6);
   ck_assert_uint_lt (propagate (&f, "two"), 500);
   teardown (&f);
 }
@@ -321,11 +323,12 @@
   fixture_t f;
 
   setup (&f);
-  fake_rows_down (f.store, true);
-  size_t calls_before = fake_rows_calls (f.store);
+  fake_rows_set_down (f.store, true);
+  size_t calls_before = fake_rows_call_count (f.store);
   loop_wait_pass (&f.wait, OUTAGE_S * 1000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - calls_before, OUTAGE_S * 30);
-  fake_rows_down (f.store, false);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before,
+                     OUTAGE_S * 30);
+  fake_rows_set_down (f.store, false);
   ck_assert_uint_lt (propagate (&f, "two"), 1500);
   teardown (&f);
 }
@@ -337,7 +340,7 @@
   fixture_t f;
 
   setup (&f);
-  ck_assert (share_reads (f.gateways[0].peer_rows));
+  ck_assert (peer_rows_is_reader (f.gateways[0].peer_rows));
   fleet_gateway_stop (&f.gateways[0]);
   ck_assert_uint_lt (propagate (&f, "two"), 3000);
   run_trusted (&f, 3000);
@@ -387,7 +390,7 @@
 
   for (int i = 0; i < GATEWAYS; i++)
     if (f->gateways[i].peer_rows != NULL
-        && share_reads (f->gateways[i].peer_rows))
+        && peer_rows_is_reader (f->gateways[i].peer_rows))
       sum += sum_at (&f->gateways[i]);
   return sum;
 }
--- a/tests/test_storeclock.c
+++ b/tests/test_storeclock.c
@@ -15,10 +15,10 @@
 {
   store_clock_t clock = { 0 };
 
-  ck_assert_uint_eq (store_clock_local (&clock, AHEAD_MS + 1000, 2000), 0);
-  store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-  store_clock_sample (&clock, AHEAD_MS + 2502, 1500, 2504);
-  uint64_t local_ms = store_clock_local (&clock, AHEAD_MS + 2502, 2504);
+  ck_assert_uint_eq (store_clock_to_local (&clock, AHEAD_MS + 1000, 2000), 0);
+  store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+  store_clock_add_sample (&clock, AHEAD_MS + 2502, 1500, 2504);
+  uint64_t local_ms = store_clock_to_local (&clock, AHEAD_MS + 2502, 2504);
   ck_assert_uint_ge (local_ms, 2498);
   ck_assert_uint_le (local_ms, 2502);
 }
@@ -30,14 +30,15 @@
 {
   store_clock_t clock = { 0 };
 
-  store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-  store_clock_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
-  ck_assert_uint_le (store_clock_local (&clock, AHEAD_MS + 5002, 8000), 5002);
+  store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+  store_clock_add_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
+  ck_assert_uint_le (store_clock_to_local (&clock, AHEAD_MS + 5002, 8000),
+                     5002);
   /* The same when the late answer is the first sample.  */
   store_clock_t fresh_clock = { 0 };
-  store_clock_sample (&fresh_clock, AHEAD_MS + 5002, 5000, 8000);
-  ck_assert_uint_le (store_clock_local (&fresh_clock, AHEAD_MS + 5002, 8000),
-                     5002);
+  store_clock_add_sample (&fresh_clock, AHEAD_MS + 5002, 5000, 8000);
+  ck_assert_uint_le (
+      store_clock_to_local (&fresh_clock, AHEAD_MS + 5002, 8000), 5002);
 }
 END_TEST
 
@@ -51,9 +52,9 @@
     {
       store_clock_t clock = { 0 };
       uint64_t store_ms = (uint64_t)(AHEAD_MS + 2100 + jumps[i]);
-      store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-      store_clock_sample (&clock, store_ms, 2000, 2200);
-      ck_assert_uint_eq (store_clock_local (&clock, store_ms, 2200), 2000);
+      store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+      store_clock_add_sample (&clock, store_ms, 2000, 2200);
+      ck_assert_uint_eq (store_clock_to_local (&clock, store_ms, 2200), 2000);
     }
 }
 END_TEST
@@ -65,9 +66,9 @@
   store_clock_t clock = { 0 };
   uint64_t hour_ms = 3600000;
 
-  store_clock_sample (&clock, AHEAD_MS + 1000, 1000, 1002);
-  uint64_t local_ms
-      = store_clock_local (&clock, AHEAD_MS + 1000 + hour_ms, 1002 + hour_ms);
+  store_clock_add_sample (&clock, AHEAD_MS + 1000, 1000, 1002);
+  uint64_t local_ms = store_clock_to_local (&clock, AHEAD_MS + 1000 + hour_ms,
+                                            1002 + hour_ms);
   ck_assert_uint_le (local_ms, 1000 + hour_ms - 1000);
 }
 END_TEST
