--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -98,7 +98,7 @@
   rows_write_t write = { .table = ROWS_BILLS,
                          .key = buf_str (&key),
                          .value = buf_str (&batch->lines),
-                         .conditional = true };
+                         .is_conditional = true };
   billing->pending = true;
   billing->rows->ops->commit (billing->rows, &write, 1, COMMIT_TIMEOUT_MS,
                               on_written, billing);
@@ -215,6 +215,6 @@
 {
   if (billing == NULL)
     return;
-  billing->rows->ops->forget (billing->rows, billing);
+  billing->rows->ops->cancel (billing->rows, billing);
   uv_close ((uv_handle_t *)&billing->timer, on_timer_closed);
 }
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -39,11 +39,13 @@
   str_t health_path;
   /* Connections allowed to one instance, from all gateways together.  */
   uint32_t connections_max;
-  double cold_start_s; /* Time for which a new instance counts as cold.  */
-  double cold_per_s; /* Requests a second that a cold instance can take; 0: no
-                        bound.  */
-  bool is_engine;    /* Whether the instances are inference engines.  */
-  uint64_t kv_cache_tokens; /* Capacity of an engine's KV cache; 0: unknown. */
+  /* Time for which a new instance counts as cold.  */
+  double cold_start_s;
+  /* Requests a second that a cold instance can take; 0: no bound.  */
+  double cold_requests_per_s;
+  bool is_engine; /* Whether the instances are inference engines.  */
+  /* Capacity of an engine's KV cache; 0: unknown.  */
+  uint64_t kv_cache_tokens;
   service_model_t models[SERVICE_MODELS_MAX];
   size_t model_count;
 } service_t;
@@ -63,13 +65,13 @@
   uint64_t timeout_ms; /* Longest time for which a client may wait.  */
   /* Latency objective of the answer, or of the first event of a stream.  */
   uint64_t objective_ms;
-  uint64_t pause_ms;     /* Longest time between two events of a stream that
-                            meets the objective.  */
+  /* Longest time between two events of a stream that meets the objective.  */
+  uint64_t event_gap_max_ms;
   uint32_t attempts_max; /* Upstreams on which one request may be executed.  */
   uint32_t priority;     /* 0 is the highest.  */
   bool is_public;        /* Whether clients need no key.  */
-  bool is_resumable; /* Whether a broken stream may go on at another upstream.
-                      */
+  /* Whether a broken stream may go on at another upstream.  */
+  bool is_resumable;
   route_split_t splits[ROUTE_SPLITS_MAX];
   size_t split_count;
   /* Models to choose from, in ascending order of size.  */
@@ -89,8 +91,10 @@
 {
   uint64_t header_bytes;
   uint64_t body_bytes;
-  uint64_t header_ms; /* Time in which a request's headers must arrive.  */
-  uint64_t idle_ms;   /* Time after which an idle connection is closed.  */
+  /* Time in which a request's headers must arrive.  */
+  uint64_t header_timeout_ms;
+  /* Time after which an idle connection is closed.  */
+  uint64_t idle_timeout_ms;
 } client_limits_t;
 
 /* REVISION grows with each configuration.  The caller owns the only reference
--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -43,7 +43,7 @@
   REGISTRATION_RETRY_MS = 2000
 };
 
-struct duties
+struct store_sync
 {
   belief_t *belief;
   rows_t *rows;
@@ -494,6 +494,6 @@
   table_sync_destroy (sync->instances);
   table_sync_destroy (sync->shared_rows);
   rollouts_destroy (sync->rollouts);
-  sync->rows->ops->forget (sync->rows, sync);
+  sync->rows->ops->cancel (sync->rows, sync);
   uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
 }
--- a/packages/gateway/follow.c
+++ b/packages/gateway/follow.c
@@ -141,17 +141,17 @@
 {
   uint64_t now_ms = clock_boot_ms (sync->clock);
 
-  if (result->direct)
-    store_clock_add_sample (&sync->store_clock, result->said_ms, sent_ms,
-                            now_ms);
-  uint64_t store_answer_local_ms
-      = store_clock_to_local (&sync->store_clock, result->said_ms, now_ms);
+  if (result->is_direct)
+    store_clock_add_sample (&sync->store_clock, result->store_confirmed_ms,
+                            sent_ms, now_ms);
+  uint64_t confirmed_local_ms = store_clock_to_local (
+      &sync->store_clock, result->store_confirmed_ms, now_ms);
   sync->is_confirmed = true;
   sync->confirmed_ms = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
   /* The table is confirmed as of both times, so the later one counts.  */
-  if (store_answer_local_ms > sync->confirmed_ms)
-    sync->confirmed_ms = store_answer_local_ms;
-  sync->store_ms = result->now_ms;
+  if (confirmed_local_ms > sync->confirmed_ms)
+    sync->confirmed_ms = confirmed_local_ms;
+  sync->store_ms = result->store_now_ms;
   sync->store_received_ms = now_ms;
   sync->retry_delay_ms = RETRY_MIN_MS;
 }
@@ -168,7 +168,7 @@
   for (size_t i = 0; i < result->count; i++)
     apply_row (sync, &result->rows[i]);
   sync->next_key.len = 0;
-  if (result->more && result->count > 0)
+  if (result->has_more && result->count > 0)
     {
       /* The smallest key after the last one of this page.  */
       buf_append_str (&sync->next_key, result->rows[result->count - 1].key);
@@ -283,7 +283,7 @@
   if (!sync->is_down)
     return;
   /* A pending call may hang on a broken connection.  */
-  sync->rows->ops->forget (sync->rows, sync);
+  sync->rows->ops->cancel (sync->rows, sync);
   if (sync->is_reading)
     sync->next_key.len = 0;
   schedule_call (sync, 0);
@@ -304,7 +304,7 @@
 {
   if (sync == NULL)
     return;
-  sync->rows->ops->forget (sync->rows, sync);
+  sync->rows->ops->cancel (sync->rows, sync);
   uv_close ((uv_handle_t *)&sync->timer, on_timer_closed);
 }
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -26,8 +26,8 @@
   httpd_t *front;
   httpd_t *ready;
   httpd_t *admin;
-  peer_rows_t *share; /* NULL: each entry asks the store.  */
-  store_sync_t *duties;
+  peer_rows_t *peer_rows; /* NULL: each entry asks the store.  */
+  store_sync_t *store_sync;
   uv_timer_t watch;
   bool over;
   size_t cut;
@@ -280,9 +280,9 @@
     return VH_OK;
   vh_code_t code
       = peer_rows_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
-                          *rows, &options, &gateway->share);
+                          *rows, &options, &gateway->peer_rows);
   if (code == VH_OK)
-    *rows = peer_rows_iface (gateway->share);
+    *rows = peer_rows_iface (gateway->peer_rows);
   return code;
 }
 
@@ -333,8 +333,8 @@
   httpd_destroy (gateway->ready);
   httpd_destroy (gateway->admin);
   billing_destroy (gateway->belief.bills);
-  store_sync_destroy (gateway->duties);
-  peer_rows_destroy (gateway->share);
+  store_sync_destroy (gateway->store_sync);
+  peer_rows_destroy (gateway->peer_rows);
   reach_destroy (gateway->belief.reach);
   free_beliefs (&gateway->belief);
   uv_close ((uv_handle_t *)&gateway->watch, on_watch_closed);
@@ -374,7 +374,7 @@
   if (belief->stopping_ms != 0)
     return;
   belief->stopping_ms = clock_ms (belief->clock);
-  store_sync_stop (gateway->duties);
+  store_sync_stop (gateway->store_sync);
   log_event (EVENT_STOP,
              field_number (FIELD_IN_FLIGHT, httpd_in_flight (gateway->front)));
   uv_timer_start (&gateway->watch, on_watch, WATCH_MS, WATCH_MS);
@@ -444,7 +444,7 @@
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = store_sync_create (belief, rows, gateway->share);
+  gateway->store_sync = store_sync_create (belief, rows, gateway->peer_rows);
   belief->bills = billing_create (loop, rows, belief->options.name,
                                   rng_u64 (&belief->rng));
   if (code != VH_OK)
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -95,14 +95,14 @@
 }
 
 /* Duties: follows the store and does what entries do together.  */
-typedef struct duties store_sync_t;
+typedef struct store_sync store_sync_t;
 
 /* SHARE may be NULL.  */
 store_sync_t *store_sync_create (belief_t *belief, rows_t *rows,
-                                 peer_rows_t *share);
+                                 peer_rows_t *peer_rows);
 /* A planned stop begins: the other entries need not count on this one.  */
-void store_sync_stop (store_sync_t *duties);
-void store_sync_destroy (store_sync_t *duties);
+void store_sync_stop (store_sync_t *sync);
+void store_sync_destroy (store_sync_t *sync);
 
 /* Extra sends of SERVICE; made on first use.  */
 allowance_t *belief_allowance (belief_t *belief, str_t service);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -165,7 +165,7 @@
            + (uint64_t)((double)route->objective_ms * first_answer_part);
   return relay->event_count == 0
              ? relay->sent_ms + route->objective_ms * PATIENCE
-             : relay->last_ms + route->pause_ms * PAUSES;
+             : relay->last_ms + route->event_gap_max_ms * PAUSES;
 }
 
 /* When a silent upstream is to be looked at, or given up for another;
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -99,7 +99,7 @@
 
   *want = (pool_want_t){
     .service = terms->service->name,
-    .cold_per_s = terms->service->cold_per_s,
+    .cold_per_s = terms->service->cold_requests_per_s,
     .key = terms->key != 0 ? terms->key ^ (index + 1) : 0,
     .tried = relay->tried,
     .tried_count = relay->tried_count,
@@ -181,7 +181,7 @@
           .first = relay->first_opinion,
           .elapsed_ms = relay->last_ms - terms->arrived_ms,
           .objective_ms = route->objective_ms,
-          .pause_ms = route->pause_ms,
+          .pause_ms = route->event_gap_max_ms,
           .choices = choices,
           .choice_count = count };
   size_t chosen = escalation_choose (escalation, &request);
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -23,7 +23,7 @@
 {
   belief_t *belief;
   rows_t *rows;
-  peer_rows_t *share;
+  peer_rows_t *peer_rows;
   bool is_commit_pending; /* A write of a state row has no answer yet.  */
   /* Monotonic time since which a state row is due to be written; 0: none.  */
   uint64_t write_due_ms;
@@ -190,7 +190,8 @@
 static bool
 is_decider (const rollouts_t *rollouts)
 {
-  return rollouts->share == NULL || peer_rows_is_reader (rollouts->share);
+  return rollouts->peer_rows == NULL
+         || peer_rows_is_reader (rollouts->peer_rows);
 }
 
 /* Return whether this gateway is to write a state row now.  All gateways come
@@ -238,7 +239,7 @@
   writes[0].table = ROWS_SHARED;
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
-  writes[0].conditional = true;
+  writes[0].is_conditional = true;
   writes[0].expected = state_row_version (rollouts, service);
   writes[1].table = ROWS_STATUS;
   writes[1].key = buf_str (&status_key);
@@ -395,7 +396,7 @@
 }
 
 rollouts_t *
-rollouts_create (belief_t *belief, rows_t *rows, peer_rows_t *share)
+rollouts_create (belief_t *belief, rows_t *rows, peer_rows_t *peer_rows)
 {
   static const peer_rows_piggyback_t piggyback
       = { list_evidence, on_evidence_received };
@@ -403,10 +404,10 @@
 
   rollouts->belief = belief;
   rollouts->rows = rows;
-  rollouts->share = share;
+  rollouts->peer_rows = peer_rows;
   rollouts->state_rows = map_create ();
-  if (share != NULL)
-    peer_rows_set_piggyback (share, &piggyback, rollouts);
+  if (peer_rows != NULL)
+    peer_rows_set_piggyback (peer_rows, &piggyback, rollouts);
   return rollouts;
 }
 
@@ -417,7 +418,7 @@
   str_t key;
   void *value;
 
-  rollouts->rows->ops->forget (rollouts->rows, rollouts);
+  rollouts->rows->ops->cancel (rollouts->rows, rollouts);
   while (map_next (rollouts->state_rows, &cursor, &key, &value))
     {
       buf_free (&((state_row_t *)value)->text);
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -14,10 +14,10 @@
 
 typedef struct rollouts rollouts_t;
 
-/* BELIEF, ROWS and SHARE must outlive the result.  SHARE is NULL when this
-   gateway calls the store itself.  */
+/* BELIEF, ROWS and PEER_ROWS must outlive the result.  PEER_ROWS is NULL when
+   this gateway calls the store itself.  */
 rollouts_t *rollouts_create (belief_t *belief, rows_t *rows,
-                             peer_rows_t *share);
+                             peer_rows_t *peer_rows);
 void rollouts_destroy (rollouts_t *rollouts);
 
 /* Apply an operator's order, read from the store as ROW.  */
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -38,8 +38,9 @@
   uint64_t after;     /* Version after which the rows changed.  */
   uint64_t version;   /* Store version of the rows; 0: no answer is kept.  */
   uint64_t packed_ms; /* Time of packing, in ms of the boot clock.  */
-  uint64_t confirmed_ms;    /* CONFIRMED_MS of the cache at that time.  */
-  uint64_t store_answer_ms; /* STORE_ANSWER_MS of the cache at that time.  */
+  /* The same fields of the cache at the time of packing.  */
+  uint64_t confirmed_ms;
+  uint64_t store_confirmed_ms;
   buf_t bytes;
   size_t plain_len;
 } packed_answer_t;
@@ -58,7 +59,7 @@
   uint64_t store_now_ms;      /* Store clock in the last answer.  */
   uint64_t store_received_ms; /* Boot clock at the last answer.  */
   /* Store clock when the store confirmed the rows.  */
-  uint64_t store_answer_ms;
+  uint64_t store_confirmed_ms;
   packed_answer_t whole;
   packed_answer_t changes;
 };
@@ -165,14 +166,14 @@
     return;
   for (size_t i = 0; i < result->count; i++)
     store_row (cache, &result->rows[i]);
-  if (call->is_read && !result->more)
+  if (call->is_read && !result->has_more)
     cache->is_complete = true;
   cache->version = call->is_read ? cache->read_version : result->version;
   cache->confirmed_ms
       = call->sent_ms > result->age_ms ? call->sent_ms - result->age_ms : 0;
-  cache->store_now_ms = result->now_ms;
+  cache->store_now_ms = result->store_now_ms;
   cache->store_received_ms = clock_boot_ms (cache->clock);
-  cache->store_answer_ms = result->said_ms;
+  cache->store_confirmed_ms = result->store_confirmed_ms;
   cache->is_down = false;
   expire_tombstones (cache);
 }
@@ -298,7 +299,7 @@
       packed->version = cache->version;
       packed->packed_ms = clock_boot_ms (cache->clock);
       packed->confirmed_ms = cache->confirmed_ms;
-      packed->store_answer_ms = cache->store_answer_ms;
+      packed->store_confirmed_ms = cache->store_confirmed_ms;
       packed->plain_len = plain_bytes;
     }
   xdr_destroy (&xdr);
@@ -347,7 +348,7 @@
                            .now_ms = cache->store_now_ms + boot_ms
                                      - cache->store_received_ms,
                            .age_ms = (u_int)(boot_ms - cache->confirmed_ms),
-                           .said_ms = cache->store_answer_ms };
+                           .said_ms = cache->store_confirmed_ms };
   if (packed == NULL)
     {
       result->rows.rows_val = list.rows.rows_val;
@@ -362,7 +363,7 @@
     return;
   result->newest = packed->version;
   result->age_ms = (u_int)(boot_ms - packed->confirmed_ms);
-  result->said_ms = packed->store_answer_ms;
+  result->said_ms = packed->store_confirmed_ms;
 }
 
 vh_code_t
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -40,15 +40,15 @@
 {
   const rows_row_t *rows;
   size_t count;
-  bool more;        /* The table has rows after the last row of this page.  */
+  bool has_more;    /* The table has rows after the last row of this page.  */
   uint64_t version; /* Highest version in the whole store.  */
-  uint64_t now_ms;  /* The store's steady clock at this answer, in ms.  */
+  uint64_t store_now_ms; /* The store's steady clock at this answer, in ms.  */
   /* Age of the store's confirmation of these rows at this answer, in ms; 0 in
      an answer of the store itself.  */
   uint64_t age_ms;
-  bool direct; /* Answered by the store itself, not by a peer gateway.  */
+  bool is_direct; /* Answered by the store itself, not by a peer gateway.  */
   /* The store's steady clock at its confirmation of these rows, in ms.  */
-  uint64_t said_ms;
+  uint64_t store_confirmed_ms;
 } rows_result_t;
 
 typedef void (*rows_cb_t) (void *arg, vh_code_t code,
@@ -59,9 +59,9 @@
   rows_table_t table;
   str_t key;
   str_t value;
-  bool remove;       /* Delete the row.  */
-  bool conditional;  /* Write only if the row has version EXPECTED.  */
-  uint64_t expected; /* 0: the row must not exist.  */
+  bool remove;         /* Delete the row.  */
+  bool is_conditional; /* Write only if the row has version EXPECTED.  */
+  uint64_t expected;   /* 0: the row must not exist.  */
 } rows_write_t;
 
 typedef struct rows rows_t;
@@ -80,7 +80,7 @@
                   uint64_t timeout_ms, rows_cb_t cb, void *arg);
   /* Cancel the pending calls that were made with ARG; their callbacks are not
      called.  */
-  void (*forget) (rows_t *rows, const void *arg);
+  void (*cancel) (rows_t *rows, const void *arg);
   /* Cancel all pending calls without calling their callbacks, and release
      ROWS.  */
   void (*destroy) (rows_t *rows);
--- a/packages/gateway/share.c
+++ b/packages/gateway/share.c
@@ -288,7 +288,7 @@
 
   rpc_cancel (pending->rpc_call);
   if (pending->store_state == STORE_CALLED)
-    store->ops->forget (store, pending);
+    store->ops->cancel (store, pending);
   list_remove (&pending->link);
   free (pending->reader_name);
   free (pending);
@@ -406,9 +406,9 @@
   rows_result_t result = { .rows = rows,
                            .count = count,
                            .version = answer->newest,
-                           .now_ms = answer->now_ms,
+                           .store_now_ms = answer->now_ms,
                            .age_ms = answer->age_ms,
-                           .said_ms = answer->said_ms };
+                           .store_confirmed_ms = answer->said_ms };
 
   for (u_int i = 0; i < count && code == VH_OK; i++)
     code = decode_row (&wire_rows[i], &plain[i], &rows[i]);
@@ -646,7 +646,7 @@
       if (pending->arg == arg)
         pending_call_free (pending);
     }
-  peer_rows->store->ops->forget (peer_rows->store, arg);
+  peer_rows->store->ops->cancel (peer_rows->store, arg);
 }
 
 /* The interface is part of peer_rows_t and is released with it.  */
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -97,9 +97,9 @@
       = fake->stale_version != 0 ? fake->stale_version : fake->version;
   rows_result_t result = { .rows = rows,
                            .version = version_max,
-                           .now_ms = fake_rows_now_ms (fake),
-                           .direct = true,
-                           .said_ms = fake_rows_now_ms (fake) };
+                           .store_now_ms = fake_rows_now_ms (fake),
+                           .is_direct = true,
+                           .store_confirmed_ms = fake_rows_now_ms (fake) };
   vh_code_t code = fake->is_down ? VH_E_STORE_DOWN : call->code;
 
   if (call->kind == CALL_WATCH && call->after < fake->history_floor)
@@ -221,7 +221,7 @@
       const stored_row_t *row
           = find_row (fake, writes[i].table, writes[i].key);
       uint64_t version = row == NULL || row->deleted ? 0 : row->version;
-      if (writes[i].conditional && version != writes[i].expected)
+      if (writes[i].is_conditional && version != writes[i].expected)
         call->code = VH_E_CONFLICT;
     }
   if (call->code != VH_OK)
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -43,7 +43,8 @@
   uint32_t received_sums[GATEWAYS]; /* Last sum from each gateway.  */
   uint64_t received_ms[GATEWAYS];   /* Time of that sum.  */
   uv_loop_t *loop;
-  table_sync_t *shared_sync; /* Sync whose calls carry the piggybacked sums. */
+  /* The sync whose calls carry the piggybacked sums.  */
+  table_sync_t *shared_sync;
 } fleet_gateway_t;
 
 typedef struct
@@ -86,8 +87,8 @@
 {
   const refusing_store_t *refusing = (const refusing_store_t *)rows;
 
-  refusing->store->ops->forget (refusing->store, arg);
-  refusing->down_store->ops->forget (refusing->down_store, arg);
+  refusing->store->ops->cancel (refusing->store, arg);
+  refusing->down_store->ops->cancel (refusing->down_store, arg);
 }
 
 static void
