--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -1,5 +1,5 @@
 /* What the parts of a gateway share.  A request (relay.c) reads the beliefs
-   that the duties (duties.c) keep, and neither calls the other.  */
+   that the store sync (storesync.c) keeps, and neither calls the other.  */
 
 #ifndef GATEWAY_GATEWAYINT_H
 #define GATEWAY_GATEWAYINT_H
@@ -8,10 +8,10 @@
 #include "base/mem.h"
 #include "base/rng.h"
 #include "gateway/billing.h"
-#include "gateway/follow.h"
 #include "gateway/gateway.h"
+#include "gateway/peerrows.h"
 #include "gateway/reach.h"
-#include "gateway/share.h"
+#include "gateway/tablesync.h"
 #include "gateway/tally.h"
 #include "policy/allotment.h"
 #include "policy/allowance.h"
--- a/packages/gateway/share.c
+++ b/packages/gateway/peerrows.c
@@ -1,4 +1,4 @@
-#include "gateway/share.h"
+#include "gateway/peerrows.h"
 
 #include "base/eventlog.h"
 #include "base/map.h"
--- a/packages/gateway/follow.c
+++ b/packages/gateway/tablesync.c
@@ -1,4 +1,4 @@
-#include "gateway/follow.h"
+#include "gateway/tablesync.h"
 
 #include "base/eventlog.h"
 #include "base/map.h"
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -2,7 +2,7 @@
    must arrive, and answers that stop must time out.  */
 
 #include "base/mem.h"
-#include "gateway/follow.h"
+#include "gateway/tablesync.h"
 #include "loop_wait.h"
 #include "loopback.h"
 #include "narrow_link.h"
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -3,8 +3,8 @@
    is lost, and the age of the rows at each gateway.  */
 
 #include "fake_rows.h"
-#include "gateway/follow.h"
-#include "gateway/share.h"
+#include "gateway/peerrows.h"
+#include "gateway/tablesync.h"
 #include "loop_wait.h"
 #include "narrow_link.h"
 #include "suite.h"
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -4,8 +4,8 @@
    outage.  */
 
 #include "fake_rows.h"
-#include "gateway/follow.h"
-#include "gateway/share.h"
+#include "gateway/peerrows.h"
+#include "gateway/tablesync.h"
 #include "loop_wait.h"
 #include "suite.h"
 
