--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -17,16 +17,17 @@
   /* Longest time that a reader holds a watch call of a gateway.  Short against
      the age up to which a confirmation is trusted.  */
   WATCH_WAIT_MS = 700,
-  /* The same for a caller that serves other gateways in turn.  Shorter,
-     because the wait of its own callers is added.  */
+  /* Longest time that a reader holds a watch call of a gateway that serves
+     other gateways in turn.  Shorter, because the wait of its own callers is
+     added.  */
   RELAYED_WATCH_WAIT_MS = 350,
   /* A call that a reader has not answered this long after the watch time is
      sent to the store as well.  Covers the round trip and one turn of the
      event loop on a slow machine.  */
   HEDGE_DELAY_MS = 350,
-  /* Further time in which the reader's answer is still accepted, if the
-     store's does not come first: a reader that applies a large table is busy
-     for some tenths of a second.  */
+  /* Time after HEDGE_DELAY_MS in which a reader's answer is still accepted,
+     unless the store answers first: a reader that applies a large table is
+     busy for some tenths of a second.  */
   BUSY_READER_MS = 1000,
   /* Readers called for one answer, one after the other.  */
   READERS_TRIED_MAX = 3,
@@ -60,7 +61,7 @@
   uint64_t store_sent_ms;
   char *reader_name;      /* Name of the reader called last; NULL: none.  */
   unsigned readers_tried; /* Number of readers called.  */
-  /* Call to that reader that has no answer yet; NULL: none.  */
+  /* Unanswered call to the reader READER_NAME; NULL: none.  */
   rpc_call_t *rpc_call;
   /* Monotonic time from which the store is called too, in ms.  */
   uint64_t hedge_at_ms;
@@ -96,7 +97,7 @@
   map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
   peer_rows_piggyback_t piggyback;
   void *piggyback_arg;
-  rowcache_t *caches[TABLE_COUNT]; /* By rows_table_t.  */
+  rowcache_t *caches[TABLE_COUNT]; /* Indexed by rows_table_t.  */
   list_t pending;                  /* Calls of this gateway.  */
   list_t watches;                  /* Watch calls of other gateways.  */
   uv_timer_t tick;
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -6,9 +6,8 @@
 
 enum
 {
-  /* The gateway that reads the store for others also writes the steps of
-     roll-outs.  Any gateway writes a step that is this late, because the
-     reader must then be lost.  */
+  /* Delay after which any gateway writes a step of a roll-out.  The gateway
+     that reads the store for others writes sooner unless it is lost.  */
   WRITER_TIMEOUT_MS = 1200
 };
 
@@ -195,9 +194,10 @@
 }
 
 /* Return whether this gateway is to write a state row now.  All gateways come
-   to the same decision at the same time.  If each wrote it, 22 gateways would
-   make 114 calls to the store in a day, and all but five of them in vain.  The
-   first call since a state row was read starts the timeout for the reader.  */
+   to the same decision at the same time.  When each gateway wrote the
+   decision, 22 gateways made 114 calls to the store in a day, of which five
+   had an effect.  The first call since a state row was read starts
+   WRITER_TIMEOUT_MS.  */
 static bool
 is_writer (rollouts_t *rollouts)
 {
@@ -352,7 +352,8 @@
   buf_free (&reason);
 }
 
-/* Take the step of TRIAL that is due.  IS_SECOND as for rollouts_tick.  */
+/* Take the step of TRIAL that is due.  IS_SECOND: a second has passed since
+   the last call with IS_SECOND.  */
 static void
 tick_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -19,7 +19,7 @@
 typedef struct
 {
   bool is_read;       /* A read of rows; false: a watch for changes.  */
-  bool is_first_page; /* Of a read of the whole table.  */
+  bool is_first_page; /* The first page of a read of the whole table.  */
   uint64_t sent_ms;   /* Time of the call, in ms of the boot clock.  */
 } rowcache_call_t;
 
@@ -31,8 +31,8 @@
    cached one are ignored.  */
 void rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *call,
                             const rows_result_t *result);
-/* Record that the store did not answer; rowcache_apply_answer records that it
- * did.  */
+/* Record that the store did not answer.  The next applied answer records that
+   the store answers again.  */
 void rowcache_set_down (rowcache_t *cache);
 /* Mark the table as incomplete until the next read of the whole table, because
    the store no longer has the history of changes.  */
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -31,7 +31,7 @@
 typedef struct
 {
   str_t key;
-  str_t value; /* Decoded.  */
+  str_t value; /* Decoded bytes.  */
   uint64_t version;
   bool deleted; /* Set only in answers to watches.  */
 } rows_row_t;
--- a/packages/gateway/storeclock.c
+++ b/packages/gateway/storeclock.c
@@ -19,9 +19,9 @@
   int64_t ahead_min_ms = (int64_t)store_ms - (int64_t)received_ms;
   int64_t bound_ms = ahead_bound_at (clock, received_ms);
 
-  /* Keep a bound in the range that this call allows.  A higher bound is looser
-     or the store's clock jumped back; a lower bound is impossible unless the
-     store's clock jumped ahead.  */
+  /* Keep the current bound if it lies in the range that this call allows.  A
+     bound above the range is looser, or the store's clock jumped back; a bound
+     below the range means that the store's clock jumped ahead.  */
   if (clock->is_known && ahead_max_ms >= bound_ms && ahead_min_ms <= bound_ms)
     return;
   clock->is_known = true;
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -12,8 +12,9 @@
 
 enum
 {
-  /* Roll-out steps may be late by this much: a good version reaches all
-     requests some seconds before its time limit.  */
+  /* Interval at which roll-out steps are checked.  A step may be late by one
+     interval, as a good version reaches all requests some seconds before its
+     time limit.  */
   TICK_MS = 250,
   TICKS_PER_S = 4,
   /* Longest time that the store holds a watch for orders.  A revoked key must
@@ -59,7 +60,7 @@
   bool is_registered;
   /* A write of this gateway's registration has no answer yet.  */
   bool is_registration_pending;
-  /* Earliest monotonic time of the next registration, after a failed one.  */
+  /* Earliest monotonic time at which a failed registration is repeated.  */
   uint64_t registration_retry_ms;
   /* Whether the store was reported as down last, by any table.  */
   bool is_store_down;
@@ -384,7 +385,7 @@
   rollouts_tick (sync->rollouts, is_second);
 }
 
-/* Start and end.  */
+/* Creation and destruction.  */
 
 /* Start to read instances, now that the orders for roll-outs are known: an
    instance of a new version must not be taken for one of the old version.  */
--- a/packages/gateway/tablesync.c
+++ b/packages/gateway/tablesync.c
@@ -37,7 +37,8 @@
   uint64_t read_version; /* Store version of the first page of a read.  */
   /* Time of the last call, in ms of the boot clock.  */
   uint64_t sent_ms;
-  uint64_t read_sent_ms; /* The same of the call for the first page.  */
+  /* Time of the call for a read's first page, in ms of the boot clock.  */
+  uint64_t read_sent_ms;
   bool is_confirmed;
   /* Time of the last confirmation, in ms of the boot clock.  */
   uint64_t confirmed_ms;
--- a/packages/gateway/tablesync.h
+++ b/packages/gateway/tablesync.h
@@ -27,8 +27,8 @@
 
 enum
 {
-  /* Long enough not to load a store that is down: every call is charged for,
-     refused calls too.  */
+  /* Default of retry_max_ms.  Long enough not to load a store that is down:
+     every call is charged for, refused calls too.  */
   TABLE_SYNC_RETRY_MAX_MS = 800
 };
 
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -22,7 +22,7 @@
 {
   peer_rows_t *peer_rows;
   table_sync_t *sync;
-  char value[64]; /* Value of row `a' at this gateway, cut to fit.  */
+  char value[64]; /* Value of row `a' at this gateway, truncated.  */
   size_t value_len;
   size_t puts;
   bool is_removed;
@@ -128,7 +128,7 @@
       }
 }
 
-/* Start all gateways; zones and links are set before.  */
+/* Start all gateways of F, whose zones and link_mbps are set.  */
 static void
 start_all (fixture_t *f)
 {
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -41,7 +41,7 @@
   char value[16];  /* Value of row `a' at this gateway.  */
   uint32_t number; /* Number that this gateway adds to the sum.  */
   uint32_t received_sums[GATEWAYS]; /* Last sum from each gateway.  */
-  uint64_t received_ms[GATEWAYS];   /* Time of that sum.  */
+  uint64_t received_ms[GATEWAYS];   /* Time at which the sum was received.  */
   uv_loop_t *loop;
   /* The sync whose calls carry the piggybacked sums.  */
   table_sync_t *shared_sync;
--- a/tests/test_storeclock.c
+++ b/tests/test_storeclock.c
@@ -34,7 +34,7 @@
   store_clock_add_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
   ck_assert_uint_le (store_clock_to_local (&clock, AHEAD_MS + 5002, 8000),
                      5002);
-  /* The same when the late answer is the first sample.  */
+  /* The late answer is the first sample.  */
   store_clock_t fresh_clock = { 0 };
   store_clock_add_sample (&fresh_clock, AHEAD_MS + 5002, 5000, 8000);
   ck_assert_uint_le (
