--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -54,7 +54,7 @@
   uint64_t reading_ms;  /* Since when a later one is being read, by boot time;
                            0: none is.  */
   map_t *trials;        /* Service to trial_t.  */
-  map_t *allowances;    /* Service to allowance_t.  */
+  map_t *allowances;    /* Service to send_budget_t.  */
   map_t *escalations;   /* Service to escalation_t.  */
   allotment_t *fleet;   /* Entries that share what all may use.  */
   uint32_t entries;     /* How many these are, as the allowances know.  */
@@ -65,16 +65,16 @@
   billing_t *bills;
   list_t relays;
   uint64_t started_ms;
-  bool is_prepared;     /* All that a request needs was read once.  */
+  bool is_initialized;  /* All that a request needs was read once.  */
   uint64_t stopping_ms; /* When the planned stop began; 0: it did not.  */
-} belief_t;
+} gateway_state_t;
 
 /* Relay of requests.  */
 
 /* Take over REQ and answer it.  */
-void relay_start (belief_t *belief, httpd_req_t *req);
+void relay_start (gateway_state_t *belief, httpd_req_t *req);
 /* Cut what is left at the end of a planned stop; return how many.  */
-size_t relay_cut_all (belief_t *belief);
+size_t relay_cut_all (gateway_state_t *belief);
 
 enum
 {
@@ -85,7 +85,7 @@
 /* Split KEY of a row that entries share at its first slash; *REST is empty
    without one.  */
 static inline str_t
-row_kind (str_t key, str_t *rest)
+row_key_prefix (str_t key, str_t *rest)
 {
   str_t kind = str_cut (key, '/', rest);
 
@@ -98,21 +98,21 @@
 typedef struct store_sync store_sync_t;
 
 /* SHARE may be NULL.  */
-store_sync_t *store_sync_create (belief_t *belief, rows_t *rows,
+store_sync_t *store_sync_create (gateway_state_t *belief, rows_t *rows,
                                  peer_rows_t *peer_rows);
 /* A planned stop begins: the other entries need not count on this one.  */
 void store_sync_stop (store_sync_t *sync);
 void store_sync_destroy (store_sync_t *sync);
 
 /* Extra sends of SERVICE; made on first use.  */
-allowance_t *belief_allowance (belief_t *belief, str_t service);
+send_budget_t *belief_allowance (gateway_state_t *belief, str_t service);
 /* What is weighed of SERVICE's models; made on first use.  */
-escalation_t *belief_escalation (belief_t *belief, str_t service);
+escalation_t *belief_escalation (gateway_state_t *belief, str_t service);
 /* Milliseconds for which a later configuration than that in force has been
    read; 0: none is.  */
-uint64_t belief_reading_for_ms (const belief_t *belief);
+uint64_t gateway_config_load_ms (const gateway_state_t *belief);
 /* Tell whether the configuration is known and confirmed recently enough to
    trust its keys.  */
-bool belief_confirmed (const belief_t *belief);
+bool belief_confirmed (const gateway_state_t *belief);
 
 #endif
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -93,7 +93,7 @@
   char *name;
   rpc_node_t *node;
   rpc_server_t *server;
-  readers_t *readers;
+  fanout_t *readers;
   map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
   peer_rows_piggyback_t piggyback;
   void *piggyback_arg;
@@ -135,7 +135,8 @@
   void *owner;
 
   return !peer_rows->is_stopping
-         && readers_choose (peer_rows->readers, &owner) == ASKS_STORE;
+         && fanout_choose_source (peer_rows->readers, &owner)
+                == FANOUT_READS_STORE;
 }
 
 /* Answering other gateways.  */
@@ -198,15 +199,15 @@
 
   if (peer_rows->is_stopping)
     return false;
-  if (readers_hears (peer_rows->readers))
+  if (fanout_is_store_reachable (peer_rows->readers))
     return true;
-  switch (readers_choose (peer_rows->readers, &owner))
+  switch (fanout_choose_source (peer_rows->readers, &owner))
     {
-    case ASKS_STORE:
+    case FANOUT_READS_STORE:
       return true;
-    case ASKS_ROOT:
+    case FANOUT_READS_ROOT:
       return !is_relay;
-    case ASKS_HEAD:
+    case FANOUT_READS_HEAD:
       break;
     }
   return false;
@@ -318,8 +319,8 @@
       EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
       field_number (FIELD_CODE, code),
       field_number (FIELD_TOOK_MS, boot_ms (peer_rows) - pending->sent_ms));
-  readers_failed (peer_rows->readers, str_from (pending->reader_name),
-                  is_silent);
+  fanout_source_failed (peer_rows->readers, str_from (pending->reader_name),
+                        is_silent);
 }
 
 static void
@@ -337,12 +338,12 @@
   else
     {
       rowcache_set_down (cache);
-      readers_store_said (peer_rows->readers, false);
+      fanout_store_call_ended (peer_rows->readers, false);
       if (pending->rpc_call != NULL)
         return;
     }
   if (code == VH_OK)
-    readers_store_said (peer_rows->readers, true);
+    fanout_store_call_ended (peer_rows->readers, true);
   if (pending->rpc_call != NULL)
     record_reader_failure (pending, VH_E_TIMEOUT, true);
   finish_call (pending, code, result);
@@ -453,7 +454,7 @@
 call_next_reader (pending_call_t *pending)
 {
   peer_rows_t *peer_rows = pending->peer_rows;
-  gateway_peer_t *next = readers_next (peer_rows->readers);
+  gateway_peer_t *next = fanout_next_source (peer_rows->readers);
 
   if (next != NULL && pending->readers_tried < READERS_TRIED_MAX
       && strcmp (next->name, pending->reader_name) != 0)
@@ -461,7 +462,7 @@
       call_reader (pending, next, true);
       return;
     }
-  if (readers_may_probe (peer_rows->readers))
+  if (fanout_may_probe_store (peer_rows->readers))
     {
       call_store (pending, STR (""));
       return;
@@ -573,14 +574,16 @@
 start_call (pending_call_t *pending, str_t from)
 {
   void *gateway;
-  readers_role_t role = readers_choose (pending->peer_rows->readers, &gateway);
+  fanout_role_t role
+      = fanout_choose_source (pending->peer_rows->readers, &gateway);
 
   /* Only the store answers in pages, so the next page must come from the
      store.  */
-  if (role == ASKS_STORE || (pending->is_read && !pending->is_first_page))
+  if (role == FANOUT_READS_STORE
+      || (pending->is_read && !pending->is_first_page))
     call_store (pending, from);
   else
-    call_reader (pending, gateway, role == ASKS_ROOT);
+    call_reader (pending, gateway, role == FANOUT_READS_ROOT);
 }
 
 static pending_call_t *
@@ -673,7 +676,7 @@
 {
   gateway_peer_t *gateway = map_remove (peer_rows->gateways, name);
 
-  readers_remove (peer_rows->readers, name);
+  fanout_remove (peer_rows->readers, name);
   if (gateway != NULL)
     gateway_peer_free (gateway);
 }
@@ -693,14 +696,14 @@
   gateway->name = str_dup (name);
   gateway->address = str_dup (address);
   map_put (peer_rows->gateways, name, gateway);
-  readers_put (peer_rows->readers, name, zone, link_mbps, gateway);
+  fanout_put (peer_rows->readers, name, zone, link_mbps, gateway);
 }
 
 void
 peer_rows_stop_serving (peer_rows_t *peer_rows)
 {
   peer_rows->is_stopping = true;
-  readers_leave (peer_rows->readers);
+  fanout_stop_serving (peer_rows->readers);
 }
 
 void
@@ -754,8 +757,8 @@
   peer_rows->clock = clock;
   peer_rows->store = store;
   peer_rows->name = str_dup (options->name);
-  peer_rows->readers = readers_create (clock, seed, options->name,
-                                       options->zone, options->link_mbps);
+  peer_rows->readers = fanout_create (clock, seed, options->name,
+                                      options->zone, options->link_mbps);
   peer_rows->gateways = map_create ();
   list_init (&peer_rows->pending);
   list_init (&peer_rows->watches);
@@ -804,6 +807,6 @@
   for (size_t i = 0; i < TABLE_COUNT; i++)
     rowcache_destroy (peer_rows->caches[i]);
   free (peer_rows->name);
-  readers_destroy (peer_rows->readers);
+  fanout_destroy (peer_rows->readers);
   uv_close ((uv_handle_t *)&peer_rows->tick, on_tick_closed);
 }
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -20,7 +20,7 @@
 
 struct rollouts
 {
-  belief_t *belief;
+  gateway_state_t *belief;
   rows_t *rows;
   peer_rows_t *peer_rows;
   bool is_commit_pending; /* A write of a state row has no answer yet.  */
@@ -40,7 +40,8 @@
     {
       str_t version = str_cut (text, ' ', &text);
       if (trial == NULL || !str_eq (version, trial_version (trial)))
-        pool_withdraw (rollouts->belief->pool, service, version, true);
+        pool_set_version_withdrawn (rollouts->belief->pool, service, version,
+                                    true);
     }
 }
 
@@ -83,7 +84,7 @@
         trial_set_phase (trial, phase);
         is_final = true;
       }
-  trial_set_written (trial, is_final);
+  trial_set_final_phase_stored (trial, is_final);
 }
 
 void
@@ -116,8 +117,8 @@
 void
 rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row)
 {
-  belief_t *belief = rollouts->belief;
-  rollout_order_t order;
+  gateway_state_t *belief = rollouts->belief;
+  rollout_spec_t order;
   void *holder = NULL;
   vh_code_t code = belief->dialect->read_rollout (row->value, &order, &holder);
 
@@ -133,13 +134,15 @@
       /* Instances of a rolled-back version stay registered for a while.  They
          must not count as the old version of the next order.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
-        pool_withdraw (belief->pool, order.service, trial_version (trial),
-                       true);
-      pool_withdraw (belief->pool, order.service, order.version, false);
+        pool_set_version_withdrawn (belief->pool, order.service,
+                                    trial_version (trial), true);
+      pool_set_version_withdrawn (belief->pool, order.service, order.version,
+                                  false);
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
-      trial_set_seen (trial, table_sync_store_now_ms (belief->orders));
+      trial_set_order_seen_ms (trial,
+                               table_sync_store_now_ms (belief->orders));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -157,7 +160,7 @@
   str_t rest;
   str_t gateway;
 
-  if (!str_eq (row_kind (key, &rest), STR ("evidence")))
+  if (!str_eq (row_key_prefix (key, &rest), STR ("evidence")))
     return;
   str_t service = str_cut (rest, '/', &gateway);
   trial_t *trial = map_get (rollouts->belief->trials, service);
@@ -217,7 +220,7 @@
              uint64_t start_ms, uint32_t step, uint64_t from_ms)
 {
   static const rollout_state_t states[]
-      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_TAKEN_BACK };
+      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_ROLLED_BACK };
   trial_phase_t phase = trial_phase (trial);
   rows_write_t writes[2] = { 0 };
   buf_t key = BUF_NULL;
@@ -233,7 +236,7 @@
               (unsigned long long)trial_order (trial),
               (unsigned long long)start_ms, step, (unsigned long long)from_ms,
               trial_phase_name (phase));
-  pool_write_withdrawn (rollouts->belief->pool, service, &value);
+  pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
   writes[0].table = ROWS_SHARED;
@@ -289,7 +292,7 @@
     {
       trial_t *trial = value;
       if (trial_phase (trial) != TRIAL_RUNNING
-          || trial_step (trial) == TRIAL_STEP_HELD)
+          || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
       trial_write (trial, is_relay, &items[count++].value);
@@ -328,17 +331,18 @@
   /* A gateway that cannot reach the store judges its own evidence.  */
   if (!is_isolated && !is_decider (rollouts))
     return;
-  trial_verdict_t verdict = trial_judge (trial, now_ms, is_isolated, &reason);
+  trial_decision_t verdict
+      = trial_decide (trial, now_ms, is_isolated, &reason);
 
   switch (verdict)
     {
     case TRIAL_WAIT:
       break;
     case TRIAL_ADVANCE:
-      write_state (rollouts, service, trial, trial_start (trial),
-                   trial_step (trial) + 1, now_ms + TRIAL_NOTICE_MS);
+      write_state (rollouts, service, trial, trial_start_ms (trial),
+                   trial_step (trial) + 1, now_ms + TRIAL_STEP_NOTICE_MS);
       break;
-    case TRIAL_TAKE_BACK:
+    case TRIAL_ROLL_BACK:
     case TRIAL_FINISH:
       trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
                                                       : TRIAL_ROLLED_BACK);
@@ -360,27 +364,29 @@
 {
   uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->orders);
 
-  if (trial_start (trial) == 0)
+  if (trial_start_ms (trial) == 0)
     {
       /* The order's time limit runs from when this gateway read the order,
          even if the state row is written late.  */
-      uint64_t start_ms
-          = trial_seen (trial) != 0 ? trial_seen (trial) : now_ms;
+      uint64_t start_ms = trial_order_seen_ms (trial) != 0
+                              ? trial_order_seen_ms (trial)
+                              : now_ms;
       write_state (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
   if (trial_phase (trial) == TRIAL_RUNNING)
     {
       if (is_second)
-        trial_fade (trial);
+        trial_decay (trial);
       evaluate_trial (rollouts, service, trial);
     }
   /* Write the decision until the state row has this or another decision.  */
-  if (trial_phase (trial) != TRIAL_RUNNING && !trial_written (trial))
-    write_state (rollouts, service, trial, trial_start (trial),
-                 trial_step (trial), trial_from (trial));
+  if (trial_phase (trial) != TRIAL_RUNNING
+      && !trial_is_final_phase_stored (trial))
+    write_state (rollouts, service, trial, trial_start_ms (trial),
+                 trial_step (trial), trial_step_start_ms (trial));
   else if (is_second && trial_phase (trial) == TRIAL_RUNNING
-           && trial_step (trial) > 0 && trial_dirty (trial)
+           && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_decider (rollouts))
     write_evidence (rollouts, service, trial);
 }
@@ -397,7 +403,7 @@
 }
 
 rollouts_t *
-rollouts_create (belief_t *belief, rows_t *rows, peer_rows_t *peer_rows)
+rollouts_create (gateway_state_t *belief, rows_t *rows, peer_rows_t *peer_rows)
 {
   static const peer_rows_piggyback_t piggyback
       = { list_evidence, on_evidence_received };
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -16,7 +16,7 @@
 
 /* BELIEF, ROWS and PEER_ROWS must outlive the result.  PEER_ROWS is NULL when
    this gateway calls the store itself.  */
-rollouts_t *rollouts_create (belief_t *belief, rows_t *rows,
+rollouts_t *rollouts_create (gateway_state_t *belief, rows_t *rows,
                              peer_rows_t *peer_rows);
 void rollouts_destroy (rollouts_t *rollouts);
 
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -46,7 +46,7 @@
 
 struct store_sync
 {
-  belief_t *belief;
+  gateway_state_t *belief;
   rows_t *rows;
   peer_rows_t *peer_rows;
   loader_t *loader;
@@ -77,8 +77,8 @@
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
   store_sync_t *sync = arg;
-  belief_t *belief = sync->belief;
-  uint64_t parse_ms = belief_reading_for_ms (belief);
+  gateway_state_t *belief = sync->belief;
+  uint64_t parse_ms = gateway_config_load_ms (belief);
 
   /* While a later configuration waits to be parsed, the confirmation of the
      keys in force continues to age.  */
@@ -111,7 +111,7 @@
 static void
 parse_catalog (store_sync_t *sync, const rows_row_t *row)
 {
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
 
   log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
              field_number (FIELD_BYTES, row->value.len));
@@ -124,22 +124,22 @@
 on_order_put (void *arg, const rows_row_t *row)
 {
   store_sync_t *sync = arg;
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
   str_t name;
 
   switch (belief->dialect->order_kind (row->key, &name))
     {
-    case ORDER_CATALOG:
+    case OPERATOR_ROW_CATALOG:
       parse_catalog (sync, row);
       break;
-    case ORDER_ROLLOUT:
+    case OPERATOR_ROW_ROLLOUT:
       rollouts_apply_order (sync->rollouts, row);
       break;
-    case ORDER_ZONE_OUT:
+    case OPERATOR_ROW_ZONE_EXCLUSION:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
-      pool_zone_out (belief->pool, name, true);
+      pool_set_zone_disabled (belief->pool, name, true);
       break;
-    case ORDER_NONE:
+    case OPERATOR_ROW_UNKNOWN:
       break;
     }
 }
@@ -150,10 +150,11 @@
   store_sync_t *sync = arg;
   str_t name;
 
-  if (sync->belief->dialect->order_kind (key, &name) != ORDER_ZONE_OUT)
+  if (sync->belief->dialect->order_kind (key, &name)
+      != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_zone_out (sync->belief->pool, name, false);
+  pool_set_zone_disabled (sync->belief->pool, name, false);
 }
 
 /* Instances.  */
@@ -162,7 +163,7 @@
 on_instance_put (void *arg, const rows_row_t *row)
 {
   store_sync_t *sync = arg;
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
   upstream_info_t info;
   void *holder = NULL;
   vh_code_t code
@@ -188,7 +189,7 @@
 on_instance_removed (void *arg, str_t key)
 {
   store_sync_t *sync = arg;
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   uint64_t keep_ms = 0;
 
@@ -205,7 +206,7 @@
 update_prepared (store_sync_t *sync)
 {
   if (sync->has_read_shared_rows && sync->has_read_instances)
-    sync->belief->is_prepared = true;
+    sync->belief->is_initialized = true;
 }
 
 static void
@@ -263,7 +264,7 @@
 {
   store_sync_t *sync = arg;
   str_t rest;
-  str_t kind = row_kind (row->key, &rest);
+  str_t kind = row_key_prefix (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
     rollouts_apply_state_row (sync->rollouts, rest, row);
@@ -285,9 +286,9 @@
   store_sync_t *sync = arg;
   str_t rest;
 
-  if (str_eq (row_kind (key, &rest), STR ("entry")))
+  if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
-      allotment_leave (sync->belief->fleet, rest);
+      allotment_remove (sync->belief->fleet, rest);
       if (sync->peer_rows != NULL)
         peer_rows_remove_gateway (sync->peer_rows, rest);
     }
@@ -298,20 +299,20 @@
 static void
 divide_limits (store_sync_t *sync)
 {
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
   size_t cursor = 0;
   str_t key;
   void *value;
 
   allotment_expire (belief->fleet);
-  uint32_t gateways = (uint32_t)allotment_size (belief->fleet);
+  uint32_t gateways = (uint32_t)allotment_gateway_count (belief->fleet);
   if (gateways == belief->entries)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, gateways),
              field_number (FIELD_BEFORE, belief->entries));
   belief->entries = gateways;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_set_entries (value, gateways);
+    send_budget_set_gateway_count (value, gateways);
 }
 
 static void
@@ -322,7 +323,7 @@
   (void)is_full_read;
   sync->has_read_shared_rows = true;
   update_prepared (sync);
-  allotment_read (sync->belief->fleet);
+  allotment_set_loaded (sync->belief->fleet);
   divide_limits (sync);
 }
 
@@ -372,7 +373,7 @@
 on_tick (uv_timer_t *timer)
 {
   store_sync_t *sync = timer->data;
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
   bool is_second = ++sync->ticks % TICKS_PER_S == 0;
 
   if (belief->stopping_ms != 0 || !sync->has_read_shared_rows)
@@ -403,7 +404,7 @@
       = { on_instance_put, on_instance_removed, on_instances_synced,
           on_instances_reachability };
   store_sync_t *sync = arg;
-  belief_t *belief = sync->belief;
+  gateway_state_t *belief = sync->belief;
 
   (void)is_full_read;
   if (sync->instances == NULL)
@@ -427,7 +428,8 @@
 }
 
 store_sync_t *
-store_sync_create (belief_t *belief, rows_t *rows, peer_rows_t *peer_rows)
+store_sync_create (gateway_state_t *belief, rows_t *rows,
+                   peer_rows_t *peer_rows)
 {
   static const table_sync_options_t orders
       = { .table = ROWS_ORDERS,
--- a/packages/gateway/terms.c
+++ b/packages/gateway/terms.c
@@ -16,7 +16,8 @@
 
 /* Find who asks for what.  Return VH_OK, or the reason why not.  */
 static vh_code_t
-identify (terms_t *terms, const belief_t *belief, const httpd_req_t *req)
+identify (terms_t *terms, const gateway_state_t *belief,
+          const httpd_req_t *req)
 {
   str_t bearer = httpd_header (req, STR ("authorization"));
 
@@ -112,8 +113,8 @@
 }
 
 vh_code_t
-terms_read (terms_t *terms, const belief_t *belief, const httpd_req_t *req,
-            str_t attempt)
+terms_read (terms_t *terms, const gateway_state_t *belief,
+            const httpd_req_t *req, str_t attempt)
 {
   vh_code_t code = identify (terms, belief, req);
 
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -56,7 +56,7 @@
 
 struct cascade
 {
-  evidence_t *evidence;
+  crdt_t *evidence;
   sums_t *cache; /* By key index.  */
   double decay[CASCADE_EPOCHS + 1];
   uint64_t reasons[CASCADE_REASON_COUNT];
@@ -75,15 +75,15 @@
 cascade_t *
 cascade_create (uint64_t writer)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = CASCADE_EPOCH_MS,
-                                       .epochs = CASCADE_EPOCHS,
-                                       .fields = FIELDS,
-                                       .keys_max = CASCADE_KEYS_MAX,
-                                       .cells_max = CASCADE_CELLS_MAX };
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = CASCADE_EPOCH_MS,
+                                   .epochs = CASCADE_EPOCHS,
+                                   .fields = FIELDS,
+                                   .keys_max = CASCADE_KEYS_MAX,
+                                   .cells_max = CASCADE_CELLS_MAX };
   cascade_t *c = mem_zalloc (sizeof *c);
 
-  c->evidence = evidence_create (&options);
+  c->evidence = crdt_create (&options);
   c->cache = mem_zalloc (CASCADE_KEYS_MAX * sizeof *c->cache);
   for (int age = 0; age <= CASCADE_EPOCHS; age++)
     c->decay[age]
@@ -96,7 +96,7 @@
 {
   if (c == NULL)
     return;
-  evidence_destroy (c->evidence);
+  crdt_destroy (c->evidence);
   free (c->cache);
   free (c);
 }
@@ -135,11 +135,12 @@
     {
       double value = fmax (0, fmin (1, audit));
       sample[FIELD_RATED] = 1;
-      sample[FIELD_SUM] = evidence_fixed (value);
-      sample[FIELD_SQUARES] = evidence_fixed (value * value);
+      sample[FIELD_SUM] = crdt_to_fixed_point (value);
+      sample[FIELD_SQUARES] = crdt_to_fixed_point (value * value);
     }
-  int key = evidence_key (c->evidence, bin_hash (curve, bin_of (rating)));
-  evidence_add (c->evidence, key, now_ms, sample);
+  int key
+      = crdt_key_find_or_add (c->evidence, bin_hash (curve, bin_of (rating)));
+  crdt_add (c->evidence, key, now_ms, sample);
 }
 
 void
@@ -162,23 +163,24 @@
 static void
 sums_fill (const cascade_t *c, int key, uint64_t now_ms, sums_t *out)
 {
-  uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
-  uint64_t last = evidence_last (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
+  uint64_t last = crdt_last_epoch (c->evidence);
 
   *out = (sums_t){ .filled = true,
                    .at_ms = now_ms,
-                   .changes = evidence_changes (c->evidence) };
-  for (uint64_t epoch = evidence_first (c->evidence); epoch <= last; epoch++)
+                   .changes = crdt_change_count (c->evidence) };
+  for (uint64_t epoch = crdt_first_epoch (c->evidence); epoch <= last; epoch++)
     {
-      const int64_t *sums = evidence_sums (c->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (c->evidence, key, epoch);
       if (sums == NULL)
         continue;
       uint64_t age = now_epoch > epoch ? now_epoch - epoch : 0;
       double decay = c->decay[age < CASCADE_EPOCHS ? age : CASCADE_EPOCHS];
       out->first += decay * (double)sums[FIELD_FIRST];
       out->rated += decay * (double)sums[FIELD_RATED];
-      out->sum += decay * (double)sums[FIELD_SUM] / EVIDENCE_UNIT;
-      out->squares += decay * (double)sums[FIELD_SQUARES] / EVIDENCE_UNIT;
+      out->sum += decay * (double)sums[FIELD_SUM] / CRDT_FIXED_POINT_ONE;
+      out->squares
+          += decay * (double)sums[FIELD_SQUARES] / CRDT_FIXED_POINT_ONE;
     }
 }
 
@@ -192,7 +194,7 @@
     return &none;
   sums_t *cache = &c->cache[key];
   bool old = now_ms - cache->at_ms >= CACHE_MS
-             && (cache->changes != evidence_changes (c->evidence)
+             && (cache->changes != crdt_change_count (c->evidence)
                  || now_ms - cache->at_ms >= CASCADE_EPOCH_MS / 4);
   if (!cache->filled || now_ms < cache->at_ms || old)
     sums_fill (c, key, now_ms, cache);
@@ -207,7 +209,7 @@
   curve->sum = 0;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      int key = evidence_find (c->evidence, bin_hash (hash, b));
+      int key = crdt_key_find (c->evidence, bin_hash (hash, b));
       curve->bins[b] = *sums_get (c, key, now_ms);
       curve->first += curve->bins[b].first;
       curve->rated += curve->bins[b].rated;
@@ -747,7 +749,7 @@
                    .room_ms = (double)request->deadline_left_ms
                               * CASCADE_DEADLINE_PART };
 
-  evidence_advance (c->evidence, now_ms);
+  crdt_advance (c->evidence, now_ms);
   d.strongest = strongest_in_time (&d);
   cascade_plan_t plan = decide (&d, rng);
   c->reasons[plan.reason]++;
@@ -757,23 +759,23 @@
 void
 cascade_settle (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
-  uint64_t epoch = evidence_first (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (c->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (c->evidence, epoch, generation);
+    crdt_compact (c->evidence, epoch, generation);
 }
 
 void
 cascade_write (const cascade_t *c, bool own_only, buf_t *out)
 {
-  evidence_write (c->evidence, own_only, out);
+  crdt_write (c->evidence, own_only, out);
 }
 
 vh_code_t
 cascade_merge (cascade_t *c, str_t bytes, uint64_t now_ms)
 {
-  return evidence_merge (c->evidence, bytes, now_ms);
+  return crdt_merge (c->evidence, bytes, now_ms);
 }
 
 static const struct
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -35,7 +35,7 @@
 
 struct quality
 {
-  evidence_t *evidence;
+  crdt_t *evidence;
   cache_t *cache; /* By key index.  */
   quality_sampling_t sampling;
   double tokens;
@@ -47,15 +47,15 @@
 quality_t *
 quality_create (uint64_t writer, const quality_sampling_t *sampling)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = QUALITY_EPOCH_MS,
-                                       .epochs = QUALITY_EPOCHS,
-                                       .fields = FIELDS,
-                                       .keys_max = QUALITY_SERIES_MAX,
-                                       .cells_max = QUALITY_CELLS_MAX };
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = QUALITY_EPOCH_MS,
+                                   .epochs = QUALITY_EPOCHS,
+                                   .fields = FIELDS,
+                                   .keys_max = QUALITY_SERIES_MAX,
+                                   .cells_max = QUALITY_CELLS_MAX };
   quality_t *q = mem_zalloc (sizeof *q);
 
-  q->evidence = evidence_create (&options);
+  q->evidence = crdt_create (&options);
   q->cache = mem_zalloc (QUALITY_SERIES_MAX * sizeof *q->cache);
   q->sampling = *sampling;
   q->tokens = sampling->burst;
@@ -67,7 +67,7 @@
 {
   if (q == NULL)
     return;
-  evidence_destroy (q->evidence);
+  crdt_destroy (q->evidence);
   free (q->cache);
   free (q);
 }
@@ -85,10 +85,10 @@
   if (isnan (rating))
     return false;
   double value = fmax (0, fmin (1, rating));
-  int64_t sample[FIELDS]
-      = { 0, evidence_fixed (value), evidence_fixed (value * value) };
-  int key = evidence_key (q->evidence, quality_hash (task, version));
-  return evidence_add (q->evidence, key, now_ms, sample);
+  int64_t sample[FIELDS] = { 0, crdt_to_fixed_point (value),
+                             crdt_to_fixed_point (value * value) };
+  int key = crdt_key_find_or_add (q->evidence, quality_hash (task, version));
+  return crdt_add (q->evidence, key, now_ms, sample);
 }
 
 quality_bound_t
@@ -147,25 +147,25 @@
 gather_batches (const quality_t *q, int key, uint64_t now_ms,
                 batch_t batches[QUALITY_EPOCHS])
 {
-  uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
-  uint64_t last = evidence_last (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
+  uint64_t last = crdt_last_epoch (q->evidence);
   size_t count = 0;
 
-  for (uint64_t epoch = evidence_first (q->evidence); epoch <= last; epoch++)
+  for (uint64_t epoch = crdt_first_epoch (q->evidence); epoch <= last; epoch++)
     {
-      const int64_t *sums = evidence_sums (q->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (q->evidence, key, epoch);
       if (sums == NULL)
         continue;
       double age = now_epoch > epoch ? (double)(now_epoch - epoch) : 0;
       double decay = exp2 (-age * QUALITY_EPOCH_MS / QUALITY_HALF_LIFE_MS);
       double n = (double)sums[0];
-      batches[count++]
-          = (batch_t){ .mean = (double)sums[FIELD_SUM] / EVIDENCE_UNIT / n,
-                       .weight = decay * n,
-                       .votes = decay * fmin (n, VOTES_MAX),
-                       .count = n,
-                       .squares
-                       = (double)sums[FIELD_SQUARES] / EVIDENCE_UNIT };
+      batches[count++] = (batch_t){
+        .mean = (double)sums[FIELD_SUM] / CRDT_FIXED_POINT_ONE / n,
+        .weight = decay * n,
+        .votes = decay * fmin (n, VOTES_MAX),
+        .count = n,
+        .squares = (double)sums[FIELD_SQUARES] / CRDT_FIXED_POINT_ONE
+      };
     }
   qsort (batches, count, sizeof *batches, compare_batches);
   return count;
@@ -193,7 +193,7 @@
 
   *cache = (cache_t){ .filled = true,
                       .at_ms = now_ms,
-                      .changes = evidence_changes (q->evidence) };
+                      .changes = crdt_change_count (q->evidence) };
   for (size_t i = 0; i < count; i++)
     {
       const batch_t *b = &batches[i];
@@ -212,7 +212,7 @@
 {
   cache_t *cache = &q->cache[key];
   bool old = now_ms - cache->at_ms >= CACHE_MS
-             && (cache->changes != evidence_changes (q->evidence)
+             && (cache->changes != crdt_change_count (q->evidence)
                  || now_ms - cache->at_ms >= QUALITY_EPOCH_MS / 4);
 
   if (!cache->filled || now_ms < cache->at_ms || old)
@@ -224,11 +224,11 @@
 quality_get (quality_t *q, str_t task, str_t version, double prior,
              uint64_t now_ms)
 {
-  int key = evidence_find (q->evidence, quality_hash (task, version));
+  int key = crdt_key_find (q->evidence, quality_hash (task, version));
 
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
-  evidence_advance (q->evidence, now_ms);
+  crdt_advance (q->evidence, now_ms);
   const cache_t *cache = cache_get (q, key, now_ms);
   return quality_posterior (cache->count, cache->sum, cache->squares, prior,
                             QUALITY_PRIOR_VARIANCE);
@@ -293,21 +293,21 @@
 void
 quality_settle (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
-  uint64_t epoch = evidence_first (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (q->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (q->evidence, epoch, generation);
+    crdt_compact (q->evidence, epoch, generation);
 }
 
 void
 quality_write (const quality_t *q, bool own_only, buf_t *out)
 {
-  evidence_write (q->evidence, own_only, out);
+  crdt_write (q->evidence, own_only, out);
 }
 
 vh_code_t
 quality_merge (quality_t *q, str_t bytes, uint64_t now_ms)
 {
-  return evidence_merge (q->evidence, bytes, now_ms);
+  return crdt_merge (q->evidence, bytes, now_ms);
 }
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -17,15 +17,15 @@
     {
       double value = log (sample->latency_ms);
       fields[SAMPLE_LATENCIES] = 1;
-      fields[SAMPLE_LATENCY_SUM] = evidence_fixed (value);
-      fields[SAMPLE_LATENCY_SQUARES] = evidence_fixed (value * value);
+      fields[SAMPLE_LATENCY_SUM] = crdt_to_fixed_point (value);
+      fields[SAMPLE_LATENCY_SQUARES] = crdt_to_fixed_point (value * value);
     }
   if (sample->rated && !isnan (sample->rating))
     {
       double value = fmax (0, fmin (1, sample->rating));
       fields[SAMPLE_RATINGS] = 1;
-      fields[SAMPLE_RATING_SUM] = evidence_fixed (value);
-      fields[SAMPLE_RATING_SQUARES] = evidence_fixed (value * value);
+      fields[SAMPLE_RATING_SUM] = crdt_to_fixed_point (value);
+      fields[SAMPLE_RATING_SQUARES] = crdt_to_fixed_point (value * value);
     }
 }
 
@@ -40,8 +40,8 @@
     {
     case ROLLOUT_RATING:
       m.count = (double)sums[SAMPLE_RATINGS];
-      m.sum = -(double)sums[SAMPLE_RATING_SUM] / EVIDENCE_UNIT;
-      m.squares = (double)sums[SAMPLE_RATING_SQUARES] / EVIDENCE_UNIT;
+      m.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
+      m.squares = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     case ROLLOUT_ERROR:
       m.count = (double)sums[SAMPLE_FINISHED];
@@ -50,8 +50,8 @@
       break;
     default:
       m.count = (double)sums[SAMPLE_LATENCIES];
-      m.sum = (double)sums[SAMPLE_LATENCY_SUM] / EVIDENCE_UNIT;
-      m.squares = (double)sums[SAMPLE_LATENCY_SQUARES] / EVIDENCE_UNIT;
+      m.sum = (double)sums[SAMPLE_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
+      m.squares = (double)sums[SAMPLE_LATENCY_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     }
   return m;
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -29,9 +29,9 @@
   double squares;
 } moments_t;
 
-/* Fill FIELDS, SAMPLE_FIELDS long, for evidence_add.  */
+/* Fill FIELDS, SAMPLE_FIELDS long, for crdt_add.  */
 void sample_fields (const rollout_sample_t *sample, int64_t *fields);
-/* Moments of METRIC in the SUMS of evidence_sums; zeros when it is NULL.  */
+/* Moments of METRIC in the SUMS of crdt_sums; zeros when it is NULL.  */
 moments_t sample_moments (const int64_t *sums, rollout_metric_t metric);
 
 #endif
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -173,16 +173,17 @@
 
 /* The dialect of the tests: plain words in rows.  */
 
-static order_kind_t
+static operator_row_kind_t
 order_kind (str_t key, str_t *name)
 {
   str_t kind = str_cut (key, '/', name);
 
   if (str_eq (kind, STR ("catalog")))
-    return ORDER_CATALOG;
+    return OPERATOR_ROW_CATALOG;
   if (str_eq (kind, STR ("rollout")))
-    return ORDER_ROLLOUT;
-  return str_eq (kind, STR ("zone")) ? ORDER_ZONE_OUT : ORDER_NONE;
+    return OPERATOR_ROW_ROLLOUT;
+  return str_eq (kind, STR ("zone")) ? OPERATOR_ROW_ZONE_EXCLUSION
+                                     : OPERATOR_ROW_UNKNOWN;
 }
 
 /* A catalog's row is REVISION KEY, and whatever comes after a space: all the
@@ -273,7 +274,7 @@
 
 /* SERVICE VERSION WITHIN_MS.  */
 static vh_code_t
-read_rollout (str_t value, rollout_order_t *order, void **holder)
+read_rollout (str_t value, rollout_spec_t *order, void **holder)
 {
   str_t words[3];
 
@@ -367,7 +368,7 @@
     .confirm_ms = 3500,
     .lapse_ms = 2000,
     .retry_ratio = 0.9,
-    .retry_slack = 50,
+    .retry_fixed_budget = 50,
     .retry_window_ms = 10000,
     .cold_factor = 1.5,
     .cold_slack = 5,
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -136,21 +136,22 @@
 START_TEST (orders_are_told_apart)
 {
   const gateway_dialect_t *dialect = platform_dialect ();
-  rollout_order_t order;
+  rollout_spec_t order;
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
   void *holder;
   str_t name;
 
   ck_assert_int_eq (dialect->order_kind (STR ("config"), &name),
-                    ORDER_CATALOG);
+                    OPERATOR_ROW_CATALOG);
   ck_assert_int_eq (dialect->order_kind (STR ("rollout/x"), &name),
-                    ORDER_ROLLOUT);
+                    OPERATOR_ROW_ROLLOUT);
   ck_assert (str_eq (name, STR ("x")));
   ck_assert_int_eq (dialect->order_kind (STR ("evacuate/z"), &name),
-                    ORDER_ZONE_OUT);
+                    OPERATOR_ROW_ZONE_EXCLUSION);
   ck_assert (str_eq (name, STR ("z")));
-  ck_assert_int_eq (dialect->order_kind (STR ("other"), &name), ORDER_NONE);
+  ck_assert_int_eq (dialect->order_kind (STR ("other"), &name),
+                    OPERATOR_ROW_UNKNOWN);
   ck_assert_int_eq (
       dialect->read_rollout (
           STR ("{\"service\":\"x\",\"to\":\"v2\",\"withinS\":12}"), &order,
@@ -161,7 +162,7 @@
   ck_assert_int_ne (
       dialect->read_rollout (STR ("{\"service\":\"x\"}"), &order, &holder),
       VH_OK);
-  dialect->write_rollout_status (STR ("x"), STR ("v2"), ROLLOUT_TAKEN_BACK,
+  dialect->write_rollout_status (STR ("x"), STR ("v2"), ROLLOUT_ROLLED_BACK,
                                  &key, &value);
   ck_assert (str_eq (buf_str (&key), STR ("rollout/x")));
   ck_assert (str_eq (buf_str (&value), STR ("{\"service\":\"x\",\"to\":\"v2\","
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -793,7 +793,7 @@
   fake_upstream_script (f.upstreams[0], acts, 2);
   caller_start (&f, &stream, "POST", "/chat/", ASK, "{}");
   gateway_fixture_wait (&f, requests_of (&f) == 1);
-  gateway_stop (f.gateway);
+  gateway_begin_stop (f.gateway);
   ck_assert_int_eq (gateway_fixture_ready (&f), 503);
   fake_upstream_script (f.upstreams[0], acts + 1, 1);
   gateway_fixture_ask (&f, &caller, "POST", "/chat/", ASK, "{}");
@@ -807,7 +807,7 @@
   gateway_fixture_wait (&f, stream.closed);
   ck_assert (caller_has (&stream, "data: e5\n"));
   ck_assert (caller_has (&stream, "\r\n0\r\n\r\n"));
-  gateway_fixture_wait (&f, gateway_over (f.gateway));
+  gateway_fixture_wait (&f, gateway_is_stopped (f.gateway));
   caller_free (&f, &stream);
   gateway_fixture_teardown (&f);
 }
