--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -31,8 +31,8 @@
   httpd_t *ready_server;
   httpd_t *admin_server;
   peer_rows_t
-      *share; /* NULL if each gateway process reads the store itself.  */
-  store_sync_t *duties;
+      *peer_rows; /* NULL if each gateway process reads the store itself.  */
+  store_sync_t *store_sync;
   uv_timer_t drain_timer;
   bool is_stopped;
   size_t aborted_count;
@@ -289,9 +289,9 @@
     return VH_OK;
   vh_code_t code
       = peer_rows_create (state->loop, state->clock, rng_u64 (&state->rng),
-                          *rows, &options, &gateway->share);
+                          *rows, &options, &gateway->peer_rows);
   if (code == VH_OK)
-    *rows = peer_rows_iface (gateway->share);
+    *rows = peer_rows_iface (gateway->peer_rows);
   return code;
 }
 
@@ -343,8 +343,8 @@
   httpd_destroy (gateway->ready_server);
   httpd_destroy (gateway->admin_server);
   billing_destroy (gateway->state.billing);
-  store_sync_destroy (gateway->duties);
-  peer_rows_destroy (gateway->share);
+  store_sync_destroy (gateway->store_sync);
+  peer_rows_destroy (gateway->peer_rows);
   prober_destroy (gateway->state.prober);
   free_state (&gateway->state);
   uv_close ((uv_handle_t *)&gateway->drain_timer, on_drain_timer_closed);
@@ -386,7 +386,7 @@
   if (state->stopping_ms != 0)
     return;
   state->stopping_ms = clock_ms (state->clock);
-  store_sync_stop (gateway->duties);
+  store_sync_stop (gateway->store_sync);
   log_event (EVENT_STOP,
              field_number (FIELD_IN_FLIGHT,
                            httpd_in_flight (gateway->caller_server)));
@@ -458,7 +458,7 @@
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = store_sync_create (state, rows, gateway->share);
+  gateway->store_sync = store_sync_create (state, rows, gateway->peer_rows);
   state->billing = billing_create (loop, rows, state->options.name,
                                    rng_u64 (&state->rng));
   if (code != VH_OK)
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -1,5 +1,6 @@
-/* State shared by the parts of a gateway.  duties.c updates the state from the
-   store, and the request path (relay.c) reads it; neither calls the other.  */
+/* State shared by the parts of a gateway.  storesync.c updates the state from
+   the store, and the request path (relay.c) reads it; neither calls the other.
+ */
 
 #ifndef GATEWAY_GATEWAYINT_H
 #define GATEWAY_GATEWAYINT_H
@@ -8,10 +9,10 @@
 #include "base/mem.h"
 #include "base/rng.h"
 #include "gateway/billing.h"
-#include "gateway/follow.h"
+#include "gateway/tablesync.h"
 #include "gateway/gateway.h"
 #include "gateway/prober.h"
-#include "gateway/share.h"
+#include "gateway/peerrows.h"
 #include "gateway/request_metrics.h"
 #include "policy/allotment.h"
 #include "policy/sendbudget.h"
@@ -101,15 +102,15 @@
 
 /* Background tasks: follow the tables of the store and coordinate with the
    other gateway processes.  */
-typedef struct duties store_sync_t;
+typedef struct store_sync store_sync_t;
 
-/* SHARE may be NULL.  */
+/* PEER_ROWS may be NULL.  */
 store_sync_t *store_sync_create (gateway_state_t *state, rows_t *rows,
-                                 peer_rows_t *share);
+                                 peer_rows_t *peer_rows);
 /* Begin the planned stop: withdraw this process from those among which limits
    are divided.  */
-void store_sync_stop (store_sync_t *duties);
-void store_sync_destroy (store_sync_t *duties);
+void store_sync_stop (store_sync_t *sync);
+void store_sync_destroy (store_sync_t *sync);
 
 /* Return the retry budget of SERVICE, created on first use.  */
 send_budget_t *gateway_service_allowance (gateway_state_t *state,
--- /dev/null
+++ b/packages/gateway/peerrows.c
@@ -0,0 +1,812 @@
+#include "gateway/peerrows.h"
+
+#include "base/eventlog.h"
+#include "base/map.h"
+#include "base/mem.h"
+#include "gateway/rowcache.h"
+#include "policy/readers.h"
+#include "wire/deflate.h"
+#include "wire/rpc.h"
+
+#include <stdlib.h>
+
+enum
+{
+  TABLE_COUNT = ROWS_SHARED + 1,
+  TICK_MS = 100,
+  /* Longest time that a reader holds a watch call of a gateway.  Short against
+     the age up to which a confirmation is trusted.  */
+  WATCH_WAIT_MS = 700,
+  /* Longest time that a reader holds a watch call of a gateway that serves
+     other gateways in turn.  Shorter, because the wait of its own callers is
+     added.  */
+  RELAYED_WATCH_WAIT_MS = 350,
+  /* A call that a reader has not answered this long after the watch time is
+     sent to the store as well.  Covers the round trip and one turn of the
+     event loop on a slow machine.  */
+  HEDGE_DELAY_MS = 350,
+  /* Time after HEDGE_DELAY_MS in which a reader's answer is still accepted,
+     unless the store answers first: a reader that applies a large table is
+     busy for some tenths of a second.  */
+  BUSY_READER_MS = 1000,
+  /* Readers called for one answer, one after the other.  */
+  READERS_TRIED_MAX = 3,
+  /* Longest time that the store may hold a watch call of a reader.  Bounds the
+     age of the confirmation that the reader's callers get.  */
+  STORE_WATCH_WAIT_MS = 800
+};
+
+typedef struct
+{
+  char *name;
+  char *address;
+  rpc_peer_t *peer; /* NULL before the first call to this gateway.  */
+} gateway_peer_t;
+
+/* A call of this gateway to a reader, to the store, or to both.  */
+typedef struct
+{
+  list_t link;
+  peer_rows_t *peer_rows;
+  rows_table_t table;
+  bool is_read;
+  bool is_first_page;
+  uint64_t after;   /* Store version after which changes are awaited.  */
+  uint64_t wait_ms; /* Longest wait for changes; 0 for a read.  */
+  uint64_t timeout_ms;
+  /* Time of the last call to a reader, in ms of the boot clock; before the
+     first such call, time at which this struct was created.  */
+  uint64_t sent_ms;
+  /* Time of the call to the store, in ms of the boot clock.  */
+  uint64_t store_sent_ms;
+  char *reader_name;      /* Name of the reader called last; NULL: none.  */
+  unsigned readers_tried; /* Number of readers called.  */
+  /* Unanswered call to the reader READER_NAME; NULL: none.  */
+  rpc_call_t *rpc_call;
+  /* Monotonic time from which the store is called too, in ms.  */
+  uint64_t hedge_at_ms;
+  enum
+  {
+    STORE_NOT_CALLED,
+    STORE_CALLED,
+    STORE_ANSWERED
+  } store_state;
+  rows_cb_t cb;
+  void *arg;
+} pending_call_t;
+
+/* A watch call of another gateway that waits for changes.  */
+typedef struct
+{
+  list_t link;
+  rpc_request_t *request;
+  rows_table_t table;
+  uint64_t after;      /* Changes after this store version are awaited.  */
+  uint64_t expires_ms; /* Monotonic time at which the call is answered.  */
+} watch_request_t;
+
+struct peer_rows
+{
+  rows_t base;
+  clock_iface_t *clock;
+  rows_t *store;
+  char *name;
+  rpc_node_t *node;
+  rpc_server_t *server;
+  fanout_t *readers;
+  map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
+  peer_rows_piggyback_t piggyback;
+  void *piggyback_arg;
+  rowcache_t *caches[TABLE_COUNT]; /* Indexed by rows_table_t.  */
+  list_t pending;                  /* Calls of this gateway.  */
+  list_t watches;                  /* Watch calls of other gateways.  */
+  uv_timer_t tick;
+  bool is_stopping;
+};
+
+static uint64_t
+boot_ms (const peer_rows_t *peer_rows)
+{
+  return clock_boot_ms (peer_rows->clock);
+}
+
+static void answer_watches (peer_rows_t *peer_rows, rows_table_t table);
+
+/* Apply RESULT, the answer of the store or of a reader to the call PENDING
+   sent at boot time SENT_MS, to the cache of its table.  */
+static void
+apply_result (const pending_call_t *pending, uint64_t sent_ms,
+              const rows_result_t *result)
+{
+  peer_rows_t *peer_rows = pending->peer_rows;
+  rowcache_t *cache = peer_rows->caches[pending->table];
+  const rowcache_call_t answer = { .is_read = pending->is_read,
+                                   .is_first_page = pending->is_first_page,
+                                   .sent_ms = sent_ms };
+
+  rowcache_apply_answer (cache, &answer, result);
+  if (rowcache_is_complete (cache))
+    answer_watches (peer_rows, pending->table);
+}
+
+bool
+peer_rows_is_reader (peer_rows_t *peer_rows)
+{
+  void *owner;
+
+  return !peer_rows->is_stopping
+         && fanout_choose_source (peer_rows->readers, &owner)
+                == FANOUT_READS_STORE;
+}
+
+/* Answering other gateways.  */
+
+/* Answer REQUEST with the rows of TABLE that changed after version AFTER, or
+   with all live rows if IS_WHOLE.  */
+static void
+reply_rows (peer_rows_t *peer_rows, rpc_request_t *request, rows_table_t table,
+            uint64_t after, bool is_whole)
+{
+  wire_rows_res_t result;
+
+  rowcache_fill_reply (peer_rows->caches[table], after, is_whole, &result);
+  rpc_reply (request, &result);
+  free (result.rows.rows_val);
+}
+
+static void
+reply_code (rpc_request_t *request, vh_code_t code)
+{
+  wire_rows_res_t result = { .code = code };
+
+  rpc_reply (request, &result);
+}
+
+static void
+finish_watch (peer_rows_t *peer_rows, watch_request_t *watch)
+{
+  const rowcache_t *cache = peer_rows->caches[watch->table];
+
+  list_remove (&watch->link);
+  if (rowcache_is_down (cache) || peer_rows->is_stopping)
+    reply_code (watch->request, VH_E_STORE_DOWN);
+  else if (!rowcache_has_history (cache, watch->after))
+    reply_code (watch->request, VH_E_NOT_FOUND);
+  else
+    reply_rows (peer_rows, watch->request, watch->table, watch->after, false);
+  free (watch);
+}
+
+static void
+answer_watches (peer_rows_t *peer_rows, rows_table_t table)
+{
+  LIST_EACH (at, &peer_rows->watches)
+    {
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      if (watch->table == table
+          && rowcache_has_changes (peer_rows->caches[table], watch->after))
+        finish_watch (peer_rows, watch);
+    }
+}
+
+/* Return whether this gateway answers a call.  IS_RELAY: the caller serves
+   other gateways in turn.  At most two gateways relay an answer of the store,
+   because rows age on the way.  */
+static bool
+may_answer (peer_rows_t *peer_rows, bool is_relay)
+{
+  void *owner;
+
+  if (peer_rows->is_stopping)
+    return false;
+  if (fanout_is_store_reachable (peer_rows->readers))
+    return true;
+  switch (fanout_choose_source (peer_rows->readers, &owner))
+    {
+    case FANOUT_READS_STORE:
+      return true;
+    case FANOUT_READS_ROOT:
+      return !is_relay;
+    case FANOUT_READS_HEAD:
+      break;
+    }
+  return false;
+}
+
+/* Pass on the data piggybacked on CALL.  */
+static void
+receive_piggyback (const peer_rows_t *peer_rows, const wire_rows_args_t *call)
+{
+  for (u_int i = 0;
+       i < call->news.news_len && peer_rows->piggyback.receive != NULL; i++)
+    {
+      const wire_news_t *news = &call->news.news_val[i];
+      peer_rows->piggyback.receive (
+          peer_rows->piggyback_arg, str_from (news->key),
+          str_make (news->value.value_val, news->value.value_len));
+    }
+}
+
+static void
+on_request (void *arg, rpc_request_t *request, uint32_t proc, void *args)
+{
+  peer_rows_t *peer_rows = arg;
+  const wire_rows_args_t *call = args;
+
+  if (proc != WIRE_ROWS || call->table >= TABLE_COUNT)
+    {
+      rpc_drop (request);
+      return;
+    }
+  const rowcache_t *cache = peer_rows->caches[call->table];
+  bool is_answering = may_answer (peer_rows, call->tells);
+  if (is_answering)
+    receive_piggyback (peer_rows, call);
+  if (!rowcache_is_complete (cache) || rowcache_is_down (cache)
+      || !is_answering)
+    reply_code (request, VH_E_STORE_DOWN);
+  else if (call->whole)
+    reply_rows (peer_rows, request, call->table, 0, true);
+  else if (!rowcache_has_history (cache, call->after))
+    reply_code (request, VH_E_NOT_FOUND);
+  else if (call->wait_ms == 0 || rowcache_has_changes (cache, call->after))
+    reply_rows (peer_rows, request, call->table, call->after, false);
+  else
+    {
+      watch_request_t *watch = mem_zalloc (sizeof *watch);
+      watch->request = request;
+      watch->table = (rows_table_t)call->table;
+      watch->after = call->after;
+      watch->expires_ms = clock_ms (peer_rows->clock) + call->wait_ms;
+      list_append (&peer_rows->watches, &watch->link);
+    }
+}
+
+static void hedge_late_calls (peer_rows_t *peer_rows, uint64_t now_ms);
+
+static void
+on_tick (uv_timer_t *timer)
+{
+  peer_rows_t *peer_rows = timer->data;
+  uint64_t now_ms = clock_ms (peer_rows->clock);
+
+  hedge_late_calls (peer_rows, now_ms);
+  LIST_EACH (at, &peer_rows->watches)
+    {
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      if (now_ms >= watch->expires_ms || peer_rows->is_stopping
+          || rowcache_is_down (peer_rows->caches[watch->table]))
+        finish_watch (peer_rows, watch);
+    }
+}
+
+/* Calling readers and the store.  */
+
+/* Release PENDING and cancel its calls without calling its callback.  */
+static void
+pending_call_free (pending_call_t *pending)
+{
+  rows_t *store = pending->peer_rows->store;
+
+  rpc_cancel (pending->rpc_call);
+  if (pending->store_state == STORE_CALLED)
+    store->ops->cancel (store, pending);
+  list_remove (&pending->link);
+  free (pending->reader_name);
+  free (pending);
+}
+
+static void
+finish_call (pending_call_t *pending, vh_code_t code,
+             const rows_result_t *result)
+{
+  rows_cb_t cb = pending->cb;
+  void *arg = pending->arg;
+
+  pending_call_free (pending);
+  cb (arg, code, result);
+}
+
+/* Record that the reader called for PENDING failed, so that it is not called
+   for a while.  IS_SILENT: the reader did not answer.  */
+static void
+record_reader_failure (const pending_call_t *pending, vh_code_t code,
+                       bool is_silent)
+{
+  peer_rows_t *peer_rows = pending->peer_rows;
+
+  log_event (
+      EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
+      field_number (FIELD_CODE, code),
+      field_number (FIELD_TOOK_MS, boot_ms (peer_rows) - pending->sent_ms));
+  fanout_source_failed (peer_rows->readers, str_from (pending->reader_name),
+                        is_silent);
+}
+
+static void
+on_store_answer (void *arg, vh_code_t code, const rows_result_t *result)
+{
+  pending_call_t *pending = arg;
+  peer_rows_t *peer_rows = pending->peer_rows;
+  rowcache_t *cache = peer_rows->caches[pending->table];
+
+  pending->store_state = STORE_ANSWERED;
+  if (code == VH_OK)
+    apply_result (pending, pending->store_sent_ms, result);
+  else if (code == VH_E_NOT_FOUND)
+    rowcache_set_incomplete (cache);
+  else
+    {
+      rowcache_set_down (cache);
+      fanout_store_call_ended (peer_rows->readers, false);
+      if (pending->rpc_call != NULL)
+        return;
+    }
+  if (code == VH_OK)
+    fanout_store_call_ended (peer_rows->readers, true);
+  if (pending->rpc_call != NULL)
+    record_reader_failure (pending, VH_E_TIMEOUT, true);
+  finish_call (pending, code, result);
+}
+
+/* Call the store itself, from key FROM on if PENDING is a read.  */
+static void
+call_store (pending_call_t *pending, str_t from)
+{
+  peer_rows_t *peer_rows = pending->peer_rows;
+  uint64_t wait_ms = pending->wait_ms;
+
+  pending->store_state = STORE_CALLED;
+  pending->store_sent_ms = boot_ms (peer_rows);
+  /* Wait shorter, so that the orders at a reader are confirmed often and a
+     gateway whose reader failed soon calls a reader again.  */
+  if ((pending->table == ROWS_ORDERS || pending->reader_name != NULL)
+      && map_size (peer_rows->gateways) > 0 && wait_ms > STORE_WATCH_WAIT_MS)
+    wait_ms = STORE_WATCH_WAIT_MS;
+  if (pending->is_read)
+    peer_rows->store->ops->read (peer_rows->store, pending->table, from,
+                                 pending->timeout_ms, on_store_answer,
+                                 pending);
+  else
+    peer_rows->store->ops->watch (
+        peer_rows->store, pending->table, pending->after, wait_ms,
+        pending->timeout_ms - (pending->wait_ms - wait_ms), on_store_answer,
+        pending);
+}
+
+/* Decode ROW into OUT, which borrows from ROW and PLAIN.  A deflated value is
+   inflated into PLAIN.  */
+static vh_code_t
+decode_row (const wire_row_t *row, buf_t *plain, rows_row_t *out)
+{
+  vh_code_t code = VH_OK;
+  str_t value = str_make (row->value.value_val, row->value.value_len);
+
+  if (row->plain_len > WIRE_BODY_MAX)
+    return VH_E_PROTOCOL;
+  if (row->plain_len > 0)
+    {
+      code = inflate_text (value, row->plain_len, plain);
+      value = buf_str (plain);
+    }
+  *out = (rows_row_t){ .key = str_from (row->key),
+                       .value = value,
+                       .version = row->row_version,
+                       .deleted = row->deleted };
+  return code;
+}
+
+/* End PENDING with the COUNT rows WIRE_ROWS of a reader's ANSWER.  Return
+   an error, with PENDING unchanged, when a row is invalid.  */
+static vh_code_t
+deliver_rows (pending_call_t *pending, const wire_rows_res_t *answer,
+              const wire_row_t *wire_rows, u_int count)
+{
+  vh_code_t code = VH_OK;
+  rows_row_t *rows = mem_zalloc ((count + 1) * sizeof *rows);
+  buf_t *plain = mem_zalloc ((count + 1) * sizeof *plain);
+  rows_result_t result = { .rows = rows,
+                           .count = count,
+                           .version = answer->newest,
+                           .store_now_ms = answer->now_ms,
+                           .age_ms = answer->age_ms,
+                           .store_confirmed_ms = answer->said_ms };
+
+  for (u_int i = 0; i < count && code == VH_OK; i++)
+    code = decode_row (&wire_rows[i], &plain[i], &rows[i]);
+  if (code == VH_OK)
+    {
+      apply_result (pending, pending->sent_ms, &result);
+      finish_call (pending, VH_OK, &result);
+    }
+  for (u_int i = 0; i < count; i++)
+    buf_free (&plain[i]);
+  free (plain);
+  free (rows);
+  return code;
+}
+
+/* End PENDING with a reader's ANSWER, as deliver_rows does.  */
+static vh_code_t
+deliver_answer (pending_call_t *pending, const wire_rows_res_t *answer)
+{
+  wire_row_list_t list;
+
+  if (answer->plain_len == 0)
+    return deliver_rows (pending, answer, answer->rows.rows_val,
+                         answer->rows.rows_len);
+  vh_code_t code = rowcache_unpack (
+      str_make (answer->packed.packed_val, answer->packed.packed_len),
+      answer->plain_len, &list);
+  if (code == VH_OK)
+    code = deliver_rows (pending, answer, list.rows.rows_val,
+                         list.rows.rows_len);
+  xdr_free ((xdrproc_t)xdr_wire_row_list_t, (char *)&list);
+  return code;
+}
+
+static void call_reader (pending_call_t *pending, gateway_peer_t *gateway,
+                         bool is_relay);
+
+/* Call another reader for PENDING, whose reader answered that it cannot serve
+   the call, or else the store.  Fail when neither is to be called now.  */
+static void
+call_next_reader (pending_call_t *pending)
+{
+  peer_rows_t *peer_rows = pending->peer_rows;
+  gateway_peer_t *next = fanout_next_source (peer_rows->readers);
+
+  if (next != NULL && pending->readers_tried < READERS_TRIED_MAX
+      && strcmp (next->name, pending->reader_name) != 0)
+    {
+      call_reader (pending, next, true);
+      return;
+    }
+  if (fanout_may_probe_store (peer_rows->readers))
+    {
+      call_store (pending, STR (""));
+      return;
+    }
+  rowcache_set_down (peer_rows->caches[pending->table]);
+  finish_call (pending, VH_E_STORE_DOWN, NULL);
+}
+
+static void
+on_reader_answer (void *arg, vh_code_t code, void *result, unsigned sent)
+{
+  pending_call_t *pending = arg;
+  const wire_rows_res_t *answer = result;
+
+  (void)sent;
+  pending->rpc_call = NULL;
+  bool is_silent = code != VH_OK;
+  if (code == VH_OK)
+    code = (vh_code_t)answer->code;
+  if (code == VH_OK)
+    code = deliver_answer (pending, answer);
+  if (code == VH_OK)
+    return;
+  if (code == VH_E_NOT_FOUND)
+    {
+      finish_call (pending, code, NULL);
+      return;
+    }
+  record_reader_failure (pending, code, is_silent);
+  if (pending->store_state == STORE_NOT_CALLED && is_silent)
+    call_store (pending, STR (""));
+  else if (pending->store_state == STORE_NOT_CALLED)
+    call_next_reader (pending);
+  else if (pending->store_state == STORE_ANSWERED)
+    finish_call (pending, VH_E_STORE_DOWN, NULL);
+}
+
+/* Call the store too for each call that its reader should have answered by
+   now.  */
+static void
+hedge_late_calls (peer_rows_t *peer_rows, uint64_t now_ms)
+{
+  LIST_EACH (at, &peer_rows->pending)
+    {
+      pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
+      if (pending->rpc_call != NULL && pending->store_state == STORE_NOT_CALLED
+          && now_ms >= pending->hedge_at_ms
+          && !rpc_is_carried (pending->rpc_call))
+        call_store (pending, STR (""));
+    }
+}
+
+/* Call GATEWAY.  IS_RELAY: this gateway serves other gateways in turn.  */
+static void
+call_reader (pending_call_t *pending, gateway_peer_t *gateway, bool is_relay)
+{
+  static const rpc_peer_events_t no_events = { NULL, NULL };
+  peer_rows_t *peer_rows = pending->peer_rows;
+  uint64_t wait_max_ms = is_relay ? RELAYED_WATCH_WAIT_MS : WATCH_WAIT_MS;
+  uint64_t wait_ms
+      = pending->wait_ms < wait_max_ms ? pending->wait_ms : wait_max_ms;
+  peer_rows_item_t items[WIRE_NEWS_MAX] = { 0 };
+  wire_news_t news[WIRE_NEWS_MAX];
+  size_t count = 0;
+
+  if (gateway->peer == NULL)
+    gateway->peer = rpc_peer_create (
+        peer_rows->node, str_from (gateway->address), &no_events, gateway);
+  if (gateway->peer == NULL)
+    {
+      call_store (pending, STR (""));
+      return;
+    }
+  if (pending->table == ROWS_SHARED && peer_rows->piggyback.list != NULL)
+    count = peer_rows->piggyback.list (peer_rows->piggyback_arg, is_relay,
+                                       items, WIRE_NEWS_MAX);
+  for (size_t i = 0; i < count; i++)
+    {
+      buf_append_char (&items[i].key, '\0');
+      news[i] = (wire_news_t){ .key = items[i].key.ptr,
+                               .value = { (u_int)items[i].value.len,
+                                          items[i].value.ptr } };
+    }
+  wire_rows_args_t args = { .table = pending->table,
+                            .after = pending->after,
+                            .wait_ms = (u_int)wait_ms,
+                            .whole = pending->is_read,
+                            .tells = is_relay,
+                            .news = { (u_int)count, news } };
+  free (pending->reader_name);
+  pending->reader_name = str_dup (str_from (gateway->name));
+  pending->readers_tried++;
+  pending->sent_ms = boot_ms (peer_rows);
+  pending->hedge_at_ms
+      = clock_ms (peer_rows->clock) + wait_ms + HEDGE_DELAY_MS;
+  pending->rpc_call = rpc_peer_call (gateway->peer, WIRE_ROWS, &args,
+                                     wait_ms + HEDGE_DELAY_MS + BUSY_READER_MS,
+                                     on_reader_answer, pending);
+  for (size_t i = 0; i < count; i++)
+    {
+      buf_free (&items[i].key);
+      buf_free (&items[i].value);
+    }
+}
+
+/* Call the reader or the store for PENDING, from key FROM on if PENDING is a
+   read.  */
+static void
+start_call (pending_call_t *pending, str_t from)
+{
+  void *gateway;
+  fanout_role_t role
+      = fanout_choose_source (pending->peer_rows->readers, &gateway);
+
+  /* Only the store answers in pages, so the next page must come from the
+     store.  */
+  if (role == FANOUT_READS_STORE
+      || (pending->is_read && !pending->is_first_page))
+    call_store (pending, from);
+  else
+    call_reader (pending, gateway, role == FANOUT_READS_ROOT);
+}
+
+static pending_call_t *
+pending_call_create (peer_rows_t *peer_rows, rows_table_t table,
+                     uint64_t timeout_ms, rows_cb_t cb, void *arg)
+{
+  pending_call_t *pending = mem_zalloc (sizeof *pending);
+
+  pending->peer_rows = peer_rows;
+  pending->table = table;
+  pending->timeout_ms = timeout_ms;
+  pending->sent_ms = boot_ms (peer_rows);
+  pending->cb = cb;
+  pending->arg = arg;
+  list_append (&peer_rows->pending, &pending->link);
+  return pending;
+}
+
+static void
+peer_rows_read (rows_t *rows, rows_table_t table, str_t from,
+                uint64_t timeout_ms, rows_cb_t cb, void *arg)
+{
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
+  pending_call_t *pending
+      = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
+
+  pending->is_read = true;
+  pending->is_first_page = from.len == 0;
+  start_call (pending, from);
+}
+
+static void
+peer_rows_watch (rows_t *rows, rows_table_t table, uint64_t after,
+                 uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb,
+                 void *arg)
+{
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
+  pending_call_t *pending
+      = pending_call_create (peer_rows, table, timeout_ms, cb, arg);
+
+  pending->after = after;
+  pending->wait_ms = wait_ms;
+  start_call (pending, STR (""));
+}
+
+static void
+peer_rows_commit (rows_t *rows, const rows_write_t *writes, size_t count,
+                  uint64_t timeout_ms, rows_cb_t cb, void *arg)
+{
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
+
+  peer_rows->store->ops->commit (peer_rows->store, writes, count, timeout_ms,
+                                 cb, arg);
+}
+
+static void
+peer_rows_cancel (rows_t *rows, const void *arg)
+{
+  peer_rows_t *peer_rows = (peer_rows_t *)rows;
+
+  LIST_EACH (at, &peer_rows->pending)
+    {
+      pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
+      if (pending->arg == arg)
+        pending_call_free (pending);
+    }
+  peer_rows->store->ops->cancel (peer_rows->store, arg);
+}
+
+/* The interface is part of peer_rows_t and is released with it.  */
+static void
+peer_rows_release (rows_t *rows)
+{
+  (void)rows;
+}
+
+/* The other gateways.  */
+
+static void
+gateway_peer_free (gateway_peer_t *gateway)
+{
+  rpc_peer_destroy (gateway->peer);
+  free (gateway->name);
+  free (gateway->address);
+  free (gateway);
+}
+
+void
+peer_rows_remove_gateway (peer_rows_t *peer_rows, str_t name)
+{
+  gateway_peer_t *gateway = map_remove (peer_rows->gateways, name);
+
+  fanout_remove (peer_rows->readers, name);
+  if (gateway != NULL)
+    gateway_peer_free (gateway);
+}
+
+void
+peer_rows_add_gateway (peer_rows_t *peer_rows, str_t name, str_t zone,
+                       str_t address, uint32_t link_mbps)
+{
+  gateway_peer_t *gateway = map_get (peer_rows->gateways, name);
+
+  if (str_eq (name, str_from (peer_rows->name)))
+    return;
+  if (gateway != NULL && str_eq (str_from (gateway->address), address))
+    return;
+  peer_rows_remove_gateway (peer_rows, name);
+  gateway = mem_zalloc (sizeof *gateway);
+  gateway->name = str_dup (name);
+  gateway->address = str_dup (address);
+  map_put (peer_rows->gateways, name, gateway);
+  fanout_put (peer_rows->readers, name, zone, link_mbps, gateway);
+}
+
+void
+peer_rows_stop_serving (peer_rows_t *peer_rows)
+{
+  peer_rows->is_stopping = true;
+  fanout_stop_serving (peer_rows->readers);
+}
+
+void
+peer_rows_set_piggyback (peer_rows_t *peer_rows,
+                         const peer_rows_piggyback_t *piggyback, void *arg)
+{
+  peer_rows->piggyback = *piggyback;
+  peer_rows->piggyback_arg = arg;
+}
+
+rows_t *
+peer_rows_iface (peer_rows_t *peer_rows)
+{
+  return &peer_rows->base;
+}
+
+uint16_t
+peer_rows_port (const peer_rows_t *peer_rows)
+{
+  return rpc_server_port (peer_rows->server);
+}
+
+/* The context of these messages is neither filled nor read.  */
+static void
+on_outgoing (void *arg, wire_context_t *context)
+{
+  (void)arg;
+  (void)context;
+}
+
+static void
+on_incoming (void *arg, rpc_peer_t *peer, const wire_context_t *context)
+{
+  (void)arg;
+  (void)peer;
+  (void)context;
+}
+
+vh_code_t
+peer_rows_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
+                  rows_t *store, const peer_rows_options_t *options,
+                  peer_rows_t **out)
+{
+  static const rows_ops_t ops
+      = { peer_rows_read, peer_rows_watch, peer_rows_commit, peer_rows_cancel,
+          peer_rows_release };
+  static const rpc_hooks_t hooks = { on_outgoing, on_incoming };
+  peer_rows_t *peer_rows = mem_zalloc (sizeof *peer_rows);
+
+  peer_rows->base.ops = &ops;
+  peer_rows->clock = clock;
+  peer_rows->store = store;
+  peer_rows->name = str_dup (options->name);
+  peer_rows->readers = fanout_create (clock, seed, options->name,
+                                      options->zone, options->link_mbps);
+  peer_rows->gateways = map_create ();
+  list_init (&peer_rows->pending);
+  list_init (&peer_rows->watches);
+  for (size_t i = 0; i < TABLE_COUNT; i++)
+    peer_rows->caches[i] = rowcache_create (clock);
+  uv_timer_init (loop, &peer_rows->tick);
+  peer_rows->tick.data = peer_rows;
+  uv_timer_start (&peer_rows->tick, on_tick, TICK_MS, TICK_MS);
+  peer_rows->node
+      = rpc_node_create (loop, clock, rng_make (seed), options->name,
+                         options->keys, options->key_count, &hooks, NULL);
+  *out = peer_rows;
+  return rpc_server_create (peer_rows->node, options->listen, on_request,
+                            peer_rows, &peer_rows->server);
+}
+
+static void
+on_tick_closed (uv_handle_t *handle)
+{
+  free (handle->data);
+}
+
+void
+peer_rows_destroy (peer_rows_t *peer_rows)
+{
+  size_t cursor = 0;
+  str_t key;
+  void *value;
+
+  if (peer_rows == NULL)
+    return;
+  LIST_EACH (at, &peer_rows->watches)
+    {
+      watch_request_t *watch = CONTAINER_OF (at, watch_request_t, link);
+      rpc_drop (watch->request);
+      free (watch);
+    }
+  LIST_EACH (at, &peer_rows->pending)
+    pending_call_free (CONTAINER_OF (at, pending_call_t, link));
+  while (map_next (peer_rows->gateways, &cursor, &key, &value))
+    gateway_peer_free (value);
+  map_destroy (peer_rows->gateways);
+  if (peer_rows->server != NULL)
+    rpc_server_destroy (peer_rows->server);
+  rpc_node_destroy (peer_rows->node);
+  for (size_t i = 0; i < TABLE_COUNT; i++)
+    rowcache_destroy (peer_rows->caches[i]);
+  free (peer_rows->name);
+  fanout_destroy (peer_rows->readers);
+  uv_close ((uv_handle_t *)&peer_rows->tick, on_tick_closed);
+}
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -182,7 +182,7 @@
              ? relay->sent_ms
                    + route->objective_ms * FIRST_EVENT_TIMEOUT_OBJECTIVES
              : relay->last_activity_ms
-                   + route->pause_ms * EVENT_TIMEOUT_PAUSES;
+                   + route->event_gap_max_ms * EVENT_TIMEOUT_PAUSES;
 }
 
 /* Return the time at which an upstream that sends nothing is to be probed or
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -104,7 +104,7 @@
 
   *criteria = (pool_criteria_t){
     .service = attrs->service->name,
-    .cold_rate_per_s = attrs->service->cold_per_s,
+    .cold_rate_per_s = attrs->service->cold_requests_per_s,
     .affinity_key
     = attrs->prefix_hash != 0 ? attrs->prefix_hash ^ (index + 1) : 0,
     .tried = relay->tried,
@@ -191,7 +191,7 @@
           .first = relay->first_confidence,
           .elapsed_ms = relay->last_activity_ms - attrs->arrived_ms,
           .objective_ms = route->objective_ms,
-          .pause_ms = route->pause_ms,
+          .pause_ms = route->event_gap_max_ms,
           .choices = choices,
           .choice_count = count };
   size_t chosen = escalation_choose (escalation, &request);
