--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -4,7 +4,7 @@
 #include "base/map.h"
 #include "base/mem.h"
 #include "gateway/rowcache.h"
-#include "policy/readers.h"
+#include "policy/fanout.h"
 #include "wire/deflate.h"
 #include "wire/rpc.h"
 
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -191,9 +191,10 @@
 static vh_code_t
 read_catalog (str_t value, void (*pause) (void), catalog_t **out)
 {
-  static const service_t services[]
-      = { { .name = { "app", 3 } },
-          { .name = { "llm", 3 }, .is_engine = true, .cold_per_s = 50 } };
+  static const service_t services[] = {
+    { .name = { "app", 3 } },
+    { .name = { "llm", 3 }, .is_engine = true, .cold_requests_per_s = 50 }
+  };
   static const route_t routes[] = {
     { .name = { "read", 4 },
       .host = { "desk.example", 12 },
@@ -219,7 +220,7 @@
       .kind = ROUTE_STREAM,
       .timeout_ms = 3000,
       .objective_ms = 600,
-      .pause_ms = 500,
+      .event_gap_max_ms = 500,
       .attempts_max = 3,
       .is_resumable = true,
       .splits = { { { "llm", 3 }, 1 } },
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -33,7 +33,7 @@
   ck_assert_int_eq (route->kind, ROUTE_STREAM);
   ck_assert_uint_eq (route->timeout_ms, 25000);
   ck_assert_uint_eq (route->objective_ms, 3000);
-  ck_assert_uint_eq (route->pause_ms, 1000);
+  ck_assert_uint_eq (route->event_gap_max_ms, 1000);
   ck_assert_uint_eq (route->attempts_max, 3);
   ck_assert_uint_eq (route->model_count, 2);
   ck_assert (str_eq (route->models[1], STR ("l")));
@@ -46,10 +46,10 @@
   ck_assert (str_eq (route->splits[0].service, STR ("y")));
   const service_t *service = catalog_find_service (catalog, STR ("x"));
   ck_assert (service->is_engine);
-  ck_assert_double_eq (service->cold_per_s, 14);
+  ck_assert_double_eq (service->cold_requests_per_s, 14);
   ck_assert_double_eq (service->models[0].cost, 0.014);
   ck_assert (!catalog_find_service (catalog, STR ("y"))->is_engine);
-  ck_assert_uint_eq (catalog_limits (catalog)->idle_ms, 15000);
+  ck_assert_uint_eq (catalog_limits (catalog)->idle_timeout_ms, 15000);
   const team_t *team = catalog_find_team (catalog, STR ("k2"));
   ck_assert (str_eq (team->name, STR ("t")));
   ck_assert_uint_eq (team->priority, 2);
