--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -177,7 +177,7 @@
     case POISON_CLEAR:
       return idempotent || in_flight->suspects == 0;
     case POISON_SUSPECT:
-      return in_flight->suspects == 0 && in_flight->non_idempotent == 0;
+      return in_flight->suspects == 0 && in_flight->nonidempotent_count == 0;
     case POISON_REFUSED:
       break;
     }
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -67,7 +67,7 @@
 typedef struct
 {
   uint32_t suspects;
-  uint32_t non_idempotent;
+  uint32_t nonidempotent_count;
 } poison_in_flight_t;
 
 /* CLOCK is borrowed.  */
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -418,7 +418,7 @@
 {
   const poison_in_flight_t company
       = { .suspects = sidecar->running_suspect,
-          .non_idempotent = sidecar->running_nonidempotent };
+          .nonidempotent_count = sidecar->running_nonidempotent };
 
   return poison_may_run_beside (attempt->suspect ? POISON_SUSPECT
                                                  : POISON_CLEAR,
