--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -14,23 +14,23 @@
 
   double slots;
   uint32_t in_flight;
-  double threshold; /* Slots up to which slow start may double.  */
-  bool warming;
-  bool known;          /* BEST_US is that of a warm engine.  */
-  double busy_us;      /* Slots in use, summed over the time of this round.  */
-  uint64_t busy_at_us; /* When BUSY_US was true.  */
+  double slow_start_threshold; /* Slots at which slow start ends.  */
+  bool in_slow_start;
+  bool is_best_warm;   /* Whether BEST_US is the latency of a warm engine.  */
+  double slot_time_us; /* Integral of the slots in use over this round.  */
+  uint64_t slot_time_until_us; /* Time up to which SLOT_TIME_US is counted.  */
 
-  double best_us;    /* Best latency of one unit; 0 when unknown.  */
-  uint64_t drift_us; /* When BEST_US was last let drift.  */
+  double best_us;           /* Best latency per unit of cost; 0 if unknown.  */
+  uint64_t best_drifted_us; /* Time of the last rise of BEST_US by drift.  */
 
-  uint64_t round_us; /* Start of the round.  */
+  uint64_t round_start_us; /* Start of the current round.  */
   uint32_t samples;
   uint32_t failures;
   double latency_sum_us;
   double units_sum;
 
-  uint32_t cold_run;
-  uint32_t error_run;
+  uint32_t consecutive_cold;
+  uint32_t consecutive_errors;
 };
 
 limit_t *
@@ -61,34 +61,36 @@
 }
 
 static void
-begin_round (limit_t *limit)
+start_round (limit_t *limit)
 {
-  limit->round_us = clock_us (limit->clock);
+  limit->round_start_us = clock_us (limit->clock);
   limit->samples = 0;
   limit->failures = 0;
   limit->latency_sum_us = 0;
   limit->units_sum = 0;
-  limit->busy_us = 0;
-  limit->busy_at_us = limit->round_us;
+  limit->slot_time_us = 0;
+  limit->slot_time_until_us = limit->round_start_us;
 }
 
 static void
-fall_back (limit_t *limit)
+reset_to_start (limit_t *limit)
 {
   if (limit->slots > limit->start)
     {
-      /* Guards against doubling past the edge again and again: an engine that
-         carries six and falls over at eight would go from two to eight and
-         back for ever.  A fall in slow start is such an overshoot; one from a
-         level that was held is coldness, and it may come back at once.  */
-      limit->threshold = limit->warming ? limit->slots / 2 : limit->slots;
-      limit->known = true;
+      /* Without the threshold an engine that serves six requests and fails
+         at eight would go from two to eight and back in an endless loop.  A
+         reset during slow start is such an overshoot.  A reset from a stable
+         limit shows a cold engine, whose limit may return to its old value at
+         once.  */
+      limit->slow_start_threshold
+          = limit->in_slow_start ? limit->slots / 2 : limit->slots;
+      limit->is_best_warm = true;
     }
   limit->slots = limit->start;
-  limit->warming = true;
-  limit->cold_run = 0;
-  limit->error_run = 0;
-  begin_round (limit);
+  limit->in_slow_start = true;
+  limit->consecutive_cold = 0;
+  limit->consecutive_errors = 0;
+  start_round (limit);
 }
 
 static void
@@ -97,65 +99,68 @@
   limit->slots = fmin (fmax (slots, limit->start), limit->max);
 }
 
-/* Let the best latency rise with time, so that a lasting change is learned
-   in the end.  */
+/* Raise the best latency with time, so that a lasting change of the upstream
+   is adopted.  */
 static void
-drift_best (limit_t *limit)
+raise_best (limit_t *limit)
 {
   uint64_t now = clock_us (limit->clock);
-  double minutes = (double)(now - limit->drift_us) / 60e6;
+  double minutes = (double)(now - limit->best_drifted_us) / 60e6;
 
   limit->best_us *= 1 + LIMIT_DRIFT_PER_MIN * fmin (minutes, 1);
-  limit->drift_us = now;
+  limit->best_drifted_us = now;
 }
 
-/* Bring BUSY_US up to now, before a slot is taken or given back.  */
+/* Count SLOT_TIME_US up to now; to be called before a slot is acquired or
+   released.  */
 static void
-count_busy (limit_t *limit)
+update_slot_time (limit_t *limit)
 {
   uint64_t now = clock_us (limit->clock);
 
-  limit->busy_us += (double)(now - limit->busy_at_us) * limit->in_flight;
-  limit->busy_at_us = now;
+  limit->slot_time_us
+      += (double)(now - limit->slot_time_until_us) * limit->in_flight;
+  limit->slot_time_until_us = now;
 }
 
-/* Return the part of the slots that was in use in this round; of the whole
-   slots, as the fraction of 2.9 cannot be used.  */
+/* Return the share of the slots that was in use in this round.  Only whole
+   slots count: of 2.9 slots two can be used.  */
 static double
-used_part (limit_t *limit)
+round_utilization (limit_t *limit)
 {
-  count_busy (limit);
-  return limit->busy_us / (double)(limit->busy_at_us - limit->round_us)
+  update_slot_time (limit);
+  return limit->slot_time_us
+         / (double)(limit->slot_time_until_us - limit->round_start_us)
          / limit_slots (limit);
 }
 
-/* Return the part of the slots that must be in use for the limit to double.
-   Of two or four slots parts like three quarters are hardly ever met.  But
-   only against the best of a warm engine does a cold one show, so without it
-   the bound is the higher one.  */
+/* Return the utilization above which the limit doubles.  With two or four
+   slots a utilization of three quarters is hardly ever reached, so the bound
+   is lower there.  A cold engine is detected only against the best latency of
+   a warm one, so the higher bound applies until that latency is known.  */
 static double
-double_used (const limit_t *limit)
+doubling_utilization (const limit_t *limit)
 {
-  return limit->known && limit->slots < LIMIT_SMALL ? LIMIT_GROW_USED
-                                                    : LIMIT_DOUBLE_USED;
+  return limit->is_best_warm && limit->slots < LIMIT_SMALL ? LIMIT_GROW_USED
+                                                           : LIMIT_DOUBLE_USED;
 }
 
-/* Judge the round that ends here and set the limit for the next.  */
+/* Set the limit from the round that ends now, and start the next one.  */
 static void
 end_round (limit_t *limit)
 {
   double mean_us = limit->units_sum > 0
                        ? limit->latency_sum_us / limit->units_sum
                        : limit->best_us;
-  double used = used_part (limit);
+  double utilization = round_utilization (limit);
 
-  drift_best (limit);
-  /* The best was that of a cold engine, so nothing is known of a warm one.  */
+  raise_best (limit);
+  /* The best latency so far was that of a cold engine.  */
   if (mean_us < limit->best_us * LIMIT_WARMED)
     {
-      limit->warming = true;
-      limit->threshold = limit->max;
-      limit->known = true;
+      limit->in_slow_start = true;
+      limit->slow_start_threshold = limit->max;
+      limit->is_best_warm = true;
     }
   if (limit->best_us == 0)
     limit->best_us = mean_us;
@@ -163,31 +168,31 @@
     limit->best_us += LIMIT_BEST_GAIN * (mean_us - limit->best_us);
   if (limit->failures * 2 > limit->samples)
     {
-      limit->warming = false;
+      limit->in_slow_start = false;
       set_slots (limit, limit->slots / 2);
     }
   else if (mean_us > limit->best_us * limit->tolerance)
     {
       double ratio = limit->best_us * limit->tolerance / mean_us;
 
-      /* At the floor there is nothing to cut: still cold, so the first good
-         round doubles again.  */
+      /* At its start value the limit cannot be cut: the engine is still cold,
+         and the first good round doubles the limit.  */
       if (limit->slots > limit->start)
-        limit->warming = false;
+        limit->in_slow_start = false;
       set_slots (limit, limit->slots * fmax (ratio, 0.5));
     }
-  else if (limit->warming && used > double_used (limit))
+  else if (limit->in_slow_start && utilization > doubling_utilization (limit))
     {
-      limit->warming = limit->slots * 2 < limit->threshold;
-      set_slots (limit, fmin (limit->slots * 2, limit->threshold));
+      limit->in_slow_start = limit->slots * 2 < limit->slow_start_threshold;
+      set_slots (limit, fmin (limit->slots * 2, limit->slow_start_threshold));
     }
-  else if (used > LIMIT_GROW_USED)
+  else if (utilization > LIMIT_GROW_USED)
     set_slots (limit, limit->slots + LIMIT_STEP);
-  begin_round (limit);
+  start_round (limit);
 }
 
 static void
-take_sample (limit_t *limit, uint64_t latency_us, uint32_t units)
+add_sample (limit_t *limit, uint64_t latency_us, uint32_t units)
 {
   double unit_us;
 
@@ -196,23 +201,24 @@
   unit_us = (double)latency_us / units;
   limit->latency_sum_us += (double)latency_us;
   limit->units_sum += units;
-  /* Guards against a warm upstream that turns cold: it shows as a run of
-     samples far above the best.  Waiting for the round to end would send it
-     a full batch more, and all of that would time out.  */
+  /* A warm upstream that turns cold gives consecutive samples far above the
+     best latency.  Waiting for the end of the round would send it another full
+     batch of requests, all of which would time out.  */
   if (limit->best_us > 0 && unit_us > limit->best_us * LIMIT_COLD_FACTOR)
-    limit->cold_run++;
+    limit->consecutive_cold++;
   else
-    limit->cold_run = 0;
+    limit->consecutive_cold = 0;
 }
 
 static void
-after_sample (limit_t *limit)
+update_limit (limit_t *limit)
 {
-  uint64_t round_ms = (clock_us (limit->clock) - limit->round_us) / 1000;
+  uint64_t round_ms = (clock_us (limit->clock) - limit->round_start_us) / 1000;
 
   limit->samples++;
-  if (limit->cold_run >= LIMIT_COLD_RUN || limit->error_run >= LIMIT_ERROR_RUN)
-    fall_back (limit);
+  if (limit->consecutive_cold >= LIMIT_COLD_RUN
+      || limit->consecutive_errors >= LIMIT_ERROR_RUN)
+    reset_to_start (limit);
   else if (limit->samples >= limit_slots (limit)
            && round_ms >= LIMIT_WINDOW_MS)
     end_round (limit);
@@ -223,7 +229,7 @@
 {
   if (limit->in_flight >= limit_slots (limit))
     return VH_E_FULL;
-  count_busy (limit);
+  update_slot_time (limit);
   limit->in_flight++;
   return VH_OK;
 }
@@ -231,7 +237,7 @@
 void
 limit_forget (limit_t *limit)
 {
-  count_busy (limit);
+  update_slot_time (limit);
   if (limit->in_flight > 0)
     limit->in_flight--;
 }
@@ -239,9 +245,9 @@
 void
 limit_observe (limit_t *limit, uint64_t latency_us, uint32_t units)
 {
-  limit->error_run = 0;
-  take_sample (limit, latency_us, units);
-  after_sample (limit);
+  limit->consecutive_errors = 0;
+  add_sample (limit, latency_us, units);
+  update_limit (limit);
 }
 
 void
@@ -254,8 +260,8 @@
       return;
     }
   limit->failures++;
-  limit->error_run++;
-  after_sample (limit);
+  limit->consecutive_errors++;
+  update_limit (limit);
 }
 
 void
@@ -263,10 +269,10 @@
 {
   limit->in_flight = 0;
   limit->best_us = 0;
-  limit->drift_us = clock_us (limit->clock);
-  fall_back (limit);
-  limit->threshold = limit->max;
-  limit->known = false;
+  limit->best_drifted_us = clock_us (limit->clock);
+  reset_to_start (limit);
+  limit->slow_start_threshold = limit->max;
+  limit->is_best_warm = false;
 }
 
 uint32_t
@@ -284,7 +290,7 @@
 bool
 limit_warming (const limit_t *limit)
 {
-  /* A limit that cannot move is never low.  */
+  /* A fixed limit is always at its start value, which shows no cold engine. */
   return limit->start < limit->max
-         && (limit->warming || limit_slots (limit) <= limit->start);
+         && (limit->in_slow_start || limit_slots (limit) <= limit->start);
 }
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -1,48 +1,56 @@
-/* Concurrency limit of one upstream, found from its latency and errors.
-
-   Answers: an upstream that was just started, or has gone cold in service,
-   and falls over under the load that a warm one carries.  Without it every
-   request that arrives is sent on at once, all of them slow down together,
-   and the first answers come after their callers have left.
-
-   Works like the congestion window of a transport.  A new upstream gets
-   LIMIT_START requests at a time; each round (as many samples as the limit)
-   without a rise of latency doubles it, until a first rise; from then on it
-   grows by LIMIT_STEP a round.  After a fall in slow start it doubles only
-   up to half of where it fell.  Latency is taken per unit of cost, so that
-   long jobs do not read as slowness, and compared with the best this upstream
-   has shown.  The figures; a trial is one on the model of bench/model.h:
-
-   - LIMIT_START 2: the least that shows whether work side by side hurts.
-   - LIMIT_TOLERANCE 1.25: past its slots an engine gives each job less in
-     proportion, or less still; a quarter is found two jobs past eight.  An
-     engine whose jobs slow smoothly as its batch fills wants more: what a
-     full batch costs is this setting.
-   - LIMIT_STEP 0.5: a rise shows a round or two after what caused it, so
-     whole steps overshoot by some slots.
-   - LIMIT_COLD_FACTOR 3, LIMIT_COLD_RUN 3: a full batch never takes three
-     times the best (it would have been cut long before), and three samples
-     in a row are no single odd job.  A fall back to LIMIT_START costs a few
-     rounds when wrong; staying high costs a wave of time-outs.
-   - LIMIT_ERROR_RUN 3: one malformed request may fail; three in a row are
-     the upstream's doing.
-   - LIMIT_BEST_GAIN 0.3 of the way to a better best: one round of odd jobs
-     must not make all that follow look slow.
-   - LIMIT_WARMED 0.5: a round at half the best latency means that the
-     upstream was cold all the time before; it doubles again.
-   - LIMIT_DOUBLE_USED 0.75, LIMIT_GROW_USED 0.49: more of the slots than
-     this in use over the round.  What is not used was not tried, and growth
-     on a moment's peak (a trial) brought idle upstreams to twice their slots.
-     Balance keeps all upstreams about equally used, so with bounds much
-     higher one that starts low in a half idle pool stays low (in a trial with
-     0.5 two new upstreams of six never got beyond two slots).  Below
-     LIMIT_SMALL 6 slots half is enough to double, once the best of the warm
-     engine is known.
-   - LIMIT_WINDOW_MS 20: no round is judged on less, or jobs of a millisecond
-     would double the limit before the engine felt the load.
-   - LIMIT_DRIFT_PER_MIN 0.1: the best latency is forgotten slowly, so that a
-     lasting change of hardware or version is learned in minutes while a cold
-     spell of seconds is not taken for normal.  */
+/* Adaptive concurrency limit of one upstream.
+
+   Load pattern: an upstream that was just started, or whose caches went cold
+   in service, fails under the load that a warm upstream carries.  Without a
+   limit every request is sent on at once, all requests slow down together,
+   and the first responses arrive after their callers have timed out.
+
+   The limit works like the congestion window of a transport protocol.  A slot
+   is the permission to run one request.  A new upstream has LIMIT_START slots.
+   A round ends after as many samples as there are slots.  During slow start
+   each round without a rise in latency doubles the slots; the first rise ends
+   slow start, and each later round without a rise adds LIMIT_STEP slots.
+   When the limit is reset during slow start, the next slow start doubles only
+   up to half of the slots before the reset.  Latency is divided by the cost of
+   the request, so that long jobs do not count as slow ones, and compared with
+   the best latency per unit of cost of this upstream.
+
+   Reasons for the constants:
+
+   - LIMIT_START 2: the smallest number of slots that shows whether concurrent
+     requests slow each other down.
+   - LIMIT_TOLERANCE 1.25: accepted ratio of latency to the best latency.  An
+     engine with more jobs than its batch holds slows each job in proportion
+     or more, so a ratio of 1.25 is reached two jobs past a batch of eight.  An
+     engine that slows gradually as its batch fills needs a higher ratio, the
+     one of a full batch.
+   - LIMIT_STEP 0.5 slots: a rise in latency shows one or two rounds after its
+     cause, so steps of a whole slot overshoot by several slots.
+   - LIMIT_COLD_FACTOR 3, LIMIT_COLD_RUN 3: the limit is reset after three
+     consecutive samples of three times the best latency.  A full batch never
+     gets that slow, because the limit is cut long before, and one unusual job
+     gives one sample only.  A wrong reset to LIMIT_START costs a few rounds; a
+     missed one costs a batch of time-outs.
+   - LIMIT_ERROR_RUN 3: one error may come from a malformed request; three
+     consecutive errors are attributed to the upstream.
+   - LIMIT_BEST_GAIN 0.3: smoothing weight of a lower best latency.  One round
+     of unusually fast jobs must not make all later jobs count as slow.
+   - LIMIT_WARMED 0.5: a round at half of the best latency shows that the
+     upstream was cold in all earlier rounds; slow start begins again.
+   - LIMIT_DOUBLE_USED 0.75, LIMIT_GROW_USED 0.49: utilization of the slots
+     over the round above which the limit doubles or grows.  Unused slots were
+     not tested: growth on a momentary peak brings idle upstreams to twice the
+     slots that they can serve.  The balancer keeps the utilization of all
+     upstreams about equal, so with a much higher bound an upstream that starts
+     low in a half idle pool stays low; with 0.5, two new upstreams of six
+     never got beyond two slots.  Below LIMIT_SMALL 6 slots LIMIT_GROW_USED is
+     enough to double, once the best latency is that of a warm engine.
+   - LIMIT_WINDOW_MS 20: minimum length of a round.  Jobs of a millisecond
+     would otherwise double the limit before the engine is affected by the
+     load.
+   - LIMIT_DRIFT_PER_MIN 0.1: rate at which the best latency is raised, so that
+     a lasting change of hardware or version is adopted within minutes while a
+     cold period of seconds is not.  */
 
 #ifndef POLICY_LIMIT_H
 #define POLICY_LIMIT_H
@@ -71,48 +79,54 @@
 
 typedef struct limit limit_t;
 
-/* A field left 0 takes the constant above.  */
+/* Settings of a limit; a field that is 0 selects the constant above.  */
 typedef struct
 {
-  uint32_t start;
-  uint32_t max; /* The upstream's own slots, where known.  */
-  double tolerance;
+  uint32_t start;   /* Slots after creation and after a reset.  */
+  uint32_t max;     /* Most slots, such as the batch size of the upstream.  */
+  double tolerance; /* Accepted ratio of latency to the best latency.  */
 } limit_config_t;
 
-/* CONFIG may be NULL.  CLOCK is borrowed.  */
+/* Return a new limit, owned by the caller.  CONFIG may be NULL for the
+   defaults.  CLOCK is borrowed and must outlive the limit.  */
 limit_t *limit_create (const limit_config_t *config, clock_iface_t *clock);
 void limit_destroy (limit_t *limit);
 
-/* Take a slot.  Return VH_OK, or VH_E_FULL with nothing taken.  */
+/* Acquire a slot.  Return VH_OK, or VH_E_FULL when all slots are in use.  */
 vh_code_t limit_acquire (limit_t *limit);
 
-/* Give back a slot whose request took LATENCY_US for UNITS of cost, less what
-   the engine had in its cache, or a cached prefix reads as a new best.  OK is
-   false when the upstream failed, not when the request itself was at fault.
-   A caller's departure, or a deadline, is no failure: UNITS is what was done
-   by then, and shows an upstream that hardly does anything.  (Taken as a
-   failure, in a trial, the last jobs that a full queue lets through held the
-   limit at its start.)  */
+/* Release a slot whose request took LATENCY_US for UNITS of cost.  UNITS
+   excludes what the engine served from its prefix cache; otherwise a cache hit
+   counts as a new best latency.  OK is false when the upstream failed, but not
+   when the request was invalid, the caller disconnected or the deadline
+   passed.  After a disconnect or a deadline UNITS is the work done until then,
+   which exposes an upstream that makes hardly any progress.  Deadlines counted
+   as failures would keep the limit of an upstream with a full queue at its
+   start.  */
 void limit_release (limit_t *limit, uint64_t latency_us, uint32_t units,
                     bool ok);
 
-/* Give back a slot that tells nothing: cancelled, or refused unstarted.  */
+/* Release a slot without a latency sample: its request was cancelled, or
+   refused before it started.  */
 void limit_forget (limit_t *limit);
 
-/* Take in progress of a running request: UNITS produced in LATENCY_US since
-   the last report; 0 counts as 1, so that silence reads as slowness.  Only
-   between two bytes of an answer, as the time to the first is the prompt's.
-   Long jobs show coldness through it before they end.  */
+/* Record the progress of a running request: UNITS produced in LATENCY_US since
+   the last report.  UNITS 0 counts as 1, so that a stalled request counts as
+   slow.  Call it only after the first byte of the response, as the time to the
+   first byte depends on the prompt.  With it a cold upstream is detected
+   before its long jobs end.  */
 void limit_observe (limit_t *limit, uint64_t latency_us, uint32_t units);
 
-/* The upstream was started anew: its warmth is gone, and so are the requests
-   in flight, which are not to be released any more.  */
+/* Reset LIMIT after a restart of the upstream: its caches are cold, and the
+   requests in flight are lost and must not be released.  */
 void limit_restart (limit_t *limit);
 
+/* Return the number of requests that may run at the same time.  */
 uint32_t limit_slots (const limit_t *limit);
+/* Return the number of slots in use.  */
 uint32_t limit_in_flight (const limit_t *limit);
-/* Whether the upstream is in slow start, after a start or a cold turn, or held
-   at its start; never of one whose start is its greatest.  */
+/* Return whether the limit is in slow start or at its start value.  Always
+   false when the start value equals the maximum.  */
 bool limit_warming (const limit_t *limit);
 
 #endif
