--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -11,7 +11,7 @@
 {
   SHORT,
   LONG,
-  KINDS
+  SIZE_CLASSES
 };
 
 enum
@@ -23,51 +23,51 @@
 
 enum
 {
-  /* Units of virtual time to one unit of cost at weight 1.  */
+  /* Units of virtual time per unit of cost at weight 1.  */
   VIRTUAL_SCALE = 1024,
-  /* How many waiting jobs of one team count fully in the load; of the rest
-     one in LOAD_REST does.  */
-  LOAD_PER_TEAM = 3,
+  /* Waiting jobs of each flow that count fully in the reported load.  In
+     addition each LOAD_REST-th of all waiting jobs counts.  */
+  LOAD_PER_FLOW = 3,
   LOAD_REST = 4
 };
 
-/* Weight of one finished job in the running means.  */
-#define SPEED_GAIN 0.05
-/* The same of a gap between two jobs of a team.  */
-#define GAP_GAIN 0.1
+/* Weight of one finished job in the moving averages of cost and time.  */
+#define SERVICE_SMOOTHING 0.05
+/* Weight of one gap between two jobs of a flow in its moving averages.  */
+#define GAP_SMOOTHING 0.1
 
-/* The jobs of one team and kind.  NODE.key is the virtual time at which its
-   next job starts.  */
+/* The jobs of one team and size class.  NODE.key is the virtual start time of
+   the next job.  */
 typedef struct
 {
   heap_node_t node;
   heap_t waiters;
-  uint64_t cost; /* Of all that wait.  */
-  /* How it was served while it had to wait: the mean time between two of its
-     jobs, and their mean cost.  */
-  uint64_t popped_us; /* Last time; 0 when it did not wait then.  */
-  double gap_us;      /* 0 until known.  */
-  double gap_cost;
+  uint64_t waiting_cost; /* Sum over WAITERS.  */
+  uint64_t last_pop_us;  /* Time of the last pop that left jobs waiting; 0 if
+                            the last pop emptied the flow.  */
+  double mean_gap_us;    /* Mean time between two pops while jobs waited; 0 if
+                            unknown.  */
+  double mean_gap_cost;  /* Mean cost of the jobs of these pops.  */
 } flow_t;
 
 struct queue_team
 {
   uint32_t weight;
-  flow_t flows[KINDS];
+  flow_t flows[SIZE_CLASSES];
 };
 
-/* What all teams share for one kind of job.  */
+/* State of one size class over all teams.  */
 typedef struct
 {
-  heap_t ready;     /* Flows that have waiters.  */
-  uint64_t now;     /* Virtual time.  */
-  uint64_t last;    /* Latest virtual end of any job.  */
-  uint64_t cost;    /* Of all that wait.  */
-  uint64_t weights; /* Sum over the flows in READY.  */
+  heap_t ready_flows;        /* Flows with waiting jobs.  */
+  uint64_t virtual_now;      /* Virtual start time of the last popped job.  */
+  uint64_t last_virtual_end; /* Unused.  */
+  uint64_t waiting_cost;     /* Sum over the waiting jobs.  */
+  uint64_t weight_sum;       /* Sum over the teams in READY_FLOWS.  */
   uint32_t running;
   double mean_cost;
-  double mean_service_us; /* 0 until a job has ended.  */
-} kind_t;
+  double mean_service_us; /* 0 if no job has ended yet.  */
+} class_state_t;
 
 struct queue
 {
@@ -75,13 +75,14 @@
   uint32_t max_waiters;
   uint32_t long_cost;
   uint32_t slots;
-  double low_slots; /* What SLOTS fell to lately.  */
-  uint64_t low_us;  /* When LOW_SLOTS was last let rise.  */
+  double recent_min_slots;   /* Recent minimum of SLOTS.  */
+  uint64_t recent_min_at_us; /* Last update of RECENT_MIN_SLOTS.  */
   map_t *teams;
-  kind_t kinds[KINDS];
-  heap_t lapses;
+  class_state_t classes[SIZE_CLASSES];
+  heap_t expiries;
   uint64_t sequence;
-  uint64_t short_seen_us; /* Last arrival of a short job; 0 for never.  */
+  uint64_t last_short_us; /* Time of the last arrival of a short job; 0 if
+                             there was none.  */
 };
 
 queue_t *
@@ -93,8 +94,8 @@
   queue->max_waiters = QUEUE_MAX_WAITERS;
   queue->long_cost = QUEUE_LONG_COST;
   queue->slots = 1;
-  queue->low_slots = INFINITY;
-  queue->low_us = clock_us (clock);
+  queue->recent_min_slots = INFINITY;
+  queue->recent_min_at_us = clock_us (clock);
   if (config != NULL && config->max_waiters > 0)
     queue->max_waiters = config->max_waiters;
   if (config != NULL && config->long_cost > 0)
@@ -116,19 +117,19 @@
     {
       queue_team_t *team = value;
 
-      for (int kind = 0; kind < KINDS; kind++)
-        heap_free (&team->flows[kind].waiters);
+      for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+        heap_free (&team->flows[size_class].waiters);
       free (team);
     }
   map_destroy (queue->teams);
-  for (int kind = 0; kind < KINDS; kind++)
-    heap_free (&queue->kinds[kind].ready);
-  heap_free (&queue->lapses);
+  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+    heap_free (&queue->classes[size_class].ready_flows);
+  heap_free (&queue->expiries);
   free (queue);
 }
 
-/* Return the record of team NAME, made on first use: the names are those of
-   the configuration, so there is a bounded number.  */
+/* Return the record of team NAME, which is created on first use.  The names
+   come from the configuration, so their number is bounded.  */
 static queue_team_t *
 find_team (queue_t *queue, str_t name)
 {
@@ -149,9 +150,9 @@
 
   if (weight == 0)
     weight = 1;
-  for (int kind = 0; kind < KINDS; kind++)
-    if (team->flows[kind].node.place != 0)
-      queue->kinds[kind].weights += (uint64_t)weight - team->weight;
+  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+    if (team->flows[size_class].node.place != 0)
+      queue->classes[size_class].weight_sum += (uint64_t)weight - team->weight;
   team->weight = weight;
 }
 
@@ -159,124 +160,134 @@
 queue_set_slots (queue_t *queue, uint32_t slots)
 {
   uint64_t now = clock_us (queue->clock);
-  double seconds = fmin ((double)(now - queue->low_us) / 1e6, 10);
+  double seconds = fmin ((double)(now - queue->recent_min_at_us) / 1e6, 10);
 
   queue->slots = slots > 0 ? slots : 1;
-  queue->low_slots *= 1 + QUEUE_LOW_RISE_PER_S * seconds;
-  queue->low_slots = fmin (queue->low_slots, queue->slots);
-  queue->low_us = now;
+  queue->recent_min_slots *= 1 + QUEUE_LOW_RISE_PER_S * seconds;
+  queue->recent_min_slots = fmin (queue->recent_min_slots, queue->slots);
+  queue->recent_min_at_us = now;
 }
 
-/* Return PART of the slots there surely are, at least one.  Guards against a
-   limit that dips: long jobs started at its peak would hold all that is left,
-   and the short ones wait for minutes.  */
+/* Return SHARE of the recent minimum of the slots, at least one.  The current
+   number would not do: after a fall of the limit the long jobs started at its
+   peak would hold all remaining slots, and short jobs would wait for
+   minutes.  */
 static uint32_t
-part_of_slots (const queue_t *queue, double part)
+share_of_slots (const queue_t *queue, double share)
 {
-  uint32_t slots = (uint32_t)(fmin (queue->low_slots, queue->slots) * part);
+  uint32_t slots
+      = (uint32_t)(fmin (queue->recent_min_slots, queue->slots) * share);
 
   return slots > 0 ? slots : 1;
 }
 
-/* Return how many long jobs may run at a time.  */
+/* Return the number of long jobs that may run at the same time.  */
 static uint32_t
-long_cap (const queue_t *queue)
+long_slots_max (const queue_t *queue)
 {
-  uint64_t memory_us = (uint64_t)QUEUE_SHORT_MEMORY_MS * 1000;
+  uint64_t reserve_us = (uint64_t)QUEUE_SHORT_MEMORY_MS * 1000;
 
-  if (queue->short_seen_us == 0
-      || clock_us (queue->clock) - queue->short_seen_us > memory_us)
+  if (queue->last_short_us == 0
+      || clock_us (queue->clock) - queue->last_short_us > reserve_us)
     return queue->slots;
-  return part_of_slots (queue, QUEUE_LONG_CAP);
+  return share_of_slots (queue, QUEUE_LONG_CAP);
 }
 
-/* Return the time that COST units of KIND take in one slot, from the jobs
-   seen; 0 when there were none.  */
+/* Return the expected time that a job of COST units takes in one slot, from
+   the finished jobs of its SIZE_CLASS or else of the other one; 0 if no job
+   has ended yet.  */
 static double
-service_us (const queue_t *queue, int kind, double cost)
+estimate_service_us (const queue_t *queue, int size_class, double cost)
 {
-  const kind_t *seen = &queue->kinds[kind];
+  const class_state_t *sampled = &queue->classes[size_class];
 
-  if (seen->mean_service_us == 0)
-    seen = &queue->kinds[kind == SHORT ? LONG : SHORT];
-  if (seen->mean_service_us == 0)
+  if (sampled->mean_service_us == 0)
+    sampled = &queue->classes[size_class == SHORT ? LONG : SHORT];
+  if (sampled->mean_service_us == 0)
     return 0;
-  return cost * seen->mean_service_us / seen->mean_cost;
+  return cost * sampled->mean_service_us / sampled->mean_cost;
 }
 
-/* Return the slots that serve jobs of KIND while the other kind runs what it
-   runs now.  */
+/* Return the number of slots that serve jobs of SIZE_CLASS, given the running
+   jobs of the other size class.  */
 static uint32_t
-slots_for (const queue_t *queue, int kind)
-{
-  uint32_t others = queue->kinds[kind == SHORT ? LONG : SHORT].running;
-  uint32_t left = queue->slots > others ? queue->slots - others : 0;
-  uint32_t floor_slots
-      = kind == SHORT ? queue->slots - part_of_slots (queue, QUEUE_LONG_CAP)
-                      : part_of_slots (queue, QUEUE_LONG_FLOOR);
-
-  if (kind == LONG && left > long_cap (queue))
-    left = long_cap (queue);
-  if (left < floor_slots)
-    left = floor_slots;
-  return left > 0 ? left : 1;
+slots_for_class (const queue_t *queue, int size_class)
+{
+  uint32_t other_running
+      = queue->classes[size_class == SHORT ? LONG : SHORT].running;
+  uint32_t available
+      = queue->slots > other_running ? queue->slots - other_running : 0;
+  uint32_t min_slots
+      = size_class == SHORT
+            ? queue->slots - share_of_slots (queue, QUEUE_LONG_CAP)
+            : share_of_slots (queue, QUEUE_LONG_FLOOR);
+
+  if (size_class == LONG && available > long_slots_max (queue))
+    available = long_slots_max (queue);
+  if (available < min_slots)
+    available = min_slots;
+  return available > 0 ? available : 1;
 }
 
-/* Return the expected wait of a job of COST behind what its team and the
-   others have waiting.  */
+/* Return the expected wait of a job of COST that TEAM adds to the waiting jobs
+   of all teams.  */
 static uint64_t
-expected_wait_us (const queue_t *queue, const queue_team_t *team, int kind,
-                  uint32_t cost)
-{
-  const kind_t *all = &queue->kinds[kind];
-  const flow_t *own = &team->flows[kind];
-  uint64_t weights = all->weights;
-  uint32_t slots = slots_for (queue, kind);
-  double formula_us;
+estimate_wait_us (const queue_t *queue, const queue_team_t *team,
+                  int size_class, uint32_t cost)
+{
+  const class_state_t *class_state = &queue->classes[size_class];
+  const flow_t *flow = &team->flows[size_class];
+  uint64_t weight_sum = class_state->weight_sum;
+  uint32_t slots = slots_for_class (queue, size_class);
+  double wait_us;
   double ahead;
 
-  if (all->cost == 0 && all->running < slots)
+  if (class_state->waiting_cost == 0 && class_state->running < slots)
     return 0;
-  if (own->node.place == 0)
-    weights += team->weight;
-  /* Until its turn comes a team waits while the others are served in
-     proportion to their weights, but never longer than for all there is.  */
-  ahead = (double)(own->cost + cost) * (double)weights / team->weight - cost;
-  if (ahead > (double)all->cost)
-    ahead = (double)all->cost;
-  /* And until a slot is free, a slot's share of a mean job.  */
-  formula_us
-      = (service_us (queue, kind, ahead) + all->mean_service_us) / slots;
-  /* Teams that seldom wait take their part all the same; what this one really
-     got while it waited shows that.  */
-  if (own->gap_us > 0 && own->cost > 0)
-    formula_us
-        = fmax (formula_us, (double)own->cost * own->gap_us / own->gap_cost);
-  return (uint64_t)formula_us;
+  if (flow->node.place == 0)
+    weight_sum += team->weight;
+  /* While the team waits, the other teams are served in proportion to their
+     weights; the work ahead is at most all waiting work.  */
+  ahead
+      = (double)(flow->waiting_cost + cost) * (double)weight_sum / team->weight
+        - cost;
+  if (ahead > (double)class_state->waiting_cost)
+    ahead = (double)class_state->waiting_cost;
+  /* The last term is the wait for a free slot.  */
+  wait_us = (estimate_service_us (queue, size_class, ahead)
+             + class_state->mean_service_us)
+            / slots;
+  /* Teams whose jobs hardly wait take service without raising the sums above.
+     The gaps between the pops of this flow show the service that was left.  */
+  if (flow->mean_gap_us > 0 && flow->waiting_cost > 0)
+    wait_us = fmax (wait_us, (double)flow->waiting_cost * flow->mean_gap_us
+                                 / flow->mean_gap_cost);
+  return (uint64_t)wait_us;
 }
 
 static void
 unlink_waiter (queue_t *queue, queue_waiter_t *waiter)
 {
-  kind_t *all = &queue->kinds[waiter->kind];
-  flow_t *flow = &waiter->team->flows[waiter->kind];
+  class_state_t *class_state = &queue->classes[waiter->size_class];
+  flow_t *flow = &waiter->team->flows[waiter->size_class];
 
-  heap_remove (&flow->waiters, &waiter->order);
-  heap_remove (&queue->lapses, &waiter->lapse);
-  flow->cost -= waiter->cost;
-  all->cost -= waiter->cost;
+  heap_remove (&flow->waiters, &waiter->order_node);
+  heap_remove (&queue->expiries, &waiter->expiry_node);
+  flow->waiting_cost -= waiter->cost;
+  class_state->waiting_cost -= waiter->cost;
   waiter->state = IDLE;
   if (flow->waiters.count > 0)
     return;
-  heap_remove (&all->ready, &flow->node);
-  all->weights -= waiter->team->weight;
+  heap_remove (&class_state->ready_flows, &flow->node);
+  class_state->weight_sum -= waiter->team->weight;
 }
 
-/* Return the flow that waits with most for its weight.  */
+/* Return the flow with the most waiting cost relative to the weight of its
+   team, and store that weight in *WEIGHT.  */
 static flow_t *
-greediest_flow (queue_t *queue, uint32_t *weight)
+most_backlogged_flow (queue_t *queue, uint32_t *weight)
 {
-  flow_t *most = NULL;
+  flow_t *backlogged = NULL;
   size_t cursor = 0;
   str_t name;
   void *value;
@@ -285,71 +296,75 @@
     {
       queue_team_t *team = value;
 
-      for (int kind = 0; kind < KINDS; kind++)
+      for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
         {
-          flow_t *flow = &team->flows[kind];
+          flow_t *flow = &team->flows[size_class];
 
-          if (most != NULL
-              && flow->cost * *weight <= most->cost * team->weight)
+          if (backlogged != NULL
+              && flow->waiting_cost * *weight
+                     <= backlogged->waiting_cost * team->weight)
             continue;
-          most = flow;
+          backlogged = flow;
           *weight = team->weight;
         }
     }
-  return most;
+  return backlogged;
 }
 
-/* Make room in a full queue for a job of COST of FLOW: take out a last job of
-   the greediest flow.  Return it, or NULL when FLOW itself would be the
-   greediest.  */
+/* Remove one of the last jobs of the most backlogged flow, to make room for a
+   job of COST in FLOW.  Return the removed job, or NULL when FLOW would itself
+   be the most backlogged one.  */
 static queue_waiter_t *
-make_room (queue_t *queue, const flow_t *flow, uint32_t weight, uint32_t cost)
+evict_job (queue_t *queue, const flow_t *flow, uint32_t weight, uint32_t cost)
 {
-  uint32_t most_weight = 1;
-  flow_t *most = greediest_flow (queue, &most_weight);
+  uint32_t backlogged_weight = 1;
+  flow_t *backlogged = most_backlogged_flow (queue, &backlogged_weight);
   queue_waiter_t *last;
 
-  if (most->waiters.count == 0
-      || (flow->cost + cost) * most_weight >= most->cost * weight)
+  if (backlogged->waiters.count == 0
+      || (flow->waiting_cost + cost) * backlogged_weight
+             >= backlogged->waiting_cost * weight)
     return NULL;
-  /* The last leaf is not always the very last in order, but never one that
-     comes before another.  */
-  last = CONTAINER_OF (most->waiters.nodes[most->waiters.count - 1],
-                       queue_waiter_t, order);
+  /* The last element of the heap need not be the last in order, but as a
+     leaf it has no later jobs below it.  */
+  last
+      = CONTAINER_OF (backlogged->waiters.nodes[backlogged->waiters.count - 1],
+                      queue_waiter_t, order_node);
   unlink_waiter (queue, last);
   return last;
 }
 
-/* Return the place in its team's order of a job that arrives at NOW and runs
-   for LENGTH_US.  */
+/* Return the key that orders JOB within its team, for an arrival at NOW and an
+   expected service time of SERVICE_US.  */
 static uint64_t
-due_us (const queue_job_t *job, uint64_t now, uint64_t length_us)
+order_key_us (const queue_job_t *job, uint64_t now, uint64_t service_us)
 {
-  uint64_t pass_us = (uint64_t)QUEUE_PASS_MS * 1000;
+  uint64_t max_delay_us = (uint64_t)QUEUE_PASS_MS * 1000;
 
-  if (length_us > pass_us)
-    length_us = pass_us;
-  return now + length_us + (uint64_t)job->priority * pass_us;
+  if (service_us > max_delay_us)
+    service_us = max_delay_us;
+  return now + service_us + (uint64_t)job->priority * max_delay_us;
 }
 
-/* Return how far behind the others a team may be when it comes back: some
-   jobs of its own.  */
+/* Return the most virtual time by which the next job of TEAM may start before
+   the present virtual time, after the team was idle.  */
 static uint64_t
-credit_of (const kind_t *all, const queue_team_t *team)
+max_credit (const class_state_t *class_state, const queue_team_t *team)
 {
-  return (uint64_t)(all->mean_cost * QUEUE_CREDIT * VIRTUAL_SCALE
+  return (uint64_t)(class_state->mean_cost * QUEUE_CREDIT * VIRTUAL_SCALE
                     / team->weight);
 }
 
-/* Whether a job that arrives at NOW, is expected to wait for WAIT_US and runs
-   for RUNS_US can be taken on for its deadline.  */
+/* Return whether a job that arrives at NOW, with an expected wait of WAIT_US
+   and an expected service time of SERVICE_US, is to be accepted.  */
 static bool
-fits (uint64_t now, uint64_t wait_us, uint64_t runs_us, uint64_t deadline_us)
+can_meet_deadline (uint64_t now, uint64_t wait_us, uint64_t service_us,
+                   uint64_t deadline_us)
 {
-  if (now + runs_us > deadline_us)
+  if (now + service_us > deadline_us)
     return false;
   return (double)wait_us
-         <= (double)(deadline_us - now - runs_us) * QUEUE_SLACK_USED;
+         <= (double)(deadline_us - now - service_us) * QUEUE_SLACK_USED;
 }
 
 vh_code_t
@@ -358,161 +373,169 @@
 {
   queue_team_t *team = find_team (queue, job->team);
   uint32_t cost = job->cost > 0 ? job->cost : 1;
-  int kind = cost >= queue->long_cost ? LONG : SHORT;
-  flow_t *flow = &team->flows[kind];
-  kind_t *all = &queue->kinds[kind];
+  int size_class = cost >= queue->long_cost ? LONG : SHORT;
+  flow_t *flow = &team->flows[size_class];
+  class_state_t *class_state = &queue->classes[size_class];
   uint64_t now = clock_us (queue->clock);
-  uint64_t runs_us = (uint64_t)service_us (queue, kind, cost);
+  uint64_t service_us
+      = (uint64_t)estimate_service_us (queue, size_class, cost);
 
   assert (waiter->state == IDLE);
   *evicted = NULL;
-  if (kind == SHORT)
-    queue->short_seen_us = now;
+  if (size_class == SHORT)
+    queue->last_short_us = now;
   if (job->deadline_us != QUEUE_NO_DEADLINE
-      && !fits (now, expected_wait_us (queue, team, kind, cost), runs_us,
-                job->deadline_us))
+      && !can_meet_deadline (now,
+                             estimate_wait_us (queue, team, size_class, cost),
+                             service_us, job->deadline_us))
     return VH_E_DEADLINE;
   if (queue_waiting (queue) >= queue->max_waiters)
     {
-      *evicted = make_room (queue, flow, team->weight, cost);
+      *evicted = evict_job (queue, flow, team->weight, cost);
       if (*evicted == NULL)
         return VH_E_FULL;
     }
 
   waiter->team = team;
   waiter->cost = cost;
-  waiter->kind = (uint8_t)kind;
+  waiter->size_class = (uint8_t)size_class;
   waiter->state = WAITING;
-  waiter->order.key = due_us (job, now, runs_us);
-  waiter->order.tie = ++queue->sequence;
-  waiter->lapse.key = job->deadline_us == QUEUE_NO_DEADLINE
-                          ? QUEUE_NO_DEADLINE
-                          : job->deadline_us - runs_us;
-  waiter->lapse.tie = queue->sequence;
-  heap_push (&flow->waiters, &waiter->order);
-  heap_push (&queue->lapses, &waiter->lapse);
-  flow->cost += cost;
-  all->cost += cost;
+  waiter->order_node.key = order_key_us (job, now, service_us);
+  waiter->order_node.tie = ++queue->sequence;
+  waiter->expiry_node.key = job->deadline_us == QUEUE_NO_DEADLINE
+                                ? QUEUE_NO_DEADLINE
+                                : job->deadline_us - service_us;
+  waiter->expiry_node.tie = queue->sequence;
+  heap_push (&flow->waiters, &waiter->order_node);
+  heap_push (&queue->expiries, &waiter->expiry_node);
+  flow->waiting_cost += cost;
+  class_state->waiting_cost += cost;
   if (flow->node.place == 0)
     {
-      uint64_t credit = credit_of (all, team);
+      uint64_t credit = max_credit (class_state, team);
 
-      if (flow->node.key + credit < all->now)
-        flow->node.key = all->now - credit;
+      if (flow->node.key + credit < class_state->virtual_now)
+        flow->node.key = class_state->virtual_now - credit;
       flow->node.tie = queue->sequence;
-      heap_push (&all->ready, &flow->node);
-      all->weights += team->weight;
+      heap_push (&class_state->ready_flows, &flow->node);
+      class_state->weight_sum += team->weight;
     }
   return VH_OK;
 }
 
-/* Return the kind to serve next, or KINDS when no waiter may run.  */
+/* Return the size class to serve next, or SIZE_CLASSES when no waiting job may
+   run.  */
 static int
-choose_kind (const queue_t *queue)
-{
-  const kind_t *shorts = &queue->kinds[SHORT];
-  const kind_t *longs = &queue->kinds[LONG];
-  bool long_may = longs->ready.count > 0 && longs->running < long_cap (queue);
-
-  if (shorts->ready.count == 0)
-    return long_may ? LONG : KINDS;
-  /* Guards against starved drafts: under an endless stream of short jobs the
-     long ones still get their floor.  Not the only slot, though.  */
-  if (long_may && queue->slots > 1
-      && longs->running < part_of_slots (queue, QUEUE_LONG_FLOOR))
+choose_class (const queue_t *queue)
+{
+  const class_state_t *short_class = &queue->classes[SHORT];
+  const class_state_t *long_class = &queue->classes[LONG];
+  bool may_run_long = long_class->ready_flows.count > 0
+                      && long_class->running < long_slots_max (queue);
+
+  if (short_class->ready_flows.count == 0)
+    return may_run_long ? LONG : SIZE_CLASSES;
+  /* Long jobs get their minimum share even under a continuous stream of short
+     jobs, so that they do not starve.  A single slot is not reserved.  */
+  if (may_run_long && queue->slots > 1
+      && long_class->running < share_of_slots (queue, QUEUE_LONG_FLOOR))
     return LONG;
   return SHORT;
 }
 
-/* Note how long FLOW had to wait between two of its jobs; COST is that of the
-   one just taken.  */
+/* Record the time since the last pop of FLOW if the flow had waiting jobs
+   throughout.  COST is the cost of the job just popped.  */
 static void
-measure_gap (const queue_t *queue, flow_t *flow, uint32_t cost)
+record_gap (const queue_t *queue, flow_t *flow, uint32_t cost)
 {
   uint64_t now = clock_us (queue->clock);
 
-  if (flow->popped_us > 0)
+  if (flow->last_pop_us > 0)
     {
-      double gap_us = (double)(now - flow->popped_us);
+      double gap_us = (double)(now - flow->last_pop_us);
 
-      if (flow->gap_cost == 0)
+      if (flow->mean_gap_cost == 0)
         {
-          flow->gap_us = gap_us;
-          flow->gap_cost = cost;
+          flow->mean_gap_us = gap_us;
+          flow->mean_gap_cost = cost;
         }
-      flow->gap_us += GAP_GAIN * (gap_us - flow->gap_us);
-      flow->gap_cost += GAP_GAIN * (cost - flow->gap_cost);
+      flow->mean_gap_us += GAP_SMOOTHING * (gap_us - flow->mean_gap_us);
+      flow->mean_gap_cost += GAP_SMOOTHING * (cost - flow->mean_gap_cost);
     }
-  flow->popped_us = flow->waiters.count > 0 ? now : 0;
+  flow->last_pop_us = flow->waiters.count > 0 ? now : 0;
 }
 
 queue_waiter_t *
 queue_pop (queue_t *queue)
 {
-  int kind = choose_kind (queue);
-  kind_t *all;
+  int size_class = choose_class (queue);
+  class_state_t *class_state;
   flow_t *flow;
   queue_waiter_t *waiter;
 
-  if (kind == KINDS)
+  if (size_class == SIZE_CLASSES)
     return NULL;
-  all = &queue->kinds[kind];
-  flow = CONTAINER_OF (heap_top (&all->ready), flow_t, node);
-  waiter = CONTAINER_OF (heap_top (&flow->waiters), queue_waiter_t, order);
-  all->now = flow->node.key;
+  class_state = &queue->classes[size_class];
+  flow = CONTAINER_OF (heap_top (&class_state->ready_flows), flow_t, node);
+  waiter
+      = CONTAINER_OF (heap_top (&flow->waiters), queue_waiter_t, order_node);
+  class_state->virtual_now = flow->node.key;
   flow->node.key
       += (uint64_t)waiter->cost * VIRTUAL_SCALE / waiter->team->weight;
   flow->node.tie = ++queue->sequence;
-  heap_update (&all->ready, &flow->node);
+  heap_update (&class_state->ready_flows, &flow->node);
   unlink_waiter (queue, waiter);
-  measure_gap (queue, flow, waiter->cost);
+  record_gap (queue, flow, waiter->cost);
   waiter->state = RUNNING;
-  all->running++;
+  class_state->running++;
   return waiter;
 }
 
-/* Charge the team of WAITER for USED units in place of the estimate.  */
+/* Charge the team of WAITER for the actual cost of USED units instead of the
+   estimated cost.  */
 static void
-settle (queue_t *queue, queue_waiter_t *waiter, uint32_t used)
+correct_charge (queue_t *queue, queue_waiter_t *waiter, uint32_t used)
 {
-  kind_t *all = &queue->kinds[waiter->kind];
-  flow_t *flow = &waiter->team->flows[waiter->kind];
+  class_state_t *class_state = &queue->classes[waiter->size_class];
+  flow_t *flow = &waiter->team->flows[waiter->size_class];
   uint64_t charged
       = (uint64_t)waiter->cost * VIRTUAL_SCALE / waiter->team->weight;
-  uint64_t due = (uint64_t)used * VIRTUAL_SCALE / waiter->team->weight;
-
-  if (due >= charged)
-    flow->node.key += due - charged;
-  else if (flow->node.key > all->now + (charged - due))
-    flow->node.key -= charged - due;
-  else if (flow->node.key > all->now)
-    flow->node.key = all->now;
+  uint64_t actual = (uint64_t)used * VIRTUAL_SCALE / waiter->team->weight;
+
+  if (actual >= charged)
+    flow->node.key += actual - charged;
+  else if (flow->node.key > class_state->virtual_now + (charged - actual))
+    flow->node.key -= charged - actual;
+  else if (flow->node.key > class_state->virtual_now)
+    flow->node.key = class_state->virtual_now;
   if (flow->node.place != 0)
-    heap_update (&all->ready, &flow->node);
+    heap_update (&class_state->ready_flows, &flow->node);
 }
 
 void
-queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t took_us,
+queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t service_us,
             uint32_t used)
 {
-  kind_t *all = &queue->kinds[waiter->kind];
+  class_state_t *class_state = &queue->classes[waiter->size_class];
 
   assert (waiter->state == RUNNING);
-  all->running--;
+  class_state->running--;
   waiter->state = IDLE;
   if (used > 0)
-    settle (queue, waiter, used);
-  if (took_us == 0)
+    correct_charge (queue, waiter, used);
+  if (service_us == 0)
     return;
-  if (all->mean_service_us == 0)
+  if (class_state->mean_service_us == 0)
     {
-      all->mean_service_us = (double)took_us;
-      all->mean_cost = waiter->cost;
+      class_state->mean_service_us = (double)service_us;
+      class_state->mean_cost = waiter->cost;
       return;
     }
-  all->mean_service_us
-      += SPEED_GAIN * ((double)took_us - all->mean_service_us);
-  all->mean_cost += SPEED_GAIN * (waiter->cost - all->mean_cost);
+  class_state->mean_service_us
+      += SERVICE_SMOOTHING
+         * ((double)service_us - class_state->mean_service_us);
+  class_state->mean_cost
+      += SERVICE_SMOOTHING * (waiter->cost - class_state->mean_cost);
 }
 
 void
@@ -521,19 +544,19 @@
   if (waiter->state == WAITING)
     unlink_waiter (queue, waiter);
   else if (waiter->state == RUNNING)
-    queue->kinds[waiter->kind].running--;
+    queue->classes[waiter->size_class].running--;
   waiter->state = IDLE;
 }
 
 queue_waiter_t *
 queue_lapsed (queue_t *queue)
 {
-  heap_node_t *first = heap_top (&queue->lapses);
+  heap_node_t *next = heap_top (&queue->expiries);
   queue_waiter_t *waiter;
 
-  if (first == NULL || first->key > clock_us (queue->clock))
+  if (next == NULL || next->key > clock_us (queue->clock))
     return NULL;
-  waiter = CONTAINER_OF (first, queue_waiter_t, lapse);
+  waiter = CONTAINER_OF (next, queue_waiter_t, expiry_node);
   unlink_waiter (queue, waiter);
   return waiter;
 }
@@ -541,29 +564,29 @@
 uint64_t
 queue_next_lapse_us (const queue_t *queue)
 {
-  const heap_node_t *first = heap_top (&queue->lapses);
+  const heap_node_t *next = heap_top (&queue->expiries);
 
-  return first != NULL ? first->key : QUEUE_NO_DEADLINE;
+  return next != NULL ? next->key : QUEUE_NO_DEADLINE;
 }
 
 uint64_t
 queue_wait_us (queue_t *queue, str_t team, uint32_t cost)
 {
-  int kind = cost >= queue->long_cost ? LONG : SHORT;
+  int size_class = cost >= queue->long_cost ? LONG : SHORT;
 
-  return expected_wait_us (queue, find_team (queue, team), kind, cost);
+  return estimate_wait_us (queue, find_team (queue, team), size_class, cost);
 }
 
 uint32_t
 queue_waiting (const queue_t *queue)
 {
-  return queue->lapses.count;
+  return queue->expiries.count;
 }
 
 uint32_t
 queue_running (const queue_t *queue)
 {
-  return queue->kinds[SHORT].running + queue->kinds[LONG].running;
+  return queue->classes[SHORT].running + queue->classes[LONG].running;
 }
 
 uint32_t
@@ -571,14 +594,14 @@
 {
   uint32_t load = queue_waiting (queue) / LOAD_REST;
 
-  for (int kind = 0; kind < KINDS; kind++)
-    for (uint32_t i = 0; i < queue->kinds[kind].ready.count; i++)
+  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+    for (uint32_t i = 0; i < queue->classes[size_class].ready_flows.count; i++)
       {
-        const flow_t *flow
-            = CONTAINER_OF (queue->kinds[kind].ready.nodes[i], flow_t, node);
+        const flow_t *flow = CONTAINER_OF (
+            queue->classes[size_class].ready_flows.nodes[i], flow_t, node);
         uint32_t waiting = flow->waiters.count;
 
-        load += waiting < LOAD_PER_TEAM ? waiting : LOAD_PER_TEAM;
+        load += waiting < LOAD_PER_FLOW ? waiting : LOAD_PER_FLOW;
       }
   return load;
 }
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -1,50 +1,55 @@
-/* The queue in front of one upstream.
-
-   Answers: more work than the upstream carries, from teams of unlike appetite
-   and in jobs of unlike length.  Without it (first come, first served) a team
-   that sends half of all traffic takes half of the service whatever its
-   weight, a question of a second waits behind drafts of minutes, and under
-   overload every request waits until its deadline and is then answered too
-   late: all work is wasted.
-
-   Whom it serves: jobs are short or long by cost.  Among those of one kind
-   the team with the least service so far for its weight is next (start-time
-   fair queueing over estimated cost, put right by the true cost at the end,
-   so that neither many small requests nor modest estimates gain anything).
-   Within a team the order is by arrival, put back by the job's own length and
-   by a low priority, both bounded, so that nothing starves.  A priority says
-   what matters inside a team; it takes nothing from other teams.
-
-   Short against long: short ones go first, but the long ones keep
-   QUEUE_LONG_FLOOR of the slots and may never hold more than QUEUE_LONG_CAP
-   of them while short ones are about.  So a short job waits for other short
-   jobs only.  XXX: with a single slot there is nothing to keep free, and a
-   short job waits for the long one that runs.
-
-   Who is refused: a job which, by what waits before it and the speed seen,
-   cannot end by its deadline is refused when it arrives, while its caller can
-   still go elsewhere.  One that turns out not to make it is handed back as
-   soon as that is known.  A full queue refuses the team that waits with most
-   for its weight, not the one that happens to come last.
-
-   - QUEUE_LONG_CAP 0.75, QUEUE_LONG_FLOOR 0.25: three quarters for either kind
-     at its strongest.  The quarter kept free turns over tens of times while a
-     long job runs.
-   - QUEUE_LOW_RISE_PER_S 0.1: cap and floor are taken of the least slots seen
-     lately, which is let rise by a tenth a second: the sawtooth of the limit
-     has a period of some seconds, a long job lasts a minute.
-   - QUEUE_SHORT_MEMORY_MS 60000: for how long after the last short job the
-     reserve is kept; a pool without short jobs uses all its slots.
-   - QUEUE_PASS_MS 2000: how far a job's length or priority can put it back
-     behind later ones of its team.
-   - QUEUE_CREDIT 3 mean jobs: what a team may have left unused and take later
-     at once.  Without it three requests that a quiet team happens to send
-     together wait for each other at the pace of its share alone.
-   - QUEUE_SLACK_USED 0.5: an estimated wait may take half of the time left.
-     What comes later from teams with less service goes first, so waits turn
-     out up to twice as long; a refusal on arrival costs the caller nothing, a
-     lapse costs all it waited.
-   - QUEUE_MAX_WAITERS 4096: bounds memory; deadlines refuse long before.  */
+/* Fair queue in front of one upstream.
+
+   Load pattern: more work than the upstream can do, from teams of unequal
+   demand and in jobs of unequal length.  With a first-come, first-served queue
+   a team that sends half of all traffic takes half of the service whatever its
+   weight, a job of a second waits behind jobs of minutes, and under overload
+   every request waits until its deadline and is answered too late, so that all
+   work is wasted.
+
+   Order: a job is short or long according to its estimated cost.  Among the
+   jobs of one size class the team with the least service relative to its
+   weight is served next (start-time fair queueing by estimated cost, corrected
+   by the actual cost when the job ends, so that a team gains nothing by many
+   small requests or by low estimates).  Within a team jobs are ordered by
+   arrival; a long service time or a low priority moves a job back by a bounded
+   time, so that no job starves.  A priority orders the jobs of one team and
+   takes nothing from other teams.
+
+   Slots of the size classes: short jobs are served first, but long jobs keep
+   QUEUE_LONG_FLOOR of the slots, and they never hold more than QUEUE_LONG_CAP
+   of the slots while short jobs arrive.  So a short job waits for other short
+   jobs only.  XXX: an upstream with a single slot has none to reserve, and a
+   short job waits for the running long job.
+
+   Refusal: a job is refused on arrival when the jobs ahead and the service
+   times so far show that it cannot end by its deadline; its caller can still
+   try elsewhere.  A waiting job that can no longer meet its deadline is
+   returned to the caller at once.  A full queue refuses a job of the team with
+   the most waiting work relative to its weight, not the job that arrived last.
+
+   Reasons for the constants:
+
+   - QUEUE_LONG_CAP 0.75, QUEUE_LONG_FLOOR 0.25: each size class can hold at
+     most three quarters of the slots.  The reserved quarter serves tens of
+     short jobs while one long job runs.
+   - QUEUE_LOW_RISE_PER_S 0.1: both shares are taken of the recent minimum of
+     the slots, which rises by a tenth per second: the concurrency limit
+     oscillates within seconds, while a long job takes a minute.
+   - QUEUE_SHORT_MEMORY_MS 60000: time after the last short job for which slots
+     stay reserved; without short jobs the long jobs may use all slots.
+   - QUEUE_PASS_MS 2000: most time by which the service time, and each step of
+     priority, move a job back behind later jobs of its team.
+   - QUEUE_CREDIT 3 jobs of mean cost: unused service that a team may use later
+     in a burst.  Without credit, three simultaneous requests of a mostly idle
+     team wait for each other at the rate of its share.
+   - QUEUE_SLACK_USED 0.5: share of the slack before the deadline that the
+     estimated wait may take.  Later jobs of teams with less service go ahead,
+     so the actual wait is up to twice the estimate.  A refusal on arrival
+     costs the caller nothing; an expiry in the queue costs the time spent
+     waiting.
+   - QUEUE_MAX_WAITERS 4096: bounds the memory; deadlines lead to refusals long
+     before.  */
 
 #ifndef POLICY_QUEUE_H
 #define POLICY_QUEUE_H
@@ -66,6 +71,7 @@
 #define QUEUE_SLACK_USED 0.5
 #define QUEUE_CREDIT 3.0
 #define QUEUE_LOW_RISE_PER_S 0.1
+/* Value of a deadline that never passes.  */
 #define QUEUE_NO_DEADLINE UINT64_MAX
 
 typedef struct queue queue_t;
@@ -78,80 +84,89 @@
   QUEUE_LOW
 } queue_priority_t;
 
-/* One job, embedded in the caller's own record; zero it before the first
-   push.  Its fields are the queue's.  It may go away after it was refused,
-   cancelled, handed back by queue_lapsed, or passed to queue_done.  */
+/* Queue entry of one job, embedded in the caller's own record and zeroed by
+   the caller before the first push.  The fields are private to the queue.  The
+   caller may free the entry after the job was refused, evicted or cancelled,
+   returned by queue_lapsed, or passed to queue_done.  */
 typedef struct
 {
-  heap_node_t order;
-  heap_node_t lapse;
+  heap_node_t order_node;  /* Position among the jobs of the team.  */
+  heap_node_t expiry_node; /* Position in the order of expiry.  */
   queue_team_t *team;
   uint32_t cost;
-  uint8_t kind;
+  uint8_t size_class;
   uint8_t state;
 } queue_waiter_t;
 
+/* Description of a job to be queued.  */
 typedef struct
 {
   str_t team;
-  uint32_t cost; /* Estimated units (tokens), at least 1.  */
+  uint32_t cost; /* Estimated cost in tokens, at least 1.  */
   queue_priority_t priority;
-  uint64_t deadline_us; /* Monotonic, or QUEUE_NO_DEADLINE.  */
+  uint64_t deadline_us; /* Monotonic time, or QUEUE_NO_DEADLINE.  */
 } queue_job_t;
 
-/* A field left 0 takes the constant above.  */
+/* Settings of a queue; a field that is 0 selects the constant above.  */
 typedef struct
 {
   uint32_t max_waiters;
-  uint32_t long_cost; /* Jobs of this cost and more are long.  */
+  uint32_t long_cost; /* Least cost of a long job.  */
 } queue_config_t;
 
-/* CONFIG may be NULL.  CLOCK is borrowed.  */
+/* Return a new queue, owned by the caller.  CONFIG may be NULL for the
+   defaults.  CLOCK is borrowed and must outlive the queue.  */
 queue_t *queue_create (const queue_config_t *config, clock_iface_t *clock);
-/* Release QUEUE; the waiters stay the callers'.  */
+/* Free QUEUE.  The entries of waiting jobs stay the callers'.  */
 void queue_destroy (queue_t *queue);
 
-/* Set the weight of TEAM (1 until set, 0 counts as 1).  */
+/* Set the weight of TEAM.  The default is 1, and 0 counts as 1.  */
 void queue_set_weight (queue_t *queue, str_t team, uint32_t weight);
-/* Tell how many jobs the upstream runs at a time (limit_slots).  */
+/* Set the number of jobs that the upstream can run at the same time.  */
 void queue_set_slots (queue_t *queue, uint32_t slots);
 
-/* Let WAITER wait.  Return VH_OK; VH_E_DEADLINE when it cannot be done in
-   time; VH_E_FULL when the queue is full.  In a full queue the last job of
-   another team may have to give way: it is returned in *EVICTED (else NULL)
-   and is to be refused with VH_E_FULL.  */
+/* Add WAITER to the queue.  Return VH_OK, VH_E_DEADLINE when the job cannot
+   end by its deadline, or VH_E_FULL when the queue is full.  A full queue may
+   evict a job of another team instead: *EVICTED is then that job, which the
+   caller must refuse with VH_E_FULL, and otherwise NULL.  */
 vh_code_t queue_push (queue_t *queue, queue_waiter_t *waiter,
                       const queue_job_t *job, queue_waiter_t **evicted);
 
-/* Return the waiter to run next, or NULL when none waits that may run now.
-   It counts as running until queue_done.  Take out the lapsed ones first.  */
+/* Remove and return the job to run next, or NULL when no waiting job may run.
+   The job counts as running until queue_done or queue_cancel.  Call
+   queue_lapsed until NULL first.  */
 queue_waiter_t *queue_pop (queue_t *queue);
 
-/* A popped job ended after SERVICE_US, having cost USED units (0 when not
-   known).  */
+/* Record that the running job WAITER ended after SERVICE_US at a cost of USED
+   units; USED is 0 when the cost is unknown, and SERVICE_US is 0 when the time
+   must not count.  */
 void queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t service_us,
                  uint32_t used);
 
-/* Take WAITER out, wherever it is; O(log n).  A running one is only no longer
-   counted.  */
+/* Remove WAITER, waiting or running, from the queue in O(log n).  The service
+   of a running job is not recorded.  */
 void queue_cancel (queue_t *queue, queue_waiter_t *waiter);
 
-/* Return a waiter that can no longer make its deadline, to be refused with
-   VH_E_DEADLINE, or NULL when there is none.  */
+/* Remove and return a job that can no longer meet its deadline, to be refused
+   with VH_E_DEADLINE; NULL if there is none.  */
 queue_waiter_t *queue_lapsed (queue_t *queue);
-/* Return when the next waiter lapses, or QUEUE_NO_DEADLINE.  */
+/* Return the time at which the next waiting job expires, or
+   QUEUE_NO_DEADLINE.  */
 uint64_t queue_next_lapse_us (const queue_t *queue);
 
-/* Return how long a job of TEAM with COST would wait from now.  */
+/* Return the expected wait of a job of TEAM with COST that arrives now.  */
 uint64_t queue_wait_us (queue_t *queue, str_t team, uint32_t cost);
 
-/* Return the load to report of what waits: how much of it the job of one more
-   team would find before it.  A plain count makes upstreams look alike whether
-   one team waits with all or all with some; the teams within their share then
-   gather where they wait for each other.  */
+/* Return the load of the waiting jobs to report to the balancer: the work that
+   a job of a further team would find ahead.  A plain count of jobs would not
+   distinguish an upstream with one waiting team from one with many, and the
+   teams within their share would gather at upstreams where they wait for each
+   other.  */
 uint32_t queue_load (const queue_t *queue);
 
+/* Return the number of waiting jobs.  */
 uint32_t queue_waiting (const queue_t *queue);
+/* Return the number of running jobs.  */
 uint32_t queue_running (const queue_t *queue);
 
 #endif
