--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -9,20 +9,21 @@
 enum
 {
   PRIORITIES = QUEUE_LOW + 1,
-  /* Ticks after which a silent period has no more to teach.  */
+  /* Most ticks counted at once.  After ten seconds without a call the old
+     rates have decayed to almost nothing.  */
   TICKS_MAX = 100
 };
 
-/* Part of the refused cost that is remembered from one tick to the next: a
-   hundred ticks, ten seconds.  */
-#define REFUSED_KEEP 0.99
+/* Decay of the refused cost per tick, for a mean age of a hundred ticks or ten
+   seconds.  */
+#define REFUSED_DECAY 0.99
 
 typedef struct
 {
-  double asked; /* Cost in this tick.  */
-  double rate;  /* Cost a second.  */
-  double part;  /* Of the requests, admitted.  */
-  double credit;
+  double tick_cost;      /* Requested cost in the current tick.  */
+  double rate;           /* Requested cost per second.  */
+  double admitted_share; /* Share of the requests to admit, 0 to 1.  */
+  double credit; /* Fraction of a request, carried over to the next one.  */
 } demand_t;
 
 typedef struct
@@ -30,9 +31,9 @@
   list_t link;
   uint32_t weight;
   demand_t demands[PRIORITIES];
-  double rate;    /* Sum of the demands.  */
-  double share;   /* What of RATE is admitted.  */
-  double refused; /* Cost refused in the last seconds.  */
+  double demand_rate;    /* Requested cost per second, all priorities.  */
+  double admitted_rate;  /* Admitted cost per second.  */
+  double recent_refused; /* Cost refused in the last seconds.  */
 } team_t;
 
 struct admission
@@ -41,12 +42,12 @@
   rng_t *rng;
   map_t *names;
   list_t teams;
-  uint64_t tick_ms; /* Start of the tick.  */
-  double accepted;  /* Cost in this tick.  */
-  double refused;
-  double accepted_rate; /* Cost a second.  */
-  double pressure;
-  double capacity; /* Cost a second; INFINITY until the fleet was full.  */
+  uint64_t tick_start_ms; /* Start of the current tick.  */
+  double tick_accepted; /* Cost accepted by the fleet in the current tick.  */
+  double tick_refused;  /* Cost refused by the fleet in the current tick.  */
+  double accepted_rate; /* Cost accepted by the fleet per second.  */
+  double pressure;      /* Load of the fleet relative to its slots.  */
+  double capacity; /* Cost per second; INFINITY if the fleet was never full. */
   bool limiting;
 };
 
@@ -58,7 +59,7 @@
   admission->clock = clock;
   admission->rng = rng;
   admission->names = map_create ();
-  admission->tick_ms = clock_ms (clock);
+  admission->tick_start_ms = clock_ms (clock);
   admission->capacity = INFINITY;
   list_init (&admission->teams);
   return admission;
@@ -69,14 +70,14 @@
 {
   if (admission == NULL)
     return;
-  LIST_EACH (at, &admission->teams)
-    free (CONTAINER_OF (at, team_t, link));
+  LIST_EACH (node, &admission->teams)
+    free (CONTAINER_OF (node, team_t, link));
   map_destroy (admission->names);
   free (admission);
 }
 
-/* Return the record of team NAME, made on first use: the names are those of
-   the configuration, so there is a bounded number.  */
+/* Return the record of team NAME, which is created on first use.  The names
+   come from the configuration, so their number is bounded.  */
 static team_t *
 find_team (admission_t *admission, str_t name)
 {
@@ -86,8 +87,8 @@
     return team;
   team = mem_zalloc (sizeof *team);
   team->weight = 1;
-  for (int p = 0; p < PRIORITIES; p++)
-    team->demands[p].part = 1;
+  for (int priority = 0; priority < PRIORITIES; priority++)
+    team->demands[priority].admitted_share = 1;
   map_put (admission->names, name, team);
   list_append (&admission->teams, &team->link);
   return team;
@@ -99,152 +100,155 @@
   find_team (admission, name)->weight = weight > 0 ? weight : 1;
 }
 
-/* Fold what TICKS ticks brought into a running RATE.  */
+/* Return the moving average RATE per second after TICKS ticks with a total of
+   AMOUNT.  */
 static double
-next_rate (double rate, double brought, double ticks)
+update_rate (double rate, double amount, double ticks)
 {
   double seconds = ticks * ADMISSION_TICK_MS / 1000;
-  double keep = pow (1 - ADMISSION_GAIN, ticks);
+  double decay = pow (1 - ADMISSION_GAIN, ticks);
 
-  return rate * keep + brought / seconds * (1 - keep);
+  return rate * decay + amount / seconds * (1 - decay);
 }
 
-/* Return the sum of all teams' demand after TICKS ticks.  */
+/* Update the demand of each team after TICKS ticks, and return the sum.  */
 static double
-measure_demand (admission_t *admission, double ticks)
+update_demand (admission_t *admission, double ticks)
 {
   double sum = 0;
 
-  LIST_EACH (at, &admission->teams)
+  LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (at, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, link);
 
-      team->rate = 0;
-      for (int p = 0; p < PRIORITIES; p++)
+      team->demand_rate = 0;
+      for (int priority = 0; priority < PRIORITIES; priority++)
         {
-          demand_t *demand = &team->demands[p];
+          demand_t *demand = &team->demands[priority];
 
-          demand->rate = next_rate (demand->rate, demand->asked, ticks);
-          demand->asked = 0;
-          team->rate += demand->rate;
+          demand->rate = update_rate (demand->rate, demand->tick_cost, ticks);
+          demand->tick_cost = 0;
+          team->demand_rate += demand->rate;
         }
-      team->refused *= pow (REFUSED_KEEP, ticks);
-      sum += team->rate;
+      team->recent_refused *= pow (REFUSED_DECAY, ticks);
+      sum += team->demand_rate;
     }
   return sum;
 }
 
-/* Move the capacity by what the fleet showed in the last ticks, of a DEMAND a
-   second.  */
+/* Update the capacity from the results of the last TICKS ticks.  DEMAND is the
+   requested cost per second.  */
 static void
-measure_capacity (admission_t *admission, double demand, double ticks)
+update_capacity (admission_t *admission, double demand, double ticks)
 {
-  double dispatched = admission->accepted + admission->refused;
-  bool full = admission->refused > dispatched * ADMISSION_REFUSED
-              || admission->pressure > ADMISSION_PRESSURE;
-  double found;
-
-  admission->accepted_rate
-      = next_rate (admission->accepted_rate, admission->accepted, ticks);
-  found = admission->accepted_rate * ADMISSION_PROBE;
-  /* The rate of what is accepted lags behind a sudden burst just as that of
-     what is asked for does, so the two can be compared in it.  */
-  if (full || found > admission->capacity)
-    admission->capacity = found;
+  double dispatched = admission->tick_accepted + admission->tick_refused;
+  bool is_full = admission->tick_refused > dispatched * ADMISSION_REFUSED
+                 || admission->pressure > ADMISSION_PRESSURE;
+  double probe_capacity;
+
+  admission->accepted_rate = update_rate (admission->accepted_rate,
+                                          admission->tick_accepted, ticks);
+  probe_capacity = admission->accepted_rate * ADMISSION_PROBE;
+  /* The accepted rate and the demand have the same lag behind a sudden burst,
+     so the capacity derived from one can be compared with the other.  */
+  if (is_full || probe_capacity > admission->capacity)
+    admission->capacity = probe_capacity;
   else if (admission->limiting)
     admission->capacity *= pow (ADMISSION_OPEN, ticks);
   admission->capacity = fmax (admission->capacity, ADMISSION_FLOOR * demand);
-  admission->accepted = 0;
-  admission->refused = 0;
+  admission->tick_accepted = 0;
+  admission->tick_refused = 0;
 }
 
-/* Give each team its max-min fair share of the capacity: those that ask for
-   less than the level get all, and the level rises by what they leave.  */
+/* Set the admitted rate of each team to its max-min fair share of the
+   capacity: teams below the level get their full demand, and the capacity
+   that they leave raises the level for the others.  */
 static void
 divide_capacity (admission_t *admission)
 {
-  double left = admission->capacity;
-  double weights = 0;
-  bool more = true;
+  double remaining = admission->capacity;
+  double weight_sum = 0;
+  bool changed = true;
 
-  LIST_EACH (at, &admission->teams)
+  LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (at, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, link);
 
-      team->share = -1;
-      weights += team->weight;
+      team->admitted_rate = -1;
+      weight_sum += team->weight;
     }
-  while (more)
+  while (changed)
     {
-      double level = left / weights;
+      double level = remaining / weight_sum;
 
-      more = false;
-      LIST_EACH (at, &admission->teams)
+      changed = false;
+      LIST_EACH (node, &admission->teams)
         {
-          team_t *team = CONTAINER_OF (at, team_t, link);
+          team_t *team = CONTAINER_OF (node, team_t, link);
 
-          if (team->share >= 0 || team->rate > level * team->weight)
+          if (team->admitted_rate >= 0
+              || team->demand_rate > level * team->weight)
             continue;
-          team->share = team->rate;
-          left -= team->rate;
-          weights -= team->weight;
-          more = weights > 0;
+          team->admitted_rate = team->demand_rate;
+          remaining -= team->demand_rate;
+          weight_sum -= team->weight;
+          changed = weight_sum > 0;
         }
     }
-  LIST_EACH (at, &admission->teams)
+  LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (at, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, link);
 
-      if (team->share < 0)
-        team->share = left * team->weight / weights;
+      if (team->admitted_rate < 0)
+        team->admitted_rate = remaining * team->weight / weight_sum;
     }
 }
 
-/* Spend the share of TEAM on its priorities, the high ones first.  */
+/* Divide the admitted rate of TEAM among its priorities, highest first.  */
 static void
-divide_share (team_t *team)
+divide_admitted_rate (team_t *team)
 {
-  double left = team->share;
+  double remaining = team->admitted_rate;
 
-  for (int p = 0; p < PRIORITIES; p++)
+  for (int priority = 0; priority < PRIORITIES; priority++)
     {
-      demand_t *demand = &team->demands[p];
+      demand_t *demand = &team->demands[priority];
 
-      demand->part = 1;
-      if (demand->rate > left)
-        demand->part = left / demand->rate;
-      left -= fmin (demand->rate, left);
+      demand->admitted_share = 1;
+      if (demand->rate > remaining)
+        demand->admitted_share = remaining / demand->rate;
+      remaining -= fmin (demand->rate, remaining);
     }
 }
 
 static void
 admit_all (admission_t *admission)
 {
-  LIST_EACH (at, &admission->teams)
+  LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (at, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, link);
 
-      team->share = team->rate;
-      for (int p = 0; p < PRIORITIES; p++)
-        team->demands[p].part = 1;
+      team->admitted_rate = team->demand_rate;
+      for (int priority = 0; priority < PRIORITIES; priority++)
+        team->demands[priority].admitted_share = 1;
     }
 }
 
-/* Work out the parts anew when a tick has passed.  */
+/* Recompute all admitted shares if at least one tick has passed.  */
 static void
-tick (admission_t *admission)
+update_shares (admission_t *admission)
 {
-  uint64_t ticks
-      = (clock_ms (admission->clock) - admission->tick_ms) / ADMISSION_TICK_MS;
+  uint64_t ticks = (clock_ms (admission->clock) - admission->tick_start_ms)
+                   / ADMISSION_TICK_MS;
   double demand;
 
   if (ticks == 0)
     return;
-  admission->tick_ms += ticks * ADMISSION_TICK_MS;
+  admission->tick_start_ms += ticks * ADMISSION_TICK_MS;
   if (ticks > TICKS_MAX)
     ticks = TICKS_MAX;
-  demand = measure_demand (admission, (double)ticks);
-  measure_capacity (admission, demand, (double)ticks);
+  demand = update_demand (admission, (double)ticks);
+  update_capacity (admission, demand, (double)ticks);
   admission->limiting = demand > admission->capacity;
   if (!admission->limiting)
     {
@@ -252,8 +256,8 @@
       return;
     }
   divide_capacity (admission);
-  LIST_EACH (at, &admission->teams)
-    divide_share (CONTAINER_OF (at, team_t, link));
+  LIST_EACH (node, &admission->teams)
+    divide_admitted_rate (CONTAINER_OF (node, team_t, link));
 }
 
 vh_code_t
@@ -263,36 +267,36 @@
   team_t *team = find_team (admission, name);
   demand_t *demand = &team->demands[priority];
 
-  tick (admission);
-  demand->asked += cost;
-  if (demand->part >= 1)
+  update_shares (admission);
+  demand->tick_cost += cost;
+  if (demand->admitted_share >= 1)
     return VH_OK;
-  /* Credit instead of a draw: of a part of 0.9 exactly each tenth is
-     refused, never three in a row.  */
-  demand->credit += demand->part;
+  /* Deterministic credit instead of a random draw: at a share of 0.9 exactly
+     each tenth request is refused, never three in a row.  */
+  demand->credit += demand->admitted_share;
   if (demand->credit >= 1)
     {
       demand->credit -= 1;
       return VH_OK;
     }
-  team->refused += cost;
+  team->recent_refused += cost;
   return VH_E_TEAM_SHARE;
 }
 
 void
 admission_result (admission_t *admission, uint32_t cost, bool accepted)
 {
-  tick (admission);
+  update_shares (admission);
   if (accepted)
-    admission->accepted += cost;
+    admission->tick_accepted += cost;
   else
-    admission->refused += cost;
+    admission->tick_refused += cost;
 }
 
 void
 admission_pressure (admission_t *admission, double pressure)
 {
-  tick (admission);
+  update_shares (admission);
   admission->pressure = pressure;
 }
 
@@ -302,8 +306,8 @@
   const team_t *team = find_team (admission, name);
   double span_s = 0;
 
-  if (team->share > 0)
-    span_s = team->refused / team->share;
+  if (team->admitted_rate > 0)
+    span_s = team->recent_refused / team->admitted_rate;
   if (span_s > ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S)
     span_s = ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S;
   return ADMISSION_RETRY_MIN_S
@@ -315,7 +319,7 @@
 {
   const team_t *team = find_team (admission, name);
 
-  return team->rate > 0 ? team->share / team->rate : 1;
+  return team->demand_rate > 0 ? team->admitted_rate / team->demand_rate : 1;
 }
 
 bool
--- a/packages/policy/admission.h
+++ b/packages/policy/admission.h
@@ -1,37 +1,42 @@
-/* Admission of requests to one pool at one entry, while the fleet is full.
-
-   Answers: more demand than the fleet carries, and one team sending most of
-   it.  Without it every request is dispatched, most of them to be refused by a
-   sidecar, and whoever asks most often gets most; and callers told nothing
-   come back all at once.
-
-   An entry knows only its own part of the traffic, so it uses what it sees of
-   the fleet: the cost its sidecars accept and refuse, and the load they
-   report.  While none are refused all is admitted.  When some are, the entry
-   admits ADMISSION_PROBE times what was accepted, and divides that between
-   teams by weight: a team that asks for less than its share gets all it asks,
-   and what it leaves goes to the others (max-min fairness).  Of a team over
-   its share low priority is refused first.
-
-   - ADMISSION_PROBE 1.1: a tenth above what was accepted finds room that
-     opens, so that what is admitted grows by about a tenth a second and the
-     refused do not all return at once; at most a tenth of the dispatches is
-     wasted.
-   - ADMISSION_REFUSED 0.01: a refusal in a hundred is two choices being
-     unlucky, more is a full fleet.
-   - ADMISSION_PRESSURE 2: a mean load of twice the slots means as much waiting
-     as running; the queues' own deadline refusals follow soon.
-   - ADMISSION_TICK_MS 100, ADMISSION_GAIN 0.1: rates follow the last second,
-   the time in which a burst is still a burst.
-   - ADMISSION_FLOOR 0.02 of what is asked for is let through always: with
-     nothing dispatched nothing can be accepted, and a fleet that took nothing
-     for some seconds would be shut out for good.
-   - ADMISSION_OPEN 1.07 a tick, doubling in a second, while admission holds
-     back and the fleet shows no sign of being full: found by what is accepted
-     alone, the room would be won back by a tenth a second.
+/* Admission control for the requests to one pool at one entry process.
+
+   Load pattern: more demand than the fleet can serve, with one team sending
+   most of it.  Without admission control every request is dispatched and most
+   are refused by a sidecar, the team that sends most is served most, and the
+   refused callers retry all at once.
+
+   An entry process sees only its own part of the traffic, so it decides on its
+   own observations of the fleet: the cost that the sidecars accept and refuse,
+   and the load that they report.  As long as the sidecars refuse nothing, all
+   requests are admitted.  Otherwise the process admits ADMISSION_PROBE times
+   the accepted rate and divides that among the teams by weight: a team that
+   asks for less than its share is admitted in full, and the remainder goes to
+   the other teams (max-min fairness).  Of a team above its share, requests of
+   low priority are refused first.
+
+   Reasons for the constants:
+
+   - ADMISSION_PROBE 1.1: a tenth above the accepted rate detects free
+     capacity.  The admitted rate then grows by about a tenth per second, so
+     that refused callers do not return all at once, and at most a tenth of the
+     dispatched requests is wasted.
+   - ADMISSION_REFUSED 0.01: up to one refusal in a hundred comes from two
+     unlucky random choices of an upstream; more means that the fleet is full.
+   - ADMISSION_PRESSURE 2: at a mean load of twice the slots as many requests
+     wait as run, and the queues are about to refuse requests that cannot meet
+     their deadlines.
+   - ADMISSION_TICK_MS 100, ADMISSION_GAIN 0.1: the rates follow the last
+     second, so that a burst is still detected as one.
+   - ADMISSION_FLOOR 0.02: share of the demand that is always admitted.  With
+     nothing dispatched, nothing can be accepted, and a fleet that accepted
+     nothing for some seconds would never receive requests again.
+   - ADMISSION_OPEN 1.07: growth of the capacity per tick, which doubles it
+     within a second, while requests are refused here and the fleet shows no
+     sign of being full.  The accepted rate alone would raise the capacity by
+     only a tenth per second.
    - ADMISSION_RETRY_MIN_S 1, ADMISSION_RETRY_MAX_S 60: Retry-After is drawn
-     evenly from the time in which the team's share works off what was
-     refused in the last seconds; longer than a minute callers give up.  */
+     uniformly from the time in which the team's share serves what was refused
+     in the last seconds.  Callers do not wait longer than a minute.  */
 
 #ifndef POLICY_ADMISSION_H
 #define POLICY_ADMISSION_H
@@ -57,33 +62,37 @@
 
 typedef struct admission admission_t;
 
-/* CLOCK and RNG are borrowed.  */
+/* Return a new admission control, owned by the caller.  CLOCK and RNG are
+   borrowed and must outlive the result.  */
 admission_t *admission_create (clock_iface_t *clock, rng_t *rng);
+/* Free ADMISSION, which may be NULL.  */
 void admission_destroy (admission_t *admission);
 
-/* Set the weight of TEAM (1 until set, 0 counts as 1).  */
+/* Set the weight of TEAM.  The default is 1, and 0 counts as 1.  */
 void admission_set_weight (admission_t *admission, str_t team,
                            uint32_t weight);
 
-/* Decide on a request of TEAM with estimated COST.  Return VH_OK, or
-   VH_E_TEAM_SHARE when it is refused.  */
+/* Decide on a request of TEAM with estimated COST.  Return VH_OK when the
+   request is admitted, or VH_E_TEAM_SHARE when the team is above its share. */
 vh_code_t admission_decide (admission_t *admission, str_t team, uint32_t cost,
                             queue_priority_t priority);
 
-/* A sidecar took a dispatched request of COST, or refused it as full or as
-   not to be done by its deadline.  */
+/* Record that a sidecar accepted or refused a dispatched request of COST.
+   ACCEPTED is false when the sidecar was full or could not meet the
+   deadline.  */
 void admission_result (admission_t *admission, uint32_t cost, bool accepted);
 
-/* Take in the load heard from sidecars (balance_pressure).  */
+/* Record PRESSURE, the reported load of the sidecars relative to their slots
+   (balance_pressure).  */
 void admission_pressure (admission_t *admission, double pressure);
 
-/* Return the seconds after which a refused caller of TEAM is to return.  Each
-   call draws anew.  */
+/* Return the Retry-After value for a refused request of TEAM, in seconds,
+   drawn at random on each call.  */
 uint32_t admission_retry_after_s (admission_t *admission, str_t team);
 
-/* Return the part of TEAM's demand that is admitted now, for reports.  */
+/* Return the share of TEAM's demand that is currently admitted, 0 to 1.  */
 double admission_share (admission_t *admission, str_t team);
-/* Whether demand is above what the fleet takes.  */
+/* Return whether the demand exceeds the capacity of the fleet.  */
 bool admission_limiting (const admission_t *admission);
 
 #endif
