--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -7,18 +7,18 @@
 
 enum
 {
-  /* Samples after which the histogram is halved, so that it follows the last
-     few thousand answers.  */
-  RETRY_DECAY_SAMPLES = 4096
+  /* Number of samples at which the counts of the histogram are halved, so that
+     the quantiles follow the last few thousand responses.  */
+  HISTOGRAM_HALVING_SAMPLES = 4096
 };
 
 struct retry
 {
   rng_t *rng;
-  double share;
-  double burst;
-  double tokens;
-  histogram_t latency;
+  double share;        /* Retries added per request.  */
+  double burst;        /* Most tokens.  */
+  double tokens;       /* Retries left in the budget.  */
+  histogram_t latency; /* Of successful responses, in us.  */
 };
 
 retry_t *
@@ -63,19 +63,20 @@
 uint64_t
 retry_backoff_ms (retry_t *retry, uint32_t attempt)
 {
-  uint64_t step_ms = RETRY_FIRST_MS;
+  uint64_t backoff_ms = RETRY_BACKOFF_MIN_MS;
 
-  for (; attempt > 1 && step_ms < RETRY_LAST_MS; attempt--)
-    step_ms *= 2;
-  return rng_jitter (retry->rng,
-                     step_ms < RETRY_LAST_MS ? step_ms : RETRY_LAST_MS);
+  for (; attempt > 1 && backoff_ms < RETRY_BACKOFF_MAX_MS; attempt--)
+    backoff_ms *= 2;
+  return rng_jitter (retry->rng, backoff_ms < RETRY_BACKOFF_MAX_MS
+                                     ? backoff_ms
+                                     : RETRY_BACKOFF_MAX_MS);
 }
 
 void
 retry_observe (retry_t *retry, uint64_t latency_us)
 {
   histogram_record (&retry->latency, latency_us);
-  if (retry->latency.count < RETRY_DECAY_SAMPLES)
+  if (retry->latency.count < HISTOGRAM_HALVING_SAMPLES)
     return;
   retry->latency.count = 0;
   retry->latency.sum_us /= 2;
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -1,22 +1,27 @@
-/* Retries and hedges of one pool.
-
-   Answers: a partial outage, in which every failed request is sent again.
-   Without a budget each caller's retries multiply the load on what is left
-   (three tries a request make three times the load just when a part is
-   gone), and without jitter they come back in step.
-
-   - RETRY_SHARE 0.1: each request earns a tenth of a retry, so attempts stay
-     under 1.1 times the requests in the long run however much fails.
-   - RETRY_BURST 10: what a quiet pool may spend at once, so that a single
-     failure after idle minutes is still retried.
-   - RETRY_FIRST_MS 25, RETRY_LAST_MS 2000: the first wait is some round trips
-     between zones, the last what a caller still bears; doubled between.
-   - RETRY_HEDGE_QUANTILE 0.95: a hedge at the 95th percentile adds at most a
-     twentieth to the load and cuts the tail beyond it.  RETRY_HEDGE_SAMPLES
-     20 are the fewest that have a 95th percentile.
-
-   Only idempotent requests are hedged: two runs of any other would be what
-   the claims exist to prevent.  */
+/* Retry budget, backoff and hedging for the requests to one pool.
+
+   Load pattern: a partial outage, in which every failed request is retried.
+   Without a budget the retries multiply the load on the remaining upstreams
+   (three tries per request make three times the load just when some upstreams
+   are down), and without jitter the retries of all callers arrive at the same
+   moment.
+
+   Reasons for the constants:
+
+   - RETRY_SHARE 0.1: each request adds a tenth of a retry to the budget, so in
+     the long run there are at most 1.1 attempts per request, whatever fails.
+   - RETRY_BURST 10: retries that an idle pool may spend at once, so that a
+     single failure after idle minutes is still retried.
+   - RETRY_BACKOFF_MIN_MS 25, RETRY_BACKOFF_MAX_MS 2000: the first delay is a
+     few round trips between availability zones, the last one the longest that
+     a caller accepts.  The delay doubles in between.
+   - RETRY_HEDGE_QUANTILE 0.95: a hedge at the 95th percentile of the latency
+     adds at most a twentieth to the load and cuts the tail beyond the
+     percentile.  RETRY_HEDGE_SAMPLES 20 is the smallest number of samples that
+     has a 95th percentile.
+
+   Only idempotent requests are hedged: a hedge of another request would
+   execute the request twice, which the claims of requests exist to prevent. */
 
 #ifndef POLICY_RETRY_H
 #define POLICY_RETRY_H
@@ -27,49 +32,52 @@
 enum
 {
   RETRY_BURST = 10,
-  RETRY_FIRST_MS = 25,
-  RETRY_LAST_MS = 2000,
+  RETRY_BACKOFF_MIN_MS = 25,
+  RETRY_BACKOFF_MAX_MS = 2000,
   RETRY_HEDGE_SAMPLES = 20,
   RETRY_HEDGE_MIN_MS = 5
 };
 
 #define RETRY_SHARE 0.1
 #define RETRY_HEDGE_QUANTILE 0.95
-/* Returned instead of a delay when there is to be no hedge.  */
+/* Hedge delay of a request that must not be hedged.  */
 #define RETRY_NO_HEDGE UINT64_MAX
 
 typedef struct retry retry_t;
 
-/* A field left 0 takes the constant above.  */
+/* Settings of a retry budget; a field that is 0 selects the constant above. */
 typedef struct
 {
-  double share;
-  uint32_t burst;
+  double share;   /* Retries added to the budget per request.  */
+  uint32_t burst; /* Largest budget, in retries.  */
 } retry_config_t;
 
-/* CONFIG may be NULL; RNG is borrowed.  */
+/* Return a new retry policy with a full budget, owned by the caller.  CONFIG
+   may be NULL for the defaults.  RNG is borrowed and must outlive the
+   result.  */
 retry_t *retry_create (const retry_config_t *config, rng_t *rng);
 void retry_destroy (retry_t *retry);
 
-/* A request (not an attempt) came for the pool: it earns its share.  */
+/* Add the share of a new request to the budget.  Call it once per request, not
+   per attempt.  */
 void retry_request (retry_t *retry);
 
-/* Spend one retry or hedge.  Return VH_OK, or VH_E_RETRY_BUDGET with nothing
-   spent.  */
+/* Spend the budget of one retry or hedge.  Return VH_OK, or VH_E_RETRY_BUDGET
+   with nothing spent when less than one retry is left.  */
 vh_code_t retry_spend (retry_t *retry);
 
-/* Return the wait before retry ATTEMPT (1 for the first), spread over half
-   to the whole of its step.  */
+/* Return the delay before retry number ATTEMPT (1 is the first), drawn from
+   the upper half of its exponential backoff.  */
 uint64_t retry_backoff_ms (retry_t *retry, uint32_t attempt);
 
-/* Take in the latency of a good answer.  */
+/* Record the latency of a successful response.  */
 void retry_observe (retry_t *retry, uint64_t latency_us);
 
-/* Return after how many milliseconds a second attempt may be sent beside the
-   first, or RETRY_NO_HEDGE.  The hedge itself is paid by retry_spend.  */
+/* Return the delay after which a hedge may be sent beside the first attempt,
+   or RETRY_NO_HEDGE.  The caller pays for the hedge with retry_spend.  */
 uint64_t retry_hedge_ms (const retry_t *retry, bool idempotent);
 
-/* Return the retries that could be spent now.  */
+/* Return the retries left in the budget.  */
 double retry_budget (const retry_t *retry);
 
 #endif
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -15,44 +15,44 @@
     }
   if (sample->finished && !sample->failed && sample->latency_ms > 0)
     {
-      double value = log (sample->latency_ms);
+      double log_ms = log (sample->latency_ms);
       fields[SAMPLE_LATENCIES] = 1;
-      fields[SAMPLE_LATENCY_SUM] = evidence_fixed (value);
-      fields[SAMPLE_LATENCY_SQUARES] = evidence_fixed (value * value);
+      fields[SAMPLE_LATENCY_SUM] = evidence_fixed (log_ms);
+      fields[SAMPLE_LATENCY_SQUARES] = evidence_fixed (log_ms * log_ms);
     }
   if (sample->rated && !isnan (sample->rating))
     {
-      double value = fmax (0, fmin (1, sample->rating));
+      double rating = fmax (0, fmin (1, sample->rating));
       fields[SAMPLE_RATINGS] = 1;
-      fields[SAMPLE_RATING_SUM] = evidence_fixed (value);
-      fields[SAMPLE_RATING_SQUARES] = evidence_fixed (value * value);
+      fields[SAMPLE_RATING_SUM] = evidence_fixed (rating);
+      fields[SAMPLE_RATING_SQUARES] = evidence_fixed (rating * rating);
     }
 }
 
 moments_t
 sample_moments (const int64_t *sums, rollout_metric_t metric)
 {
-  moments_t m = { 0, 0, 0 };
+  moments_t moments = { 0, 0, 0 };
 
   if (sums == NULL)
-    return m;
+    return moments;
   switch (metric)
     {
     case ROLLOUT_RATING:
-      m.count = (double)sums[SAMPLE_RATINGS];
-      m.sum = -(double)sums[SAMPLE_RATING_SUM] / EVIDENCE_UNIT;
-      m.squares = (double)sums[SAMPLE_RATING_SQUARES] / EVIDENCE_UNIT;
+      moments.count = (double)sums[SAMPLE_RATINGS];
+      moments.sum = -(double)sums[SAMPLE_RATING_SUM] / EVIDENCE_UNIT;
+      moments.squares = (double)sums[SAMPLE_RATING_SQUARES] / EVIDENCE_UNIT;
       break;
     case ROLLOUT_ERROR:
-      m.count = (double)sums[SAMPLE_FINISHED];
-      m.sum = (double)sums[SAMPLE_FAILED];
-      m.squares = m.sum;
+      moments.count = (double)sums[SAMPLE_FINISHED];
+      moments.sum = (double)sums[SAMPLE_FAILED];
+      moments.squares = moments.sum;
       break;
     default:
-      m.count = (double)sums[SAMPLE_LATENCIES];
-      m.sum = (double)sums[SAMPLE_LATENCY_SUM] / EVIDENCE_UNIT;
-      m.squares = (double)sums[SAMPLE_LATENCY_SQUARES] / EVIDENCE_UNIT;
+      moments.count = (double)sums[SAMPLE_LATENCIES];
+      moments.sum = (double)sums[SAMPLE_LATENCY_SUM] / EVIDENCE_UNIT;
+      moments.squares = (double)sums[SAMPLE_LATENCY_SQUARES] / EVIDENCE_UNIT;
       break;
     }
-  return m;
+  return moments;
 }
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -1,5 +1,6 @@
-/* How a rollout_sample_t is kept in evidence cells, and read back as the
-   moments of one metric; shared by rollout and watch.  */
+/* Conversion of a rollout_sample_t into the sums of an evidence cell, and of
+   these sums into the moments of one metric.  Used by the roll-out and by the
+   watch of a released version.  */
 
 #ifndef POLICY_SAMPLE_H
 #define POLICY_SAMPLE_H
@@ -8,7 +9,8 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
+  /* Index of each sum in an evidence cell; index 0 is the number of added
+     samples.  */
   SAMPLE_FINISHED = 1,
   SAMPLE_FAILED,
   SAMPLE_LATENCIES,
@@ -20,8 +22,8 @@
   SAMPLE_FIELDS
 };
 
-/* Count, sum and sum of squares of one metric, signed so that harm is
-   positive.  */
+/* Count, sum and sum of squares of one metric.  The sign is such that a larger
+   value is worse.  */
 typedef struct
 {
   double count;
@@ -29,9 +31,11 @@
   double squares;
 } moments_t;
 
-/* Fill FIELDS, SAMPLE_FIELDS long, for evidence_add.  */
+/* Store the terms that SAMPLE adds to a cell in FIELDS, an array of
+   SAMPLE_FIELDS elements for evidence_add.  */
 void sample_fields (const rollout_sample_t *sample, int64_t *fields);
-/* Moments of METRIC in the SUMS of evidence_sums; zeros when it is NULL.  */
+/* Return the moments of METRIC from SUMS, a result of evidence_sums; all zero
+   if SUMS is NULL.  */
 moments_t sample_moments (const int64_t *sums, rollout_metric_t metric);
 
 #endif
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -70,7 +70,7 @@
 
 START_TEST (backoff_doubles_with_jitter)
 {
-  uint64_t step_ms = RETRY_FIRST_MS;
+  uint64_t step_ms = RETRY_BACKOFF_MIN_MS;
 
   for (uint32_t attempt = 1; attempt < 40; attempt++)
     {
@@ -86,7 +86,8 @@
       ck_assert_uint_ge (least, step_ms / 2);
       ck_assert_uint_le (most, step_ms);
       ck_assert_uint_gt (most - least, step_ms / 4);
-      step_ms = step_ms * 2 < RETRY_LAST_MS ? step_ms * 2 : RETRY_LAST_MS;
+      step_ms = step_ms * 2 < RETRY_BACKOFF_MAX_MS ? step_ms * 2
+                                                   : RETRY_BACKOFF_MAX_MS;
     }
 }
 END_TEST
