--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -8,40 +8,40 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
-  FIELD_SUM = 1,
-  FIELD_SQUARES,
+  /* Index of each sum in an evidence cell; index 0 is the rating count.  */
+  FIELD_RATING_SUM = 1,
+  FIELD_RATING_SQUARES,
   FIELDS,
   CACHE_MS = 1000,
   RATER_PAUSE_MS = 1000,
   RATER_PAUSE_MAX_MS = 60 * 1000,
-  /* Fewer epochs have no median worth the name.  */
+  /* Fewest epochs whose means are clipped; a median of fewer is unreliable. */
   CLIP_EPOCHS_MIN = 3,
-  /* Ratings of an epoch that count in the median: it is a vote of epochs,
-     which a rating service that is wrong at many times its usual rate does
-     not win.  */
-  VOTES_MAX = 20
+  /* Most ratings of an epoch that count in the median.  Without the bound a
+     rating service that is wrong and answers at many times its usual rate
+     would determine the median.  */
+  EPOCH_VOTES_MAX = 20
 };
 
 typedef struct
 {
   bool filled;
-  uint64_t at_ms;
-  uint64_t changes;
+  uint64_t at_ms;   /* Time at which the sums were computed.  */
+  uint64_t changes; /* State of the evidence at AT_MS (evidence_changes).  */
   double count;
   double sum;
   double squares;
-} cache_t;
+} decayed_sums_t;
 
 struct quality
 {
   evidence_t *evidence;
-  cache_t *cache; /* By key index.  */
+  decayed_sums_t *cache; /* Decayed sums by key index.  */
   quality_sampling_t sampling;
-  double tokens;
-  uint64_t tokens_ms;
-  uint64_t rater_until_ms;
-  uint64_t rater_pause_ms;
+  double tokens; /* Requests to the rating service that may be sent now.  */
+  uint64_t refilled_ms;           /* Time of the last refill of TOKENS.  */
+  uint64_t rater_paused_until_ms; /* End of the pause; 0 if there is none.  */
+  uint64_t rater_pause_ms; /* Length of the last pause; 0 after a success.  */
 };
 
 quality_t *
@@ -97,55 +97,58 @@
 {
   double weight = QUALITY_PRIOR_WEIGHT + count;
   double mean = (QUALITY_PRIOR_WEIGHT * prior + sum) / weight;
-  double spread
+  double squared_deviations
       = QUALITY_PRIOR_WEIGHT * (variance + (prior - mean) * (prior - mean));
 
-  spread += fmax (0, squares - 2 * mean * sum + count * mean * mean);
-  double half = QUALITY_Z * sqrt (spread / weight / weight);
-  return (quality_bound_t){ mean, fmax (0, mean - half), fmin (1, mean + half),
-                            count };
+  squared_deviations
+      += fmax (0, squares - 2 * mean * sum + count * mean * mean);
+  double half_width = QUALITY_Z * sqrt (squared_deviations / weight / weight);
+  return (quality_bound_t){ mean, fmax (0, mean - half_width),
+                            fmin (1, mean + half_width), count };
 }
 
 typedef struct
 {
   double mean;
-  double weight; /* Ratings, decayed.  */
-  double votes;
-  double count;
+  double weight; /* Number of ratings after decay.  */
+  double votes;  /* Weight in the median.  */
+  double count;  /* Number of ratings before decay.  */
   double squares;
-} batch_t;
+} epoch_stats_t;
 
-/* Weighted median of the means of the COUNT batches, sorted, but for SKIP. */
+/* Return the weighted median of the means of COUNT epochs, which are sorted by
+   mean, without the epoch at index SKIP.  */
 static double
-median_of_others (const batch_t *batches, size_t count, size_t skip)
+median_of_others (const epoch_stats_t *epochs, size_t count, size_t skip)
 {
   double total = 0;
-  double seen = 0;
+  double votes = 0;
 
   for (size_t i = 0; i < count; i++)
-    total += i != skip ? batches[i].votes : 0;
+    total += i != skip ? epochs[i].votes : 0;
   for (size_t i = 0; i < count; i++)
     {
-      seen += i != skip ? batches[i].votes : 0;
-      if (seen >= total / 2 && i != skip)
-        return batches[i].mean;
+      votes += i != skip ? epochs[i].votes : 0;
+      if (votes >= total / 2 && i != skip)
+        return epochs[i].mean;
     }
-  return batches[skip].mean;
+  return epochs[skip].mean;
 }
 
 static int
-compare_batches (const void *a, const void *b)
+compare_means (const void *a, const void *b)
 {
-  const batch_t *left = a;
-  const batch_t *right = b;
+  const epoch_stats_t *left = a;
+  const epoch_stats_t *right = b;
 
   return (left->mean > right->mean) - (left->mean < right->mean);
 }
 
-/* Gather the epochs of KEY, decayed to NOW_MS.  Return how many.  */
+/* Store the statistics of all epochs of KEY, decayed to NOW_MS and sorted by
+   mean.  Return their number.  */
 static size_t
-gather_batches (const quality_t *q, int key, uint64_t now_ms,
-                batch_t batches[QUALITY_EPOCHS])
+collect_epochs (const quality_t *q, int key, uint64_t now_ms,
+                epoch_stats_t epochs[QUALITY_EPOCHS])
 {
   uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
   uint64_t last = evidence_last (q->evidence);
@@ -158,65 +161,70 @@
         continue;
       double age = now_epoch > epoch ? (double)(now_epoch - epoch) : 0;
       double decay = exp2 (-age * QUALITY_EPOCH_MS / QUALITY_HALF_LIFE_MS);
-      double n = (double)sums[0];
-      batches[count++]
-          = (batch_t){ .mean = (double)sums[FIELD_SUM] / EVIDENCE_UNIT / n,
-                       .weight = decay * n,
-                       .votes = decay * fmin (n, VOTES_MAX),
-                       .count = n,
-                       .squares
-                       = (double)sums[FIELD_SQUARES] / EVIDENCE_UNIT };
+      double rating_count = (double)sums[0];
+      epochs[count++] = (epoch_stats_t){
+        .mean = (double)sums[FIELD_RATING_SUM] / EVIDENCE_UNIT / rating_count,
+        .weight = decay * rating_count,
+        .votes = decay * fmin (rating_count, EPOCH_VOTES_MAX),
+        .count = rating_count,
+        .squares = (double)sums[FIELD_RATING_SQUARES] / EVIDENCE_UNIT
+      };
     }
-  qsort (batches, count, sizeof *batches, compare_batches);
+  qsort (epochs, count, sizeof *epochs, compare_means);
   return count;
 }
 
-/* Guards against a rating service that is wrong for a while: the epoch's
-   mean moves to the edge of what is believed, its spread stays.  Shows as a
-   jump of all versions at once.  Holds because the median needs half of the
-   votes to follow.  */
+/* Return the mean of epoch I, clipped to QUALITY_CLIP around the median of the
+   other epochs; the variance of the epoch is kept.  Clipping bounds the effect
+   of a rating service that is temporarily wrong, which shows as a simultaneous
+   jump of all versions.  The median follows only when half of the votes have
+   moved.  */
 static double
-clipped_mean (const batch_t *batches, size_t count, size_t i)
+clipped_mean (const epoch_stats_t *epochs, size_t count, size_t i)
 {
   if (count < CLIP_EPOCHS_MIN)
-    return batches[i].mean;
-  double centre = median_of_others (batches, count, i);
-  return fmax (centre - QUALITY_CLIP,
-               fmin (centre + QUALITY_CLIP, batches[i].mean));
+    return epochs[i].mean;
+  double median = median_of_others (epochs, count, i);
+  return fmax (median - QUALITY_CLIP,
+               fmin (median + QUALITY_CLIP, epochs[i].mean));
 }
 
 static void
-cache_fill (const quality_t *q, int key, uint64_t now_ms, cache_t *cache)
+compute_sums (const quality_t *q, int key, uint64_t now_ms,
+              decayed_sums_t *cache)
 {
-  batch_t batches[QUALITY_EPOCHS];
-  size_t count = gather_batches (q, key, now_ms, batches);
+  epoch_stats_t epochs[QUALITY_EPOCHS];
+  size_t count = collect_epochs (q, key, now_ms, epochs);
 
-  *cache = (cache_t){ .filled = true,
-                      .at_ms = now_ms,
-                      .changes = evidence_changes (q->evidence) };
+  *cache = (decayed_sums_t){ .filled = true,
+                             .at_ms = now_ms,
+                             .changes = evidence_changes (q->evidence) };
   for (size_t i = 0; i < count; i++)
     {
-      const batch_t *b = &batches[i];
-      double decay = b->weight / b->count;
-      double mean = clipped_mean (batches, count, i);
-      double variance = fmax (0, b->squares / b->count - b->mean * b->mean);
-      cache->count += b->weight;
-      cache->sum += b->weight * mean;
-      cache->squares += decay * b->count * (variance + mean * mean);
+      const epoch_stats_t *epoch = &epochs[i];
+      double decay = epoch->weight / epoch->count;
+      double mean = clipped_mean (epochs, count, i);
+      double variance = fmax (0, epoch->squares / epoch->count
+                                     - epoch->mean * epoch->mean);
+      cache->count += epoch->weight;
+      cache->sum += epoch->weight * mean;
+      cache->squares += decay * epoch->count * (variance + mean * mean);
     }
 }
 
-/* Return the decayed sums of KEY, at most CACHE_MS old.  */
-static const cache_t *
-cache_get (quality_t *q, int key, uint64_t now_ms)
+/* Return the decayed sums of KEY.  They are recomputed when the evidence has
+   changed and they are older than CACHE_MS, and after a quarter of an epoch in
+   any case.  */
+static const decayed_sums_t *
+get_sums (quality_t *q, int key, uint64_t now_ms)
 {
-  cache_t *cache = &q->cache[key];
-  bool old = now_ms - cache->at_ms >= CACHE_MS
-             && (cache->changes != evidence_changes (q->evidence)
-                 || now_ms - cache->at_ms >= QUALITY_EPOCH_MS / 4);
+  decayed_sums_t *cache = &q->cache[key];
+  bool is_stale = now_ms - cache->at_ms >= CACHE_MS
+                  && (cache->changes != evidence_changes (q->evidence)
+                      || now_ms - cache->at_ms >= QUALITY_EPOCH_MS / 4);
 
-  if (!cache->filled || now_ms < cache->at_ms || old)
-    cache_fill (q, key, now_ms, cache);
+  if (!cache->filled || now_ms < cache->at_ms || is_stale)
+    compute_sums (q, key, now_ms, cache);
   return cache;
 }
 
@@ -229,20 +237,20 @@
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
   evidence_advance (q->evidence, now_ms);
-  const cache_t *cache = cache_get (q, key, now_ms);
+  const decayed_sums_t *cache = get_sums (q, key, now_ms);
   return quality_posterior (cache->count, cache->sum, cache->squares, prior,
                             QUALITY_PRIOR_VARIANCE);
 }
 
 static bool
-tokens_take (quality_t *q, uint64_t now_ms)
+take_token (quality_t *q, uint64_t now_ms)
 {
-  if (now_ms > q->tokens_ms)
+  if (now_ms > q->refilled_ms)
     {
-      double gained
-          = (double)(now_ms - q->tokens_ms) / 1000 * q->sampling.rate_per_s;
-      q->tokens = fmin (q->sampling.burst, q->tokens + gained);
-      q->tokens_ms = now_ms;
+      double refill
+          = (double)(now_ms - q->refilled_ms) / 1000 * q->sampling.rate_per_s;
+      q->tokens = fmin (q->sampling.burst, q->tokens + refill);
+      q->refilled_ms = now_ms;
     }
   if (q->tokens < 1)
     return false;
@@ -254,15 +262,15 @@
 quality_sample (quality_t *q, rng_t *rng, str_t task, str_t version,
                 uint64_t now_ms)
 {
-  quality_bound_t known = quality_get (q, task, version, 0.5, now_ms);
+  quality_bound_t estimate = quality_get (q, task, version, 0.5, now_ms);
   const quality_sampling_t *s = &q->sampling;
   double share = s->share;
 
-  if (known.weight > s->want)
+  if (estimate.weight > s->want)
     share = fmax (fmin (s->share, s->share_settled),
-                  s->share * s->want / known.weight);
+                  s->share * s->want / estimate.weight);
   return rng_double (rng) < share && quality_rater_ok (q, now_ms)
-         && tokens_take (q, now_ms);
+         && take_token (q, now_ms);
 }
 
 void
@@ -274,20 +282,20 @@
     pause = RATER_PAUSE_MS;
   q->rater_pause_ms
       = pause < RATER_PAUSE_MAX_MS ? pause : (uint64_t)RATER_PAUSE_MAX_MS;
-  q->rater_until_ms = now_ms + q->rater_pause_ms;
+  q->rater_paused_until_ms = now_ms + q->rater_pause_ms;
 }
 
 void
 quality_rater_answered (quality_t *q)
 {
   q->rater_pause_ms = 0;
-  q->rater_until_ms = 0;
+  q->rater_paused_until_ms = 0;
 }
 
 bool
 quality_rater_ok (const quality_t *q, uint64_t now_ms)
 {
-  return now_ms >= q->rater_until_ms;
+  return now_ms >= q->rater_paused_until_ms;
 }
 
 void
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -1,31 +1,32 @@
 /* Quality of each version for each task class, learned from ratings.
 
-   Answers: several models of unlike quality serve one API, the rating
-   service is slow, noisy, bounded in rate, at times down and at times wrong,
-   and every entry sees only its own ratings.  Without it plans can only name
-   a model by hand: the dear one for everything, or the cheap one for tasks
-   it fails.
-
-   The posterior of a mean rating is normal, with a prior of
-   QUALITY_PRIOR_WEIGHT ratings at the configured value whose spread is that
-   of a uniform rating (variance 1/12): ratings are bounded and the bound is
-   used from tens of ratings on, where the mean of bounded values is near
-   normal; the empirical Bernstein bound needs five times the ratings at 200
-   for the same width.  The lower bound is one-sided 95%.  It holds at one
-   moment, not at all moments together: a decision taken on it is taken again
-   on the next request, so one that was wrong does not last.
-
-   Evidence halves in weight each QUALITY_HALF_LIFE_MS: a day of the users'
-   work has one dawn peak, and a quarter of it follows changes of traffic
-   without forgetting between peaks.  When ratings stop, the weight sinks and
-   the bound widens towards the prior, so that the router leans to stronger
-   versions rather than on stale numbers.
-
-   An epoch whose mean lies far from the weighted median of the other epochs
-   is clipped to QUALITY_CLIP from it: a rating service that is wrong for an
-   hour moves the posterior by a bounded amount.  A version that really
-   changed moves the median once it fills half the votes; roll-out and watch
-   (rollout.h) are the ones who must see it at once.  */
+   Load pattern: several models of unequal quality serve one API.  The rating
+   service is slow, noisy, limited in rate, and at times down or wrong, and
+   every entry process receives only its own ratings.  Without learned quality
+   a plan can only name a model by hand: the expensive one for everything, or
+   the cheap one also for the tasks that it fails.
+
+   The posterior of a mean rating is normal.  Its prior counts as
+   QUALITY_PRIOR_WEIGHT ratings of the configured value with the variance of a
+   uniform rating (1/12).  Ratings are bounded, and the bound on their mean is
+   used from tens of ratings on, where the mean is nearly normal; at 200
+   ratings the empirical Bernstein bound needs five times as many ratings for
+   the same width.  The lower bound is the one-sided 95% bound.  It holds at a
+   single moment, not at all moments together: each request decides anew, so a
+   decision on a wrong bound does not last.
+
+   The weight of a rating halves every QUALITY_HALF_LIFE_MS, a quarter of a
+   day.  That follows changes of traffic without forgetting between the daily
+   peaks of the users, one per day.  When ratings stop, the weight decays and
+   the bound widens towards the prior, so that requests go to stronger versions
+   instead of relying on outdated ratings.
+
+   The mean of an epoch that lies far from the weighted median of the other
+   epochs is clipped to a distance of QUALITY_CLIP, so that a rating service
+   that is wrong for an hour moves the posterior by a bounded amount.  A
+   version that really changed moves the median once its epochs hold half of
+   the votes; a sudden change is to be detected by the roll-out and the watch
+   (rollout.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -40,29 +41,30 @@
 {
   QUALITY_PRIOR_WEIGHT = 4,
   QUALITY_EPOCH_MS = 30 * 60 * 1000,
-  QUALITY_EPOCHS = 48, /* A day; what is older weighs under 1/16.  */
+  QUALITY_EPOCHS = 48, /* A day; older ratings weigh less than 1/16.  */
   QUALITY_HALF_LIFE_MS = 6 * 60 * 60 * 1000,
-  QUALITY_SERIES_MAX = 512, /* Task classes times versions.  */
+  QUALITY_SERIES_MAX = 512, /* Pairs of a task class and a version.  */
   QUALITY_CELLS_MAX = 32768
 };
 
-/* One-sided 95% of a normal.  */
+/* Quantile of the standard normal distribution for a one-sided 95% bound.  */
 #define QUALITY_Z 1.645
-/* Farthest an epoch's mean counts from the median of the others: twice the
-   shift between two epochs of 20 ratings with spread 0.2 that chance alone
-   gives once in a hundred.  */
+/* Largest distance between the mean of an epoch and the median of the others.
+   Twice the difference that occurs by chance once in a hundred pairs of epochs
+   with 20 ratings of standard deviation 0.2 each.  */
 #define QUALITY_CLIP 0.25
 
+/* Bounds on the number of answers that are sent to the rating service.  */
 typedef struct
 {
-  double share;         /* Of the answers, at most; such as 0.05.  */
-  double rate_per_s;    /* Requests to the rating service, at most.  */
-  double burst;         /* Of them at once.  */
-  uint32_t want;        /* Effective ratings after which the share sinks.  */
-  double share_settled; /* The share kept for a well-known version.  */
+  double share;      /* Largest share of the answers, such as 0.05.  */
+  double rate_per_s; /* Most requests to the rating service per second.  */
+  double burst;      /* Most requests to the rating service at once.  */
+  uint32_t want;     /* Weight of the ratings above which the share falls.  */
+  double share_settled; /* Least share, for a version with many ratings.  */
 } quality_sampling_t;
 
-/* What the defaults are: 5% of the answers, 20 a second for one process.  */
+/* Default sampling: 5% of the answers, and 20 per second in each process.  */
 #define QUALITY_SAMPLING_DEFAULT                                              \
   ((quality_sampling_t){ .share = 0.05,                                       \
                          .rate_per_s = 20,                                    \
@@ -70,58 +72,68 @@
                          .want = 400,                                         \
                          .share_settled = 0.01 })
 
+/* Posterior of a mean rating.  */
 typedef struct
 {
   double mean;
-  double lower; /* One-sided 95%.  */
-  double upper;
-  double weight; /* Effective ratings, after decay; 0: prior alone.  */
+  double lower;  /* One-sided 95% bound.  */
+  double upper;  /* One-sided 95% bound.  */
+  double weight; /* Number of ratings after decay; 0 for the prior alone.  */
 } quality_bound_t;
 
-/* WRITER is unique to this life of this process (see evidence.h).  */
+/* Return a new record of ratings, owned by the caller.  WRITER is unique to
+   each start of each process (see evidence.h).  */
 quality_t *quality_create (uint64_t writer,
                            const quality_sampling_t *sampling);
-/* NULL is accepted.  */
+/* Free QUALITY, which may be NULL.  */
 void quality_destroy (quality_t *quality);
 
-/* Take in RATING, 0 to 1 (clipped; NaN is refused), of one answer that was
-   not chosen for its rating.  NOW_MS is real time.  Return false when
-   nothing was taken in.  */
+/* Add the RATING of one answer of VERSION to TASK, clipped to 0 to 1.  The
+   answer must not have been chosen by its rating.  NOW_MS is real time. Return
+   false when RATING is NaN, or when there is no room for the series or the
+   time is too old.  */
 bool quality_add (quality_t *quality, str_t task, str_t version, double rating,
                   uint64_t now_ms);
 
-/* The posterior of VERSION for TASK with PRIOR as its expected rating.  */
+/* Return the posterior of VERSION for TASK; PRIOR is the rating expected
+   before any evidence.  */
 quality_bound_t quality_get (quality_t *quality, str_t task, str_t version,
                              double prior, uint64_t now_ms);
 
-/* Decide whether to send an answer to the rating service.  The chance is the
-   bounded share, less for versions already well known, and a token bucket
-   bounds the rate.  */
+/* Return whether to send an answer of VERSION to the rating service.  The
+   probability is the configured share, less for a version with many ratings,
+   and a token bucket bounds the rate.  */
 bool quality_sample (quality_t *quality, rng_t *rng, str_t task, str_t version,
                      uint64_t now_ms);
 
-/* The rating service failed or was late: ask it nothing for a while, doubled
-   at each failure in a row up to a minute.  */
+/* Record that the rating service failed or timed out.  Requests to the rating
+   service then pause for a time that doubles with each consecutive failure, up
+   to a minute.  */
 void quality_rater_failed (quality_t *quality, uint64_t now_ms);
+/* Record that the rating service answered, which ends the pause.  */
 void quality_rater_answered (quality_t *quality);
-/* False while it is left alone.  */
+/* Return whether requests to the rating service are not paused.  */
 bool quality_rater_ok (const quality_t *quality, uint64_t now_ms);
 
-/* As in evidence.h: fold epochs older than the last two under a lease's
-   fencing number, write (news for gossip, all for the table), merge.  */
+/* Fold all epochs but the last two under GENERATION, the fencing number of the
+   caller's lease (see evidence_settle).  */
 void quality_settle (quality_t *quality, uint64_t generation, uint64_t now_ms);
+/* Append the ratings to OUT: all for the stored table, or with OWN_ONLY the
+   recent ratings of this process for its peers (see evidence_write).  */
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
+/* Merge the output of quality_write.  Return VH_OK, or VH_E_PROTOCOL with
+   nothing merged.  */
 vh_code_t quality_merge (quality_t *quality, str_t bytes, uint64_t now_ms);
 
-/* The hash under which evidence of (TASK, VERSION) is kept.  */
+/* Return the evidence key of the ratings of VERSION for TASK.  */
 uint64_t quality_hash (str_t task, str_t version);
 
-/* Variance of a uniform rating.  */
+/* Variance of a uniform distribution over 0 to 1.  */
 #define QUALITY_PRIOR_VARIANCE (1.0 / 12.0)
 
-/* Normal posterior of a mean after COUNT values of sum SUM and sum of
-   squares SQUARES, with a prior of QUALITY_PRIOR_WEIGHT values at PRIOR and
-   VARIANCE.  */
+/* Return the normal posterior of the mean of COUNT values with the given SUM
+   and sum of SQUARES.  The prior counts as QUALITY_PRIOR_WEIGHT values with
+   mean PRIOR and VARIANCE.  */
 quality_bound_t quality_posterior (double count, double sum, double squares,
                                    double prior, double variance);
 
