--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -8,68 +8,73 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
-  FIELD_FIRST = 1, /* First ratings that fell in the bin.  */
-  FIELD_RATED,     /* Audits, of the first or of the second answer.  */
-  FIELD_SUM,
-  FIELD_SQUARES,
+  /* Index of each sum in an evidence cell; index 0 is the number of samples.
+   */
+  FIELD_FIRST_COUNT = 1, /* Number of first ratings in the bin.  */
+  FIELD_AUDIT_COUNT,     /* Number of audits of first or second answers.  */
+  FIELD_AUDIT_SUM,
+  FIELD_AUDIT_SQUARES,
   FIELDS,
   CACHE_MS = 1000,
-  /* Ratings before the strongest version's answers need no rating each: what
-     was tried for its upper bound must be known soon.  */
-  KNOWN_MIN = 50,
-  /* First ratings before a curve is believed: below, the share of one bin is
-     known no better than to 0.1 or so.  */
-  FIRST_MIN = 60,
-  /* Audits in a pair at which their share has halved.  */
-  AUDIT_HALF = 1500,
-  /* Uniform ratings whose worth the slope of one half has before audits.  */
-  SLOPE_WEIGHT = 10,
-  /* One exploring plan in so many runs the strongest version alone, so that
-     its own quality stays known while cascades take all traffic.  */
-  EXPLORE_DIRECT_PART = 8,
-  /* One in so many tries any pair, promising or not: a mean that was unlucky
-     once is corrected.  */
-  EXPLORE_ANY_PART = 8
+  /* Weight of the ratings from which on not every direct answer of the
+     strongest version is rated.  A version that is used because of its upper
+     bound alone must be well known soon.  */
+  WELL_KNOWN_RATINGS = 50,
+  /* Fewest first ratings for a cascade.  With fewer ratings the share of a bin
+     has an error of 0.1 or more.  */
+  CURVE_RATINGS_MIN = 60,
+  /* Number of audits of a pair at which the share of audits has halved.  */
+  AUDIT_HALVING_COUNT = 1500,
+  /* Weight of the prior slope of one half, as a number of audits with
+     uniformly distributed ratings.  */
+  SLOPE_PRIOR_WEIGHT = 10,
+  /* One exploring plan in EXPLORE_DIRECT_INTERVAL runs the strongest version
+     alone, so that its quality stays known while cascades take all traffic. */
+  EXPLORE_DIRECT_INTERVAL = 8,
+  /* One exploring plan in EXPLORE_ANY_INTERVAL may use any pair, promising or
+     not, which corrects a mean that is too low by chance.  */
+  EXPLORE_ANY_INTERVAL = 8
 };
 
-/* Share of the requests that explore at most, whatever it costs.  */
+/* Largest share of the requests that explore, whatever the cost.  */
 #define EXPLORE_SHARE_MAX 0.25
 
-/* What a pair must promise against the plan in use to be explored: a gain of
-   a twentieth is about what exploring costs.  */
-#define PROMISE_PART 0.95
-/* The upper bound in half widths of the lower one, about 99.9%: a pair whose
-   first ratings were unlucky is looked at again.  */
-#define UPPER_PART 2.0
+/* Largest ratio of the cost (or latency) of a pair to that of the plan in use
+   for which the pair is explored.  A gain of a twentieth is about the cost of
+   exploration.  */
+#define PROMISING_RATIO_MAX 0.95
+/* Distance of the upper bound from the mean, relative to that of the lower
+   bound.  A ratio of 2 gives a bound of about 99.9%, so that a pair whose
+   first ratings were low by chance is explored again.  */
+#define UPPER_BOUND_RATIO 2.0
 
 typedef struct
 {
   bool filled;
-  uint64_t at_ms;
-  uint64_t changes;
-  double first;
-  double rated;
-  double sum;
-  double squares;
-} sums_t;
+  uint64_t at_ms;     /* Time at which the sums were computed.  */
+  uint64_t changes;   /* State of the evidence at AT_MS (evidence_changes).  */
+  double first_count; /* Number of first ratings.  */
+  double audit_count; /* Number of audits.  */
+  double audit_sum;   /* Sum of the audit ratings.  */
+  double audit_squares; /* Sum of the squares of the audit ratings.  */
+} decayed_sums_t;
 
 struct cascade
 {
   evidence_t *evidence;
-  sums_t *cache; /* By key index.  */
-  double decay[CASCADE_EPOCHS + 1];
-  uint64_t reasons[CASCADE_REASON_COUNT];
+  decayed_sums_t *cache;                      /* Decayed sums by key index.  */
+  double decay[CASCADE_EPOCHS + 1];           /* Weight by age in epochs.  */
+  uint64_t plan_counts[CASCADE_REASON_COUNT]; /* Number of plans by reason.  */
 };
 
-/* What is known of one cheap version, or of a pair, by bin of the first
-   rating.  */
+/* Decayed sums of a first version, or of a pair, by bin of the first rating,
+   with their totals over all bins.  */
 typedef struct
 {
-  sums_t bins[CASCADE_BINS];
-  double first;
-  double rated;
-  double sum;
+  decayed_sums_t bins[CASCADE_BINS];
+  double first_count;
+  double audit_count;
+  double audit_sum;
 } curve_t;
 
 cascade_t *
@@ -101,7 +106,8 @@
   free (c);
 }
 
-/* Hash of a curve; SECOND is STR_NULL for the first version's own.  */
+/* Return the hash of the curve of the pair FIRST and SECOND, or of FIRST alone
+   when SECOND is STR_NULL.  */
 static uint64_t
 curve_hash (str_t task, str_t first, str_t second)
 {
@@ -117,26 +123,26 @@
 static size_t
 bin_of (double rating)
 {
-  double at = fmax (0, fmin (1, rating)) * CASCADE_BINS;
+  double position = fmax (0, fmin (1, rating)) * CASCADE_BINS;
 
-  return at < CASCADE_BINS ? (size_t)at : CASCADE_BINS - 1;
+  return position < CASCADE_BINS ? (size_t)position : CASCADE_BINS - 1;
 }
 
 static void
-learn (cascade_t *c, uint64_t curve, double rating, bool is_first,
-       double audit, uint64_t now_ms)
+record_rating (cascade_t *c, uint64_t curve, double rating, bool is_first,
+               double audit, uint64_t now_ms)
 {
   int64_t sample[FIELDS] = { 0 };
 
   if (isnan (rating))
     return;
-  sample[FIELD_FIRST] = is_first;
+  sample[FIELD_FIRST_COUNT] = is_first;
   if (!isnan (audit))
     {
-      double value = fmax (0, fmin (1, audit));
-      sample[FIELD_RATED] = 1;
-      sample[FIELD_SUM] = evidence_fixed (value);
-      sample[FIELD_SQUARES] = evidence_fixed (value * value);
+      double clipped = fmax (0, fmin (1, audit));
+      sample[FIELD_AUDIT_COUNT] = 1;
+      sample[FIELD_AUDIT_SUM] = evidence_fixed (clipped);
+      sample[FIELD_AUDIT_SQUARES] = evidence_fixed (clipped * clipped);
     }
   int key = evidence_key (c->evidence, bin_hash (curve, bin_of (rating)));
   evidence_add (c->evidence, key, now_ms, sample);
@@ -146,8 +152,8 @@
 cascade_first (cascade_t *c, str_t task, str_t first, double rating,
                double second_rating, uint64_t now_ms)
 {
-  learn (c, curve_hash (task, first, STR_NULL), rating, true, second_rating,
-         now_ms);
+  record_rating (c, curve_hash (task, first, STR_NULL), rating, true,
+                 second_rating, now_ms);
 }
 
 void
@@ -155,19 +161,20 @@
                 double rating, double second_rating, uint64_t now_ms)
 {
   if (!isnan (second_rating))
-    learn (c, curve_hash (task, first, second), rating, false, second_rating,
-           now_ms);
+    record_rating (c, curve_hash (task, first, second), rating, false,
+                   second_rating, now_ms);
 }
 
 static void
-sums_fill (const cascade_t *c, int key, uint64_t now_ms, sums_t *out)
+compute_sums (const cascade_t *c, int key, uint64_t now_ms,
+              decayed_sums_t *out)
 {
   uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
   uint64_t last = evidence_last (c->evidence);
 
-  *out = (sums_t){ .filled = true,
-                   .at_ms = now_ms,
-                   .changes = evidence_changes (c->evidence) };
+  *out = (decayed_sums_t){ .filled = true,
+                           .at_ms = now_ms,
+                           .changes = evidence_changes (c->evidence) };
   for (uint64_t epoch = evidence_first (c->evidence); epoch <= last; epoch++)
     {
       const int64_t *sums = evidence_sums (c->evidence, key, epoch);
@@ -175,159 +182,171 @@
         continue;
       uint64_t age = now_epoch > epoch ? now_epoch - epoch : 0;
       double decay = c->decay[age < CASCADE_EPOCHS ? age : CASCADE_EPOCHS];
-      out->first += decay * (double)sums[FIELD_FIRST];
-      out->rated += decay * (double)sums[FIELD_RATED];
-      out->sum += decay * (double)sums[FIELD_SUM] / EVIDENCE_UNIT;
-      out->squares += decay * (double)sums[FIELD_SQUARES] / EVIDENCE_UNIT;
+      out->first_count += decay * (double)sums[FIELD_FIRST_COUNT];
+      out->audit_count += decay * (double)sums[FIELD_AUDIT_COUNT];
+      out->audit_sum += decay * (double)sums[FIELD_AUDIT_SUM] / EVIDENCE_UNIT;
+      out->audit_squares
+          += decay * (double)sums[FIELD_AUDIT_SQUARES] / EVIDENCE_UNIT;
     }
 }
 
-/* Return the decayed sums under KEY, at most CACHE_MS old.  */
-static const sums_t *
-sums_get (cascade_t *c, int key, uint64_t now_ms)
+/* Return the decayed sums of KEY.  They are recomputed when the evidence has
+   changed and they are older than CACHE_MS, and after a quarter of an epoch in
+   any case.  */
+static const decayed_sums_t *
+get_sums (cascade_t *c, int key, uint64_t now_ms)
 {
-  static const sums_t none = { 0 };
+  static const decayed_sums_t none = { 0 };
 
   if (key < 0)
     return &none;
-  sums_t *cache = &c->cache[key];
-  bool old = now_ms - cache->at_ms >= CACHE_MS
-             && (cache->changes != evidence_changes (c->evidence)
-                 || now_ms - cache->at_ms >= CASCADE_EPOCH_MS / 4);
-  if (!cache->filled || now_ms < cache->at_ms || old)
-    sums_fill (c, key, now_ms, cache);
+  decayed_sums_t *cache = &c->cache[key];
+  bool is_stale = now_ms - cache->at_ms >= CACHE_MS
+                  && (cache->changes != evidence_changes (c->evidence)
+                      || now_ms - cache->at_ms >= CASCADE_EPOCH_MS / 4);
+  if (!cache->filled || now_ms < cache->at_ms || is_stale)
+    compute_sums (c, key, now_ms, cache);
   return cache;
 }
 
 static void
-curve_load (cascade_t *c, uint64_t hash, uint64_t now_ms, curve_t *curve)
+load_curve (cascade_t *c, uint64_t hash, uint64_t now_ms, curve_t *curve)
 {
-  curve->first = 0;
-  curve->rated = 0;
-  curve->sum = 0;
+  curve->first_count = 0;
+  curve->audit_count = 0;
+  curve->audit_sum = 0;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
       int key = evidence_find (c->evidence, bin_hash (hash, b));
-      curve->bins[b] = *sums_get (c, key, now_ms);
-      curve->first += curve->bins[b].first;
-      curve->rated += curve->bins[b].rated;
-      curve->sum += curve->bins[b].sum;
+      curve->bins[b] = *get_sums (c, key, now_ms);
+      curve->first_count += curve->bins[b].first_count;
+      curve->audit_count += curve->bins[b].audit_count;
+      curve->audit_sum += curve->bins[b].audit_sum;
     }
 }
 
 static double
-bin_middle (size_t bin)
+bin_center (size_t bin)
 {
   return ((double)bin + 0.5) / CASCADE_BINS;
 }
 
-/* Variance of one rating around its bin's mean, pooled over the bins: inside
-   a bin ratings differ far less than over all.  */
+/* Return the variance of an audit around the mean of its bin, pooled over the
+   bins.  Within a bin audits vary far less than over all bins.  */
 static double
 pooled_variance (const curve_t *curve)
 {
-  double spread = QUALITY_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
+  double squared_deviations = QUALITY_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const sums_t *bin = &curve->bins[b];
-      if (bin->rated > 0)
-        spread += fmax (0, bin->squares - bin->sum * bin->sum / bin->rated);
+      const decayed_sums_t *bin = &curve->bins[b];
+      if (bin->audit_count > 0)
+        squared_deviations += fmax (0, bin->audit_squares
+                                           - bin->audit_sum * bin->audit_sum
+                                                 / bin->audit_count);
     }
-  return spread / (QUALITY_PRIOR_WEIGHT + curve->rated);
+  return squared_deviations / (QUALITY_PRIOR_WEIGHT + curve->audit_count);
 }
 
-/* How an audit depends on the first rating: a line through the bins' means.
-   Its slope is how much of a rating says something of the answer, the rest
-   being noise; before evidence a half.  */
+/* Regression line of the audit on the first rating, through the means of the
+   bins.  The slope is the share of the variance of a rating that comes from
+   the answer and not from noise; the prior is a half.  */
 typedef struct
 {
-  double middle; /* Mean first rating of the audited answers.  */
-  double level;  /* Expected audit there.  */
+  double mean_rating; /* Mean first rating of the audited answers.  */
+  double mean_audit;  /* Expected audit at MEAN_RATING.  */
   double slope;
-} line_t;
+} regression_t;
 
-static line_t
+static regression_t
 fit_line (const curve_t *curve, double mean)
 {
-  double weight = QUALITY_PRIOR_WEIGHT + curve->rated;
-  line_t line
-      = { .middle = QUALITY_PRIOR_WEIGHT * mean,
-          .level = (QUALITY_PRIOR_WEIGHT * mean + curve->sum) / weight };
-  double products = SLOPE_WEIGHT * QUALITY_PRIOR_VARIANCE * 0.5;
-  double squares = SLOPE_WEIGHT * QUALITY_PRIOR_VARIANCE;
+  double weight = QUALITY_PRIOR_WEIGHT + curve->audit_count;
+  regression_t line
+      = { .mean_rating = QUALITY_PRIOR_WEIGHT * mean,
+          .mean_audit
+          = (QUALITY_PRIOR_WEIGHT * mean + curve->audit_sum) / weight };
+  double cross_products = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE * 0.5;
+  double squares = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
-    line.middle += curve->bins[b].rated * bin_middle (b);
-  line.middle /= weight;
+    line.mean_rating += curve->bins[b].audit_count * bin_center (b);
+  line.mean_rating /= weight;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const sums_t *bin = &curve->bins[b];
-      double x = bin_middle (b) - line.middle;
-      products += x * (bin->sum - bin->rated * line.level);
-      squares += x * x * bin->rated;
+      const decayed_sums_t *bin = &curve->bins[b];
+      double x = bin_center (b) - line.mean_rating;
+      cross_products
+          += x * (bin->audit_sum - bin->audit_count * line.mean_audit);
+      squares += x * x * bin->audit_count;
     }
-  line.slope = fmax (0, fmin (1, products / squares));
+  line.slope = fmax (0, fmin (1, cross_products / squares));
   return line;
 }
 
-/* Posterior of the first version's answers, by bin of their rating.  */
+/* Store the posterior of the first version's answers by bin of their rating in
+   OUT.  */
 static void
-first_posteriors (const curve_t *curve, double mean, quality_bound_t *out)
+compute_first_posteriors (const curve_t *curve, double mean,
+                          quality_bound_t *out)
 {
-  line_t line = fit_line (curve, mean);
+  regression_t line = fit_line (curve, mean);
   double variance = pooled_variance (curve);
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const sums_t *bin = &curve->bins[b];
-      double prior = line.level + line.slope * (bin_middle (b) - line.middle);
-      out[b] = quality_posterior (bin->rated, bin->sum, bin->squares,
+      const decayed_sums_t *bin = &curve->bins[b];
+      double prior
+          = line.mean_audit + line.slope * (bin_center (b) - line.mean_rating);
+      out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
+                                  bin->audit_squares,
                                   fmax (0, fmin (1, prior)), variance);
     }
 }
 
-/* Expected quality and lower bound when bins below T escalate.  */
+/* Expected result of a cascade with a given threshold.  */
 typedef struct
 {
-  double mean;
-  double lower;
-  double escalated; /* Share.  */
+  double mean;      /* Expected rating.  */
+  double lower;     /* Lower bound of the expected rating.  */
+  double escalated; /* Share of the requests.  */
 } outcome_t;
 
 static outcome_t
-outcome_at (const curve_t *first, const quality_bound_t *first_bins,
-            const quality_bound_t *second_bins, size_t t)
+compute_outcome (const curve_t *first, const quality_bound_t *first_bins,
+                 const quality_bound_t *second_bins, size_t threshold_bin)
 {
   double mean = 0;
-  double square = 0;
+  double mean_of_squares = 0;
   double variance = 0;
   double escalated = 0;
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const quality_bound_t *q = b < t ? &second_bins[b] : &first_bins[b];
-      double share = first->bins[b].first / first->first;
+      const quality_bound_t *q
+          = b < threshold_bin ? &second_bins[b] : &first_bins[b];
+      double share = first->bins[b].first_count / first->first_count;
       double error = (q->mean - q->lower) / QUALITY_Z;
       mean += share * q->mean;
-      square += share * q->mean * q->mean;
+      mean_of_squares += share * q->mean * q->mean;
       variance += share * share * error * error;
-      escalated += b < t ? share : 0;
+      escalated += b < threshold_bin ? share : 0;
     }
-  /* The shares of the bins are themselves estimates.  */
-  variance += fmax (0, square - mean * mean) / first->first;
+  /* The share of each bin is an estimate, whose error adds to the variance. */
+  variance += fmax (0, mean_of_squares - mean * mean) / first->first_count;
   return (outcome_t){ mean, mean - QUALITY_Z * sqrt (variance), escalated };
 }
 
-/* The request under decision, with what was derived from it.  */
+/* A request to plan for, and values derived from the request.  */
 typedef struct
 {
   cascade_t *cascade;
   const cascade_request_t *request;
   uint64_t now_ms;
-  size_t count;
-  double room_ms;
-  size_t strongest;
+  size_t count;          /* Number of candidates considered.  */
+  double time_budget_ms; /* Time that a plan may take.  */
+  size_t strongest;      /* Index; SIZE_MAX if no candidate is in time.  */
 } decision_t;
 
 static const cascade_candidate_t *
@@ -337,109 +356,125 @@
 }
 
 static double
-audit_share (double audited)
+audit_probability (double audit_count)
 {
   return fmax (CASCADE_AUDIT_FLOOR,
-               CASCADE_AUDIT_START / (1 + audited / AUDIT_HALF));
+               CASCADE_AUDIT_START / (1 + audit_count / AUDIT_HALVING_COUNT));
 }
 
-/* Tell whether FIRST, its rating and SECOND fit.  */
+/* Return whether the answer of FIRST, its rating and the answer of SECOND fit
+   in the time of the request.  */
 static bool
-pair_fits (const decision_t *d, size_t first, size_t second)
+is_pair_in_time (const decision_t *d, size_t first, size_t second)
 {
   const cascade_request_t *r = d->request;
-  double rated_ms = candidate (d, first)->latency_ms + r->rating_latency_ms;
+  double first_rated_ms
+      = candidate (d, first)->latency_ms + r->rating_latency_ms;
 
-  return r->rater_ok && (!r->streaming || rated_ms <= (double)r->first_byte_ms)
-         && rated_ms + candidate (d, second)->latency_ms <= d->room_ms;
+  return r->rater_ok
+         && (!r->streaming || first_rated_ms <= (double)r->first_byte_ms)
+         && first_rated_ms + candidate (d, second)->latency_ms
+                <= d->time_budget_ms;
 }
 
-/* Posterior of the second version's answers, by bin of the first rating.  */
+/* Store the posterior of the second version's answers by bin of the first
+   rating in OUT.  MEAN is the mean rating of the second version.  */
 static void
-second_posteriors (const curve_t *pair, const quality_bound_t *first_bins,
-                   double mean, quality_bound_t *out)
+compute_second_posteriors (const curve_t *second_curve,
+                           const quality_bound_t *first_bins, double mean,
+                           quality_bound_t *out)
 {
-  double variance = pooled_variance (pair);
+  double variance = pooled_variance (second_curve);
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const sums_t *bin = &pair->bins[b];
-      /* Before evidence: what the cheap version finds hard is harder than
-         the average for the strong one too.  */
+      const decayed_sums_t *bin = &second_curve->bins[b];
+      /* The prior assumes that requests that are hard for the cheap version
+         are harder than the average for the strong version too.  */
       double prior = fmin (mean, 0.5 * (mean + first_bins[b].mean));
-      prior = (QUALITY_PRIOR_WEIGHT * prior + pair->sum)
-              / (QUALITY_PRIOR_WEIGHT + pair->rated);
-      out[b] = quality_posterior (bin->rated, bin->sum, bin->squares, prior,
-                                  variance);
+      prior = (QUALITY_PRIOR_WEIGHT * prior + second_curve->audit_sum)
+              / (QUALITY_PRIOR_WEIGHT + second_curve->audit_count);
+      out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
+                                  bin->audit_squares, prior, variance);
     }
 }
 
-/* What a plan must show to meet the target.  */
+/* The bound of the expected rating that is compared with the target.  */
 typedef enum
 {
-  JUDGE_LOWER, /* Its lower bound: for callers.  */
-  JUDGE_UPPER  /* Its upper bound: for what is worth exploring.  */
-} judge_t;
+  BOUND_LOWER, /* Lower bound, for plans that are used.  */
+  BOUND_UPPER  /* Upper bound, for plans that may be explored.  */
+} bound_side_t;
 
 static double
-judged (const outcome_t *outcome, judge_t judge)
+outcome_bound (const outcome_t *outcome, bound_side_t side)
 {
-  return judge == JUDGE_LOWER
+  return side == BOUND_LOWER
              ? outcome->lower
-             : outcome->mean + UPPER_PART * (outcome->mean - outcome->lower);
+             : outcome->mean
+                   + UPPER_BOUND_RATIO * (outcome->mean - outcome->lower);
 }
 
-/* Find the lowest threshold at which FIRST then SECOND meets the target.
-   Return false when there is none, or too little is known.  */
+/* Store in *PLAN the cascade of FIRST and SECOND with the lowest threshold
+   that meets the target.  Return false when no threshold does, or when there
+   are too few ratings.  */
 static bool
-pair_plan (const decision_t *d, size_t first, size_t second, judge_t judge,
-           cascade_plan_t *plan)
+find_pair_plan (const decision_t *d, size_t first, size_t second,
+                bound_side_t side, cascade_plan_t *plan)
 {
   const cascade_request_t *r = d->request;
   const cascade_candidate_t *a = candidate (d, first);
   const cascade_candidate_t *b = candidate (d, second);
   quality_bound_t first_bins[CASCADE_BINS];
   quality_bound_t second_bins[CASCADE_BINS];
-  curve_t own, pair;
+  curve_t first_curve, second_curve;
 
-  curve_load (d->cascade, curve_hash (r->task, a->version, STR_NULL),
-              d->now_ms, &own);
-  if (own.first < FIRST_MIN)
+  load_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
+              d->now_ms, &first_curve);
+  if (first_curve.first_count < CURVE_RATINGS_MIN)
     return false;
-  curve_load (d->cascade, curve_hash (r->task, a->version, b->version),
-              d->now_ms, &pair);
-  first_posteriors (&own, a->quality.mean, first_bins);
-  second_posteriors (&pair, first_bins, b->quality.mean, second_bins);
-  outcome_t below = outcome_at (&own, first_bins, second_bins, 0);
-  for (size_t t = 1; t < CASCADE_BINS; t++)
+  load_curve (d->cascade, curve_hash (r->task, a->version, b->version),
+              d->now_ms, &second_curve);
+  compute_first_posteriors (&first_curve, a->quality.mean, first_bins);
+  compute_second_posteriors (&second_curve, first_bins, b->quality.mean,
+                             second_bins);
+  outcome_t previous
+      = compute_outcome (&first_curve, first_bins, second_bins, 0);
+  for (size_t threshold_bin = 1; threshold_bin < CASCADE_BINS; threshold_bin++)
     {
-      outcome_t at = outcome_at (&own, first_bins, second_bins, t);
-      double reached = judged (&at, judge);
-      double before = judged (&below, judge);
-      if (reached < r->target)
+      outcome_t outcome = compute_outcome (&first_curve, first_bins,
+                                           second_bins, threshold_bin);
+      double bound = outcome_bound (&outcome, side);
+      double previous_bound = outcome_bound (&previous, side);
+      if (bound < r->target)
         {
-          below = at;
+          previous = outcome;
           continue;
         }
-      double part = before >= r->target
-                        ? 0
-                        : (r->target - before) / (reached - before);
-      double escalated
-          = below.escalated + part * (at.escalated - below.escalated);
-      double audit = audit_share (fmin (own.rated, pair.rated));
+      double upper_edge_probability
+          = previous_bound >= r->target
+                ? 0
+                : (r->target - previous_bound) / (bound - previous_bound);
+      double escalated = previous.escalated
+                         + upper_edge_probability
+                               * (outcome.escalated - previous.escalated);
+      double audit = audit_probability (
+          fmin (first_curve.audit_count, second_curve.audit_count));
       *plan = (cascade_plan_t){
         .kind = CASCADE_FIRST,
         .reason = CASCADE_R_CASCADE,
         .first = first,
         .second = second,
-        .threshold = (double)t / CASCADE_BINS,
-        .whole = part,
+        .threshold = (double)threshold_bin / CASCADE_BINS,
+        .whole = upper_edge_probability,
         .cost = a->cost + r->rating_cost * (1 + audit)
                 + escalated * (b->cost + audit * r->rating_cost),
         .latency_ms
         = a->latency_ms + r->rating_latency_ms + escalated * b->latency_ms,
-        .quality = below.mean + part * (at.mean - below.mean),
-        .lower = below.lower + part * (at.lower - below.lower)
+        .quality = previous.mean
+                   + upper_edge_probability * (outcome.mean - previous.mean),
+        .lower = previous.lower
+                 + upper_edge_probability * (outcome.lower - previous.lower)
       };
       return true;
     }
@@ -447,7 +482,7 @@
 }
 
 static cascade_plan_t
-direct_plan (const decision_t *d, size_t index, cascade_reason_t reason)
+make_direct_plan (const decision_t *d, size_t index, cascade_reason_t reason)
 {
   const cascade_candidate_t *c = candidate (d, index);
 
@@ -461,48 +496,49 @@
                            .lower = c->quality.lower };
 }
 
-/* Tell whether plan A is preferred to plan B; both meet the target.  */
+/* Return whether plan A is preferred to plan B; both meet the target.  */
 static bool
-preferred (const decision_t *d, const cascade_plan_t *a,
-           const cascade_plan_t *b)
+is_preferred (const decision_t *d, const cascade_plan_t *a,
+              const cascade_plan_t *b)
 {
-  bool by_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
+  bool prefers_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
 
-  if (by_latency && a->latency_ms != b->latency_ms)
+  if (prefers_latency && a->latency_ms != b->latency_ms)
     return a->latency_ms < b->latency_ms;
   if (a->cost != b->cost)
     return a->cost < b->cost;
   return a->latency_ms < b->latency_ms;
 }
 
-/* Tell whether A may be stronger than B; of equals the dearer one is.  Guards
-   against a lock-in at the start: by the mean, a version that was explored
-   and did well would stand above a better one that nobody has tried, for
-   good.  By the upper bound the untried one is tried.  */
+/* Return whether A may be stronger than B, by the upper bound of their quality
+   and then by cost.  With the mean, a good version with many ratings would
+   permanently rank above a better one without ratings; by its upper bound the
+   version without ratings is tried.  */
 static bool
-stronger (const cascade_candidate_t *a, const cascade_candidate_t *b)
+is_stronger (const cascade_candidate_t *a, const cascade_candidate_t *b)
 {
   if (a->quality.upper != b->quality.upper)
     return a->quality.upper > b->quality.upper;
   return a->cost > b->cost;
 }
 
-/* Return the strongest candidate that answers in time, or SIZE_MAX.  */
+/* Return the index of the strongest candidate that answers in time, or
+   SIZE_MAX if there is none.  */
 static size_t
-strongest_in_time (const decision_t *d)
+find_strongest (const decision_t *d)
 {
   size_t best = SIZE_MAX;
 
   for (size_t i = 0; i < d->count; i++)
-    if (candidate (d, i)->latency_ms <= d->room_ms
+    if (candidate (d, i)->latency_ms <= d->time_budget_ms
         && (best == SIZE_MAX
-            || stronger (candidate (d, i), candidate (d, best))))
+            || is_stronger (candidate (d, i), candidate (d, best))))
       best = i;
   return best;
 }
 
 static size_t
-fastest (const decision_t *d)
+find_fastest (const decision_t *d)
 {
   size_t best = 0;
 
@@ -512,41 +548,43 @@
   return best;
 }
 
-/* Tell whether any cheaper candidate could be tried before another one; when
-   not, why.  */
+/* Return whether the time allows a cascade of any cheaper and any more
+   expensive candidate; otherwise store the obstacle in *OBSTACLE.  */
 static bool
-any_pair_fits (const decision_t *d, cascade_reason_t *why)
+has_pair_in_time (const decision_t *d, cascade_reason_t *obstacle)
 {
   for (size_t i = 0; i < d->count; i++)
     for (size_t j = 0; j < d->count; j++)
       if (candidate (d, i)->cost < candidate (d, j)->cost
-          && pair_fits (d, i, j))
+          && is_pair_in_time (d, i, j))
         return true;
   if (!d->request->rater_ok)
-    *why = CASCADE_R_NO_RATER;
+    *obstacle = CASCADE_R_NO_RATER;
   else if (d->request->streaming)
-    *why = CASCADE_R_STREAMING;
+    *obstacle = CASCADE_R_STREAMING;
   else
-    *why = CASCADE_R_DEADLINE;
+    *obstacle = CASCADE_R_DEADLINE;
   return false;
 }
 
-/* The cheapest (or fastest) plan whose lower bound meets the target.  Return
-   false when none does.  */
+/* Store in *BEST the cheapest (or fastest) plan whose lower bound meets the
+   target.  Return false when there is none.  */
 static bool
-best_plan (const decision_t *d, cascade_plan_t *best)
+find_best_plan (const decision_t *d, cascade_plan_t *best)
 {
-  bool latency = d->request->prefer == CASCADE_PREFER_LATENCY;
-  cascade_reason_t reason = latency ? CASCADE_R_FASTEST : CASCADE_R_CHEAPEST;
+  bool prefers_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
+  cascade_reason_t reason
+      = prefers_latency ? CASCADE_R_FASTEST : CASCADE_R_CHEAPEST;
   bool found = false;
 
   for (size_t i = 0; i < d->count; i++)
     {
       const cascade_candidate_t *c = candidate (d, i);
-      cascade_plan_t plan = direct_plan (d, i, reason);
-      if (c->quality.lower < d->request->target || c->latency_ms > d->room_ms)
+      cascade_plan_t plan = make_direct_plan (d, i, reason);
+      if (c->quality.lower < d->request->target
+          || c->latency_ms > d->time_budget_ms)
         continue;
-      if (!found || preferred (d, &plan, best))
+      if (!found || is_preferred (d, &plan, best))
         *best = plan;
       found = true;
     }
@@ -555,8 +593,9 @@
       {
         cascade_plan_t plan;
         if (candidate (d, i)->cost >= candidate (d, j)->cost
-            || !pair_fits (d, i, j) || !pair_plan (d, i, j, JUDGE_LOWER, &plan)
-            || (found && !preferred (d, &plan, best)))
+            || !is_pair_in_time (d, i, j)
+            || !find_pair_plan (d, i, j, BOUND_LOWER, &plan)
+            || (found && !is_preferred (d, &plan, best)))
           continue;
         *best = plan;
         found = true;
@@ -564,35 +603,36 @@
   return found;
 }
 
-/* Tell whether more ratings of FIRST before SECOND might make a plan that is
-   clearly preferred to BEST (NULL: there is none): by its upper bound it would
-   be, or too little is known.  */
+/* Return whether more ratings of the pair FIRST and SECOND may lead to a plan
+   that is clearly preferred to BEST: by its upper bound the pair would be
+   preferred, or the pair has too few ratings.  BEST is NULL if no plan meets
+   the target.  */
 static bool
-promising (const decision_t *d, size_t first, size_t second,
-           const cascade_plan_t *best)
+is_promising (const decision_t *d, size_t first, size_t second,
+              const cascade_plan_t *best)
 {
   cascade_plan_t plan;
-  curve_t own;
+  curve_t first_curve;
 
-  curve_load (
+  load_curve (
       d->cascade,
       curve_hash (d->request->task, candidate (d, first)->version, STR_NULL),
-      d->now_ms, &own);
-  if (best == NULL || own.first < FIRST_MIN)
+      d->now_ms, &first_curve);
+  if (best == NULL || first_curve.first_count < CURVE_RATINGS_MIN)
     return true;
-  /* The pair in use learns from its own traffic.  */
+  /* The plan in use provides ratings of its own pair.  */
   if (best->kind == CASCADE_FIRST && best->first == first
       && best->second == second)
     return false;
-  if (!pair_plan (d, first, second, JUDGE_UPPER, &plan))
+  if (!find_pair_plan (d, first, second, BOUND_UPPER, &plan))
     return false;
   if (d->request->prefer == CASCADE_PREFER_LATENCY)
-    return plan.latency_ms < PROMISE_PART * best->latency_ms;
-  return plan.cost < PROMISE_PART * best->cost;
+    return plan.latency_ms < PROMISING_RATIO_MAX * best->latency_ms;
+  return plan.cost < PROMISING_RATIO_MAX * best->cost;
 }
 
-/* Tell whether FIRST before SECOND may be explored: the second one is the
-   strongest, or meets the target.  */
+/* Return whether the pair FIRST and SECOND may be explored: SECOND is the
+   strongest candidate or meets the target, and the time allows the pair.  */
 static bool
 may_explore (const decision_t *d, size_t first, size_t second)
 {
@@ -600,46 +640,48 @@
 
   return (second == d->strongest || b->quality.lower >= d->request->target)
          && candidate (d, first)->cost < b->cost
-         && pair_fits (d, first, second);
+         && is_pair_in_time (d, first, second);
 }
 
-/* Share of FIRST's answers that are rated under the target, all of them while
-   little is known.  */
+/* Return the share of the answers of FIRST whose rating is below the target; 1
+   when there are too few ratings.  */
 static double
 share_below_target (const decision_t *d, size_t first)
 {
-  size_t edge = bin_of (d->request->target);
-  double below = 0;
-  curve_t own;
+  size_t target_bin = bin_of (d->request->target);
+  double below_count = 0;
+  curve_t first_curve;
 
-  curve_load (
+  load_curve (
       d->cascade,
       curve_hash (d->request->task, candidate (d, first)->version, STR_NULL),
-      d->now_ms, &own);
-  if (own.first < FIRST_MIN)
+      d->now_ms, &first_curve);
+  if (first_curve.first_count < CURVE_RATINGS_MIN)
     return 1;
-  for (size_t b = 0; b <= edge; b++)
-    below += own.bins[b].first;
-  return below / own.first;
+  for (size_t b = 0; b <= target_bin; b++)
+    below_count += first_curve.bins[b].first_count;
+  return below_count / first_curve.first_count;
 }
 
-/* Make an exploring plan: a cheaper version first, the strongest one (or any
-   that meets the target) second; one of the promising pairs, each as likely,
-   or now and then any.  Return false when none fits.  */
+/* Store an exploring plan in *PLAN: a cascade of a cheaper version and a more
+   expensive one, which is the strongest or meets the target.  The pair is
+   drawn uniformly from the promising pairs, and sometimes from all pairs.
+   Return false when there is no such pair.  */
 static bool
-explore_plan (const decision_t *d, rng_t *rng, const cascade_plan_t *best,
-              cascade_plan_t *plan)
+make_exploring_plan (const decision_t *d, rng_t *rng,
+                     const cascade_plan_t *best, cascade_plan_t *plan)
 {
-  bool any = rng_below (rng, EXPLORE_ANY_PART) == 0;
-  size_t choices = 0;
+  bool any_pair = rng_below (rng, EXPLORE_ANY_INTERVAL) == 0;
+  size_t pair_count = 0;
 
   for (size_t i = 0; i < d->count; i++)
     for (size_t j = 0; j < d->count; j++)
       {
-        if (!may_explore (d, i, j) || (!any && !promising (d, i, j, best))
-            || rng_below (rng, ++choices) != 0)
+        if (!may_explore (d, i, j)
+            || (!any_pair && !is_promising (d, i, j, best))
+            || rng_below (rng, ++pair_count) != 0)
           continue;
-        *plan = direct_plan (d, i, CASCADE_R_EXPLORE);
+        *plan = make_direct_plan (d, i, CASCADE_R_EXPLORE);
         plan->kind = CASCADE_FIRST;
         plan->second = j;
         plan->threshold = d->request->target;
@@ -652,19 +694,19 @@
         plan->latency_ms
             += d->request->rating_latency_ms + candidate (d, j)->latency_ms;
       }
-  if (choices > 0 && rng_below (rng, EXPLORE_DIRECT_PART) == 0)
+  if (pair_count > 0 && rng_below (rng, EXPLORE_DIRECT_INTERVAL) == 0)
     {
-      *plan = direct_plan (d, d->strongest, CASCADE_R_EXPLORE);
+      *plan = make_direct_plan (d, d->strongest, CASCADE_R_EXPLORE);
       plan->audit = true;
     }
-  return choices > 0;
+  return pair_count > 0;
 }
 
-/* Chance of making the exploring PLAN instead of BEST, once it was drawn, so
-   that on average it adds at most the budget's share to the cost.  */
+/* Return the probability with which PLAN, an exploring plan, replaces BEST, so
+   that exploration adds at most its share to the average cost.  */
 static double
-explore_chance (const decision_t *d, const cascade_plan_t *plan,
-                const cascade_plan_t *best)
+explore_probability (const decision_t *d, const cascade_plan_t *plan,
+                     const cascade_plan_t *best)
 {
   double extra = plan->cost - best->cost;
 
@@ -673,9 +715,9 @@
   return d->request->explore * best->cost / extra / EXPLORE_SHARE_MAX;
 }
 
-/* Ratings may take few distinct values, so that a threshold inside a bin
-   would escalate all of it or none: draw which, in the proportion that meets
-   the target.  */
+/* Draw the threshold of PLAN from the two edges of its bin, with the
+   probability that meets the target.  Ratings may have few distinct values, so
+   a threshold inside the bin could escalate either all or none of the bin.  */
 static void
 draw_threshold (rng_t *rng, cascade_plan_t *plan)
 {
@@ -690,40 +732,43 @@
   const cascade_request_t *r = d->request;
   str_t first = candidate (d, plan->first)->version;
   str_t second = candidate (d, plan->second)->version;
-  curve_t own, pair;
+  curve_t first_curve, second_curve;
 
-  curve_load (d->cascade, curve_hash (r->task, first, STR_NULL), d->now_ms,
-              &own);
-  curve_load (d->cascade, curve_hash (r->task, first, second), d->now_ms,
-              &pair);
-  return rng_double (rng) < audit_share (fmin (own.rated, pair.rated));
+  load_curve (d->cascade, curve_hash (r->task, first, STR_NULL), d->now_ms,
+              &first_curve);
+  load_curve (d->cascade, curve_hash (r->task, first, second), d->now_ms,
+              &second_curve);
+  return rng_double (rng) < audit_probability (
+             fmin (first_curve.audit_count, second_curve.audit_count));
 }
 
 static cascade_plan_t
-decide (const decision_t *d, rng_t *rng)
+make_plan (const decision_t *d, rng_t *rng)
 {
   const cascade_request_t *r = d->request;
-  cascade_reason_t why = CASCADE_R_NO_BOUND;
+  cascade_reason_t obstacle = CASCADE_R_NO_BOUND;
   cascade_plan_t plan;
 
   if (d->count == 0)
     return (cascade_plan_t){ .kind = CASCADE_NONE,
                              .reason = CASCADE_R_NO_CANDIDATE };
   if (d->count == 1)
-    return direct_plan (d, 0, CASCADE_R_ONLY);
+    return make_direct_plan (d, 0, CASCADE_R_ONLY);
   if (d->strongest == SIZE_MAX)
-    return direct_plan (d, fastest (d), CASCADE_R_TOO_LATE);
-  bool roomy = any_pair_fits (d, &why);
+    return make_direct_plan (d, find_fastest (d), CASCADE_R_TOO_LATE);
+  bool can_escalate = has_pair_in_time (d, &obstacle);
   cascade_plan_t best;
-  bool found = best_plan (d, &best);
+  bool found = find_best_plan (d, &best);
   if (!found)
     {
-      best = direct_plan (d, d->strongest, roomy ? CASCADE_R_NO_BOUND : why);
-      best.audit = candidate (d, d->strongest)->quality.weight < KNOWN_MIN;
+      best = make_direct_plan (d, d->strongest,
+                               can_escalate ? CASCADE_R_NO_BOUND : obstacle);
+      best.audit
+          = candidate (d, d->strongest)->quality.weight < WELL_KNOWN_RATINGS;
     }
-  if (roomy && r->explore > 0 && rng_double (rng) < EXPLORE_SHARE_MAX
-      && explore_plan (d, rng, found ? &best : NULL, &plan)
-      && rng_double (rng) < explore_chance (d, &plan, &best))
+  if (can_escalate && r->explore > 0 && rng_double (rng) < EXPLORE_SHARE_MAX
+      && make_exploring_plan (d, rng, found ? &best : NULL, &plan)
+      && rng_double (rng) < explore_probability (d, &plan, &best))
     return plan;
   plan = best;
   if (plan.kind == CASCADE_FIRST)
@@ -744,13 +789,13 @@
                    .count = request->count < CASCADE_CANDIDATES_MAX
                                 ? request->count
                                 : CASCADE_CANDIDATES_MAX,
-                   .room_ms = (double)request->deadline_left_ms
-                              * CASCADE_DEADLINE_PART };
+                   .time_budget_ms = (double)request->deadline_left_ms
+                                     * CASCADE_DEADLINE_PART };
 
   evidence_advance (c->evidence, now_ms);
-  d.strongest = strongest_in_time (&d);
-  cascade_plan_t plan = decide (&d, rng);
-  c->reasons[plan.reason]++;
+  d.strongest = find_strongest (&d);
+  cascade_plan_t plan = make_plan (&d, rng);
+  c->plan_counts[plan.reason]++;
   return plan;
 }
 
@@ -801,5 +846,5 @@
 uint64_t
 cascade_reason_count (const cascade_t *c, cascade_reason_t reason)
 {
-  return c->reasons[reason];
+  return c->plan_counts[reason];
 }
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -1,36 +1,37 @@
-/* Which version answers a request, and whether a cheap one may try first.
-
-   Answers: most requests are easy and a cheap version answers them well
-   enough, but nothing in a request says so.  Without it either every request
-   pays for the strongest version, or a threshold set by hand is too strict
-   for one task class and too lax for the next.
-
-   A cascade runs the cheap version first, has its answer rated before it is
-   released and escalates when the rating lies below a threshold.  For each
-   (task class, cheap, strong) and each of CASCADE_BINS bins of that rating it
-   is learned: how many answers fall in the bin; how good they are by a
-   second, independent rating of some of them (a rating is noisy, and the
-   answers that pass a threshold passed it in part by luck); and how good the
-   strong answer was where the cheap one fell in the bin (what is escalated is
-   harder than the average).  The threshold is the lowest whose lower quality
-   bound (one-sided 95%) meets the target, drawn between the two edges of a
-   bin in the proportion that just meets it, and the plan is the cheapest of
-   all direct and cascaded ones that do.  Cost counts both attempts and every
-   rating.
-
-   Escalation needs room: both attempts and the rating within
-   CASCADE_DEADLINE_PART of the deadline left, the rest being for queueing.
-   A streaming caller gets a cascade only when the first version's whole
-   answer and its rating fit the time it may wait for the first byte.
-
-   Exploration has a budget in money: a share of the cost, which exploring
-   plans may add on average.  Only
-   requests with room to escalate explore, at most a quarter of them, and a
-   cheap answer is then released only when it is rated at the target or
-   above.  It goes to pairs that by their upper bound would cost clearly less
-   than the plan in use.  So while nothing is known, when a cheap answer first
-   adds little to the strongest one's price, it is frequent, and later rare.
-   */
+/* Choice of the version that answers a request, and of a cheaper version that
+   may answer first.
+
+   Load pattern: most requests are easy and a cheap version answers them well
+   enough, but the requests do not show which.  Without a cascade either every
+   request pays for the strongest version, or a threshold set by hand is too
+   strict for one task class and too loose for the next.
+
+   A cascade runs the cheap version first, has its answer rated before the
+   answer is released, and escalates to the strong version when the rating is
+   below a threshold.  For each task class and pair of a cheap and a strong
+   version, and for each of CASCADE_BINS bins of the rating, three quantities
+   are learned: the share of the answers in the bin; the quality of these
+   answers by an independent second rating of some of them (a rating is noisy,
+   and answers above a threshold passed it partly by chance); and the quality
+   of the strong answer to the same requests (escalated requests are harder
+   than the average).  The threshold is the lowest one whose lower quality
+   bound (one-sided 95%) meets the target; between the two edges of a bin it is
+   drawn at random with the probability that just meets the target.  The plan
+   is the cheapest of all direct and cascaded plans that meet the target.  Its
+   cost includes both attempts and every rating.
+
+   Escalation takes time: both attempts and the rating must fit in
+   CASCADE_DEADLINE_PART of the time left, and the rest is kept for queueing.
+   The caller of a streaming request gets a cascade only when the full first
+   answer and its rating fit in the time allowed for the first byte.
+
+   Exploration has a budget, the share of the cost that exploring plans may add
+   on average.  Only requests with time to escalate explore, at most a quarter
+   of them, and a cheap answer is then released only when its rating is at or
+   above the target.  Pairs are explored whose upper bound promises a clearly
+   lower cost than the plan in use.  So exploration is frequent at the start,
+   when nothing is known and a cheap answer adds little to the price of the
+   strongest version, and rare later.  */
 
 #ifndef POLICY_CASCADE_H
 #define POLICY_CASCADE_H
@@ -51,15 +52,15 @@
   CASCADE_CELLS_MAX = 32768
 };
 
-/* Share of the deadline left that a plan may use.  */
+/* Share of the time left until the deadline that a plan may take.  */
 #define CASCADE_DEADLINE_PART 0.8
-/* Share of the cascades whose first answer is rated twice, and of the
-   escalated answers that are rated: this much while little is known, and the
-   floor once a bin's neighbourhood is.  */
+/* Share of the cascades that are audited, which means that the first answer is
+   rated a second time and an escalated answer is rated: the larger share while
+   a pair has few audits, the smaller one later.  */
 #define CASCADE_AUDIT_START 0.3
 #define CASCADE_AUDIT_FLOOR 0.02
 
-/* Share of the cost that exploration may add.  */
+/* Default share of the cost that exploration may add.  */
 #define CASCADE_EXPLORE_DEFAULT 0.08
 
 typedef enum
@@ -70,34 +71,37 @@
 
 typedef enum
 {
-  CASCADE_NONE,   /* No candidate.  */
-  CASCADE_DIRECT, /* FIRST answers.  */
-  CASCADE_FIRST   /* FIRST answers, is rated, and SECOND takes over.  */
+  CASCADE_NONE,   /* There is no candidate.  */
+  CASCADE_DIRECT, /* The version FIRST alone answers.  */
+  CASCADE_FIRST   /* The version FIRST answers and is rated; SECOND answers
+                     when the rating is below the threshold.  */
 } cascade_kind_t;
 
-/* X (symbol, short code, sentence).  The short code goes into the header and
-   the counters.  */
+/* X (symbol, short code, sentence).  The short code is sent in a response
+   header and names the counter.  */
 #define CASCADE_REASONS(X)                                                    \
   X (CASCADE_R_NO_CANDIDATE, "no-candidate", "No version is permitted.")      \
-  X (CASCADE_R_ONLY, "only", "One version alone is permitted.")               \
+  X (CASCADE_R_ONLY, "only", "Only one version is permitted.")                \
   X (CASCADE_R_CHEAPEST, "cheapest-in-bound",                                 \
      "The cheapest version whose quality bound meets the target.")            \
   X (CASCADE_R_FASTEST, "fastest-in-bound",                                   \
      "The fastest version whose quality bound meets the target.")             \
   X (CASCADE_R_CASCADE, "cheap-first",                                        \
-     "A rated cheap answer first costs less than any direct choice.")         \
+     "A cheap first answer that is rated costs less than any single "         \
+     "version.")                                                              \
   X (CASCADE_R_NO_BOUND, "strongest",                                         \
-     "No bound meets the target; what may be the strongest is used.")         \
+     "No quality bound meets the target; the highest upper bound is used.")   \
   X (CASCADE_R_DEADLINE, "deadline-short",                                    \
-     "No room to escalate; the best direct choice within the deadline.")      \
+     "Too little time to escalate; the best single version in time is used.") \
   X (CASCADE_R_STREAMING, "streaming",                                        \
-     "The first byte cannot wait for a rated first answer.")                  \
+     "The time for the first byte is too short for a rated first answer.")    \
   X (CASCADE_R_NO_RATER, "rater-down",                                        \
-     "The rating service does not answer; a direct choice.")                  \
+     "The rating service is unavailable; a single version is used.")          \
   X (CASCADE_R_TOO_LATE, "too-late",                                          \
-     "No version answers within the deadline; the fastest one.")              \
+     "No version answers within the deadline; the fastest one is used.")      \
   X (CASCADE_R_EXPLORE, "explore",                                            \
-     "A cheap answer first, released only if rated at the target.")
+     "Exploration: a cheap answer is released only if its rating is on "      \
+     "target.")
 
 typedef enum
 {
@@ -107,75 +111,87 @@
       CASCADE_REASON_COUNT
 } cascade_reason_t;
 
+/* A version that may answer the request.  */
 typedef struct
 {
   str_t version;
-  double cost;             /* Expected, of this request on it.  */
-  quality_bound_t quality; /* For the request's task class.  */
-  double latency_ms;       /* Whole answer, such as the 95th percentile.  */
+  double cost;             /* Expected cost of the request.  */
+  quality_bound_t quality; /* Quality for the task class of the request.  */
+  double latency_ms;       /* Time to the full answer, such as the 95th
+                              percentile.  */
 } cascade_candidate_t;
 
+/* The request to plan for.  */
 typedef struct
 {
-  str_t task;
+  str_t task; /* Task class.  */
   const cascade_candidate_t *candidates;
-  size_t count; /* At most CASCADE_CANDIDATES_MAX are looked at.  */
-  double target;
+  size_t count;  /* Candidates after CASCADE_CANDIDATES_MAX are ignored.  */
+  double target; /* Least mean rating, 0 to 1.  */
   cascade_prefer_t prefer;
-  uint64_t deadline_left_ms;
+  uint64_t deadline_left_ms; /* Time left until the deadline.  */
   bool streaming;
-  uint64_t first_byte_ms;   /* How long a streaming caller may wait for it.  */
-  double rating_cost;       /* Of one rating.  */
-  double rating_latency_ms; /* Such as the 95th percentile.  */
-  bool rater_ok;
-  double explore; /* Share of the cost it may add; 0: none.  */
+  uint64_t first_byte_ms;   /* Time allowed for the first byte of a stream.  */
+  double rating_cost;       /* Cost of one rating.  */
+  double rating_latency_ms; /* Time of one rating, such as the 95th
+                               percentile.  */
+  bool rater_ok;            /* Whether the rating service can be used.  */
+  double explore;           /* Share of the cost that exploration may add; 0
+                               for no exploration.  */
 } cascade_request_t;
 
+/* The plan for one request.  */
 typedef struct
 {
   cascade_kind_t kind;
   cascade_reason_t reason;
-  size_t first;     /* Index of the candidate.  */
-  size_t second;    /* For CASCADE_FIRST.  */
-  double threshold; /* Escalate when the rating lies below it.  */
-  double whole;     /* Share of such plans whose threshold is the upper edge
-                       of the bin; drawn already.  */
-  bool audit;       /* CASCADE_DIRECT: rate the answer.  CASCADE_FIRST: rate
-                       the first answer once more, and the second one if it
-                       runs.  Off the request's way.  */
-  double cost;      /* Expected, ratings included.  */
-  double latency_ms;
-  double quality;
-  double lower;
+  size_t first;      /* Index of the candidate that answers first.  */
+  size_t second;     /* Index of the candidate after an escalation.  */
+  double threshold;  /* Rating of the first answer below which the request is
+                        escalated.  */
+  double whole;      /* Probability that the threshold is the upper edge of its
+                        bin instead of the lower one; THRESHOLD is already
+                        drawn.  */
+  bool audit;        /* Whether to rate the answer of a direct plan, or to rate
+                        the first answer of a cascade a second time and the
+                        second answer if there is one.  An audit does not delay
+                        the response.  */
+  double cost;       /* Expected cost, ratings included.  */
+  double latency_ms; /* Expected time to the full answer.  */
+  double quality;    /* Expected rating.  */
+  double lower;      /* Lower bound of the expected rating.  */
 } cascade_plan_t;
 
-/* WRITER as in evidence.h.  */
+/* Return a new planner, owned by the caller.  WRITER is unique to each start
+   of each process (see evidence.h).  */
 cascade_t *cascade_create (uint64_t writer);
-/* NULL is accepted.  */
+/* Free CASCADE, which may be NULL.  */
 void cascade_destroy (cascade_t *cascade);
 
-/* Choose for REQUEST.  NOW_MS is real time.  */
+/* Return the plan for REQUEST.  NOW_MS is real time.  */
 cascade_plan_t cascade_plan (cascade_t *cascade, rng_t *rng,
                              const cascade_request_t *request,
                              uint64_t now_ms);
 
-/* Learn the first answer's RATING; SECOND_RATING is that of the audit, or
-   NaN.  */
+/* Record the RATING of an answer of the version FIRST.  SECOND_RATING is its
+   rating by the audit, or NaN if there was no audit.  */
 void cascade_first (cascade_t *cascade, str_t task, str_t first, double rating,
                     double second_rating, uint64_t now_ms);
-/* Learn what an audited escalation gave: the first answer had RATING, the
-   second version's answer SECOND_RATING.  */
+/* Record an audited escalation: RATING is that of the answer of the version
+   FIRST, SECOND_RATING that of the answer of the version SECOND.  */
 void cascade_second (cascade_t *cascade, str_t task, str_t first, str_t second,
                      double rating, double second_rating, uint64_t now_ms);
 
-/* As in quality.h.  */
+/* Fold, write and merge the learned state, as in quality.h.  */
 void cascade_settle (cascade_t *cascade, uint64_t generation, uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
 vh_code_t cascade_merge (cascade_t *cascade, str_t bytes, uint64_t now_ms);
 
+/* Return the short code of REASON.  */
 const char *cascade_reason_code (cascade_reason_t reason);
+/* Return the explanation of REASON for operators.  */
 const char *cascade_reason_sentence (cascade_reason_t reason);
-/* Plans made with REASON since creation.  */
+/* Return the number of plans made with REASON since creation.  */
 uint64_t cascade_reason_count (const cascade_t *cascade,
                                cascade_reason_t reason);
 
