--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -7,47 +7,51 @@
 
 enum
 {
-  TERMS = 3 /* Of a curve: constant, linear, square.  */
+  CURVE_TERMS = 3 /* Constant, linear and quadratic.  */
 };
 
-/* One stray wait must not move the pressure by itself.  */
-static const double part_max = 2;
-/* Waits beyond so many times what the curve says, and this besides, count as
-   that: a request that was stuck says nothing of reading.  */
-static const double stray_times = 2;
-static const double stray_ms = 200;
-/* Of the means over requests and engines.  */
-static const double keep_mean = 0.98;
-/* Tokens that are counted as one in the curves.  */
-static const double kilo = 1000;
-/* A token that is read costs a quarter of one that is generated.  */
-static const double read_cost_part = 0.25;
-/* A token that is generated counts as ten that are read in a request's size.
- */
-static const double generated_size = 10;
-
-/* Sums for a square curve of waits over tokens.  */
+/* Largest ratio of a wait to its objective that enters the pressure, so that a
+   single outlier hardly changes the pressure.  */
+static const double pressure_sample_max = 2;
+/* Waits are clipped at OUTLIER_FACTOR times the value of the curve plus
+   OUTLIER_MS.  The wait of a stalled request says nothing about the time to
+   process its prompt.  */
+static const double outlier_factor = 2;
+static const double outlier_ms = 200;
+/* Weight of the old mean value at each request.  */
+static const double value_decay = 0.98;
+/* Tokens per unit of the curves, the costs and the value.  */
+static const double tokens_per_unit = 1000;
+/* Cost of a prompt token relative to an output token.  */
+static const double prompt_cost_ratio = 0.25;
+/* Weight of an output token in the size of a request, in prompt tokens.  */
+static const double output_size_weight = 10;
+
+/* Decayed sums for the fit of a quadratic curve of the wait y in ms over x
+   thousand prompt tokens.  */
 typedef struct
 {
-  double count;
-  double powers[2 * TERMS - 1]; /* Sums of x^0 to x^4.  */
-  double waits[TERMS];          /* Sums of y x^0 to y x^2.  */
+  double count; /* Number of observations after decay.  */
+  double powers[2 * CURVE_TERMS - 1]; /* Sums of x^0 to x^4.  */
+  double waits[CURVE_TERMS];          /* Sums of y x^0 to y x^2.  */
 } curve_t;
 
-/* Sums of the points by which a model's opinions exceed the smallest's.  */
+/* Decayed sum of the points by which the confidence of a model exceeds that of
+   the smallest model.  */
 typedef struct
 {
-  double count;
+  double count; /* Number of observations after decay.  */
   double points;
 } lead_t;
 
 struct escalation
 {
   escalation_options_t options;
-  double pressure;
-  curve_t curves[ESCALATION_MODELS];
+  double
+      pressure; /* Mean time to the first event relative to the objective.  */
+  curve_t curves[ESCALATION_MODELS]; /* Time to the first event by model.  */
   lead_t leads[ESCALATION_MODELS];
-  double worth; /* Mean, of a request; 0: none came.  */
+  double mean_value; /* Mean value of a request; 0 if there was none.  */
 };
 
 escalation_t *
@@ -65,44 +69,46 @@
   free (escalation);
 }
 
-/* Solve the first COUNT equations of M X = V in place.  Return false when they
-   say too little.  */
+/* Solve the first COUNT equations of M X = V and store X in V.  Return false
+   when the equations are nearly singular.  */
 static bool
-solve (double m[TERMS][TERMS], double v[TERMS], size_t count)
+solve_equations (double matrix[CURVE_TERMS][CURVE_TERMS],
+                 double vector[CURVE_TERMS], size_t count)
 {
-  static const double least = 1e-9;
+  static const double pivot_min = 1e-9;
 
   for (size_t i = 0; i < count; i++)
     {
-      if (fabs (m[i][i]) < least)
+      if (fabs (matrix[i][i]) < pivot_min)
         return false;
       for (size_t row = 0; row < count; row++)
         {
-          double factor = row == i ? 0 : m[row][i] / m[i][i];
+          double factor = row == i ? 0 : matrix[row][i] / matrix[i][i];
           for (size_t col = i; col < count; col++)
-            m[row][col] -= factor * m[i][col];
-          v[row] -= factor * v[i];
+            matrix[row][col] -= factor * matrix[i][col];
+          vector[row] -= factor * vector[i];
         }
     }
   for (size_t i = 0; i < count; i++)
-    v[i] /= m[i][i];
+    vector[i] /= matrix[i][i];
   return true;
 }
 
-/* Fit the first COUNT terms of CURVE.  Return false when the sums say too
-   little, or that longer prompts take less.  */
+/* Fit the first COUNT terms of CURVE.  Return false when the sums do not
+   determine the terms, or when a term is negative, which would predict less
+   time for longer prompts.  */
 static bool
-fit (const curve_t *curve, size_t count, double terms[TERMS])
+fit_terms (const curve_t *curve, size_t count, double terms[CURVE_TERMS])
 {
-  double m[TERMS][TERMS];
+  double matrix[CURVE_TERMS][CURVE_TERMS];
 
-  for (size_t row = 0; row < TERMS; row++)
+  for (size_t row = 0; row < CURVE_TERMS; row++)
     {
       terms[row] = row < count ? curve->waits[row] : 0;
-      for (size_t col = 0; col < TERMS; col++)
-        m[row][col] = curve->powers[row + col];
+      for (size_t col = 0; col < CURVE_TERMS; col++)
+        matrix[row][col] = curve->powers[row + col];
     }
-  if (!solve (m, terms, count))
+  if (!solve_equations (matrix, terms, count))
     return false;
   for (size_t i = 0; i < count; i++)
     if (terms[i] < 0)
@@ -110,56 +116,60 @@
   return true;
 }
 
-/* The terms of CURVE: as many as the observations bear.  */
+/* Store the terms of CURVE in TERMS, as many as the observations determine. */
 static void
-curve_terms (const curve_t *curve, double terms[TERMS])
+fit_curve (const curve_t *curve, double terms[CURVE_TERMS])
 {
-  for (size_t count = TERMS; count > 1; count--)
-    if (fit (curve, count, terms))
+  for (size_t count = CURVE_TERMS; count > 1; count--)
+    if (fit_terms (curve, count, terms))
       return;
   terms[0] = curve->waits[0] / curve->count;
   terms[1] = 0;
   terms[2] = 0;
 }
 
-/* Fill TERMS of MODEL.  Return false when nothing is known of it.  */
+/* Store the terms of the curve of MODEL in TERMS.  Return false when there are
+   too few observations.  */
 static bool
-model_terms (const escalation_t *escalation, size_t model, double terms[TERMS])
+fit_model (const escalation_t *escalation, size_t model,
+           double terms[CURVE_TERMS])
 {
   if (model >= ESCALATION_MODELS
       || escalation->curves[model].count < ESCALATION_LEAST)
     return false;
-  curve_terms (&escalation->curves[model], terms);
+  fit_curve (&escalation->curves[model], terms);
   return true;
 }
 
 static double
-at (const double terms[TERMS], uint32_t read)
+evaluate_curve (const double terms[CURVE_TERMS], uint32_t prompt_tokens)
 {
-  double x = read / kilo;
+  double x = prompt_tokens / tokens_per_unit;
 
   return terms[0] + terms[1] * x + terms[2] * x * x;
 }
 
 double
 escalation_wait_ms (const escalation_t *escalation, size_t model,
-                    uint32_t read)
+                    uint32_t prompt_tokens)
 {
-  double terms[TERMS];
+  double terms[CURVE_TERMS];
 
-  return model_terms (escalation, model, terms) ? at (terms, read) : 0;
+  return fit_model (escalation, model, terms)
+             ? evaluate_curve (terms, prompt_tokens)
+             : 0;
 }
 
 static void
-learn_curve (curve_t *curve, double x, double wait_ms)
+add_observation (curve_t *curve, double x, double wait_ms)
 {
   double power = 1;
 
   curve->count = curve->count * ESCALATION_KEEP_CURVE + 1;
-  for (size_t i = 0; i < 2 * TERMS - 1; i++)
+  for (size_t i = 0; i < 2 * CURVE_TERMS - 1; i++)
     {
       curve->powers[i] = curve->powers[i] * ESCALATION_KEEP_CURVE + power;
-      if (i < TERMS)
+      if (i < CURVE_TERMS)
         curve->waits[i]
             = curve->waits[i] * ESCALATION_KEEP_CURVE + wait_ms * power;
       power *= x;
@@ -167,21 +177,25 @@
 }
 
 void
-escalation_heard (escalation_t *escalation, size_t model, uint32_t read,
-                  uint64_t wait_ms, uint64_t objective_ms)
+escalation_heard (escalation_t *escalation, size_t model,
+                  uint32_t prompt_tokens, uint64_t wait_ms,
+                  uint64_t objective_ms)
 {
-  double terms[TERMS];
+  double terms[CURVE_TERMS];
   double wait = (double)wait_ms;
 
   if (objective_ms > 0)
-    escalation->pressure = escalation->pressure * ESCALATION_KEEP_PRESSURE
-                           + fmin (wait / (double)objective_ms, part_max)
-                                 * (1 - ESCALATION_KEEP_PRESSURE);
+    escalation->pressure
+        = escalation->pressure * ESCALATION_KEEP_PRESSURE
+          + fmin (wait / (double)objective_ms, pressure_sample_max)
+                * (1 - ESCALATION_KEEP_PRESSURE);
   if (model >= ESCALATION_MODELS)
     return;
-  if (model_terms (escalation, model, terms))
-    wait = fmin (wait, at (terms, read) * stray_times + stray_ms);
-  learn_curve (&escalation->curves[model], read / kilo, wait);
+  if (fit_model (escalation, model, terms))
+    wait = fmin (wait, evaluate_curve (terms, prompt_tokens) * outlier_factor
+                           + outlier_ms);
+  add_observation (&escalation->curves[model], prompt_tokens / tokens_per_unit,
+                   wait);
 }
 
 double
@@ -190,24 +204,27 @@
   return escalation->pressure;
 }
 
-/* 0 well below LIMIT, 1 well above it.  */
+/* Return the probability that a time of VALUE exceeds LIMIT, as a logistic
+   function: 0 well below LIMIT, 1 well above LIMIT.  */
 static double
-beyond (double value, double limit)
+exceedance (double value, double limit)
 {
   return 1 / (1 + exp ((limit - value) / (limit * ESCALATION_SCATTER)));
 }
 
 void
-escalation_compared (escalation_t *escalation, size_t model, uint32_t first,
-                     uint32_t opinion)
+escalation_compared (escalation_t *escalation, size_t model,
+                     uint32_t smallest_confidence, uint32_t confidence)
 {
-  /* At the ends of their scale opinions say less than they mean.  */
-  if (model >= ESCALATION_MODELS || first == 0 || first >= 100 || opinion == 0
-      || opinion >= 100)
+  /* Confidences at the ends of the scale are clipped and would distort the
+     lead.  */
+  if (model >= ESCALATION_MODELS || smallest_confidence == 0
+      || smallest_confidence >= 100 || confidence == 0 || confidence >= 100)
     return;
   lead_t *lead = &escalation->leads[model];
   lead->count = lead->count * ESCALATION_KEEP_CURVE + 1;
-  lead->points = lead->points * ESCALATION_KEEP_CURVE + opinion - first;
+  lead->points = lead->points * ESCALATION_KEEP_CURVE + confidence
+                 - smallest_confidence;
 }
 
 double
@@ -220,75 +237,81 @@
          / (lead->count + ESCALATION_LEAD_COUNT);
 }
 
-/* The chance that an answer is good of which a model has OPINION, a mean of
-   COUNT opinions.  */
+/* Return the probability that an answer is good, given CONFIDENCE as the mean
+   of COUNT confidences.  */
 static double
-good_part (const escalation_t *escalation, double opinion, double count)
+good_probability (const escalation_t *escalation, double confidence,
+                  double count)
 {
   return 0.5
-         * erfc ((50 - opinion) * sqrt (count / 2)
+         * erfc ((50 - confidence) * sqrt (count / 2)
                  / escalation->options.opinion_width);
 }
 
-/* Points that are added to an opinion at the present pressure.  */
+/* Return the points added to a confidence at the present pressure.  */
 static double
-pressed_points (const escalation_t *escalation)
+pressure_points (const escalation_t *escalation)
 {
-  double pressed = (escalation->pressure - ESCALATION_CALM)
-                   / (ESCALATION_PRESSED - ESCALATION_CALM);
+  double excess = (escalation->pressure - ESCALATION_CALM)
+                  / (ESCALATION_PRESSED - ESCALATION_CALM);
 
-  return fmin (fmax (pressed, 0), 1) * ESCALATION_PRESSED_POINTS;
+  return fmin (fmax (excess, 0), 1) * ESCALATION_PRESSED_POINTS;
 }
 
 static double
-worth_of (const escalation_t *escalation, const escalation_case_t *request)
+request_value (const escalation_t *escalation,
+               const escalation_case_t *request)
 {
-  double size = request->read + generated_size * request->generated;
+  double size = request->read + output_size_weight * request->generated;
 
   if (size <= 0)
-    size = kilo;
+    size = tokens_per_unit;
   return escalation->options.worth
-         * pow (escalation->options.rank_part, request->rank) * size / kilo;
+         * pow (escalation->options.rank_part, request->rank) * size
+         / tokens_per_unit;
 }
 
-/* What a second answer of CHOICE costs in the use of models: the first is not
-   generated to its end.  */
+/* Return the additional cost of an answer of CANDIDATE.  The present answer is
+   then not generated to its end, which saves its output tokens.  */
 static double
-cost_of (const escalation_case_t *request, const escalation_choice_t *choice)
+additional_cost (const escalation_case_t *request,
+                 const escalation_choice_t *candidate)
 {
-  double generated = request->generated / kilo;
-  double read = request->read / kilo * read_cost_part;
+  double output_units = request->generated / tokens_per_unit;
+  double prompt_units = request->read / tokens_per_unit * prompt_cost_ratio;
 
-  return choice->cost * (generated + read) - request->cost * generated;
+  return candidate->cost * (output_units + prompt_units)
+         - request->cost * output_units;
 }
 
-/* Fill what CHOICE would take until its first event, and how much of that is
-   for reading.  */
+/* Store the expected time to the first event of CANDIDATE, and the part of
+   that time for processing the prompt.  */
 static void
-foresee (const escalation_t *escalation, const escalation_case_t *request,
-         const escalation_choice_t *choice, double *wait_ms,
-         double *reading_ms)
+predict_wait (const escalation_t *escalation, const escalation_case_t *request,
+              const escalation_choice_t *candidate, double *wait_ms,
+              double *prompt_ms)
 {
-  double terms[TERMS];
+  double terms[CURVE_TERMS];
   double ratio = 1;
 
-  if (!model_terms (escalation, choice->model, terms))
+  if (!fit_model (escalation, candidate->model, terms))
     {
-      /* Not seen yet: it takes longer than the small one as it costs more. */
-      if (!model_terms (escalation, request->model, terms))
+      /* Without observations the time is assumed to grow with the cost of the
+         model, from the time of the model that answered.  */
+      if (!fit_model (escalation, request->model, terms))
         terms[0] = terms[1] = terms[2] = 0;
       else if (request->cost > 0)
-        ratio = choice->cost / request->cost;
+        ratio = candidate->cost / request->cost;
     }
-  *reading_ms = (at (terms, request->read) - terms[0]) * ratio;
-  *wait_ms = terms[0] + *reading_ms;
+  *prompt_ms = (evaluate_curve (terms, request->read) - terms[0]) * ratio;
+  *wait_ms = terms[0] + *prompt_ms;
 }
 
-/* The opinion of the answer, in points of its model; COUNT gets of how many
-   opinions that is the mean.  */
+/* Return the confidence in the present answer, on the scale of its model.  The
+   result is the mean of *COUNT confidences.  */
 static double
-opinion_of (const escalation_t *escalation, const escalation_case_t *request,
-            double *count)
+combined_confidence (const escalation_t *escalation,
+                     const escalation_case_t *request, double *count)
 {
   *count = 1;
   if (!request->has_first)
@@ -304,48 +327,56 @@
                  const escalation_case_t *request, size_t index)
 {
   const escalation_options_t *options = &escalation->options;
-  const escalation_choice_t *choice = &request->choices[index];
-  double worth = worth_of (escalation, request);
+  const escalation_choice_t *candidate = &request->choices[index];
+  double value = request_value (escalation, request);
   double count;
-  double opinion
-      = opinion_of (escalation, request, &count) + pressed_points (escalation);
-  double lead = escalation_lead (escalation, choice->model);
+  double confidence = combined_confidence (escalation, request, &count)
+                      + pressure_points (escalation);
+  double lead = escalation_lead (escalation, candidate->model);
   if (request->has_first)
     lead -= escalation_lead (escalation, request->model);
-  double kept = good_part (escalation, opinion, count);
-  double good = index + 1 == request->choice_count
-                    ? 1
-                    : good_part (escalation, opinion + lead, count);
+  double present_probability
+      = good_probability (escalation, confidence, count);
+  double candidate_probability
+      = index + 1 == request->choice_count
+            ? 1
+            : good_probability (escalation, confidence + lead, count);
   double wait_ms;
-  double reading_ms;
-  double harm = 0;
-
-  foresee (escalation, request, choice, &wait_ms, &reading_ms);
-  double late = request->objective_ms > 0
-                    ? beyond ((double)request->elapsed_ms + wait_ms,
-                              (double)request->objective_ms)
-                    : 0;
+  double prompt_ms;
+  double delayed_value = 0;
+
+  predict_wait (escalation, request, candidate, &wait_ms, &prompt_ms);
+  double late_probability
+      = request->objective_ms > 0
+            ? exceedance ((double)request->elapsed_ms + wait_ms,
+                          (double)request->objective_ms)
+            : 0;
   if (request->pause_ms > 0)
-    harm = beyond (reading_ms, (double)request->pause_ms * ESCALATION_PAUSES)
-           * choice->beside * (1 - options->late_part)
-           * (escalation->worth > 0 ? escalation->worth : worth);
-  double larger_part = (good + (1 - good) * options->poor_part)
-                       * (1 - late * (1 - options->late_part));
-  double kept_part = kept + (1 - kept) * options->poor_part;
-  return worth * (larger_part - kept_part - ESCALATION_MARGIN)
-         - cost_of (request, choice) - harm;
+    delayed_value
+        = exceedance (prompt_ms, (double)request->pause_ms * ESCALATION_PAUSES)
+          * candidate->beside * (1 - options->late_part)
+          * (escalation->mean_value > 0 ? escalation->mean_value : value);
+  double candidate_quality
+      = (candidate_probability
+         + (1 - candidate_probability) * options->poor_part)
+        * (1 - late_probability * (1 - options->late_part));
+  double present_quality
+      = present_probability + (1 - present_probability) * options->poor_part;
+  return value * (candidate_quality - present_quality - ESCALATION_MARGIN)
+         - additional_cost (request, candidate) - delayed_value;
 }
 
 size_t
 escalation_choose (escalation_t *escalation, const escalation_case_t *request)
 {
-  double worth = worth_of (escalation, request);
+  double value = request_value (escalation, request);
   size_t best = request->choice_count;
   double best_gain = 0;
 
-  escalation->worth = escalation->worth == 0 ? worth
-                                             : escalation->worth * keep_mean
-                                                   + worth * (1 - keep_mean);
+  escalation->mean_value
+      = escalation->mean_value == 0
+            ? value
+            : escalation->mean_value * value_decay + value * (1 - value_decay);
   for (size_t i = 0; i < request->choice_count; i++)
     {
       double gain = escalation_gain (escalation, request, i);
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -1,39 +1,46 @@
-/* Whether the answer of a small model is dropped for a larger one's.
-
-   Answers: requests of unlike size and urgency, each answered first by a small
-   model that says how sure it is, at engines that carry much or little.  With
-   one bar for all, a prompt of 30,000 tokens is read again by a model that
-   needs a second and a half for it: its caller is late, and so are the streams
-   beside it, whose events wait for its chunks; a label that is worth little is
-   paid for as dearly as a draft.
-
-   For each such answer what it is worth to go on is weighed against what it
-   costs, in the unit of the models' costs:
-
-     worth * (larger's part - kept part) - cost of the larger answer
-       - what it does to the streams beside it
-
-   - The worth of a good answer is the operators' word (escalation_options_t):
-     so much for 1,000 tokens of its size at rank 0, and a part of that for
-   each rank further.
-   - The kept part is the chance that the answer is good: the opinion is taken
-     for a noisy one, with 50 for `as likely as not'.  A poor answer is worth
-     POOR_PART.  The largest model's is good, and worth LATE_PART when late.
-   - A model between the two answers well what is a little too hard for the
-     small one, at half of the cost: its opinions lead those of the small one
-     by so many points, which is learnt from requests that both answered, and
-     the chance that it answers well follows from the small one's opinion and
-     that lead.  When it has answered, both opinions count.
-   - Whether it comes late is told from the time that the larger model has
-     taken of late for its first event, as a curve over the tokens of the
-     prompt.
-   - An engine reads a prompt in chunks between the tokens of its other
-     requests.  One that takes longer than the longest pause that is on time
-     makes all of them late, so what it does to them grows with their number.
-
-   Under pressure, when first events take a greater part of their objectives,
-   ever worse opinions are kept: without this the second answers are what fills
-   the engines.  */
+/* Decision whether the answer of a small model is replaced by the answer of a
+   larger one.
+
+   Load pattern: requests of unequal size and urgency, on engines under varying
+   load.  A small model answers each request first and reports its confidence,
+   0 to 100.  With one confidence threshold for all requests, a prompt of
+   30,000 tokens is processed again by a larger model, which takes a second and
+   a half: the response is late, and so are the other streams on that engine,
+   whose events wait for the chunks of the prompt.  Besides, a label of little
+   value is escalated at the same confidence as a draft of much value.
+
+   So the gain of each escalation is compared with its cost, in the unit of the
+   costs of the models:
+
+     value * (quality of the larger model - quality of the present answer)
+       - cost of the larger answer - value lost by delayed concurrent streams
+
+   - The value of a good answer is configured (escalation_options_t): an amount
+     per 1,000 tokens of its size at the highest priority, and a fraction of
+     that for each lower priority.
+   - The quality of the present answer follows from the probability that the
+     answer is good.  The confidence is taken as a noisy measurement, in which
+     50 means that a good and a poor answer are equally likely.  A poor answer
+     has a configured fraction of the value of a good one, and so has a late
+     answer.  The answer of the largest model counts as good.
+   - A model between the smallest and the largest one answers well what is a
+     little too hard for the smallest model, at half of the cost of the
+   largest. Its confidence exceeds that of the smallest model by a lead, in
+   points, which is learned from requests that both models answered.  The
+   probability that its answer is good follows from the confidence of the
+   smallest model plus the lead.  Once the middle model has answered, both
+   confidences count.
+   - Whether the larger answer is late follows from the recent times to the
+     first event of the larger model, fitted as a curve over the prompt tokens.
+   - An engine processes a prompt in chunks between the tokens of its other
+     requests.  A prompt that takes longer than the longest allowed pause
+     between events makes all these requests late, so the value lost grows with
+     their number.
+
+   When the engines are under pressure, which shows in the time to the first
+   event relative to the objective, the confidence counts for more and fewer
+   answers are escalated.  Otherwise the second answers would fill the
+   engines.  */
 
 #ifndef POLICY_ESCALATION_H
 #define POLICY_ESCALATION_H
@@ -42,108 +49,122 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Mean parts of their objectives that first events take: up to the first all
-   is calm, from the second on the engines are pressed.  A calm engine answers
-   within a tenth; at half of the objectives on average the slowest tenth of
-   first events is late already.  */
+/* Pressure, the mean time to the first event relative to the objective, up to
+   which confidences are not changed and from which the full
+   ESCALATION_PRESSED_POINTS are added.  An engine with little load answers
+   within a tenth of the objective; at a mean of a half the slowest tenth of
+   the first events is already late.  */
 #define ESCALATION_CALM 0.16
 #define ESCALATION_PRESSED 0.48
-/* Points that are added to an opinion at pressed engines: what is left to drop
-   is wrong nearly always.  */
+/* Points added to a confidence at full pressure.  The answers that are then
+   still escalated are nearly always poor.  */
 #define ESCALATION_PRESSED_POINTS 43
-/* What an observation leaves of the pressure: a second's worth of an entry's
-   requests.  */
+/* Weight of the old pressure at each observation; the average covers about one
+   second of the requests of an entry process.  */
 #define ESCALATION_KEEP_PRESSURE 0.92
-/* The lead of a model before any was seen, as so many observations.  */
+/* Prior of the lead of a model, in points, and its weight as a number of
+   observations.  */
 #define ESCALATION_LEAD 10
 #define ESCALATION_LEAD_COUNT 4
-/* What an observation leaves of the curves: some 20 s at ten a second.  */
+/* Weight of the old sums of a curve at each observation; the sums cover some
+   20 s at ten observations per second.  */
 #define ESCALATION_KEEP_CURVE 0.995
-/* Width of the step from on time to late, in what is allowed: that much do
-   times scatter about their curve.  */
+/* Width of the transition from on time to late, relative to the limit.  Times
+   to the first event scatter around their curve by about this width.  */
 #define ESCALATION_SCATTER 0.15
-/* Pauses that are on time for which a prompt must be read to make late what
-   runs beside it: a shorter read falls into two gaps between events.  */
+/* Time to process a prompt, relative to the longest allowed pause between
+   events, that makes concurrent streams late.  A shorter time is spread over
+   two gaps between events.  */
 #define ESCALATION_PAUSES 1.25
 
-/* Part of its worth by which a request must gain: a drop that gains less than
-   an opinion can tell is work for the engines all the same.  */
+/* Least gain of an escalation, relative to the value of the request.  A
+   smaller gain is within the error of the confidence, while the escalation
+   loads the engines in any case.  */
 #define ESCALATION_MARGIN 0.02
 
 enum
 {
   ESCALATION_MODELS = 8,
-  /* Observations before a curve is believed.  */
+  /* Fewest observations from which a curve is used.  */
   ESCALATION_LEAST = 10
 };
 
 typedef struct escalation escalation_t;
 
-/* Words of the operators; there is nothing to learn them from.  */
+/* Settings of the operators, which cannot be learned from the traffic.  */
 typedef struct
 {
-  double worth;         /* Of a good answer of rank 0, for 1,000 of its size:
-                           tokens read and ten times those generated; in the
-                           unit of the models' costs.  */
-  double rank_part;     /* Of it for each rank further.  */
-  double late_part;     /* Of its worth that a late answer has.  */
-  double poor_part;     /* ... that a poor one has.  */
-  double opinion_width; /* Points about 50 in which an opinion may be wrong:
-                           the standard deviation of its noise.  */
+  double worth;     /* Value of a good answer of the highest priority, per
+                       1,000 tokens of size, in the unit of the costs of the
+                       models.  The size is the prompt tokens and ten times
+                       the output tokens.  */
+  double rank_part; /* Ratio of the values of a priority and the next
+                       higher one.  */
+  double late_part; /* Ratio of the values of a late and a timely answer.  */
+  double poor_part; /* Ratio of the values of a poor and a good answer.  */
+  double opinion_width; /* Standard deviation of the noise of a confidence, in
+                           points.  */
 } escalation_options_t;
 
-/* A model that may answer next.  */
+/* A larger model that may answer the request next.  */
 typedef struct
 {
-  size_t model;  /* Index, smallest first.  */
-  double cost;   /* For 1,000 tokens generated or 4,000 read.  */
-  double beside; /* Requests at the engine that would read the prompt.  */
+  size_t model;  /* Index of the model; 0 is the smallest.  */
+  double cost;   /* Cost of 1,000 output tokens or of 4,000 prompt tokens.  */
+  double beside; /* Requests running on the engine that would process the
+                    prompt.  */
 } escalation_choice_t;
 
-/* One request and its answer so far.  */
+/* A request and its present answer.  */
 typedef struct
 {
-  size_t model;        /* Index of the one that answered.  */
-  double cost;         /* Of MODEL.  */
-  uint32_t read;       /* Tokens of the prompt.  */
-  uint32_t generated;  /* Tokens to come, as far as known.  */
-  uint32_t rank;       /* Of the kind of request; 0 is the highest.  */
-  uint32_t opinion;    /* Of MODEL on its answer, 0 to 100.  */
-  bool has_first;      /* The smallest model answered before MODEL ...  */
-  uint32_t first;      /* ... and had this opinion of its answer.  */
-  uint64_t elapsed_ms; /* Since the caller asked.  */
-  uint64_t objective_ms;
-  uint64_t pause_ms; /* Longest between events that is on time; 0: any.  */
-  const escalation_choice_t *choices; /* The larger models, smallest first.  */
+  size_t model;        /* Index of the model that answered.  */
+  double cost;         /* Cost of MODEL, as in escalation_choice_t.  */
+  uint32_t read;       /* Prompt tokens.  */
+  uint32_t generated;  /* Expected output tokens; 0 if unknown.  */
+  uint32_t rank;       /* Priority of the request; 0 is the highest.  */
+  uint32_t opinion;    /* Confidence of MODEL in its answer, 0 to 100.  */
+  bool has_first;      /* Whether the smallest model answered before MODEL.  */
+  uint32_t first;      /* Confidence of the smallest model in its answer.  */
+  uint64_t elapsed_ms; /* Time since the arrival of the request.  */
+  uint64_t objective_ms; /* Objective for the first event; 0 for none.  */
+  uint64_t pause_ms;     /* Longest allowed pause between events; 0 for no
+                            limit.  */
+  const escalation_choice_t *choices; /* Larger models, smallest first.  */
   size_t choice_count;
 } escalation_case_t;
 
+/* Return a new state of one service, owned by the caller.  OPTIONS is
+   copied.  */
 escalation_t *escalation_create (const escalation_options_t *options);
 void escalation_destroy (escalation_t *escalation);
 
-/* The first event of MODEL for a prompt of READ tokens came after WAIT_MS; it
-   was due after OBJECTIVE_MS.  */
-void escalation_heard (escalation_t *escalation, size_t model, uint32_t read,
-                       uint64_t wait_ms, uint64_t objective_ms);
-/* MODEL had OPINION of its answer to a request of which the smallest model had
-   opinion FIRST.  */
+/* Record that the first event of MODEL for a prompt of PROMPT_TOKENS arrived
+   after WAIT_MS.  OBJECTIVE_MS is the objective; 0 for none.  */
+void escalation_heard (escalation_t *escalation, size_t model,
+                       uint32_t prompt_tokens, uint64_t wait_ms,
+                       uint64_t objective_ms);
+/* Record the CONFIDENCE of MODEL and the SMALLEST_CONFIDENCE of the smallest
+   model in their answers to the same request.  */
 void escalation_compared (escalation_t *escalation, size_t model,
-                          uint32_t first, uint32_t opinion);
-/* Points by which the opinions of MODEL, not the smallest, exceed those of the
-   smallest.  */
+                          uint32_t smallest_confidence, uint32_t confidence);
+/* Return the points by which the confidence of MODEL, which is not the
+   smallest one, exceeds that of the smallest model.  */
 double escalation_lead (const escalation_t *escalation, size_t model);
-/* What it is worth to drop the answer for that of choice INDEX.  */
+/* Return the gain of replacing the present answer by that of the candidate
+   INDEX, in the unit of the costs.  */
 double escalation_gain (const escalation_t *escalation,
                         const escalation_case_t *request, size_t index);
-/* The choice that gains most, or the count of choices when the answer is kept.
-   The request is taken into account for those that come beside others.  */
+/* Return the index of the candidate with the largest gain, or the number of
+   candidates when the present answer is kept.  The value of REQUEST enters the
+   mean value, which is used for concurrent requests.  */
 size_t escalation_choose (escalation_t *escalation,
                           const escalation_case_t *request);
-/* Mean part of its objective that a first event takes now.  */
+/* Return the mean time to the first event relative to the objective.  */
 double escalation_pressure (const escalation_t *escalation);
-/* Time to the first event of MODEL for a prompt of READ tokens; 0: not known.
- */
+/* Return the expected time to the first event of MODEL for a prompt of
+   PROMPT_TOKENS; 0 if there are too few observations.  */
 double escalation_wait_ms (const escalation_t *escalation, size_t model,
-                           uint32_t read);
+                           uint32_t prompt_tokens);
 
 #endif
