--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -25,7 +25,7 @@
      answer.  The answer of the largest model counts as good.
    - A model between the smallest and the largest one answers well what is a
      little too hard for the smallest model, at half of the cost of the
-   largest. Its confidence exceeds that of the smallest model by a lead, in
+   largest.  Its confidence exceeds that of the smallest model by a lead, in
    points, which is learned from requests that both models answered.  The
    probability that its answer is good follows from the confidence of the
    smallest model plus the lead.  Once the middle model has answered, both
@@ -103,7 +103,7 @@
   double late_part; /* Ratio of the values of a late and a timely answer.  */
   double poor_part; /* Ratio of the values of a poor and a good answer.  */
   double opinion_width; /* Standard deviation of the noise of a confidence, in
-                           points.  */
+                           points: the range around 50 that says little.  */
 } escalation_options_t;
 
 /* A larger model that may answer the request next.  */
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -16,9 +16,9 @@
    decision on a wrong bound does not last.
 
    The weight of a rating halves every QUALITY_HALF_LIFE_MS, a quarter of a
-   day.  That follows changes of traffic without forgetting between the daily
-   peaks of the users, one per day.  When ratings stop, the weight decays and
-   the bound widens towards the prior, so that requests go to stronger versions
+   day.  That follows changes of traffic without forgetting between the peaks
+   of the users, one per day.  When ratings stop, the weight decays and the
+   bound widens towards the prior, so that requests go to stronger versions
    instead of relying on outdated ratings.
 
    The mean of an epoch that lies far from the weighted median of the other
@@ -89,9 +89,9 @@
 void quality_destroy (quality_t *quality);
 
 /* Add the RATING of one answer of VERSION to TASK, clipped to 0 to 1.  The
-   answer must not have been chosen by its rating.  NOW_MS is real time. Return
-   false when RATING is NaN, or when there is no room for the series or the
-   time is too old.  */
+   answer must not have been chosen by its rating.  NOW_MS is real time.
+   Return false when RATING is NaN, or when there is no room for the series or
+   the time is too old.  */
 bool quality_add (quality_t *quality, str_t task, str_t version, double rating,
                   uint64_t now_ms);
 
