--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,5 +1,5 @@
-/* Tests of admission.  The fleet is a bucket that takes CAPACITY units of cost
-   a second and refuses the rest.  */
+/* Tests of admission control.  The fleet is simulated by a token bucket that
+   serves CAPACITY units of cost per second and refuses the rest.  */
 
 #include "policy/admission.h"
 
@@ -12,14 +12,14 @@
   TEAMS = 10,
   COST = 10,
   CAPACITY = 10000,
-  /* Short enough that two seldom ask in the same step, as the order of the
-     loop would then choose between them.  */
+  /* Length of a simulation step, short enough that two teams seldom send a
+     request in the same step, where the order of the loop would favour one. */
   STEP_US = 50
 };
 
 typedef struct
 {
-  uint64_t asked;
+  uint64_t sent;
   uint64_t admitted;
   uint64_t served;
 } team_t;
@@ -29,70 +29,71 @@
   STR ("plain"), STR ("river"), STR ("lakes"), STR ("delta"), STR ("cliff"),
 };
 
-static clock_iface_t *manual;
+static clock_iface_t *manual_clock;
 static rng_t rng;
 static admission_t *admission;
 static team_t teams[TEAMS];
-static double bucket;
-static uint64_t fleet; /* Cost a second.  */
+static double bucket_cost;
+static uint64_t capacity; /* Capacity of the fleet in cost per second.  */
 
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
+  manual_clock = clock_manual_create (0);
   rng = rng_make (3);
-  admission = admission_create (manual, &rng);
+  admission = admission_create (manual_clock, &rng);
   memset (teams, 0, sizeof teams);
-  bucket = CAPACITY / 10.0;
-  fleet = CAPACITY;
+  bucket_cost = CAPACITY / 10.0;
+  capacity = CAPACITY;
 }
 
 static void
 teardown (void)
 {
   admission_destroy (admission);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (manual_clock);
 }
 
 static vh_code_t
-ask (int team, queue_priority_t priority)
+send_request (int team, queue_priority_t priority)
 {
   vh_code_t code = admission_decide (admission, names[team], COST, priority);
 
-  teams[team].asked++;
+  teams[team].sent++;
   if (code != VH_OK)
     return code;
   teams[team].admitted++;
-  admission_result (admission, COST, bucket >= COST);
-  if (bucket >= COST)
+  admission_result (admission, COST, bucket_cost >= COST);
+  if (bucket_cost >= COST)
     {
-      bucket -= COST;
+      bucket_cost -= COST;
       teams[team].served++;
     }
   return code;
 }
 
-/* Let SECONDS pass in which team i asks for RATES[i] units of cost a second;
-   count what happened afresh.  */
+/* Simulate SECONDS in which team i requests RATES[i] units of cost per second,
+   with the counters of all teams reset at the start.  */
 static void
-run (double seconds, const double rates[])
+simulate (double seconds, const double rates[])
 {
   double due[TEAMS];
 
   memset (teams, 0, sizeof teams);
-  /* Teams ask at random times, so that none is always just behind another.  */
+  /* The teams send at random times, so that no team is always just behind
+     another.  */
   for (int i = 0; i < TEAMS; i++)
     due[i] = rng_double (&rng) * COST;
   for (int step = 0; step < seconds * 1000000 / STEP_US; step++)
     {
-      clock_manual_advance_us (manual, STEP_US);
-      bucket += (double)fleet * STEP_US / 1000000.0;
-      if (bucket > CAPACITY / 10.0)
-        bucket = CAPACITY / 10.0;
+      clock_manual_advance_us (manual_clock, STEP_US);
+      bucket_cost += (double)capacity * STEP_US / 1000000.0;
+      if (bucket_cost > CAPACITY / 10.0)
+        bucket_cost = CAPACITY / 10.0;
       for (int i = 0; i < TEAMS; i++)
         for (due[i] += rates[i] * STEP_US / 500000.0 * rng_double (&rng);
              due[i] >= COST; due[i] -= COST)
-          ask (i, QUEUE_NORMAL);
+          send_request (i, QUEUE_NORMAL);
     }
 }
 
@@ -106,75 +107,77 @@
   return sum * COST;
 }
 
-START_TEST (admits_all_when_not_full)
+START_TEST (admits_all_requests_below_capacity)
 {
   static const double rates[TEAMS]
       = { 4000, 500, 500, 500, 500, 500, 500, 500, 500, 500 };
 
-  run (10, rates);
+  simulate (10, rates);
   for (int i = 0; i < TEAMS; i++)
-    ck_assert_uint_eq (teams[i].served, teams[i].asked);
+    ck_assert_uint_eq (teams[i].served, teams[i].sent);
   ck_assert (!admission_limiting (admission));
 }
 END_TEST
 
-/* One team sends as much as the fleet carries, the others half of that
-   together.  Served as they ask, everyone would lose a third; those within
-   their share must lose next to nothing.  */
-START_TEST (hot_team_pays_for_itself)
+/* Failure: one hot team costs all others a third of their requests.  The hot
+   team requests the whole capacity of the fleet, and the others half of the
+   capacity together.  Teams within their share must lose next to nothing.  */
+START_TEST (hot_team_does_not_reduce_service_of_others)
 {
   static const double rates[TEAMS]
       = { 10000, 550, 550, 550, 550, 550, 550, 550, 550, 550 };
-  uint64_t asked = 0;
+  uint64_t sent = 0;
   uint64_t served = 0;
 
-  run (5, rates);
-  run (10, rates);
+  simulate (5, rates);
+  simulate (10, rates);
   ck_assert (admission_limiting (admission));
   for (int i = 1; i < TEAMS; i++)
     {
-      ck_assert_uint_eq (teams[i].admitted, teams[i].asked);
-      asked += teams[i].asked;
+      ck_assert_uint_eq (teams[i].admitted, teams[i].sent);
+      sent += teams[i].sent;
       served += teams[i].served;
     }
-  /* The bucket knows no teams, so it refuses the probe's tenth of all.  */
-  ck_assert_uint_ge (served * 100, asked * 87);
-  /* 10,000 less nine times 550, and the probe's tenth.  */
+  /* The bucket does not distinguish teams, so it refuses the tenth that
+     ADMISSION_PROBE adds from all of them.  */
+  ck_assert_uint_ge (served * 100, sent * 87);
+  /* 10,000 less nine times 550, plus the tenth of ADMISSION_PROBE.  */
   ck_assert_uint_ge (teams[0].admitted * COST, 49000);
   ck_assert_uint_le (teams[0].admitted * COST, 65000);
-  /* The fleet is kept full.  */
+  /* The fleet stays fully used.  */
   ck_assert_uint_ge (total_served (), CAPACITY / 10 * 97ul);
 }
 END_TEST
 
-START_TEST (weights_divide_what_there_is)
+START_TEST (capacity_is_divided_by_weight)
 {
   static const double rates[TEAMS] = { 20000, 20000 };
-  static const double unlike[TEAMS] = { 6500, 20000 };
+  static const double unequal_rates[TEAMS] = { 6500, 20000 };
 
   admission_set_weight (admission, names[0], 3);
-  run (5, rates);
-  run (10, rates);
+  simulate (5, rates);
+  simulate (10, rates);
   ck_assert_uint_ge (teams[0].admitted * 10, teams[1].admitted * 29);
   ck_assert_uint_le (teams[0].admitted * 10, teams[1].admitted * 31);
   ck_assert (admission_share (admission, names[0]) > 0.35);
-  /* Less than its share, though more than an even part.  */
-  run (3, unlike);
-  run (5, unlike);
-  ck_assert_uint_eq (teams[0].admitted, teams[0].asked);
-  /* And what it leaves goes to the other.  */
+  /* The demand of the first team is below its weighted share, though above an
+     equal share.  */
+  simulate (3, unequal_rates);
+  simulate (5, unequal_rates);
+  ck_assert_uint_eq (teams[0].admitted, teams[0].sent);
+  /* The rest of its share goes to the other team.  */
   ck_assert_uint_ge (teams[1].admitted * COST, 17500);
 }
 END_TEST
 
-START_TEST (waste_is_bounded_at_three_times_the_load)
+START_TEST (wasted_dispatches_are_bounded_at_triple_load)
 {
   static const double rates[TEAMS]
       = { 3000, 3000, 3000, 3000, 3000, 3000, 3000, 3000, 3000, 3000 };
   uint64_t admitted = 0;
 
-  run (5, rates);
-  run (10, rates);
+  simulate (5, rates);
+  simulate (10, rates);
   for (int i = 0; i < TEAMS; i++)
     admitted += teams[i].admitted * COST;
   ck_assert_uint_le (admitted, CAPACITY / 10 * 115ul);
@@ -182,97 +185,100 @@
 }
 END_TEST
 
-START_TEST (low_priority_goes_first)
+START_TEST (low_priority_is_refused_first)
 {
   static const double rates[TEAMS] = { 20000 };
   int high = 0;
   int low = 0;
 
-  run (5, rates);
+  simulate (5, rates);
   for (int i = 0; i < 10000; i++)
     {
-      bucket += COST / 2.0;
+      bucket_cost += COST / 2.0;
       if (i % 10 == 0)
-        clock_manual_advance_us (manual, 5000);
-      /* Half of the demand each; half can be served.  */
+        clock_manual_advance_us (manual_clock, 5000);
+      /* Each priority is half of the demand, and half of the demand can be
+         served.  */
       if (i % 2 == 0 && i > 5000)
-        high += ask (0, QUEUE_HIGH) == VH_OK;
+        high += send_request (0, QUEUE_HIGH) == VH_OK;
       else if (i > 5000)
-        low += ask (0, QUEUE_LOW) == VH_OK;
+        low += send_request (0, QUEUE_LOW) == VH_OK;
       else
-        ask (0, i % 2 == 0 ? QUEUE_HIGH : QUEUE_LOW);
+        send_request (0, i % 2 == 0 ? QUEUE_HIGH : QUEUE_LOW);
     }
   ck_assert_int_ge (high, 2400);
   ck_assert_int_le (low, 700);
 }
 END_TEST
 
-/* The rush is over.  Nobody may be refused by an idle fleet.  */
-START_TEST (opens_again_when_demand_falls)
+/* Failure: requests are refused after a peak, although the fleet is idle.  */
+START_TEST (admits_all_again_when_demand_falls)
 {
-  static const double rush[TEAMS] = { 30000, 1000 };
-  static const double calm[TEAMS] = { 4000, 1000 };
+  static const double peak_rates[TEAMS] = { 30000, 1000 };
+  static const double low_rates[TEAMS] = { 4000, 1000 };
 
-  run (10, rush);
-  run (3, calm);
-  run (5, calm);
-  ck_assert_uint_eq (teams[0].served, teams[0].asked);
+  simulate (10, peak_rates);
+  simulate (3, low_rates);
+  simulate (5, low_rates);
+  ck_assert_uint_eq (teams[0].served, teams[0].sent);
   ck_assert (!admission_limiting (admission));
 }
 END_TEST
 
-/* Half of the fleet goes for some seconds and returns while demand stays above
-   what there is.  What is admitted must follow it up, not stay at the
-   half.  */
-START_TEST (grows_back_when_the_fleet_does)
+/* Failure: the admitted rate stays at half after half of the fleet was down
+   for some seconds.  The demand exceeds the capacity throughout, and the
+   admitted rate must follow the capacity up again.  */
+START_TEST (admitted_rate_follows_returning_capacity)
 {
   static const double rates[TEAMS] = { 30000 };
 
-  run (3, rates);
-  fleet = CAPACITY / 2;
-  run (5, rates);
-  ck_assert_uint_ge (total_served (), 5 * fleet / 100 * 97ul);
-  ck_assert_uint_le (total_served (), 5 * fleet / 100 * 103ul);
-  fleet = CAPACITY;
-  run (10, rates);
-  run (5, rates);
+  simulate (3, rates);
+  capacity = CAPACITY / 2;
+  simulate (5, rates);
+  ck_assert_uint_ge (total_served (), 5 * capacity / 100 * 97ul);
+  ck_assert_uint_le (total_served (), 5 * capacity / 100 * 103ul);
+  capacity = CAPACITY;
+  simulate (10, rates);
+  simulate (5, rates);
   ck_assert_uint_ge (total_served (), 5 * CAPACITY / 100 * 97ul);
-  /* More comes than is asked for, so no refusal shows where the end is.  */
-  fleet = CAPACITY * 4ul;
-  run (15, rates);
-  run (1, rates);
-  ck_assert_uint_eq (teams[0].served, teams[0].asked);
+  /* The capacity grows beyond the demand, so no refusal indicates the
+     capacity.  */
+  capacity = CAPACITY * 4ul;
+  simulate (15, rates);
+  simulate (1, rates);
+  ck_assert_uint_eq (teams[0].served, teams[0].sent);
 }
 END_TEST
 
-/* Every upstream is gone for twenty seconds and then back, and demand stays.
-   With nothing taken in, nothing was let through, and with nothing let through
-   nothing could be taken in: callers would be refused for good.  */
-START_TEST (an_outage_does_not_shut_out_for_good)
+/* Failure: all requests are refused permanently after an outage.  Every
+   upstream is down for twenty seconds and then returns.  While nothing is
+   accepted nothing would be admitted, and while nothing is admitted nothing
+   can be accepted.  */
+START_TEST (requests_are_admitted_again_after_outage)
 {
   static const double rates[TEAMS] = { 30000 };
 
-  run (3, rates);
-  fleet = 0;
-  run (20, rates);
-  fleet = CAPACITY;
-  run (5, rates);
-  run (3, rates);
+  simulate (3, rates);
+  capacity = 0;
+  simulate (20, rates);
+  capacity = CAPACITY;
+  simulate (5, rates);
+  simulate (3, rates);
   ck_assert_uint_ge (total_served (), 3 * CAPACITY / 100 * 90ul);
 }
 END_TEST
 
-START_TEST (reported_pressure_is_heard)
+START_TEST (reported_pressure_limits_admission)
 {
   static const double rates[TEAMS] = { 8000 };
 
-  run (3, rates);
+  simulate (3, rates);
   ck_assert (!admission_limiting (admission));
   admission_pressure (admission, ADMISSION_PRESSURE * 1.5);
-  /* The fleet takes half of what is dispatched from here on.  */
+  /* From here on the fleet accepts half of the dispatched cost.  */
   for (int i = 0; i < 3000; i++)
     {
-      clock_manual_advance_us (manual, 1000);
+      clock_manual_advance_us (manual_clock, 1000);
       if (admission_decide (admission, names[0], 8, QUEUE_NORMAL) == VH_OK)
         admission_result (admission, 4, true);
     }
@@ -280,17 +286,17 @@
 }
 END_TEST
 
-/* A thousand callers are refused in the same second.  Told the same time they
-   would all be back in the same second.  */
-START_TEST (retry_after_spreads_the_returns)
+/* Failure: a thousand callers that are refused in the same second all retry in
+   the same second, because they received the same Retry-After.  */
+START_TEST (retry_after_spreads_retries)
 {
   static const double rates[TEAMS] = { 30000, 100 };
   int counts[ADMISSION_RETRY_MAX_S + 1] = { 0 };
-  int most = 0;
+  int max_count = 0;
 
   ck_assert_uint_eq (admission_retry_after_s (admission, names[0]),
                      ADMISSION_RETRY_MIN_S);
-  run (10, rates);
+  simulate (10, rates);
   for (int i = 0; i < 1000; i++)
     {
       uint32_t after_s = admission_retry_after_s (admission, names[0]);
@@ -299,13 +305,13 @@
       counts[after_s]++;
     }
   for (int i = 0; i <= ADMISSION_RETRY_MAX_S; i++)
-    most = counts[i] > most ? counts[i] : most;
-  ck_assert_int_le (most, 200);
-  /* Who is within its share is not kept away.  */
+    max_count = counts[i] > max_count ? counts[i] : max_count;
+  ck_assert_int_le (max_count, 200);
+  /* A team within its share gets the shortest Retry-After.  */
   ck_assert_uint_eq (admission_retry_after_s (admission, names[1]),
                      ADMISSION_RETRY_MIN_S);
-  fleet = 100;
-  run (10, rates);
+  capacity = 100;
+  simulate (10, rates);
   for (int i = 0; i < 1000; i++)
     ck_assert_uint_le (admission_retry_after_s (admission, names[0]),
                        ADMISSION_RETRY_MAX_S);
@@ -319,16 +325,16 @@
   TCase *tcase = tcase_create ("admission");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, admits_all_when_not_full);
-  tcase_add_test (tcase, hot_team_pays_for_itself);
-  tcase_add_test (tcase, weights_divide_what_there_is);
-  tcase_add_test (tcase, waste_is_bounded_at_three_times_the_load);
-  tcase_add_test (tcase, low_priority_goes_first);
-  tcase_add_test (tcase, opens_again_when_demand_falls);
-  tcase_add_test (tcase, grows_back_when_the_fleet_does);
-  tcase_add_test (tcase, an_outage_does_not_shut_out_for_good);
-  tcase_add_test (tcase, reported_pressure_is_heard);
-  tcase_add_test (tcase, retry_after_spreads_the_returns);
+  tcase_add_test (tcase, admits_all_requests_below_capacity);
+  tcase_add_test (tcase, hot_team_does_not_reduce_service_of_others);
+  tcase_add_test (tcase, capacity_is_divided_by_weight);
+  tcase_add_test (tcase, wasted_dispatches_are_bounded_at_triple_load);
+  tcase_add_test (tcase, low_priority_is_refused_first);
+  tcase_add_test (tcase, admits_all_again_when_demand_falls);
+  tcase_add_test (tcase, admitted_rate_follows_returning_capacity);
+  tcase_add_test (tcase, requests_are_admitted_again_after_outage);
+  tcase_add_test (tcase, reported_pressure_limits_admission);
+  tcase_add_test (tcase, retry_after_spreads_retries);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -1,4 +1,4 @@
-/* Tests of the cascade's choice and of what it learns.  */
+/* Tests of the plans of the cascade and of the curves that it learns.  */
 
 #include "base/rng.h"
 #include "policy/cascade.h"
@@ -16,7 +16,7 @@
   return (quality_bound_t){ mean, mean - half, mean + half, 400 };
 }
 
-/* Three versions, well known: small, medium, large.  */
+/* Store three versions with many ratings: small, medium and large.  */
 static void
 known_candidates (cascade_candidate_t out[3])
 {
@@ -42,9 +42,9 @@
                               .rater_ok = true };
 }
 
-/* X: target, deadline, what is expected.  No curve is known, so only direct
-   choices can be made.  */
-START_TEST (direct_choices)
+/* Without any learned curve all plans are direct.  Each case gives the target,
+   the deadline, the preference and the expected choice and reason.  */
+START_TEST (direct_plans_without_curves)
 {
   static const struct
   {
@@ -97,11 +97,11 @@
 }
 END_TEST
 
-/* Teach C that half of the requests are easy: small@1 answers those at 0.95
-   and the hard ones at 0.55, large@1 at 0.95 all.  Ratings have noise 0.05.
-   */
+/* Record ratings in C by which half of the requests are easy: small@1 has a
+   quality of 0.95 for these and 0.55 for the hard ones, large@1 of 0.95 for
+   all.  The ratings have a noise of 0.05.  */
 static void
-teach (cascade_t *c, rng_t *rng, int requests, uint64_t now_ms)
+record_ratings (cascade_t *c, rng_t *rng, int requests, uint64_t now_ms)
 {
   for (int i = 0; i < requests; i++)
     {
@@ -116,17 +116,17 @@
     }
 }
 
-/* The target lies between the small version and the large one.  The cascade
-   must escalate the hard half only, and be expected to cost about half of
-   the large version.  */
-START_TEST (cheap_first_when_it_costs_less)
+/* Failure: every request pays for the large version, although the target lies
+   between the small and the large one.  The cascade must escalate only the
+   hard half, at an expected cost of about half of the large version.  */
+START_TEST (cascade_is_used_when_cheaper)
 {
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
   rng_t rng = rng_make (2);
 
   known_candidates (candidates);
-  teach (c, &rng, 1000, START_MS);
+  record_ratings (c, &rng, 1000, START_MS);
   cascade_request_t r = make_request (candidates, 3, 0.92);
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_FIRST);
@@ -137,14 +137,14 @@
   ck_assert_double_lt (plan.threshold, 0.9);
   ck_assert_double_ge (plan.lower, 0.92 - 1e-9);
   ck_assert_double_lt (plan.cost, 10);
-  /* Cost counts the first attempt, its rating and the second attempt.  */
+  /* The cost includes the first attempt, its rating and the second attempt. */
   ck_assert_double_gt (plan.cost, 1 + 0.3 + 0.4 * 15);
   cascade_destroy (c);
 }
 END_TEST
 
-/* A looser target lets more of the doubtful answers through.  */
-START_TEST (threshold_follows_the_target)
+/* A lower target releases more of the doubtful answers and costs less.  */
+START_TEST (cost_follows_target)
 {
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
@@ -153,7 +153,7 @@
 
   known_candidates (candidates);
   candidates[1].cost = 14;
-  teach (c, &rng, 2000, START_MS);
+  record_ratings (c, &rng, 2000, START_MS);
   for (double target = 0.78; target < 0.93; target += 0.02)
     {
       cascade_request_t r = make_request (candidates, 3, target);
@@ -166,15 +166,16 @@
 }
 END_TEST
 
-/* X: why a cascade that would be cheaper may not be made.  */
-START_TEST (no_room_for_a_cascade)
+/* A cascade would be cheaper, but the deadline, the first byte or the rating
+   service prevents it.  */
+START_TEST (no_cascade_without_time_or_rater)
 {
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
   rng_t rng = rng_make (2);
 
   known_candidates (candidates);
-  teach (c, &rng, 1000, START_MS);
+  record_ratings (c, &rng, 1000, START_MS);
   cascade_request_t r = make_request (candidates, 3, 0.92);
   r.explore = 1;
   r.deadline_left_ms = 2600;
@@ -202,7 +203,7 @@
 }
 END_TEST
 
-START_TEST (reasons_name_the_obstacle)
+START_TEST (reason_names_obstacle)
 {
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
@@ -224,9 +225,9 @@
 }
 END_TEST
 
-/* Exploration may add its share to the cost, and nothing to requests with a
-   short deadline.  What it releases must be rated at the target.  */
-START_TEST (exploration_is_bounded)
+/* Failure: exploration costs more than its share, delays requests with a short
+   deadline, or releases answers rated below the target.  */
+START_TEST (exploration_cost_is_bounded)
 {
   enum
   {
@@ -265,18 +266,18 @@
 }
 END_TEST
 
-/* One easy request in two, known only by what comes back.  Nothing is known
-   at first; after some thousand requests the quality reached must meet the
-   target and cost at most half of the large version alone; where four in five
-   are hard, at most 15% more than a cascade that were told which to escalate
-   (0.717).  */
+/* A simulation with a share of easy requests, which only the ratings reveal.
+   Nothing is known at first.  After some thousand requests the quality must
+   meet the target, at no more than half of the cost of the large version
+   alone.  Where four requests in five are hard, the cost may be 15% above that
+   of a cascade that knows which requests to escalate (0.717).  */
 typedef struct
 {
   double easy;
   double target;
   double quality;
-  double cost; /* Against always the strongest.  */
-} run_t;
+  double cost; /* Relative to the strongest version alone.  */
+} simulation_t;
 
 static double
 answer_quality (rng_t *rng, size_t version, bool easy)
@@ -287,7 +288,8 @@
   return means[version][easy] + 0.06 * (rng_double (rng) - 0.5);
 }
 
-/* The rating service checks twenty points, each met with chance TRUTH.  */
+/* Return a rating: the share of twenty checks that are met, each with
+   probability TRUTH.  */
 static double
 rate (rng_t *rng, double truth)
 {
@@ -299,7 +301,7 @@
 }
 
 static void
-run_requests (run_t *run, int requests, int warm, uint64_t seed)
+simulate (simulation_t *simulation, int requests, int warmup, uint64_t seed)
 {
   static const double costs[3] = { 1, 4, 15 };
   static const char *const names[3] = { "small@1", "medium@1", "large@1" };
@@ -311,78 +313,81 @@
   double quality = 0;
   double cost = 0;
 
-  for (int i = 0; i < warm + requests; i++, now += 100)
+  for (int i = 0; i < warmup + requests; i++, now += 100)
     {
-      bool easy = rng_double (&rng) < run->easy;
-      double paid = 0;
-      double got;
-      cascade_candidate_t k[3];
-      known_candidates (k);
+      bool easy = rng_double (&rng) < simulation->easy;
+      double request_cost = 0;
+      double true_quality;
+      cascade_candidate_t candidates[3];
+      known_candidates (candidates);
       for (size_t v = 0; v < 3; v++)
-        k[v].quality = quality_get (q, STR ("draft"), str_from (names[v]),
-                                    priors[v], now);
-      cascade_request_t r = make_request (k, 3, run->target);
+        candidates[v].quality = quality_get (
+            q, STR ("draft"), str_from (names[v]), priors[v], now);
+      cascade_request_t r = make_request (candidates, 3, simulation->target);
       r.explore = CASCADE_EXPLORE_DEFAULT;
       cascade_plan_t plan = cascade_plan (c, &rng, &r, now);
       str_t first = str_from (names[plan.first]);
-      got = answer_quality (&rng, plan.first, easy);
-      paid += costs[plan.first];
+      true_quality = answer_quality (&rng, plan.first, easy);
+      request_cost += costs[plan.first];
       if (plan.kind == CASCADE_FIRST)
         {
-          double rating = rate (&rng, got);
-          double audit = plan.audit ? rate (&rng, got) : NAN;
-          paid += 0.3 + (plan.audit ? 0.3 : 0);
+          double rating = rate (&rng, true_quality);
+          double audit = plan.audit ? rate (&rng, true_quality) : NAN;
+          request_cost += 0.3 + (plan.audit ? 0.3 : 0);
           cascade_first (c, STR ("draft"), first, rating, audit, now);
           quality_add (q, STR ("draft"), first, rating, now);
           if (rating < plan.threshold)
             {
-              got = answer_quality (&rng, plan.second, easy);
-              paid += costs[plan.second] + (plan.audit ? 0.3 : 0);
+              true_quality = answer_quality (&rng, plan.second, easy);
+              request_cost += costs[plan.second] + (plan.audit ? 0.3 : 0);
               if (plan.audit)
                 cascade_second (c, STR ("draft"), first,
                                 str_from (names[plan.second]), rating,
-                                rate (&rng, got), now);
+                                rate (&rng, true_quality), now);
             }
         }
       else if (plan.audit
                || quality_sample (q, &rng, STR ("draft"), first, now))
         {
-          quality_add (q, STR ("draft"), first, rate (&rng, got), now);
-          paid += 0.3;
+          quality_add (q, STR ("draft"), first, rate (&rng, true_quality),
+                       now);
+          request_cost += 0.3;
         }
-      if (i >= warm)
+      if (i >= warmup)
         {
-          quality += got;
-          cost += paid;
+          quality += true_quality;
+          cost += request_cost;
         }
     }
-  run->quality = quality / requests;
-  run->cost = cost / requests / 15;
+  simulation->quality = quality / requests;
+  simulation->cost = cost / requests / 15;
   cascade_destroy (c);
   quality_destroy (q);
 }
 
-START_TEST (learns_to_meet_the_target)
+START_TEST (learned_plans_meet_target)
 {
   for (uint64_t seed = 0; seed < 5; seed++)
     for (double easy = 0.2; easy < 0.9; easy += 0.3)
       {
         double strongest = 0.92 + 0.04 * easy;
-        run_t run = { .easy = easy, .target = 0.95 * strongest };
-        run_requests (&run, 20000, 5000, seed);
-        ck_assert_msg (run.quality >= run.target - 0.003,
+        simulation_t simulation = { .easy = easy, .target = 0.95 * strongest };
+        simulate (&simulation, 20000, 5000, seed);
+        ck_assert_msg (simulation.quality >= simulation.target - 0.003,
                        "easy %g seed %d: quality %g under %g", easy, (int)seed,
-                       run.quality, run.target);
-        ck_assert_msg (run.cost <= (easy < 0.4 ? 0.825 : 0.5),
-                       "easy %g seed %d: cost %g", easy, (int)seed, run.cost);
+                       simulation.quality, simulation.target);
+        ck_assert_msg (simulation.cost <= (easy < 0.4 ? 0.825 : 0.5),
+                       "easy %g seed %d: cost %g", easy, (int)seed,
+                       simulation.cost);
       }
 }
 END_TEST
 
-/* A version of middling quality was explored and did well; the strongest one
-   was never tried, and its prior is lower than what the other showed.  It
-   must be tried, with each answer rated, until it is known.  */
-START_TEST (untried_version_is_tried)
+/* Failure: the strongest version is never used.  A version of medium quality
+   has many good ratings, and the prior of the strongest version is lower.  The
+   strongest version must be used, with each answer rated, until it has enough
+   ratings.  */
+START_TEST (strongest_version_without_ratings_is_used)
 {
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
@@ -404,9 +409,9 @@
 }
 END_TEST
 
-/* Restart: what was learned comes back from the written state, and gossip of
-   it twice changes nothing.  */
-START_TEST (learned_state_survives_and_merges)
+/* Failure: the learned curves are lost at a restart, or count twice when they
+   are received twice by gossip.  */
+START_TEST (learned_state_survives_restart_and_merge)
 {
   cascade_candidate_t candidates[3];
   cascade_t *a = cascade_create (1);
@@ -416,7 +421,7 @@
   buf_t again = BUF_NULL;
 
   known_candidates (candidates);
-  teach (a, &rng, 1000, START_MS);
+  record_ratings (a, &rng, 1000, START_MS);
   cascade_write (a, false, &bytes);
   ck_assert_int_eq (cascade_merge (b, buf_str (&bytes), START_MS), VH_OK);
   ck_assert_int_eq (cascade_merge (b, buf_str (&bytes), START_MS), VH_OK);
@@ -438,8 +443,8 @@
 }
 END_TEST
 
-/* No ratings for a day: the curve is forgotten and the direct choice is back,
-   rather than a threshold that nobody checks any more.  */
+/* Failure: a threshold stays in use that no recent rating supports.  After a
+   day without ratings the curve is forgotten and the plans are direct.  */
 START_TEST (stale_curve_is_not_used)
 {
   cascade_candidate_t candidates[3];
@@ -447,7 +452,7 @@
   rng_t rng = rng_make (2);
 
   known_candidates (candidates);
-  teach (c, &rng, 1000, START_MS);
+  record_ratings (c, &rng, 1000, START_MS);
   cascade_request_t r = make_request (candidates, 3, 0.92);
   cascade_plan_t plan
       = cascade_plan (c, &rng, &r, START_MS + (uint64_t)26 * 3600 * 1000);
@@ -455,10 +460,10 @@
   ck_assert_uint_eq (plan.first, 2);
   cascade_destroy (c);
 
-  /* Less is forgotten in less time: a curve that was just enough is no
-     longer half a day later.  */
+  /* Ratings decay gradually: a curve with just enough ratings has too few half
+     a day later.  */
   c = cascade_create (1);
-  teach (c, &rng, 200, START_MS);
+  record_ratings (c, &rng, 200, START_MS);
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).kind, CASCADE_FIRST);
   plan = cascade_plan (c, &rng, &r, START_MS + (uint64_t)12 * 3600 * 1000);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
@@ -473,15 +478,15 @@
   TCase *tcase = tcase_create ("cascade");
 
   tcase_set_timeout (tcase, 110);
-  tcase_add_test (tcase, direct_choices);
-  tcase_add_test (tcase, cheap_first_when_it_costs_less);
-  tcase_add_test (tcase, threshold_follows_the_target);
-  tcase_add_test (tcase, no_room_for_a_cascade);
-  tcase_add_test (tcase, reasons_name_the_obstacle);
-  tcase_add_test (tcase, exploration_is_bounded);
-  tcase_add_test (tcase, learns_to_meet_the_target);
-  tcase_add_test (tcase, untried_version_is_tried);
-  tcase_add_test (tcase, learned_state_survives_and_merges);
+  tcase_add_test (tcase, direct_plans_without_curves);
+  tcase_add_test (tcase, cascade_is_used_when_cheaper);
+  tcase_add_test (tcase, cost_follows_target);
+  tcase_add_test (tcase, no_cascade_without_time_or_rater);
+  tcase_add_test (tcase, reason_names_obstacle);
+  tcase_add_test (tcase, exploration_cost_is_bounded);
+  tcase_add_test (tcase, learned_plans_meet_target);
+  tcase_add_test (tcase, strongest_version_without_ratings_is_used);
+  tcase_add_test (tcase, learned_state_survives_restart_and_merge);
   tcase_add_test (tcase, stale_curve_is_not_used);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
--- a/tests/test_escalation.c
+++ b/tests/test_escalation.c
@@ -1,4 +1,5 @@
-/* When the answer of a small model is dropped for a larger one's.  */
+/* Tests of the decision to replace the answer of a small model by that of a
+   larger one.  */
 
 #include "policy/escalation.h"
 #include "suite.h"
@@ -14,7 +15,7 @@
   LARGE,
   OBJECTIVE_MS = 2000,
   PAUSE_MS = 1200,
-  RUNNING = 10
+  CONCURRENT_REQUESTS = 10
 };
 
 static const escalation_options_t options = { .worth = 0.55,
@@ -23,69 +24,73 @@
                                               .poor_part = 0.05,
                                               .opinion_width = 5 };
 
-/* Time to the first event of the large model for a prompt of READ tokens at an
-   engine with nothing else.  */
+/* Return the time to the first event of the large model for a prompt of
+   PROMPT_TOKENS on an idle engine.  */
 static double
-large_ms (uint32_t read)
+large_wait_ms (uint32_t prompt_tokens)
 {
-  double x = read / 1000.0;
+  double x = prompt_tokens / 1000.0;
 
   return 65 + 26 * x + 0.5 * x * x;
 }
 
 static double
-small_ms (uint32_t read)
+small_wait_ms (uint32_t prompt_tokens)
 {
-  return 60 + (large_ms (read) - 65) / 10;
+  return 60 + (large_wait_ms (prompt_tokens) - 65) / 10;
 }
 
-/* Teach ESCALATION the waits of both models.  */
+/* Record times to the first event of the small and the large model, and then a
+   low pressure.  */
 static void
-teach (escalation_t *escalation, uint64_t seed)
+record_waits (escalation_t *escalation, uint64_t seed)
 {
   rng_t rng = rng_make (seed);
 
   for (int i = 0; i < 400; i++)
     {
-      uint32_t read
+      uint32_t prompt_tokens
           = 300 + (uint32_t)rng_below (&rng, 1 << rng_below (&rng, 15));
-      double extra = (double)rng_below (&rng, 40);
-      escalation_heard (escalation, SMALL, read,
-                        (uint64_t)(small_ms (read) + extra), OBJECTIVE_MS);
-      escalation_heard (escalation, LARGE, read,
-                        (uint64_t)(large_ms (read) + extra), OBJECTIVE_MS);
+      double noise_ms = (double)rng_below (&rng, 40);
+      escalation_heard (escalation, SMALL, prompt_tokens,
+                        (uint64_t)(small_wait_ms (prompt_tokens) + noise_ms),
+                        OBJECTIVE_MS);
+      escalation_heard (escalation, LARGE, prompt_tokens,
+                        (uint64_t)(large_wait_ms (prompt_tokens) + noise_ms),
+                        OBJECTIVE_MS);
     }
   for (int i = 0; i < 100; i++)
     escalation_heard (escalation, SMALL, 500, 100, OBJECTIVE_MS);
 }
 
-static const escalation_choice_t large_alone[]
-    = { { .model = LARGE, .cost = 0.25, .beside = RUNNING } };
-static const escalation_choice_t middle_too[]
-    = { { .model = MIDDLE, .cost = 0.12, .beside = RUNNING },
-        { .model = LARGE, .cost = 0.25, .beside = RUNNING } };
+static const escalation_choice_t large_only[]
+    = { { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
+static const escalation_choice_t middle_and_large[]
+    = { { .model = MIDDLE, .cost = 0.12, .beside = CONCURRENT_REQUESTS },
+        { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
 
-/* A draft, a question or a label of the usual size.  */
+/* Return a draft, which is a long request, with CONFIDENCE of the small model
+   in its answer.  */
 static escalation_case_t
-draft (uint32_t opinion)
+make_draft (uint32_t confidence)
 {
   return (escalation_case_t){ .model = SMALL,
                               .cost = 0.017,
                               .read = 12000,
                               .generated = 385,
                               .rank = 1,
-                              .opinion = opinion,
+                              .opinion = confidence,
                               .elapsed_ms = 150,
                               .objective_ms = OBJECTIVE_MS,
                               .pause_ms = PAUSE_MS,
-                              .choices = large_alone,
+                              .choices = large_only,
                               .choice_count = 1 };
 }
 
 static escalation_case_t
-question (uint32_t opinion)
+make_question (uint32_t confidence)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_case_t request = make_draft (confidence);
 
   request.read = 826;
   request.generated = 290;
@@ -94,9 +99,9 @@
 }
 
 static escalation_case_t
-label (uint32_t opinion)
+make_label (uint32_t confidence)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_case_t request = make_draft (confidence);
 
   request.read = 2368;
   request.generated = 21;
@@ -104,66 +109,71 @@
   return request;
 }
 
-/* The least opinion at which what MAKE gives is kept.  */
+/* Return the lowest confidence at which the answer to the request of MAKE is
+   kept; 101 if there is none.  */
 static uint32_t
-bar (escalation_t *escalation, escalation_case_t (*make) (uint32_t opinion))
+keep_threshold (escalation_t *escalation,
+                escalation_case_t (*make_request) (uint32_t confidence))
 {
-  for (uint32_t opinion = 0; opinion <= 100; opinion++)
+  for (uint32_t confidence = 0; confidence <= 100; confidence++)
     {
-      const escalation_case_t request = make (opinion);
+      const escalation_case_t request = make_request (confidence);
       if (escalation_choose (escalation, &request) == request.choice_count)
-        return opinion;
+        return confidence;
     }
   return 101;
 }
 
-/* What the large model takes is known within a tenth from a few hundred
-   answers.  */
-START_TEST (waits_are_learnt)
+/* After a few hundred answers the predicted time of the large model is within
+   a tenth of the actual time.  */
+START_TEST (waits_are_predicted)
 {
-  static const uint32_t reads[] = { 500, 4000, 12000, 30000 };
+  static const uint32_t prompt_sizes[] = { 500, 4000, 12000, 30000 };
 
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       escalation_t *escalation = escalation_create (&options);
       ck_assert_double_eq (escalation_wait_ms (escalation, LARGE, 500), 0);
-      teach (escalation, seed);
-      for (size_t i = 0; i < sizeof reads / sizeof reads[0]; i++)
+      record_waits (escalation, seed);
+      for (size_t i = 0; i < sizeof prompt_sizes / sizeof prompt_sizes[0]; i++)
         ck_assert_double_le (
-            fabs (escalation_wait_ms (escalation, LARGE, reads[i])
-                  - large_ms (reads[i]) - 20),
-            0.1 * large_ms (reads[i]));
+            fabs (escalation_wait_ms (escalation, LARGE, prompt_sizes[i])
+                  - large_wait_ms (prompt_sizes[i]) - 20),
+            0.1 * large_wait_ms (prompt_sizes[i]));
       escalation_destroy (escalation);
     }
 }
 END_TEST
 
-/* Worth and cost differ by kind: of three answers with the same opinion the
-   question, which is short and urgent, is asked again and the label, which
-   costs half of its worth, is kept.  */
-START_TEST (each_kind_has_its_own_bar)
+/* Failure: one confidence threshold for all requests.  The value and the cost
+   differ, so at the same confidence a question, which is short and urgent, is
+   escalated, and a label, whose escalation costs half of its value, is
+   kept.  */
+START_TEST (threshold_depends_on_value_and_cost)
 {
   escalation_t *escalation = escalation_create (&options);
 
-  teach (escalation, 1);
-  ck_assert_uint_gt (bar (escalation, question), bar (escalation, draft));
-  ck_assert_uint_gt (bar (escalation, draft), bar (escalation, label));
-  ck_assert_uint_gt (bar (escalation, label), 40);
-  ck_assert_uint_lt (bar (escalation, question), 70);
+  record_waits (escalation, 1);
+  ck_assert_uint_gt (keep_threshold (escalation, make_question),
+                     keep_threshold (escalation, make_draft));
+  ck_assert_uint_gt (keep_threshold (escalation, make_draft),
+                     keep_threshold (escalation, make_label));
+  ck_assert_uint_gt (keep_threshold (escalation, make_label), 40);
+  ck_assert_uint_lt (keep_threshold (escalation, make_question), 70);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* A prompt of 30,000 tokens: read again by the large model it would come after
-   its objective, and ten streams beside it would stand still for longer than
-   their callers bear.  The poor answer is kept.  Of a prompt a third as long
-   the same answer is dropped.  */
-START_TEST (what_would_come_late_is_kept)
+/* Failure: a long prompt is escalated, the answer is late, and ten concurrent
+   streams pause for longer than allowed.  The poor answer to a prompt of more
+   than 30,000 tokens must be kept; for a prompt a third as long the same
+   answer is replaced.  */
+START_TEST (answer_to_long_prompt_is_kept)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (10);
+  escalation_case_t request = make_draft (10);
 
-  teach (escalation, 1);
+  record_waits (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
   request.read = 40000;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
@@ -171,33 +181,33 @@
 }
 END_TEST
 
-/* The same prompt is worth reading where nothing runs beside it and its caller
-   waits longer.  */
-START_TEST (an_idle_engine_may_read_long_prompts)
+/* The same prompt is escalated on an idle engine and with a longer
+   objective.  */
+START_TEST (idle_engine_may_process_long_prompts)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (10);
+  escalation_case_t request = make_draft (10);
 
-  teach (escalation, 1);
+  record_waits (escalation, 1);
   request.read = 40000;
   request.objective_ms = 4 * OBJECTIVE_MS;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
-  escalation_choice_t alone = large_alone[0];
-  alone.beside = 0;
-  request.choices = &alone;
+  escalation_choice_t idle_large = large_only[0];
+  idle_large.beside = 0;
+  request.choices = &idle_large;
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* A caller has waited for most of its objective when the small model's answer
-   comes: another wait would make it late.  */
-START_TEST (a_late_drop_is_not_made)
+/* Failure: an escalation makes an answer late.  Most of the objective has
+   passed when the small model answers.  */
+START_TEST (no_escalation_when_answer_would_be_late)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (48);
+  escalation_case_t request = make_draft (48);
 
-  teach (escalation, 1);
+  record_waits (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
   request.elapsed_ms = 1900;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
@@ -206,52 +216,55 @@
 END_TEST
 
 static void
-press (escalation_t *escalation, int count, uint64_t wait_ms)
+record_small_waits (escalation_t *escalation, int count, uint64_t wait_ms)
 {
   for (int i = 0; i < count; i++)
     escalation_heard (escalation, SMALL, 500, wait_ms, OBJECTIVE_MS);
 }
 
-/* Half of the engines crash and callers' first events come after half of their
-   objective.  Second answers of the large model would fill the rest: within a
-   second's worth of answers only the least certain are still dropped, and as
-   few once the engines are back.  */
-START_TEST (pressed_engines_keep_doubtful_answers)
+/* Failure: second answers of the large model fill the remaining engines after
+   half of the engines crashed.  First events then take half of their
+   objective.  Within a second only answers of the lowest confidence may be
+   escalated, and the usual ones again once the engines are back.  */
+START_TEST (pressure_lowers_threshold)
 {
   escalation_t *escalation = escalation_create (&options);
 
-  teach (escalation, 1);
-  press (escalation, 20, 130);
-  uint32_t calm = bar (escalation, question);
-  press (escalation, 24, OBJECTIVE_MS / 2);
-  ck_assert_uint_lt (bar (escalation, question), calm * 2 / 3);
-  press (escalation, 40, OBJECTIVE_MS / 2);
-  ck_assert_uint_le (bar (escalation, question),
-                     calm - ESCALATION_PRESSED_POINTS);
-  press (escalation, 40, 130);
-  ck_assert_uint_ge (bar (escalation, question), calm - 2);
+  record_waits (escalation, 1);
+  record_small_waits (escalation, 20, 130);
+  uint32_t threshold = keep_threshold (escalation, make_question);
+  record_small_waits (escalation, 24, OBJECTIVE_MS / 2);
+  ck_assert_uint_lt (keep_threshold (escalation, make_question),
+                     threshold * 2 / 3);
+  record_small_waits (escalation, 40, OBJECTIVE_MS / 2);
+  ck_assert_uint_le (keep_threshold (escalation, make_question),
+                     threshold - ESCALATION_PRESSED_POINTS);
+  record_small_waits (escalation, 40, 130);
+  ck_assert_uint_ge (keep_threshold (escalation, make_question),
+                     threshold - 2);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* One first event is lost with its engine and counts as very late.  That alone
-   must not make callers of healthy engines take doubtful answers.  */
-START_TEST (one_stray_wait_changes_little)
+/* Failure: doubtful answers are kept on healthy engines because one first
+   event was lost with its engine and counts as very late.  */
+START_TEST (one_outlier_hardly_changes_threshold)
 {
   escalation_t *escalation = escalation_create (&options);
 
-  teach (escalation, 1);
-  press (escalation, 20, 130);
-  uint32_t calm = bar (escalation, question);
-  press (escalation, 1, 60000);
-  ck_assert_uint_gt (bar (escalation, question), calm * 3 / 4);
+  record_waits (escalation, 1);
+  record_small_waits (escalation, 20, 130);
+  uint32_t threshold = keep_threshold (escalation, make_question);
+  record_small_waits (escalation, 1, 60000);
+  ck_assert_uint_gt (keep_threshold (escalation, make_question),
+                     threshold * 3 / 4);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* Nothing was heard yet and requests tell no size: doubtful answers are
-   dropped and sure ones kept all the same.  */
-START_TEST (the_first_answers_are_judged_too)
+/* Without observations and without the size of a request, answers of low
+   confidence are replaced and answers of high confidence are kept.  */
+START_TEST (decides_without_observations)
 {
   escalation_t *escalation = escalation_create (&options);
   const escalation_choice_t large = { .model = LARGE };
@@ -265,74 +278,77 @@
 }
 END_TEST
 
-/* Teach ESCALATION that the middle model answers well what is harder by LEAD
-   points, from opinions that are wrong by some.  */
+/* Record noisy confidences by which the middle model exceeds the smallest one
+   by LEAD points.  */
 static void
-compare (escalation_t *escalation, uint32_t lead, uint64_t seed)
+record_comparisons (escalation_t *escalation, uint32_t lead, uint64_t seed)
 {
   rng_t rng = rng_make (seed);
 
   for (int i = 0; i < 100; i++)
     {
-      uint32_t first = 35 + (uint32_t)rng_below (&rng, 20);
-      escalation_compared (escalation, MIDDLE, first,
-                           first + lead + (uint32_t)rng_below (&rng, 21) - 10);
+      uint32_t smallest_confidence = 35 + (uint32_t)rng_below (&rng, 20);
+      escalation_compared (escalation, MIDDLE, smallest_confidence,
+                           smallest_confidence + lead
+                               + (uint32_t)rng_below (&rng, 21) - 10);
     }
 }
 
-/* What OPINION of the smallest model on a draft leads to: 0 and 1 for the
-   middle and the largest one, 2 when the answer is kept.  */
+/* Return the choice for a draft with CONFIDENCE of the smallest model: 0 is
+   the middle model, 1 the largest one, 2 means that the answer is kept.  */
 static size_t
-next (escalation_t *escalation, uint32_t opinion)
+choose_for_draft (escalation_t *escalation, uint32_t confidence)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_case_t request = make_draft (confidence);
 
-  request.choices = middle_too;
+  request.choices = middle_and_large;
   request.choice_count = 2;
   return escalation_choose (escalation, &request);
 }
 
-/* Requests that are a little too hard for the smallest model go to the largest
-   at twice the cost of the middle one, which answers them well.  */
-START_TEST (the_middle_model_gets_what_is_a_little_too_hard)
+/* Failure: requests that are a little too hard for the smallest model go to
+   the largest one, at twice the cost of the middle model, which answers them
+   well.  */
+START_TEST (middle_model_gets_slightly_hard_requests)
 {
   escalation_t *escalation = escalation_create (&options);
 
-  teach (escalation, 1);
-  compare (escalation, 14, 1);
+  record_waits (escalation, 1);
+  record_comparisons (escalation, 14, 1);
   ck_assert_double_le (fabs (escalation_lead (escalation, MIDDLE) - 14), 2);
-  ck_assert_uint_eq (next (escalation, 10), 1);
-  ck_assert_uint_eq (next (escalation, 50), 0);
-  ck_assert_uint_eq (next (escalation, 80), 2);
+  ck_assert_uint_eq (choose_for_draft (escalation, 10), 1);
+  ck_assert_uint_eq (choose_for_draft (escalation, 50), 0);
+  ck_assert_uint_eq (choose_for_draft (escalation, 80), 2);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* A middle model that answers no better than the smallest one gets nothing,
-   once that has been seen.  */
-START_TEST (a_middle_model_that_is_no_better_gets_nothing)
+/* Failure: requests are escalated to a middle model although the recorded
+   confidences show that it is no better than the smallest one.  */
+START_TEST (middle_model_without_lead_gets_no_requests)
 {
   escalation_t *escalation = escalation_create (&options);
 
-  teach (escalation, 1);
-  compare (escalation, 0, 1);
-  for (uint32_t opinion = 0; opinion <= 100; opinion++)
-    ck_assert_uint_ne (next (escalation, opinion), 0);
+  record_waits (escalation, 1);
+  record_comparisons (escalation, 0, 1);
+  for (uint32_t confidence = 0; confidence <= 100; confidence++)
+    ck_assert_uint_ne (choose_for_draft (escalation, confidence), 0);
   escalation_destroy (escalation);
 }
 END_TEST
 
-/* The middle model doubts its answer by chance: the opinion of the smallest
-   one, by its lead, still speaks for it.  */
-START_TEST (two_opinions_say_more_than_one)
+/* Failure: a good answer of the middle model is replaced because of a single
+   low confidence.  The confidence of the smallest model plus the lead counts
+   too.  */
+START_TEST (both_confidences_count)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (50);
+  escalation_case_t request = make_draft (50);
 
-  teach (escalation, 1);
-  compare (escalation, 14, 1);
+  record_waits (escalation, 1);
+  record_comparisons (escalation, 14, 1);
   request.model = MIDDLE;
-  request.cost = middle_too[0].cost;
+  request.cost = middle_and_large[0].cost;
   ck_assert_uint_eq (escalation_choose (escalation, &request), 0);
   request.has_first = true;
   request.first = 48;
@@ -349,17 +365,17 @@
   Suite *suite = suite_create ("escalation");
   TCase *tcase = tcase_create ("escalation");
 
-  tcase_add_test (tcase, waits_are_learnt);
-  tcase_add_test (tcase, each_kind_has_its_own_bar);
-  tcase_add_test (tcase, what_would_come_late_is_kept);
-  tcase_add_test (tcase, an_idle_engine_may_read_long_prompts);
-  tcase_add_test (tcase, a_late_drop_is_not_made);
-  tcase_add_test (tcase, pressed_engines_keep_doubtful_answers);
-  tcase_add_test (tcase, one_stray_wait_changes_little);
-  tcase_add_test (tcase, the_first_answers_are_judged_too);
-  tcase_add_test (tcase, the_middle_model_gets_what_is_a_little_too_hard);
-  tcase_add_test (tcase, a_middle_model_that_is_no_better_gets_nothing);
-  tcase_add_test (tcase, two_opinions_say_more_than_one);
+  tcase_add_test (tcase, waits_are_predicted);
+  tcase_add_test (tcase, threshold_depends_on_value_and_cost);
+  tcase_add_test (tcase, answer_to_long_prompt_is_kept);
+  tcase_add_test (tcase, idle_engine_may_process_long_prompts);
+  tcase_add_test (tcase, no_escalation_when_answer_would_be_late);
+  tcase_add_test (tcase, pressure_lowers_threshold);
+  tcase_add_test (tcase, one_outlier_hardly_changes_threshold);
+  tcase_add_test (tcase, decides_without_observations);
+  tcase_add_test (tcase, middle_model_gets_slightly_hard_requests);
+  tcase_add_test (tcase, middle_model_without_lead_gets_no_requests);
+  tcase_add_test (tcase, both_confidences_count);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -1,6 +1,6 @@
-/* Tests of the concurrency limit.  The upstream is a formula: a job of UNITS
-   takes UNITS * unit_us while no more than SLOTS run, and longer in proportion
-   beyond that.  */
+/* Tests of the concurrency limit.  The upstream is simulated: a job of UNITS
+   takes UNITS * unit_us while at most SLOTS jobs run, and longer in proportion
+   to the number of jobs above SLOTS.  */
 
 #include "policy/limit.h"
 
@@ -13,7 +13,7 @@
 };
 
 static const uint64_t warm_unit_us = 1000;
-/* What a job of UNITS takes on an upstream that is not full.  */
+/* Latency of a job of UNITS on a warm upstream that is not full.  */
 static const uint64_t job_us = 100000;
 
 typedef struct
@@ -42,8 +42,8 @@
   clock_manual_destroy (upstream.clock);
 }
 
-/* Send as many jobs of UNITS as the limit lets through, let them all end, and
-   return how many there were.  */
+/* Run as many jobs of UNITS as the limit admits until all have ended.  Return
+   the number of jobs.  */
 static uint32_t
 run_batch (uint32_t units)
 {
@@ -61,7 +61,7 @@
   return n;
 }
 
-START_TEST (starts_low_and_doubles)
+START_TEST (slow_start_doubles_each_round)
 {
   static const uint32_t expected[] = { 2, 4, 8, 16 };
 
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-START_TEST (settles_where_latency_rises)
+START_TEST (settles_at_rise_of_latency)
 {
   for (int i = 0; i < 100; i++)
     run_batch (UNITS);
@@ -83,40 +83,42 @@
 }
 END_TEST
 
-/* An engine carries four jobs and slows with the square of what is beyond.
-   Slow start doubles from four to eight, which reads as coldness, and falls
-   back; doing so again and again, the upstream would run at half of what it
-   carries and every eighth job would take four times as long.  */
-START_TEST (overshoot_is_not_repeated)
+/* Failure: the limit oscillates below the capacity of the upstream.  The
+   engine runs four jobs and slows with the square of the number of jobs above
+   four.  Slow start doubles from four to eight, the latency looks like that of
+   a cold engine, and the limit is reset.  Repeated for ever, the upstream
+   would run at half of its capacity and every eighth job would take four times
+   as long.  */
+START_TEST (overshoot_happens_only_once)
 {
   enum
   {
-    CARRIED = 4,
+    CAPACITY = 4,
     ROUNDS = 60
   };
-  int falls = 0;
+  int resets = 0;
 
   upstream.slots = 0;
   for (int i = 0; i < ROUNDS; i++)
     {
       uint32_t slots = limit_slots (upstream.limit);
-      uint64_t excess = slots > CARRIED ? slots : CARRIED;
+      uint64_t concurrency = slots > CAPACITY ? slots : CAPACITY;
 
-      upstream.unit_us = warm_unit_us * excess * excess / (CARRIED * CARRIED);
+      upstream.unit_us
+          = warm_unit_us * concurrency * concurrency / (CAPACITY * CAPACITY);
       run_batch (UNITS);
       if (slots > LIMIT_START
           && limit_slots (upstream.limit) == (uint32_t)LIMIT_START)
-        falls++;
+        resets++;
     }
-  ck_assert_int_eq (falls, 1);
-  ck_assert_uint_ge (limit_slots (upstream.limit), CARRIED - 1);
+  ck_assert_int_eq (resets, 1);
+  ck_assert_uint_ge (limit_slots (upstream.limit), CAPACITY - 1);
 }
 END_TEST
 
-/* An operator gives an upstream a fixed number of slots.  Taken for one that
-   is held low, it would never be judged by its latency, and a slow one would
-   never be ejected.  */
-START_TEST (a_fixed_limit_never_warms)
+/* Failure: a slow upstream with a fixed number of slots is never ejected.  If
+   its limit counted as warming up, its latency would be ignored.  */
+START_TEST (fixed_limit_is_never_warming_up)
 {
   const limit_config_t fixed = { .start = 4, .max = 4 };
 
@@ -129,11 +131,11 @@
 }
 END_TEST
 
-/* A warm upstream loses its cache and carries two jobs where it carried
-   sixteen.  Callers would see a wave of time-outs if the full batch went on.
-   The limit must be back at the start after three slow samples, not at the end
-   of the round, and full again a few rounds after the engine is.  */
-START_TEST (falls_back_at_once_when_cold)
+/* Failure: a batch of requests times out.  A warm upstream loses its cache and
+   runs two jobs where it ran sixteen.  The limit must return to its start
+   value after three slow samples, not at the end of the round, and must reach
+   its old value a few rounds after the engine is warm again.  */
+START_TEST (cold_engine_resets_limit_at_once)
 {
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
@@ -148,7 +150,7 @@
   while (limit_in_flight (upstream.limit) > 0)
     limit_release (upstream.limit, job_us * 8, UNITS, true);
 
-  /* Still cold: it stays low however long that takes.  */
+  /* While the engine stays cold, the limit stays at its start value.  */
   upstream.unit_us = warm_unit_us * 4;
   for (int i = 0; i < 30; i++)
     ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
@@ -159,10 +161,10 @@
 }
 END_TEST
 
-/* Drafts of minutes and questions of a second share an upstream.  If latency
-   were not taken by cost, the first draft after some questions would look
-   like a cold turn, and callers would be refused by an idle upstream.  */
-START_TEST (long_jobs_are_no_slowness)
+/* Failure: an idle upstream refuses requests.  Jobs of minutes and jobs of a
+   second share the upstream; if the latency were not divided by the cost, the
+   first long job after some short ones would look like a cold engine.  */
+START_TEST (long_jobs_do_not_count_as_slow)
 {
   for (int i = 0; i < 20; i++)
     run_batch (i % 3 == 2 ? UNITS * 50 : UNITS);
@@ -170,7 +172,7 @@
 }
 END_TEST
 
-START_TEST (progress_shows_coldness_before_the_end)
+START_TEST (progress_detects_cold_engine_before_job_ends)
 {
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
@@ -182,7 +184,7 @@
 }
 END_TEST
 
-START_TEST (errors_in_a_row_fall_back_single_ones_do_not)
+START_TEST (only_consecutive_errors_reset_limit)
 {
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
@@ -201,9 +203,10 @@
 }
 END_TEST
 
-/* At night one job at a time runs, always at its best.  Were the limit to
-   grow on that, the morning's first burst would meet no limit at all.  */
-START_TEST (does_not_grow_unused)
+/* Failure: a burst after an idle period is not limited.  While one job runs at
+   a time the latency is always at its best; if the limit grew on that, it
+   would be far above the capacity when the burst arrives.  */
+START_TEST (unused_limit_does_not_grow)
 {
   for (int i = 0; i < 100; i++)
     {
@@ -211,14 +214,15 @@
       clock_manual_advance_us (upstream.clock, job_us);
       limit_release (upstream.limit, job_us, UNITS, true);
     }
-  /* Twice what is in use, and a step.  */
+  /* Twice the slots in use, and one step.  */
   ck_assert_uint_le (limit_slots (upstream.limit), 3);
 }
 END_TEST
 
-/* A new upstream in a half idle pool has one job at a time, as balance uses
-   all equally.  Left at its start it would never take its part.  */
-START_TEST (grows_when_half_used)
+/* Failure: a new upstream in a half idle pool never takes its share.  The
+   balancer keeps the utilization of all upstreams equal, so the new one has a
+   single job at a time and its limit would stay at the start value.  */
+START_TEST (half_used_limit_grows)
 {
   while (limit_slots (upstream.limit) < SLOTS / 2)
     {
@@ -234,26 +238,28 @@
 }
 END_TEST
 
-/* Run ROUNDS with N jobs in flight, or what the limit allows.  */
+/* Run ROUNDS rounds of N concurrent jobs each, or fewer if the limit is lower.
+ */
 static void
-run_few (uint32_t n, int rounds)
+run_rounds (uint32_t n, int rounds)
 {
   for (int i = 0; i < rounds; i++)
     {
-      uint32_t taken = 0;
+      uint32_t acquired = 0;
 
-      while (taken < n && limit_acquire (upstream.limit) == VH_OK)
-        taken++;
+      while (acquired < n && limit_acquire (upstream.limit) == VH_OK)
+        acquired++;
       clock_manual_advance_us (upstream.clock, upstream.unit_us * UNITS);
-      for (; taken > 0; taken--)
+      for (; acquired > 0; acquired--)
         limit_release (upstream.limit, upstream.unit_us * UNITS, UNITS, true);
     }
 }
 
-/* A new upstream is cold for its first rounds, and its limit meets the rise of
-   a cold engine.  Once it is warm it must double again, also when only half
-   used; without that it would crawl up by half slots.  */
-START_TEST (doubles_again_when_warm)
+/* Failure: the limit of a new upstream grows by half slots only.  The upstream
+   is cold in its first rounds, so latency rises early and ends slow start.
+   Once the upstream is warm the limit must double again, even at half
+   utilization.  */
+START_TEST (limit_doubles_again_once_warm)
 {
   upstream.unit_us = warm_unit_us * 5;
   upstream.slots = 2;
@@ -266,17 +272,17 @@
   ck_assert (limit_slots (upstream.limit) < SLOTS / 2);
   upstream.unit_us = warm_unit_us;
   upstream.slots = SLOTS;
-  run_few (3, 6);
+  run_rounds (3, 6);
   ck_assert_uint_ge (limit_slots (upstream.limit), 6);
 }
 END_TEST
 
-/* An upstream that was warm starts its limit anew with the best it knows, so
-   it may double when half used; one just started may not, as it could be
-   cold.  */
-START_TEST (half_use_doubles_only_what_was_warm)
+/* After a reset, an upstream that was warm keeps its best latency, so its
+   limit may double at half utilization.  An upstream that was just started may
+   be cold, so its limit may not.  */
+START_TEST (half_use_doubles_only_after_warm_period)
 {
-  run_few (1, 6);
+  run_rounds (1, 6);
   ck_assert_uint_le (limit_slots (upstream.limit), 3);
   for (int i = 0; i < 10; i++)
     run_batch (UNITS);
@@ -286,13 +292,14 @@
     limit_release (upstream.limit, job_us * 20, UNITS, true);
   ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
   ck_assert (limit_warming (upstream.limit));
-  run_few (1, 6);
+  run_rounds (1, 6);
   ck_assert_uint_eq (limit_slots (upstream.limit), 4);
 }
 END_TEST
 
-/* Jobs of a millisecond end before the engine feels what is sent to it.  */
-START_TEST (short_jobs_do_not_rush_it)
+/* Failure: the limit doubles before the load affects the engine, because jobs
+   of a millisecond end sooner.  */
+START_TEST (short_jobs_do_not_double_limit_early)
 {
   for (int i = 0; i < 10; i++)
     run_batch (1);
@@ -303,11 +310,12 @@
 }
 END_TEST
 
-/* A machine is throttled for good: twice the latency from now on.  That is
-   not coldness, and must be learned, if only in minutes.  */
-START_TEST (lasting_change_is_learned)
+/* Failure: an upstream stays at the start value for ever.  The machine is
+   throttled and has twice the latency from now on, which is no cold cache and
+   must become the new best latency within minutes.  */
+START_TEST (lasting_slowdown_is_adopted)
 {
-  uint64_t begin_us;
+  uint64_t start_us;
 
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
@@ -315,17 +323,17 @@
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
   ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
-  begin_us = clock_us (upstream.clock);
+  start_us = clock_us (upstream.clock);
   while (limit_slots (upstream.limit) < SLOTS)
     run_batch (UNITS);
-  ck_assert_uint_le (clock_us (upstream.clock) - begin_us, 600000000);
+  ck_assert_uint_le (clock_us (upstream.clock) - start_us, 600000000);
 }
 END_TEST
 
-/* One round of odd jobs answers at a third of the usual time.  Taken for the
-   new measure at once, all that follows would look slow, and the limit fall
-   to its start.  */
-START_TEST (one_odd_round_is_no_measure)
+/* Failure: one round of unusual jobs with a low latency resets the limit.  If
+   that latency became the best latency at once, all later jobs would look
+   slow.  */
+START_TEST (one_fast_round_does_not_reset_limit)
 {
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
@@ -338,7 +346,7 @@
 }
 END_TEST
 
-START_TEST (restart_forgets_and_bound_holds)
+START_TEST (restart_resets_limit_and_maximum_holds)
 {
   limit_config_t config = { .max = 6 };
   limit_t *limit = limit_create (&config, upstream.clock);
@@ -348,7 +356,8 @@
   limit_restart (upstream.limit);
   ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
   ck_assert (limit_warming (upstream.limit));
-  /* What was started is slower by nature; that is no coldness.  */
+  /* After a restart the best latency is unknown, so a slower engine does not
+     count as cold.  */
   limit_restart (upstream.limit);
   upstream.unit_us = warm_unit_us * 5;
   for (int i = 0; i < 4; i++)
@@ -375,22 +384,22 @@
   TCase *tcase = tcase_create ("limit");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, starts_low_and_doubles);
-  tcase_add_test (tcase, settles_where_latency_rises);
-  tcase_add_test (tcase, falls_back_at_once_when_cold);
-  tcase_add_test (tcase, long_jobs_are_no_slowness);
-  tcase_add_test (tcase, progress_shows_coldness_before_the_end);
-  tcase_add_test (tcase, errors_in_a_row_fall_back_single_ones_do_not);
-  tcase_add_test (tcase, does_not_grow_unused);
-  tcase_add_test (tcase, grows_when_half_used);
-  tcase_add_test (tcase, doubles_again_when_warm);
-  tcase_add_test (tcase, half_use_doubles_only_what_was_warm);
-  tcase_add_test (tcase, short_jobs_do_not_rush_it);
-  tcase_add_test (tcase, lasting_change_is_learned);
-  tcase_add_test (tcase, one_odd_round_is_no_measure);
-  tcase_add_test (tcase, restart_forgets_and_bound_holds);
-  tcase_add_test (tcase, a_fixed_limit_never_warms);
-  tcase_add_test (tcase, overshoot_is_not_repeated);
+  tcase_add_test (tcase, slow_start_doubles_each_round);
+  tcase_add_test (tcase, settles_at_rise_of_latency);
+  tcase_add_test (tcase, cold_engine_resets_limit_at_once);
+  tcase_add_test (tcase, long_jobs_do_not_count_as_slow);
+  tcase_add_test (tcase, progress_detects_cold_engine_before_job_ends);
+  tcase_add_test (tcase, only_consecutive_errors_reset_limit);
+  tcase_add_test (tcase, unused_limit_does_not_grow);
+  tcase_add_test (tcase, half_used_limit_grows);
+  tcase_add_test (tcase, limit_doubles_again_once_warm);
+  tcase_add_test (tcase, half_use_doubles_only_after_warm_period);
+  tcase_add_test (tcase, short_jobs_do_not_double_limit_early);
+  tcase_add_test (tcase, lasting_slowdown_is_adopted);
+  tcase_add_test (tcase, one_fast_round_does_not_reset_limit);
+  tcase_add_test (tcase, restart_resets_limit_and_maximum_holds);
+  tcase_add_test (tcase, fixed_limit_is_never_warming_up);
+  tcase_add_test (tcase, overshoot_happens_only_once);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -1,4 +1,5 @@
-/* Tests of learned quality and of the mergeable sums below it.  */
+/* Tests of the learned quality and of the mergeable sums that it is stored
+   in.  */
 
 #include "base/rng.h"
 #include "policy/evidence.h"
@@ -12,7 +13,8 @@
 #define HOUR_MS ((uint64_t)60 * 60 * 1000)
 #define START_MS ((uint64_t)1700000000000)
 
-/* A rating around MEAN, spread 0.15, within 0 and 1.  */
+/* Return a rating around MEAN with a standard deviation of 0.15, clipped to 0
+   to 1.  */
 static double
 rating_near (rng_t *rng, double mean)
 {
@@ -22,7 +24,7 @@
 }
 
 static quality_t *
-make (uint64_t writer)
+make_quality (uint64_t writer)
 {
   return quality_create (writer, &QUALITY_SAMPLING_DEFAULT);
 }
@@ -42,7 +44,8 @@
 }
 
 static void
-deliver (const quality_t *from, bool own_only, quality_t *to, uint64_t now_ms)
+send_state (const quality_t *from, bool own_only, quality_t *to,
+            uint64_t now_ms)
 {
   buf_t bytes = BUF_NULL;
 
@@ -51,9 +54,9 @@
   buf_free (&bytes);
 }
 
-START_TEST (prior_alone_before_evidence)
+START_TEST (posterior_is_prior_without_ratings)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   quality_bound_t b
       = quality_get (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
 
@@ -64,10 +67,10 @@
 }
 END_TEST
 
-/* The lower bound is said to hold 95 times in 100.  Over many seeds and
-   several counts of ratings the true mean must lie below it in about 5%, and
-   never in more than 8%.  */
-START_TEST (lower_bound_covers_the_mean)
+/* Failure: the lower bound is wrong more often than in 5 of 100 cases.  Over
+   many seeds and several numbers of ratings the true mean is expected below
+   the bound in about 5%, and must not be there in more than 8%.  */
+START_TEST (lower_bound_has_stated_coverage)
 {
   enum
   {
@@ -89,7 +92,7 @@
               sum += r;
               squares += r * r;
             }
-          /* The prior is right on average only.  */
+          /* The prior is correct only on average.  */
           double prior = 0.55 + 0.4 * rng_double (&rng);
           quality_bound_t b = quality_posterior (
               counts[c], sum, squares, prior, QUALITY_PRIOR_VARIANCE);
@@ -100,9 +103,9 @@
 }
 END_TEST
 
-START_TEST (task_classes_are_apart)
+START_TEST (task_classes_are_independent)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   rng_t rng = rng_make (3);
 
   for (int i = 0; i < 300; i++)
@@ -122,12 +125,12 @@
 }
 END_TEST
 
-/* The rating service stops for a day.  A version that was well known must be
-   trusted less and less, and its bound fall towards the prior's, while its
-   mean does not jump.  */
-START_TEST (stale_evidence_widens_the_bound)
+/* Failure: outdated ratings are still trusted after the rating service was
+   down for a day.  The bound of the version must widen towards that of the
+   prior while the mean does not jump.  */
+START_TEST (outdated_ratings_widen_bound)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   rng_t rng = rng_make (5);
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
@@ -144,34 +147,35 @@
       ck_assert_double_eq_tol (b.mean, before.mean, 0.06);
       width = b.mean - b.lower;
     }
-  quality_bound_t gone
+  quality_bound_t forgotten
       = quality_get (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
-  ck_assert_double_eq (gone.weight, 0);
-  ck_assert_double_eq_tol (gone.mean, 0.6, 1e-9);
+  ck_assert_double_eq (forgotten.weight, 0);
+  ck_assert_double_eq_tol (forgotten.mean, 0.6, 1e-9);
   quality_destroy (q);
 }
 END_TEST
 
-/* For one hour the rating service answers 0 to everything, at five times the
-   usual rate.  The posterior of a good version may sink by the clip at most
-   and must come back within hours.  */
-START_TEST (wrong_batch_is_clipped)
+/* Failure: a wrong rating service ruins the quality of a good version.  For
+   one hour the service returns 0 for every answer, at five times the usual
+   rate.  The mean may fall by QUALITY_CLIP at most and must recover within
+   hours.  */
+START_TEST (wrong_epochs_are_clipped)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   rng_t rng = rng_make (8);
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
   uint64_t now = START_MS;
 
-  for (int half = 0; half < 12; half++, now += HOUR_MS / 2)
+  for (int half_hour = 0; half_hour < 12; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
       quality_add (q, task, version, rating_near (&rng, 0.9), now);
-  for (int half = 0; half < 2; half++, now += HOUR_MS / 2)
+  for (int half_hour = 0; half_hour < 2; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 300; i++)
       quality_add (q, task, version, 0, now);
-  quality_bound_t wrong = quality_get (q, task, version, 0.6, now);
-  ck_assert_double_gt (wrong.mean, 0.9 - QUALITY_CLIP);
-  for (int half = 0; half < 12; half++, now += HOUR_MS / 2)
+  quality_bound_t during_fault = quality_get (q, task, version, 0.6, now);
+  ck_assert_double_gt (during_fault.mean, 0.9 - QUALITY_CLIP);
+  for (int half_hour = 0; half_hour < 12; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
       quality_add (q, task, version, rating_near (&rng, 0.9), now);
   ck_assert_double_gt (quality_get (q, task, version, 0.6, now).mean, 0.8);
@@ -179,9 +183,9 @@
 }
 END_TEST
 
-START_TEST (nonsense_ratings_are_refused_or_clipped)
+START_TEST (invalid_ratings_are_refused_or_clipped)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
 
@@ -194,10 +198,10 @@
 }
 END_TEST
 
-/* Entries gossip late, twice and in any order.  Whatever the order and
-   however often each message arrives, all must end in the same state, byte
-   for byte, and it must hold each rating once.  */
-START_TEST (merge_order_and_redelivery_do_not_matter)
+/* Failure: processes disagree after gossip that is late, repeated or
+   reordered.  In whatever order and however often the messages arrive, the
+   final states must be equal byte for byte and contain each rating once.  */
+START_TEST (merge_ignores_order_and_repetition)
 {
   enum
   {
@@ -213,7 +217,7 @@
       double sum = 0;
       double count = 0;
       for (uint64_t w = 0; w < WRITERS; w++)
-        writers[w] = make (w + 1);
+        writers[w] = make_quality (w + 1);
       for (int m = 0; m < MESSAGES; m++)
         {
           quality_t *q = writers[m % WRITERS];
@@ -227,8 +231,8 @@
           messages[m] = BUF_NULL;
           quality_write (q, true, &messages[m]);
         }
-      quality_t *ordered = make (90);
-      quality_t *shuffled = make (91);
+      quality_t *ordered = make_quality (90);
+      quality_t *shuffled = make_quality (91);
       for (int m = 0; m < MESSAGES; m++)
         quality_merge (ordered, buf_str (&messages[m]), START_MS);
       for (int m = 0; m < MESSAGES * 4; m++)
@@ -255,15 +259,15 @@
 }
 END_TEST
 
-/* A lease holder folds closed epochs while an entry still gossips its old
-   cells.  The folded sums must win, the old cells must not count again, and
-   a process that learns things in the other order must agree.  */
-START_TEST (settled_epochs_do_not_count_twice)
+/* Failure: ratings count twice.  A lease holder folds closed epochs while
+   another process still gossips its old cells.  The folded sums must replace
+   the old cells, also in a process that receives both in the other order.  */
+START_TEST (folded_epochs_do_not_count_twice)
 {
-  quality_t *a = make (1);
-  quality_t *b = make (2);
-  quality_t *c = make (3);
-  buf_t late = BUF_NULL;
+  quality_t *a = make_quality (1);
+  quality_t *b = make_quality (2);
+  quality_t *c = make_quality (3);
+  buf_t delayed = BUF_NULL;
   uint64_t later = START_MS + 2 * HOUR_MS;
 
   for (int i = 0; i < 100; i++)
@@ -271,69 +275,73 @@
       quality_add (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
       quality_add (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
     }
-  quality_write (a, true, &late);
-  deliver (a, true, b, later);
+  quality_write (a, true, &delayed);
+  send_state (a, true, b, later);
   quality_settle (b, 7, later);
-  deliver (b, false, c, later);
-  quality_merge (c, buf_str (&late), later);
-  quality_merge (b, buf_str (&late), later);
-  deliver (b, false, a, later);
+  send_state (b, false, c, later);
+  quality_merge (c, buf_str (&delayed), later);
+  quality_merge (b, buf_str (&delayed), later);
+  send_state (b, false, a, later);
   ck_assert (same_state (a, b));
   ck_assert (same_state (b, c));
   quality_bound_t bound
       = quality_get (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
   ck_assert_double_eq_tol (bound.weight, 200, 1e-9);
   ck_assert_double_eq_tol (bound.mean, 0.7, 1e-6);
-  buf_free (&late);
+  buf_free (&delayed);
   quality_destroy (a);
   quality_destroy (b);
   quality_destroy (c);
 }
 END_TEST
 
-/* A lease passes on while its old holder still folds an epoch.  Both results
-   travel; the later lease's must win in whatever order they arrive, also
-   where the writers' own cells were known before.  */
-START_TEST (later_lease_wins)
+/* Failure: processes keep different folds of an epoch.  A lease changes its
+   holder while the old holder still folds the epoch, and both results are
+   gossiped.  The result of the later lease must replace the other one in
+   either order, also in a process that already has the original cells.  */
+START_TEST (fold_of_later_lease_replaces_earlier_one)
 {
-  quality_t *writer = make (1);
-  quality_t *old = make (2);
-  quality_t *next = make (3);
+  quality_t *writer = make_quality (1);
+  quality_t *old_holder = make_quality (2);
+  quality_t *new_holder = make_quality (3);
   uint64_t later = START_MS + 2 * HOUR_MS;
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
 
   for (int i = 0; i < 100; i++)
     quality_add (writer, task, version, 0.8, START_MS);
-  deliver (writer, true, old, START_MS);
+  send_state (writer, true, old_holder, START_MS);
   for (int i = 0; i < 50; i++)
     quality_add (writer, task, version, 0.8, START_MS);
-  deliver (writer, true, next, START_MS);
-  quality_settle (old, 7, later);
-  quality_settle (next, 8, later);
+  send_state (writer, true, new_holder, START_MS);
+  quality_settle (old_holder, 7, later);
+  quality_settle (new_holder, 8, later);
   for (int order = 0; order < 2; order++)
     {
-      quality_t *seen = make (4);
-      deliver (writer, true, seen, later);
-      deliver (order == 0 ? old : next, false, seen, later);
-      deliver (order == 0 ? next : old, false, seen, later);
-      ck_assert (same_state (seen, next));
+      quality_t *receiver = make_quality (4);
+      send_state (writer, true, receiver, later);
+      send_state (order == 0 ? old_holder : new_holder, false, receiver,
+                  later);
+      send_state (order == 0 ? new_holder : old_holder, false, receiver,
+                  later);
+      ck_assert (same_state (receiver, new_holder));
       ck_assert_double_eq_tol (
-          quality_get (seen, task, version, 0.7, START_MS).weight, 150, 1e-9);
-      quality_destroy (seen);
+          quality_get (receiver, task, version, 0.7, START_MS).weight, 150,
+          1e-9);
+      quality_destroy (receiver);
     }
   quality_destroy (writer);
-  quality_destroy (old);
-  quality_destroy (next);
+  quality_destroy (old_holder);
+  quality_destroy (new_holder);
 }
 END_TEST
 
-/* A peer sends a cut or altered message.  It is refused whole; what was
-   known stays.  */
-START_TEST (malformed_messages_change_nothing)
+/* Failure: a truncated or altered message of a peer changes the state.  It
+   must be refused as a whole.  */
+START_TEST (malformed_messages_do_not_change_state)
 {
-  quality_t *a = make (1);
-  quality_t *b = make (2);
+  quality_t *a = make_quality (1);
+  quality_t *b = make_quality (2);
   buf_t bytes = BUF_NULL;
   rng_t rng = rng_make (17);
 
@@ -353,10 +361,10 @@
   for (int i = 0; i < 2000; i++)
     {
       size_t at = rng_below (&rng, bytes.len);
-      char kept = bytes.ptr[at];
+      char original = bytes.ptr[at];
       bytes.ptr[at] = (char)rng_u64 (&rng);
       quality_merge (b, buf_str (&bytes), START_MS);
-      bytes.ptr[at] = kept;
+      bytes.ptr[at] = original;
     }
   buf_free (&bytes);
   quality_destroy (a);
@@ -364,9 +372,10 @@
 }
 END_TEST
 
-/* Memory is fixed: more cells than fit must forget the oldest epoch whole
-   and keep the newest sums right.  */
-START_TEST (full_cells_forget_the_oldest_epoch)
+/* Failure: sums are wrong when more cells arrive than fit in the fixed memory.
+   The oldest epoch must be dropped as a whole, and the newest sums must stay
+   correct.  */
+START_TEST (full_memory_drops_oldest_epoch)
 {
   const evidence_options_t options = { .writer = 1,
                                        .epoch_ms = 1000,
@@ -391,35 +400,36 @@
 }
 END_TEST
 
-/* Entries gossip every second.  What they send must not grow with what they
-   keep: a message for peers holds the last epochs, the whole state all.  */
-START_TEST (gossip_holds_the_news_only)
+/* Failure: the gossip sent every second grows with the stored state.  A
+   message to peers must contain only the last epochs, while the full state
+   contains all.  */
+START_TEST (gossip_contains_recent_epochs_only)
 {
-  quality_t *a = make (1);
-  quality_t *b = make (2);
-  buf_t news = BUF_NULL;
-  buf_t all = BUF_NULL;
+  quality_t *a = make_quality (1);
+  quality_t *b = make_quality (2);
+  buf_t recent = BUF_NULL;
+  buf_t full = BUF_NULL;
   uint64_t now = START_MS;
 
-  for (int half = 0; half < 40; half++, now += HOUR_MS / 2)
+  for (int half_hour = 0; half_hour < 40; half_hour++, now += HOUR_MS / 2)
     {
       quality_add (a, STR ("draft"), STR ("small@1"), 0.8, now);
-      deliver (a, true, b, now);
+      send_state (a, true, b, now);
     }
-  quality_write (a, true, &news);
-  quality_write (a, false, &all);
-  ck_assert_uint_lt (news.len, all.len / 5);
+  quality_write (a, true, &recent);
+  quality_write (a, false, &full);
+  ck_assert_uint_lt (recent.len, full.len / 5);
   ck_assert (same_state (a, b));
-  buf_free (&news);
-  buf_free (&all);
+  buf_free (&recent);
+  buf_free (&full);
   quality_destroy (a);
   quality_destroy (b);
 }
 END_TEST
 
-START_TEST (keys_beyond_the_most_are_refused)
+START_TEST (series_above_maximum_are_refused)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   char name[16];
 
   for (int i = 0; i < QUALITY_SERIES_MAX + 10; i++)
@@ -434,39 +444,40 @@
 }
 END_TEST
 
-/* The sampling rule: never above the share, never above the rate, and a
-   version that is well known takes less of the rating service.  */
+/* Failure: sampling overloads the rating service.  It must stay below the
+   share and the rate, and a version with many ratings must be sampled less. */
 START_TEST (sampling_is_bounded)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
   rng_t rng = rng_make (23);
   str_t task = STR ("draft");
-  int first = 0;
-  int second = 0;
-  int burst = 0;
+  int few_ratings_sampled = 0;
+  int many_ratings_sampled = 0;
+  int burst_sampled = 0;
 
   for (int i = 0; i < 20000; i++)
-    first += quality_sample (q, &rng, task, STR ("small@1"),
-                             START_MS + (uint64_t)i * 100);
-  ck_assert_int_ge (first, 20000 * 4 / 100);
-  ck_assert_int_le (first, 20000 * 6 / 100);
+    few_ratings_sampled += quality_sample (q, &rng, task, STR ("small@1"),
+                                           START_MS + (uint64_t)i * 100);
+  ck_assert_int_ge (few_ratings_sampled, 20000 * 4 / 100);
+  ck_assert_int_le (few_ratings_sampled, 20000 * 6 / 100);
   for (int i = 0; i < 4000; i++)
     quality_add (q, task, STR ("small@1"), 0.9, START_MS + 2000000);
   for (int i = 0; i < 20000; i++)
-    second += quality_sample (q, &rng, task, STR ("small@1"),
-                              START_MS + 2000000 + (uint64_t)i * 10);
-  ck_assert_int_le (second, first / 3);
-  ck_assert_int_gt (second, 0);
+    many_ratings_sampled += quality_sample (
+        q, &rng, task, STR ("small@1"), START_MS + 2000000 + (uint64_t)i * 10);
+  ck_assert_int_le (many_ratings_sampled, few_ratings_sampled / 3);
+  ck_assert_int_gt (many_ratings_sampled, 0);
   for (int i = 0; i < 100000; i++)
-    burst += quality_sample (q, &rng, task, STR ("new@1"), START_MS + 3000000);
-  ck_assert_int_le (burst, 40);
+    burst_sampled
+        += quality_sample (q, &rng, task, STR ("new@1"), START_MS + 3000000);
+  ck_assert_int_le (burst_sampled, 40);
   quality_destroy (q);
 }
 END_TEST
 
-START_TEST (failing_rater_is_left_alone)
+START_TEST (failing_rating_service_is_paused)
 {
-  quality_t *q = make (1);
+  quality_t *q = make_quality (1);
 
   ck_assert (quality_rater_ok (q, START_MS));
   for (int i = 0; i < 20; i++)
@@ -487,21 +498,21 @@
   TCase *tcase = tcase_create ("quality");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, prior_alone_before_evidence);
-  tcase_add_test (tcase, lower_bound_covers_the_mean);
-  tcase_add_test (tcase, task_classes_are_apart);
-  tcase_add_test (tcase, stale_evidence_widens_the_bound);
-  tcase_add_test (tcase, wrong_batch_is_clipped);
-  tcase_add_test (tcase, nonsense_ratings_are_refused_or_clipped);
-  tcase_add_test (tcase, merge_order_and_redelivery_do_not_matter);
-  tcase_add_test (tcase, settled_epochs_do_not_count_twice);
-  tcase_add_test (tcase, later_lease_wins);
-  tcase_add_test (tcase, malformed_messages_change_nothing);
-  tcase_add_test (tcase, full_cells_forget_the_oldest_epoch);
-  tcase_add_test (tcase, gossip_holds_the_news_only);
-  tcase_add_test (tcase, keys_beyond_the_most_are_refused);
+  tcase_add_test (tcase, posterior_is_prior_without_ratings);
+  tcase_add_test (tcase, lower_bound_has_stated_coverage);
+  tcase_add_test (tcase, task_classes_are_independent);
+  tcase_add_test (tcase, outdated_ratings_widen_bound);
+  tcase_add_test (tcase, wrong_epochs_are_clipped);
+  tcase_add_test (tcase, invalid_ratings_are_refused_or_clipped);
+  tcase_add_test (tcase, merge_ignores_order_and_repetition);
+  tcase_add_test (tcase, folded_epochs_do_not_count_twice);
+  tcase_add_test (tcase, fold_of_later_lease_replaces_earlier_one);
+  tcase_add_test (tcase, malformed_messages_do_not_change_state);
+  tcase_add_test (tcase, full_memory_drops_oldest_epoch);
+  tcase_add_test (tcase, gossip_contains_recent_epochs_only);
+  tcase_add_test (tcase, series_above_maximum_are_refused);
   tcase_add_test (tcase, sampling_is_bounded);
-  tcase_add_test (tcase, failing_rater_is_left_alone);
+  tcase_add_test (tcase, failing_rating_service_is_paused);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -1,4 +1,4 @@
-/* Tests of the queue, judged by which job runs when.  */
+/* Tests of the order in which the queue runs its jobs, and of its refusals. */
 
 #include "policy/queue.h"
 
@@ -11,7 +11,7 @@
   JOBS = 4000,
   SHORT_COST = 100,
   LONG_COST = 5000,
-  /* In the trials one unit takes one millisecond in a slot.  */
+  /* Time of one unit of cost in a slot.  */
   UNIT_US = 1000
 };
 
@@ -24,12 +24,12 @@
 
 static const str_t teams[] = { STR ("coast"), STR ("drift"), STR ("hills") };
 
-static clock_iface_t *manual;
+static clock_iface_t *manual_clock;
 static queue_t *queue;
 static job_t jobs[JOBS];
 static int job_count;
 
-/* Return the time that N short jobs take one after the other.  */
+/* Return the time of N short jobs in sequence.  */
 static uint64_t
 jobs_us (uint64_t n)
 {
@@ -39,8 +39,8 @@
 static void
 setup (void)
 {
-  manual = clock_manual_create (0);
-  queue = queue_create (NULL, manual);
+  manual_clock = clock_manual_create (0);
+  queue = queue_create (NULL, manual_clock);
   memset (jobs, 0, sizeof jobs);
   job_count = 0;
 }
@@ -49,20 +49,21 @@
 teardown (void)
 {
   queue_destroy (queue);
-  clock_manual_destroy (manual);
+  clock_manual_destroy (manual_clock);
 }
 
-/* Push the next job; return it, or NULL when it was refused.  */
+/* Push the next job of JOBS and return the job, or NULL if the queue refused
+   it.  */
 static job_t *
 push_job (int team, uint32_t cost, queue_priority_t priority,
           uint64_t deadline_us)
 {
   job_t *job = &jobs[job_count++];
-  queue_job_t wish = { teams[team], cost, priority, deadline_us };
+  queue_job_t description = { teams[team], cost, priority, deadline_us };
   queue_waiter_t *evicted;
 
   job->team = team;
-  if (queue_push (queue, &job->waiter, &wish, &evicted) != VH_OK)
+  if (queue_push (queue, &job->waiter, &description, &evicted) != VH_OK)
     return NULL;
   job->waiting = true;
   if (evicted != NULL)
@@ -71,7 +72,7 @@
 }
 
 static job_t *
-push_plain (int team, uint32_t cost)
+push_normal (int team, uint32_t cost)
 {
   return push_job (team, cost, QUEUE_NORMAL, QUEUE_NO_DEADLINE);
 }
@@ -92,11 +93,11 @@
 static void
 run_job (job_t *job, uint32_t used)
 {
-  clock_manual_advance_us (manual, (uint64_t)used * UNIT_US);
+  clock_manual_advance_us (manual_clock, (uint64_t)used * UNIT_US);
   queue_done (queue, &job->waiter, (uint64_t)used * UNIT_US, used);
 }
 
-/* Pop and run N jobs; add the cost of each to its team's SERVED.  */
+/* Pop and run N jobs, and add the cost of each job to SERVED of its team.  */
 static void
 serve (int n, uint64_t served[])
 {
@@ -109,21 +110,21 @@
     }
 }
 
-/* One team floods the queue before the others come.  First come, first served
-   would make them wait for all of it.  */
-START_TEST (teams_share_by_weight_not_by_number)
+/* Failure: one team fills the queue before the others send requests, and they
+   wait for all its jobs, as in a first-come, first-served queue.  */
+START_TEST (teams_are_served_by_weight_not_request_count)
 {
   uint64_t served[3] = { 0 };
 
   queue_set_weight (queue, teams[1], 2);
   for (int i = 0; i < 1000; i++)
-    push_plain (0, 10);
+    push_normal (0, 10);
   for (int i = 0; i < 200; i++)
-    push_plain (1, 100);
+    push_normal (1, 100);
   for (int i = 0; i < 200; i++)
-    push_plain (2, 50);
+    push_normal (2, 50);
   serve (200, served);
-  /* 1 : 2 : 1 by cost, within a job's length.  */
+  /* The served costs are 1 : 2 : 1, within the cost of one job.  */
   ck_assert_uint_le (served[1], served[0] * 2 + 200);
   ck_assert_uint_ge (served[1] + 200, served[0] * 2);
   ck_assert_uint_le (served[2], served[0] + 100);
@@ -131,16 +132,16 @@
 }
 END_TEST
 
-/* A team says ten tokens and uses two hundred.  Charged by estimate alone it
-   would get twenty times its share.  */
-START_TEST (modest_estimates_gain_nothing)
+/* Failure: a team gets twenty times its share by estimating ten tokens for
+   jobs that use two hundred.  The actual cost must be charged.  */
+START_TEST (low_estimates_gain_no_service)
 {
   uint64_t used[2] = { 0 };
 
   for (int i = 0; i < 1000; i++)
     {
-      push_plain (0, 10);
-      push_plain (1, 200);
+      push_normal (0, 10);
+      push_normal (1, 200);
     }
   for (int i = 0; i < 400; i++)
     {
@@ -152,22 +153,22 @@
 }
 END_TEST
 
-/* What a team used of an idle upstream is not held against it, and of what it
-   did not use no more is saved up than QUEUE_CREDIT jobs.  */
-START_TEST (idle_time_is_neither_debt_nor_credit)
+/* Failure: a team pays for service that it took while the upstream was idle,
+   or a team saves more unused service than QUEUE_CREDIT jobs.  */
+START_TEST (idle_period_gives_no_debt_and_bounded_credit)
 {
   uint64_t served[3] = { 0 };
 
   for (int i = 0; i < 100; i++)
     {
-      push_plain (0, 100);
+      push_normal (0, 100);
       serve (1, served);
     }
   served[0] = 0;
   for (int i = 0; i < 100; i++)
-    push_plain (0, 100);
+    push_normal (0, 100);
   for (int i = 0; i < 100; i++)
-    push_plain (1, 100);
+    push_normal (1, 100);
   serve (100, served);
   ck_assert_uint_le (served[0], served[1]);
   ck_assert_uint_le (served[1],
@@ -175,86 +176,88 @@
 }
 END_TEST
 
-/* A quiet team happens to send three requests together after a pause.  At the
-   pace of its share each would wait for the one before; they must not.  */
-START_TEST (a_pause_earns_a_small_burst)
+/* Failure: three simultaneous requests of a mostly idle team wait for each
+   other, because the team is served at the rate of its share.  */
+START_TEST (idle_team_may_send_small_burst)
 {
   uint64_t served[3] = { 0 };
 
   for (int i = 0; i < 400; i++)
-    push_plain (0, 100);
-  push_plain (1, 100);
+    push_normal (0, 100);
+  push_normal (1, 100);
   serve (100, served);
   ck_assert_uint_eq (served[1], 100);
   for (int i = 0; i < 3; i++)
-    push_plain (1, 100);
+    push_normal (1, 100);
   serve (4, served);
   ck_assert_uint_eq (served[1], 400);
 }
 END_TEST
 
-/* One team takes most of the upstream without ever waiting long, as its jobs
-   go first.  What the other will wait shows in what it waited so far, not in
-   the queue.  */
-START_TEST (estimate_learns_from_the_waits_seen)
+/* Failure: the estimated wait is far too short.  One team takes most of the
+   service without jobs in the queue, as its jobs are served first.  The wait
+   of the other team follows from its past waits, not from the waiting jobs. */
+START_TEST (wait_estimate_follows_past_waits)
 {
   uint64_t served[3] = { 0 };
-  uint64_t told_us;
-  uint64_t begin_us;
+  uint64_t estimated_us;
+  uint64_t start_us;
   job_t *last;
 
   queue_set_weight (queue, teams[1], 9);
   for (int i = 0; i < 300; i++)
-    push_plain (0, 100);
+    push_normal (0, 100);
   for (int i = 0; i < 300; i++)
     {
-      push_plain (1, 100);
+      push_normal (1, 100);
       serve (1, served);
     }
-  last = push_plain (0, 100);
-  told_us = queue_wait_us (queue, teams[0], 100);
-  begin_us = clock_us (manual);
+  last = push_normal (0, 100);
+  estimated_us = queue_wait_us (queue, teams[0], 100);
+  start_us = clock_us (manual_clock);
   while (last->waiting)
     {
-      push_plain (1, 100);
+      push_normal (1, 100);
       serve (1, served);
     }
-  ck_assert_uint_ge (told_us * 10, (clock_us (manual) - begin_us) * 7);
-  ck_assert_uint_le (told_us * 10, (clock_us (manual) - begin_us) * 13);
+  ck_assert_uint_ge (estimated_us * 10,
+                     (clock_us (manual_clock) - start_us) * 7);
+  ck_assert_uint_le (estimated_us * 10,
+                     (clock_us (manual_clock) - start_us) * 13);
 }
 END_TEST
 
-/* Two upstreams with twenty waiting each: at one all of one team, at the other
-   of ten.  A newcomer is better off at the first, and the load must say
-   so.  */
-START_TEST (load_is_what_a_newcomer_finds)
+/* Failure: a new team is sent to the upstream with the longer wait.  Two
+   upstreams have twenty waiting jobs each, one of a single team and one of ten
+   teams.  A new team waits less at the first, whose load must be lower.  */
+START_TEST (load_counts_work_ahead_of_new_team)
 {
-  uint32_t one_team;
+  uint32_t one_team_load;
   char name[] = "team-0";
 
   ck_assert_uint_eq (queue_load (queue), 0);
   for (int i = 0; i < 20; i++)
-    push_plain (0, 100);
-  one_team = queue_load (queue);
+    push_normal (0, 100);
+  one_team_load = queue_load (queue);
   queue_destroy (queue);
-  queue = queue_create (NULL, manual);
+  queue = queue_create (NULL, manual_clock);
   for (int i = 0; i < 20; i++)
     {
       job_t *job = &jobs[job_count++];
-      queue_job_t wish
+      queue_job_t description
           = { str_from (name), 100, QUEUE_NORMAL, QUEUE_NO_DEADLINE };
       queue_waiter_t *evicted;
 
       name[5] = (char)('0' + i % 10);
-      ck_assert_int_eq (queue_push (queue, &job->waiter, &wish, &evicted),
-                        VH_OK);
+      ck_assert_int_eq (
+          queue_push (queue, &job->waiter, &description, &evicted), VH_OK);
     }
-  ck_assert_uint_gt (queue_load (queue) / 2, one_team);
-  ck_assert_uint_gt (one_team, 3);
+  ck_assert_uint_gt (queue_load (queue) / 2, one_team_load);
+  ck_assert_uint_gt (one_team_load, 3);
 }
 END_TEST
 
-START_TEST (priority_orders_within_a_team_only)
+START_TEST (priority_orders_jobs_within_team_only)
 {
   job_t *low = push_job (0, 10, QUEUE_LOW, QUEUE_NO_DEADLINE);
   job_t *normal = push_job (0, 10, QUEUE_NORMAL, QUEUE_NO_DEADLINE);
@@ -276,214 +279,215 @@
 START_TEST (low_priority_is_not_starved)
 {
   job_t *low = push_job (0, 10, QUEUE_LOW, QUEUE_NO_DEADLINE);
-  uint64_t begin_us = clock_us (manual);
+  uint64_t start_us = clock_us (manual_clock);
 
   while (low->waiting)
     {
       push_job (0, 10, QUEUE_HIGH, QUEUE_NO_DEADLINE);
       run_job (pop_job (), 10);
     }
-  ck_assert_uint_le (clock_us (manual) - begin_us,
+  ck_assert_uint_le (clock_us (manual_clock) - start_us,
                      (QUEUE_LOW * QUEUE_PASS_MS + 100) * 1000ul);
 }
 END_TEST
 
-/* A very long draft is put back behind shorter ones of its team, but only for
-   so long.  */
-START_TEST (long_job_is_not_starved)
+/* Failure: a very long job starves behind shorter jobs of its team.  Its delay
+   must be bounded.  */
+START_TEST (very_long_job_is_not_starved)
 {
-  job_t *draft;
-  uint64_t begin_us;
+  job_t *long_job;
+  uint64_t start_us;
 
-  run_job ((push_plain (0, LONG_COST), pop_job ()), LONG_COST);
-  begin_us = clock_us (manual);
-  draft = push_plain (0, LONG_COST * 20);
-  while (draft->waiting)
+  run_job ((push_normal (0, LONG_COST), pop_job ()), LONG_COST);
+  start_us = clock_us (manual_clock);
+  long_job = push_normal (0, LONG_COST * 20);
+  while (long_job->waiting)
     {
-      push_plain (0, QUEUE_LONG_COST);
+      push_normal (0, QUEUE_LONG_COST);
       run_job (pop_job (), QUEUE_LONG_COST);
     }
-  ck_assert_uint_le (clock_us (manual) - begin_us,
+  ck_assert_uint_le (clock_us (manual_clock) - start_us,
                      (QUEUE_PASS_MS + 1000) * 1000ul);
 }
 END_TEST
 
-/* Drafts of minutes fill the queue, then questions come.  Callers who ask
-   would wait minutes for an answer of a second if drafts could take every
-   slot.  */
-START_TEST (short_jobs_find_a_slot_among_long_ones)
+/* Failure: a short job waits minutes for a slot, because long jobs filled the
+   queue first and hold every slot.  */
+START_TEST (long_jobs_leave_slots_for_short_jobs)
 {
-  int longs = 0;
-  job_t *ask;
+  int long_count = 0;
+  job_t *short_job;
 
   queue_set_slots (queue, 8);
-  run_job ((push_plain (1, SHORT_COST), pop_job ()), SHORT_COST);
+  run_job ((push_normal (1, SHORT_COST), pop_job ()), SHORT_COST);
   for (int i = 0; i < 50; i++)
-    push_plain (0, LONG_COST);
+    push_normal (0, LONG_COST);
   while (pop_job () != NULL)
-    longs++;
-  ck_assert_int_eq (longs, 6);
-  ask = push_plain (0, SHORT_COST);
-  ck_assert_ptr_eq (pop_job (), ask);
+    long_count++;
+  ck_assert_int_eq (long_count, 6);
+  short_job = push_normal (0, SHORT_COST);
+  ck_assert_ptr_eq (pop_job (), short_job);
 }
 END_TEST
 
-/* The limit swings between eight and twelve.  Long jobs started at its peak
-   would take all that is left at the dip, and a question wait a minute for
-   the first of them to end.  */
-START_TEST (reserve_outlasts_a_dip_of_the_limit)
+/* Failure: a short job waits a minute for a slot.  The number of slots
+   oscillates between eight and twelve, and long jobs started at twelve hold
+   all slots at eight.  */
+START_TEST (reserved_slots_survive_drop_of_limit)
 {
-  int longs = 0;
+  int long_count = 0;
 
   queue_set_slots (queue, 8);
-  run_job ((push_plain (1, SHORT_COST), pop_job ()), SHORT_COST);
-  clock_manual_advance_us (manual, 1000000);
+  run_job ((push_normal (1, SHORT_COST), pop_job ()), SHORT_COST);
+  clock_manual_advance_us (manual_clock, 1000000);
   queue_set_slots (queue, 12);
   for (int i = 0; i < 50; i++)
-    push_plain (0, LONG_COST);
-  for (; pop_job () != NULL; longs++)
+    push_normal (0, LONG_COST);
+  for (; pop_job () != NULL; long_count++)
     ;
-  ck_assert_int_eq (longs, 6);
-  /* When it stays up, more may run.  */
-  clock_manual_advance_us (manual, 10000000);
+  ck_assert_int_eq (long_count, 6);
+  /* Once the number of slots has stayed high, more long jobs may run.  */
+  clock_manual_advance_us (manual_clock, 10000000);
   queue_set_slots (queue, 12);
-  for (; pop_job () != NULL; longs++)
+  for (; pop_job () != NULL; long_count++)
     ;
-  ck_assert_int_eq (longs, 9);
+  ck_assert_int_eq (long_count, 9);
 }
 END_TEST
 
-START_TEST (long_jobs_keep_their_floor)
+START_TEST (long_jobs_keep_minimum_share)
 {
-  int longs = 0;
+  int long_count = 0;
 
   queue_set_slots (queue, 8);
   for (int i = 0; i < 20; i++)
-    push_plain (0, LONG_COST);
+    push_normal (0, LONG_COST);
   for (int i = 0; i < 20; i++)
-    push_plain (1, SHORT_COST);
+    push_normal (1, SHORT_COST);
   for (int i = 0; i < 8; i++)
     if (pop_job ()->waiter.cost == LONG_COST)
-      longs++;
-  ck_assert_int_eq (longs, 2);
+      long_count++;
+  ck_assert_int_eq (long_count, 2);
 }
 END_TEST
 
-START_TEST (reserve_is_not_kept_for_nobody)
+START_TEST (no_slots_reserved_without_short_jobs)
 {
-  int longs = 0;
+  int long_count = 0;
 
   queue_set_slots (queue, 8);
   for (int i = 0; i < 20; i++)
-    push_plain (0, LONG_COST);
-  for (; longs < 8 && pop_job () != NULL; longs++)
+    push_normal (0, LONG_COST);
+  for (; long_count < 8 && pop_job () != NULL; long_count++)
     ;
-  ck_assert_int_eq (longs, 8);
+  ck_assert_int_eq (long_count, 8);
 }
 END_TEST
 
-/* Overload: more waits than can be done in time.  Taken in, the last ones
-   would wait until their deadline and be refused then, or answered to nobody;
-   refused on arrival, their callers can go elsewhere.  */
-START_TEST (refuses_on_arrival_what_cannot_be_done)
+/* Failure: under overload, jobs wait until their deadline and are refused only
+   then, or are run for a caller that has left.  They must be refused on
+   arrival, while their callers can still try elsewhere.  */
+START_TEST (job_that_cannot_meet_deadline_is_refused_on_arrival)
 {
   uint64_t deadline_us;
   uint64_t served[3] = { 0 };
-  int taken = 0;
+  int accepted = 0;
 
-  push_plain (0, SHORT_COST);
+  push_normal (0, SHORT_COST);
   serve (1, served);
-  deadline_us = clock_us (manual) + jobs_us (10);
+  deadline_us = clock_us (manual_clock) + jobs_us (10);
   for (int i = 0; i < 30; i++)
     if (push_job (0, SHORT_COST, QUEUE_NORMAL, deadline_us) != NULL)
-      taken++;
-  /* Ten could be done at best; the wait may take half of the nine left.  */
-  ck_assert_int_ge (taken, 4);
-  ck_assert_int_le (taken, 6);
-  /* What was taken in is done in time.  */
-  for (; taken > 0; taken--)
+      accepted++;
+  /* Ten jobs fit at most; the wait may take half of the slack of nine jobs. */
+  ck_assert_int_ge (accepted, 4);
+  ck_assert_int_le (accepted, 6);
+  /* The accepted jobs end by their deadline.  */
+  for (; accepted > 0; accepted--)
     {
       ck_assert_ptr_null (queue_lapsed (queue));
       serve (1, served);
     }
-  ck_assert_uint_le (clock_us (manual), deadline_us);
+  ck_assert_uint_le (clock_us (manual_clock), deadline_us);
 }
 END_TEST
 
-/* One team has filled the queue up to its deadlines.  Another, with nothing
-   waiting, is next whatever waits, so it must not be refused for that.  */
-START_TEST (estimate_knows_the_team_share)
+/* Failure: a team without waiting jobs is refused because another team has
+   filled the queue up to its deadlines, although its job would run next.  */
+START_TEST (wait_estimate_considers_team_share)
 {
   uint64_t served[3] = { 0 };
-  uint64_t all_us;
+  uint64_t waiting_us;
 
-  push_plain (0, SHORT_COST);
+  push_normal (0, SHORT_COST);
   serve (1, served);
   for (int i = 0; i < 20; i++)
-    push_plain (0, SHORT_COST);
+    push_normal (0, SHORT_COST);
   pop_job ();
-  all_us = jobs_us (19);
-  ck_assert_uint_ge (queue_wait_us (queue, teams[0], SHORT_COST), all_us);
+  waiting_us = jobs_us (19);
+  ck_assert_uint_ge (queue_wait_us (queue, teams[0], SHORT_COST), waiting_us);
   ck_assert_uint_le (queue_wait_us (queue, teams[1], SHORT_COST), jobs_us (3));
-  ck_assert_ptr_nonnull (
-      push_job (1, SHORT_COST, QUEUE_NORMAL, clock_us (manual) + jobs_us (6)));
+  ck_assert_ptr_nonnull (push_job (1, SHORT_COST, QUEUE_NORMAL,
+                                   clock_us (manual_clock) + jobs_us (6)));
   serve (2, served);
   ck_assert_uint_eq (served[1], SHORT_COST);
-  /* Nor does a heavy team with little waiting make the wait longer than all
-     that waits.  */
+  /* A team of large weight with few waiting jobs does not raise the estimate
+     above the time of all waiting jobs.  */
   queue_set_weight (queue, teams[2], 1000);
-  push_plain (2, SHORT_COST);
+  push_normal (2, SHORT_COST);
   ck_assert_uint_le (queue_wait_us (queue, teams[0], SHORT_COST),
                      jobs_us (queue_waiting (queue) + 1));
 }
 END_TEST
 
-/* The upstream turns slow after a job was taken in.  Its caller must hear as
-   soon as it cannot be done, not when its turn would have come.  */
-START_TEST (lapsed_is_handed_back_at_once)
+/* Failure: a job that can no longer meet its deadline is refused only when its
+   turn comes.  The upstream becomes slow after the job was accepted, and the
+   job must expire as soon as it can no longer end in time.  */
+START_TEST (expired_job_is_returned_at_once)
 {
   uint64_t served[3] = { 0 };
-  job_t *late;
-  uint64_t lapse_us;
+  job_t *late_job;
+  uint64_t expiry_us;
 
-  push_plain (0, SHORT_COST);
+  push_normal (0, SHORT_COST);
   serve (1, served);
-  push_plain (0, SHORT_COST);
-  push_plain (0, SHORT_COST);
-  late = push_job (0, SHORT_COST, QUEUE_NORMAL,
-                   clock_us (manual) + jobs_us (8));
-  ck_assert_ptr_nonnull (late);
+  push_normal (0, SHORT_COST);
+  push_normal (0, SHORT_COST);
+  late_job = push_job (0, SHORT_COST, QUEUE_NORMAL,
+                       clock_us (manual_clock) + jobs_us (8));
+  ck_assert_ptr_nonnull (late_job);
   pop_job ();
-  lapse_us = queue_next_lapse_us (queue);
-  ck_assert_uint_eq (lapse_us, clock_us (manual) + jobs_us (7));
-  clock_manual_advance_us (manual, lapse_us - clock_us (manual) - 1);
+  expiry_us = queue_next_lapse_us (queue);
+  ck_assert_uint_eq (expiry_us, clock_us (manual_clock) + jobs_us (7));
+  clock_manual_advance_us (manual_clock,
+                           expiry_us - clock_us (manual_clock) - 1);
   ck_assert_ptr_null (queue_lapsed (queue));
-  clock_manual_advance_us (manual, 1);
-  ck_assert_ptr_eq (queue_lapsed (queue), &late->waiter);
+  clock_manual_advance_us (manual_clock, 1);
+  ck_assert_ptr_eq (queue_lapsed (queue), &late_job->waiter);
   ck_assert_ptr_null (queue_lapsed (queue));
   ck_assert_uint_eq (queue_waiting (queue), 1);
 }
 END_TEST
 
-START_TEST (full_queue_refuses_the_greediest)
+START_TEST (full_queue_evicts_job_of_most_backlogged_team)
 {
   queue_config_t config = { .max_waiters = 10 };
-  job_t *small;
+  job_t *small_team_job;
 
   queue_destroy (queue);
-  queue = queue_create (&config, manual);
+  queue = queue_create (&config, manual_clock);
   for (int i = 0; i < 10; i++)
-    ck_assert_ptr_nonnull (push_plain (0, 100));
-  ck_assert_ptr_null (push_plain (0, 100));
-  small = push_plain (1, 100);
-  ck_assert_ptr_nonnull (small);
+    ck_assert_ptr_nonnull (push_normal (0, 100));
+  ck_assert_ptr_null (push_normal (0, 100));
+  small_team_job = push_normal (1, 100);
+  ck_assert_ptr_nonnull (small_team_job);
   ck_assert_uint_eq (queue_waiting (queue), 10);
   ck_assert (!jobs[9].waiting);
   ck_assert (jobs[0].waiting);
 }
 END_TEST
 
-START_TEST (heap_stays_in_order)
+START_TEST (heap_keeps_order)
 {
   enum
   {
@@ -512,7 +516,7 @@
 }
 END_TEST
 
-START_TEST (cancel_anywhere)
+START_TEST (jobs_can_be_cancelled_in_any_state)
 {
   rng_t rng = rng_make (3);
   uint32_t waiting = 0;
@@ -521,7 +525,7 @@
   for (int step = 0; step < 20000; step++)
     {
       job_t *job = &jobs[rng_below (&rng, 500)];
-      queue_job_t wish
+      queue_job_t description
           = { teams[rng_below (&rng, 3)],
               rng_below (&rng, 2) ? SHORT_COST : LONG_COST,
               (queue_priority_t)rng_below (&rng, 3), QUEUE_NO_DEADLINE };
@@ -535,8 +539,8 @@
         }
       else
         {
-          ck_assert_int_eq (queue_push (queue, &job->waiter, &wish, &evicted),
-                            VH_OK);
+          ck_assert_int_eq (
+              queue_push (queue, &job->waiter, &description, &evicted), VH_OK);
           job->waiting = true;
           waiting++;
         }
@@ -561,25 +565,25 @@
   TCase *tcase = tcase_create ("queue");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, teams_share_by_weight_not_by_number);
-  tcase_add_test (tcase, modest_estimates_gain_nothing);
-  tcase_add_test (tcase, idle_time_is_neither_debt_nor_credit);
-  tcase_add_test (tcase, a_pause_earns_a_small_burst);
-  tcase_add_test (tcase, estimate_learns_from_the_waits_seen);
-  tcase_add_test (tcase, load_is_what_a_newcomer_finds);
-  tcase_add_test (tcase, priority_orders_within_a_team_only);
+  tcase_add_test (tcase, teams_are_served_by_weight_not_request_count);
+  tcase_add_test (tcase, low_estimates_gain_no_service);
+  tcase_add_test (tcase, idle_period_gives_no_debt_and_bounded_credit);
+  tcase_add_test (tcase, idle_team_may_send_small_burst);
+  tcase_add_test (tcase, wait_estimate_follows_past_waits);
+  tcase_add_test (tcase, load_counts_work_ahead_of_new_team);
+  tcase_add_test (tcase, priority_orders_jobs_within_team_only);
   tcase_add_test (tcase, low_priority_is_not_starved);
-  tcase_add_test (tcase, long_job_is_not_starved);
-  tcase_add_test (tcase, short_jobs_find_a_slot_among_long_ones);
-  tcase_add_test (tcase, reserve_outlasts_a_dip_of_the_limit);
-  tcase_add_test (tcase, long_jobs_keep_their_floor);
-  tcase_add_test (tcase, reserve_is_not_kept_for_nobody);
-  tcase_add_test (tcase, refuses_on_arrival_what_cannot_be_done);
-  tcase_add_test (tcase, estimate_knows_the_team_share);
-  tcase_add_test (tcase, lapsed_is_handed_back_at_once);
-  tcase_add_test (tcase, full_queue_refuses_the_greediest);
-  tcase_add_test (tcase, heap_stays_in_order);
-  tcase_add_test (tcase, cancel_anywhere);
+  tcase_add_test (tcase, very_long_job_is_not_starved);
+  tcase_add_test (tcase, long_jobs_leave_slots_for_short_jobs);
+  tcase_add_test (tcase, reserved_slots_survive_drop_of_limit);
+  tcase_add_test (tcase, long_jobs_keep_minimum_share);
+  tcase_add_test (tcase, no_slots_reserved_without_short_jobs);
+  tcase_add_test (tcase, job_that_cannot_meet_deadline_is_refused_on_arrival);
+  tcase_add_test (tcase, wait_estimate_considers_team_share);
+  tcase_add_test (tcase, expired_job_is_returned_at_once);
+  tcase_add_test (tcase, full_queue_evicts_job_of_most_backlogged_team);
+  tcase_add_test (tcase, heap_keeps_order);
+  tcase_add_test (tcase, jobs_can_be_cancelled_in_any_state);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -20,19 +20,18 @@
   retry_destroy (retry);
 }
 
-/* Half of the upstreams are gone, so half of all attempts fail.  Callers would
-   see the other half go down as well, because three tries for each failure
-   nearly double the load just then.  The cause is a retry that costs
-   nothing.  */
-START_TEST (partial_outage_stays_within_budget)
+/* Failure: retries without a budget overload the remaining upstreams.  Half of
+   the upstreams are down and half of all attempts fail, so three tries for
+   each request nearly double the load.  */
+START_TEST (retries_stay_within_budget_in_partial_outage)
 {
   enum
   {
     REQUESTS = 10000,
     TRIES = 3
   };
-  uint64_t ours = 0;
-  uint64_t plain = 0;
+  uint64_t budgeted_attempts = 0;
+  uint64_t unlimited_attempts = 0;
 
   for (int i = 0; i < REQUESTS; i++)
     {
@@ -40,23 +39,23 @@
 
       retry_request (retry);
       for (; tries < TRIES && rng_below (&rng, 2) == 0; tries++)
-        plain++;
-      plain++;
+        unlimited_attempts++;
+      unlimited_attempts++;
       tries = 1;
       for (; tries < TRIES && rng_below (&rng, 2) == 0; tries++)
         if (retry_spend (retry) == VH_OK)
-          ours++;
+          budgeted_attempts++;
         else
           break;
-      ours++;
+      budgeted_attempts++;
     }
-  ck_assert_uint_gt (plain, REQUESTS * 16 / 10);
-  ck_assert_uint_lt (ours, REQUESTS * 12 / 10);
-  ck_assert_uint_gt (ours, REQUESTS * 105 / 100);
+  ck_assert_uint_gt (unlimited_attempts, REQUESTS * 16 / 10);
+  ck_assert_uint_lt (budgeted_attempts, REQUESTS * 12 / 10);
+  ck_assert_uint_gt (budgeted_attempts, REQUESTS * 105 / 100);
 }
 END_TEST
 
-START_TEST (quiet_pool_still_retries)
+START_TEST (idle_pool_has_full_budget)
 {
   for (int i = 0; i < RETRY_BURST; i++)
     ck_assert_int_eq (retry_spend (retry), VH_OK);
@@ -74,26 +73,26 @@
 
   for (uint32_t attempt = 1; attempt < 40; attempt++)
     {
-      uint64_t least = UINT64_MAX;
-      uint64_t most = 0;
+      uint64_t min_ms = UINT64_MAX;
+      uint64_t max_ms = 0;
 
       for (int i = 0; i < 200; i++)
         {
           uint64_t wait_ms = retry_backoff_ms (retry, attempt);
-          least = wait_ms < least ? wait_ms : least;
-          most = wait_ms > most ? wait_ms : most;
+          min_ms = wait_ms < min_ms ? wait_ms : min_ms;
+          max_ms = wait_ms > max_ms ? wait_ms : max_ms;
         }
-      ck_assert_uint_ge (least, step_ms / 2);
-      ck_assert_uint_le (most, step_ms);
-      ck_assert_uint_gt (most - least, step_ms / 4);
+      ck_assert_uint_ge (min_ms, step_ms / 2);
+      ck_assert_uint_le (max_ms, step_ms);
+      ck_assert_uint_gt (max_ms - min_ms, step_ms / 4);
       step_ms = step_ms * 2 < RETRY_BACKOFF_MAX_MS ? step_ms * 2
                                                    : RETRY_BACKOFF_MAX_MS;
     }
 }
 END_TEST
 
-/* A booking that answers late would run twice if it were hedged; a question
-   may be.  */
+/* Failure: a request that changes state, such as a booking, is executed twice
+   because its late response caused a hedge.  */
 START_TEST (hedges_only_idempotent_requests)
 {
   ck_assert_uint_eq (retry_hedge_ms (retry, true), RETRY_NO_HEDGE);
@@ -108,7 +107,7 @@
 }
 END_TEST
 
-START_TEST (hedge_follows_the_latency_of_now)
+START_TEST (hedge_delay_follows_recent_latency)
 {
   for (int i = 0; i < 20000; i++)
     retry_observe (retry, 100000);
@@ -129,11 +128,11 @@
   TCase *tcase = tcase_create ("retry");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, partial_outage_stays_within_budget);
-  tcase_add_test (tcase, quiet_pool_still_retries);
+  tcase_add_test (tcase, retries_stay_within_budget_in_partial_outage);
+  tcase_add_test (tcase, idle_pool_has_full_budget);
   tcase_add_test (tcase, backoff_doubles_with_jitter);
   tcase_add_test (tcase, hedges_only_idempotent_requests);
-  tcase_add_test (tcase, hedge_follows_the_latency_of_now);
+  tcase_add_test (tcase, hedge_delay_follows_recent_latency);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
