--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -67,9 +67,10 @@
 }
 END_TEST
 
-/* Failure: the lower bound is wrong more often than in 5 of 100 cases.  Over
-   many seeds and several numbers of ratings the true mean is expected below
-   the bound in about 5%, and must not be there in more than 8%.  */
+/* Failure: the lower bound, which must hold 95 times in 100, is wrong more
+   often.  Over many seeds and several numbers of ratings the true mean is
+   expected below the bound in about 5%, and must not be there in more than 8%.
+ */
 START_TEST (lower_bound_has_stated_coverage)
 {
   enum
