--- a/packages/gateway/relay_hear.c
+++ b/packages/gateway/relay_hear.c
@@ -278,7 +278,7 @@
     }
   learn_from_head (relay, head);
   if (relay->terms.route->model_count > 0 && !relay->started)
-    escalation_heard (
+    escalation_record_wait (
         belief_escalation (relay->belief, relay->terms.service->name),
         relay_service_model (relay, relay->model), relay->terms.prompt,
         relay->last_ms - relay->sent_ms, relay->terms.route->objective_ms);
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -153,23 +153,24 @@
       = belief_escalation (relay->belief, terms->service->name);
   size_t model = relay_service_model (relay, relay->model);
   uint32_t points = opinion < 100 ? (uint32_t)opinion : 100;
-  escalation_choice_t choices[SERVICE_MODELS_MAX];
+  escalation_candidate_t choices[SERVICE_MODELS_MAX];
   size_t count = 0;
 
   if (relay->model == 0)
     relay->first_opinion = points;
   else
-    escalation_compared (escalation, model, relay->first_opinion, points);
+    escalation_record_confidences (escalation, model, relay->first_opinion,
+                                   points);
   for (size_t i = relay->model + 1;
        i < route->model_count && count < SERVICE_MODELS_MAX; i++)
     {
       size_t larger = relay_service_model (relay, i);
       choices[count++]
-          = (escalation_choice_t){ .model = larger,
-                                   .cost = model_cost (relay, larger),
-                                   .beside = load_beside (relay, i) };
+          = (escalation_candidate_t){ .model = larger,
+                                      .cost = model_cost (relay, larger),
+                                      .beside = load_beside (relay, i) };
     }
-  const escalation_case_t request
+  const escalation_request_t request
       = { .model = model,
           .cost = model_cost (relay, model),
           .read = terms->prompt,
--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -106,7 +106,7 @@
 update_rate (double rate, double amount, double ticks)
 {
   double seconds = ticks * ADMISSION_TICK_MS / 1000;
-  double decay = pow (1 - ADMISSION_GAIN, ticks);
+  double decay = pow (1 - ADMISSION_RATE_SMOOTHING, ticks);
 
   return rate * decay + amount / seconds * (1 - decay);
 }
@@ -142,20 +142,22 @@
 update_capacity (admission_t *admission, double demand, double ticks)
 {
   double dispatched = admission->tick_accepted + admission->tick_refused;
-  bool is_full = admission->tick_refused > dispatched * ADMISSION_REFUSED
-                 || admission->pressure > ADMISSION_PRESSURE;
+  bool is_full
+      = admission->tick_refused > dispatched * ADMISSION_OVERLOAD_REFUSED_SHARE
+        || admission->pressure > ADMISSION_OVERLOAD_PRESSURE;
   double probe_capacity;
 
   admission->accepted_rate = update_rate (admission->accepted_rate,
                                           admission->tick_accepted, ticks);
-  probe_capacity = admission->accepted_rate * ADMISSION_PROBE;
+  probe_capacity = admission->accepted_rate * ADMISSION_PROBE_FACTOR;
   /* The accepted rate and the demand have the same lag behind a sudden burst,
      so the capacity derived from one can be compared with the other.  */
   if (is_full || probe_capacity > admission->capacity)
     admission->capacity = probe_capacity;
   else if (admission->limiting)
-    admission->capacity *= pow (ADMISSION_OPEN, ticks);
-  admission->capacity = fmax (admission->capacity, ADMISSION_FLOOR * demand);
+    admission->capacity *= pow (ADMISSION_GROWTH_PER_TICK, ticks);
+  admission->capacity
+      = fmax (admission->capacity, ADMISSION_ADMITTED_SHARE_MIN * demand);
   admission->tick_accepted = 0;
   admission->tick_refused = 0;
 }
@@ -284,7 +286,7 @@
 }
 
 void
-admission_result (admission_t *admission, uint32_t cost, bool accepted)
+admission_record_result (admission_t *admission, uint32_t cost, bool accepted)
 {
   update_shares (admission);
   if (accepted)
@@ -294,7 +296,7 @@
 }
 
 void
-admission_pressure (admission_t *admission, double pressure)
+admission_set_pressure (admission_t *admission, double pressure)
 {
   update_shares (admission);
   admission->pressure = pressure;
@@ -308,14 +310,14 @@
 
   if (team->admitted_rate > 0)
     span_s = team->recent_refused / team->admitted_rate;
-  if (span_s > ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S)
-    span_s = ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S;
-  return ADMISSION_RETRY_MIN_S
+  if (span_s > ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S)
+    span_s = ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S;
+  return ADMISSION_RETRY_AFTER_MIN_S
          + (uint32_t)rng_below (admission->rng, (uint64_t)span_s + 1);
 }
 
 double
-admission_share (admission_t *admission, str_t name)
+admission_admitted_share (admission_t *admission, str_t name)
 {
   const team_t *team = find_team (admission, name);
 
@@ -323,7 +325,7 @@
 }
 
 bool
-admission_limiting (const admission_t *admission)
+admission_is_limiting (const admission_t *admission)
 {
   return admission->limiting;
 }
--- a/packages/policy/admission.h
+++ b/packages/policy/admission.h
@@ -8,35 +8,36 @@
    An entry process sees only its own part of the traffic, so it decides on its
    own observations of the fleet: the cost that the sidecars accept and refuse,
    and the load that they report.  As long as the sidecars refuse nothing, all
-   requests are admitted.  Otherwise the process admits ADMISSION_PROBE times
-   the accepted rate and divides that among the teams by weight: a team that
-   asks for less than its share is admitted in full, and the remainder goes to
-   the other teams (max-min fairness).  Of a team above its share, requests of
-   low priority are refused first.
+   requests are admitted.  Otherwise the process admits ADMISSION_PROBE_FACTOR
+   times the accepted rate and divides that among the teams by weight: a team
+   that asks for less than its share is admitted in full, and the remainder
+   goes to the other teams (max-min fairness).  Of a team above its share,
+   requests of low priority are refused first.
 
    Reasons for the constants:
 
-   - ADMISSION_PROBE 1.1: a tenth above the accepted rate detects free
+   - ADMISSION_PROBE_FACTOR 1.1: a tenth above the accepted rate detects free
      capacity.  The admitted rate then grows by about a tenth per second, so
      that refused callers do not return all at once, and at most a tenth of the
      dispatched requests is wasted.
-   - ADMISSION_REFUSED 0.01: up to one refusal in a hundred comes from two
-     unlucky random choices of an upstream; more means that the fleet is full.
-   - ADMISSION_PRESSURE 2: at a mean load of twice the slots as many requests
-     wait as run, and the queues are about to refuse requests that cannot meet
-     their deadlines.
-   - ADMISSION_TICK_MS 100, ADMISSION_GAIN 0.1: the rates follow the last
-     second, so that a burst is still detected as one.
-   - ADMISSION_FLOOR 0.02: share of the demand that is always admitted.  With
-     nothing dispatched, nothing can be accepted, and a fleet that accepted
-     nothing for some seconds would never receive requests again.
-   - ADMISSION_OPEN 1.07: growth of the capacity per tick, which doubles it
-     within a second, while requests are refused here and the fleet shows no
-     sign of being full.  The accepted rate alone would raise the capacity by
-     only a tenth per second.
-   - ADMISSION_RETRY_MIN_S 1, ADMISSION_RETRY_MAX_S 60: Retry-After is drawn
-     uniformly from the time in which the team's share serves what was refused
-     in the last seconds.  Callers do not wait longer than a minute.  */
+   - ADMISSION_OVERLOAD_REFUSED_SHARE 0.01: up to one refusal in a hundred
+   comes from two unlucky random choices of an upstream; more means that the
+   fleet is full.
+   - ADMISSION_OVERLOAD_PRESSURE 2: at a mean load of twice the slots as many
+   requests wait as run, and the queues are about to refuse requests that
+   cannot meet their deadlines.
+   - ADMISSION_TICK_MS 100, ADMISSION_RATE_SMOOTHING 0.1: the rates follow the
+   last second, so that a burst is still detected as one.
+   - ADMISSION_ADMITTED_SHARE_MIN 0.02: share of the demand that is always
+   admitted.  With nothing dispatched, nothing can be accepted, and a fleet
+   that accepted nothing for some seconds would never receive requests again.
+   - ADMISSION_GROWTH_PER_TICK 1.07: growth of the capacity per tick, which
+   doubles it within a second, while requests are refused here and the fleet
+   shows no sign of being full.  The accepted rate alone would raise the
+   capacity by only a tenth per second.
+   - ADMISSION_RETRY_AFTER_MIN_S 1, ADMISSION_RETRY_AFTER_MAX_S 60: Retry-After
+   is drawn uniformly from the time in which the team's share serves what was
+   refused in the last seconds.  Callers do not wait longer than a minute.  */
 
 #ifndef POLICY_ADMISSION_H
 #define POLICY_ADMISSION_H
@@ -49,16 +50,16 @@
 enum
 {
   ADMISSION_TICK_MS = 100,
-  ADMISSION_RETRY_MIN_S = 1,
-  ADMISSION_RETRY_MAX_S = 60
+  ADMISSION_RETRY_AFTER_MIN_S = 1,
+  ADMISSION_RETRY_AFTER_MAX_S = 60
 };
 
-#define ADMISSION_PROBE 1.1
-#define ADMISSION_REFUSED 0.01
-#define ADMISSION_PRESSURE 2.0
-#define ADMISSION_GAIN 0.1
-#define ADMISSION_FLOOR 0.02
-#define ADMISSION_OPEN 1.07
+#define ADMISSION_PROBE_FACTOR 1.1
+#define ADMISSION_OVERLOAD_REFUSED_SHARE 0.01
+#define ADMISSION_OVERLOAD_PRESSURE 2.0
+#define ADMISSION_RATE_SMOOTHING 0.1
+#define ADMISSION_ADMITTED_SHARE_MIN 0.02
+#define ADMISSION_GROWTH_PER_TICK 1.07
 
 typedef struct admission admission_t;
 
@@ -80,19 +81,20 @@
 /* Record that a sidecar accepted or refused a dispatched request of COST.
    ACCEPTED is false when the sidecar was full or could not meet the
    deadline.  */
-void admission_result (admission_t *admission, uint32_t cost, bool accepted);
+void admission_record_result (admission_t *admission, uint32_t cost,
+                              bool accepted);
 
 /* Record PRESSURE, the reported load of the sidecars relative to their slots
    (balance_pressure).  */
-void admission_pressure (admission_t *admission, double pressure);
+void admission_set_pressure (admission_t *admission, double pressure);
 
 /* Return the Retry-After value for a refused request of TEAM, in seconds,
    drawn at random on each call.  */
 uint32_t admission_retry_after_s (admission_t *admission, str_t team);
 
 /* Return the share of TEAM's demand that is currently admitted, 0 to 1.  */
-double admission_share (admission_t *admission, str_t team);
+double admission_admitted_share (admission_t *admission, str_t team);
 /* Return whether the demand exceeds the capacity of the fleet.  */
-bool admission_limiting (const admission_t *admission);
+bool admission_is_limiting (const admission_t *admission);
 
 #endif
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -111,7 +111,7 @@
 static uint64_t
 curve_hash (str_t task, str_t first, str_t second)
 {
-  return str_hash (second, quality_hash (task, first));
+  return str_hash (second, quality_series_hash (task, first));
 }
 
 static uint64_t
@@ -149,16 +149,16 @@
 }
 
 void
-cascade_first (cascade_t *c, str_t task, str_t first, double rating,
-               double second_rating, uint64_t now_ms)
+cascade_record_first (cascade_t *c, str_t task, str_t first, double rating,
+                      double second_rating, uint64_t now_ms)
 {
   record_rating (c, curve_hash (task, first, STR_NULL), rating, true,
                  second_rating, now_ms);
 }
 
 void
-cascade_second (cascade_t *c, str_t task, str_t first, str_t second,
-                double rating, double second_rating, uint64_t now_ms)
+cascade_record_second (cascade_t *c, str_t task, str_t first, str_t second,
+                       double rating, double second_rating, uint64_t now_ms)
 {
   if (!isnan (second_rating))
     record_rating (c, curve_hash (task, first, second), rating, false,
@@ -327,7 +327,7 @@
       const quality_bound_t *q
           = b < threshold_bin ? &second_bins[b] : &first_bins[b];
       double share = first->bins[b].first_count / first->first_count;
-      double error = (q->mean - q->lower) / QUALITY_Z;
+      double error = (q->mean - q->lower) / QUALITY_Z_ONE_SIDED_95;
       mean += share * q->mean;
       mean_of_squares += share * q->mean * q->mean;
       variance += share * share * error * error;
@@ -335,7 +335,8 @@
     }
   /* The share of each bin is an estimate, whose error adds to the variance. */
   variance += fmax (0, mean_of_squares - mean * mean) / first->first_count;
-  return (outcome_t){ mean, mean - QUALITY_Z * sqrt (variance), escalated };
+  return (outcome_t){ mean, mean - QUALITY_Z_ONE_SIDED_95 * sqrt (variance),
+                      escalated };
 }
 
 /* A request to plan for, and values derived from the request.  */
@@ -358,8 +359,9 @@
 static double
 audit_probability (double audit_count)
 {
-  return fmax (CASCADE_AUDIT_FLOOR,
-               CASCADE_AUDIT_START / (1 + audit_count / AUDIT_HALVING_COUNT));
+  return fmax (CASCADE_AUDIT_SHARE_MIN,
+               CASCADE_AUDIT_SHARE_MAX
+                   / (1 + audit_count / AUDIT_HALVING_COUNT));
 }
 
 /* Return whether the answer of FIRST, its rating and the answer of SECOND fit
@@ -461,8 +463,8 @@
       double audit = audit_probability (
           fmin (first_curve.audit_count, second_curve.audit_count));
       *plan = (cascade_plan_t){
-        .kind = CASCADE_FIRST,
-        .reason = CASCADE_R_CASCADE,
+        .kind = CASCADE_TWO_STAGE,
+        .reason = CASCADE_R_TWO_STAGE,
         .first = first,
         .second = second,
         .threshold = (double)threshold_bin / CASCADE_BINS,
@@ -559,7 +561,7 @@
           && is_pair_in_time (d, i, j))
         return true;
   if (!d->request->rater_ok)
-    *obstacle = CASCADE_R_NO_RATER;
+    *obstacle = CASCADE_R_RATER_DOWN;
   else if (d->request->streaming)
     *obstacle = CASCADE_R_STREAMING;
   else
@@ -621,7 +623,7 @@
   if (best == NULL || first_curve.first_count < CURVE_RATINGS_MIN)
     return true;
   /* The plan in use provides ratings of its own pair.  */
-  if (best->kind == CASCADE_FIRST && best->first == first
+  if (best->kind == CASCADE_TWO_STAGE && best->first == first
       && best->second == second)
     return false;
   if (!find_pair_plan (d, first, second, BOUND_UPPER, &plan))
@@ -682,7 +684,7 @@
             || rng_below (rng, ++pair_count) != 0)
           continue;
         *plan = make_direct_plan (d, i, CASCADE_R_EXPLORE);
-        plan->kind = CASCADE_FIRST;
+        plan->kind = CASCADE_TWO_STAGE;
         plan->second = j;
         plan->threshold = d->request->target;
         plan->whole = 1;
@@ -753,7 +755,7 @@
     return (cascade_plan_t){ .kind = CASCADE_NONE,
                              .reason = CASCADE_R_NO_CANDIDATE };
   if (d->count == 1)
-    return make_direct_plan (d, 0, CASCADE_R_ONLY);
+    return make_direct_plan (d, 0, CASCADE_R_SINGLE_VERSION);
   if (d->strongest == SIZE_MAX)
     return make_direct_plan (d, find_fastest (d), CASCADE_R_TOO_LATE);
   bool can_escalate = has_pair_in_time (d, &obstacle);
@@ -771,7 +773,7 @@
       && rng_double (rng) < explore_probability (d, &plan, &best))
     return plan;
   plan = best;
-  if (plan.kind == CASCADE_FIRST)
+  if (plan.kind == CASCADE_TWO_STAGE)
     {
       plan.audit = draw_audit (d, rng, &plan);
       draw_threshold (rng, &plan);
@@ -790,7 +792,7 @@
                                 ? request->count
                                 : CASCADE_CANDIDATES_MAX,
                    .time_budget_ms = (double)request->deadline_left_ms
-                                     * CASCADE_DEADLINE_PART };
+                                     * CASCADE_DEADLINE_SHARE };
 
   evidence_advance (c->evidence, now_ms);
   d.strongest = find_strongest (&d);
@@ -800,7 +802,7 @@
 }
 
 void
-cascade_settle (cascade_t *c, uint64_t generation, uint64_t now_ms)
+cascade_fold_epochs (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
   uint64_t epoch = evidence_first (c->evidence);
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -21,7 +21,7 @@
    cost includes both attempts and every rating.
 
    Escalation takes time: both attempts and the rating must fit in
-   CASCADE_DEADLINE_PART of the time left, and the rest is kept for queueing.
+   CASCADE_DEADLINE_SHARE of the time left, and the rest is kept for queueing.
    The caller of a streaming request gets a cascade only when the full first
    answer and its rating fit in the time allowed for the first byte.
 
@@ -53,15 +53,15 @@
 };
 
 /* Share of the time left until the deadline that a plan may take.  */
-#define CASCADE_DEADLINE_PART 0.8
+#define CASCADE_DEADLINE_SHARE 0.8
 /* Share of the cascades that are audited, which means that the first answer is
    rated a second time and an escalated answer is rated: the larger share while
    a pair has few audits, the smaller one later.  */
-#define CASCADE_AUDIT_START 0.3
-#define CASCADE_AUDIT_FLOOR 0.02
+#define CASCADE_AUDIT_SHARE_MAX 0.3
+#define CASCADE_AUDIT_SHARE_MIN 0.02
 
 /* Default share of the cost that exploration may add.  */
-#define CASCADE_EXPLORE_DEFAULT 0.08
+#define CASCADE_EXPLORE_COST_SHARE 0.08
 
 typedef enum
 {
@@ -71,22 +71,22 @@
 
 typedef enum
 {
-  CASCADE_NONE,   /* There is no candidate.  */
-  CASCADE_DIRECT, /* The version FIRST alone answers.  */
-  CASCADE_FIRST   /* The version FIRST answers and is rated; SECOND answers
-                     when the rating is below the threshold.  */
+  CASCADE_NONE,     /* There is no candidate.  */
+  CASCADE_DIRECT,   /* The version FIRST alone answers.  */
+  CASCADE_TWO_STAGE /* The version FIRST answers and is rated; SECOND answers
+                   when the rating is below the threshold.  */
 } cascade_kind_t;
 
 /* X (symbol, short code, sentence).  The short code is sent in a response
    header and names the counter.  */
 #define CASCADE_REASONS(X)                                                    \
   X (CASCADE_R_NO_CANDIDATE, "no-candidate", "No version is permitted.")      \
-  X (CASCADE_R_ONLY, "only", "Only one version is permitted.")                \
+  X (CASCADE_R_SINGLE_VERSION, "only", "Only one version is permitted.")      \
   X (CASCADE_R_CHEAPEST, "cheapest-in-bound",                                 \
      "The cheapest version whose quality bound meets the target.")            \
   X (CASCADE_R_FASTEST, "fastest-in-bound",                                   \
      "The fastest version whose quality bound meets the target.")             \
-  X (CASCADE_R_CASCADE, "cheap-first",                                        \
+  X (CASCADE_R_TWO_STAGE, "cheap-first",                                      \
      "A cheap first answer that is rated costs less than any single "         \
      "version.")                                                              \
   X (CASCADE_R_NO_BOUND, "strongest",                                         \
@@ -95,7 +95,7 @@
      "Too little time to escalate; the best single version in time is used.") \
   X (CASCADE_R_STREAMING, "streaming",                                        \
      "The time for the first byte is too short for a rated first answer.")    \
-  X (CASCADE_R_NO_RATER, "rater-down",                                        \
+  X (CASCADE_R_RATER_DOWN, "rater-down",                                      \
      "The rating service is unavailable; a single version is used.")          \
   X (CASCADE_R_TOO_LATE, "too-late",                                          \
      "No version answers within the deadline; the fastest one is used.")      \
@@ -175,15 +175,18 @@
 
 /* Record the RATING of an answer of the version FIRST.  SECOND_RATING is its
    rating by the audit, or NaN if there was no audit.  */
-void cascade_first (cascade_t *cascade, str_t task, str_t first, double rating,
-                    double second_rating, uint64_t now_ms);
+void cascade_record_first (cascade_t *cascade, str_t task, str_t first,
+                           double rating, double second_rating,
+                           uint64_t now_ms);
 /* Record an audited escalation: RATING is that of the answer of the version
    FIRST, SECOND_RATING that of the answer of the version SECOND.  */
-void cascade_second (cascade_t *cascade, str_t task, str_t first, str_t second,
-                     double rating, double second_rating, uint64_t now_ms);
+void cascade_record_second (cascade_t *cascade, str_t task, str_t first,
+                            str_t second, double rating, double second_rating,
+                            uint64_t now_ms);
 
 /* Fold, write and merge the learned state, as in quality.h.  */
-void cascade_settle (cascade_t *cascade, uint64_t generation, uint64_t now_ms);
+void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
+                          uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
 vh_code_t cascade_merge (cascade_t *cascade, str_t bytes, uint64_t now_ms);
 
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -49,8 +49,9 @@
   escalation_options_t options;
   double
       pressure; /* Mean time to the first event relative to the objective.  */
-  curve_t curves[ESCALATION_MODELS]; /* Time to the first event by model.  */
-  lead_t leads[ESCALATION_MODELS];
+  curve_t
+      curves[ESCALATION_MODELS_MAX]; /* Time to the first event by model.  */
+  lead_t leads[ESCALATION_MODELS_MAX];
   double mean_value; /* Mean value of a request; 0 if there was none.  */
 };
 
@@ -134,8 +135,8 @@
 fit_model (const escalation_t *escalation, size_t model,
            double terms[CURVE_TERMS])
 {
-  if (model >= ESCALATION_MODELS
-      || escalation->curves[model].count < ESCALATION_LEAST)
+  if (model >= ESCALATION_MODELS_MAX
+      || escalation->curves[model].count < ESCALATION_OBSERVATIONS_MIN)
     return false;
   fit_curve (&escalation->curves[model], terms);
   return true;
@@ -150,8 +151,8 @@
 }
 
 double
-escalation_wait_ms (const escalation_t *escalation, size_t model,
-                    uint32_t prompt_tokens)
+escalation_predicted_wait_ms (const escalation_t *escalation, size_t model,
+                              uint32_t prompt_tokens)
 {
   double terms[CURVE_TERMS];
 
@@ -165,31 +166,31 @@
 {
   double power = 1;
 
-  curve->count = curve->count * ESCALATION_KEEP_CURVE + 1;
+  curve->count = curve->count * ESCALATION_CURVE_DECAY + 1;
   for (size_t i = 0; i < 2 * CURVE_TERMS - 1; i++)
     {
-      curve->powers[i] = curve->powers[i] * ESCALATION_KEEP_CURVE + power;
+      curve->powers[i] = curve->powers[i] * ESCALATION_CURVE_DECAY + power;
       if (i < CURVE_TERMS)
         curve->waits[i]
-            = curve->waits[i] * ESCALATION_KEEP_CURVE + wait_ms * power;
+            = curve->waits[i] * ESCALATION_CURVE_DECAY + wait_ms * power;
       power *= x;
     }
 }
 
 void
-escalation_heard (escalation_t *escalation, size_t model,
-                  uint32_t prompt_tokens, uint64_t wait_ms,
-                  uint64_t objective_ms)
+escalation_record_wait (escalation_t *escalation, size_t model,
+                        uint32_t prompt_tokens, uint64_t wait_ms,
+                        uint64_t objective_ms)
 {
   double terms[CURVE_TERMS];
   double wait = (double)wait_ms;
 
   if (objective_ms > 0)
     escalation->pressure
-        = escalation->pressure * ESCALATION_KEEP_PRESSURE
+        = escalation->pressure * ESCALATION_PRESSURE_DECAY
           + fmin (wait / (double)objective_ms, pressure_sample_max)
-                * (1 - ESCALATION_KEEP_PRESSURE);
-  if (model >= ESCALATION_MODELS)
+                * (1 - ESCALATION_PRESSURE_DECAY);
+  if (model >= ESCALATION_MODELS_MAX)
     return;
   if (fit_model (escalation, model, terms))
     wait = fmin (wait, evaluate_curve (terms, prompt_tokens) * outlier_factor
@@ -209,32 +210,37 @@
 static double
 exceedance (double value, double limit)
 {
-  return 1 / (1 + exp ((limit - value) / (limit * ESCALATION_SCATTER)));
+  return 1
+         / (1
+            + exp ((limit - value)
+                   / (limit * ESCALATION_LATE_TRANSITION_WIDTH)));
 }
 
 void
-escalation_compared (escalation_t *escalation, size_t model,
-                     uint32_t smallest_confidence, uint32_t confidence)
+escalation_record_confidences (escalation_t *escalation, size_t model,
+                               uint32_t smallest_confidence,
+                               uint32_t confidence)
 {
   /* Confidences at the ends of the scale are clipped and would distort the
      lead.  */
-  if (model >= ESCALATION_MODELS || smallest_confidence == 0
+  if (model >= ESCALATION_MODELS_MAX || smallest_confidence == 0
       || smallest_confidence >= 100 || confidence == 0 || confidence >= 100)
     return;
   lead_t *lead = &escalation->leads[model];
-  lead->count = lead->count * ESCALATION_KEEP_CURVE + 1;
-  lead->points = lead->points * ESCALATION_KEEP_CURVE + confidence
+  lead->count = lead->count * ESCALATION_CURVE_DECAY + 1;
+  lead->points = lead->points * ESCALATION_CURVE_DECAY + confidence
                  - smallest_confidence;
 }
 
 double
-escalation_lead (const escalation_t *escalation, size_t model)
+escalation_confidence_lead (const escalation_t *escalation, size_t model)
 {
-  if (model >= ESCALATION_MODELS)
+  if (model >= ESCALATION_MODELS_MAX)
     return 0;
   const lead_t *lead = &escalation->leads[model];
-  return (lead->points + ESCALATION_LEAD * ESCALATION_LEAD_COUNT)
-         / (lead->count + ESCALATION_LEAD_COUNT);
+  return (lead->points
+          + ESCALATION_PRIOR_LEAD_POINTS * ESCALATION_PRIOR_LEAD_COUNT)
+         / (lead->count + ESCALATION_PRIOR_LEAD_COUNT);
 }
 
 /* Return the probability that an answer is good, given CONFIDENCE as the mean
@@ -252,15 +258,15 @@
 static double
 pressure_points (const escalation_t *escalation)
 {
-  double excess = (escalation->pressure - ESCALATION_CALM)
-                  / (ESCALATION_PRESSED - ESCALATION_CALM);
+  double excess = (escalation->pressure - ESCALATION_PRESSURE_LOW)
+                  / (ESCALATION_PRESSURE_HIGH - ESCALATION_PRESSURE_LOW);
 
-  return fmin (fmax (excess, 0), 1) * ESCALATION_PRESSED_POINTS;
+  return fmin (fmax (excess, 0), 1) * ESCALATION_PRESSURE_POINTS_MAX;
 }
 
 static double
 request_value (const escalation_t *escalation,
-               const escalation_case_t *request)
+               const escalation_request_t *request)
 {
   double size = request->read + output_size_weight * request->generated;
 
@@ -274,8 +280,8 @@
 /* Return the additional cost of an answer of CANDIDATE.  The present answer is
    then not generated to its end, which saves its output tokens.  */
 static double
-additional_cost (const escalation_case_t *request,
-                 const escalation_choice_t *candidate)
+additional_cost (const escalation_request_t *request,
+                 const escalation_candidate_t *candidate)
 {
   double output_units = request->generated / tokens_per_unit;
   double prompt_units = request->read / tokens_per_unit * prompt_cost_ratio;
@@ -287,8 +293,9 @@
 /* Store the expected time to the first event of CANDIDATE, and the part of
    that time for processing the prompt.  */
 static void
-predict_wait (const escalation_t *escalation, const escalation_case_t *request,
-              const escalation_choice_t *candidate, double *wait_ms,
+predict_wait (const escalation_t *escalation,
+              const escalation_request_t *request,
+              const escalation_candidate_t *candidate, double *wait_ms,
               double *prompt_ms)
 {
   double terms[CURVE_TERMS];
@@ -311,30 +318,30 @@
    result is the mean of *COUNT confidences.  */
 static double
 combined_confidence (const escalation_t *escalation,
-                     const escalation_case_t *request, double *count)
+                     const escalation_request_t *request, double *count)
 {
   *count = 1;
   if (!request->has_first)
     return request->opinion;
   *count = 2;
   return (request->opinion + request->first
-          + escalation_lead (escalation, request->model))
+          + escalation_confidence_lead (escalation, request->model))
          / 2;
 }
 
 double
 escalation_gain (const escalation_t *escalation,
-                 const escalation_case_t *request, size_t index)
+                 const escalation_request_t *request, size_t index)
 {
   const escalation_options_t *options = &escalation->options;
-  const escalation_choice_t *candidate = &request->choices[index];
+  const escalation_candidate_t *candidate = &request->choices[index];
   double value = request_value (escalation, request);
   double count;
   double confidence = combined_confidence (escalation, request, &count)
                       + pressure_points (escalation);
-  double lead = escalation_lead (escalation, candidate->model);
+  double lead = escalation_confidence_lead (escalation, candidate->model);
   if (request->has_first)
-    lead -= escalation_lead (escalation, request->model);
+    lead -= escalation_confidence_lead (escalation, request->model);
   double present_probability
       = good_probability (escalation, confidence, count);
   double candidate_probability
@@ -353,7 +360,8 @@
             : 0;
   if (request->pause_ms > 0)
     delayed_value
-        = exceedance (prompt_ms, (double)request->pause_ms * ESCALATION_PAUSES)
+        = exceedance (prompt_ms,
+                      (double)request->pause_ms * ESCALATION_PAUSE_FACTOR)
           * candidate->beside * (1 - options->late_part)
           * (escalation->mean_value > 0 ? escalation->mean_value : value);
   double candidate_quality
@@ -362,12 +370,15 @@
         * (1 - late_probability * (1 - options->late_part));
   double present_quality
       = present_probability + (1 - present_probability) * options->poor_part;
-  return value * (candidate_quality - present_quality - ESCALATION_MARGIN)
+  return value
+             * (candidate_quality - present_quality
+                - ESCALATION_GAIN_SHARE_MIN)
          - additional_cost (request, candidate) - delayed_value;
 }
 
 size_t
-escalation_choose (escalation_t *escalation, const escalation_case_t *request)
+escalation_choose (escalation_t *escalation,
+                   const escalation_request_t *request)
 {
   double value = request_value (escalation, request);
   size_t best = request->choice_count;
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -51,42 +51,42 @@
 
 /* Pressure, the mean time to the first event relative to the objective, up to
    which confidences are not changed and from which the full
-   ESCALATION_PRESSED_POINTS are added.  An engine with little load answers
-   within a tenth of the objective; at a mean of a half the slowest tenth of
-   the first events is already late.  */
-#define ESCALATION_CALM 0.16
-#define ESCALATION_PRESSED 0.48
+   ESCALATION_PRESSURE_POINTS_MAX are added.  An engine with little load
+   answers within a tenth of the objective; at a mean of a half the slowest
+   tenth of the first events is already late.  */
+#define ESCALATION_PRESSURE_LOW 0.16
+#define ESCALATION_PRESSURE_HIGH 0.48
 /* Points added to a confidence at full pressure.  The answers that are then
    still escalated are nearly always poor.  */
-#define ESCALATION_PRESSED_POINTS 43
+#define ESCALATION_PRESSURE_POINTS_MAX 43
 /* Weight of the old pressure at each observation; the average covers about one
    second of the requests of an entry process.  */
-#define ESCALATION_KEEP_PRESSURE 0.92
+#define ESCALATION_PRESSURE_DECAY 0.92
 /* Prior of the lead of a model, in points, and its weight as a number of
    observations.  */
-#define ESCALATION_LEAD 10
-#define ESCALATION_LEAD_COUNT 4
+#define ESCALATION_PRIOR_LEAD_POINTS 10
+#define ESCALATION_PRIOR_LEAD_COUNT 4
 /* Weight of the old sums of a curve at each observation; the sums cover some
    20 s at ten observations per second.  */
-#define ESCALATION_KEEP_CURVE 0.995
+#define ESCALATION_CURVE_DECAY 0.995
 /* Width of the transition from on time to late, relative to the limit.  Times
    to the first event scatter around their curve by about this width.  */
-#define ESCALATION_SCATTER 0.15
+#define ESCALATION_LATE_TRANSITION_WIDTH 0.15
 /* Time to process a prompt, relative to the longest allowed pause between
    events, that makes concurrent streams late.  A shorter time is spread over
    two gaps between events.  */
-#define ESCALATION_PAUSES 1.25
+#define ESCALATION_PAUSE_FACTOR 1.25
 
 /* Least gain of an escalation, relative to the value of the request.  A
    smaller gain is within the error of the confidence, while the escalation
    loads the engines in any case.  */
-#define ESCALATION_MARGIN 0.02
+#define ESCALATION_GAIN_SHARE_MIN 0.02
 
 enum
 {
-  ESCALATION_MODELS = 8,
+  ESCALATION_MODELS_MAX = 8,
   /* Fewest observations from which a curve is used.  */
-  ESCALATION_LEAST = 10
+  ESCALATION_OBSERVATIONS_MIN = 10
 };
 
 typedef struct escalation escalation_t;
@@ -113,13 +113,13 @@
   double cost;   /* Cost of 1,000 output tokens or of 4,000 prompt tokens.  */
   double beside; /* Requests running on the engine that would process the
                     prompt.  */
-} escalation_choice_t;
+} escalation_candidate_t;
 
 /* A request and its present answer.  */
 typedef struct
 {
   size_t model;        /* Index of the model that answered.  */
-  double cost;         /* Cost of MODEL, as in escalation_choice_t.  */
+  double cost;         /* Cost of MODEL, as in escalation_candidate_t.  */
   uint32_t read;       /* Prompt tokens.  */
   uint32_t generated;  /* Expected output tokens; 0 if unknown.  */
   uint32_t rank;       /* Priority of the request; 0 is the highest.  */
@@ -130,9 +130,9 @@
   uint64_t objective_ms; /* Objective for the first event; 0 for none.  */
   uint64_t pause_ms;     /* Longest allowed pause between events; 0 for no
                             limit.  */
-  const escalation_choice_t *choices; /* Larger models, smallest first.  */
+  const escalation_candidate_t *choices; /* Larger models, smallest first.  */
   size_t choice_count;
-} escalation_case_t;
+} escalation_request_t;
 
 /* Return a new state of one service, owned by the caller.  OPTIONS is
    copied.  */
@@ -141,30 +141,32 @@
 
 /* Record that the first event of MODEL for a prompt of PROMPT_TOKENS arrived
    after WAIT_MS.  OBJECTIVE_MS is the objective; 0 for none.  */
-void escalation_heard (escalation_t *escalation, size_t model,
-                       uint32_t prompt_tokens, uint64_t wait_ms,
-                       uint64_t objective_ms);
+void escalation_record_wait (escalation_t *escalation, size_t model,
+                             uint32_t prompt_tokens, uint64_t wait_ms,
+                             uint64_t objective_ms);
 /* Record the CONFIDENCE of MODEL and the SMALLEST_CONFIDENCE of the smallest
    model in their answers to the same request.  */
-void escalation_compared (escalation_t *escalation, size_t model,
-                          uint32_t smallest_confidence, uint32_t confidence);
+void escalation_record_confidences (escalation_t *escalation, size_t model,
+                                    uint32_t smallest_confidence,
+                                    uint32_t confidence);
 /* Return the points by which the confidence of MODEL, which is not the
    smallest one, exceeds that of the smallest model.  */
-double escalation_lead (const escalation_t *escalation, size_t model);
+double escalation_confidence_lead (const escalation_t *escalation,
+                                   size_t model);
 /* Return the gain of replacing the present answer by that of the candidate
    INDEX, in the unit of the costs.  */
 double escalation_gain (const escalation_t *escalation,
-                        const escalation_case_t *request, size_t index);
+                        const escalation_request_t *request, size_t index);
 /* Return the index of the candidate with the largest gain, or the number of
    candidates when the present answer is kept.  The value of REQUEST enters the
    mean value, which is used for concurrent requests.  */
 size_t escalation_choose (escalation_t *escalation,
-                          const escalation_case_t *request);
+                          const escalation_request_t *request);
 /* Return the mean time to the first event relative to the objective.  */
 double escalation_pressure (const escalation_t *escalation);
 /* Return the expected time to the first event of MODEL for a prompt of
    PROMPT_TOKENS; 0 if there are too few observations.  */
-double escalation_wait_ms (const escalation_t *escalation, size_t model,
-                           uint32_t prompt_tokens);
+double escalation_predicted_wait_ms (const escalation_t *escalation,
+                                     size_t model, uint32_t prompt_tokens);
 
 #endif
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -39,9 +39,9 @@
   limit_t *limit = mem_zalloc (sizeof *limit);
 
   limit->clock = clock;
-  limit->start = LIMIT_START;
-  limit->max = LIMIT_MAX;
-  limit->tolerance = LIMIT_TOLERANCE;
+  limit->start = LIMIT_INITIAL_SLOTS;
+  limit->max = LIMIT_SLOTS_MAX;
+  limit->tolerance = LIMIT_LATENCY_TOLERANCE;
   if (config != NULL && config->start > 0)
     limit->start = config->start;
   if (config != NULL && config->max > 0)
@@ -50,7 +50,7 @@
     limit->tolerance = config->tolerance;
   if (limit->start > limit->max)
     limit->start = limit->max;
-  limit_restart (limit);
+  limit_reset (limit);
   return limit;
 }
 
@@ -107,7 +107,7 @@
   uint64_t now = clock_us (limit->clock);
   double minutes = (double)(now - limit->best_drifted_us) / 60e6;
 
-  limit->best_us *= 1 + LIMIT_DRIFT_PER_MIN * fmin (minutes, 1);
+  limit->best_us *= 1 + LIMIT_BEST_DRIFT_PER_MIN * fmin (minutes, 1);
   limit->best_drifted_us = now;
 }
 
@@ -141,8 +141,9 @@
 static double
 doubling_utilization (const limit_t *limit)
 {
-  return limit->is_best_warm && limit->slots < LIMIT_SMALL ? LIMIT_GROW_USED
-                                                           : LIMIT_DOUBLE_USED;
+  return limit->is_best_warm && limit->slots < LIMIT_SMALL_SLOTS
+             ? LIMIT_GROWTH_UTILIZATION
+             : LIMIT_DOUBLE_UTILIZATION;
 }
 
 /* Set the limit from the round that ends now, and start the next one.  */
@@ -156,7 +157,7 @@
 
   raise_best (limit);
   /* The best latency so far was that of a cold engine.  */
-  if (mean_us < limit->best_us * LIMIT_WARMED)
+  if (mean_us < limit->best_us * LIMIT_WARM_LATENCY_RATIO)
     {
       limit->in_slow_start = true;
       limit->slow_start_threshold = limit->max;
@@ -165,7 +166,7 @@
   if (limit->best_us == 0)
     limit->best_us = mean_us;
   else if (mean_us < limit->best_us)
-    limit->best_us += LIMIT_BEST_GAIN * (mean_us - limit->best_us);
+    limit->best_us += LIMIT_BEST_SMOOTHING * (mean_us - limit->best_us);
   if (limit->failures * 2 > limit->samples)
     {
       limit->in_slow_start = false;
@@ -186,8 +187,8 @@
       limit->in_slow_start = limit->slots * 2 < limit->slow_start_threshold;
       set_slots (limit, fmin (limit->slots * 2, limit->slow_start_threshold));
     }
-  else if (utilization > LIMIT_GROW_USED)
-    set_slots (limit, limit->slots + LIMIT_STEP);
+  else if (utilization > LIMIT_GROWTH_UTILIZATION)
+    set_slots (limit, limit->slots + LIMIT_GROWTH_SLOTS);
   start_round (limit);
 }
 
@@ -204,7 +205,8 @@
   /* A warm upstream that turns cold gives consecutive samples far above the
      best latency.  Waiting for the end of the round would send it another full
      batch of requests, all of which would time out.  */
-  if (limit->best_us > 0 && unit_us > limit->best_us * LIMIT_COLD_FACTOR)
+  if (limit->best_us > 0
+      && unit_us > limit->best_us * LIMIT_COLD_LATENCY_RATIO)
     limit->consecutive_cold++;
   else
     limit->consecutive_cold = 0;
@@ -216,11 +218,11 @@
   uint64_t round_ms = (clock_us (limit->clock) - limit->round_start_us) / 1000;
 
   limit->samples++;
-  if (limit->consecutive_cold >= LIMIT_COLD_RUN
-      || limit->consecutive_errors >= LIMIT_ERROR_RUN)
+  if (limit->consecutive_cold >= LIMIT_COLD_SAMPLES
+      || limit->consecutive_errors >= LIMIT_CONSECUTIVE_ERRORS)
     reset_to_start (limit);
   else if (limit->samples >= limit_slots (limit)
-           && round_ms >= LIMIT_WINDOW_MS)
+           && round_ms >= LIMIT_ROUND_MIN_MS)
     end_round (limit);
 }
 
@@ -235,7 +237,7 @@
 }
 
 void
-limit_forget (limit_t *limit)
+limit_release_without_sample (limit_t *limit)
 {
   update_slot_time (limit);
   if (limit->in_flight > 0)
@@ -243,7 +245,7 @@
 }
 
 void
-limit_observe (limit_t *limit, uint64_t latency_us, uint32_t units)
+limit_report_progress (limit_t *limit, uint64_t latency_us, uint32_t units)
 {
   limit->consecutive_errors = 0;
   add_sample (limit, latency_us, units);
@@ -253,10 +255,10 @@
 void
 limit_release (limit_t *limit, uint64_t latency_us, uint32_t units, bool ok)
 {
-  limit_forget (limit);
+  limit_release_without_sample (limit);
   if (ok)
     {
-      limit_observe (limit, latency_us, units);
+      limit_report_progress (limit, latency_us, units);
       return;
     }
   limit->failures++;
@@ -265,7 +267,7 @@
 }
 
 void
-limit_restart (limit_t *limit)
+limit_reset (limit_t *limit)
 {
   limit->in_flight = 0;
   limit->best_us = 0;
@@ -288,7 +290,7 @@
 }
 
 bool
-limit_warming (const limit_t *limit)
+limit_is_warming_up (const limit_t *limit)
 {
   /* A fixed limit is always at its start value, which shows no cold engine. */
   return limit->start < limit->max
--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -66,8 +66,8 @@
 
 /* Take in one answer of MEMBER: whether the upstream did its part, and in
    what time for UNITS of cost.  LATENCY_US 0 says nothing of its speed: for
-   an upstream that limit_warming names, which is slow, held by its limit, and
-   would be ejected just when it is warm.  */
+   an upstream that limit_is_warming_up names, which is slow, held by its
+   limit, and would be ejected just when it is warm.  */
 void outlier_record (outlier_t *outlier, outlier_member_t *member, bool ok,
                      uint64_t latency_us, uint32_t units);
 
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -73,21 +73,21 @@
 }
 
 uint64_t
-quality_hash (str_t task, str_t version)
+quality_series_hash (str_t task, str_t version)
 {
   return str_hash (version, str_hash (task, 0x71));
 }
 
 bool
-quality_add (quality_t *q, str_t task, str_t version, double rating,
-             uint64_t now_ms)
+quality_add_rating (quality_t *q, str_t task, str_t version, double rating,
+                    uint64_t now_ms)
 {
   if (isnan (rating))
     return false;
   double value = fmax (0, fmin (1, rating));
   int64_t sample[FIELDS]
       = { 0, evidence_fixed (value), evidence_fixed (value * value) };
-  int key = evidence_key (q->evidence, quality_hash (task, version));
+  int key = evidence_key (q->evidence, quality_series_hash (task, version));
   return evidence_add (q->evidence, key, now_ms, sample);
 }
 
@@ -102,7 +102,8 @@
 
   squared_deviations
       += fmax (0, squares - 2 * mean * sum + count * mean * mean);
-  double half_width = QUALITY_Z * sqrt (squared_deviations / weight / weight);
+  double half_width
+      = QUALITY_Z_ONE_SIDED_95 * sqrt (squared_deviations / weight / weight);
   return (quality_bound_t){ mean, fmax (0, mean - half_width),
                             fmin (1, mean + half_width), count };
 }
@@ -174,19 +175,19 @@
   return count;
 }
 
-/* Return the mean of epoch I, clipped to QUALITY_CLIP around the median of the
-   other epochs; the variance of the epoch is kept.  Clipping bounds the effect
-   of a rating service that is temporarily wrong, which shows as a simultaneous
-   jump of all versions.  The median follows only when half of the votes have
-   moved.  */
+/* Return the mean of epoch I, clipped to QUALITY_CLIP_DISTANCE around the
+   median of the other epochs; the variance of the epoch is kept.  Clipping
+   bounds the effect of a rating service that is temporarily wrong, which shows
+   as a simultaneous jump of all versions.  The median follows only when half
+   of the votes have moved.  */
 static double
 clipped_mean (const epoch_stats_t *epochs, size_t count, size_t i)
 {
   if (count < CLIP_EPOCHS_MIN)
     return epochs[i].mean;
   double median = median_of_others (epochs, count, i);
-  return fmax (median - QUALITY_CLIP,
-               fmin (median + QUALITY_CLIP, epochs[i].mean));
+  return fmax (median - QUALITY_CLIP_DISTANCE,
+               fmin (median + QUALITY_CLIP_DISTANCE, epochs[i].mean));
 }
 
 static void
@@ -229,10 +230,10 @@
 }
 
 quality_bound_t
-quality_get (quality_t *q, str_t task, str_t version, double prior,
-             uint64_t now_ms)
+quality_estimate (quality_t *q, str_t task, str_t version, double prior,
+                  uint64_t now_ms)
 {
-  int key = evidence_find (q->evidence, quality_hash (task, version));
+  int key = evidence_find (q->evidence, quality_series_hash (task, version));
 
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
@@ -259,22 +260,22 @@
 }
 
 bool
-quality_sample (quality_t *q, rng_t *rng, str_t task, str_t version,
-                uint64_t now_ms)
+quality_should_rate (quality_t *q, rng_t *rng, str_t task, str_t version,
+                     uint64_t now_ms)
 {
-  quality_bound_t estimate = quality_get (q, task, version, 0.5, now_ms);
+  quality_bound_t estimate = quality_estimate (q, task, version, 0.5, now_ms);
   const quality_sampling_t *s = &q->sampling;
   double share = s->share;
 
   if (estimate.weight > s->want)
     share = fmax (fmin (s->share, s->share_settled),
                   s->share * s->want / estimate.weight);
-  return rng_double (rng) < share && quality_rater_ok (q, now_ms)
+  return rng_double (rng) < share && quality_is_rater_available (q, now_ms)
          && take_token (q, now_ms);
 }
 
 void
-quality_rater_failed (quality_t *q, uint64_t now_ms)
+quality_record_rater_failure (quality_t *q, uint64_t now_ms)
 {
   uint64_t pause = q->rater_pause_ms * 2;
 
@@ -286,20 +287,20 @@
 }
 
 void
-quality_rater_answered (quality_t *q)
+quality_record_rater_success (quality_t *q)
 {
   q->rater_pause_ms = 0;
   q->rater_paused_until_ms = 0;
 }
 
 bool
-quality_rater_ok (const quality_t *q, uint64_t now_ms)
+quality_is_rater_available (const quality_t *q, uint64_t now_ms)
 {
   return now_ms >= q->rater_paused_until_ms;
 }
 
 void
-quality_settle (quality_t *q, uint64_t generation, uint64_t now_ms)
+quality_fold_epochs (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
   uint64_t epoch = evidence_first (q->evidence);
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -22,11 +22,11 @@
    instead of relying on outdated ratings.
 
    The mean of an epoch that lies far from the weighted median of the other
-   epochs is clipped to a distance of QUALITY_CLIP, so that a rating service
-   that is wrong for an hour moves the posterior by a bounded amount.  A
-   version that really changed moves the median once its epochs hold half of
-   the votes; a sudden change is to be detected by the roll-out and the watch
-   (rollout.h).  */
+   epochs is clipped to a distance of QUALITY_CLIP_DISTANCE, so that a rating
+   service that is wrong for an hour moves the posterior by a bounded
+   amount.  A version that really changed moves the median once its epochs hold
+   half of the votes; a sudden change is to be detected by the roll-out and the
+   watch (rollout.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -48,11 +48,11 @@
 };
 
 /* Quantile of the standard normal distribution for a one-sided 95% bound.  */
-#define QUALITY_Z 1.645
+#define QUALITY_Z_ONE_SIDED_95 1.645
 /* Largest distance between the mean of an epoch and the median of the others.
    Twice the difference that occurs by chance once in a hundred pairs of epochs
    with 20 ratings of standard deviation 0.2 each.  */
-#define QUALITY_CLIP 0.25
+#define QUALITY_CLIP_DISTANCE 0.25
 
 /* Bounds on the number of answers that are sent to the rating service.  */
 typedef struct
@@ -92,32 +92,34 @@
    answer must not have been chosen by its rating.  NOW_MS is real time.
    Return false when RATING is NaN, or when there is no room for the series or
    the time is too old.  */
-bool quality_add (quality_t *quality, str_t task, str_t version, double rating,
-                  uint64_t now_ms);
+bool quality_add_rating (quality_t *quality, str_t task, str_t version,
+                         double rating, uint64_t now_ms);
 
 /* Return the posterior of VERSION for TASK; PRIOR is the rating expected
    before any evidence.  */
-quality_bound_t quality_get (quality_t *quality, str_t task, str_t version,
-                             double prior, uint64_t now_ms);
+quality_bound_t quality_estimate (quality_t *quality, str_t task,
+                                  str_t version, double prior,
+                                  uint64_t now_ms);
 
 /* Return whether to send an answer of VERSION to the rating service.  The
    probability is the configured share, less for a version with many ratings,
    and a token bucket bounds the rate.  */
-bool quality_sample (quality_t *quality, rng_t *rng, str_t task, str_t version,
-                     uint64_t now_ms);
+bool quality_should_rate (quality_t *quality, rng_t *rng, str_t task,
+                          str_t version, uint64_t now_ms);
 
 /* Record that the rating service failed or timed out.  Requests to the rating
    service then pause for a time that doubles with each consecutive failure, up
    to a minute.  */
-void quality_rater_failed (quality_t *quality, uint64_t now_ms);
+void quality_record_rater_failure (quality_t *quality, uint64_t now_ms);
 /* Record that the rating service answered, which ends the pause.  */
-void quality_rater_answered (quality_t *quality);
+void quality_record_rater_success (quality_t *quality);
 /* Return whether requests to the rating service are not paused.  */
-bool quality_rater_ok (const quality_t *quality, uint64_t now_ms);
+bool quality_is_rater_available (const quality_t *quality, uint64_t now_ms);
 
 /* Fold all epochs but the last two under GENERATION, the fencing number of the
    caller's lease (see evidence_settle).  */
-void quality_settle (quality_t *quality, uint64_t generation, uint64_t now_ms);
+void quality_fold_epochs (quality_t *quality, uint64_t generation,
+                          uint64_t now_ms);
 /* Append the ratings to OUT: all for the stored table, or with OWN_ONLY the
    recent ratings of this process for its peers (see evidence_write).  */
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
@@ -126,7 +128,7 @@
 vh_code_t quality_merge (quality_t *quality, str_t bytes, uint64_t now_ms);
 
 /* Return the evidence key of the ratings of VERSION for TASK.  */
-uint64_t quality_hash (str_t task, str_t version);
+uint64_t quality_series_hash (str_t task, str_t version);
 
 /* Variance of a uniform distribution over 0 to 1.  */
 #define QUALITY_PRIOR_VARIANCE (1.0 / 12.0)
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -92,7 +92,7 @@
 
   queue->clock = clock;
   queue->max_waiters = QUEUE_MAX_WAITERS;
-  queue->long_cost = QUEUE_LONG_COST;
+  queue->long_cost = QUEUE_LONG_COST_MIN;
   queue->slots = 1;
   queue->recent_min_slots = INFINITY;
   queue->recent_min_at_us = clock_us (clock);
@@ -163,7 +163,7 @@
   double seconds = fmin ((double)(now - queue->recent_min_at_us) / 1e6, 10);
 
   queue->slots = slots > 0 ? slots : 1;
-  queue->recent_min_slots *= 1 + QUEUE_LOW_RISE_PER_S * seconds;
+  queue->recent_min_slots *= 1 + QUEUE_MIN_SLOTS_RISE_PER_S * seconds;
   queue->recent_min_slots = fmin (queue->recent_min_slots, queue->slots);
   queue->recent_min_at_us = now;
 }
@@ -185,12 +185,12 @@
 static uint32_t
 long_slots_max (const queue_t *queue)
 {
-  uint64_t reserve_us = (uint64_t)QUEUE_SHORT_MEMORY_MS * 1000;
+  uint64_t reserve_us = (uint64_t)QUEUE_SHORT_RESERVE_MS * 1000;
 
   if (queue->last_short_us == 0
       || clock_us (queue->clock) - queue->last_short_us > reserve_us)
     return queue->slots;
-  return share_of_slots (queue, QUEUE_LONG_CAP);
+  return share_of_slots (queue, QUEUE_LONG_SHARE_MAX);
 }
 
 /* Return the expected time that a job of COST units takes in one slot, from
@@ -219,8 +219,8 @@
       = queue->slots > other_running ? queue->slots - other_running : 0;
   uint32_t min_slots
       = size_class == SHORT
-            ? queue->slots - share_of_slots (queue, QUEUE_LONG_CAP)
-            : share_of_slots (queue, QUEUE_LONG_FLOOR);
+            ? queue->slots - share_of_slots (queue, QUEUE_LONG_SHARE_MAX)
+            : share_of_slots (queue, QUEUE_LONG_SHARE_MIN);
 
   if (size_class == LONG && available > long_slots_max (queue))
     available = long_slots_max (queue);
@@ -339,7 +339,7 @@
 static uint64_t
 order_key_us (const queue_job_t *job, uint64_t now, uint64_t service_us)
 {
-  uint64_t max_delay_us = (uint64_t)QUEUE_PASS_MS * 1000;
+  uint64_t max_delay_us = (uint64_t)QUEUE_REORDER_MAX_MS * 1000;
 
   if (service_us > max_delay_us)
     service_us = max_delay_us;
@@ -351,7 +351,7 @@
 static uint64_t
 max_credit (const class_state_t *class_state, const queue_team_t *team)
 {
-  return (uint64_t)(class_state->mean_cost * QUEUE_CREDIT * VIRTUAL_SCALE
+  return (uint64_t)(class_state->mean_cost * QUEUE_CREDIT_JOBS * VIRTUAL_SCALE
                     / team->weight);
 }
 
@@ -364,7 +364,7 @@
   if (now + service_us > deadline_us)
     return false;
   return (double)wait_us
-         <= (double)(deadline_us - now - service_us) * QUEUE_SLACK_USED;
+         <= (double)(deadline_us - now - service_us) * QUEUE_WAIT_SLACK_SHARE;
 }
 
 vh_code_t
@@ -389,7 +389,7 @@
                              estimate_wait_us (queue, team, size_class, cost),
                              service_us, job->deadline_us))
     return VH_E_DEADLINE;
-  if (queue_waiting (queue) >= queue->max_waiters)
+  if (queue_waiting_count (queue) >= queue->max_waiters)
     {
       *evicted = evict_job (queue, flow, team->weight, cost);
       if (*evicted == NULL)
@@ -438,7 +438,7 @@
   /* Long jobs get their minimum share even under a continuous stream of short
      jobs, so that they do not starve.  A single slot is not reserved.  */
   if (may_run_long && queue->slots > 1
-      && long_class->running < share_of_slots (queue, QUEUE_LONG_FLOOR))
+      && long_class->running < share_of_slots (queue, QUEUE_LONG_SHARE_MIN))
     return LONG;
   return SHORT;
 }
@@ -549,7 +549,7 @@
 }
 
 queue_waiter_t *
-queue_lapsed (queue_t *queue)
+queue_pop_expired (queue_t *queue)
 {
   heap_node_t *next = heap_top (&queue->expiries);
   queue_waiter_t *waiter;
@@ -562,7 +562,7 @@
 }
 
 uint64_t
-queue_next_lapse_us (const queue_t *queue)
+queue_next_expiry_us (const queue_t *queue)
 {
   const heap_node_t *next = heap_top (&queue->expiries);
 
@@ -570,7 +570,7 @@
 }
 
 uint64_t
-queue_wait_us (queue_t *queue, str_t team, uint32_t cost)
+queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost)
 {
   int size_class = cost >= queue->long_cost ? LONG : SHORT;
 
@@ -578,13 +578,13 @@
 }
 
 uint32_t
-queue_waiting (const queue_t *queue)
+queue_waiting_count (const queue_t *queue)
 {
   return queue->expiries.count;
 }
 
 uint32_t
-queue_running (const queue_t *queue)
+queue_running_count (const queue_t *queue)
 {
   return queue->classes[SHORT].running + queue->classes[LONG].running;
 }
@@ -592,7 +592,7 @@
 uint32_t
 queue_load (const queue_t *queue)
 {
-  uint32_t load = queue_waiting (queue) / LOAD_REST;
+  uint32_t load = queue_waiting_count (queue) / LOAD_REST;
 
   for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
     for (uint32_t i = 0; i < queue->classes[size_class].ready_flows.count; i++)
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -17,10 +17,10 @@
    takes nothing from other teams.
 
    Slots of the size classes: short jobs are served first, but long jobs keep
-   QUEUE_LONG_FLOOR of the slots, and they never hold more than QUEUE_LONG_CAP
-   of the slots while short jobs arrive.  So a short job waits for other short
-   jobs only.  XXX: an upstream with a single slot has none to reserve, and a
-   short job waits for the running long job.
+   QUEUE_LONG_SHARE_MIN of the slots, and they never hold more than
+   QUEUE_LONG_SHARE_MAX of the slots while short jobs arrive.  So a short job
+   waits for other short jobs only.  XXX: an upstream with a single slot has
+   none to reserve, and a short job waits for the running long job.
 
    Refusal: a job is refused on arrival when the jobs ahead and the service
    times so far show that it cannot end by its deadline; its caller can still
@@ -30,22 +30,22 @@
 
    Reasons for the constants:
 
-   - QUEUE_LONG_CAP 0.75, QUEUE_LONG_FLOOR 0.25: each size class can hold at
-     most three quarters of the slots.  The reserved quarter serves tens of
-     short jobs while one long job runs.
-   - QUEUE_LOW_RISE_PER_S 0.1: both shares are taken of the recent minimum of
-     the slots, which rises by a tenth per second: the concurrency limit
-     oscillates within seconds, while a long job takes a minute.
-   - QUEUE_SHORT_MEMORY_MS 60000: time after the last short job for which slots
-     stay reserved; without short jobs the long jobs may use all slots.
-   - QUEUE_PASS_MS 2000: most time by which the service time, and each step of
-     priority, move a job back behind later jobs of its team.
-   - QUEUE_CREDIT 3 jobs of mean cost: unused service that a team may use later
-     in a burst.  Without credit, three simultaneous requests of a mostly idle
-     team wait for each other at the rate of its share.
-   - QUEUE_SLACK_USED 0.5: share of the slack before the deadline that the
-     estimated wait may take.  Later jobs of teams with less service go ahead,
-     so the actual wait is up to twice the estimate.  A refusal on arrival
+   - QUEUE_LONG_SHARE_MAX 0.75, QUEUE_LONG_SHARE_MIN 0.25: each size class can
+   hold at most three quarters of the slots.  The reserved quarter serves tens
+   of short jobs while one long job runs.
+   - QUEUE_MIN_SLOTS_RISE_PER_S 0.1: both shares are taken of the recent
+   minimum of the slots, which rises by a tenth per second: the concurrency
+   limit oscillates within seconds, while a long job takes a minute.
+   - QUEUE_SHORT_RESERVE_MS 60000: time after the last short job for which
+   slots stay reserved; without short jobs the long jobs may use all slots.
+   - QUEUE_REORDER_MAX_MS 2000: most time by which the service time, and each
+   step of priority, move a job back behind later jobs of its team.
+   - QUEUE_CREDIT_JOBS 3 jobs of mean cost: unused service that a team may use
+   later in a burst.  Without credit, three simultaneous requests of a mostly
+   idle team wait for each other at the rate of its share.
+   - QUEUE_WAIT_SLACK_SHARE 0.5: share of the slack before the deadline that
+   the estimated wait may take.  Later jobs of teams with less service go
+   ahead, so the actual wait is up to twice the estimate.  A refusal on arrival
      costs the caller nothing; an expiry in the queue costs the time spent
      waiting.
    - QUEUE_MAX_WAITERS 4096: bounds the memory; deadlines lead to refusals long
@@ -60,17 +60,17 @@
 
 enum
 {
-  QUEUE_SHORT_MEMORY_MS = 60000,
-  QUEUE_PASS_MS = 2000,
+  QUEUE_SHORT_RESERVE_MS = 60000,
+  QUEUE_REORDER_MAX_MS = 2000,
   QUEUE_MAX_WAITERS = 4096,
-  QUEUE_LONG_COST = 1000
+  QUEUE_LONG_COST_MIN = 1000
 };
 
-#define QUEUE_LONG_CAP 0.75
-#define QUEUE_LONG_FLOOR 0.25
-#define QUEUE_SLACK_USED 0.5
-#define QUEUE_CREDIT 3.0
-#define QUEUE_LOW_RISE_PER_S 0.1
+#define QUEUE_LONG_SHARE_MAX 0.75
+#define QUEUE_LONG_SHARE_MIN 0.25
+#define QUEUE_WAIT_SLACK_SHARE 0.5
+#define QUEUE_CREDIT_JOBS 3.0
+#define QUEUE_MIN_SLOTS_RISE_PER_S 0.1
 /* Value of a deadline that never passes.  */
 #define QUEUE_NO_DEADLINE UINT64_MAX
 
@@ -87,7 +87,7 @@
 /* Queue entry of one job, embedded in the caller's own record and zeroed by
    the caller before the first push.  The fields are private to the queue.  The
    caller may free the entry after the job was refused, evicted or cancelled,
-   returned by queue_lapsed, or passed to queue_done.  */
+   returned by queue_pop_expired, or passed to queue_done.  */
 typedef struct
 {
   heap_node_t order_node;  /* Position among the jobs of the team.  */
@@ -134,7 +134,7 @@
 
 /* Remove and return the job to run next, or NULL when no waiting job may run.
    The job counts as running until queue_done or queue_cancel.  Call
-   queue_lapsed until NULL first.  */
+   queue_pop_expired until NULL first.  */
 queue_waiter_t *queue_pop (queue_t *queue);
 
 /* Record that the running job WAITER ended after SERVICE_US at a cost of USED
@@ -149,13 +149,13 @@
 
 /* Remove and return a job that can no longer meet its deadline, to be refused
    with VH_E_DEADLINE; NULL if there is none.  */
-queue_waiter_t *queue_lapsed (queue_t *queue);
+queue_waiter_t *queue_pop_expired (queue_t *queue);
 /* Return the time at which the next waiting job expires, or
    QUEUE_NO_DEADLINE.  */
-uint64_t queue_next_lapse_us (const queue_t *queue);
+uint64_t queue_next_expiry_us (const queue_t *queue);
 
 /* Return the expected wait of a job of TEAM with COST that arrives now.  */
-uint64_t queue_wait_us (queue_t *queue, str_t team, uint32_t cost);
+uint64_t queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost);
 
 /* Return the load of the waiting jobs to report to the balancer: the work that
    a job of a further team would find ahead.  A plain count of jobs would not
@@ -165,8 +165,8 @@
 uint32_t queue_load (const queue_t *queue);
 
 /* Return the number of waiting jobs.  */
-uint32_t queue_waiting (const queue_t *queue);
+uint32_t queue_waiting_count (const queue_t *queue);
 /* Return the number of running jobs.  */
-uint32_t queue_running (const queue_t *queue);
+uint32_t queue_running_count (const queue_t *queue);
 
 #endif
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -17,8 +17,8 @@
      a caller accepts.  The delay doubles in between.
    - RETRY_HEDGE_QUANTILE 0.95: a hedge at the 95th percentile of the latency
      adds at most a twentieth to the load and cuts the tail beyond the
-     percentile.  RETRY_HEDGE_SAMPLES 20 is the smallest number of samples that
-     has a 95th percentile.
+     percentile.  RETRY_HEDGE_SAMPLES_MIN 20 is the smallest number of samples
+   that has a 95th percentile.
 
    Only idempotent requests are hedged: a hedge of another request would
    execute the request twice, which the claims of requests exist to prevent. */
@@ -34,7 +34,7 @@
   RETRY_BURST = 10,
   RETRY_BACKOFF_MIN_MS = 25,
   RETRY_BACKOFF_MAX_MS = 2000,
-  RETRY_HEDGE_SAMPLES = 20,
+  RETRY_HEDGE_SAMPLES_MIN = 20,
   RETRY_HEDGE_MIN_MS = 5
 };
 
@@ -60,7 +60,7 @@
 
 /* Add the share of a new request to the budget.  Call it once per request, not
    per attempt.  */
-void retry_request (retry_t *retry);
+void retry_add_request (retry_t *retry);
 
 /* Spend the budget of one retry or hedge.  Return VH_OK, or VH_E_RETRY_BUDGET
    with nothing spent when less than one retry is left.  */
@@ -71,13 +71,13 @@
 uint64_t retry_backoff_ms (retry_t *retry, uint32_t attempt);
 
 /* Record the latency of a successful response.  */
-void retry_observe (retry_t *retry, uint64_t latency_us);
+void retry_record_latency (retry_t *retry, uint64_t latency_us);
 
 /* Return the delay after which a hedge may be sent beside the first attempt,
    or RETRY_NO_HEDGE.  The caller pays for the hedge with retry_spend.  */
-uint64_t retry_hedge_ms (const retry_t *retry, bool idempotent);
+uint64_t retry_hedge_delay_ms (const retry_t *retry, bool idempotent);
 
 /* Return the retries left in the budget.  */
-double retry_budget (const retry_t *retry);
+double retry_budget_left (const retry_t *retry);
 
 #endif
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -127,7 +127,7 @@
       = { .writer = writer,
           .epoch_ms = ROLLOUT_EPOCH_MS,
           .epochs = ROLLOUT_EPOCHS,
-          .fields = SAMPLE_FIELDS,
+          .fields = SAMPLE_FIELD_COUNT,
           .keys_max = 2 * ROLLOUT_STEP_COUNT * (ROLLOUT_TASKS_MAX + 1),
           .cells_max = ROLLOUT_CELLS_MAX };
   const evidence_options_t shown = { .writer = writer,
@@ -224,7 +224,7 @@
 void
 rollout_shown (rollout_run_t *r, rollout_arm_t arm, uint64_t now_ms)
 {
-  const int64_t none[SAMPLE_FIELDS] = { 0 };
+  const int64_t none[SAMPLE_FIELD_COUNT] = { 0 };
 
   evidence_add (r->shown, r->shown_keys[arm], now_ms, none);
 }
@@ -233,7 +233,7 @@
 rollout_observe (rollout_run_t *r, rollout_arm_t arm, str_t task,
                  const rollout_sample_t *sample, uint64_t now_ms)
 {
-  int64_t fields[SAMPLE_FIELDS];
+  int64_t fields[SAMPLE_FIELD_COUNT];
   uint64_t step = r->decision.step;
 
   /* Guards the strata: inside one, both arms are seen at the same times in
@@ -242,7 +242,7 @@
   if (step >= ROLLOUT_STEP_COUNT
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
-  sample_fields (sample, fields);
+  sample_to_fields (sample, fields);
   evidence_add (r->evidence, task_get (r, task)->keys[step][arm], now_ms,
                 fields);
 }
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -5,25 +5,25 @@
 #include <math.h>
 
 void
-sample_fields (const rollout_sample_t *sample, int64_t *fields)
+sample_to_fields (const rollout_sample_t *sample, int64_t *fields)
 {
-  memset (fields, 0, SAMPLE_FIELDS * sizeof *fields);
+  memset (fields, 0, SAMPLE_FIELD_COUNT * sizeof *fields);
   if (sample->finished)
     {
-      fields[SAMPLE_FINISHED] = 1;
-      fields[SAMPLE_FAILED] = sample->failed;
+      fields[SAMPLE_FINISHED_COUNT] = 1;
+      fields[SAMPLE_FAILED_COUNT] = sample->failed;
     }
   if (sample->finished && !sample->failed && sample->latency_ms > 0)
     {
       double log_ms = log (sample->latency_ms);
-      fields[SAMPLE_LATENCIES] = 1;
-      fields[SAMPLE_LATENCY_SUM] = evidence_fixed (log_ms);
-      fields[SAMPLE_LATENCY_SQUARES] = evidence_fixed (log_ms * log_ms);
+      fields[SAMPLE_LATENCY_COUNT] = 1;
+      fields[SAMPLE_LOG_LATENCY_SUM] = evidence_fixed (log_ms);
+      fields[SAMPLE_LOG_LATENCY_SQUARES] = evidence_fixed (log_ms * log_ms);
     }
   if (sample->rated && !isnan (sample->rating))
     {
       double rating = fmax (0, fmin (1, sample->rating));
-      fields[SAMPLE_RATINGS] = 1;
+      fields[SAMPLE_RATING_COUNT] = 1;
       fields[SAMPLE_RATING_SUM] = evidence_fixed (rating);
       fields[SAMPLE_RATING_SQUARES] = evidence_fixed (rating * rating);
     }
@@ -39,19 +39,20 @@
   switch (metric)
     {
     case ROLLOUT_RATING:
-      moments.count = (double)sums[SAMPLE_RATINGS];
+      moments.count = (double)sums[SAMPLE_RATING_COUNT];
       moments.sum = -(double)sums[SAMPLE_RATING_SUM] / EVIDENCE_UNIT;
       moments.squares = (double)sums[SAMPLE_RATING_SQUARES] / EVIDENCE_UNIT;
       break;
     case ROLLOUT_ERROR:
-      moments.count = (double)sums[SAMPLE_FINISHED];
-      moments.sum = (double)sums[SAMPLE_FAILED];
+      moments.count = (double)sums[SAMPLE_FINISHED_COUNT];
+      moments.sum = (double)sums[SAMPLE_FAILED_COUNT];
       moments.squares = moments.sum;
       break;
     default:
-      moments.count = (double)sums[SAMPLE_LATENCIES];
-      moments.sum = (double)sums[SAMPLE_LATENCY_SUM] / EVIDENCE_UNIT;
-      moments.squares = (double)sums[SAMPLE_LATENCY_SQUARES] / EVIDENCE_UNIT;
+      moments.count = (double)sums[SAMPLE_LATENCY_COUNT];
+      moments.sum = (double)sums[SAMPLE_LOG_LATENCY_SUM] / EVIDENCE_UNIT;
+      moments.squares
+          = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / EVIDENCE_UNIT;
       break;
     }
   return moments;
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -11,15 +11,15 @@
 {
   /* Index of each sum in an evidence cell; index 0 is the number of added
      samples.  */
-  SAMPLE_FINISHED = 1,
-  SAMPLE_FAILED,
-  SAMPLE_LATENCIES,
-  SAMPLE_LATENCY_SUM, /* Of the natural logarithm of milliseconds.  */
-  SAMPLE_LATENCY_SQUARES,
-  SAMPLE_RATINGS,
+  SAMPLE_FINISHED_COUNT = 1,
+  SAMPLE_FAILED_COUNT,
+  SAMPLE_LATENCY_COUNT,
+  SAMPLE_LOG_LATENCY_SUM, /* Of the natural logarithm of milliseconds.  */
+  SAMPLE_LOG_LATENCY_SQUARES,
+  SAMPLE_RATING_COUNT,
   SAMPLE_RATING_SUM,
   SAMPLE_RATING_SQUARES,
-  SAMPLE_FIELDS
+  SAMPLE_FIELD_COUNT
 };
 
 /* Count, sum and sum of squares of one metric.  The sign is such that a larger
@@ -32,8 +32,8 @@
 } moments_t;
 
 /* Store the terms that SAMPLE adds to a cell in FIELDS, an array of
-   SAMPLE_FIELDS elements for evidence_add.  */
-void sample_fields (const rollout_sample_t *sample, int64_t *fields);
+   SAMPLE_FIELD_COUNT elements for evidence_add.  */
+void sample_to_fields (const rollout_sample_t *sample, int64_t *fields);
 /* Return the moments of METRIC from SUMS, a result of evidence_sums; all zero
    if SUMS is NULL.  */
 moments_t sample_moments (const int64_t *sums, rollout_metric_t metric);
--- a/packages/policy/watch.c
+++ b/packages/policy/watch.c
@@ -89,7 +89,7 @@
   const evidence_options_t options = { .writer = writer,
                                        .epoch_ms = WATCH_EPOCH_MS,
                                        .epochs = WATCH_EPOCHS,
-                                       .fields = SAMPLE_FIELDS,
+                                       .fields = SAMPLE_FIELD_COUNT,
                                        .keys_max = WATCH_SERIES_MAX,
                                        .cells_max = WATCH_CELLS_MAX };
   watch_t *w = mem_zalloc (sizeof *w);
@@ -156,10 +156,10 @@
 watch_observe (watch_t *w, str_t version, str_t task,
                const rollout_sample_t *sample, uint64_t now_ms)
 {
-  int64_t fields[SAMPLE_FIELDS];
+  int64_t fields[SAMPLE_FIELD_COUNT];
   int key = series_get (w, name_hash (version), name_hash (task));
 
-  sample_fields (sample, fields);
+  sample_to_fields (sample, fields);
   evidence_add (w->evidence, key, now_ms, fields);
 }
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -63,7 +63,7 @@
   if (code != VH_OK)
     return code;
   teams[team].admitted++;
-  admission_result (admission, COST, bucket_cost >= COST);
+  admission_record_result (admission, COST, bucket_cost >= COST);
   if (bucket_cost >= COST)
     {
       bucket_cost -= COST;
@@ -115,7 +115,7 @@
   simulate (10, rates);
   for (int i = 0; i < TEAMS; i++)
     ck_assert_uint_eq (teams[i].served, teams[i].sent);
-  ck_assert (!admission_limiting (admission));
+  ck_assert (!admission_is_limiting (admission));
 }
 END_TEST
 
@@ -131,7 +131,7 @@
 
   simulate (5, rates);
   simulate (10, rates);
-  ck_assert (admission_limiting (admission));
+  ck_assert (admission_is_limiting (admission));
   for (int i = 1; i < TEAMS; i++)
     {
       ck_assert_uint_eq (teams[i].admitted, teams[i].sent);
@@ -139,9 +139,9 @@
       served += teams[i].served;
     }
   /* The bucket does not distinguish teams, so it refuses the tenth that
-     ADMISSION_PROBE adds from all of them.  */
+     ADMISSION_PROBE_FACTOR adds from all of them.  */
   ck_assert_uint_ge (served * 100, sent * 87);
-  /* 10,000 less nine times 550, plus the tenth of ADMISSION_PROBE.  */
+  /* 10,000 less nine times 550, plus the tenth of ADMISSION_PROBE_FACTOR.  */
   ck_assert_uint_ge (teams[0].admitted * COST, 49000);
   ck_assert_uint_le (teams[0].admitted * COST, 65000);
   /* The fleet stays fully used.  */
@@ -159,7 +159,7 @@
   simulate (10, rates);
   ck_assert_uint_ge (teams[0].admitted * 10, teams[1].admitted * 29);
   ck_assert_uint_le (teams[0].admitted * 10, teams[1].admitted * 31);
-  ck_assert (admission_share (admission, names[0]) > 0.35);
+  ck_assert (admission_admitted_share (admission, names[0]) > 0.35);
   /* The demand of the first team is below its weighted share, though above an
      equal share.  */
   simulate (3, unequal_rates);
@@ -221,7 +221,7 @@
   simulate (3, low_rates);
   simulate (5, low_rates);
   ck_assert_uint_eq (teams[0].served, teams[0].sent);
-  ck_assert (!admission_limiting (admission));
+  ck_assert (!admission_is_limiting (admission));
 }
 END_TEST
 
@@ -273,16 +273,16 @@
   static const double rates[TEAMS] = { 8000 };
 
   simulate (3, rates);
-  ck_assert (!admission_limiting (admission));
-  admission_pressure (admission, ADMISSION_PRESSURE * 1.5);
+  ck_assert (!admission_is_limiting (admission));
+  admission_set_pressure (admission, ADMISSION_OVERLOAD_PRESSURE * 1.5);
   /* From here on the fleet accepts half of the dispatched cost.  */
   for (int i = 0; i < 3000; i++)
     {
       clock_manual_advance_us (manual_clock, 1000);
       if (admission_decide (admission, names[0], 8, QUEUE_NORMAL) == VH_OK)
-        admission_result (admission, 4, true);
+        admission_record_result (admission, 4, true);
     }
-  ck_assert (admission_limiting (admission));
+  ck_assert (admission_is_limiting (admission));
 }
 END_TEST
 
@@ -291,30 +291,30 @@
 START_TEST (retry_after_spreads_retries)
 {
   static const double rates[TEAMS] = { 30000, 100 };
-  int counts[ADMISSION_RETRY_MAX_S + 1] = { 0 };
+  int counts[ADMISSION_RETRY_AFTER_MAX_S + 1] = { 0 };
   int max_count = 0;
 
   ck_assert_uint_eq (admission_retry_after_s (admission, names[0]),
-                     ADMISSION_RETRY_MIN_S);
+                     ADMISSION_RETRY_AFTER_MIN_S);
   simulate (10, rates);
   for (int i = 0; i < 1000; i++)
     {
       uint32_t after_s = admission_retry_after_s (admission, names[0]);
-      ck_assert_uint_ge (after_s, ADMISSION_RETRY_MIN_S);
-      ck_assert_uint_le (after_s, ADMISSION_RETRY_MAX_S);
+      ck_assert_uint_ge (after_s, ADMISSION_RETRY_AFTER_MIN_S);
+      ck_assert_uint_le (after_s, ADMISSION_RETRY_AFTER_MAX_S);
       counts[after_s]++;
     }
-  for (int i = 0; i <= ADMISSION_RETRY_MAX_S; i++)
+  for (int i = 0; i <= ADMISSION_RETRY_AFTER_MAX_S; i++)
     max_count = counts[i] > max_count ? counts[i] : max_count;
   ck_assert_int_le (max_count, 200);
   /* A team within its share gets the shortest Retry-After.  */
   ck_assert_uint_eq (admission_retry_after_s (admission, names[1]),
-                     ADMISSION_RETRY_MIN_S);
+                     ADMISSION_RETRY_AFTER_MIN_S);
   capacity = 100;
   simulate (10, rates);
   for (int i = 0; i < 1000; i++)
     ck_assert_uint_le (admission_retry_after_s (admission, names[0]),
-                       ADMISSION_RETRY_MAX_S);
+                       ADMISSION_RETRY_AFTER_MAX_S);
 }
 END_TEST
 
--- a/tests/test_escalation.c
+++ b/tests/test_escalation.c
@@ -52,45 +52,45 @@
       uint32_t prompt_tokens
           = 300 + (uint32_t)rng_below (&rng, 1 << rng_below (&rng, 15));
       double noise_ms = (double)rng_below (&rng, 40);
-      escalation_heard (escalation, SMALL, prompt_tokens,
-                        (uint64_t)(small_wait_ms (prompt_tokens) + noise_ms),
-                        OBJECTIVE_MS);
-      escalation_heard (escalation, LARGE, prompt_tokens,
-                        (uint64_t)(large_wait_ms (prompt_tokens) + noise_ms),
-                        OBJECTIVE_MS);
+      escalation_record_wait (
+          escalation, SMALL, prompt_tokens,
+          (uint64_t)(small_wait_ms (prompt_tokens) + noise_ms), OBJECTIVE_MS);
+      escalation_record_wait (
+          escalation, LARGE, prompt_tokens,
+          (uint64_t)(large_wait_ms (prompt_tokens) + noise_ms), OBJECTIVE_MS);
     }
   for (int i = 0; i < 100; i++)
-    escalation_heard (escalation, SMALL, 500, 100, OBJECTIVE_MS);
+    escalation_record_wait (escalation, SMALL, 500, 100, OBJECTIVE_MS);
 }
 
-static const escalation_choice_t large_only[]
+static const escalation_candidate_t large_only[]
     = { { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
-static const escalation_choice_t middle_and_large[]
+static const escalation_candidate_t middle_and_large[]
     = { { .model = MIDDLE, .cost = 0.12, .beside = CONCURRENT_REQUESTS },
         { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
 
 /* Return a draft, which is a long request, with CONFIDENCE of the small model
    in its answer.  */
-static escalation_case_t
+static escalation_request_t
 make_draft (uint32_t confidence)
 {
-  return (escalation_case_t){ .model = SMALL,
-                              .cost = 0.017,
-                              .read = 12000,
-                              .generated = 385,
-                              .rank = 1,
-                              .opinion = confidence,
-                              .elapsed_ms = 150,
-                              .objective_ms = OBJECTIVE_MS,
-                              .pause_ms = PAUSE_MS,
-                              .choices = large_only,
-                              .choice_count = 1 };
+  return (escalation_request_t){ .model = SMALL,
+                                 .cost = 0.017,
+                                 .read = 12000,
+                                 .generated = 385,
+                                 .rank = 1,
+                                 .opinion = confidence,
+                                 .elapsed_ms = 150,
+                                 .objective_ms = OBJECTIVE_MS,
+                                 .pause_ms = PAUSE_MS,
+                                 .choices = large_only,
+                                 .choice_count = 1 };
 }
 
-static escalation_case_t
+static escalation_request_t
 make_question (uint32_t confidence)
 {
-  escalation_case_t request = make_draft (confidence);
+  escalation_request_t request = make_draft (confidence);
 
   request.read = 826;
   request.generated = 290;
@@ -98,10 +98,10 @@
   return request;
 }
 
-static escalation_case_t
+static escalation_request_t
 make_label (uint32_t confidence)
 {
-  escalation_case_t request = make_draft (confidence);
+  escalation_request_t request = make_draft (confidence);
 
   request.read = 2368;
   request.generated = 21;
@@ -113,11 +113,11 @@
    kept; 101 if there is none.  */
 static uint32_t
 keep_threshold (escalation_t *escalation,
-                escalation_case_t (*make_request) (uint32_t confidence))
+                escalation_request_t (*make_request) (uint32_t confidence))
 {
   for (uint32_t confidence = 0; confidence <= 100; confidence++)
     {
-      const escalation_case_t request = make_request (confidence);
+      const escalation_request_t request = make_request (confidence);
       if (escalation_choose (escalation, &request) == request.choice_count)
         return confidence;
     }
@@ -133,13 +133,14 @@
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       escalation_t *escalation = escalation_create (&options);
-      ck_assert_double_eq (escalation_wait_ms (escalation, LARGE, 500), 0);
+      ck_assert_double_eq (
+          escalation_predicted_wait_ms (escalation, LARGE, 500), 0);
       record_waits (escalation, seed);
       for (size_t i = 0; i < sizeof prompt_sizes / sizeof prompt_sizes[0]; i++)
-        ck_assert_double_le (
-            fabs (escalation_wait_ms (escalation, LARGE, prompt_sizes[i])
-                  - large_wait_ms (prompt_sizes[i]) - 20),
-            0.1 * large_wait_ms (prompt_sizes[i]));
+        ck_assert_double_le (fabs (escalation_predicted_wait_ms (
+                                       escalation, LARGE, prompt_sizes[i])
+                                   - large_wait_ms (prompt_sizes[i]) - 20),
+                             0.1 * large_wait_ms (prompt_sizes[i]));
       escalation_destroy (escalation);
     }
 }
@@ -171,7 +172,7 @@
 START_TEST (answer_to_long_prompt_is_kept)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = make_draft (10);
+  escalation_request_t request = make_draft (10);
 
   record_waits (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -186,13 +187,13 @@
 START_TEST (idle_engine_may_process_long_prompts)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = make_draft (10);
+  escalation_request_t request = make_draft (10);
 
   record_waits (escalation, 1);
   request.read = 40000;
   request.objective_ms = 4 * OBJECTIVE_MS;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
-  escalation_choice_t idle_large = large_only[0];
+  escalation_candidate_t idle_large = large_only[0];
   idle_large.beside = 0;
   request.choices = &idle_large;
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -205,7 +206,7 @@
 START_TEST (no_escalation_when_answer_would_be_late)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = make_draft (48);
+  escalation_request_t request = make_draft (48);
 
   record_waits (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -219,7 +220,7 @@
 record_small_waits (escalation_t *escalation, int count, uint64_t wait_ms)
 {
   for (int i = 0; i < count; i++)
-    escalation_heard (escalation, SMALL, 500, wait_ms, OBJECTIVE_MS);
+    escalation_record_wait (escalation, SMALL, 500, wait_ms, OBJECTIVE_MS);
 }
 
 /* Failure: second answers of the large model fill the remaining engines after
@@ -238,7 +239,7 @@
                      threshold * 2 / 3);
   record_small_waits (escalation, 40, OBJECTIVE_MS / 2);
   ck_assert_uint_le (keep_threshold (escalation, make_question),
-                     threshold - ESCALATION_PRESSED_POINTS);
+                     threshold - ESCALATION_PRESSURE_POINTS_MAX);
   record_small_waits (escalation, 40, 130);
   ck_assert_uint_ge (keep_threshold (escalation, make_question),
                      threshold - 2);
@@ -267,8 +268,8 @@
 START_TEST (decides_without_observations)
 {
   escalation_t *escalation = escalation_create (&options);
-  const escalation_choice_t large = { .model = LARGE };
-  escalation_case_t request
+  const escalation_candidate_t large = { .model = LARGE };
+  escalation_request_t request
       = { .opinion = 10, .choices = &large, .choice_count = 1 };
 
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -288,9 +289,9 @@
   for (int i = 0; i < 100; i++)
     {
       uint32_t smallest_confidence = 35 + (uint32_t)rng_below (&rng, 20);
-      escalation_compared (escalation, MIDDLE, smallest_confidence,
-                           smallest_confidence + lead
-                               + (uint32_t)rng_below (&rng, 21) - 10);
+      escalation_record_confidences (
+          escalation, MIDDLE, smallest_confidence,
+          smallest_confidence + lead + (uint32_t)rng_below (&rng, 21) - 10);
     }
 }
 
@@ -299,7 +300,7 @@
 static size_t
 choose_for_draft (escalation_t *escalation, uint32_t confidence)
 {
-  escalation_case_t request = make_draft (confidence);
+  escalation_request_t request = make_draft (confidence);
 
   request.choices = middle_and_large;
   request.choice_count = 2;
@@ -315,7 +316,8 @@
 
   record_waits (escalation, 1);
   record_comparisons (escalation, 14, 1);
-  ck_assert_double_le (fabs (escalation_lead (escalation, MIDDLE) - 14), 2);
+  ck_assert_double_le (
+      fabs (escalation_confidence_lead (escalation, MIDDLE) - 14), 2);
   ck_assert_uint_eq (choose_for_draft (escalation, 10), 1);
   ck_assert_uint_eq (choose_for_draft (escalation, 50), 0);
   ck_assert_uint_eq (choose_for_draft (escalation, 80), 2);
@@ -343,7 +345,7 @@
 START_TEST (both_confidences_count)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = make_draft (50);
+  escalation_request_t request = make_draft (50);
 
   record_waits (escalation, 1);
   record_comparisons (escalation, 14, 1);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -107,8 +107,8 @@
       upstream.unit_us
           = warm_unit_us * concurrency * concurrency / (CAPACITY * CAPACITY);
       run_batch (UNITS);
-      if (slots > LIMIT_START
-          && limit_slots (upstream.limit) == (uint32_t)LIMIT_START)
+      if (slots > LIMIT_INITIAL_SLOTS
+          && limit_slots (upstream.limit) == (uint32_t)LIMIT_INITIAL_SLOTS)
         resets++;
     }
   ck_assert_int_eq (resets, 1);
@@ -124,9 +124,9 @@
 
   limit_destroy (upstream.limit);
   upstream.limit = limit_create (&fixed, upstream.clock);
-  ck_assert (!limit_warming (upstream.limit));
+  ck_assert (!limit_is_warming_up (upstream.limit));
   run_batch (UNITS);
-  ck_assert (!limit_warming (upstream.limit));
+  ck_assert (!limit_is_warming_up (upstream.limit));
   ck_assert_uint_eq (limit_slots (upstream.limit), 4);
 }
 END_TEST
@@ -143,9 +143,9 @@
   while (limit_acquire (upstream.limit) == VH_OK)
     ;
   clock_manual_advance_us (upstream.clock, job_us * 8);
-  for (int i = 0; i < LIMIT_COLD_RUN; i++)
+  for (int i = 0; i < LIMIT_COLD_SAMPLES; i++)
     limit_release (upstream.limit, job_us * 8, UNITS, true);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   ck_assert_int_eq (limit_acquire (upstream.limit), VH_E_FULL);
   while (limit_in_flight (upstream.limit) > 0)
     limit_release (upstream.limit, job_us * 8, UNITS, true);
@@ -153,7 +153,7 @@
   /* While the engine stays cold, the limit stays at its start value.  */
   upstream.unit_us = warm_unit_us * 4;
   for (int i = 0; i < 30; i++)
-    ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
+    ck_assert_uint_eq (run_batch (UNITS), LIMIT_INITIAL_SLOTS);
   upstream.unit_us = warm_unit_us;
   for (int i = 0; i < 4; i++)
     run_batch (UNITS);
@@ -178,9 +178,9 @@
     run_batch (UNITS);
   while (limit_acquire (upstream.limit) == VH_OK)
     ;
-  for (int i = 0; i < LIMIT_COLD_RUN; i++)
-    limit_observe (upstream.limit, warm_unit_us * 10, 1);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  for (int i = 0; i < LIMIT_COLD_SAMPLES; i++)
+    limit_report_progress (upstream.limit, warm_unit_us * 10, 1);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -194,12 +194,12 @@
       limit_release (upstream.limit, job_us, UNITS, i % 4 != 0);
     }
   ck_assert_uint_ge (limit_slots (upstream.limit), SLOTS);
-  for (int i = 0; i < LIMIT_ERROR_RUN; i++)
+  for (int i = 0; i < LIMIT_CONSECUTIVE_ERRORS; i++)
     {
       ck_assert_int_eq (limit_acquire (upstream.limit), VH_OK);
       limit_release (upstream.limit, 0, UNITS, false);
     }
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -266,8 +266,8 @@
   for (int i = 0; i < 10; i++)
     {
       run_batch (UNITS);
-      if (limit_slots (upstream.limit) == LIMIT_START)
-        ck_assert (limit_warming (upstream.limit));
+      if (limit_slots (upstream.limit) == LIMIT_INITIAL_SLOTS)
+        ck_assert (limit_is_warming_up (upstream.limit));
     }
   ck_assert (limit_slots (upstream.limit) < SLOTS / 2);
   upstream.unit_us = warm_unit_us;
@@ -290,8 +290,8 @@
     ;
   while (limit_in_flight (upstream.limit) > 0)
     limit_release (upstream.limit, job_us * 20, UNITS, true);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
-  ck_assert (limit_warming (upstream.limit));
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
+  ck_assert (limit_is_warming_up (upstream.limit));
   run_rounds (1, 6);
   ck_assert_uint_eq (limit_slots (upstream.limit), 4);
 }
@@ -303,10 +303,10 @@
 {
   for (int i = 0; i < 10; i++)
     run_batch (1);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   for (int i = 0; i < 20; i++)
     run_batch (1);
-  ck_assert_uint_gt (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_gt (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -322,7 +322,7 @@
   upstream.unit_us = warm_unit_us * 2;
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   start_us = clock_us (upstream.clock);
   while (limit_slots (upstream.limit) < SLOTS)
     run_batch (UNITS);
@@ -353,12 +353,12 @@
 
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
-  limit_restart (upstream.limit);
-  ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
-  ck_assert (limit_warming (upstream.limit));
+  limit_reset (upstream.limit);
+  ck_assert_uint_eq (run_batch (UNITS), LIMIT_INITIAL_SLOTS);
+  ck_assert (limit_is_warming_up (upstream.limit));
   /* After a restart the best latency is unknown, so a slower engine does not
      count as cold.  */
-  limit_restart (upstream.limit);
+  limit_reset (upstream.limit);
   upstream.unit_us = warm_unit_us * 5;
   for (int i = 0; i < 4; i++)
     run_batch (UNITS);
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -58,7 +58,7 @@
 {
   quality_t *q = make_quality (1);
   quality_bound_t b
-      = quality_get (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
+      = quality_estimate (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
 
   ck_assert_double_eq_tol (b.mean, 0.7, 1e-9);
   ck_assert_double_lt (b.lower, 0.5);
@@ -111,17 +111,17 @@
 
   for (int i = 0; i < 300; i++)
     {
-      quality_add (q, STR ("draft"), STR ("small@1"), rating_near (&rng, 0.9),
-                   START_MS);
-      quality_add (q, STR ("tag"), STR ("small@1"), rating_near (&rng, 0.5),
-                   START_MS);
+      quality_add_rating (q, STR ("draft"), STR ("small@1"),
+                          rating_near (&rng, 0.9), START_MS);
+      quality_add_rating (q, STR ("tag"), STR ("small@1"),
+                          rating_near (&rng, 0.5), START_MS);
     }
   ck_assert_double_eq_tol (
-      quality_get (q, STR ("draft"), STR ("small@1"), 0.5, START_MS).mean, 0.9,
-      0.03);
+      quality_estimate (q, STR ("draft"), STR ("small@1"), 0.5, START_MS).mean,
+      0.9, 0.03);
   ck_assert_double_eq_tol (
-      quality_get (q, STR ("tag"), STR ("small@1"), 0.5, START_MS).mean, 0.5,
-      0.03);
+      quality_estimate (q, STR ("tag"), STR ("small@1"), 0.5, START_MS).mean,
+      0.5, 0.03);
   quality_destroy (q);
 }
 END_TEST
@@ -137,19 +137,19 @@
   str_t version = STR ("small@1");
 
   for (int i = 0; i < 400; i++)
-    quality_add (q, task, version, rating_near (&rng, 0.9), START_MS);
-  quality_bound_t before = quality_get (q, task, version, 0.6, START_MS);
+    quality_add_rating (q, task, version, rating_near (&rng, 0.9), START_MS);
+  quality_bound_t before = quality_estimate (q, task, version, 0.6, START_MS);
   double width = before.mean - before.lower;
   for (int hour = 6; hour <= 23; hour += 6)
     {
-      quality_bound_t b = quality_get (q, task, version, 0.6,
-                                       START_MS + (uint64_t)hour * HOUR_MS);
+      quality_bound_t b = quality_estimate (
+          q, task, version, 0.6, START_MS + (uint64_t)hour * HOUR_MS);
       ck_assert_double_gt (b.mean - b.lower, width * 1.2);
       ck_assert_double_eq_tol (b.mean, before.mean, 0.06);
       width = b.mean - b.lower;
     }
   quality_bound_t forgotten
-      = quality_get (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
+      = quality_estimate (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
   ck_assert_double_eq (forgotten.weight, 0);
   ck_assert_double_eq_tol (forgotten.mean, 0.6, 1e-9);
   quality_destroy (q);
@@ -158,8 +158,8 @@
 
 /* Failure: a wrong rating service ruins the quality of a good version.  For
    one hour the service returns 0 for every answer, at five times the usual
-   rate.  The mean may fall by QUALITY_CLIP at most and must recover within
-   hours.  */
+   rate.  The mean may fall by QUALITY_CLIP_DISTANCE at most and must recover
+   within hours.  */
 START_TEST (wrong_epochs_are_clipped)
 {
   quality_t *q = make_quality (1);
@@ -170,16 +170,17 @@
 
   for (int half_hour = 0; half_hour < 12; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
-      quality_add (q, task, version, rating_near (&rng, 0.9), now);
+      quality_add_rating (q, task, version, rating_near (&rng, 0.9), now);
   for (int half_hour = 0; half_hour < 2; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 300; i++)
-      quality_add (q, task, version, 0, now);
-  quality_bound_t during_fault = quality_get (q, task, version, 0.6, now);
-  ck_assert_double_gt (during_fault.mean, 0.9 - QUALITY_CLIP);
+      quality_add_rating (q, task, version, 0, now);
+  quality_bound_t during_fault = quality_estimate (q, task, version, 0.6, now);
+  ck_assert_double_gt (during_fault.mean, 0.9 - QUALITY_CLIP_DISTANCE);
   for (int half_hour = 0; half_hour < 12; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
-      quality_add (q, task, version, rating_near (&rng, 0.9), now);
-  ck_assert_double_gt (quality_get (q, task, version, 0.6, now).mean, 0.8);
+      quality_add_rating (q, task, version, rating_near (&rng, 0.9), now);
+  ck_assert_double_gt (quality_estimate (q, task, version, 0.6, now).mean,
+                       0.8);
   quality_destroy (q);
 }
 END_TEST
@@ -190,10 +191,10 @@
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
 
-  ck_assert (!quality_add (q, task, version, NAN, START_MS));
-  ck_assert (quality_add (q, task, version, 1e12, START_MS));
-  ck_assert (quality_add (q, task, version, -INFINITY, START_MS));
-  quality_bound_t b = quality_get (q, task, version, 0.5, START_MS);
+  ck_assert (!quality_add_rating (q, task, version, NAN, START_MS));
+  ck_assert (quality_add_rating (q, task, version, 1e12, START_MS));
+  ck_assert (quality_add_rating (q, task, version, -INFINITY, START_MS));
+  quality_bound_t b = quality_estimate (q, task, version, 0.5, START_MS);
   ck_assert_double_eq_tol (b.mean, 0.5, 1e-6);
   quality_destroy (q);
 }
@@ -225,7 +226,8 @@
           for (int i = 0; i < 5; i++)
             {
               double r = rating_near (&rng, 0.8);
-              quality_add (q, STR ("draft"), STR ("small@1"), r, START_MS);
+              quality_add_rating (q, STR ("draft"), STR ("small@1"), r,
+                                  START_MS);
               sum += r;
               count += 1;
             }
@@ -243,8 +245,8 @@
       for (int m = MESSAGES - 1; m >= 0; m--)
         quality_merge (shuffled, buf_str (&messages[m]), START_MS);
       ck_assert (same_state (ordered, shuffled));
-      quality_bound_t b = quality_get (shuffled, STR ("draft"),
-                                       STR ("small@1"), 0.5, START_MS);
+      quality_bound_t b = quality_estimate (shuffled, STR ("draft"),
+                                            STR ("small@1"), 0.5, START_MS);
       ck_assert_double_eq_tol (b.weight, count, 1e-9);
       ck_assert_double_eq_tol (b.mean,
                                (sum + 0.5 * QUALITY_PRIOR_WEIGHT)
@@ -273,12 +275,12 @@
 
   for (int i = 0; i < 100; i++)
     {
-      quality_add (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
-      quality_add (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
+      quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
+      quality_add_rating (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
     }
   quality_write (a, true, &delayed);
   send_state (a, true, b, later);
-  quality_settle (b, 7, later);
+  quality_fold_epochs (b, 7, later);
   send_state (b, false, c, later);
   quality_merge (c, buf_str (&delayed), later);
   quality_merge (b, buf_str (&delayed), later);
@@ -286,7 +288,7 @@
   ck_assert (same_state (a, b));
   ck_assert (same_state (b, c));
   quality_bound_t bound
-      = quality_get (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
+      = quality_estimate (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
   ck_assert_double_eq_tol (bound.weight, 200, 1e-9);
   ck_assert_double_eq_tol (bound.mean, 0.7, 1e-6);
   buf_free (&delayed);
@@ -310,13 +312,13 @@
   str_t version = STR ("small@1");
 
   for (int i = 0; i < 100; i++)
-    quality_add (writer, task, version, 0.8, START_MS);
+    quality_add_rating (writer, task, version, 0.8, START_MS);
   send_state (writer, true, old_holder, START_MS);
   for (int i = 0; i < 50; i++)
-    quality_add (writer, task, version, 0.8, START_MS);
+    quality_add_rating (writer, task, version, 0.8, START_MS);
   send_state (writer, true, new_holder, START_MS);
-  quality_settle (old_holder, 7, later);
-  quality_settle (new_holder, 8, later);
+  quality_fold_epochs (old_holder, 7, later);
+  quality_fold_epochs (new_holder, 8, later);
   for (int order = 0; order < 2; order++)
     {
       quality_t *receiver = make_quality (4);
@@ -327,8 +329,8 @@
                   later);
       ck_assert (same_state (receiver, new_holder));
       ck_assert_double_eq_tol (
-          quality_get (receiver, task, version, 0.7, START_MS).weight, 150,
-          1e-9);
+          quality_estimate (receiver, task, version, 0.7, START_MS).weight,
+          150, 1e-9);
       quality_destroy (receiver);
     }
   quality_destroy (writer);
@@ -347,7 +349,7 @@
   rng_t rng = rng_make (17);
 
   for (int i = 0; i < 50; i++)
-    quality_add (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
+    quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
   quality_write (a, false, &bytes);
   buf_append_char (&bytes, 'x');
   ck_assert_int_eq (quality_merge (b, buf_str (&bytes), START_MS),
@@ -357,7 +359,8 @@
     ck_assert_int_eq (quality_merge (b, str_make (bytes.ptr, len), START_MS),
                       VH_E_PROTOCOL);
   ck_assert_double_eq (
-      quality_get (b, STR ("draft"), STR ("small@1"), 0.5, START_MS).weight,
+      quality_estimate (b, STR ("draft"), STR ("small@1"), 0.5, START_MS)
+          .weight,
       0);
   for (int i = 0; i < 2000; i++)
     {
@@ -414,7 +417,7 @@
 
   for (int half_hour = 0; half_hour < 40; half_hour++, now += HOUR_MS / 2)
     {
-      quality_add (a, STR ("draft"), STR ("small@1"), 0.8, now);
+      quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, now);
       send_state (a, true, b, now);
     }
   quality_write (a, true, &recent);
@@ -436,9 +439,9 @@
   for (int i = 0; i < QUALITY_SERIES_MAX + 10; i++)
     {
       int len = snprintf (name, sizeof name, "v@%d", i);
-      ck_assert_int_eq (quality_add (q, STR ("draft"),
-                                     str_make (name, (size_t)len), 0.5,
-                                     START_MS),
+      ck_assert_int_eq (quality_add_rating (q, STR ("draft"),
+                                            str_make (name, (size_t)len), 0.5,
+                                            START_MS),
                         i < QUALITY_SERIES_MAX);
     }
   quality_destroy (q);
@@ -457,20 +460,20 @@
   int burst_sampled = 0;
 
   for (int i = 0; i < 20000; i++)
-    few_ratings_sampled += quality_sample (q, &rng, task, STR ("small@1"),
-                                           START_MS + (uint64_t)i * 100);
+    few_ratings_sampled += quality_should_rate (q, &rng, task, STR ("small@1"),
+                                                START_MS + (uint64_t)i * 100);
   ck_assert_int_ge (few_ratings_sampled, 20000 * 4 / 100);
   ck_assert_int_le (few_ratings_sampled, 20000 * 6 / 100);
   for (int i = 0; i < 4000; i++)
-    quality_add (q, task, STR ("small@1"), 0.9, START_MS + 2000000);
+    quality_add_rating (q, task, STR ("small@1"), 0.9, START_MS + 2000000);
   for (int i = 0; i < 20000; i++)
-    many_ratings_sampled += quality_sample (
+    many_ratings_sampled += quality_should_rate (
         q, &rng, task, STR ("small@1"), START_MS + 2000000 + (uint64_t)i * 10);
   ck_assert_int_le (many_ratings_sampled, few_ratings_sampled / 3);
   ck_assert_int_gt (many_ratings_sampled, 0);
   for (int i = 0; i < 100000; i++)
-    burst_sampled
-        += quality_sample (q, &rng, task, STR ("new@1"), START_MS + 3000000);
+    burst_sampled += quality_should_rate (q, &rng, task, STR ("new@1"),
+                                          START_MS + 3000000);
   ck_assert_int_le (burst_sampled, 40);
   quality_destroy (q);
 }
@@ -480,14 +483,14 @@
 {
   quality_t *q = make_quality (1);
 
-  ck_assert (quality_rater_ok (q, START_MS));
+  ck_assert (quality_is_rater_available (q, START_MS));
   for (int i = 0; i < 20; i++)
-    quality_rater_failed (q, START_MS);
-  ck_assert (!quality_rater_ok (q, START_MS + 59000));
-  ck_assert (quality_rater_ok (q, START_MS + 61000));
-  quality_rater_answered (q);
-  quality_rater_failed (q, START_MS);
-  ck_assert (quality_rater_ok (q, START_MS + 1000));
+    quality_record_rater_failure (q, START_MS);
+  ck_assert (!quality_is_rater_available (q, START_MS + 59000));
+  ck_assert (quality_is_rater_available (q, START_MS + 61000));
+  quality_record_rater_success (q);
+  quality_record_rater_failure (q, START_MS);
+  ck_assert (quality_is_rater_available (q, START_MS + 1000));
   quality_destroy (q);
 }
 END_TEST
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -154,7 +154,7 @@
 END_TEST
 
 /* Failure: a team pays for service that it took while the upstream was idle,
-   or a team saves more unused service than QUEUE_CREDIT jobs.  */
+   or a team saves more unused service than QUEUE_CREDIT_JOBS jobs.  */
 START_TEST (idle_period_gives_no_debt_and_bounded_credit)
 {
   uint64_t served[3] = { 0 };
@@ -172,7 +172,7 @@
   serve (100, served);
   ck_assert_uint_le (served[0], served[1]);
   ck_assert_uint_le (served[1],
-                     served[0] + ((uint64_t)QUEUE_CREDIT + 1) * 100);
+                     served[0] + ((uint64_t)QUEUE_CREDIT_JOBS + 1) * 100);
 }
 END_TEST
 
@@ -213,7 +213,7 @@
       serve (1, served);
     }
   last = push_normal (0, 100);
-  estimated_us = queue_wait_us (queue, teams[0], 100);
+  estimated_us = queue_estimate_wait_us (queue, teams[0], 100);
   start_us = clock_us (manual_clock);
   while (last->waiting)
     {
@@ -287,7 +287,7 @@
       run_job (pop_job (), 10);
     }
   ck_assert_uint_le (clock_us (manual_clock) - start_us,
-                     (QUEUE_LOW * QUEUE_PASS_MS + 100) * 1000ul);
+                     (QUEUE_LOW * QUEUE_REORDER_MAX_MS + 100) * 1000ul);
 }
 END_TEST
 
@@ -303,11 +303,11 @@
   long_job = push_normal (0, LONG_COST * 20);
   while (long_job->waiting)
     {
-      push_normal (0, QUEUE_LONG_COST);
-      run_job (pop_job (), QUEUE_LONG_COST);
+      push_normal (0, QUEUE_LONG_COST_MIN);
+      run_job (pop_job (), QUEUE_LONG_COST_MIN);
     }
   ck_assert_uint_le (clock_us (manual_clock) - start_us,
-                     (QUEUE_PASS_MS + 1000) * 1000ul);
+                     (QUEUE_REORDER_MAX_MS + 1000) * 1000ul);
 }
 END_TEST
 
@@ -405,7 +405,7 @@
   /* The accepted jobs end by their deadline.  */
   for (; accepted > 0; accepted--)
     {
-      ck_assert_ptr_null (queue_lapsed (queue));
+      ck_assert_ptr_null (queue_pop_expired (queue));
       serve (1, served);
     }
   ck_assert_uint_le (clock_us (manual_clock), deadline_us);
@@ -425,8 +425,10 @@
     push_normal (0, SHORT_COST);
   pop_job ();
   waiting_us = jobs_us (19);
-  ck_assert_uint_ge (queue_wait_us (queue, teams[0], SHORT_COST), waiting_us);
-  ck_assert_uint_le (queue_wait_us (queue, teams[1], SHORT_COST), jobs_us (3));
+  ck_assert_uint_ge (queue_estimate_wait_us (queue, teams[0], SHORT_COST),
+                     waiting_us);
+  ck_assert_uint_le (queue_estimate_wait_us (queue, teams[1], SHORT_COST),
+                     jobs_us (3));
   ck_assert_ptr_nonnull (push_job (1, SHORT_COST, QUEUE_NORMAL,
                                    clock_us (manual_clock) + jobs_us (6)));
   serve (2, served);
@@ -435,8 +437,8 @@
      above the time of all waiting jobs.  */
   queue_set_weight (queue, teams[2], 1000);
   push_normal (2, SHORT_COST);
-  ck_assert_uint_le (queue_wait_us (queue, teams[0], SHORT_COST),
-                     jobs_us (queue_waiting (queue) + 1));
+  ck_assert_uint_le (queue_estimate_wait_us (queue, teams[0], SHORT_COST),
+                     jobs_us (queue_waiting_count (queue) + 1));
 }
 END_TEST
 
@@ -457,15 +459,15 @@
                        clock_us (manual_clock) + jobs_us (8));
   ck_assert_ptr_nonnull (late_job);
   pop_job ();
-  expiry_us = queue_next_lapse_us (queue);
+  expiry_us = queue_next_expiry_us (queue);
   ck_assert_uint_eq (expiry_us, clock_us (manual_clock) + jobs_us (7));
   clock_manual_advance_us (manual_clock,
                            expiry_us - clock_us (manual_clock) - 1);
-  ck_assert_ptr_null (queue_lapsed (queue));
+  ck_assert_ptr_null (queue_pop_expired (queue));
   clock_manual_advance_us (manual_clock, 1);
-  ck_assert_ptr_eq (queue_lapsed (queue), &late_job->waiter);
-  ck_assert_ptr_null (queue_lapsed (queue));
-  ck_assert_uint_eq (queue_waiting (queue), 1);
+  ck_assert_ptr_eq (queue_pop_expired (queue), &late_job->waiter);
+  ck_assert_ptr_null (queue_pop_expired (queue));
+  ck_assert_uint_eq (queue_waiting_count (queue), 1);
 }
 END_TEST
 
@@ -481,7 +483,7 @@
   ck_assert_ptr_null (push_normal (0, 100));
   small_team_job = push_normal (1, 100);
   ck_assert_ptr_nonnull (small_team_job);
-  ck_assert_uint_eq (queue_waiting (queue), 10);
+  ck_assert_uint_eq (queue_waiting_count (queue), 10);
   ck_assert (!jobs[9].waiting);
   ck_assert (jobs[0].waiting);
 }
@@ -549,12 +551,12 @@
           waiting--;
           queue_cancel (queue, &job->waiter);
         }
-      ck_assert_uint_eq (queue_waiting (queue), waiting);
-      ck_assert_uint_eq (queue_running (queue), 0);
+      ck_assert_uint_eq (queue_waiting_count (queue), waiting);
+      ck_assert_uint_eq (queue_running_count (queue), 0);
     }
   while (pop_job () != NULL)
     waiting--;
-  ck_assert_uint_ge (waiting, queue_waiting (queue));
+  ck_assert_uint_ge (waiting, queue_waiting_count (queue));
 }
 END_TEST
 
