--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -245,8 +245,8 @@
               .deadline_left_ms = 30000,
               .rating_cost = RATING_COST,
               .rating_latency_ms = 150,
-              .rater_ok = true,
-              .explore = CASCADE_EXPLORE_COST_SHARE };
+              .is_rater_available = true,
+              .explore_cost_share = CASCADE_EXPLORE_COST_SHARE };
       cascade_plan_t plan
           = cascade_plan (r.cascade, &r.rng, &request, r.now_ms);
       double paid = run_plan (&r, &plan, easy, &got);
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -177,11 +177,11 @@
     BATCH = 20 /* Decisions between two looks at the clock.  */
   };
   static const double bound_ns = 2000;
-  static const escalation_options_t options = { .worth = 0.55,
-                                                .rank_part = 0.5,
-                                                .late_part = 0.3,
-                                                .poor_part = 0.05,
-                                                .opinion_width = 5 };
+  static const escalation_options_t options = { .value_per_1k_tokens = 0.55,
+                                                .priority_value_ratio = 0.5,
+                                                .late_value_ratio = 0.3,
+                                                .poor_value_ratio = 0.05,
+                                                .confidence_stddev = 5 };
   static double costs[ROUNDS];
   clock_iface_t *clock = clock_manual_create (START_S);
   rng_t rng = rng_make (7);
@@ -204,18 +204,19 @@
           upstream_t *upstream;
           if (pool_choose (pool, &want, &upstream) != VH_OK)
             abort ();
-          const escalation_candidate_t choice = {
-            .model = 1, .cost = 0.25, .beside = upstream_load (pool, upstream)
-          };
+          const escalation_candidate_t choice
+              = { .model = 1,
+                  .cost = 0.25,
+                  .running_requests = upstream_load (pool, upstream) };
           const escalation_request_t request
               = { .cost = 0.017,
-                  .read = (uint32_t)rng_below (&rng, 30000),
-                  .generated = 300,
-                  .opinion = (uint32_t)rng_below (&rng, 101),
+                  .prompt_tokens = (uint32_t)rng_below (&rng, 30000),
+                  .output_tokens = 300,
+                  .confidence = (uint32_t)rng_below (&rng, 101),
                   .objective_ms = 2000,
-                  .pause_ms = 1200,
-                  .choices = &choice,
-                  .choice_count = 1 };
+                  .max_pause_ms = 1200,
+                  .candidates = &choice,
+                  .candidate_count = 1 };
           gained += escalation_gain (escalation, &request, 0);
         }
       costs[round] = (cpu_ns () - begin) / BATCH;
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -131,7 +131,7 @@
                                           .deadline_left_ms = 60000,
                                           .rating_cost = 0.1,
                                           .rating_latency_ms = 50,
-                                          .rater_ok = true };
+                                          .is_rater_available = true };
       double best = INFINITY;
       for (int run = 0; run < RUNS; run++)
         {
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -97,11 +97,11 @@
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
     .exposure = settings->exposure_share,
-    .escalation = { .worth = settings->answer_worth,
-                    .rank_part = settings->rank_part,
-                    .late_part = settings->late_part,
-                    .poor_part = settings->poor_part,
-                    .opinion_width = settings->opinion_width },
+    .escalation = { .value_per_1k_tokens = settings->answer_worth,
+                    .priority_value_ratio = settings->rank_part,
+                    .late_value_ratio = settings->late_part,
+                    .poor_value_ratio = settings->poor_part,
+                    .confidence_stddev = settings->opinion_width },
   };
 
   options.drain_grace_ms = options.drain_bound_ms / 2 < GRACE_MS
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -242,8 +242,8 @@
     .first_byte_ms = 0,
     .rating_cost = 0,
     .rating_latency_ms = RATING_TIMEOUT_MS / 4.0,
-    .rater_ok = quality_is_rater_available (entry->quality, real_ms),
-    .explore = CASCADE_EXPLORE_COST_SHARE,
+    .is_rater_available = quality_is_rater_available (entry->quality, real_ms),
+    .explore_cost_share = CASCADE_EXPLORE_COST_SHARE,
   };
   request->plan
       = cascade_plan (entry->cascade, request->key_given ? &own : &entry->rng,
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -168,22 +168,23 @@
       choices[count++]
           = (escalation_candidate_t){ .model = larger,
                                       .cost = model_cost (relay, larger),
-                                      .beside = load_beside (relay, i) };
+                                      .running_requests
+                                      = load_beside (relay, i) };
     }
   const escalation_request_t request
       = { .model = model,
           .cost = model_cost (relay, model),
-          .read = terms->prompt,
-          .generated = terms->generated,
-          .rank = route->priority,
-          .opinion = points,
-          .has_first = relay->model > 0,
-          .first = relay->first_opinion,
+          .prompt_tokens = terms->prompt,
+          .output_tokens = terms->generated,
+          .priority = route->priority,
+          .confidence = points,
+          .has_smallest_confidence = relay->model > 0,
+          .smallest_confidence = relay->first_opinion,
           .elapsed_ms = relay->last_ms - terms->arrived_ms,
           .objective_ms = route->objective_ms,
-          .pause_ms = route->pause_ms,
-          .choices = choices,
-          .choice_count = count };
+          .max_pause_ms = route->pause_ms,
+          .candidates = choices,
+          .candidate_count = count };
   size_t chosen = escalation_choose (escalation, &request);
   return chosen < count ? relay->model + 1 + chosen : relay->model;
 }
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -373,7 +373,7 @@
   double first_rated_ms
       = candidate (d, first)->latency_ms + r->rating_latency_ms;
 
-  return r->rater_ok
+  return r->is_rater_available
          && (!r->streaming || first_rated_ms <= (double)r->first_byte_ms)
          && first_rated_ms + candidate (d, second)->latency_ms
                 <= d->time_budget_ms;
@@ -468,15 +468,16 @@
         .first = first,
         .second = second,
         .threshold = (double)threshold_bin / CASCADE_BINS,
-        .whole = upper_edge_probability,
+        .upper_edge_probability = upper_edge_probability,
         .cost = a->cost + r->rating_cost * (1 + audit)
                 + escalated * (b->cost + audit * r->rating_cost),
         .latency_ms
         = a->latency_ms + r->rating_latency_ms + escalated * b->latency_ms,
         .quality = previous.mean
                    + upper_edge_probability * (outcome.mean - previous.mean),
-        .lower = previous.lower
-                 + upper_edge_probability * (outcome.lower - previous.lower)
+        .quality_lower
+        = previous.lower
+          + upper_edge_probability * (outcome.lower - previous.lower)
       };
       return true;
     }
@@ -495,7 +496,7 @@
                            .cost = c->cost,
                            .latency_ms = c->latency_ms,
                            .quality = c->quality.mean,
-                           .lower = c->quality.lower };
+                           .quality_lower = c->quality.lower };
 }
 
 /* Return whether plan A is preferred to plan B; both meet the target.  */
@@ -560,7 +561,7 @@
       if (candidate (d, i)->cost < candidate (d, j)->cost
           && is_pair_in_time (d, i, j))
         return true;
-  if (!d->request->rater_ok)
+  if (!d->request->is_rater_available)
     *obstacle = CASCADE_R_RATER_DOWN;
   else if (d->request->streaming)
     *obstacle = CASCADE_R_STREAMING;
@@ -687,7 +688,7 @@
         plan->kind = CASCADE_TWO_STAGE;
         plan->second = j;
         plan->threshold = d->request->target;
-        plan->whole = 1;
+        plan->upper_edge_probability = 1;
         plan->audit = true;
         plan->cost
             += 2 * d->request->rating_cost
@@ -714,7 +715,8 @@
 
   if (extra <= 0)
     return 1;
-  return d->request->explore * best->cost / extra / EXPLORE_SHARE_MAX;
+  return d->request->explore_cost_share * best->cost / extra
+         / EXPLORE_SHARE_MAX;
 }
 
 /* Draw the threshold of PLAN from the two edges of its bin, with the
@@ -723,7 +725,7 @@
 static void
 draw_threshold (rng_t *rng, cascade_plan_t *plan)
 {
-  if (rng_double (rng) >= plan->whole)
+  if (rng_double (rng) >= plan->upper_edge_probability)
     plan->threshold -= 1.0 / CASCADE_BINS;
 }
 
@@ -768,7 +770,8 @@
       best.audit
           = candidate (d, d->strongest)->quality.weight < WELL_KNOWN_RATINGS;
     }
-  if (can_escalate && r->explore > 0 && rng_double (rng) < EXPLORE_SHARE_MAX
+  if (can_escalate && r->explore_cost_share > 0
+      && rng_double (rng) < EXPLORE_SHARE_MAX
       && make_exploring_plan (d, rng, found ? &best : NULL, &plan)
       && rng_double (rng) < explore_probability (d, &plan, &best))
     return plan;
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -135,9 +135,9 @@
   double rating_cost;       /* Cost of one rating.  */
   double rating_latency_ms; /* Time of one rating, such as the 95th
                                percentile.  */
-  bool rater_ok;            /* Whether the rating service can be used.  */
-  double explore;           /* Share of the cost that exploration may add; 0
-                               for no exploration.  */
+  bool is_rater_available;  /* Whether the rating service can be used.  */
+  double explore_cost_share; /* Share of the cost that exploration may add; 0
+                     for no exploration.  */
 } cascade_request_t;
 
 /* The plan for one request.  */
@@ -145,13 +145,13 @@
 {
   cascade_kind_t kind;
   cascade_reason_t reason;
-  size_t first;      /* Index of the candidate that answers first.  */
-  size_t second;     /* Index of the candidate after an escalation.  */
-  double threshold;  /* Rating of the first answer below which the request is
-                        escalated.  */
-  double whole;      /* Probability that the threshold is the upper edge of its
-                        bin instead of the lower one; THRESHOLD is already
-                        drawn.  */
+  size_t first;     /* Index of the candidate that answers first.  */
+  size_t second;    /* Index of the candidate after an escalation.  */
+  double threshold; /* Rating of the first answer below which the request is
+                       escalated.  */
+  double upper_edge_probability; /* Probability that the threshold is the upper
+                   edge of its bin instead of the lower one; THRESHOLD is
+                   already drawn.  */
   bool audit;        /* Whether to rate the answer of a direct plan, or to rate
                         the first answer of a cascade a second time and the
                         second answer if there is one.  An audit does not delay
@@ -159,7 +159,7 @@
   double cost;       /* Expected cost, ratings included.  */
   double latency_ms; /* Expected time to the full answer.  */
   double quality;    /* Expected rating.  */
-  double lower;      /* Lower bound of the expected rating.  */
+  double quality_lower; /* Lower bound of the expected rating.  */
 } cascade_plan_t;
 
 /* Return a new planner, owned by the caller.  WRITER is unique to each start
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -251,7 +251,7 @@
 {
   return 0.5
          * erfc ((50 - confidence) * sqrt (count / 2)
-                 / escalation->options.opinion_width);
+                 / escalation->options.confidence_stddev);
 }
 
 /* Return the points added to a confidence at the present pressure.  */
@@ -268,13 +268,14 @@
 request_value (const escalation_t *escalation,
                const escalation_request_t *request)
 {
-  double size = request->read + output_size_weight * request->generated;
+  double size
+      = request->prompt_tokens + output_size_weight * request->output_tokens;
 
   if (size <= 0)
     size = tokens_per_unit;
-  return escalation->options.worth
-         * pow (escalation->options.rank_part, request->rank) * size
-         / tokens_per_unit;
+  return escalation->options.value_per_1k_tokens
+         * pow (escalation->options.priority_value_ratio, request->priority)
+         * size / tokens_per_unit;
 }
 
 /* Return the additional cost of an answer of CANDIDATE.  The present answer is
@@ -283,8 +284,9 @@
 additional_cost (const escalation_request_t *request,
                  const escalation_candidate_t *candidate)
 {
-  double output_units = request->generated / tokens_per_unit;
-  double prompt_units = request->read / tokens_per_unit * prompt_cost_ratio;
+  double output_units = request->output_tokens / tokens_per_unit;
+  double prompt_units
+      = request->prompt_tokens / tokens_per_unit * prompt_cost_ratio;
 
   return candidate->cost * (output_units + prompt_units)
          - request->cost * output_units;
@@ -310,7 +312,8 @@
       else if (request->cost > 0)
         ratio = candidate->cost / request->cost;
     }
-  *prompt_ms = (evaluate_curve (terms, request->read) - terms[0]) * ratio;
+  *prompt_ms
+      = (evaluate_curve (terms, request->prompt_tokens) - terms[0]) * ratio;
   *wait_ms = terms[0] + *prompt_ms;
 }
 
@@ -321,10 +324,10 @@
                      const escalation_request_t *request, double *count)
 {
   *count = 1;
-  if (!request->has_first)
-    return request->opinion;
+  if (!request->has_smallest_confidence)
+    return request->confidence;
   *count = 2;
-  return (request->opinion + request->first
+  return (request->confidence + request->smallest_confidence
           + escalation_confidence_lead (escalation, request->model))
          / 2;
 }
@@ -334,18 +337,18 @@
                  const escalation_request_t *request, size_t index)
 {
   const escalation_options_t *options = &escalation->options;
-  const escalation_candidate_t *candidate = &request->choices[index];
+  const escalation_candidate_t *candidate = &request->candidates[index];
   double value = request_value (escalation, request);
   double count;
   double confidence = combined_confidence (escalation, request, &count)
                       + pressure_points (escalation);
   double lead = escalation_confidence_lead (escalation, candidate->model);
-  if (request->has_first)
+  if (request->has_smallest_confidence)
     lead -= escalation_confidence_lead (escalation, request->model);
   double present_probability
       = good_probability (escalation, confidence, count);
   double candidate_probability
-      = index + 1 == request->choice_count
+      = index + 1 == request->candidate_count
             ? 1
             : good_probability (escalation, confidence + lead, count);
   double wait_ms;
@@ -358,18 +361,19 @@
             ? exceedance ((double)request->elapsed_ms + wait_ms,
                           (double)request->objective_ms)
             : 0;
-  if (request->pause_ms > 0)
+  if (request->max_pause_ms > 0)
     delayed_value
         = exceedance (prompt_ms,
-                      (double)request->pause_ms * ESCALATION_PAUSE_FACTOR)
-          * candidate->beside * (1 - options->late_part)
+                      (double)request->max_pause_ms * ESCALATION_PAUSE_FACTOR)
+          * candidate->running_requests * (1 - options->late_value_ratio)
           * (escalation->mean_value > 0 ? escalation->mean_value : value);
   double candidate_quality
       = (candidate_probability
-         + (1 - candidate_probability) * options->poor_part)
-        * (1 - late_probability * (1 - options->late_part));
+         + (1 - candidate_probability) * options->poor_value_ratio)
+        * (1 - late_probability * (1 - options->late_value_ratio));
   double present_quality
-      = present_probability + (1 - present_probability) * options->poor_part;
+      = present_probability
+        + (1 - present_probability) * options->poor_value_ratio;
   return value
              * (candidate_quality - present_quality
                 - ESCALATION_GAIN_SHARE_MIN)
@@ -381,14 +385,14 @@
                    const escalation_request_t *request)
 {
   double value = request_value (escalation, request);
-  size_t best = request->choice_count;
+  size_t best = request->candidate_count;
   double best_gain = 0;
 
   escalation->mean_value
       = escalation->mean_value == 0
             ? value
             : escalation->mean_value * value_decay + value * (1 - value_decay);
-  for (size_t i = 0; i < request->choice_count; i++)
+  for (size_t i = 0; i < request->candidate_count; i++)
     {
       double gain = escalation_gain (escalation, request, i);
       if (gain <= best_gain)
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -94,44 +94,49 @@
 /* Settings of the operators, which cannot be learned from the traffic.  */
 typedef struct
 {
-  double worth;     /* Value of a good answer of the highest priority, per
-                       1,000 tokens of size, in the unit of the costs of the
-                       models.  The size is the prompt tokens and ten times
-                       the output tokens.  */
-  double rank_part; /* Ratio of the values of a priority and the next
-                       higher one.  */
-  double late_part; /* Ratio of the values of a late and a timely answer.  */
-  double poor_part; /* Ratio of the values of a poor and a good answer.  */
-  double opinion_width; /* Standard deviation of the noise of a confidence, in
-                           points: the range around 50 that says little.  */
+  double value_per_1k_tokens;  /* Value of a good answer of the highest
+                    priority, per  1,000 tokens of size, in the unit of the costs
+                    of the  models.  The size is the prompt tokens and ten times
+                    the output tokens.  */
+  double priority_value_ratio; /* Ratio of the values of a priority and the
+                       next higher one.  */
+  double late_value_ratio;     /* Ratio of the values of a late and a timely
+                                  answer.  */
+  double
+      poor_value_ratio; /* Ratio of the values of a poor and a good answer.  */
+  double confidence_stddev; /* Standard deviation of the noise of a confidence,
+                           in points: the range around 50 that says little.  */
 } escalation_options_t;
 
 /* A larger model that may answer the request next.  */
 typedef struct
 {
-  size_t model;  /* Index of the model; 0 is the smallest.  */
-  double cost;   /* Cost of 1,000 output tokens or of 4,000 prompt tokens.  */
-  double beside; /* Requests running on the engine that would process the
-                    prompt.  */
+  size_t model; /* Index of the model; 0 is the smallest.  */
+  double cost;  /* Cost of 1,000 output tokens or of 4,000 prompt tokens.  */
+  double running_requests; /* Requests running on the engine that would process
+                    the prompt.  */
 } escalation_candidate_t;
 
 /* A request and its present answer.  */
 typedef struct
 {
-  size_t model;        /* Index of the model that answered.  */
-  double cost;         /* Cost of MODEL, as in escalation_candidate_t.  */
-  uint32_t read;       /* Prompt tokens.  */
-  uint32_t generated;  /* Expected output tokens; 0 if unknown.  */
-  uint32_t rank;       /* Priority of the request; 0 is the highest.  */
-  uint32_t opinion;    /* Confidence of MODEL in its answer, 0 to 100.  */
-  bool has_first;      /* Whether the smallest model answered before MODEL.  */
-  uint32_t first;      /* Confidence of the smallest model in its answer.  */
-  uint64_t elapsed_ms; /* Time since the arrival of the request.  */
+  size_t model;           /* Index of the model that answered.  */
+  double cost;            /* Cost of MODEL, as in escalation_candidate_t.  */
+  uint32_t prompt_tokens; /* Prompt tokens.  */
+  uint32_t output_tokens; /* Expected output tokens; 0 if unknown.  */
+  uint32_t priority;      /* Priority of the request; 0 is the highest.  */
+  uint32_t confidence;    /* Confidence of MODEL in its answer, 0 to 100.  */
+  bool has_smallest_confidence; /* Whether the smallest model answered before
+                                   MODEL.  */
+  uint32_t smallest_confidence; /* Confidence of the smallest model in its
+                                   answer.  */
+  uint64_t elapsed_ms;          /* Time since the arrival of the request.  */
   uint64_t objective_ms; /* Objective for the first event; 0 for none.  */
-  uint64_t pause_ms;     /* Longest allowed pause between events; 0 for no
-                            limit.  */
-  const escalation_candidate_t *choices; /* Larger models, smallest first.  */
-  size_t choice_count;
+  uint64_t max_pause_ms; /* Longest allowed pause between events; 0 for no
+                        limit.  */
+  const escalation_candidate_t
+      *candidates; /* Larger models, smallest first.  */
+  size_t candidate_count;
 } escalation_request_t;
 
 /* Return a new state of one service, owned by the caller.  OPTIONS is
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -267,9 +267,9 @@
   const quality_sampling_t *s = &q->sampling;
   double share = s->share;
 
-  if (estimate.weight > s->want)
-    share = fmax (fmin (s->share, s->share_settled),
-                  s->share * s->want / estimate.weight);
+  if (estimate.weight > s->enough_ratings)
+    share = fmax (fmin (s->share, s->share_min),
+                  s->share * s->enough_ratings / estimate.weight);
   return rng_double (rng) < share && quality_is_rater_available (q, now_ms)
          && take_token (q, now_ms);
 }
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -60,8 +60,9 @@
   double share;      /* Largest share of the answers, such as 0.05.  */
   double rate_per_s; /* Most requests to the rating service per second.  */
   double burst;      /* Most requests to the rating service at once.  */
-  uint32_t want;     /* Weight of the ratings above which the share falls.  */
-  double share_settled; /* Least share, for a version with many ratings.  */
+  uint32_t
+      enough_ratings; /* Weight of the ratings above which the share falls.  */
+  double share_min;   /* Least share, for a version with many ratings.  */
 } quality_sampling_t;
 
 /* Default sampling: 5% of the answers, and 20 per second in each process.  */
@@ -69,8 +70,8 @@
   ((quality_sampling_t){ .share = 0.05,                                       \
                          .rate_per_s = 20,                                    \
                          .burst = 40,                                         \
-                         .want = 400,                                         \
-                         .share_settled = 0.01 })
+                         .enough_ratings = 400,                               \
+                         .share_min = 0.01 })
 
 /* Posterior of a mean rating.  */
 typedef struct
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -73,7 +73,7 @@
 {
   clock_iface_t *clock;
   uint32_t max_waiters;
-  uint32_t long_cost;
+  uint32_t long_cost_min;
   uint32_t slots;
   double recent_min_slots;   /* Recent minimum of SLOTS.  */
   uint64_t recent_min_at_us; /* Last update of RECENT_MIN_SLOTS.  */
@@ -92,14 +92,14 @@
 
   queue->clock = clock;
   queue->max_waiters = QUEUE_MAX_WAITERS;
-  queue->long_cost = QUEUE_LONG_COST_MIN;
+  queue->long_cost_min = QUEUE_LONG_COST_MIN;
   queue->slots = 1;
   queue->recent_min_slots = INFINITY;
   queue->recent_min_at_us = clock_us (clock);
   if (config != NULL && config->max_waiters > 0)
     queue->max_waiters = config->max_waiters;
-  if (config != NULL && config->long_cost > 0)
-    queue->long_cost = config->long_cost;
+  if (config != NULL && config->long_cost_min > 0)
+    queue->long_cost_min = config->long_cost_min;
   queue->teams = map_create ();
   return queue;
 }
@@ -373,7 +373,7 @@
 {
   queue_team_t *team = find_team (queue, job->team);
   uint32_t cost = job->cost > 0 ? job->cost : 1;
-  int size_class = cost >= queue->long_cost ? LONG : SHORT;
+  int size_class = cost >= queue->long_cost_min ? LONG : SHORT;
   flow_t *flow = &team->flows[size_class];
   class_state_t *class_state = &queue->classes[size_class];
   uint64_t now = clock_us (queue->clock);
@@ -572,7 +572,7 @@
 uint64_t
 queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost)
 {
-  int size_class = cost >= queue->long_cost ? LONG : SHORT;
+  int size_class = cost >= queue->long_cost_min ? LONG : SHORT;
 
   return estimate_wait_us (queue, find_team (queue, team), size_class, cost);
 }
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -111,7 +111,7 @@
 typedef struct
 {
   uint32_t max_waiters;
-  uint32_t long_cost; /* Least cost of a long job.  */
+  uint32_t long_cost_min; /* Least cost of a long job.  */
 } queue_config_t;
 
 /* Return a new queue, owned by the caller.  CONFIG may be NULL for the
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -112,7 +112,7 @@
                                  .max = upstream->limit_max,
                                  .tolerance = upstream->limit_tolerance };
   const queue_config_t queue = { .max_waiters = upstream->queue_max,
-                                 .long_cost = upstream->queue_long_cost };
+                                 .long_cost_min = upstream->queue_long_cost };
   vh_code_t code;
 
   *out = NULL;
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -370,11 +370,11 @@
     .retry_window_ms = 10000,
     .cold_factor = 1.5,
     .cold_slack = 5,
-    .escalation = { .worth = 0.55,
-                    .rank_part = 0.5,
-                    .late_part = 0.3,
-                    .poor_part = 0.05,
-                    .opinion_width = 5 },
+    .escalation = { .value_per_1k_tokens = 0.55,
+                    .priority_value_ratio = 0.5,
+                    .late_value_ratio = 0.3,
+                    .poor_value_ratio = 0.05,
+                    .confidence_stddev = 5 },
   };
   static const act_t answer[] = { ACT_ANSWER };
   char id[32];
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -39,7 +39,7 @@
                               .deadline_left_ms = 30000,
                               .rating_cost = 0.3,
                               .rating_latency_ms = 150,
-                              .rater_ok = true };
+                              .is_rater_available = true };
 }
 
 /* Without any learned curve all plans are direct.  Each case gives the target,
@@ -136,7 +136,7 @@
   ck_assert_uint_eq (plan.second, 2);
   ck_assert_double_gt (plan.threshold, 0.55);
   ck_assert_double_lt (plan.threshold, 0.9);
-  ck_assert_double_ge (plan.lower, 0.92 - 1e-9);
+  ck_assert_double_ge (plan.quality_lower, 0.92 - 1e-9);
   ck_assert_double_lt (plan.cost, 10);
   /* The cost includes the first attempt, its rating and the second attempt. */
   ck_assert_double_gt (plan.cost, 1 + 0.3 + 0.4 * 15);
@@ -178,14 +178,14 @@
   known_candidates (candidates);
   record_ratings (c, &rng, 1000, START_MS);
   cascade_request_t r = make_request (candidates, 3, 0.92);
-  r.explore = 1;
+  r.explore_cost_share = 1;
   r.deadline_left_ms = 2600;
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
   ck_assert_uint_eq (plan.first, 2);
   ck_assert_int_ne (plan.reason, CASCADE_R_EXPLORE);
 
-  r.explore = 0;
+  r.explore_cost_share = 0;
   r.deadline_left_ms = 30000;
   r.streaming = true;
   r.first_byte_ms = 500;
@@ -196,7 +196,7 @@
   ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
 
   r.streaming = false;
-  r.rater_ok = false;
+  r.is_rater_available = false;
   plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
   ck_assert_uint_eq (plan.first, 2);
@@ -212,10 +212,10 @@
 
   known_candidates (candidates);
   cascade_request_t r = make_request (candidates, 3, 0.99);
-  r.rater_ok = false;
+  r.is_rater_available = false;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
                     CASCADE_R_RATER_DOWN);
-  r.rater_ok = true;
+  r.is_rater_available = true;
   r.streaming = true;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
                     CASCADE_R_STREAMING);
@@ -243,7 +243,7 @@
 
   known_candidates (candidates);
   cascade_request_t r = make_request (candidates, 3, 0.9);
-  r.explore = 0.02;
+  r.explore_cost_share = 0.02;
   for (int i = 0; i < REQUESTS; i++)
     {
       cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
@@ -325,7 +325,7 @@
         candidates[v].quality = quality_estimate (
             q, STR ("draft"), str_from (names[v]), priors[v], now);
       cascade_request_t r = make_request (candidates, 3, simulation->target);
-      r.explore = CASCADE_EXPLORE_COST_SHARE;
+      r.explore_cost_share = CASCADE_EXPLORE_COST_SHARE;
       cascade_plan_t plan = cascade_plan (c, &rng, &r, now);
       str_t first = str_from (names[plan.first]);
       true_quality = answer_quality (&rng, plan.first, easy);
--- a/tests/test_escalation.c
+++ b/tests/test_escalation.c
@@ -18,11 +18,11 @@
   CONCURRENT_REQUESTS = 10
 };
 
-static const escalation_options_t options = { .worth = 0.55,
-                                              .rank_part = 0.5,
-                                              .late_part = 0.3,
-                                              .poor_part = 0.05,
-                                              .opinion_width = 5 };
+static const escalation_options_t options = { .value_per_1k_tokens = 0.55,
+                                              .priority_value_ratio = 0.5,
+                                              .late_value_ratio = 0.3,
+                                              .poor_value_ratio = 0.05,
+                                              .confidence_stddev = 5 };
 
 /* Return the time to the first event of the large model for a prompt of
    PROMPT_TOKENS on an idle engine.  */
@@ -63,11 +63,13 @@
     escalation_record_wait (escalation, SMALL, 500, 100, OBJECTIVE_MS);
 }
 
-static const escalation_candidate_t large_only[]
-    = { { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
-static const escalation_candidate_t middle_and_large[]
-    = { { .model = MIDDLE, .cost = 0.12, .beside = CONCURRENT_REQUESTS },
-        { .model = LARGE, .cost = 0.25, .beside = CONCURRENT_REQUESTS } };
+static const escalation_candidate_t large_only[] = {
+  { .model = LARGE, .cost = 0.25, .running_requests = CONCURRENT_REQUESTS }
+};
+static const escalation_candidate_t middle_and_large[] = {
+  { .model = MIDDLE, .cost = 0.12, .running_requests = CONCURRENT_REQUESTS },
+  { .model = LARGE, .cost = 0.25, .running_requests = CONCURRENT_REQUESTS }
+};
 
 /* Return a draft, which is a long request, with CONFIDENCE of the small model
    in its answer.  */
@@ -76,15 +78,15 @@
 {
   return (escalation_request_t){ .model = SMALL,
                                  .cost = 0.017,
-                                 .read = 12000,
-                                 .generated = 385,
-                                 .rank = 1,
-                                 .opinion = confidence,
+                                 .prompt_tokens = 12000,
+                                 .output_tokens = 385,
+                                 .priority = 1,
+                                 .confidence = confidence,
                                  .elapsed_ms = 150,
                                  .objective_ms = OBJECTIVE_MS,
-                                 .pause_ms = PAUSE_MS,
-                                 .choices = large_only,
-                                 .choice_count = 1 };
+                                 .max_pause_ms = PAUSE_MS,
+                                 .candidates = large_only,
+                                 .candidate_count = 1 };
 }
 
 static escalation_request_t
@@ -92,9 +94,9 @@
 {
   escalation_request_t request = make_draft (confidence);
 
-  request.read = 826;
-  request.generated = 290;
-  request.rank = 0;
+  request.prompt_tokens = 826;
+  request.output_tokens = 290;
+  request.priority = 0;
   return request;
 }
 
@@ -103,9 +105,9 @@
 {
   escalation_request_t request = make_draft (confidence);
 
-  request.read = 2368;
-  request.generated = 21;
-  request.rank = 2;
+  request.prompt_tokens = 2368;
+  request.output_tokens = 21;
+  request.priority = 2;
   return request;
 }
 
@@ -118,7 +120,7 @@
   for (uint32_t confidence = 0; confidence <= 100; confidence++)
     {
       const escalation_request_t request = make_request (confidence);
-      if (escalation_choose (escalation, &request) == request.choice_count)
+      if (escalation_choose (escalation, &request) == request.candidate_count)
         return confidence;
     }
   return 101;
@@ -176,7 +178,7 @@
 
   record_waits (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
-  request.read = 40000;
+  request.prompt_tokens = 40000;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
   escalation_destroy (escalation);
 }
@@ -190,12 +192,12 @@
   escalation_request_t request = make_draft (10);
 
   record_waits (escalation, 1);
-  request.read = 40000;
+  request.prompt_tokens = 40000;
   request.objective_ms = 4 * OBJECTIVE_MS;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
   escalation_candidate_t idle_large = large_only[0];
-  idle_large.beside = 0;
-  request.choices = &idle_large;
+  idle_large.running_requests = 0;
+  request.candidates = &idle_large;
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
   escalation_destroy (escalation);
 }
@@ -270,10 +272,10 @@
   escalation_t *escalation = escalation_create (&options);
   const escalation_candidate_t large = { .model = LARGE };
   escalation_request_t request
-      = { .opinion = 10, .choices = &large, .choice_count = 1 };
+      = { .confidence = 10, .candidates = &large, .candidate_count = 1 };
 
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
-  request.opinion = 100;
+  request.confidence = 100;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
   escalation_destroy (escalation);
 }
@@ -302,8 +304,8 @@
 {
   escalation_request_t request = make_draft (confidence);
 
-  request.choices = middle_and_large;
-  request.choice_count = 2;
+  request.candidates = middle_and_large;
+  request.candidate_count = 2;
   return escalation_choose (escalation, &request);
 }
 
@@ -352,10 +354,10 @@
   request.model = MIDDLE;
   request.cost = middle_and_large[0].cost;
   ck_assert_uint_eq (escalation_choose (escalation, &request), 0);
-  request.has_first = true;
-  request.first = 48;
+  request.has_smallest_confidence = true;
+  request.smallest_confidence = 48;
   ck_assert_uint_eq (escalation_choose (escalation, &request), 1);
-  request.first = 30;
+  request.smallest_confidence = 30;
   ck_assert_uint_eq (escalation_choose (escalation, &request), 0);
   escalation_destroy (escalation);
 }
