--- a/packages/policy/admission.h
+++ b/packages/policy/admission.h
@@ -21,23 +21,24 @@
      that refused callers do not return all at once, and at most a tenth of the
      dispatched requests is wasted.
    - ADMISSION_OVERLOAD_REFUSED_SHARE 0.01: up to one refusal in a hundred
-   comes from two unlucky random choices of an upstream; more means that the
-   fleet is full.
+     comes from two unlucky random choices of an upstream; more means that the
+     fleet is full.
    - ADMISSION_OVERLOAD_PRESSURE 2: at a mean load of twice the slots as many
-   requests wait as run, and the queues are about to refuse requests that
-   cannot meet their deadlines.
+     requests wait as run, and the queues are about to refuse requests that
+     cannot meet their deadlines.
    - ADMISSION_TICK_MS 100, ADMISSION_RATE_SMOOTHING 0.1: the rates follow the
-   last second, so that a burst is still detected as one.
+     last second, so that a burst is still detected as one.
    - ADMISSION_ADMITTED_SHARE_MIN 0.02: share of the demand that is always
-   admitted.  With nothing dispatched, nothing can be accepted, and a fleet
-   that accepted nothing for some seconds would never receive requests again.
+     admitted.  With nothing dispatched, nothing can be accepted, and a fleet
+     that accepted nothing for some seconds would never receive requests again.
    - ADMISSION_GROWTH_PER_TICK 1.07: growth of the capacity per tick, which
-   doubles it within a second, while requests are refused here and the fleet
-   shows no sign of being full.  The accepted rate alone would raise the
-   capacity by only a tenth per second.
+     doubles it within a second, while requests are refused here and the fleet
+     shows no sign of being full.  The accepted rate alone would raise the
+     capacity by only a tenth per second.
    - ADMISSION_RETRY_AFTER_MIN_S 1, ADMISSION_RETRY_AFTER_MAX_S 60: Retry-After
-   is drawn uniformly from the time in which the team's share serves what was
-   refused in the last seconds.  Callers do not wait longer than a minute.  */
+     is drawn uniformly from the time in which the team's share serves what was
+     refused in the last seconds.  Callers give up when told to wait for longer
+     than a minute.  */
 
 #ifndef POLICY_ADMISSION_H
 #define POLICY_ADMISSION_H
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -71,10 +71,11 @@
 
 typedef enum
 {
-  CASCADE_NONE,     /* There is no candidate.  */
-  CASCADE_DIRECT,   /* The version FIRST alone answers.  */
-  CASCADE_TWO_STAGE /* The version FIRST answers and is rated; SECOND answers
-                   when the rating is below the threshold.  */
+  CASCADE_NONE,   /* There is no candidate.  */
+  CASCADE_DIRECT, /* The version FIRST alone answers.  */
+  /* The version FIRST answers and is rated, and the version SECOND answers
+     when the rating is below the threshold.  */
+  CASCADE_TWO_STAGE
 } cascade_kind_t;
 
 /* X (symbol, short code, sentence).  The short code is sent in a response
@@ -87,8 +88,7 @@
   X (CASCADE_R_FASTEST, "fastest-in-bound",                                   \
      "The fastest version whose quality bound meets the target.")             \
   X (CASCADE_R_TWO_STAGE, "cheap-first",                                      \
-     "A cheap first answer that is rated costs less than any single "         \
-     "version.")                                                              \
+     "A rated cheap first answer costs less than any single version.")        \
   X (CASCADE_R_NO_BOUND, "strongest",                                         \
      "No quality bound meets the target; the highest upper bound is used.")   \
   X (CASCADE_R_DEADLINE, "deadline-short",                                    \
@@ -100,8 +100,7 @@
   X (CASCADE_R_TOO_LATE, "too-late",                                          \
      "No version answers within the deadline; the fastest one is used.")      \
   X (CASCADE_R_EXPLORE, "explore",                                            \
-     "Exploration: a cheap answer is released only if its rating is on "      \
-     "target.")
+     "Exploration: a cheap answer is released only if rated on target.")
 
 typedef enum
 {
@@ -117,8 +116,8 @@
   str_t version;
   double cost;             /* Expected cost of the request.  */
   quality_bound_t quality; /* Quality for the task class of the request.  */
-  double latency_ms;       /* Time to the full answer, such as the 95th
-                              percentile.  */
+  /* Time to the full answer, such as the 95th percentile.  */
+  double latency_ms;
 } cascade_candidate_t;
 
 /* The request to plan for.  */
@@ -131,13 +130,13 @@
   cascade_prefer_t prefer;
   uint64_t deadline_left_ms; /* Time left until the deadline.  */
   bool streaming;
-  uint64_t first_byte_ms;   /* Time allowed for the first byte of a stream.  */
-  double rating_cost;       /* Cost of one rating.  */
-  double rating_latency_ms; /* Time of one rating, such as the 95th
-                               percentile.  */
-  bool is_rater_available;  /* Whether the rating service can be used.  */
-  double explore_cost_share; /* Share of the cost that exploration may add; 0
-                     for no exploration.  */
+  uint64_t first_byte_ms; /* Time allowed for the first byte of a stream.  */
+  double rating_cost;     /* Cost of one rating.  */
+  /* Time of one rating, such as the 95th percentile.  */
+  double rating_latency_ms;
+  bool is_rater_available; /* Whether the rating service can be used.  */
+  /* Share of the cost that exploration may add; 0 for no exploration.  */
+  double explore_cost_share;
 } cascade_request_t;
 
 /* The plan for one request.  */
@@ -145,20 +144,20 @@
 {
   cascade_kind_t kind;
   cascade_reason_t reason;
-  size_t first;     /* Index of the candidate that answers first.  */
-  size_t second;    /* Index of the candidate after an escalation.  */
-  double threshold; /* Rating of the first answer below which the request is
-                       escalated.  */
-  double upper_edge_probability; /* Probability that the threshold is the upper
-                   edge of its bin instead of the lower one; THRESHOLD is
-                   already drawn.  */
-  bool audit;        /* Whether to rate the answer of a direct plan, or to rate
-                        the first answer of a cascade a second time and the
-                        second answer if there is one.  An audit does not delay
-                        the response.  */
-  double cost;       /* Expected cost, ratings included.  */
-  double latency_ms; /* Expected time to the full answer.  */
-  double quality;    /* Expected rating.  */
+  size_t first;  /* Index of the candidate that answers first.  */
+  size_t second; /* Index of the candidate after an escalation.  */
+  /* Rating of the first answer below which the request is escalated.  */
+  double threshold;
+  /* Probability that the threshold is the upper edge of its bin instead of the
+     lower one; THRESHOLD is already drawn.  */
+  double upper_edge_probability;
+  /* Whether to rate the answer of a direct plan, or to rate the first answer
+     of a cascade a second time and the second answer if there is one.  An
+     audit does not delay the response.  */
+  bool audit;
+  double cost;          /* Expected cost, ratings included.  */
+  double latency_ms;    /* Expected time to the full answer.  */
+  double quality;       /* Expected rating.  */
   double quality_lower; /* Lower bound of the expected rating.  */
 } cascade_plan_t;
 
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -25,11 +25,11 @@
      answer.  The answer of the largest model counts as good.
    - A model between the smallest and the largest one answers well what is a
      little too hard for the smallest model, at half of the cost of the
-   largest.  Its confidence exceeds that of the smallest model by a lead, in
-   points, which is learned from requests that both models answered.  The
-   probability that its answer is good follows from the confidence of the
-   smallest model plus the lead.  Once the middle model has answered, both
-   confidences count.
+     largest.  Its confidence exceeds that of the smallest model by a lead, in
+     points, which is learned from requests that both models answered.  The
+     probability that its answer is good follows from the confidence of the
+     smallest model plus the lead.  Once the middle model has answered, both
+     confidences count.
    - Whether the larger answer is late follows from the recent times to the
      first event of the larger model, fitted as a curve over the prompt tokens.
    - An engine processes a prompt in chunks between the tokens of its other
@@ -94,18 +94,19 @@
 /* Settings of the operators, which cannot be learned from the traffic.  */
 typedef struct
 {
-  double value_per_1k_tokens;  /* Value of a good answer of the highest
-                    priority, per  1,000 tokens of size, in the unit of the costs
-                    of the  models.  The size is the prompt tokens and ten times
-                    the output tokens.  */
-  double priority_value_ratio; /* Ratio of the values of a priority and the
-                       next higher one.  */
-  double late_value_ratio;     /* Ratio of the values of a late and a timely
-                                  answer.  */
-  double
-      poor_value_ratio; /* Ratio of the values of a poor and a good answer.  */
-  double confidence_stddev; /* Standard deviation of the noise of a confidence,
-                           in points: the range around 50 that says little.  */
+  /* Value of a good answer of the highest priority per 1,000 tokens of size,
+     in the unit of the costs of the models.  The size is the number of prompt
+     tokens plus ten times the number of output tokens.  */
+  double value_per_1k_tokens;
+  /* Ratio of the value at a priority to that at the next higher one.  */
+  double priority_value_ratio;
+  /* Ratio of the value of a late answer to that of a timely one.  */
+  double late_value_ratio;
+  /* Ratio of the value of a poor answer to that of a good one.  */
+  double poor_value_ratio;
+  /* Standard deviation of the noise of a confidence, in points: the range
+     around 50 in which a confidence may be wrong.  */
+  double confidence_stddev;
 } escalation_options_t;
 
 /* A larger model that may answer the request next.  */
@@ -113,29 +114,29 @@
 {
   size_t model; /* Index of the model; 0 is the smallest.  */
   double cost;  /* Cost of 1,000 output tokens or of 4,000 prompt tokens.  */
-  double running_requests; /* Requests running on the engine that would process
-                    the prompt.  */
+  /* Requests running on the engine that would process the prompt.  */
+  double running_requests;
 } escalation_candidate_t;
 
 /* A request and its present answer.  */
 typedef struct
 {
-  size_t model;           /* Index of the model that answered.  */
-  double cost;            /* Cost of MODEL, as in escalation_candidate_t.  */
-  uint32_t prompt_tokens; /* Prompt tokens.  */
-  uint32_t output_tokens; /* Expected output tokens; 0 if unknown.  */
+  size_t model; /* Index of the model that answered; 0 is the smallest.  */
+  double cost;  /* Cost of MODEL, as in escalation_candidate_t.  */
+  uint32_t prompt_tokens;
+  uint32_t output_tokens; /* Expected number; 0 if unknown.  */
   uint32_t priority;      /* Priority of the request; 0 is the highest.  */
   uint32_t confidence;    /* Confidence of MODEL in its answer, 0 to 100.  */
-  bool has_smallest_confidence; /* Whether the smallest model answered before
-                                   MODEL.  */
-  uint32_t smallest_confidence; /* Confidence of the smallest model in its
-                                   answer.  */
-  uint64_t elapsed_ms;          /* Time since the arrival of the request.  */
+  /* Whether the smallest model answered before MODEL, and its confidence in
+     that answer.  */
+  bool has_smallest_confidence;
+  uint32_t smallest_confidence;
+  uint64_t elapsed_ms;   /* Time since the arrival of the request.  */
   uint64_t objective_ms; /* Objective for the first event; 0 for none.  */
-  uint64_t max_pause_ms; /* Longest allowed pause between events; 0 for no
-                        limit.  */
-  const escalation_candidate_t
-      *candidates; /* Larger models, smallest first.  */
+  /* Longest allowed pause between events; 0 for no limit.  */
+  uint64_t max_pause_ms;
+  /* Models larger than MODEL, smallest first.  */
+  const escalation_candidate_t *candidates;
   size_t candidate_count;
 } escalation_request_t;
 
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -2,58 +2,57 @@
 
    Load pattern: an upstream that was just started, or whose caches went cold
    in service, fails under the load that a warm upstream carries.  Without a
-   limit every request is sent on at once, all requests slow down together,
-   and the first responses arrive after their callers have timed out.
+   limit every request is sent on at once, all requests slow down together, and
+   the first responses arrive after their callers have timed out.
 
    The limit works like the congestion window of a transport protocol.  A slot
-   is the permission to run one request.  A new upstream has
-   LIMIT_INITIAL_SLOTS slots.  A round ends after as many samples as there are
-   slots.  During slow start each round without a rise in latency doubles the
-   slots; the first rise ends slow start, and each later round without a rise
-   adds
-   LIMIT_GROWTH_SLOTS slots.  When the limit is reset during slow start,
-   the next slow start doubles only up to half of the slots before the reset.
-   Latency is divided by the cost of the request, so that long jobs do not
-   count as slow ones, and compared with the best latency per unit of cost of
-   this upstream.
+   is the permission to run one request.  The limit is the number of slots.  A
+   new upstream has LIMIT_INITIAL_SLOTS of them.  A round ends after as many
+   samples as there are slots.  During slow start each round without a rise in
+   latency doubles the limit; the first rise ends slow start, and each later
+   round without a rise adds LIMIT_GROWTH_SLOTS.  When the limit is reset
+   during slow start, the next slow start doubles only up to half of the limit
+   before the reset.  Latency is divided by the cost of the request, so that
+   long jobs do not count as slow ones, and compared with the best latency per
+   unit of cost of this upstream.
 
    Reasons for the constants:
 
    - LIMIT_INITIAL_SLOTS 2: the smallest number of slots that shows whether
-   concurrent requests slow each other down.
+     concurrent requests slow each other down.
    - LIMIT_LATENCY_TOLERANCE 1.25: accepted ratio of latency to the best
-   latency.  An engine with more jobs than its batch holds slows each job in
-   proportion or more, so a ratio of 1.25 is reached two jobs past a batch of
-   eight.  An engine that slows gradually as its batch fills needs a higher
-   ratio, the one of a full batch.
+     latency.  An engine with more jobs than its batch holds slows each job in
+     proportion or more, so a ratio of 1.25 is reached two jobs past a batch of
+     eight.  An engine that slows gradually as its batch fills needs a higher
+     ratio, the one of a full batch.
    - LIMIT_GROWTH_SLOTS 0.5 slots: a rise in latency shows one or two rounds
-   after its cause, so steps of a whole slot overshoot by several slots.
+     after its cause, so steps of a whole slot overshoot by several slots.
    - LIMIT_COLD_LATENCY_RATIO 3, LIMIT_COLD_SAMPLES 3: the limit is reset after
-   three consecutive samples of three times the best latency.  A full batch
-   never gets that slow, because the limit is cut long before, and one unusual
-   job gives one sample only.  A wrong reset to LIMIT_INITIAL_SLOTS costs a few
-   rounds; a missed one costs a batch of time-outs.
+     three consecutive samples of three times the best latency.  A full batch
+     never gets that slow, because the limit is cut long before, and one
+     unusual job gives one sample only.  A wrong reset to LIMIT_INITIAL_SLOTS
+     costs a few rounds; a missed one costs a batch of time-outs.
    - LIMIT_CONSECUTIVE_ERRORS 3: one error may come from a malformed request;
-   three consecutive errors are attributed to the upstream.
+     three consecutive errors are attributed to the upstream.
    - LIMIT_BEST_SMOOTHING 0.3: smoothing weight of a lower best latency.  One
-   round of unusually fast jobs must not make all later jobs count as slow.
+     round of unusually fast jobs must not make all later jobs count as slow.
    - LIMIT_WARM_LATENCY_RATIO 0.5: a round at half of the best latency shows
-   that the upstream was cold in all earlier rounds; slow start begins again.
+     that the upstream was cold in all earlier rounds; slow start begins again.
    - LIMIT_DOUBLE_UTILIZATION 0.75, LIMIT_GROWTH_UTILIZATION 0.49: utilization
-   of the slots over the round above which the limit doubles or grows.  Unused
-   slots were not tested: growth on a momentary peak brings idle upstreams to
-   twice the slots that they can serve.  The balancer keeps the utilization of
-   all upstreams about equal, so with a much higher bound an upstream that
-   starts low in a half idle pool stays low; with 0.5, two new upstreams of six
-     never got beyond two slots.  Below LIMIT_SMALL_SLOTS 6 slots
-   LIMIT_GROWTH_UTILIZATION is enough to double, once the best latency is that
-   of a warm engine.
+     of the slots over the round above which the limit doubles or grows.
+     Unused slots were not tested: growth on a momentary peak brings idle
+     upstreams to twice the slots that they can serve.  The balancer keeps the
+     utilization of all upstreams about equal, so with a much higher bound an
+     upstream that starts low in a half idle pool stays low; with 0.5, two new
+     upstreams of six never got beyond two slots.  Below LIMIT_SMALL_SLOTS 6
+     slots LIMIT_GROWTH_UTILIZATION is enough to double, once the best latency
+     is that of a warm engine.
    - LIMIT_ROUND_MIN_MS 20: minimum length of a round.  Jobs of a millisecond
      would otherwise double the limit before the engine is affected by the
      load.
    - LIMIT_BEST_DRIFT_PER_MIN 0.1: rate at which the best latency is raised, so
-   that a lasting change of hardware or version is adopted within minutes while
-   a cold period of seconds is not.  */
+     that a lasting change of hardware or version is adopted within minutes
+     while a cold period of seconds is not.  */
 
 #ifndef POLICY_LIMIT_H
 #define POLICY_LIMIT_H
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -23,10 +23,10 @@
 
    The mean of an epoch that lies far from the weighted median of the other
    epochs is clipped to a distance of QUALITY_CLIP_DISTANCE, so that a rating
-   service that is wrong for an hour moves the posterior by a bounded
-   amount.  A version that really changed moves the median once its epochs hold
-   half of the votes; a sudden change is to be detected by the roll-out and the
-   watch (rollout.h).  */
+   service that is wrong for an hour moves the posterior by a bounded amount.
+   A version that really changed moves the median once its epochs hold half of
+   the votes; a sudden change is to be detected by the roll-out and the watch
+   (rollout.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -60,9 +60,9 @@
   double share;      /* Largest share of the answers, such as 0.05.  */
   double rate_per_s; /* Most requests to the rating service per second.  */
   double burst;      /* Most requests to the rating service at once.  */
-  uint32_t
-      enough_ratings; /* Weight of the ratings above which the share falls.  */
-  double share_min;   /* Least share, for a version with many ratings.  */
+  /* Weight of the ratings above which the share falls.  */
+  uint32_t enough_ratings;
+  double share_min; /* Least share, for a version with many ratings.  */
 } quality_sampling_t;
 
 /* Default sampling: 5% of the answers, and 20 per second in each process.  */
@@ -117,8 +117,9 @@
 /* Return whether requests to the rating service are not paused.  */
 bool quality_is_rater_available (const quality_t *quality, uint64_t now_ms);
 
-/* Fold all epochs but the last two under GENERATION, the fencing number of the
-   caller's lease (see evidence_settle).  */
+/* Merge the cells of all writers into one cell for each series, in all epochs
+   but the last two, under GENERATION, the fencing number of the caller's lease
+   (see evidence_settle).  */
 void quality_fold_epochs (quality_t *quality, uint64_t generation,
                           uint64_t now_ms);
 /* Append the ratings to OUT: all for the stored table, or with OWN_ONLY the
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -31,23 +31,23 @@
    Reasons for the constants:
 
    - QUEUE_LONG_SHARE_MAX 0.75, QUEUE_LONG_SHARE_MIN 0.25: each size class can
-   hold at most three quarters of the slots.  The reserved quarter serves tens
-   of short jobs while one long job runs.
+     hold at most three quarters of the slots.  The reserved quarter serves
+     tens of short jobs while one long job runs.
    - QUEUE_MIN_SLOTS_RISE_PER_S 0.1: both shares are taken of the recent
-   minimum of the slots, which rises by a tenth per second: the concurrency
-   limit oscillates within seconds, while a long job takes a minute.
+     minimum of the slots, which rises by a tenth per second: the concurrency
+     limit oscillates within seconds, while a long job takes a minute.
    - QUEUE_SHORT_RESERVE_MS 60000: time after the last short job for which
-   slots stay reserved; without short jobs the long jobs may use all slots.
+     slots stay reserved; without short jobs the long jobs may use all slots.
    - QUEUE_REORDER_MAX_MS 2000: most time by which the service time, and each
-   step of priority, move a job back behind later jobs of its team.
+     step of priority, move a job back behind later jobs of its team.
    - QUEUE_CREDIT_JOBS 3 jobs of mean cost: unused service that a team may use
-   later in a burst.  Without credit, three simultaneous requests of a mostly
-   idle team wait for each other at the rate of its share.
+     later in a burst.  Without credit, three simultaneous requests of a mostly
+     idle team wait for each other at the rate of its share.
    - QUEUE_WAIT_SLACK_SHARE 0.5: share of the slack before the deadline that
-   the estimated wait may take.  Later jobs of teams with less service go
-   ahead, so the actual wait is up to twice the estimate.  A refusal on arrival
-     costs the caller nothing; an expiry in the queue costs the time spent
-     waiting.
+     the estimated wait may take.  Later jobs of teams with less service go
+     ahead, so the actual wait is up to twice the estimate.  A refusal on
+     arrival costs the caller nothing; an expiry in the queue costs the time
+     spent waiting.
    - QUEUE_MAX_WAITERS 4096: bounds the memory; deadlines lead to refusals long
      before.  */
 
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -18,10 +18,11 @@
    - RETRY_HEDGE_QUANTILE 0.95: a hedge at the 95th percentile of the latency
      adds at most a twentieth to the load and cuts the tail beyond the
      percentile.  RETRY_HEDGE_SAMPLES_MIN 20 is the smallest number of samples
-   that has a 95th percentile.
+     that has a 95th percentile.
 
    Only idempotent requests are hedged: a hedge of another request would
-   execute the request twice, which the claims of requests exist to prevent. */
+   execute the request twice, which the claims of requests exist to
+   prevent.  */
 
 #ifndef POLICY_RETRY_H
 #define POLICY_RETRY_H
