--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -16,9 +16,9 @@
   FIELD_AUDIT_SQUARES,
   FIELDS,
   CACHE_MS = 1000,
-  /* Weight of the ratings from which on not every direct answer of the
-     strongest version is rated.  A version that is used because of its upper
-     bound alone must be well known soon.  */
+  /* Weight of the ratings of the strongest version from which on its direct
+     answers are no longer all rated.  A version that is chosen for its upper
+     bound alone must get ratings soon.  */
   WELL_KNOWN_RATINGS = 50,
   /* Fewest first ratings for a cascade.  With fewer ratings the share of a bin
      has an error of 0.1 or more.  */
@@ -62,8 +62,9 @@
 struct cascade
 {
   evidence_t *evidence;
-  decayed_sums_t *cache;                      /* Decayed sums by key index.  */
-  double decay[CASCADE_EPOCHS + 1];           /* Weight by age in epochs.  */
+  decayed_sums_t *cache; /* Decayed sums by key index.  */
+  /* Weight of an epoch by its age in epochs.  */
+  double decay[CASCADE_EPOCHS + 1];
   uint64_t plan_counts[CASCADE_REASON_COUNT]; /* Number of plans by reason.  */
 };
 
@@ -310,7 +311,7 @@
 {
   double mean;      /* Expected rating.  */
   double lower;     /* Lower bound of the expected rating.  */
-  double escalated; /* Share of the requests.  */
+  double escalated; /* Share of the requests that escalate.  */
 } outcome_t;
 
 static outcome_t
@@ -346,8 +347,9 @@
   const cascade_request_t *request;
   uint64_t now_ms;
   size_t count;          /* Number of candidates considered.  */
-  double time_budget_ms; /* Time that a plan may take.  */
-  size_t strongest;      /* Index; SIZE_MAX if no candidate is in time.  */
+  double time_budget_ms; /* Time that a plan may take in total.  */
+  size_t strongest; /* Index of the strongest candidate; SIZE_MAX if none is in
+                       time.  */
 } decision_t;
 
 static const cascade_candidate_t *
@@ -404,8 +406,8 @@
 /* The bound of the expected rating that is compared with the target.  */
 typedef enum
 {
-  BOUND_LOWER, /* Lower bound, for plans that are used.  */
-  BOUND_UPPER  /* Upper bound, for plans that may be explored.  */
+  BOUND_LOWER, /* Lower bound; decides on plans that are used.  */
+  BOUND_UPPER  /* Upper bound; decides on pairs that may be explored.  */
 } bound_side_t;
 
 static double
@@ -551,8 +553,9 @@
   return best;
 }
 
-/* Return whether the time allows a cascade of any cheaper and any more
-   expensive candidate; otherwise store the obstacle in *OBSTACLE.  */
+/* Return whether a cascade of any two candidates, the cheaper one first, is
+   possible in the time of the request.  Otherwise store the reason in
+   *OBSTACLE.  */
 static bool
 has_pair_in_time (const decision_t *d, cascade_reason_t *obstacle)
 {
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -123,10 +123,10 @@
 /* The request to plan for.  */
 typedef struct
 {
-  str_t task; /* Task class.  */
+  str_t task; /* Task class of the request.  */
   const cascade_candidate_t *candidates;
   size_t count;  /* Candidates after CASCADE_CANDIDATES_MAX are ignored.  */
-  double target; /* Least mean rating, 0 to 1.  */
+  double target; /* Least mean rating that a plan must reach, 0 to 1.  */
   cascade_prefer_t prefer;
   uint64_t deadline_left_ms; /* Time left until the deadline.  */
   bool streaming;
@@ -183,7 +183,8 @@
                             str_t second, double rating, double second_rating,
                             uint64_t now_ms);
 
-/* Fold, write and merge the learned state, as in quality.h.  */
+/* Merge old epochs, write the learned state and merge a received state, like
+   the functions of the same names in quality.h.  */
 void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
                           uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  CURVE_TERMS = 3 /* Constant, linear and quadratic.  */
+  CURVE_TERMS = 3 /* Terms of a curve: constant, linear and quadratic.  */
 };
 
 /* Largest ratio of a wait to its objective that enters the pressure, so that a
@@ -18,7 +18,7 @@
    process its prompt.  */
 static const double outlier_factor = 2;
 static const double outlier_ms = 200;
-/* Weight of the old mean value at each request.  */
+/* Weight of the old mean value of a request when a new request arrives.  */
 static const double value_decay = 0.98;
 /* Tokens per unit of the curves, the costs and the value.  */
 static const double tokens_per_unit = 1000;
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -124,7 +124,7 @@
   size_t model; /* Index of the model that answered; 0 is the smallest.  */
   double cost;  /* Cost of MODEL, as in escalation_candidate_t.  */
   uint32_t prompt_tokens;
-  uint32_t output_tokens; /* Expected number; 0 if unknown.  */
+  uint32_t output_tokens; /* Expected output tokens; 0 if unknown.  */
   uint32_t priority;      /* Priority of the request; 0 is the highest.  */
   uint32_t confidence;    /* Confidence of MODEL in its answer, 0 to 100.  */
   /* Whether the smallest model answered before MODEL, and its confidence in
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -16,8 +16,8 @@
   uint32_t in_flight;
   double slow_start_threshold; /* Slots at which slow start ends.  */
   bool in_slow_start;
-  bool is_best_warm;   /* Whether BEST_US is the latency of a warm engine.  */
-  double slot_time_us; /* Integral of the slots in use over this round.  */
+  bool is_best_warm;   /* Whether BEST_US was measured on a warm engine.  */
+  double slot_time_us; /* Integral of the used slots over this round.  */
   uint64_t slot_time_until_us; /* Time up to which SLOT_TIME_US is counted.  */
 
   double best_us;           /* Best latency per unit of cost; 0 if unknown.  */
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -85,7 +85,7 @@
 typedef struct
 {
   uint32_t start;   /* Slots after creation and after a reset.  */
-  uint32_t max;     /* Most slots, such as the batch size of the upstream.  */
+  uint32_t max;     /* Most slots, such as the batch size of the engine.  */
   double tolerance; /* Accepted ratio of latency to the best latency.  */
 } limit_config_t;
 
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -112,7 +112,7 @@
 {
   double mean;
   double weight; /* Number of ratings after decay.  */
-  double votes;  /* Weight in the median.  */
+  double votes;  /* Weight of the epoch in the median.  */
   double count;  /* Number of ratings before decay.  */
   double squares;
 } epoch_stats_t;
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -41,9 +41,9 @@
 {
   QUALITY_PRIOR_WEIGHT = 4,
   QUALITY_EPOCH_MS = 30 * 60 * 1000,
-  QUALITY_EPOCHS = 48, /* A day; older ratings weigh less than 1/16.  */
+  QUALITY_EPOCHS = 48, /* One day; older ratings weigh less than 1/16.  */
   QUALITY_HALF_LIFE_MS = 6 * 60 * 60 * 1000,
-  QUALITY_SERIES_MAX = 512, /* Pairs of a task class and a version.  */
+  QUALITY_SERIES_MAX = 512, /* Most pairs of a task class and a version.  */
   QUALITY_CELLS_MAX = 32768
 };
 
@@ -77,8 +77,8 @@
 typedef struct
 {
   double mean;
-  double lower;  /* One-sided 95% bound.  */
-  double upper;  /* One-sided 95% bound.  */
+  double lower;  /* Lower one-sided 95% bound.  */
+  double upper;  /* Upper one-sided 95% bound.  */
   double weight; /* Number of ratings after decay; 0 for the prior alone.  */
 } quality_bound_t;
 
@@ -114,7 +114,7 @@
 void quality_record_rater_failure (quality_t *quality, uint64_t now_ms);
 /* Record that the rating service answered, which ends the pause.  */
 void quality_record_rater_success (quality_t *quality);
-/* Return whether requests to the rating service are not paused.  */
+/* Return whether requests may be sent to the rating service now.  */
 bool quality_is_rater_available (const quality_t *quality, uint64_t now_ms);
 
 /* Merge the cells of all writers into one cell for each series, in all epochs
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -42,12 +42,12 @@
 {
   heap_node_t node;
   heap_t waiters;
-  uint64_t waiting_cost; /* Sum over WAITERS.  */
+  uint64_t waiting_cost; /* Sum of the costs of WAITERS.  */
   uint64_t last_pop_us;  /* Time of the last pop that left jobs waiting; 0 if
                             the last pop emptied the flow.  */
   double mean_gap_us;    /* Mean time between two pops while jobs waited; 0 if
                             unknown.  */
-  double mean_gap_cost;  /* Mean cost of the jobs of these pops.  */
+  double mean_gap_cost;  /* Mean cost of the jobs popped after such gaps.  */
 } flow_t;
 
 struct queue_team
@@ -61,12 +61,12 @@
 {
   heap_t ready_flows;        /* Flows with waiting jobs.  */
   uint64_t virtual_now;      /* Virtual start time of the last popped job.  */
-  uint64_t last_virtual_end; /* Unused.  */
-  uint64_t waiting_cost;     /* Sum over the waiting jobs.  */
-  uint64_t weight_sum;       /* Sum over the teams in READY_FLOWS.  */
+  uint64_t last_virtual_end; /* Unused; always 0.  */
+  uint64_t waiting_cost;     /* Sum of the costs of all waiting jobs.  */
+  uint64_t weight_sum; /* Sum of the weights of the teams in READY_FLOWS.  */
   uint32_t running;
   double mean_cost;
-  double mean_service_us; /* 0 if no job has ended yet.  */
+  double mean_service_us; /* Mean service time; 0 if no job has ended yet.  */
 } class_state_t;
 
 struct queue
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -15,10 +15,10 @@
 struct retry
 {
   rng_t *rng;
-  double share;        /* Retries added per request.  */
-  double burst;        /* Most tokens.  */
+  double share;        /* Retries added to the budget per request.  */
+  double burst;        /* Largest budget, in retries.  */
   double tokens;       /* Retries left in the budget.  */
-  histogram_t latency; /* Of successful responses, in us.  */
+  histogram_t latency; /* Latency of successful responses, in us.  */
 };
 
 retry_t *
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -14,7 +14,7 @@
   SAMPLE_FINISHED_COUNT = 1,
   SAMPLE_FAILED_COUNT,
   SAMPLE_LATENCY_COUNT,
-  SAMPLE_LOG_LATENCY_SUM, /* Of the natural logarithm of milliseconds.  */
+  SAMPLE_LOG_LATENCY_SUM, /* Sum of the natural logarithms of the ms.  */
   SAMPLE_LOG_LATENCY_SQUARES,
   SAMPLE_RATING_COUNT,
   SAMPLE_RATING_SUM,
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -277,7 +277,7 @@
   double easy;
   double target;
   double quality;
-  double cost; /* Relative to the strongest version alone.  */
+  double cost; /* Mean cost relative to the strongest version alone.  */
 } simulation_t;
 
 static double
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -214,7 +214,7 @@
       clock_manual_advance_us (upstream.clock, job_us);
       limit_release (upstream.limit, job_us, UNITS, true);
     }
-  /* Twice the slots in use, and one step.  */
+  /* The bound is twice the single slot in use plus one slot.  */
   ck_assert_uint_le (limit_slots (upstream.limit), 3);
 }
 END_TEST
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -93,7 +93,7 @@
               sum += r;
               squares += r * r;
             }
-          /* The prior is correct only on average.  */
+          /* Only the average of the priors over all seeds is correct.  */
           double prior = 0.55 + 0.4 * rng_double (&rng);
           quality_bound_t b = quality_posterior (
               counts[c], sum, squares, prior, QUALITY_PRIOR_VARIANCE);
@@ -270,7 +270,7 @@
   quality_t *a = make_quality (1);
   quality_t *b = make_quality (2);
   quality_t *c = make_quality (3);
-  buf_t delayed = BUF_NULL;
+  buf_t delayed_message = BUF_NULL;
   uint64_t later = START_MS + 2 * HOUR_MS;
 
   for (int i = 0; i < 100; i++)
@@ -278,12 +278,12 @@
       quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
       quality_add_rating (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
     }
-  quality_write (a, true, &delayed);
+  quality_write (a, true, &delayed_message);
   send_state (a, true, b, later);
   quality_fold_epochs (b, 7, later);
   send_state (b, false, c, later);
-  quality_merge (c, buf_str (&delayed), later);
-  quality_merge (b, buf_str (&delayed), later);
+  quality_merge (c, buf_str (&delayed_message), later);
+  quality_merge (b, buf_str (&delayed_message), later);
   send_state (b, false, a, later);
   ck_assert (same_state (a, b));
   ck_assert (same_state (b, c));
@@ -291,7 +291,7 @@
       = quality_estimate (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
   ck_assert_double_eq_tol (bound.weight, 200, 1e-9);
   ck_assert_double_eq_tol (bound.mean, 0.7, 1e-6);
-  buf_free (&delayed);
+  buf_free (&delayed_message);
   quality_destroy (a);
   quality_destroy (b);
   quality_destroy (c);
