--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -384,24 +384,24 @@
           rollout_observe (run, late->arm, str_from (tasks[late->task]),
                            &late->sample, now);
         }
-      bool fresh = rollout_assign (run, rng_u64 (&rng));
+      bool fresh = rollout_is_assigned (run, rng_u64 (&rng));
       late->arm = fresh ? ROLLOUT_NEW : ROLLOUT_OLD;
       late->task = draw_task (&rng);
       late->sample = draw_sample (&rng, fault, fresh, late->task,
-                                  rollout_rate_share (run, late->arm));
-      rollout_shown (run, late->arm, now);
+                                  rollout_rating_share (run, late->arm));
+      rollout_count_exposure (run, late->arm, now);
       rollout_sample_t ended = late->sample;
       ended.rated = false;
       rollout_observe (run, late->arm, str_from (tasks[late->task]), &ended,
                        now);
       if (out.requests % 10 == 0)
-        rollout_step (run, now);
+        rollout_decide (run, now);
       out.halted = rollout_phase (run) == ROLLOUT_PHASE_HALTED;
       out.complete = rollout_phase (run) == ROLLOUT_PHASE_COMPLETE;
       if (out.halted || out.complete)
         break;
     }
-  out.shown = rollout_exposed (run);
+  out.shown = rollout_exposed_count (run);
   /* What went through is shown to everyone as long as the fixed roll-out is
      counted.  */
   if (out.complete && out.requests < HORIZON)
@@ -540,7 +540,7 @@
     BAD_MAX = 72000
   };
   static const fault_t none = { "none", 0, 0, 1, -1 };
-  watch_t *watch = watch_create (seed + 1);
+  degradation_t *watch = degradation_create (seed + 1);
   rng_t rng = rng_make (seed);
   uint64_t now = START_MS;
   double shown = 0;
@@ -548,20 +548,20 @@
   for (int i = 0; i < QUIET + BAD_MAX; i++, now += GAP_MS)
     {
       const fault_t *at = i < QUIET ? &none : fault;
-      double weight = watch_weight (watch, STR ("small@1"), now);
+      double weight = degradation_traffic_weight (watch, STR ("small@1"), now);
       bool small = rng_double (&rng) < 0.8 * weight;
       int task = draw_task (&rng);
       rollout_sample_t s = draw_sample (&rng, at, small, task, 0.1);
-      watch_observe (watch, small ? STR ("small@1") : STR ("large@1"),
-                     str_from (tasks[task]), &s, now);
+      degradation_observe (watch, small ? STR ("small@1") : STR ("large@1"),
+                           str_from (tasks[task]), &s, now);
       if (i >= QUIET)
         shown += small;
       if (i % 10 == 0)
-        watch_step (watch, now);
+        degradation_check (watch, now);
       if (weight == 0)
         break;
     }
-  watch_destroy (watch);
+  degradation_destroy (watch);
   return shown;
 }
 
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -51,13 +51,14 @@
 
   for (int i = 0; i < choices; i++)
     {
-      const pool_want_t want = { .service = STR ("drafts"),
-                                 .key = i % 2 == 0 ? rng_u64 (rng) | 1 : 0 };
+      const pool_criteria_t want
+          = { .service = STR ("drafts"),
+              .key = i % 2 == 0 ? rng_u64 (rng) | 1 : 0 };
       upstream_t *upstream;
-      if (pool_choose (pool, &want, &upstream) != VH_OK)
+      if (pool_select (pool, &want, &upstream) != VH_OK)
         abort ();
-      pool_started (pool, upstream, 1000);
-      pool_finished (pool, upstream, 1000, SEND_OK);
+      pool_request_started (pool, upstream, 1000);
+      pool_request_finished (pool, upstream, 1000, SEND_OK);
     }
   return (cpu_ns () - begin) / choices;
 }
@@ -113,7 +114,8 @@
       for (int i = 0; i < 20000; i++)
         {
           snprintf (prefix, sizeof prefix, "/r%d/a/b", i % sizes[s]);
-          if (catalog_route (catalog, STR ("desk.example"), str_from (prefix))
+          if (catalog_match_route (catalog, STR ("desk.example"),
+                                   str_from (prefix))
               == NULL)
             abort ();
         }
@@ -146,7 +148,7 @@
                      buf_str (&text));
       double begin = cpu_ns ();
       for (int i = 0; i < 200; i++)
-        if (trial_judge (trial, 2, false, &why) == TRIAL_FINISH)
+        if (trial_decide (trial, 2, false, &why) == TRIAL_FINISH)
           abort ();
       points_add (&cpu, sizes[s], (cpu_ns () - begin) / 200 / 1e3);
       buf_free (&text);
@@ -199,15 +201,16 @@
       double begin = cpu_ns ();
       for (int i = 0; i < BATCH; i++)
         {
-          const pool_want_t want
+          const pool_criteria_t want
               = { .service = STR ("drafts"), .key = rng_u64 (&rng) | 1 };
           upstream_t *upstream;
-          if (pool_choose (pool, &want, &upstream) != VH_OK)
+          if (pool_select (pool, &want, &upstream) != VH_OK)
             abort ();
           const escalation_candidate_t choice
               = { .model = 1,
                   .cost = 0.25,
-                  .running_requests = upstream_load (pool, upstream) };
+                  .running_requests
+                  = upstream_request_count (pool, upstream) };
           const escalation_request_t request
               = { .cost = 0.017,
                   .prompt_tokens = (uint32_t)rng_below (&rng, 30000),
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -109,7 +109,7 @@
 
       ids[i] = balance_update (balance, str_make (name, (size_t)len),
                                zones[i % 3], &pool, 1, false);
-      balance_report (balance, ids[i], &load, rng_below (rng, 1000));
+      balance_record_load (balance, ids[i], &load, rng_below (rng, 1000));
     }
   return balance;
 }
@@ -120,7 +120,7 @@
 time_choice (balance_t *balance, clock_iface_t *clock, rng_t *rng)
 {
   balance_request_t request
-      = { .pool = balance_pool (balance, STR ("draft@1")) };
+      = { .pool = balance_find_or_add_pool (balance, STR ("draft@1")) };
   upstream_id_t held[64] = { 0 };
   double begin = now_ns ();
 
@@ -131,8 +131,8 @@
       request.affinity = i % 4 == 0 ? rng_u64 (rng) | 1 : BALANCE_NO_AFFINITY;
       if (balance_pick (balance, &request, slot) != VH_OK)
         abort ();
-      balance_started (balance, *slot);
-      balance_ended (balance, held[(i + 1) % 64], true);
+      balance_request_started (balance, *slot);
+      balance_request_ended (balance, held[(i + 1) % 64], true);
       if (i % 64 == 0)
         clock_manual_advance_us (clock, 1000);
     }
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -40,7 +40,7 @@
   char name[32];
   char zone[32];
 
-  balance_pool (balance, pool);
+  balance_find_or_add_pool (balance, pool);
   for (int i = 0; i < known; i++)
     {
       upstream_id_t id = balance_update (
@@ -48,7 +48,7 @@
           name_of (zone, sizeof zone, "zone", i % ZONES), &pool, 1, false);
       const balance_load_t load
           = { .in_flight = (uint32_t)i % 7, .slots = 16 };
-      balance_report (balance, id, &load, 0);
+      balance_record_load (balance, id, &load, 0);
     }
   return balance;
 }
@@ -56,7 +56,8 @@
 static double
 time_decisions (balance_t *balance, rng_t *rng, int decisions)
 {
-  const pool_id_t pool = balance_pool (balance, STR ("draft-small@3"));
+  const pool_id_t pool
+      = balance_find_or_add_pool (balance, STR ("draft-small@3"));
   double begin = cpu_ns ();
 
   for (int i = 0; i < decisions; i++)
@@ -66,8 +67,8 @@
       upstream_id_t id;
       if (balance_pick (balance, &request, &id) != VH_OK)
         abort ();
-      balance_started (balance, id);
-      balance_ended (balance, id, true);
+      balance_request_started (balance, id);
+      balance_request_ended (balance, id, true);
     }
   return (cpu_ns () - begin) / decisions;
 }
@@ -87,8 +88,8 @@
       double heap = heap_bytes ();
       double begin = cpu_ns ();
       balance_t *balance = make_balance (clock, &rng, sizes[s]);
-      const balance_request_t first
-          = { .pool = balance_pool (balance, STR ("draft-small@3")) };
+      const balance_request_t first = { .pool = balance_find_or_add_pool (
+                                            balance, STR ("draft-small@3")) };
       upstream_id_t id;
       balance_pick (balance, &first, &id);
       points_add (&joins, sizes[s], (cpu_ns () - begin) / 1e3);
--- a/bench/model.c
+++ b/bench/model.c
@@ -452,8 +452,8 @@
     {
       request_t *request = CONTAINER_OF (waiter, request_t, waiter);
 
-      balance_ended (request->entry->balance, request->entry->ids[u->number],
-                     true);
+      balance_request_ended (request->entry->balance,
+                             request->entry->ids[u->number], true);
       finish_refused (m, request);
     }
   queue_set_slots (u->queue, limit_slots (u->limit));
@@ -491,8 +491,8 @@
     {
       request_t *other = CONTAINER_OF (evicted, request_t, waiter);
 
-      balance_ended (other->entry->balance, other->entry->ids[u->number],
-                     true);
+      balance_request_ended (other->entry->balance,
+                             other->entry->ids[u->number], true);
       finish_refused (m, other);
     }
   if (code != VH_OK)
@@ -510,9 +510,9 @@
   outlier_state_t state;
   upstream_t *u;
 
-  while ((u = outlier_next (entry->outlier, &state)) != NULL)
-    balance_mark (entry->balance, entry->ids[u->number], BALANCE_EJECTED,
-                  state == OUTLIER_EJECTED);
+  while ((u = outlier_next_change (entry->outlier, &state)) != NULL)
+    balance_set_mark (entry->balance, entry->ids[u->number], BALANCE_EJECTED,
+                      state == OUTLIER_EJECTED);
 }
 
 static void
@@ -548,7 +548,7 @@
       balance_info (entry->balance, id, &info);
       str_to_u64 (info.name, &number);
       request->at = &m->upstreams[number];
-      balance_started (entry->balance, id);
+      balance_request_started (entry->balance, id);
       m->out.dispatched += counted;
       if (sidecar_submit (m, request->at, request))
         {
@@ -557,7 +557,7 @@
           count_attempt (m, &m->upstreams[number], counted);
           return;
         }
-      balance_ended (entry->balance, id, true);
+      balance_request_ended (entry->balance, id, true);
       admission_record_result (entry->admission, request->estimate, false);
     }
   finish_refused (m, request);
@@ -645,7 +645,7 @@
     }
   else
     queue_cancel (u->queue, &request->waiter);
-  balance_ended (entry->balance, entry->ids[u->number], ok);
+  balance_request_ended (entry->balance, entry->ids[u->number], ok);
   if (entry->members[u->number] != NULL)
     outlier_record (entry->outlier, entry->members[u->number], ok,
                     limit_is_warming_up (u->limit) ? 0 : took_us, units);
@@ -719,8 +719,8 @@
       if (m->ours)
         {
           queue_cancel (u->queue, &request->waiter);
-          balance_ended (request->entry->balance,
-                         request->entry->ids[u->number], true);
+          balance_request_ended (request->entry->balance,
+                                 request->entry->ids[u->number], true);
           break;
         }
       list_remove (&request->waiting);
@@ -904,8 +904,8 @@
                                heard->affinity, true);
           continue;
         }
-      balance_report (entry->balance, entry->ids[u->number], &heard->load,
-                      (m->now - heard->sent_us) / 1000);
+      balance_record_load (entry->balance, entry->ids[u->number], &heard->load,
+                           (m->now - heard->sent_us) / 1000);
       admission_set_pressure (entry->admission,
                               balance_pressure (entry->balance, m->pool));
     }
@@ -1022,7 +1022,7 @@
       entry->ids[number]
           = balance_update (entry->balance, str_make (name, (size_t)len),
                             zones[u->zone], &pool, 1, returning);
-      entry->members[number] = outlier_join (entry->outlier, u);
+      entry->members[number] = outlier_add_member (entry->outlier, u);
     }
   schedule (m, &u->report, REPORT, m->now + rng_below (&m->rng, REPORT_US));
   schedule (m, &u->observe, OBSERVE, m->now + OBSERVE_US);
@@ -1046,7 +1046,7 @@
 {
   m->zone_in[0] = in;
   for (int e = 0; m->ours && e < ENTRIES; e++)
-    balance_set_zone (m->entries[e].balance, STR ("zone-a"), in);
+    balance_set_zone_enabled (m->entries[e].balance, STR ("zone-a"), in);
   for (int i = 0; in && i < m->upstream_count; i++)
     if (m->upstreams[i].zone == 0)
       turn_cold (m, &m->upstreams[i], m->upstreams[i].jobs.count == 0);
@@ -1114,7 +1114,7 @@
   entry->outlier = outlier_create (0, m->clock);
   entry->admission = admission_create (m->clock, &m->policy_rng);
   entry->retry = retry_create (NULL, &m->policy_rng);
-  m->pool = balance_pool (entry->balance, STR ("draft@1"));
+  m->pool = balance_find_or_add_pool (entry->balance, STR ("draft@1"));
 }
 
 static void
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -35,14 +35,15 @@
   upstream_t *upstream = call->data;
 
   limit_release (upstream->limit, upstream->service_ms * 1000, 1, true);
-  balance_ended (balance, upstream->id, true);
+  balance_request_ended (balance, upstream->id, true);
   upstream->served++;
 }
 
 static void
 on_arrival (uv_timer_t *arrivals)
 {
-  balance_request_t request = { .pool = balance_pool (balance, STR ("m@1")) };
+  balance_request_t request
+      = { .pool = balance_find_or_add_pool (balance, STR ("m@1")) };
   uv_timer_t *call = &calls[arrived++];
   upstream_t *chosen = upstreams;
   upstream_id_t id;
@@ -62,7 +63,7 @@
   refused += !taken;
   if (!taken)
     return;
-  balance_started (balance, id);
+  balance_request_started (balance, id);
   uv_timer_init (arrivals->loop, call);
   call->data = chosen;
   uv_timer_start (call, on_answered, chosen->service_ms, 0);
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -61,7 +61,7 @@
 static void
 serve_health (process_t *process, httpd_req_t *req)
 {
-  if (drain_healthy (process->drain))
+  if (drain_is_healthy (process->drain))
     reply_text (req, 200, STR ("ok\n"));
   else
     reply_text (req, 503, STR ("draining\n"));
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -34,7 +34,7 @@
   running_t *running = handle->data;
 
   (void)number;
-  gateway_stop (running->gateway);
+  gateway_begin_stop (running->gateway);
 }
 
 /* Settings are read at start only; a changed file is checked and told.  */
@@ -92,7 +92,7 @@
                       : settings->confirm_ms,
     .lapse_ms = settings->lapse_ms,
     .retry_ratio = settings->extra_ratio,
-    .retry_slack = settings->extra_slack,
+    .retry_fixed_budget = settings->extra_slack,
     .retry_window_ms = (uint64_t)(settings->extra_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
@@ -141,7 +141,7 @@
                                             : on_stop_signal,
                        numbers[i]);
     }
-  while (!gateway_over (running.gateway))
+  while (!gateway_is_stopped (running.gateway))
     uv_run (loop, UV_RUN_DEFAULT);
   if (gateway_destroy (running.gateway))
     status = EXIT_SUCCESS;
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -90,7 +90,7 @@
 bool
 process_ready (const process_t *process)
 {
-  if (!drain_healthy (process->drain))
+  if (!drain_is_healthy (process->drain))
     return false;
   return process->entry != NULL
              ? entry_snapshot (process->entry) != NULL
@@ -206,7 +206,7 @@
 static void
 end_roles (process_t *process)
 {
-  uint32_t cut = drain_cut (process->drain);
+  uint32_t cut = drain_unfinished_at_timeout (process->drain);
 
   if (cut > 0)
     log_warning ("process",
@@ -234,10 +234,10 @@
 {
   drain_state_t before = process->drain_state;
 
-  if (before == DRAIN_SERVING && drain_healthy (process->drain))
+  if (before == DRAIN_SERVING && drain_is_healthy (process->drain))
     return;
   process->drain_state
-      = drain_step (process->drain, (uint32_t)left_to_do (process));
+      = drain_update (process->drain, (uint32_t)left_to_do (process));
   if (process->drain_state == before)
     return;
   if (process->drain_state == DRAIN_DRAINING && process->entry != NULL)
@@ -249,7 +249,7 @@
 void
 process_stop (process_t *process)
 {
-  if (!drain_begin (process->drain))
+  if (!drain_start (process->drain))
     return;
   log_notice ("process", "Stopping. in_hand=%zu", in_hand (process));
   /* A standalone's sidecars serve its entry to the end.  A sidecar alone
@@ -556,7 +556,7 @@
 bool
 process_destroy (process_t *process)
 {
-  bool whole = drain_cut (process->drain) == 0;
+  bool whole = drain_unfinished_at_timeout (process->drain) == 0;
 
   bills_end (process);
   free (process->sidecars);
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -71,7 +71,7 @@
     return;
   at->live = false;
   if (!at->joined)
-    balance_ended (entry->balance, at->upstream, ok);
+    balance_request_ended (entry->balance, at->upstream, ok);
 }
 
 /* Count the present try for or against its upstream.  */
@@ -787,7 +787,7 @@
     request->tried[request->tried_count++] = id;
   request->tries++;
   counter_add (entry->counters.attempts, 1);
-  balance_started (entry->balance, id);
+  balance_request_started (entry->balance, id);
   send_submit (request);
 }
 
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -152,7 +152,7 @@
   entry->quality = quality_create (rpc_node_epoch (entry->node), &sampling);
   entry->cascade = cascade_create (rpc_node_epoch (entry->node));
   entry->poison = poison_create (options->clock);
-  entry->watch = watch_create (rpc_node_epoch (entry->node));
+  entry->watch = degradation_create (rpc_node_epoch (entry->node));
   entry->burn = burn_create (rpc_node_epoch (entry->node), BURN_CELLS_DEFAULT);
   entry->lead = lead_create (entry);
   claim_start (entry);
@@ -250,7 +250,7 @@
   quality_destroy (entry->quality);
   cascade_destroy (entry->cascade);
   poison_destroy (entry->poison);
-  watch_destroy (entry->watch);
+  degradation_destroy (entry->watch);
   burn_destroy (entry->burn);
   balance_destroy (entry->balance);
   snapshot_unref (entry->snapshot);
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -229,7 +229,7 @@
   quality_t *quality;
   cascade_t *cascade;
   poison_t *poison;
-  watch_t *watch;
+  degradation_t *watch;
   burn_t *burn;
   lead_t *lead;
   claims_t *claims;
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -43,7 +43,7 @@
     return pool;
   pool = mem_zalloc (sizeof *pool);
   pool->name = str_dup (target);
-  pool->id = balance_pool (entry->balance, target);
+  pool->id = balance_find_or_add_pool (entry->balance, target);
   pool->retry = retry_create (&retries, &entry->rng);
   pool->admission = admission_create (entry->clock, &entry->rng);
   pool->outlier
@@ -94,11 +94,11 @@
   outlier_state_t state;
   member_t *member;
 
-  while ((member = outlier_next (pool->outlier, &state)) != NULL)
+  while ((member = outlier_next_change (pool->outlier, &state)) != NULL)
     {
       bool out = state == OUTLIER_EJECTED;
       if (member->id != 0)
-        balance_mark (entry->balance, member->id, BALANCE_EJECTED, out);
+        balance_set_mark (entry->balance, member->id, BALANCE_EJECTED, out);
       log_notice ("entry", "%s. instance=%s pool=%s",
                   out ? "Upstream is ejected" : "Upstream is let back",
                   member->name, pool->name);
@@ -116,7 +116,7 @@
     return;
   if (watched == NULL)
     {
-      watched = outlier_join (pool->outlier, member);
+      watched = outlier_add_member (pool->outlier, member);
       map_put (pool->outlier_members, name, watched);
     }
   /* Slow while its limit holds it low for coldness: judged by that it would
@@ -156,8 +156,8 @@
        and can do is only in its pong.  */
     rpc_peer_ping (member->peer);
   if (member->id != 0)
-    balance_mark (member->entry->balance, member->id, BALANCE_DOWN,
-                  member->down);
+    balance_set_mark (member->entry->balance, member->id, BALANCE_UNREACHABLE,
+                      member->down);
   log_info ("entry", "Connection is %s. instance=%s",
             state == RPC_UP       ? "up"
             : state == RPC_SILENT ? "silent"
@@ -202,11 +202,12 @@
   member->id = balance_update (entry->balance, str_from (member->name),
                                str_from (member->zone), member->serves,
                                member->serves_count, member->id != 0);
-  balance_mark (entry->balance, member->id, BALANCE_DRAINING,
-                member->draining || member->leaving);
-  balance_mark (entry->balance, member->id, BALANCE_DOWN, member->down);
-  balance_mark (
-      entry->balance, member->id, BALANCE_OUT,
+  balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
+                    member->draining || member->leaving);
+  balance_set_mark (entry->balance, member->id, BALANCE_UNREACHABLE,
+                    member->down);
+  balance_set_mark (
+      entry->balance, member->id, BALANCE_DISABLED,
       snapshot != NULL
           && !snapshot_instance_in (snapshot, str_from (member->name)));
 }
@@ -308,7 +309,7 @@
       outlier_member_t *watched
           = map_remove (pool->outlier_members, str_from (member->name));
       if (watched != NULL)
-        outlier_leave (pool->outlier, watched);
+        outlier_remove_member (pool->outlier, watched);
     }
   member->removed = true;
   if (member->in_use == 0)
@@ -395,14 +396,14 @@
       member->draining = context->draining;
       tell (member, member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
       if (member->id != 0)
-        balance_mark (entry->balance, member->id, BALANCE_DRAINING,
-                      member->draining || member->leaving);
+        balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
+                          member->draining || member->leaving);
     }
   if (member->id != 0)
     {
       const balance_load_t load = { .in_flight = context->load.in_flight,
                                     .slots = context->load.limit };
-      balance_report (entry->balance, member->id, &load, 0);
+      balance_record_load (entry->balance, member->id, &load, 0);
     }
   if (context->revision < mine)
     peering_push (member, context->revision);
@@ -422,8 +423,8 @@
 
   for (size_t i = 0;
        (zone = snapshot_zone_at (entry->snapshot, i)).ptr != NULL; i++)
-    balance_set_zone (entry->balance, zone,
-                      snapshot_zone_in (entry->snapshot, zone));
+    balance_set_zone_enabled (entry->balance, zone,
+                              snapshot_zone_in (entry->snapshot, zone));
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
@@ -596,7 +597,7 @@
 {
   if (member->draining || member->leaving)
     return "draining";
-  if ((marks & BALANCE_OUT) != 0)
+  if ((marks & BALANCE_DISABLED) != 0)
     return "out";
   if (rpc_peer_state (member->peer) != RPC_UP)
     return "silent";
--- a/packages/entry/guard.c
+++ b/packages/entry/guard.c
@@ -40,9 +40,9 @@
 filter_step_t
 guard_poison (request_t *request)
 {
-  poison_verdict_t verdict
-      = poison_judge (request->entry->poison, digest_key (request->digest),
-                      request_key (request_hash (request)));
+  poison_class_t verdict
+      = poison_classify (request->entry->poison, digest_key (request->digest),
+                         request_key (request_hash (request)));
 
   if (verdict == POISON_REFUSED)
     return answer_refuse (request, VH_E_POISON);
@@ -53,8 +53,8 @@
 void
 guard_told (entry_t *entry, const wire_suspect_t *suspect)
 {
-  poison_mark (entry->poison, digest_key (suspect->digest),
-               request_key (suspect->request), suspect->death);
+  poison_record_crash (entry->poison, digest_key (suspect->digest),
+                       request_key (suspect->request), suspect->death);
 }
 
 void
@@ -73,9 +73,9 @@
 guard_write (const entry_t *entry, buf_t *out)
 {
   size_t cursor = 0;
-  poison_mark_t mark;
+  poison_record_t mark;
 
-  while (poison_next (entry->poison, &cursor, &mark))
+  while (poison_next_record (entry->poison, &cursor, &mark))
     buf_printf (
         out, "%llu %llu %llu %llu\n", (unsigned long long)mark.key.high,
         (unsigned long long)mark.key.low, (unsigned long long)mark.death,
@@ -87,7 +87,7 @@
 {
   while (bytes.len > 0)
     {
-      poison_mark_t mark = { 0 };
+      poison_record_t mark = { 0 };
       str_t line = str_cut (bytes, '\n', &bytes);
       uint64_t *fields[]
           = { &mark.key.high, &mark.key.low, &mark.death, &mark.age_ms };
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -280,7 +280,7 @@
       log_notice ("entry", "A roll-out begins. version=%s", rollout->version);
     }
   bool changed = follow_orders (configured, rollout->run);
-  changed = rollout_step (rollout->run, now_ms) || changed;
+  changed = rollout_decide (rollout->run, now_ms) || changed;
   if (!changed && !is_new)
     return;
   buf_t reason = BUF_NULL;
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -25,7 +25,7 @@
   if (request->rollout == NULL)
     return false;
   return rng_double (&entry->rng)
-         < rollout_rate_share (request->rollout->run, request->arm);
+         < rollout_rating_share (request->rollout->run, request->arm);
 }
 
 void
@@ -133,15 +133,15 @@
       request->arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
       if (is_old && request->session_version == NULL
           && configured->state == ROLLOUT_RUNNING
-          && rollout_assign (rollout->run, str_hash (key, 5))
+          && rollout_is_assigned (rollout->run, str_hash (key, 5))
           && snapshot_allows (request->snapshot, request->team,
                               configured->version))
         {
           request->arm = ROLLOUT_NEW;
           chosen = configured->version;
         }
-      rollout_shown (rollout->run, request->arm,
-                     clock_realtime_ms (entry->clock));
+      rollout_count_exposure (rollout->run, request->arm,
+                              clock_realtime_ms (entry->clock));
       return chosen;
     }
   return chosen;
@@ -151,8 +151,8 @@
 learn_avoids (const request_t *request, const version_t *version)
 {
   entry_t *entry = request->entry;
-  double weight = watch_weight (entry->watch, version->name,
-                                clock_realtime_ms (entry->clock));
+  double weight = degradation_traffic_weight (
+      entry->watch, version->name, clock_realtime_ms (entry->clock));
   rng_t draw = rng_make (str_hash (str_from (request->request_id), 7));
 
   return weight < 1.0 && rng_double (&draw) >= weight;
@@ -170,8 +170,8 @@
       const version_t *was = snapshot_version (last, now->name);
       if (was != NULL && was->state == VERSION_WITHDRAWN
           && now->state != VERSION_WITHDRAWN)
-        watch_clear (entry->watch, now->name,
-                     clock_realtime_ms (entry->clock));
+        degradation_clear_alarm (entry->watch, now->name,
+                                 clock_realtime_ms (entry->clock));
     }
 }
 
@@ -180,9 +180,9 @@
 {
   if (request->version == NULL)
     return;
-  watch_observe (request->entry->watch, request->version->name,
-                 request->version->model->task, sample,
-                 clock_realtime_ms (request->entry->clock));
+  degradation_observe (request->entry->watch, request->version->name,
+                       request->version->model->task, sample,
+                       clock_realtime_ms (request->entry->clock));
   if (request->rollout == NULL)
     return;
   rollout_observe (request->rollout->run, request->arm,
@@ -252,7 +252,7 @@
   const rollout_sample_t rated = { .rated = true, .rating = score };
 
   quality_add_rating (entry->quality, task, version, score, now_ms);
-  watch_observe (entry->watch, version, task, &rated, now_ms);
+  degradation_observe (entry->watch, version, task, &rated, now_ms);
   learn_rollout_t *rollout
       = rating->rollout != NULL
             ? learn_rollout_find (entry, str_from (rating->rollout))
@@ -282,7 +282,7 @@
                             rating->first_rating, score, now_ms);
       return;
     }
-  burn_rated (entry->burn, &sample, now_ms);
+  burn_observe_rating (entry->burn, &sample, now_ms);
   if (rating->purpose == RATING_SECOND)
     cascade_record_second (entry->cascade, task, str_from (rating->first),
                            version, rating->first_rating, score, now_ms);
@@ -396,11 +396,11 @@
 
   quality_fold_epochs (entry->quality, generation, now_ms);
   cascade_fold_epochs (entry->cascade, generation, now_ms);
-  watch_settle (entry->watch, generation, now_ms);
-  burn_settle (entry->burn, generation, now_ms);
+  degradation_compact (entry->watch, generation, now_ms);
+  burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
-    rollout_settle (CONTAINER_OF (at, learn_rollout_t, link)->run, generation,
-                    now_ms);
+    rollout_compact (CONTAINER_OF (at, learn_rollout_t, link)->run, generation,
+                     now_ms);
 }
 
 void
@@ -414,7 +414,7 @@
   cascade_write (entry->cascade, own_only, &bytes);
   append_row (out, "cascade", STR ("-"), 0, &bytes);
   bytes.len = 0;
-  watch_write (entry->watch, own_only, &bytes);
+  degradation_write (entry->watch, own_only, &bytes);
   append_row (out, "watch", STR ("-"), 0, &bytes);
   bytes.len = 0;
   burn_write (entry->burn, own_only, &bytes);
@@ -446,7 +446,7 @@
   else if (str_eq (kind, STR ("cascade")))
     cascade_merge (entry->cascade, bytes, now_ms);
   else if (str_eq (kind, STR ("watch")))
-    watch_merge (entry->watch, bytes, now_ms);
+    degradation_merge (entry->watch, bytes, now_ms);
   else if (str_eq (kind, STR ("burn")))
     burn_merge (entry->burn, bytes, now_ms);
   else if (str_eq (kind, STR ("poison")))
@@ -542,7 +542,7 @@
   if (now_ms - entry->exchanged_ms < EXCHANGE_MS)
     return;
   entry->exchanged_ms = now_ms;
-  if (watch_step (entry->watch, clock_realtime_ms (entry->clock)))
+  if (degradation_check (entry->watch, clock_realtime_ms (entry->clock)))
     log_warning ("entry", "A version in service has turned bad; its share "
                           "goes to the others.");
   member_t *partner = next_partner (entry);
@@ -579,15 +579,17 @@
        && (version = snapshot_version_at (entry->snapshot, i)) != NULL;
        i++)
     {
-      if (!watch_alarm (entry->watch, version->name, &metric, &since_ms))
+      if (!degradation_get_alarm (entry->watch, version->name, &metric,
+                                  &since_ms))
         continue;
-      buf_printf (out,
-                  "%s{\"version\":\"%.*s\",\"metric\":\"%s\","
-                  "\"since_ms\":%llu,\"weight\":%g}",
-                  first ? "" : ",", STR_ARG (version->name),
-                  rollout_metric_name (metric), (unsigned long long)since_ms,
-                  watch_weight (entry->watch, version->name,
-                                clock_realtime_ms (entry->clock)));
+      buf_printf (
+          out,
+          "%s{\"version\":\"%.*s\",\"metric\":\"%s\","
+          "\"since_ms\":%llu,\"weight\":%g}",
+          first ? "" : ",", STR_ARG (version->name),
+          rollout_metric_name (metric), (unsigned long long)since_ms,
+          degradation_traffic_weight (entry->watch, version->name,
+                                      clock_realtime_ms (entry->clock)));
       first = false;
     }
 }
@@ -617,8 +619,9 @@
           rollout != NULL ? rollout_phase_name (rollout_phase (rollout->run))
                           : "unknown",
           rollout != NULL ? 100.0 * rollout_share (rollout->run) : 0.0,
-          (unsigned long long)(rollout != NULL ? rollout_exposed (rollout->run)
-                                               : 0));
+          (unsigned long long)(rollout != NULL
+                                   ? rollout_exposed_count (rollout->run)
+                                   : 0));
       buf_append_json (out, buf_str (&reason));
       buf_printf (out, "\"}");
       buf_free (&reason);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -22,37 +22,37 @@
 
 struct gateway
 {
-  belief_t belief;
+  gateway_state_t belief;
   httpd_t *front;
   httpd_t *ready;
   httpd_t *admin;
-  share_t *share; /* NULL: each entry asks the store.  */
-  duties_t *duties;
+  peer_rows_t *share; /* NULL: each entry asks the store.  */
+  store_sync_t *duties;
   uv_timer_t watch;
   bool over;
   size_t cut;
   char *texts[6]; /* Copies of the options' strings.  */
 };
 
-allowance_t *
-belief_allowance (belief_t *belief, str_t service)
+send_budget_t *
+belief_allowance (gateway_state_t *belief, str_t service)
 {
-  allowance_t *allowance = map_get (belief->allowances, service);
-  allowance_options_t options
+  send_budget_t *allowance = map_get (belief->allowances, service);
+  send_budget_options_t options
       = { .ratio = belief->options.retry_ratio,
-          .slack = belief->options.retry_slack,
+          .slack = belief->options.retry_fixed_budget,
           .window_ms = belief->options.retry_window_ms };
 
   if (allowance != NULL)
     return allowance;
-  allowance = allowance_create (belief->clock, &options);
-  allowance_set_entries (allowance, belief->entries);
+  allowance = send_budget_create (belief->clock, &options);
+  send_budget_set_gateway_count (allowance, belief->entries);
   map_put (belief->allowances, service, allowance);
   return allowance;
 }
 
 escalation_t *
-belief_escalation (belief_t *belief, str_t service)
+belief_escalation (gateway_state_t *belief, str_t service)
 {
   escalation_t *escalation = map_get (belief->escalations, service);
 
@@ -64,7 +64,7 @@
 }
 
 uint64_t
-belief_reading_for_ms (const belief_t *belief)
+gateway_config_load_ms (const gateway_state_t *belief)
 {
   return belief->reading_ms == 0
              ? 0
@@ -72,7 +72,7 @@
 }
 
 bool
-belief_confirmed (const belief_t *belief)
+belief_confirmed (const gateway_state_t *belief)
 {
   uint64_t bound_ms = belief->options.confirm_ms;
 
@@ -80,9 +80,9 @@
     return false;
   /* A key may have been taken away by the configuration that is being read:
      the one in force ages from the moment at which that came.  */
-  if (belief_reading_for_ms (belief) > bound_ms / 2)
+  if (gateway_config_load_ms (belief) > bound_ms / 2)
     return false;
-  return follow_age_ms (belief->orders) <= bound_ms;
+  return table_sync_age_ms (belief->orders) <= bound_ms;
 }
 
 static void
@@ -94,10 +94,10 @@
 static bool
 gateway_ready (const gateway_t *gateway)
 {
-  const belief_t *belief = &gateway->belief;
+  const gateway_state_t *belief = &gateway->belief;
 
   return belief->stopping_ms == 0 && belief_confirmed (belief)
-         && belief->is_prepared;
+         && belief->is_initialized;
 }
 
 static void
@@ -133,8 +133,8 @@
 static void
 set_gauges (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
-  uint64_t age_ms = follow_age_ms (belief->orders);
+  gateway_state_t *belief = &gateway->belief;
+  uint64_t age_ms = table_sync_age_ms (belief->orders);
   size_t cursor = 0;
   str_t service;
   void *value;
@@ -154,7 +154,7 @@
                  : 0);
   set_gauge (gateway, "vanillahook_gateway_revision_reading_seconds", "",
              "For how long a later revision has been read; 0: none is.",
-             (double)belief_reading_for_ms (belief) / MS_PER_S);
+             (double)gateway_config_load_ms (belief) / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_entries", "",
              "Entries that share the allowances.", belief->entries);
   set_gauge (gateway, "vanillahook_gateway_ready", "",
@@ -176,7 +176,7 @@
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_extra_sends_left", labels.ptr,
                  "Sends beyond the first that may be made now.",
-                 allowance_left (value));
+                 send_budget_remaining (value));
       buf_free (&labels);
     }
   cursor = 0;
@@ -185,9 +185,10 @@
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
-      set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
-                 "Share of the requests for the ordered version.",
-                 trial_share (value, follow_store_ms (belief->orders)));
+      set_gauge (
+          gateway, "vanillahook_gateway_rollout_share", labels.ptr,
+          "Share of the requests for the ordered version.",
+          trial_share (value, table_sync_store_now_ms (belief->orders)));
       buf_free (&labels);
     }
 }
@@ -215,7 +216,7 @@
 }
 
 static void
-make_counters (belief_t *belief)
+make_counters (gateway_state_t *belief)
 {
 #define X(field, help)                                                        \
   belief->counters.field = metrics_counter (                                  \
@@ -242,7 +243,7 @@
 static vh_code_t
 listen_all (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
+  gateway_state_t *belief = &gateway->belief;
   const gateway_options_t *options = &belief->options;
   httpd_options_t front = { .body_limit = BODY_BYTES_MAX,
                             .read_timeout_ms = IDLE_MS,
@@ -266,8 +267,8 @@
 static vh_code_t
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
-  belief_t *belief = &gateway->belief;
-  const share_options_t options
+  gateway_state_t *belief = &gateway->belief;
+  const peer_rows_options_t options
       = { .name = belief->options.name,
           .zone = belief->options.zone,
           .listen = belief->options.rpc,
@@ -278,10 +279,10 @@
   if (options.listen.len == 0)
     return VH_OK;
   vh_code_t code
-      = share_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
-                      *rows, &options, &gateway->share);
+      = peer_rows_create (belief->loop, belief->clock, rng_u64 (&belief->rng),
+                          *rows, &options, &gateway->share);
   if (code == VH_OK)
-    *rows = share_rows (gateway->share);
+    *rows = peer_rows_iface (gateway->share);
   return code;
 }
 
@@ -299,7 +300,7 @@
 
 /* Release what duties and requests believed.  */
 static void
-free_beliefs (belief_t *belief)
+free_beliefs (gateway_state_t *belief)
 {
   size_t cursor = 0;
   str_t key;
@@ -310,7 +311,7 @@
   map_destroy (belief->trials);
   cursor = 0;
   while (map_next (belief->allowances, &cursor, &key, &value))
-    allowance_destroy (value);
+    send_budget_destroy (value);
   map_destroy (belief->allowances);
   cursor = 0;
   while (map_next (belief->escalations, &cursor, &key, &value))
@@ -332,8 +333,8 @@
   httpd_destroy (gateway->ready);
   httpd_destroy (gateway->admin);
   billing_destroy (gateway->belief.bills);
-  duties_destroy (gateway->duties);
-  share_destroy (gateway->share);
+  store_sync_destroy (gateway->duties);
+  peer_rows_destroy (gateway->share);
   reach_destroy (gateway->belief.reach);
   free_beliefs (&gateway->belief);
   uv_close ((uv_handle_t *)&gateway->watch, on_watch_closed);
@@ -345,7 +346,7 @@
 on_watch (uv_timer_t *timer)
 {
   gateway_t *gateway = timer->data;
-  belief_t *belief = &gateway->belief;
+  gateway_state_t *belief = &gateway->belief;
   uint64_t ms = clock_ms (belief->clock) - belief->stopping_ms;
 
   if (ms >= belief->options.drain_bound_ms)
@@ -366,14 +367,14 @@
 }
 
 void
-gateway_stop (gateway_t *gateway)
+gateway_begin_stop (gateway_t *gateway)
 {
-  belief_t *belief = &gateway->belief;
+  gateway_state_t *belief = &gateway->belief;
 
   if (belief->stopping_ms != 0)
     return;
   belief->stopping_ms = clock_ms (belief->clock);
-  duties_stop (gateway->duties);
+  store_sync_stop (gateway->duties);
   log_event (EVENT_STOP,
              field_number (FIELD_IN_FLIGHT, httpd_in_flight (gateway->front)));
   uv_timer_start (&gateway->watch, on_watch, WATCH_MS, WATCH_MS);
@@ -392,7 +393,7 @@
 }
 
 bool
-gateway_over (const gateway_t *gateway)
+gateway_is_stopped (const gateway_t *gateway)
 {
   return gateway->over;
 }
@@ -400,11 +401,11 @@
 static void
 on_looked (void *arg, str_t id, bool reached)
 {
-  belief_t *belief = arg;
+  gateway_state_t *belief = arg;
 
   log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
              field_number (FIELD_REACHED, reached));
-  pool_reached (belief->pool, id, reached);
+  pool_probe_finished (belief->pool, id, reached);
 }
 
 vh_code_t
@@ -413,7 +414,7 @@
                 const gateway_options_t *options, gateway_t **out)
 {
   gateway_t *gateway = mem_zalloc (sizeof *gateway);
-  belief_t *belief = &gateway->belief;
+  gateway_state_t *belief = &gateway->belief;
   pool_options_t pool = { .zone = options->zone,
                           .cold_factor = options->cold_factor,
                           .cold_slack = options->cold_slack };
@@ -443,7 +444,7 @@
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = duties_create (belief, rows, gateway->share);
+  gateway->duties = store_sync_create (belief, rows, gateway->share);
   belief->bills = billing_create (loop, rows, belief->options.name,
                                   rng_u64 (&belief->rng));
   if (code != VH_OK)
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -21,24 +21,24 @@
 /* What an operator wrote.  */
 typedef enum
 {
-  ORDER_NONE,    /* Nothing that this product knows.  */
-  ORDER_CATALOG, /* A configuration.  */
-  ORDER_ROLLOUT, /* Move a service to a version.  */
-  ORDER_ZONE_OUT /* Send nothing to the instances of a zone.  */
-} order_kind_t;
+  OPERATOR_ROW_UNKNOWN,       /* Nothing that this product knows.  */
+  OPERATOR_ROW_CATALOG,       /* A configuration.  */
+  OPERATOR_ROW_ROLLOUT,       /* Move a service to a version.  */
+  OPERATOR_ROW_ZONE_EXCLUSION /* Send nothing to the instances of a zone.  */
+} operator_row_kind_t;
 
 typedef struct
 {
   str_t service;
   str_t version;
   uint64_t within_ms;
-} rollout_order_t;
+} rollout_spec_t;
 
 typedef enum
 {
   ROLLOUT_RUNNING,
   ROLLOUT_DONE,
-  ROLLOUT_TAKEN_BACK
+  ROLLOUT_ROLLED_BACK
 } rollout_state_t;
 
 /* How rows and calls are written on this platform: translation only.  */
@@ -47,13 +47,13 @@
   const header_names_t *names;
   str_t ready_path; /* Asked by the platform's balancer.  */
   /* What the row KEY of ROWS_ORDERS is, and in *NAME its zone or service.  */
-  order_kind_t (*order_kind) (str_t key, str_t *name);
+  operator_row_kind_t (*order_kind) (str_t key, str_t *name);
   /* Any thread may call it.  PAUSE, which may be NULL, is called after each
      half of a millisecond's work.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
                              catalog_t **out);
   /* Strings of ORDER live in *HOLDER, released with free_holder.  */
-  vh_code_t (*read_rollout) (str_t value, rollout_order_t *order,
+  vh_code_t (*read_rollout) (str_t value, rollout_spec_t *order,
                              void **holder);
   vh_code_t (*read_instance) (str_t key, str_t value, upstream_info_t *info,
                               void **holder);
@@ -82,7 +82,7 @@
   uint64_t lapse_ms;       /* Registrations that lapsed with the store stay
                               usable for so long after its return.  */
   double retry_ratio;      /* Extra sends for each request, of all.  */
-  double retry_slack;      /* Extra sends in a window besides.  */
+  double retry_fixed_budget; /* Extra sends in a window besides.  */
   uint64_t retry_window_ms;
   double cold_factor;
   escalation_options_t escalation;
@@ -100,9 +100,9 @@
 uint16_t gateway_port (const gateway_t *gateway);
 uint16_t gateway_ready_port (const gateway_t *gateway);
 /* Begin the planned stop; a second call changes nothing.  */
-void gateway_stop (gateway_t *gateway);
+void gateway_begin_stop (gateway_t *gateway);
 /* Tell whether a planned stop has ended.  */
-bool gateway_over (const gateway_t *gateway);
+bool gateway_is_stopped (const gateway_t *gateway);
 /* Close what is left.  Return false when the stop cut requests.  */
 bool gateway_destroy (gateway_t *gateway);
 
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -49,43 +49,43 @@
   gateway_options_t options;
   rng_t rng;
   pool_t *pool;
-  reach_t *reach;      /* Looks at silent instances of POOL.  */
-  catalog_t *catalog;  /* NULL until one is known.  */
-  uint64_t reading_ms; /* Since when a later one is being read, by boot time;
-                          0: none is.  */
-  map_t *trials;       /* Service to trial_t.  */
-  map_t *allowances;   /* Service to allowance_t.  */
-  map_t *escalations;  /* Service to escalation_t.  */
-  allotment_t *fleet;  /* Entries that share what all may use.  */
-  uint32_t entries;    /* How many these are, as the allowances know.  */
-  follow_t *orders;    /* Tells how old the configuration is.  */
+  reach_t *reach;       /* Looks at silent instances of POOL.  */
+  catalog_t *catalog;   /* NULL until one is known.  */
+  uint64_t reading_ms;  /* Since when a later one is being read, by boot time;
+                           0: none is.  */
+  map_t *trials;        /* Service to trial_t.  */
+  map_t *allowances;    /* Service to send_budget_t.  */
+  map_t *escalations;   /* Service to escalation_t.  */
+  allotment_t *fleet;   /* Entries that share what all may use.  */
+  uint32_t entries;     /* How many these are, as the allowances know.  */
+  table_sync_t *orders; /* Tells how old the configuration is.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   tally_t *tally;
   billing_t *bills;
   list_t relays;
   uint64_t started_ms;
-  bool is_prepared;     /* All that a request needs was read once.  */
+  bool is_initialized;  /* All that a request needs was read once.  */
   uint64_t stopping_ms; /* When the planned stop began; 0: it did not.  */
-} belief_t;
+} gateway_state_t;
 
 /* Relay of requests.  */
 
 /* Take over REQ and answer it.  */
-void relay_start (belief_t *belief, httpd_req_t *req);
+void relay_start (gateway_state_t *belief, httpd_req_t *req);
 /* Cut what is left at the end of a planned stop; return how many.  */
-size_t relay_cut_all (belief_t *belief);
+size_t relay_cut_all (gateway_state_t *belief);
 
 enum
 {
   /* A write that the store is silent on for so long may have been done.  */
-  DUTIES_COMMIT_MS = 2000
+  STORE_SYNC_COMMIT_TIMEOUT_MS = 2000
 };
 
 /* Split KEY of a row that entries share at its first slash; *REST is empty
    without one.  */
 static inline str_t
-row_kind (str_t key, str_t *rest)
+row_key_prefix (str_t key, str_t *rest)
 {
   str_t kind = str_cut (key, '/', rest);
 
@@ -95,23 +95,24 @@
 }
 
 /* Duties: follows the store and does what entries do together.  */
-typedef struct duties duties_t;
+typedef struct duties store_sync_t;
 
 /* SHARE may be NULL.  */
-duties_t *duties_create (belief_t *belief, rows_t *rows, share_t *share);
+store_sync_t *store_sync_create (gateway_state_t *belief, rows_t *rows,
+                                 peer_rows_t *share);
 /* A planned stop begins: the other entries need not count on this one.  */
-void duties_stop (duties_t *duties);
-void duties_destroy (duties_t *duties);
+void store_sync_stop (store_sync_t *duties);
+void store_sync_destroy (store_sync_t *duties);
 
 /* Extra sends of SERVICE; made on first use.  */
-allowance_t *belief_allowance (belief_t *belief, str_t service);
+send_budget_t *belief_allowance (gateway_state_t *belief, str_t service);
 /* What is weighed of SERVICE's models; made on first use.  */
-escalation_t *belief_escalation (belief_t *belief, str_t service);
+escalation_t *belief_escalation (gateway_state_t *belief, str_t service);
 /* Milliseconds for which a later configuration than that in force has been
    read; 0: none is.  */
-uint64_t belief_reading_for_ms (const belief_t *belief);
+uint64_t gateway_config_load_ms (const gateway_state_t *belief);
 /* Tell whether the configuration is known and confirmed recently enough to
    trust its keys.  */
-bool belief_confirmed (const belief_t *belief);
+bool belief_confirmed (const gateway_state_t *belief);
 
 #endif
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -62,9 +62,9 @@
 void
 relay_send (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   uint64_t now_ms = clock_ms (belief->clock);
-  pool_want_t want;
+  pool_criteria_t want;
   buf_t request = BUF_NULL;
 
   if (now_ms + RETURN_MS >= relay->terms.due_ms)
@@ -73,7 +73,7 @@
       return;
     }
   relay_want (relay, &want);
-  vh_code_t code = pool_choose (belief->pool, &want, &relay->upstream);
+  vh_code_t code = pool_select (belief->pool, &want, &relay->upstream);
   if (code == VH_E_NO_UPSTREAM && relay->tried_count > 0)
     {
       /* All were tried.  One that was full still is, and each refused send is
@@ -85,7 +85,7 @@
           return;
         }
       want.tried_count = 0;
-      code = pool_choose (belief->pool, &want, &relay->upstream);
+      code = pool_select (belief->pool, &want, &relay->upstream);
     }
   if (code != VH_OK)
     {
@@ -107,7 +107,7 @@
   relay->on_trial.any = true;
   relay->on_trial.arm = relay_arm (relay);
   relay->prompt_left = relay->terms.prompt;
-  pool_started (belief->pool, relay->upstream, relay->terms.prompt);
+  pool_request_started (belief->pool, relay->upstream, relay->terms.prompt);
   relay->phase = PHASE_SENT;
   relay->sent_ms = now_ms;
   relay->last_ms = now_ms;
@@ -183,7 +183,7 @@
   uint64_t patience_ms = patience_due (relay);
   if (relay->terms.route->kind != ROUTE_STREAM)
     return patience_ms;
-  uint64_t look_ms = pool_silence_due (relay->upstream);
+  uint64_t look_ms = pool_probe_due_ms (relay->upstream);
   return look_ms < patience_ms ? look_ms : patience_ms;
 }
 
@@ -192,7 +192,8 @@
 should_look (const relay_t *relay, uint64_t now_ms)
 {
   return relay->terms.route->kind == ROUTE_STREAM
-         && now_ms < patience_due (relay) && !upstream_lost (relay->upstream);
+         && now_ms < patience_due (relay)
+         && !upstream_is_unreachable (relay->upstream);
 }
 
 /* Look at the upstream and go on when that is over, or the deadline comes.  */
@@ -242,14 +243,14 @@
         }
       if (relay_may_take_extra (relay) && relay_has_place (relay))
         {
-          relay->broke = upstream_lost (relay->upstream);
+          relay->broke = upstream_is_unreachable (relay->upstream);
           relay_send_failed (relay, relay->broke ? "lost" : "silent", true);
           return;
         }
       /* Nothing may be sent again now: wait on for this upstream.  */
       relay->last_ms = now_ms;
       relay->sent_ms = now_ms;
-      pool_heard (relay->belief->pool, relay->upstream);
+      pool_data_received (relay->belief->pool, relay->upstream);
     }
   arm_bound (relay, now_ms);
 }
@@ -286,7 +287,7 @@
 
   relay_tell_end (relay, EVENT_LEFT, 0, relay->reason, 0);
   counter_add (relay->belief->counters.left, 1);
-  relay_end_send (relay, SEND_DROPPED);
+  relay_end_send (relay, SEND_CANCELLED);
   relay_destroy (relay);
 }
 
@@ -305,7 +306,7 @@
 static void
 admit (relay_t *relay)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   terms_t *terms = &relay->terms;
   vh_code_t code
       = terms_read (terms, belief, relay->req, str_from (relay->attempt_id));
@@ -324,7 +325,7 @@
     }
   relay->events.has_last = terms->resumes;
   relay->events.last_id = terms->last_id;
-  allowance_request (belief_allowance (belief, terms->service->name));
+  send_budget_count_request (belief_allowance (belief, terms->service->name));
   relay_send (relay);
 }
 
@@ -336,9 +337,9 @@
 static bool
 may_wait_for_start (const relay_t *relay)
 {
-  const belief_t *belief = relay->belief;
+  const gateway_state_t *belief = relay->belief;
 
-  return !belief->is_prepared
+  return !belief->is_initialized
          && clock_ms (belief->clock) - belief->started_ms < START_MS;
 }
 
@@ -353,7 +354,7 @@
 }
 
 void
-relay_start (belief_t *belief, httpd_req_t *req)
+relay_start (gateway_state_t *belief, httpd_req_t *req)
 {
   relay_t *relay = mem_zalloc (sizeof *relay);
   str_t id = httpd_header (req, belief->names->attempt_id);
@@ -375,7 +376,7 @@
 }
 
 size_t
-relay_cut_all (belief_t *belief)
+relay_cut_all (gateway_state_t *belief)
 {
   size_t count = 0;
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -71,7 +71,7 @@
       = relay->phase == PHASE_ANSWERING ? relay->head_ms - relay->sent_ms : 0;
   trial_observe (trial, relay_arm (relay), trial_route (relay),
                  outcome == SEND_OK ? TRIAL_ANSWERED
-                 : relay->broke     ? TRIAL_BROKE
+                 : relay->broke     ? TRIAL_CONNECTION_LOST
                                     : TRIAL_FAILED,
                  wait_ms, relay->is_loaded);
 }
@@ -83,8 +83,9 @@
   trial_t *trial = running_trial (relay);
 
   if (trial != NULL)
-    trial_time (trial, relay_arm (relay), trial_route (relay), timing,
-                relay->load, ms, follow_store_ms (relay->belief->orders));
+    trial_observe_timing (trial, relay_arm (relay), trial_route (relay),
+                          timing, relay->load, ms,
+                          table_sync_store_now_ms (relay->belief->orders));
 }
 
 /* Let go of the present send.  */
@@ -97,8 +98,8 @@
   if (relay->upstream == NULL)
     return;
   tell_trial (relay, outcome);
-  pool_finished (relay->belief->pool, relay->upstream, relay->prompt_left,
-                 outcome);
+  pool_request_finished (relay->belief->pool, relay->upstream,
+                         relay->prompt_left, outcome);
   relay->upstream = NULL;
 }
 
@@ -140,9 +141,9 @@
 relay_tell_end (const relay_t *relay, log_event_t event, int status,
                 const char *reason, uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   const log_event_info_t *info = log_event_info (event);
-  uint64_t age_ms = follow_age_ms (belief->orders);
+  uint64_t age_ms = table_sync_age_ms (belief->orders);
   str_t route
       = relay->terms.route != NULL ? relay->terms.route->name : STR ("-");
   str_t team = relay->terms.team != NULL ? relay->terms.team->name : STR ("-");
@@ -173,7 +174,7 @@
 relay_reply (relay_t *relay, int status, vh_code_t code, const char *reason,
              uint64_t retry_ms)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   buf_t body = BUF_NULL;
   buf_t retry = BUF_NULL;
   httpc_header_t headers[3] = {
@@ -184,7 +185,7 @@
   bool not_run = status != 502 && status != 504;
   uint64_t wait_ms = 0;
 
-  relay_end_send (relay, SEND_DROPPED);
+  relay_end_send (relay, SEND_CANCELLED);
   if (relay->started)
     {
       relay_tell_end (relay, EVENT_CUT, status, reason, 0);
--- a/packages/gateway/relay_hear.c
+++ b/packages/gateway/relay_hear.c
@@ -29,7 +29,7 @@
 }
 
 /* The extra sends of the request's service.  */
-static allowance_t *
+static send_budget_t *
 allowance_of (const relay_t *relay)
 {
   return belief_allowance (relay->belief, relay->terms.service->name);
@@ -38,16 +38,16 @@
 bool
 relay_may_take_extra (const relay_t *relay)
 {
-  return allowance_left (allowance_of (relay)) >= 1;
+  return send_budget_remaining (allowance_of (relay)) >= 1;
 }
 
 /* Take one of the extra sends, or tell why not.  */
 static bool
 take_extra (relay_t *relay)
 {
-  allowance_t *allowance = allowance_of (relay);
+  send_budget_t *allowance = allowance_of (relay);
 
-  if (!allowance_take (allowance, 0))
+  if (!send_budget_try_take (allowance, 0))
     return false;
   counter_add (relay->belief->counters.resends, 1);
   return true;
@@ -57,7 +57,7 @@
 static uint64_t
 extra_left (const relay_t *relay)
 {
-  double left = allowance_left (allowance_of (relay));
+  double left = send_budget_remaining (allowance_of (relay));
 
   return left > 0 ? (uint64_t)left : 0;
 }
@@ -209,11 +209,12 @@
     {
       relay->load = (uint32_t)(numbers[0] + numbers[1]);
       relay->is_loaded = numbers[0] * 2 >= numbers[2];
-      pool_load (relay->belief->pool, relay->upstream, (uint32_t)numbers[0],
-                 (uint32_t)numbers[1], (uint32_t)numbers[2]);
+      pool_record_load (relay->belief->pool, relay->upstream,
+                        (uint32_t)numbers[0], (uint32_t)numbers[1],
+                        (uint32_t)numbers[2]);
     }
   if (cold.ptr != NULL && str_to_u64 (cold, &cold_ms) && cold_ms > 0)
-    pool_cold (relay->belief->pool, relay->upstream, cold_ms);
+    pool_set_cold (relay->belief->pool, relay->upstream, cold_ms);
 }
 
 /* Tell whether HEAD is an answer to this very request.  */
@@ -258,7 +259,7 @@
              field_number (FIELD_EXTRA, extra_left (relay)));
   relay->runs++;
   relay->model = larger;
-  relay_end_send (relay, SEND_DROPPED);
+  relay_end_send (relay, SEND_CANCELLED);
   relay_send (relay);
   return true;
 }
@@ -270,7 +271,7 @@
   const header_names_t *names = relay->belief->names;
 
   relay->last_ms = clock_ms (relay->belief->clock);
-  pool_heard (relay->belief->pool, relay->upstream);
+  pool_data_received (relay->belief->pool, relay->upstream);
   if (!is_own_answer (relay, head))
     {
       relay_send_failed (relay, "foreign-answer", true);
@@ -302,7 +303,7 @@
       return;
     }
   if (relay->is_ok)
-    relay_time_trial (relay, TIMING_FIRST,
+    relay_time_trial (relay, TRIAL_TIMING_FIRST_EVENT,
                       (double)(relay->last_ms - relay->sent_ms));
   if (relay->is_ok && escalate (relay, head))
     return;
@@ -326,13 +327,13 @@
     {
       if (relay->prompt_left > 0)
         {
-          pool_first (relay->upstream, relay->prompt_left);
+          pool_prompt_processed (relay->upstream, relay->prompt_left);
           relay->prompt_left = 0;
         }
       relay->event_count += count;
       if (relay->send_events <= PACE_EVENTS
           && relay->send_events + count > PACE_EVENTS)
-        relay_time_trial (relay, TIMING_GAP,
+        relay_time_trial (relay, TRIAL_TIMING_EVENT_GAP,
                           (double)(relay->last_ms - relay->head_ms)
                               / (double)(relay->send_events + count - 1));
       relay->send_events += count;
@@ -355,7 +356,7 @@
   relay_t *relay = arg;
 
   relay->last_ms = clock_ms (relay->belief->clock);
-  pool_heard (relay->belief->pool, relay->upstream);
+  pool_data_received (relay->belief->pool, relay->upstream);
   if (relay->started)
     take_events (relay, bytes);
   else if (relay->body.len + bytes.len > WHOLE_BYTES_MAX)
--- a/packages/gateway/relay_want.c
+++ b/packages/gateway/relay_want.c
@@ -33,8 +33,8 @@
 static bool
 has_version (const relay_t *relay, str_t version)
 {
-  return pool_count (relay->belief->pool, relay->terms.service->name, ARM_NEW,
-                     version, 1)
+  return pool_count (relay->belief->pool, relay->terms.service->name,
+                     VERSION_ARM_NEW, version, 1)
          > 0;
 }
 
@@ -47,56 +47,57 @@
 static size_t
 few_of (const relay_t *relay, const trial_t *trial)
 {
-  const belief_t *belief = relay->belief;
-  double share = trial_share (trial, follow_store_ms (belief->orders));
-  size_t old = pool_count (belief->pool, relay->terms.service->name, ARM_OLD,
-                           trial_version (trial), SIZE_MAX);
+  const gateway_state_t *belief = relay->belief;
+  double share = trial_share (trial, table_sync_store_now_ms (belief->orders));
+  size_t old = pool_count (belief->pool, relay->terms.service->name,
+                           VERSION_ARM_OLD, trial_version (trial), SIZE_MAX);
   size_t few = (size_t)ceil (share * (double)old / crowding);
   return few > FEW_LEAST ? few : FEW_LEAST;
 }
 
 /* Which versions WANT may go to.  */
 static void
-choose_arm (const relay_t *relay, pool_want_t *want)
+choose_arm (const relay_t *relay, pool_criteria_t *want)
 {
-  belief_t *belief = relay->belief;
+  gateway_state_t *belief = relay->belief;
   const trial_t *trial = relay_trial (relay);
 
-  want->arm = ARM_ANY;
+  want->arm = VERSION_ARM_ANY;
   if (trial == NULL)
     return;
   want->version = trial_version (trial);
   switch (trial_phase (trial))
     {
     case TRIAL_ROLLED_BACK:
-      want->arm = ARM_OLD;
+      want->arm = VERSION_ARM_OLD;
       break;
     case TRIAL_DONE:
       if (has_version (relay, want->version))
-        want->arm = ARM_NEW;
+        want->arm = VERSION_ARM_NEW;
       break;
     case TRIAL_RUNNING:
-      if (trial_choose (trial, relay->terms.session,
-                        follow_store_ms (belief->orders), &relay->on_trial)
+      if (trial_choose_arm (trial, relay->terms.session,
+                            table_sync_store_now_ms (belief->orders),
+                            &relay->on_trial)
               == TRIAL_NEW
           && has_version (relay, want->version))
         {
-          want->arm = ARM_NEW;
+          want->arm = VERSION_ARM_NEW;
           want->few = few_of (relay, trial);
         }
       else
-        want->arm = ARM_OLD;
+        want->arm = VERSION_ARM_OLD;
       break;
     }
 }
 
 /* What a send of RELAY to the route's model at INDEX asks of an upstream.  */
 static void
-want_for (const relay_t *relay, size_t index, pool_want_t *want)
+want_for (const relay_t *relay, size_t index, pool_criteria_t *want)
 {
   const terms_t *terms = &relay->terms;
 
-  *want = (pool_want_t){
+  *want = (pool_criteria_t){
     .service = terms->service->name,
     .cold_per_s = terms->service->cold_per_s,
     .key = terms->key != 0 ? terms->key ^ (index + 1) : 0,
@@ -107,7 +108,7 @@
 }
 
 void
-relay_want (const relay_t *relay, pool_want_t *want)
+relay_want (const relay_t *relay, pool_criteria_t *want)
 {
   want_for (relay, relay->model, want);
 }
@@ -116,7 +117,7 @@
 relay_has_place (const relay_t *relay)
 {
   const upstream_t *tried[POOL_TRIED_MAX + 1];
-  pool_want_t want;
+  pool_criteria_t want;
   upstream_t *upstream;
 
   relay_want (relay, &want);
@@ -125,7 +126,7 @@
   if (relay->upstream != NULL)
     tried[want.tried_count++] = relay->upstream;
   want.tried = tried;
-  return pool_choose (relay->belief->pool, &want, &upstream) != VH_E_FULL;
+  return pool_select (relay->belief->pool, &want, &upstream) != VH_E_FULL;
 }
 
 /* Requests at the engine that would read the prompt if it went to the route's
@@ -135,13 +136,13 @@
 static double
 load_beside (const relay_t *relay, size_t index)
 {
-  pool_want_t want;
+  pool_criteria_t want;
   upstream_t *upstream;
 
   want_for (relay, index, &want);
-  if (pool_choose (relay->belief->pool, &want, &upstream) != VH_OK)
+  if (pool_select (relay->belief->pool, &want, &upstream) != VH_OK)
     return upstream_slots (relay->upstream);
-  return upstream_load (relay->belief->pool, upstream);
+  return upstream_request_count (relay->belief->pool, upstream);
 }
 
 size_t
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -39,7 +39,7 @@
 typedef struct
 {
   list_t link;
-  belief_t *belief;
+  gateway_state_t *belief;
   httpd_req_t *req;
   terms_t terms;
   char *attempt_id;
@@ -74,9 +74,10 @@
   buf_t head; /* Pairs of NAME NUL VALUE NUL.  */
   buf_t body;
   bool paused;
-  bool shed;             /* The last upstream said that it did not run it.  */
-  trial_sent_t on_trial; /* Its sends while a version is under trial.  */
-  const char *reason;    /* Of the last failure, for the log.  */
+  bool shed; /* The last upstream said that it did not run it.  */
+  trial_send_history_t
+      on_trial;       /* Its sends while a version is under trial.  */
+  const char *reason; /* Of the last failure, for the log.  */
 } relay_t;
 
 /* Endings.  */
@@ -111,7 +112,7 @@
 /* What a send asks.  */
 
 /* What the next send of RELAY asks of an upstream.  */
-void relay_want (const relay_t *relay, pool_want_t *want);
+void relay_want (const relay_t *relay, pool_criteria_t *want);
 /* Tell whether the request has a place to go to besides its present upstream,
    if it has one: the others are not all full.  Where there are none, a new
    connection to the same one may do better.  */
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -20,9 +20,9 @@
 
 struct rollouts
 {
-  belief_t *belief;
+  gateway_state_t *belief;
   rows_t *rows;
-  share_t *share;
+  peer_rows_t *share;
   bool commit_pending; /* Of a shared row.  */
   uint64_t want_ms;    /* Since when a row is to be written; 0: none is.  */
   map_t *shared;       /* Service to shared_row_t.  */
@@ -39,7 +39,8 @@
     {
       str_t version = str_cut (text, ' ', &text);
       if (trial == NULL || !str_eq (version, trial_version (trial)))
-        pool_withdraw (rollouts->belief->pool, service, version, true);
+        pool_set_version_withdrawn (rollouts->belief->pool, service, version,
+                                    true);
     }
 }
 
@@ -79,11 +80,12 @@
         trial_set_phase (trial, phase);
         final = true;
       }
-  trial_set_written (trial, final);
+  trial_set_final_phase_stored (trial, final);
 }
 
 void
-rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row)
+rollouts_apply_state_row (rollouts_t *rollouts, str_t service,
+                          const rows_row_t *row)
 {
   shared_row_t *shared = map_get (rollouts->shared, service);
 
@@ -109,10 +111,10 @@
 }
 
 void
-rollouts_order (rollouts_t *rollouts, const rows_row_t *row)
+rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row)
 {
-  belief_t *belief = rollouts->belief;
-  rollout_order_t order;
+  gateway_state_t *belief = rollouts->belief;
+  rollout_spec_t order;
   void *holder = NULL;
   vh_code_t code = belief->dialect->read_rollout (row->value, &order, &holder);
 
@@ -128,13 +130,15 @@
       /* The instances of a version that was taken back are there for a while:
          they must not pass for the old version of the next order.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
-        pool_withdraw (belief->pool, order.service, trial_version (trial),
-                       true);
-      pool_withdraw (belief->pool, order.service, order.version, false);
+        pool_set_version_withdrawn (belief->pool, order.service,
+                                    trial_version (trial), true);
+      pool_set_version_withdrawn (belief->pool, order.service, order.version,
+                                  false);
       trial_destroy (map_remove (belief->trials, order.service));
       trial = trial_create (order.service, order.version, row->version,
                             order.within_ms, belief->options.exposure);
-      trial_set_seen (trial, follow_store_ms (belief->orders));
+      trial_set_order_seen_ms (trial,
+                               table_sync_store_now_ms (belief->orders));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -146,12 +150,13 @@
 }
 
 void
-rollouts_evidence (rollouts_t *rollouts, str_t key, bool told, str_t text)
+rollouts_apply_evidence (rollouts_t *rollouts, str_t key, bool told,
+                         str_t text)
 {
   str_t rest;
   str_t entry;
 
-  if (!str_eq (row_kind (key, &rest), STR ("evidence")))
+  if (!str_eq (row_key_prefix (key, &rest), STR ("evidence")))
     return;
   str_t service = str_cut (rest, '/', &entry);
   trial_t *trial = map_get (rollouts->belief->trials, service);
@@ -164,7 +169,7 @@
 static void
 on_news (void *arg, str_t key, str_t value)
 {
-  rollouts_evidence (arg, key, true, value);
+  rollouts_apply_evidence (arg, key, true, value);
 }
 
 static void
@@ -182,7 +187,7 @@
 static bool
 is_judge (const rollouts_t *rollouts)
 {
-  return rollouts->share == NULL || share_reads (rollouts->share);
+  return rollouts->share == NULL || peer_rows_is_reader (rollouts->share);
 }
 
 /* Tell whether this entry is to write a roll-out's row now.  All entries come
@@ -205,7 +210,7 @@
                uint64_t start_ms, uint32_t step, uint64_t from_ms)
 {
   static const rollout_state_t states[]
-      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_TAKEN_BACK };
+      = { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_ROLLED_BACK };
   trial_phase_t phase = trial_phase (trial);
   rows_write_t writes[2] = { 0 };
   buf_t key = BUF_NULL;
@@ -221,10 +226,10 @@
               (unsigned long long)trial_order (trial),
               (unsigned long long)start_ms, step, (unsigned long long)from_ms,
               trial_phase_name (phase));
-  pool_write_withdrawn (rollouts->belief->pool, service, &value);
+  pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
-  writes[0].table = ROWS_OWN;
+  writes[0].table = ROWS_SHARED;
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
   writes[0].conditional = true;
@@ -233,7 +238,8 @@
   writes[1].key = buf_str (&status_key);
   writes[1].value = buf_str (&status);
   rollouts->commit_pending = true;
-  rollouts->rows->ops->commit (rollouts->rows, writes, 2, DUTIES_COMMIT_MS,
+  rollouts->rows->ops->commit (rollouts->rows, writes, 2,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS,
                                on_rollout_written, rollouts);
   buf_free (&key);
   buf_free (&value);
@@ -261,7 +267,7 @@
 
 /* What the entry that reads for this one is told of the roll-outs.  */
 static size_t
-list_news (void *arg, bool tells, share_item_t *items, size_t most)
+list_news (void *arg, bool tells, peer_rows_item_t *items, size_t most)
 {
   rollouts_t *rollouts = arg;
   size_t count = 0;
@@ -274,7 +280,7 @@
     {
       trial_t *trial = value;
       if (trial_phase (trial) != TRIAL_RUNNING
-          || trial_step (trial) == TRIAL_STEP_HELD)
+          || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
       trial_write (trial, tells, &items[count++].value);
@@ -292,10 +298,11 @@
 
   append_evidence_key (rollouts, service, &key);
   trial_write (trial, true, &value);
-  rows_write_t write = { .table = ROWS_OWN,
+  rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value) };
-  rollouts->rows->ops->commit (rollouts->rows, &write, 1, DUTIES_COMMIT_MS,
+  rollouts->rows->ops->commit (rollouts->rows, &write, 1,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS,
                                on_evidence_written, rollouts);
   buf_free (&key);
   buf_free (&value);
@@ -305,24 +312,24 @@
 static void
 judge_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
-  bool alone = follow_down (rollouts->belief->orders);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->orders);
+  bool alone = table_sync_is_down (rollouts->belief->orders);
   buf_t why = BUF_NULL;
 
   /* One that cannot reach the store still judges what it saw.  */
   if (!alone && !is_judge (rollouts))
     return;
-  trial_verdict_t verdict = trial_judge (trial, now_ms, alone, &why);
+  trial_decision_t verdict = trial_decide (trial, now_ms, alone, &why);
 
   switch (verdict)
     {
     case TRIAL_WAIT:
       break;
     case TRIAL_ADVANCE:
-      write_rollout (rollouts, service, trial, trial_start (trial),
-                     trial_step (trial) + 1, now_ms + TRIAL_NOTICE_MS);
+      write_rollout (rollouts, service, trial, trial_start_ms (trial),
+                     trial_step (trial) + 1, now_ms + TRIAL_STEP_NOTICE_MS);
       break;
-    case TRIAL_TAKE_BACK:
+    case TRIAL_ROLL_BACK:
     case TRIAL_FINISH:
       trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
                                                       : TRIAL_ROLLED_BACK);
@@ -340,28 +347,30 @@
 step_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->orders);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->orders);
 
-  if (trial_start (trial) == 0)
+  if (trial_start_ms (trial) == 0)
     {
       /* The order's time runs from when it was seen, however late the row.  */
-      uint64_t start_ms
-          = trial_seen (trial) != 0 ? trial_seen (trial) : now_ms;
+      uint64_t start_ms = trial_order_seen_ms (trial) != 0
+                              ? trial_order_seen_ms (trial)
+                              : now_ms;
       write_rollout (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
   if (trial_phase (trial) == TRIAL_RUNNING)
     {
       if (is_second)
-        trial_fade (trial);
+        trial_decay (trial);
       judge_trial (rollouts, service, trial);
     }
   /* A decision is written again until the shared row has it or another.  */
-  if (trial_phase (trial) != TRIAL_RUNNING && !trial_written (trial))
-    write_rollout (rollouts, service, trial, trial_start (trial),
-                   trial_step (trial), trial_from (trial));
+  if (trial_phase (trial) != TRIAL_RUNNING
+      && !trial_is_final_phase_stored (trial))
+    write_rollout (rollouts, service, trial, trial_start_ms (trial),
+                   trial_step (trial), trial_step_start_ms (trial));
   else if (is_second && trial_phase (trial) == TRIAL_RUNNING
-           && trial_step (trial) > 0 && trial_dirty (trial)
+           && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_judge (rollouts))
     write_evidence (rollouts, service, trial);
 }
@@ -378,9 +387,9 @@
 }
 
 rollouts_t *
-rollouts_create (belief_t *belief, rows_t *rows, share_t *share)
+rollouts_create (gateway_state_t *belief, rows_t *rows, peer_rows_t *share)
 {
-  static const share_news_t news = { list_news, on_news };
+  static const peer_rows_piggyback_t news = { list_news, on_news };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
 
   rollouts->belief = belief;
@@ -388,7 +397,7 @@
   rollouts->share = share;
   rollouts->shared = map_create ();
   if (share != NULL)
-    share_set_news (share, &news, rollouts);
+    peer_rows_set_piggyback (share, &news, rollouts);
   return rollouts;
 }
 
--- a/packages/gateway/terms.c
+++ b/packages/gateway/terms.c
@@ -16,7 +16,8 @@
 
 /* Find who asks for what.  Return VH_OK, or the reason why not.  */
 static vh_code_t
-identify (terms_t *terms, const belief_t *belief, const httpd_req_t *req)
+identify (terms_t *terms, const gateway_state_t *belief,
+          const httpd_req_t *req)
 {
   str_t bearer = httpd_header (req, STR ("authorization"));
 
@@ -24,8 +25,8 @@
     return VH_E_STORE_DOWN;
   terms->catalog = belief->catalog;
   catalog_ref (terms->catalog);
-  terms->route = catalog_route (terms->catalog, httpd_authority (req),
-                                httpd_path (req));
+  terms->route = catalog_match_route (terms->catalog, httpd_authority (req),
+                                      httpd_path (req));
   if (terms->route == NULL)
     return belief_confirmed (belief) ? VH_E_NO_ROUTE : VH_E_STORE_DOWN;
   if (!terms->route->is_public && catalog_has_teams (terms->catalog))
@@ -36,7 +37,7 @@
         return VH_E_STORE_DOWN;
       if (!str_starts (bearer, STR ("Bearer ")))
         return VH_E_NO_AUTH;
-      terms->team = catalog_team (
+      terms->team = catalog_find_team (
           terms->catalog,
           str_trim (str_make (bearer.ptr + 7, bearer.len - 7)));
       if (terms->team == NULL)
@@ -63,7 +64,7 @@
     }
   terms->service
       = route->split_count > 0
-            ? catalog_service (terms->catalog, route->splits[at].service)
+            ? catalog_find_service (terms->catalog, route->splits[at].service)
             : NULL;
 }
 
@@ -107,13 +108,13 @@
     }
   terms->may_repeat
       = terms->route->kind == ROUTE_IDEMPOTENT
-        || (terms->route->kind == ROUTE_STREAM && terms->route->resumable);
+        || (terms->route->kind == ROUTE_STREAM && terms->route->is_resumable);
   return VH_OK;
 }
 
 vh_code_t
-terms_read (terms_t *terms, const belief_t *belief, const httpd_req_t *req,
-            str_t attempt)
+terms_read (terms_t *terms, const gateway_state_t *belief,
+            const httpd_req_t *req, str_t attempt)
 {
   vh_code_t code = identify (terms, belief, req);
 
--- a/packages/gateway/termsint.h
+++ b/packages/gateway/termsint.h
@@ -27,7 +27,7 @@
 /* Fill TERMS, whose arrived_ms is set, from REQ with attempt id ATTEMPT.
    Return VH_OK or why the request is refused; what was found out until then
    is filled either way.  */
-vh_code_t terms_read (terms_t *terms, const belief_t *belief,
+vh_code_t terms_read (terms_t *terms, const gateway_state_t *belief,
                       const httpd_req_t *req, str_t attempt);
 /* Let go of the configuration.  */
 void terms_free (terms_t *terms);
--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -110,7 +110,7 @@
 }
 
 void
-allotment_leave (allotment_t *allotment, str_t name)
+allotment_remove (allotment_t *allotment, str_t name)
 {
   member_t *member = find (allotment, name);
 
@@ -121,7 +121,7 @@
 }
 
 void
-allotment_read (allotment_t *allotment)
+allotment_set_loaded (allotment_t *allotment)
 {
   allotment->is_known = true;
 }
@@ -134,19 +134,19 @@
   for (size_t i = allotment->count; allotment->leaving > 0 && i-- > 0;)
     {
       uint64_t left_ms = allotment->members[i].left_ms;
-      if (left_ms != 0 && now_ms - left_ms >= ALLOTMENT_KEEP_MS)
+      if (left_ms != 0 && now_ms - left_ms >= ALLOTMENT_REMOVAL_DELAY_MS)
         drop (allotment, i);
     }
 }
 
 size_t
-allotment_size (const allotment_t *allotment)
+allotment_gateway_count (const allotment_t *allotment)
 {
   return allotment->count;
 }
 
 bool
-allotment_is_known (const allotment_t *allotment)
+allotment_is_loaded (const allotment_t *allotment)
 {
   return allotment->is_known;
 }
@@ -178,7 +178,7 @@
 }
 
 uint32_t
-allotment_part (double bound, size_t rank, size_t count)
+allotment_share (double bound, size_t rank, size_t count)
 {
   size_t whole = bound > 0 ? (size_t)bound : 0;
   size_t part = whole / count + (rank < whole % count);
--- a/packages/policy/allotment.h
+++ b/packages/policy/allotment.h
@@ -16,8 +16,8 @@
      different lists at one time at most K times the bound is used, so a user
      whose bound is strict passes in a half of it: one old and one new list is
      what a change leaves.
-   - An entry that is no longer listed counts for ALLOTMENT_KEEP_MS more: it
-     may still send, and one that restarts is not listed yet.
+   - An entry that is no longer listed counts for ALLOTMENT_REMOVAL_DELAY_MS
+   more: it may still send, and one that restarts is not listed yet.
    - Before the list was read the fleet may have any size, and nothing is
      known.
 
@@ -33,7 +33,7 @@
 enum
 {
   /* A planned stop and a restart together.  */
-  ALLOTMENT_KEEP_MS = 15000
+  ALLOTMENT_REMOVAL_DELAY_MS = 15000
 };
 
 typedef struct allotment allotment_t;
@@ -45,14 +45,14 @@
 /* Entry NAME of ZONE is listed.  */
 void allotment_put (allotment_t *allotment, str_t name, str_t zone);
 /* Entry NAME is no longer listed.  */
-void allotment_leave (allotment_t *allotment, str_t name);
+void allotment_remove (allotment_t *allotment, str_t name);
 /* The whole list was read.  */
-void allotment_read (allotment_t *allotment);
+void allotment_set_loaded (allotment_t *allotment);
 /* Forget those that left long enough ago.  */
 void allotment_expire (allotment_t *allotment);
 /* How many entries share; at least 1.  */
-size_t allotment_size (const allotment_t *allotment);
-bool allotment_is_known (const allotment_t *allotment);
+size_t allotment_gateway_count (const allotment_t *allotment);
+bool allotment_is_loaded (const allotment_t *allotment);
 /* Another number than before once a rank may have changed.  */
 uint64_t allotment_generation (const allotment_t *allotment);
 /* The place of this entry for the object with hash OBJECT in ZONE, from 0 on.
@@ -60,6 +60,6 @@
 size_t allotment_rank (const allotment_t *allotment, uint64_t object,
                        str_t zone);
 /* The part of BOUND of the entry with RANK among COUNT.  */
-uint32_t allotment_part (double bound, size_t rank, size_t count);
+uint32_t allotment_share (double bound, size_t rank, size_t count);
 
 #endif
--- a/packages/policy/allowance.c
+++ b/packages/policy/allowance.c
@@ -8,17 +8,17 @@
 struct allowance
 {
   clock_iface_t *clock;
-  allowance_options_t options;
+  send_budget_options_t options;
   uint32_t entries;
   uint64_t bucket; /* Number of the newest one.  */
-  uint32_t requests[ALLOWANCE_BUCKETS];
-  uint32_t extras[ALLOWANCE_BUCKETS];
+  uint32_t requests[SEND_BUDGET_BUCKETS];
+  uint32_t extras[SEND_BUDGET_BUCKETS];
 };
 
-allowance_t *
-allowance_create (clock_iface_t *clock, const allowance_options_t *options)
+send_budget_t *
+send_budget_create (clock_iface_t *clock, const send_budget_options_t *options)
 {
-  allowance_t *allowance = mem_zalloc (sizeof *allowance);
+  send_budget_t *allowance = mem_zalloc (sizeof *allowance);
 
   allowance->clock = clock;
   allowance->options = *options;
@@ -27,25 +27,25 @@
 }
 
 void
-allowance_destroy (allowance_t *allowance)
+send_budget_destroy (send_budget_t *allowance)
 {
   free (allowance);
 }
 
 void
-allowance_set_entries (allowance_t *allowance, uint32_t entries)
+send_budget_set_gateway_count (send_budget_t *allowance, uint32_t entries)
 {
   allowance->entries = entries > 0 ? entries : 1;
 }
 
 /* Clear the buckets that have left the window; return the newest.  */
 static size_t
-turn (allowance_t *allowance)
+turn (send_budget_t *allowance)
 {
-  uint64_t bucket = clock_ms (allowance->clock) * ALLOWANCE_BUCKETS
+  uint64_t bucket = clock_ms (allowance->clock) * SEND_BUDGET_BUCKETS
                     / allowance->options.window_ms;
 
-  if (bucket - allowance->bucket >= ALLOWANCE_BUCKETS)
+  if (bucket - allowance->bucket >= SEND_BUDGET_BUCKETS)
     {
       memset (allowance->requests, 0, sizeof allowance->requests);
       memset (allowance->extras, 0, sizeof allowance->extras);
@@ -53,15 +53,15 @@
     }
   while (allowance->bucket < bucket)
     {
-      size_t at = ++allowance->bucket % ALLOWANCE_BUCKETS;
+      size_t at = ++allowance->bucket % SEND_BUDGET_BUCKETS;
       allowance->requests[at] = 0;
       allowance->extras[at] = 0;
     }
-  return bucket % ALLOWANCE_BUCKETS;
+  return bucket % SEND_BUDGET_BUCKETS;
 }
 
 void
-allowance_request (allowance_t *allowance)
+send_budget_count_request (send_budget_t *allowance)
 {
   size_t at = turn (allowance);
 
@@ -69,26 +69,26 @@
 }
 
 double
-allowance_left (allowance_t *allowance)
+send_budget_remaining (send_budget_t *allowance)
 {
   double requests = 0;
   double extras = 0;
 
   turn (allowance);
-  for (size_t i = 0; i < ALLOWANCE_BUCKETS; i++)
+  for (size_t i = 0; i < SEND_BUDGET_BUCKETS; i++)
     {
       requests += allowance->requests[i];
       extras += allowance->extras[i];
     }
   double bound = requests * allowance->options.ratio
                  + allowance->options.slack / allowance->entries;
-  return bound * ALLOWANCE_USE - extras;
+  return bound * SEND_BUDGET_USED_SHARE - extras;
 }
 
 bool
-allowance_take (allowance_t *allowance, double reserve)
+send_budget_try_take (send_budget_t *allowance, double reserve)
 {
-  if (allowance_left (allowance) < 1 + reserve)
+  if (send_budget_remaining (allowance) < 1 + reserve)
     return false;
   allowance->extras[turn (allowance)]++;
   return true;
--- a/packages/policy/allowance.h
+++ b/packages/policy/allowance.h
@@ -7,43 +7,44 @@
    not ask each other, so each keeps the share of its own requests and its part
    of the fixed one, and the sum keeps the whole.
 
-   ALLOWANCE_USE of the bound is used: the windows of the one who counts do not
-   begin with ours.  */
+   SEND_BUDGET_USED_SHARE of the bound is used: the windows of the one who
+   counts do not begin with ours.  */
 
-#ifndef POLICY_ALLOWANCE_H
-#define POLICY_ALLOWANCE_H
+#ifndef POLICY_SENDBUDGET_H
+#define POLICY_SENDBUDGET_H
 
 #include "base/clock.h"
 
 #include <stdbool.h>
 
-#define ALLOWANCE_USE 0.85
+#define SEND_BUDGET_USED_SHARE 0.85
 
 enum
 {
-  ALLOWANCE_BUCKETS = 10 /* Of a window.  */
+  SEND_BUDGET_BUCKETS = 10 /* Of a window.  */
 };
 
-typedef struct allowance allowance_t;
+typedef struct allowance send_budget_t;
 
 typedef struct
 {
   double ratio; /* Extra sends for each request.  */
   double slack; /* Extra sends in a window besides, of all entries.  */
   uint64_t window_ms;
-} allowance_options_t;
+} send_budget_options_t;
 
-allowance_t *allowance_create (clock_iface_t *clock,
-                               const allowance_options_t *options);
-void allowance_destroy (allowance_t *allowance);
+send_budget_t *send_budget_create (clock_iface_t *clock,
+                                   const send_budget_options_t *options);
+void send_budget_destroy (send_budget_t *allowance);
 /* How many entries share the fixed part; at least 1.  */
-void allowance_set_entries (allowance_t *allowance, uint32_t entries);
+void send_budget_set_gateway_count (send_budget_t *allowance,
+                                    uint32_t entries);
 /* A request (not a send) came.  */
-void allowance_request (allowance_t *allowance);
+void send_budget_count_request (send_budget_t *allowance);
 /* Extra sends that may be made now.  */
-double allowance_left (allowance_t *allowance);
+double send_budget_remaining (send_budget_t *allowance);
 /* Take one; false with nothing taken when none is left.  Keep RESERVE for
    more important ones.  */
-bool allowance_take (allowance_t *allowance, double reserve);
+bool send_budget_try_take (send_budget_t *allowance, double reserve);
 
 #endif
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -197,7 +197,8 @@
 static uint32_t
 subset_cap (const balance_t *balance, uint32_t zone)
 {
-  return zone == balance->own_zone ? BALANCE_SUBSET_OWN : BALANCE_SUBSET_OTHER;
+  return zone == balance->own_zone ? BALANCE_SUBSET_OWN_ZONE
+                                   : BALANCE_SUBSET_OTHER_ZONE;
 }
 
 /* An ejected upstream keeps its connection, as it is back in seconds.  */
@@ -376,7 +377,7 @@
 }
 
 pool_id_t
-balance_pool (balance_t *balance, str_t name)
+balance_find_or_add_pool (balance_t *balance, str_t name)
 {
   const void *known = map_get (balance->pool_names, name);
   uint32_t n = balance->pool_count;
@@ -404,7 +405,7 @@
   balance->salt = str_hash (self, 0);
   balance->names = map_create ();
   balance->pool_names = map_create ();
-  balance->hints = mem_zalloc (BALANCE_HINTS * sizeof (hint_t));
+  balance->hints = mem_zalloc (BALANCE_HINT_TABLE_SIZE * sizeof (hint_t));
   balance->own_zone = find_zone (balance, zone);
   return balance;
 }
@@ -507,7 +508,7 @@
       = mem_alloc ((pool_count > 0 ? pool_count : 1) * sizeof (pool_id_t));
   for (size_t i = 0; i < pool_count; i++)
     {
-      pool_id_t pool = balance_pool (balance, pools[i]);
+      pool_id_t pool = balance_find_or_add_pool (balance, pools[i]);
 
       if (serves (cold, pool))
         continue;
@@ -526,7 +527,7 @@
   if (cold->pool_count != pool_count)
     return false;
   for (size_t i = 0; i < pool_count; i++)
-    if (!serves (cold, balance_pool (balance, pools[i])))
+    if (!serves (cold, balance_find_or_add_pool (balance, pools[i])))
       return false;
   return true;
 }
@@ -549,8 +550,8 @@
   *hot = (hot_t){ 0 };
   hot->generation = generation > 0 ? generation : 1;
   hot->flags = KNOWN;
-  hot->slots = BALANCE_SLOTS_UNKNOWN;
-  hot->usual = BALANCE_SLOTS_UNKNOWN * USUAL_ONE;
+  hot->slots = BALANCE_DEFAULT_SLOTS;
+  hot->usual = BALANCE_DEFAULT_SLOTS * USUAL_ONE;
   if (returning)
     begin_ramp (balance, hot);
   cold->name = copy_name (name, &cold->name_len);
@@ -607,8 +608,8 @@
 }
 
 void
-balance_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
-              bool on)
+balance_set_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
+                  bool on)
 {
   uint32_t index = find_index (balance, id);
   bool wanted;
@@ -642,7 +643,7 @@
 }
 
 void
-balance_set_zone (balance_t *balance, str_t zone, bool in)
+balance_set_zone_enabled (balance_t *balance, str_t zone, bool in)
 {
   /* A new zone may move the array: look the place up first.  */
   uint16_t number = find_zone (balance, zone);
@@ -673,8 +674,8 @@
 }
 
 void
-balance_report (balance_t *balance, upstream_id_t id,
-                const balance_load_t *load, uint64_t age_ms)
+balance_record_load (balance_t *balance, upstream_id_t id,
+                     const balance_load_t *load, uint64_t age_ms)
 {
   uint32_t index = find_index (balance, id);
   uint32_t now = tick_of (clock_ms (balance->clock));
@@ -732,7 +733,7 @@
 penalty_left (const hot_t *hot, uint32_t now)
 {
   return hot->penalty
-         * exp2f (-ticks_ms (now - hot->penalised) / BALANCE_PENALTY_MS);
+         * exp2f (-ticks_ms (now - hot->penalised) / BALANCE_PENALTY_HALF_MS);
 }
 
 /* Return the load of HOT with one request more: 1 when that fills it.  */
@@ -748,10 +749,10 @@
      that was idle when it was made, so it counts less with its age, and what
      is usual counts more.  */
   if ((hot->flags & REPORTED) != 0)
-    room += faded (hot->slots - room, age, BALANCE_REPORT_MS);
+    room += faded (hot->slots - room, age, BALANCE_REPORT_HALF_MS);
   others = choice->pool->mean_others * room;
   if ((hot->flags & REPORTED) != 0)
-    others += faded (hot->others - others, age, BALANCE_REPORT_MS);
+    others += faded (hot->others - others, age, BALANCE_REPORT_HALF_MS);
   room *= (float)choice->share;
   if (others > 0)
     load += others;
@@ -760,7 +761,7 @@
   if ((hot->flags & RAMPING) != 0)
     {
       uint64_t age_ms = (uint64_t)(choice->now - hot->ramp) << TICK_SHIFT;
-      double ramp = zone_ramp (0, BALANCE_RAMP_MS, age_ms);
+      double ramp = zone_ramp_share (0, BALANCE_RAMP_MS, age_ms);
 
       if (ramp >= 1)
         hot->flags &= (uint8_t)~RAMPING;
@@ -840,7 +841,7 @@
 static bool
 within_bound (const balance_t *balance, const choice_t *choice, uint32_t index)
 {
-  float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_BOUND;
+  float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_LOAD_FACTOR;
 
   if (bound < 1)
     bound = 1;
@@ -854,11 +855,12 @@
 hinted (const balance_t *balance, const choice_t *choice)
 {
   uint64_t affinity = choice->request->affinity;
-  const hint_t *hint = &balance->hints[mix (affinity) % BALANCE_HINTS];
+  const hint_t *hint
+      = &balance->hints[mix (affinity) % BALANCE_HINT_TABLE_SIZE];
   uint32_t index;
 
   if (hint->affinity != affinity
-      || ticks_ms (choice->now - hint->tick) > BALANCE_HINT_MS)
+      || ticks_ms (choice->now - hint->tick) > BALANCE_HINT_TTL_MS)
     return NOBODY;
   index = find_index (balance, hint->id);
   if (index == NOBODY || balance->hot[index].zone != balance->own_zone
@@ -877,8 +879,8 @@
   uint32_t steps = bucket->count;
   uint32_t at;
 
-  if (steps > BALANCE_AFFINITY_WALK)
-    steps = BALANCE_AFFINITY_WALK;
+  if (steps > BALANCE_AFFINITY_STEPS_MAX)
+    steps = BALANCE_AFFINITY_STEPS_MAX;
   at = ring_search (bucket, point);
   for (; steps > 0; steps--, at++)
     {
@@ -965,7 +967,7 @@
 }
 
 void
-balance_started (balance_t *balance, upstream_id_t id)
+balance_request_started (balance_t *balance, upstream_id_t id)
 {
   uint32_t index = find_index (balance, id);
 
@@ -974,7 +976,7 @@
 }
 
 void
-balance_ended (balance_t *balance, upstream_id_t id, bool ok)
+balance_request_ended (balance_t *balance, upstream_id_t id, bool ok)
 {
   uint32_t index = find_index (balance, id);
   uint32_t now;
@@ -990,7 +992,7 @@
   /* Guards against an upstream that fails at once: with nothing in flight it
      would look the least loaded, and draw the traffic.  */
   now = tick_of (clock_ms (balance->clock));
-  hot->penalty = penalty_left (hot, now) + BALANCE_PENALTY;
+  hot->penalty = penalty_left (hot, now) + BALANCE_FAILURE_PENALTY;
   if (hot->penalty > PENALTY_MAX)
     hot->penalty = PENALTY_MAX;
   hot->penalised = now;
@@ -1000,7 +1002,7 @@
 balance_cache_event (balance_t *balance, upstream_id_t id, uint64_t affinity,
                      bool stored)
 {
-  hint_t *hint = &balance->hints[mix (affinity) % BALANCE_HINTS];
+  hint_t *hint = &balance->hints[mix (affinity) % BALANCE_HINT_TABLE_SIZE];
 
   if (stored)
     *hint = (hint_t){ affinity, id, tick_of (clock_ms (balance->clock)) };
@@ -1017,7 +1019,7 @@
   if (pool >= balance->pool_count)
     return 0;
   at = &balance->pools[pool];
-  return faded (at->mean_load, now - at->reported, BALANCE_PRESSURE_MS);
+  return faded (at->mean_load, now - at->reported, BALANCE_PRESSURE_HALF_MS);
 }
 
 size_t
@@ -1088,7 +1090,8 @@
 }
 
 bool
-balance_next (balance_t *balance, size_t *cursor, balance_info_t *info)
+balance_next_upstream (balance_t *balance, size_t *cursor,
+                       balance_info_t *info)
 {
   for (; *cursor < balance->count; ++*cursor)
     {
@@ -1104,7 +1107,7 @@
 }
 
 size_t
-balance_known (const balance_t *balance)
+balance_upstream_count (const balance_t *balance)
 {
   return map_size (balance->names);
 }
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -94,7 +94,7 @@
 
 struct burn
 {
-  evidence_t *tiers[TIERS];
+  crdt_t *tiers[TIERS];
   objective_entry_t objectives[BURN_OBJECTIVES_MAX];
   size_t objective_count;
   series_t series[BURN_SERIES_MAX];
@@ -109,13 +109,13 @@
 
   for (int t = 0; t < TIERS; t++)
     {
-      const evidence_options_t options = { .writer = writer,
-                                           .epoch_ms = tiers[t].epoch_ms,
-                                           .epochs = tiers[t].epochs,
-                                           .fields = FIELDS,
-                                           .keys_max = BURN_SERIES_MAX,
-                                           .cells_max = cells_max };
-      b->tiers[t] = evidence_create (&options);
+      const crdt_options_t options = { .writer = writer,
+                                       .epoch_ms = tiers[t].epoch_ms,
+                                       .epochs = tiers[t].epochs,
+                                       .fields = FIELDS,
+                                       .keys_max = BURN_SERIES_MAX,
+                                       .cells_max = cells_max };
+      b->tiers[t] = crdt_create (&options);
     }
   b->by_hash = map_create ();
   return b;
@@ -142,7 +142,7 @@
     free (b->series[i].name);
   map_destroy (b->by_hash);
   for (int t = 0; t < TIERS; t++)
-    evidence_destroy (b->tiers[t]);
+    crdt_destroy (b->tiers[t]);
   free (b);
 }
 
@@ -176,7 +176,7 @@
                    .split = split,
                    .name = str_dup (name) };
   for (int t = 0; t < TIERS; t++)
-    s->keys[t] = evidence_key (b->tiers[t], hash);
+    s->keys[t] = crdt_key_find_or_add (b->tiers[t], hash);
   map_put (b->by_hash, str_make ((const char *)&hash, sizeof hash), s);
   return s;
 }
@@ -241,7 +241,7 @@
         continue;
       series_t *s = series_get (b, o->hash, (burn_split_t)split, name);
       for (int t = 0; s != NULL && t < TIERS; t++)
-        evidence_add (b->tiers[t], s->keys[t], now_ms, fields);
+        crdt_add (b->tiers[t], s->keys[t], now_ms, fields);
     }
 }
 
@@ -251,7 +251,7 @@
   if (isnan (rating))
     return;
   fields[FIELD_RATINGS] = 1;
-  fields[FIELD_RATING_SUM] = evidence_fixed (fmax (0, fmin (1, rating)));
+  fields[FIELD_RATING_SUM] = crdt_to_fixed_point (fmax (0, fmin (1, rating)));
 }
 
 static void
@@ -260,7 +260,7 @@
 {
   fields[FIELD_REQUESTS] = 1;
   fields[FIELD_UNANSWERED] = !sample->answered;
-  fields[FIELD_COST_SUM] = evidence_fixed (sample->cost);
+  fields[FIELD_COST_SUM] = crdt_to_fixed_point (sample->cost);
   if (sample->answered && sample->first_token_ms > 0)
     {
       fields[FIELD_FIRST] = 1;
@@ -291,7 +291,7 @@
 }
 
 void
-burn_rated (burn_t *b, const burn_sample_t *sample, uint64_t now_ms)
+burn_observe_rating (burn_t *b, const burn_sample_t *sample, uint64_t now_ms)
 {
   int64_t fields[FIELDS] = { 0 };
 
@@ -349,11 +349,12 @@
       break;
     case BURN_QUALITY:
       r.count = (double)fields[FIELD_RATINGS];
-      r.harm = r.count - (double)fields[FIELD_RATING_SUM] / EVIDENCE_UNIT;
+      r.harm
+          = r.count - (double)fields[FIELD_RATING_SUM] / CRDT_FIXED_POINT_ONE;
       break;
     default:
       r.count = (double)fields[FIELD_REQUESTS];
-      r.harm = (double)fields[FIELD_COST_SUM] / EVIDENCE_UNIT;
+      r.harm = (double)fields[FIELD_COST_SUM] / CRDT_FIXED_POINT_ONE;
       break;
     }
   if (r.count > 0 && budget > 0)
@@ -369,8 +370,7 @@
   memset (out, 0, FIELDS * sizeof *out);
   for (uint64_t epoch = first; epoch <= last; epoch++)
     {
-      const int64_t *sums
-          = evidence_sums (b->tiers[tier], s->keys[tier], epoch);
+      const int64_t *sums = crdt_sums (b->tiers[tier], s->keys[tier], epoch);
       for (int f = 0; sums != NULL && f < FIELDS; f++)
         out[f] += sums[f];
     }
@@ -381,7 +381,7 @@
              const series_t *s, burn_window_t window, uint64_t now_ms)
 {
   int tier = windows[window].tier;
-  uint64_t last = evidence_epoch (b->tiers[tier], now_ms);
+  uint64_t last = crdt_epoch_at (b->tiers[tier], now_ms);
   uint64_t length = windows[window].length_ms / tiers[tier].epoch_ms;
   int64_t fields[FIELDS];
 
@@ -441,11 +441,11 @@
     line->rates[w] = series_rate (b, &o->asked, kind, line->all,
                                   (burn_window_t)w, now_ms);
   line->state = "ok";
-  if (line->rates[BURN_6H].rate > BURN_TICKET
-      && line->rates[BURN_3D].rate > BURN_TICKET)
+  if (line->rates[BURN_6H].rate > BURN_TICKET_RATE
+      && line->rates[BURN_3D].rate > BURN_TICKET_RATE)
     line->state = "ticket";
-  if (line->rates[BURN_5M].rate >= BURN_PAGE
-      && line->rates[BURN_1H].rate >= BURN_PAGE)
+  if (line->rates[BURN_5M].rate >= BURN_PAGE_RATE
+      && line->rates[BURN_1H].rate >= BURN_PAGE_RATE)
     line->state = "page";
   return true;
 }
@@ -673,7 +673,7 @@
 static void
 html_plot (const burn_t *b, const line_t *line, uint64_t now_ms, buf_t *out)
 {
-  uint64_t last = evidence_epoch (b->tiers[TIER_HOUR], now_ms);
+  uint64_t last = crdt_epoch_at (b->tiers[TIER_HOUR], now_ms);
   double budget = budget_of (&line->objective->asked, line->kind);
   double step = (double)(PLOT_WIDTH - PLOT_LEFT) / PLOT_HOURS;
   burn_rate_t hours[PLOT_HOURS];
@@ -686,7 +686,7 @@
       uint64_t epoch = last > ago ? last - ago : 0;
       sum_epochs (b, line->all, TIER_HOUR, epoch, epoch, fields);
       hours[h] = rate_of (fields, line->kind, budget);
-      top = fmax (top, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE));
+      top = fmax (top, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE));
     }
   buf_printf (out,
               "<svg viewBox='0 0 %d %d' role='img' aria-label='Burn rate of "
@@ -701,17 +701,17 @@
                   "<rect x='%.1f' y='%.1f' width='%.1f' height='%.1f' "
                   "class='%s'><title>%d h ago: %.2f on %.0f</title></rect>\n",
                   PLOT_LEFT + h * step, y, step - 1, plot_y (0, top) - y + 1,
-                  hours[h].rate >= BURN_PAGE    ? "page"
-                  : hours[h].rate > BURN_TICKET ? "ticket"
-                                                : "ok",
+                  hours[h].rate >= BURN_PAGE_RATE    ? "page"
+                  : hours[h].rate > BURN_TICKET_RATE ? "ticket"
+                                                     : "ok",
                   PLOT_HOURS - 1 - h, hours[h].rate, hours[h].count);
     }
   plot_rule (0, top, "0", out);
   /* Under a high top the labels of 0 and 1 would cover each other.  */
   bool apart = plot_y (0, top) - plot_y (1, top) >= LABEL_HEIGHT;
   plot_rule (1, top, apart ? "1" : "", out);
-  if (top > BURN_PAGE)
-    plot_rule (BURN_PAGE, top, "14.4", out);
+  if (top > BURN_PAGE_RATE)
+    plot_rule (BURN_PAGE_RATE, top, "14.4", out);
   buf_printf (out,
               "<text x='%d' y='%d' class='axis'>3 days ago</text>"
               "<text x='%d' y='%d' class='axis' text-anchor='end'>now</text>"
@@ -851,21 +851,21 @@
   for (size_t i = 0; i < b->series_count; i++)
     sorted[i] = &b->series[i];
   qsort (sorted, b->series_count, sizeof (const series_t *), compare_series);
-  evidence_put (out, FORMAT);
-  evidence_put (out, b->series_count);
+  crdt_write_varint (out, FORMAT);
+  crdt_write_varint (out, b->series_count);
   for (size_t i = 0; i < b->series_count; i++)
     {
       str_t name = str_from (sorted[i]->name);
-      evidence_put (out, sorted[i]->objective);
-      evidence_put (out, sorted[i]->split);
-      evidence_put (out, name.len);
+      crdt_write_varint (out, sorted[i]->objective);
+      crdt_write_varint (out, sorted[i]->split);
+      crdt_write_varint (out, name.len);
       buf_append_str (out, name);
     }
   for (int t = 0; t < TIERS; t++)
     {
       buf_t part = BUF_NULL;
-      evidence_write (b->tiers[t], own_only, &part);
-      evidence_put (out, part.len);
+      crdt_write (b->tiers[t], own_only, &part);
+      crdt_write_varint (out, part.len);
       buf_append_str (out, buf_str (&part));
       buf_free (&part);
     }
@@ -874,8 +874,8 @@
 static bool
 take_series (str_t *rest, uint64_t *objective, uint64_t *split, str_t *name)
 {
-  return evidence_take (rest, objective) && evidence_take (rest, split)
-         && *split < BURN_SPLIT_COUNT && evidence_take_str (rest, name)
+  return crdt_read_varint (rest, objective) && crdt_read_varint (rest, split)
+         && *split < BURN_SPLIT_COUNT && crdt_read_string (rest, name)
          && name->len <= NAME_MAX_BYTES;
 }
 
@@ -888,16 +888,16 @@
   str_t name = STR_NULL;
   str_t parts[TIERS];
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &count) || count > BURN_SERIES_MAX)
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &count) || count > BURN_SERIES_MAX)
     return VH_E_PROTOCOL;
   str_t names = bytes;
   for (uint64_t i = 0; i < count; i++)
     if (!take_series (&bytes, &objective, &split, &name))
       return VH_E_PROTOCOL;
   for (int t = 0; t < TIERS; t++)
-    if (!evidence_take_str (&bytes, &parts[t])
-        || !evidence_valid (b->tiers[t], parts[t]))
+    if (!crdt_read_string (&bytes, &parts[t])
+        || !crdt_is_valid (b->tiers[t], parts[t]))
       return VH_E_PROTOCOL;
   if (bytes.len != 0)
     return VH_E_PROTOCOL;
@@ -905,18 +905,18 @@
        i < count && take_series (&names, &objective, &split, &name); i++)
     series_get (b, objective, (burn_split_t)split, name);
   for (int t = 0; t < TIERS; t++)
-    evidence_merge (b->tiers[t], parts[t], now_ms);
+    crdt_merge (b->tiers[t], parts[t], now_ms);
   return VH_OK;
 }
 
 void
-burn_settle (burn_t *b, uint64_t generation, uint64_t now_ms)
+burn_compact (burn_t *b, uint64_t generation, uint64_t now_ms)
 {
   for (int t = 0; t < TIERS; t++)
     {
-      uint64_t now_epoch = evidence_epoch (b->tiers[t], now_ms);
-      uint64_t epoch = evidence_first (b->tiers[t]);
+      uint64_t now_epoch = crdt_epoch_at (b->tiers[t], now_ms);
+      uint64_t epoch = crdt_first_epoch (b->tiers[t]);
       for (; epoch + 2 <= now_epoch; epoch++)
-        evidence_settle (b->tiers[t], epoch, generation);
+        crdt_compact (b->tiers[t], epoch, generation);
     }
 }
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -10,9 +10,9 @@
    day budget's fiftieth in an hour.  Four windows are kept: 5 minutes, 1
    hour, 6 hours and 3 days, the pairs of "The Site Reliability Workbook"
    (2018), chapter 5: both of a pair must burn, so that an alert is neither
-   raised by a blip nor kept up by what is over.  BURN_PAGE for 5 minutes and
-   1 hour, BURN_TICKET for 6 hours and 3 days are its figures.  The budget
-   left is that of three days.
+   raised by a blip nor kept up by what is over.  BURN_PAGE_RATE for 5 minutes
+   and 1 hour, BURN_TICKET_RATE for 6 hours and 3 days are its figures.  The
+   budget left is that of three days.
 
    Cost and memory are bounded: sums are kept for the whole and for each
    team, model, version and zone by itself, not for their combinations; at
@@ -36,8 +36,8 @@
   BURN_CELLS_DEFAULT = 20480
 };
 
-#define BURN_PAGE 14.4
-#define BURN_TICKET 1.0
+#define BURN_PAGE_RATE 14.4
+#define BURN_TICKET_RATE 1.0
 
 /* X (symbol, name, seconds).  */
 #define BURN_WINDOWS(X)                                                       \
@@ -141,7 +141,8 @@
 void burn_observe (burn_t *burn, const burn_sample_t *sample, uint64_t now_ms);
 /* Count a rating that came after the request's end; only the names and the
    rating of SAMPLE are used.  */
-void burn_rated (burn_t *burn, const burn_sample_t *sample, uint64_t now_ms);
+void burn_observe_rating (burn_t *burn, const burn_sample_t *sample,
+                          uint64_t now_ms);
 
 /* Burn of KIND of objective INDEX over WINDOW, for NAME of SPLIT (BURN_ALL:
    NAME is ignored).  Rate 0 when nothing is known or it is not asked.  */
@@ -160,6 +161,6 @@
 /* State for the table and for other processes, as in evidence.h.  */
 void burn_write (const burn_t *burn, bool own_only, buf_t *out);
 vh_code_t burn_merge (burn_t *burn, str_t bytes, uint64_t now_ms);
-void burn_settle (burn_t *burn, uint64_t generation, uint64_t now_ms);
+void burn_compact (burn_t *burn, uint64_t generation, uint64_t now_ms);
 
 #endif
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -51,17 +51,17 @@
 typedef struct
 {
   bool filled;
-  uint64_t at_ms;     /* Time at which the sums were computed.  */
-  uint64_t changes;   /* State of the evidence at AT_MS (evidence_changes).  */
-  double first_count; /* Number of first ratings.  */
-  double audit_count; /* Number of audits.  */
-  double audit_sum;   /* Sum of the audit ratings.  */
+  uint64_t at_ms;   /* Time at which the sums were computed.  */
+  uint64_t changes; /* State of the evidence at AT_MS (crdt_change_count).  */
+  double first_count;   /* Number of first ratings.  */
+  double audit_count;   /* Number of audits.  */
+  double audit_sum;     /* Sum of the audit ratings.  */
   double audit_squares; /* Sum of the squares of the audit ratings.  */
 } decayed_sums_t;
 
 struct cascade
 {
-  evidence_t *evidence;
+  crdt_t *evidence;
   decayed_sums_t *cache; /* Decayed sums by key index.  */
   /* Weight of an epoch by its age in epochs.  */
   double decay[CASCADE_EPOCHS + 1];
@@ -81,15 +81,15 @@
 cascade_t *
 cascade_create (uint64_t writer)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = CASCADE_EPOCH_MS,
-                                       .epochs = CASCADE_EPOCHS,
-                                       .fields = FIELDS,
-                                       .keys_max = CASCADE_KEYS_MAX,
-                                       .cells_max = CASCADE_CELLS_MAX };
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = CASCADE_EPOCH_MS,
+                                   .epochs = CASCADE_EPOCHS,
+                                   .fields = FIELDS,
+                                   .keys_max = CASCADE_KEYS_MAX,
+                                   .cells_max = CASCADE_CELLS_MAX };
   cascade_t *c = mem_zalloc (sizeof *c);
 
-  c->evidence = evidence_create (&options);
+  c->evidence = crdt_create (&options);
   c->cache = mem_zalloc (CASCADE_KEYS_MAX * sizeof *c->cache);
   for (int age = 0; age <= CASCADE_EPOCHS; age++)
     c->decay[age]
@@ -102,7 +102,7 @@
 {
   if (c == NULL)
     return;
-  evidence_destroy (c->evidence);
+  crdt_destroy (c->evidence);
   free (c->cache);
   free (c);
 }
@@ -142,11 +142,12 @@
     {
       double clipped = fmax (0, fmin (1, audit));
       sample[FIELD_AUDIT_COUNT] = 1;
-      sample[FIELD_AUDIT_SUM] = evidence_fixed (clipped);
-      sample[FIELD_AUDIT_SQUARES] = evidence_fixed (clipped * clipped);
+      sample[FIELD_AUDIT_SUM] = crdt_to_fixed_point (clipped);
+      sample[FIELD_AUDIT_SQUARES] = crdt_to_fixed_point (clipped * clipped);
     }
-  int key = evidence_key (c->evidence, bin_hash (curve, bin_of (rating)));
-  evidence_add (c->evidence, key, now_ms, sample);
+  int key
+      = crdt_key_find_or_add (c->evidence, bin_hash (curve, bin_of (rating)));
+  crdt_add (c->evidence, key, now_ms, sample);
 }
 
 void
@@ -170,24 +171,25 @@
 compute_sums (const cascade_t *c, int key, uint64_t now_ms,
               decayed_sums_t *out)
 {
-  uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
-  uint64_t last = evidence_last (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
+  uint64_t last = crdt_last_epoch (c->evidence);
 
   *out = (decayed_sums_t){ .filled = true,
                            .at_ms = now_ms,
-                           .changes = evidence_changes (c->evidence) };
-  for (uint64_t epoch = evidence_first (c->evidence); epoch <= last; epoch++)
+                           .changes = crdt_change_count (c->evidence) };
+  for (uint64_t epoch = crdt_first_epoch (c->evidence); epoch <= last; epoch++)
     {
-      const int64_t *sums = evidence_sums (c->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (c->evidence, key, epoch);
       if (sums == NULL)
         continue;
       uint64_t age = now_epoch > epoch ? now_epoch - epoch : 0;
       double decay = c->decay[age < CASCADE_EPOCHS ? age : CASCADE_EPOCHS];
       out->first_count += decay * (double)sums[FIELD_FIRST_COUNT];
       out->audit_count += decay * (double)sums[FIELD_AUDIT_COUNT];
-      out->audit_sum += decay * (double)sums[FIELD_AUDIT_SUM] / EVIDENCE_UNIT;
+      out->audit_sum
+          += decay * (double)sums[FIELD_AUDIT_SUM] / CRDT_FIXED_POINT_ONE;
       out->audit_squares
-          += decay * (double)sums[FIELD_AUDIT_SQUARES] / EVIDENCE_UNIT;
+          += decay * (double)sums[FIELD_AUDIT_SQUARES] / CRDT_FIXED_POINT_ONE;
     }
 }
 
@@ -203,7 +205,7 @@
     return &none;
   decayed_sums_t *cache = &c->cache[key];
   bool is_stale = now_ms - cache->at_ms >= CACHE_MS
-                  && (cache->changes != evidence_changes (c->evidence)
+                  && (cache->changes != crdt_change_count (c->evidence)
                       || now_ms - cache->at_ms >= CASCADE_EPOCH_MS / 4);
   if (!cache->filled || now_ms < cache->at_ms || is_stale)
     compute_sums (c, key, now_ms, cache);
@@ -218,7 +220,7 @@
   curve->audit_sum = 0;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      int key = evidence_find (c->evidence, bin_hash (hash, b));
+      int key = crdt_key_find (c->evidence, bin_hash (hash, b));
       curve->bins[b] = *get_sums (c, key, now_ms);
       curve->first_count += curve->bins[b].first_count;
       curve->audit_count += curve->bins[b].audit_count;
@@ -800,7 +802,7 @@
                    .time_budget_ms = (double)request->deadline_left_ms
                                      * CASCADE_DEADLINE_SHARE };
 
-  evidence_advance (c->evidence, now_ms);
+  crdt_advance (c->evidence, now_ms);
   d.strongest = find_strongest (&d);
   cascade_plan_t plan = make_plan (&d, rng);
   c->plan_counts[plan.reason]++;
@@ -810,23 +812,23 @@
 void
 cascade_fold_epochs (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (c->evidence, now_ms);
-  uint64_t epoch = evidence_first (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (c->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (c->evidence, epoch, generation);
+    crdt_compact (c->evidence, epoch, generation);
 }
 
 void
 cascade_write (const cascade_t *c, bool own_only, buf_t *out)
 {
-  evidence_write (c->evidence, own_only, out);
+  crdt_write (c->evidence, own_only, out);
 }
 
 vh_code_t
 cascade_merge (cascade_t *c, str_t bytes, uint64_t now_ms)
 {
-  return evidence_merge (c->evidence, bytes, now_ms);
+  return crdt_merge (c->evidence, bytes, now_ms);
 }
 
 static const struct
--- a/packages/policy/drain.c
+++ b/packages/policy/drain.c
@@ -21,7 +21,7 @@
 
   drain->clock = clock;
   drain->grace_ms = grace_ms > 0 ? grace_ms : DRAIN_GRACE_MS;
-  drain->bound_ms = bound_ms > 0 ? bound_ms : DRAIN_BOUND_MS;
+  drain->bound_ms = bound_ms > 0 ? bound_ms : DRAIN_TIMEOUT_MS;
   return drain;
 }
 
@@ -32,7 +32,7 @@
 }
 
 bool
-drain_begin (drain_t *drain)
+drain_start (drain_t *drain)
 {
   if (drain->state != DRAIN_SERVING)
     return false;
@@ -48,7 +48,7 @@
 }
 
 drain_state_t
-drain_step (drain_t *drain, uint32_t in_hand)
+drain_update (drain_t *drain, uint32_t in_hand)
 {
   if (drain->state == DRAIN_ANNOUNCED
       && stopping_ms (drain) >= drain->grace_ms)
@@ -67,19 +67,19 @@
 }
 
 bool
-drain_accepts (const drain_t *drain)
+drain_accepts_requests (const drain_t *drain)
 {
   return drain->state == DRAIN_SERVING || drain->state == DRAIN_ANNOUNCED;
 }
 
 bool
-drain_healthy (const drain_t *drain)
+drain_is_healthy (const drain_t *drain)
 {
   return drain->state == DRAIN_SERVING;
 }
 
 uint64_t
-drain_next_ms (const drain_t *drain)
+drain_ms_to_next_state (const drain_t *drain)
 {
   uint64_t at_ms = drain->bound_ms;
   uint64_t now_ms;
@@ -93,7 +93,7 @@
 }
 
 uint32_t
-drain_cut (const drain_t *drain)
+drain_unfinished_at_timeout (const drain_t *drain)
 {
   return drain->cut;
 }
--- a/packages/policy/drain.h
+++ b/packages/policy/drain.h
@@ -11,7 +11,7 @@
 
    - DRAIN_GRACE_MS 5000: a balancer's health check every second or two, three
      misses to notice.
-   - DRAIN_BOUND_MS 600000: drafts take minutes; none seen took ten.  */
+   - DRAIN_TIMEOUT_MS 600000: drafts take minutes; none seen took ten.  */
 
 #ifndef POLICY_DRAIN_H
 #define POLICY_DRAIN_H
@@ -23,7 +23,7 @@
 enum
 {
   DRAIN_GRACE_MS = 5000,
-  DRAIN_BOUND_MS = 600000
+  DRAIN_TIMEOUT_MS = 600000
 };
 
 typedef struct drain drain_t;
@@ -44,21 +44,21 @@
 
 /* The signal to stop came.  Return whether it was the first; any other
    changes nothing.  */
-bool drain_begin (drain_t *drain);
+bool drain_start (drain_t *drain);
 
 /* Move on, with IN_HAND requests (and bills and answers not handed over)
    left; return the state.  */
-drain_state_t drain_step (drain_t *drain, uint32_t in_hand);
+drain_state_t drain_update (drain_t *drain, uint32_t in_hand);
 
 /* Whether new work is taken, and whether the health page still says well.  */
-bool drain_accepts (const drain_t *drain);
-bool drain_healthy (const drain_t *drain);
+bool drain_accepts_requests (const drain_t *drain);
+bool drain_is_healthy (const drain_t *drain);
 
 /* Return in how many milliseconds the state may next change by time alone;
    UINT64_MAX for never.  */
-uint64_t drain_next_ms (const drain_t *drain);
+uint64_t drain_ms_to_next_state (const drain_t *drain);
 
 /* Return how many requests the bound cut off; 0 when the stop was clean.  */
-uint32_t drain_cut (const drain_t *drain);
+uint32_t drain_unfinished_at_timeout (const drain_t *drain);
 
 #endif
--- a/packages/policy/evidence.c
+++ b/packages/policy/evidence.c
@@ -22,7 +22,7 @@
 
 struct evidence
 {
-  evidence_options_t options;
+  crdt_options_t options;
   uint64_t *hashes; /* By key index.  */
   uint32_t keys;
   uint32_t *key_table; /* Key index + 1 by hash; a power of two.  */
@@ -50,10 +50,10 @@
   return size;
 }
 
-evidence_t *
-evidence_create (const evidence_options_t *options)
+crdt_t *
+crdt_create (const crdt_options_t *options)
 {
-  evidence_t *e = mem_zalloc (sizeof *e);
+  crdt_t *e = mem_zalloc (sizeof *e);
   uint32_t cells = table_size (options->cells_max);
   uint32_t keys = table_size (options->keys_max);
   size_t fields = options->fields;
@@ -74,7 +74,7 @@
 }
 
 void
-evidence_destroy (evidence_t *e)
+crdt_destroy (crdt_t *e)
 {
   if (e == NULL)
     return;
@@ -99,7 +99,7 @@
 
 /* Return the place in the key table of HASH, taken or free.  */
 static uint32_t
-key_place (const evidence_t *e, uint64_t hash)
+key_place (const crdt_t *e, uint64_t hash)
 {
   uint32_t at = (uint32_t)mix (hash) & e->key_mask;
 
@@ -109,13 +109,13 @@
 }
 
 int
-evidence_find (const evidence_t *e, uint64_t hash)
+crdt_key_find (const crdt_t *e, uint64_t hash)
 {
   return (int)e->key_table[key_place (e, hash)] - 1;
 }
 
 int
-evidence_key (evidence_t *e, uint64_t hash)
+crdt_key_find_or_add (crdt_t *e, uint64_t hash)
 {
   uint32_t at = key_place (e, hash);
 
@@ -130,7 +130,7 @@
 }
 
 static int64_t *
-sums_at (const evidence_t *e, uint32_t key, uint64_t epoch)
+sums_at (const crdt_t *e, uint32_t key, uint64_t epoch)
 {
   size_t slot = epoch % e->options.epochs;
 
@@ -139,14 +139,14 @@
 }
 
 static int64_t *
-values_at (const evidence_t *e, uint32_t cell)
+values_at (const crdt_t *e, uint32_t cell)
 {
   return e->values + (size_t)cell * e->options.fields;
 }
 
 /* Return the place of the cell, taken or free.  */
 static uint32_t
-cell_place (const evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
+cell_place (const crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch)
 {
   uint64_t hash = mix (writer ^ mix (epoch ^ ((uint64_t)key << 40)));
   uint32_t at = (uint32_t)hash & e->cell_mask;
@@ -161,7 +161,7 @@
 /* Rebuild the table without the cells of epochs below FLOOR and of epoch
    ONE.  */
 static void
-cells_rebuild (evidence_t *e, uint64_t floor, uint64_t one)
+cells_rebuild (crdt_t *e, uint64_t floor, uint64_t one)
 {
   size_t size = (size_t)e->cell_mask + 1;
   size_t fields = e->options.fields;
@@ -187,7 +187,7 @@
 }
 
 static void
-clear_epoch (evidence_t *e, uint64_t epoch)
+clear_epoch (crdt_t *e, uint64_t epoch)
 {
   e->generations[epoch % e->options.epochs] = 0;
   for (uint32_t key = 0; key < e->keys; key++)
@@ -196,7 +196,7 @@
 
 /* Make FLOOR the first epoch kept.  */
 static void
-raise_floor (evidence_t *e, uint64_t floor)
+raise_floor (crdt_t *e, uint64_t floor)
 {
   if (floor <= e->floor)
     return;
@@ -211,13 +211,13 @@
 }
 
 uint64_t
-evidence_epoch (const evidence_t *e, uint64_t now_ms)
+crdt_epoch_at (const crdt_t *e, uint64_t now_ms)
 {
   return now_ms / e->options.epoch_ms;
 }
 
 static void
-advance_to (evidence_t *e, uint64_t epoch)
+advance_to (crdt_t *e, uint64_t epoch)
 {
   if (epoch > e->last)
     e->last = epoch;
@@ -226,15 +226,15 @@
 }
 
 void
-evidence_advance (evidence_t *e, uint64_t now_ms)
+crdt_advance (crdt_t *e, uint64_t now_ms)
 {
-  advance_to (e, evidence_epoch (e, now_ms));
+  advance_to (e, crdt_epoch_at (e, now_ms));
 }
 
 /* Return the cell's place, made at need; the epoch must be kept.  Return
    false when making room would forget the epoch itself.  */
 static bool
-cell_get (evidence_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
+cell_get (crdt_t *e, uint32_t key, uint64_t writer, uint64_t epoch,
           uint32_t *at)
 {
   *at = cell_place (e, key, writer, epoch);
@@ -254,9 +254,9 @@
 }
 
 bool
-evidence_add (evidence_t *e, int key, uint64_t now_ms, const int64_t *sample)
+crdt_add (crdt_t *e, int key, uint64_t now_ms, const int64_t *sample)
 {
-  uint64_t epoch = evidence_epoch (e, now_ms);
+  uint64_t epoch = crdt_epoch_at (e, now_ms);
   uint32_t at;
 
   advance_to (e, epoch);
@@ -278,19 +278,19 @@
 }
 
 uint64_t
-evidence_first (const evidence_t *e)
+crdt_first_epoch (const crdt_t *e)
 {
   return e->floor;
 }
 
 uint64_t
-evidence_last (const evidence_t *e)
+crdt_last_epoch (const crdt_t *e)
 {
   return e->last;
 }
 
 const int64_t *
-evidence_sums (const evidence_t *e, int key, uint64_t epoch)
+crdt_sums (const crdt_t *e, int key, uint64_t epoch)
 {
   if (key < 0 || epoch < e->floor || epoch > e->last)
     return NULL;
@@ -299,14 +299,14 @@
 }
 
 uint64_t
-evidence_changes (const evidence_t *e)
+crdt_change_count (const crdt_t *e)
 {
   return e->changes;
 }
 
 /* Tell whether anything is kept for EPOCH.  */
 static bool
-epoch_used (const evidence_t *e, uint64_t epoch)
+epoch_used (const crdt_t *e, uint64_t epoch)
 {
   for (uint32_t key = 0; key < e->keys; key++)
     if (sums_at (e, key, epoch)[0] != 0)
@@ -315,7 +315,7 @@
 }
 
 bool
-evidence_settle (evidence_t *e, uint64_t epoch, uint64_t generation)
+crdt_compact (crdt_t *e, uint64_t epoch, uint64_t generation)
 {
   uint64_t *current = &e->generations[epoch % e->options.epochs];
 
@@ -336,15 +336,15 @@
 }
 
 int64_t
-evidence_fixed (double value)
+crdt_to_fixed_point (double value)
 {
   if (!isfinite (value))
     return 0;
-  return llround (fmax (-1e9, fmin (1e9, value)) * EVIDENCE_UNIT);
+  return llround (fmax (-1e9, fmin (1e9, value)) * CRDT_FIXED_POINT_ONE);
 }
 
 void
-evidence_put (buf_t *out, uint64_t n)
+crdt_write_varint (buf_t *out, uint64_t n)
 {
   for (; n >= 0x80; n >>= 7)
     buf_append_char (out, (char)(n | 0x80));
@@ -352,7 +352,7 @@
 }
 
 bool
-evidence_take (str_t *rest, uint64_t *n)
+crdt_read_varint (str_t *rest, uint64_t *n)
 {
   uint64_t value = 0;
 
@@ -372,11 +372,11 @@
 }
 
 bool
-evidence_take_str (str_t *rest, str_t *s)
+crdt_read_string (str_t *rest, str_t *s)
 {
   uint64_t len;
 
-  if (!evidence_take (rest, &len) || len > rest->len)
+  if (!crdt_read_varint (rest, &len) || len > rest->len)
     return false;
   *s = str_make (rest->ptr, len);
   rest->ptr += len;
@@ -424,25 +424,25 @@
 }
 
 static void
-put_entry (const evidence_t *e, const entry_t *entry, buf_t *out)
+put_entry (const crdt_t *e, const entry_t *entry, buf_t *out)
 {
-  evidence_put (out, entry->epoch);
+  crdt_write_varint (out, entry->epoch);
   buf_append (out, &entry->hash, sizeof entry->hash);
   buf_append (out, &entry->writer, sizeof entry->writer);
   for (uint32_t f = 0; f < e->options.fields; f++)
-    evidence_put (out, zigzag (entry->values[f]));
+    crdt_write_varint (out, zigzag (entry->values[f]));
 }
 
 /* Tell whether cell C goes into a message for peers.  */
 static bool
-is_news (const evidence_t *e, const cell_t *c)
+is_news (const crdt_t *e, const cell_t *c)
 {
   return c->writer == e->options.writer
-         && c->epoch + EVIDENCE_NEWS_EPOCHS > e->last;
+         && c->epoch + CRDT_RECENT_EPOCHS > e->last;
 }
 
 void
-evidence_write (const evidence_t *e, bool own_only, buf_t *out)
+crdt_write (const crdt_t *e, bool own_only, buf_t *out)
 {
   entry_t *entries = mem_alloc ((e->cell_count + 1) * sizeof *entries);
   size_t count = 0;
@@ -459,17 +459,17 @@
   qsort (entries, count, sizeof *entries, compare_entries);
   for (uint64_t epoch = e->floor; epoch <= e->last; epoch++)
     generations += e->generations[epoch % e->options.epochs] != 0;
-  evidence_put (out, FORMAT);
-  evidence_put (out, e->options.fields);
-  evidence_put (out, e->options.epoch_ms);
-  evidence_put (out, generations);
+  crdt_write_varint (out, FORMAT);
+  crdt_write_varint (out, e->options.fields);
+  crdt_write_varint (out, e->options.epoch_ms);
+  crdt_write_varint (out, generations);
   for (uint64_t epoch = e->floor; epoch <= e->last; epoch++)
     if (e->generations[epoch % e->options.epochs] != 0)
       {
-        evidence_put (out, epoch);
-        evidence_put (out, e->generations[epoch % e->options.epochs]);
+        crdt_write_varint (out, epoch);
+        crdt_write_varint (out, e->generations[epoch % e->options.epochs]);
       }
-  evidence_put (out, count);
+  crdt_write_varint (out, count);
   for (size_t i = 0; i < count; i++)
     put_entry (e, &entries[i], out);
   free (entries);
@@ -488,15 +488,15 @@
 
 /* Take one cell off *REST into *ENTRY and VALUES.  */
 static bool
-take_entry (const evidence_t *e, str_t *rest, entry_t *entry, int64_t *values)
+take_entry (const crdt_t *e, str_t *rest, entry_t *entry, int64_t *values)
 {
-  if (!evidence_take (rest, &entry->epoch) || !take_word (rest, &entry->hash)
-      || !take_word (rest, &entry->writer))
+  if (!crdt_read_varint (rest, &entry->epoch)
+      || !take_word (rest, &entry->hash) || !take_word (rest, &entry->writer))
     return false;
   for (uint32_t f = 0; f < e->options.fields; f++)
     {
       uint64_t raw;
-      if (!evidence_take (rest, &raw) || raw >> VALUE_BITS_MAX != 0)
+      if (!crdt_read_varint (rest, &raw) || raw >> VALUE_BITS_MAX != 0)
         return false;
       values[f] = unzigzag (raw);
     }
@@ -518,14 +518,14 @@
 
 /* Tell whether EPOCH may be kept at NOW_EPOCH.  */
 static bool
-epoch_fits (const evidence_t *e, uint64_t epoch, uint64_t now_epoch)
+epoch_fits (const crdt_t *e, uint64_t epoch, uint64_t now_epoch)
 {
   return epoch >= e->floor && epoch <= now_epoch + 1
          && epoch + e->options.epochs > now_epoch;
 }
 
 static void
-merge_generation (evidence_t *e, uint64_t epoch, uint64_t generation)
+merge_generation (crdt_t *e, uint64_t epoch, uint64_t generation)
 {
   uint64_t *current = &e->generations[epoch % e->options.epochs];
 
@@ -537,9 +537,9 @@
 }
 
 static void
-merge_entry (evidence_t *e, const entry_t *entry)
+merge_entry (crdt_t *e, const entry_t *entry)
 {
-  int key = evidence_key (e, entry->hash);
+  int key = crdt_key_find_or_add (e, entry->hash);
   uint32_t at;
 
   if (key < 0 || !cell_get (e, (uint32_t)key, entry->writer, entry->epoch, &at)
@@ -566,20 +566,22 @@
 /* Split BYTES.  Return false when the header is malformed or is that of
    other evidence.  */
 static bool
-take_header (const evidence_t *e, str_t bytes, message_parts_t *parts)
+take_header (const crdt_t *e, str_t bytes, message_parts_t *parts)
 {
   uint64_t format, fields, epoch_ms, ignored;
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &fields) || fields != e->options.fields
-      || !evidence_take (&bytes, &epoch_ms) || epoch_ms != e->options.epoch_ms
-      || !evidence_take (&bytes, &parts->settled_count))
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &fields) || fields != e->options.fields
+      || !crdt_read_varint (&bytes, &epoch_ms)
+      || epoch_ms != e->options.epoch_ms
+      || !crdt_read_varint (&bytes, &parts->settled_count))
     return false;
   parts->settled = bytes;
   for (uint64_t i = 0; i < parts->settled_count; i++)
-    if (!evidence_take (&bytes, &ignored) || !evidence_take (&bytes, &ignored))
+    if (!crdt_read_varint (&bytes, &ignored)
+        || !crdt_read_varint (&bytes, &ignored))
       return false;
-  if (!evidence_take (&bytes, &parts->cell_count))
+  if (!crdt_read_varint (&bytes, &parts->cell_count))
     return false;
   parts->cells = bytes;
   return true;
@@ -587,9 +589,9 @@
 
 /* Tell whether every cell is well formed and nothing follows them.  */
 static bool
-cells_valid (const evidence_t *e, const message_parts_t *parts)
+cells_valid (const crdt_t *e, const message_parts_t *parts)
 {
-  int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
+  int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = parts->cells;
   entry_t entry;
 
@@ -608,21 +610,22 @@
   uint64_t generation = 0;
 
   for (uint64_t i = 0; i < parts->settled_count; i++)
-    if (evidence_take (&rest, &of) && evidence_take (&rest, &generation)
+    if (crdt_read_varint (&rest, &of) && crdt_read_varint (&rest, &generation)
         && of == epoch)
       return generation;
   return 0;
 }
 
 static void
-merge_settled (evidence_t *e, const message_parts_t *parts, uint64_t now_epoch)
+merge_settled (crdt_t *e, const message_parts_t *parts, uint64_t now_epoch)
 {
   str_t rest = parts->settled;
   uint64_t epoch = 0;
   uint64_t generation = 0;
 
   for (uint64_t i = 0; i < parts->settled_count; i++)
-    if (evidence_take (&rest, &epoch) && evidence_take (&rest, &generation)
+    if (crdt_read_varint (&rest, &epoch)
+        && crdt_read_varint (&rest, &generation)
         && epoch_fits (e, epoch, now_epoch))
       {
         advance_to (e, epoch);
@@ -631,9 +634,9 @@
 }
 
 static void
-merge_cells (evidence_t *e, const message_parts_t *parts, uint64_t now_epoch)
+merge_cells (crdt_t *e, const message_parts_t *parts, uint64_t now_epoch)
 {
-  int64_t values[EVIDENCE_FIELDS_MAX] = { 0 };
+  int64_t values[CRDT_FIELDS_MAX] = { 0 };
   str_t rest = parts->cells;
   entry_t entry;
 
@@ -652,7 +655,7 @@
 }
 
 bool
-evidence_valid (const evidence_t *e, str_t bytes)
+crdt_is_valid (const crdt_t *e, str_t bytes)
 {
   message_parts_t parts = { 0 };
 
@@ -660,9 +663,9 @@
 }
 
 vh_code_t
-evidence_merge (evidence_t *e, str_t bytes, uint64_t now_ms)
+crdt_merge (crdt_t *e, str_t bytes, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (e, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (e, now_ms);
   message_parts_t parts = { 0 };
 
   if (!take_header (e, bytes, &parts) || !cells_valid (e, &parts))
--- a/packages/policy/evidence.h
+++ b/packages/policy/evidence.h
@@ -8,9 +8,9 @@
    The state is a join semilattice.  Each writer owns one cell for each (key,
    epoch) and only ever adds to it; field 0 counts its additions, so of two
    copies of a cell the one with the larger field 0 is the newer one and
-   merging is taking it.  All fields are integers (EVIDENCE_UNIT to one), so
-   that sums are the same in any order.  A writer id belongs to one life of
-   one process: draw a new one at each start.
+   merging is taking it.  All fields are integers (CRDT_FIXED_POINT_ONE to
+   one), so that sums are the same in any order.  A writer id belongs to one
+   life of one process: draw a new one at each start.
 
    A lease holder may settle a closed epoch: its cells become one cell for
    each key under the lease's fencing number as generation, and the larger
@@ -26,14 +26,14 @@
 #include "base/code.h"
 #include "base/str.h"
 
-typedef struct evidence evidence_t;
+typedef struct evidence crdt_t;
 
 enum
 {
-  EVIDENCE_FIELDS_MAX = 12,
-  EVIDENCE_NEWS_EPOCHS = 4,
+  CRDT_FIELDS_MAX = 12,
+  CRDT_RECENT_EPOCHS = 4,
   /* Fixed-point units to one.  */
-  EVIDENCE_UNIT = 1000000
+  CRDT_FIXED_POINT_ONE = 1000000
 };
 
 typedef struct
@@ -44,63 +44,61 @@
   uint32_t fields;    /* Fields of a cell, field 0 included.  */
   uint32_t keys_max;  /* Distinct keys.  */
   uint32_t cells_max; /* Distinct (key, writer, epoch).  */
-} evidence_options_t;
+} crdt_options_t;
 
-evidence_t *evidence_create (const evidence_options_t *options);
+crdt_t *crdt_create (const crdt_options_t *options);
 /* NULL is accepted.  */
-void evidence_destroy (evidence_t *evidence);
+void crdt_destroy (crdt_t *evidence);
 
 /* Return the index of the key with hash HASH, made on first use; -1 when all
    keys are taken.  Indices are local to this process.  */
-int evidence_key (evidence_t *evidence, uint64_t hash);
+int crdt_key_find_or_add (crdt_t *evidence, uint64_t hash);
 /* The same without making it; -1 when there is none.  */
-int evidence_find (const evidence_t *evidence, uint64_t hash);
+int crdt_key_find (const crdt_t *evidence, uint64_t hash);
 
 /* Forget the epochs that are too old at NOW_MS (real time).  */
-void evidence_advance (evidence_t *evidence, uint64_t now_ms);
+void crdt_advance (crdt_t *evidence, uint64_t now_ms);
 /* Add SAMPLE (field 0 is ignored) to KEY at NOW_MS.  Return false when KEY is
    -1 or the time lies before everything kept.  */
-bool evidence_add (evidence_t *evidence, int key, uint64_t now_ms,
-                   const int64_t *sample);
+bool crdt_add (crdt_t *evidence, int key, uint64_t now_ms,
+               const int64_t *sample);
 
-uint64_t evidence_epoch (const evidence_t *evidence, uint64_t now_ms);
+uint64_t crdt_epoch_at (const crdt_t *evidence, uint64_t now_ms);
 /* First and last epoch that may hold anything.  */
-uint64_t evidence_first (const evidence_t *evidence);
-uint64_t evidence_last (const evidence_t *evidence);
+uint64_t crdt_first_epoch (const crdt_t *evidence);
+uint64_t crdt_last_epoch (const crdt_t *evidence);
 /* Return the sums over all writers of KEY in EPOCH, or NULL when nothing is
    kept for it.  Valid until the next call that changes EVIDENCE.  */
-const int64_t *evidence_sums (const evidence_t *evidence, int key,
-                              uint64_t epoch);
+const int64_t *crdt_sums (const crdt_t *evidence, int key, uint64_t epoch);
 /* A number that changes whenever any sum may have changed.  */
-uint64_t evidence_changes (const evidence_t *evidence);
+uint64_t crdt_change_count (const crdt_t *evidence);
 
 /* Fold the cells of EPOCH into one for each key under GENERATION, the
    fencing number of the caller's lease.  Return false, with nothing changed,
    when the epoch is empty or not kept, or has that generation or a later
    one.  */
-bool evidence_settle (evidence_t *evidence, uint64_t epoch,
-                      uint64_t generation);
+bool crdt_compact (crdt_t *evidence, uint64_t epoch, uint64_t generation);
 
 /* Append the state to OUT: all of it, or only the news for peers, this
-   writer's own cells of the last EVIDENCE_NEWS_EPOCHS.  Older ones were sent
+   writer's own cells of the last CRDT_RECENT_EPOCHS.  Older ones were sent
    while they were news, and who was away takes all of it from the table.
    The bytes of equal states are equal.  */
-void evidence_write (const evidence_t *evidence, bool own_only, buf_t *out);
-/* Tell whether evidence_merge would accept BYTES.  */
-bool evidence_valid (const evidence_t *evidence, str_t bytes);
-/* Merge what evidence_write made.  Cells over an epoch ahead of NOW_MS, which
+void crdt_write (const crdt_t *evidence, bool own_only, buf_t *out);
+/* Tell whether crdt_merge would accept BYTES.  */
+bool crdt_is_valid (const crdt_t *evidence, str_t bytes);
+/* Merge what crdt_write made.  Cells over an epoch ahead of NOW_MS, which
    a peer with a wrong clock writes, and cells older than what is kept are
    skipped.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
-vh_code_t evidence_merge (evidence_t *evidence, str_t bytes, uint64_t now_ms);
+vh_code_t crdt_merge (crdt_t *evidence, str_t bytes, uint64_t now_ms);
 
 /* VALUE in fixed point, rounded; values beyond a billion are clipped.  */
-int64_t evidence_fixed (double value);
+int64_t crdt_to_fixed_point (double value);
 
 /* Append N as a variable-length integer, seven bits a byte.  */
-void evidence_put (buf_t *out, uint64_t n);
+void crdt_write_varint (buf_t *out, uint64_t n);
 /* Take one such integer off *REST; return false when it is malformed.  */
-bool evidence_take (str_t *rest, uint64_t *n);
+bool crdt_read_varint (str_t *rest, uint64_t *n);
 /* Take a string with its length before it off *REST; it borrows.  */
-bool evidence_take_str (str_t *rest, str_t *s);
+bool crdt_read_string (str_t *rest, str_t *s);
 
 #endif
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -44,7 +44,7 @@
   outlier_t *outlier = mem_zalloc (sizeof *outlier);
 
   outlier->clock = clock;
-  outlier->share = share > 0 ? share : OUTLIER_SHARE;
+  outlier->share = share > 0 ? share : OUTLIER_EJECTED_SHARE_MAX;
   list_init (&outlier->members);
   list_init (&outlier->changed);
   return outlier;
@@ -62,7 +62,7 @@
 }
 
 outlier_member_t *
-outlier_join (outlier_t *outlier, void *owner)
+outlier_add_member (outlier_t *outlier, void *owner)
 {
   outlier_member_t *member = mem_zalloc (sizeof *member);
 
@@ -81,7 +81,7 @@
 }
 
 void
-outlier_leave (outlier_t *outlier, outlier_member_t *member)
+outlier_remove_member (outlier_t *outlier, outlier_member_t *member)
 {
   if (member->state == OUTLIER_EJECTED)
     outlier->ejected--;
@@ -116,19 +116,20 @@
 eject (outlier_t *outlier, outlier_member_t *member)
 {
   uint64_t now = clock_ms (outlier->clock);
-  uint64_t length_ms = OUTLIER_FIRST_MS;
+  uint64_t length_ms = OUTLIER_EJECTION_FIRST_MS;
 
   /* Guards against the cure that is worse: with most of a pool out the rest
      would be overloaded, look slow and be ejected in turn.  */
   if (outlier->ejected >= most_out (outlier))
     return;
-  if (member->state == OUTLIER_IN
-      && now - member->since_ms >= OUTLIER_FORGIVE_MS)
+  if (member->state == OUTLIER_ACTIVE
+      && now - member->since_ms >= OUTLIER_EJECTION_RESET_MS)
     member->times = 0;
-  for (uint32_t i = 0; i < member->times && length_ms < OUTLIER_LAST_MS; i++)
+  for (uint32_t i = 0;
+       i < member->times && length_ms < OUTLIER_EJECTION_MAX_MS; i++)
     length_ms *= 2;
-  if (length_ms > OUTLIER_LAST_MS)
-    length_ms = OUTLIER_LAST_MS;
+  if (length_ms > OUTLIER_EJECTION_MAX_MS)
+    length_ms = OUTLIER_EJECTION_MAX_MS;
   member->times++;
   member->until_ms = now + length_ms;
   set_state (outlier, member, OUTLIER_EJECTED);
@@ -152,15 +153,15 @@
     }
   /* Guards against an upstream that fails fast: always idle, it could draw
      most of the traffic until the next judgement is due.  */
-  if (member->error_run == OUTLIER_ERROR_RUN)
+  if (member->error_run == OUTLIER_CONSECUTIVE_ERRORS)
     outlier->judge_now = true;
   if (member->state == OUTLIER_TRIAL && !ok)
     eject (outlier, member);
   else if (member->state == OUTLIER_TRIAL
-           && ++member->trial_ok >= OUTLIER_TRIAL_OK)
+           && ++member->trial_ok >= OUTLIER_TRIAL_SUCCESSES)
     {
       member->since_ms = clock_ms (outlier->clock);
-      set_state (outlier, member, OUTLIER_IN);
+      set_state (outlier, member, OUTLIER_ACTIVE);
     }
 }
 
@@ -188,12 +189,13 @@
 static bool
 measurable (const outlier_member_t *member)
 {
-  return member->state == OUTLIER_IN && member->samples >= OUTLIER_SAMPLES;
+  return member->state == OUTLIER_ACTIVE
+         && member->samples >= OUTLIER_SAMPLES_MIN;
 }
 
 /* Return the median share of failures of those that are in.  Few samples are
    enough for this: a failure that all share must be seen before the first
-   member has its run of OUTLIER_ERROR_RUN.  */
+   member has its run of OUTLIER_CONSECUTIVE_ERRORS.  */
 static double
 median_errors (outlier_t *outlier)
 {
@@ -203,7 +205,7 @@
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (member->state == OUTLIER_IN && member->samples > 0)
+      if (member->state == OUTLIER_ACTIVE && member->samples > 0)
         outlier->scratch[count++] = member->errors;
     }
   return median (outlier, count);
@@ -254,25 +256,28 @@
     {
       outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
 
-      if (member->state != OUTLIER_IN)
+      if (member->state != OUTLIER_ACTIVE)
         continue;
-      if ((member->error_run >= OUTLIER_ERROR_RUN || measurable (member))
-          && member->errors > errors + OUTLIER_ERROR_GAP)
+      if ((member->error_run >= OUTLIER_CONSECUTIVE_ERRORS
+           || measurable (member))
+          && member->errors > errors + OUTLIER_ERROR_RATE_MARGIN)
         eject (outlier, member);
       else if (!measurable (member))
         continue;
-      else if (unit_us > 0 && member->unit_us > unit_us * OUTLIER_SLOW_FACTOR)
+      else if (unit_us > 0
+               && member->unit_us > unit_us * OUTLIER_LATENCY_FACTOR)
         eject (outlier, member);
     }
 }
 
 void *
-outlier_next (outlier_t *outlier, outlier_state_t *state)
+outlier_next_change (outlier_t *outlier, outlier_state_t *state)
 {
   uint64_t now = clock_ms (outlier->clock);
   outlier_member_t *member;
 
-  if (now >= outlier->judged_ms + OUTLIER_JUDGE_MS || outlier->judge_now)
+  if (now >= outlier->judged_ms + OUTLIER_EVALUATION_INTERVAL_MS
+      || outlier->judge_now)
     {
       outlier->judge_now = false;
       outlier->judged_ms = now;
@@ -294,7 +299,7 @@
 }
 
 uint32_t
-outlier_ejected (const outlier_t *outlier)
+outlier_ejected_count (const outlier_t *outlier)
 {
   return outlier->ejected;
 }
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -8,7 +8,7 @@
 {
   /* A key may lie in any place of its set.  */
   WAYS = 8,
-  SETS = POISON_KEYS / WAYS,
+  SETS = POISON_KEYS_MAX / WAYS,
   DIGEST_SEED = 1,
   REQUEST_SEED = 2,
   TEAM_SEED = 4
@@ -34,7 +34,7 @@
   poison_t *poison = mem_zalloc (sizeof *poison);
 
   poison->clock = clock;
-  poison->suspects = mem_zalloc (POISON_KEYS * sizeof (suspect_t));
+  poison->suspects = mem_zalloc (POISON_KEYS_MAX * sizeof (suspect_t));
   return poison;
 }
 
@@ -120,7 +120,7 @@
 }
 
 bool
-poison_merge (poison_t *poison, const poison_mark_t *mark)
+poison_merge (poison_t *poison, const poison_record_t *mark)
 {
   suspect_t *suspect = (suspect_t *)find_suspect (poison, mark->key);
   uint64_t now = clock_ms (poison->clock);
@@ -143,16 +143,16 @@
 }
 
 void
-poison_mark (poison_t *poison, poison_key_t digest, poison_key_t request,
-             uint64_t death)
+poison_record_crash (poison_t *poison, poison_key_t digest,
+                     poison_key_t request, uint64_t death)
 {
-  poison_merge (poison, &(poison_mark_t){ digest, death, 0 });
-  poison_merge (poison, &(poison_mark_t){ request, death, 0 });
+  poison_merge (poison, &(poison_record_t){ digest, death, 0 });
+  poison_merge (poison, &(poison_record_t){ request, death, 0 });
 }
 
-poison_verdict_t
-poison_judge (const poison_t *poison, poison_key_t digest,
-              poison_key_t request)
+poison_class_t
+poison_classify (const poison_t *poison, poison_key_t digest,
+                 poison_key_t request)
 {
   const suspect_t *by_digest = find_suspect (poison, digest);
   const suspect_t *by_request = find_suspect (poison, request);
@@ -168,8 +168,8 @@
 }
 
 bool
-poison_may_join (poison_verdict_t verdict, bool repeatable,
-                 const poison_company_t *company)
+poison_may_run_beside (poison_class_t verdict, bool repeatable,
+                       const poison_in_flight_t *company)
 {
   switch (verdict)
     {
@@ -184,9 +184,10 @@
 }
 
 bool
-poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark)
+poison_next_record (const poison_t *poison, size_t *cursor,
+                    poison_record_t *mark)
 {
-  for (; *cursor < (size_t)POISON_KEYS * POISON_DEATHS; ++*cursor)
+  for (; *cursor < (size_t)POISON_KEYS_MAX * POISON_DEATHS; ++*cursor)
     {
       const suspect_t *suspect = &poison->suspects[*cursor / POISON_DEATHS];
       size_t death = *cursor % POISON_DEATHS;
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -15,7 +15,7 @@
    Marks are pairs of key and death id, so a process may take in those of
    another in any order and any number of times.
 
-   - POISON_KEYS 4096 of 48 bytes: a death marks as many requests as an
+   - POISON_KEYS_MAX 4096 of 48 bytes: a death marks as many requests as an
      upstream runs, some dozens, under two keys; room for about thirty deaths
      at a time.  When it is full, the mark that expires first gives way, a
      refusal last.
@@ -31,7 +31,7 @@
 
 enum
 {
-  POISON_KEYS = 4096,
+  POISON_KEYS_MAX = 4096,
   POISON_EXPIRY_MS = 3600000,
   POISON_DEATHS = 2
 };
@@ -49,7 +49,7 @@
   POISON_CLEAR,
   POISON_SUSPECT,
   POISON_REFUSED
-} poison_verdict_t;
+} poison_class_t;
 
 /* One mark, as it goes between processes.  */
 typedef struct
@@ -57,14 +57,14 @@
   poison_key_t key;
   uint64_t death;
   uint64_t age_ms;
-} poison_mark_t;
+} poison_record_t;
 
-/* What runs on an upstream, for poison_may_join.  */
+/* What runs on an upstream, for poison_may_run_beside.  */
 typedef struct
 {
   uint32_t suspects;
   uint32_t not_repeatable;
-} poison_company_t;
+} poison_in_flight_t;
 
 /* CLOCK is borrowed.  */
 poison_t *poison_create (clock_iface_t *clock);
@@ -77,20 +77,21 @@
 
 /* The request with these keys was in flight where DEATH happened: an id the
    sidecar drew at random for it.  */
-void poison_mark (poison_t *poison, poison_key_t digest, poison_key_t request,
-                  uint64_t death);
+void poison_record_crash (poison_t *poison, poison_key_t digest,
+                          poison_key_t request, uint64_t death);
 
 /* Judge a request by both its keys.  */
-poison_verdict_t poison_judge (const poison_t *poison, poison_key_t digest,
-                               poison_key_t request);
+poison_class_t poison_classify (const poison_t *poison, poison_key_t digest,
+                                poison_key_t request);
 
 /* Whether a request with VERDICT may start beside COMPANY on one upstream.  */
-bool poison_may_join (poison_verdict_t verdict, bool repeatable,
-                      const poison_company_t *company);
+bool poison_may_run_beside (poison_class_t verdict, bool repeatable,
+                            const poison_in_flight_t *company);
 
 /* Take in a mark of another process; return whether it was news.  */
-bool poison_merge (poison_t *poison, const poison_mark_t *mark);
+bool poison_merge (poison_t *poison, const poison_record_t *mark);
 /* Step through the marks: start with *CURSOR 0; return false at the end.  */
-bool poison_next (const poison_t *poison, size_t *cursor, poison_mark_t *mark);
+bool poison_next_record (const poison_t *poison, size_t *cursor,
+                         poison_record_t *mark);
 
 #endif
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -52,7 +52,7 @@
   uint64_t prompts;   /* Tokens of this entry not yet read.  */
   double others;      /* Running or waiting there, not from here.  */
   uint64_t reported_ms;
-  uint64_t sends[POOL_RATE_MAX]; /* Times of the last ones, a ring.  */
+  uint64_t sends[POOL_SEND_TIMES_MAX]; /* Times of the last ones, a ring.  */
   size_t send_at;
 };
 
@@ -227,7 +227,8 @@
 }
 
 void
-pool_withdraw (pool_t *pool, str_t service, str_t version, bool withdrawn)
+pool_set_version_withdrawn (pool_t *pool, str_t service, str_t version,
+                            bool withdrawn)
 {
   buf_t key = BUF_NULL;
 
@@ -247,7 +248,7 @@
 }
 
 void
-pool_write_withdrawn (const pool_t *pool, str_t service, buf_t *out)
+pool_append_withdrawn_versions (const pool_t *pool, str_t service, buf_t *out)
 {
   size_t cursor = 0;
   str_t key;
@@ -326,7 +327,7 @@
 }
 
 void
-pool_zone_out (pool_t *pool, str_t zone, bool out)
+pool_set_zone_disabled (pool_t *pool, str_t zone, bool out)
 {
   if (out)
     map_put (pool->zones_out, zone, pool);
@@ -347,7 +348,7 @@
   const allotment_t *entries = pool->entries;
 
   if (entries == NULL)
-    return allotment_part (bound, 0, 1);
+    return allotment_share (bound, 0, 1);
   uint64_t generation = allotment_generation (entries);
   if (upstream->rank_generation != generation)
     {
@@ -355,7 +356,8 @@
                                        str_from (upstream->zone));
       upstream->rank_generation = generation;
     }
-  return allotment_part (bound, upstream->rank, allotment_size (entries));
+  return allotment_share (bound, upstream->rank,
+                          allotment_gateway_count (entries));
 }
 
 /* Requests of this entry that UPSTREAM may get in a window.  */
@@ -365,7 +367,7 @@
 {
   bool is_cold = now_ms < upstream->cold_till;
 
-  if (pool->entries != NULL && !allotment_is_known (pool->entries))
+  if (pool->entries != NULL && !allotment_is_loaded (pool->entries))
     return is_cold ? 0 : 1;
   /* A warm one may turn cold at any moment; then the bound that counts is
      the higher one that breaks it.  */
@@ -373,7 +375,7 @@
                          : (cold_per_s * pool->cold_factor + pool->cold_slack)
                                * warm_shares;
   uint32_t share = part_of (pool, upstream, bound);
-  return share < POOL_RATE_MAX - 1 ? share : POOL_RATE_MAX - 1;
+  return share < POOL_SEND_TIMES_MAX - 1 ? share : POOL_SEND_TIMES_MAX - 1;
 }
 
 /* Tell whether UPSTREAM had fewer sends in the last window than it may.  */
@@ -386,8 +388,9 @@
   uint32_t share = rate_share (pool, upstream, cold_per_s, now_ms);
   if (share == 0)
     return false;
-  uint64_t oldest = upstream->sends[(upstream->send_at + POOL_RATE_MAX - share)
-                                    % POOL_RATE_MAX];
+  uint64_t oldest
+      = upstream->sends[(upstream->send_at + POOL_SEND_TIMES_MAX - share)
+                        % POOL_SEND_TIMES_MAX];
   return oldest == 0 || now_ms - oldest >= POOL_RATE_WINDOW_MS;
 }
 
@@ -407,25 +410,27 @@
 static double
 requests_at (const upstream_t *upstream, uint64_t now_ms)
 {
-  return upstream->running + others_of (upstream, POOL_REPORT_FADE_MS, now_ms);
+  return upstream->running
+         + others_of (upstream, POOL_REPORT_DECAY_MS, now_ms);
 }
 
 static double
 load_of (const upstream_t *upstream, uint64_t now_ms)
 {
   return requests_at (upstream, now_ms)
-         + (double)upstream->prompts / POOL_PROMPT_UNIT;
+         + (double)upstream->prompts / POOL_PROMPT_TOKENS_PER_REQUEST;
 }
 
 static bool
-fits (const upstream_t *upstream, const pool_want_t *want,
+fits (const upstream_t *upstream, const pool_criteria_t *want,
       uint64_t version_hash, uint64_t now_ms)
 {
   if (upstream->draining || upstream->is_zone_out || upstream->is_withdrawn
       || (upstream->gone && now_ms >= upstream->usable_till))
     return false;
-  if (want->arm != ARM_ANY
-      && (upstream->version_hash == version_hash) != (want->arm == ARM_NEW))
+  if (want->arm != VERSION_ARM_ANY
+      && (upstream->version_hash == version_hash)
+             != (want->arm == VERSION_ARM_NEW))
     return false;
   for (size_t i = 0; i < want->tried_count; i++)
     if (want->tried[i] == upstream)
@@ -434,17 +439,18 @@
 }
 
 static bool
-has_room (const pool_t *pool, upstream_t *upstream, const pool_want_t *want,
-          uint64_t now_ms)
+has_room (const pool_t *pool, upstream_t *upstream,
+          const pool_criteria_t *want, uint64_t now_ms)
 {
   return rate_allows (pool, upstream, want->cold_per_s, now_ms)
-         && upstream->running + others_of (upstream, POOL_FULL_FADE_MS, now_ms)
+         && upstream->running
+                    + others_of (upstream, POOL_FULL_DECAY_MS, now_ms)
                 < upstream->slots;
 }
 
 /* Mean load of those that fit.  */
 static double
-mean_load (const group_t *group, const pool_want_t *want, uint64_t now_ms)
+mean_load (const group_t *group, const pool_criteria_t *want, uint64_t now_ms)
 {
   uint64_t version_hash = str_hash (want->version, 0);
   double sum = 0;
@@ -486,7 +492,7 @@
    a home in each zone: bytes between zones cost more than a prompt's shared
    parts read once more.  */
 static void
-consider_home (upstream_t *upstream, const pool_want_t *want, double hot,
+consider_home (upstream_t *upstream, const pool_criteria_t *want, double hot,
                uint64_t now_ms, home_t *home)
 {
   bool own = upstream->is_own_zone;
@@ -518,10 +524,10 @@
 /* The greatest hash of an id among the FEW first of those that fit WANT,
    whatever it tried; UINT64_MAX when it may go to all.  */
 static uint64_t
-few_bound (const group_t *group, const pool_want_t *want,
+few_bound (const group_t *group, const pool_criteria_t *want,
            uint64_t version_hash, uint64_t now_ms)
 {
-  pool_want_t untried = *want;
+  pool_criteria_t untried = *want;
   size_t count = 0;
 
   if (want->few == 0 || want->few >= group->count)
@@ -540,13 +546,14 @@
 
 /* The best of those that fit; with OUT_TOO also those that are out.  */
 static upstream_t *
-best (pool_t *pool, const pool_want_t *want, bool out_too, uint64_t now_ms,
+best (pool_t *pool, const pool_criteria_t *want, bool out_too, uint64_t now_ms,
       bool *any)
 {
   const group_t *group = group_of (pool, want->service);
   uint64_t version_hash = str_hash (want->version, 0);
   uint64_t bound = few_bound (group, want, version_hash, now_ms);
-  double hot = mean_load (group, want, now_ms) * POOL_HOT + POOL_HOT_FLOOR;
+  double hot = mean_load (group, want, now_ms) * POOL_HOT_LOAD_FACTOR
+               + POOL_HOT_LOAD_MIN;
   home_t home = { 0 };
   upstream_t *idlest = NULL;
   double idlest_badness = 0;
@@ -577,7 +584,7 @@
 }
 
 vh_code_t
-pool_choose (pool_t *pool, const pool_want_t *want, upstream_t **out)
+pool_select (pool_t *pool, const pool_criteria_t *want, upstream_t **out)
 {
   uint64_t now_ms = clock_ms (pool->clock);
   bool any = false;
@@ -586,9 +593,9 @@
   *out = best (pool, want, false, now_ms, &any);
   if (*out == NULL && want->few > 0)
     {
-      pool_want_t all = *want;
+      pool_criteria_t all = *want;
       all.few = 0;
-      return pool_choose (pool, &all, out);
+      return pool_select (pool, &all, out);
     }
   if (*out == NULL && !any)
     *out = best (pool, want, true, now_ms, &any);
@@ -601,7 +608,8 @@
 pool_count (pool_t *pool, str_t service, version_arm_t arm, str_t version,
             size_t most)
 {
-  pool_want_t want = { .service = service, .arm = arm, .version = version };
+  pool_criteria_t want
+      = { .service = service, .arm = arm, .version = version };
   const group_t *group = group_of (pool, service);
   uint64_t version_hash = str_hash (version, 0);
   uint64_t now_ms = clock_ms (pool->clock);
@@ -613,7 +621,7 @@
 }
 
 void
-pool_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
+pool_request_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
 {
   if (upstream->running == 0)
     upstream->heard_ms = clock_ms (pool->clock);
@@ -622,24 +630,24 @@
   upstream->running++;
   upstream->prompts += prompt;
   upstream->sends[upstream->send_at] = clock_ms (pool->clock);
-  upstream->send_at = (upstream->send_at + 1) % POOL_RATE_MAX;
+  upstream->send_at = (upstream->send_at + 1) % POOL_SEND_TIMES_MAX;
 }
 
 void
-pool_heard (pool_t *pool, upstream_t *upstream)
+pool_data_received (pool_t *pool, upstream_t *upstream)
 {
   upstream->heard_ms = clock_ms (pool->clock);
   upstream->lost = false;
 }
 
 uint64_t
-pool_silence_due (const upstream_t *upstream)
+pool_probe_due_ms (const upstream_t *upstream)
 {
-  uint64_t silence_ms = upstream->heard_ms + POOL_SILENCE_MS
-                        + upstream->prompts / POOL_READ_PER_MS;
+  uint64_t silence_ms = upstream->heard_ms + POOL_SILENCE_TIMEOUT_MS
+                        + upstream->prompts / POOL_PREFILL_TOKENS_PER_MS;
   uint64_t again_ms = upstream->looked_ms == 0
                           ? 0
-                          : upstream->looked_ms + POOL_LOOK_AGAIN_MS;
+                          : upstream->looked_ms + POOL_PROBE_INTERVAL_MS;
 
   if (upstream->lost)
     return 0;
@@ -651,16 +659,16 @@
 take_out (upstream_t *upstream, uint64_t now_ms)
 {
   upstream->out_ms
-      = upstream->out_ms == 0 ? POOL_OUT_FIRST_MS : upstream->out_ms * 2;
-  if (upstream->out_ms > POOL_OUT_LAST_MS)
-    upstream->out_ms = POOL_OUT_LAST_MS;
+      = upstream->out_ms == 0 ? POOL_EJECTION_FIRST_MS : upstream->out_ms * 2;
+  if (upstream->out_ms > POOL_EJECTION_MAX_MS)
+    upstream->out_ms = POOL_EJECTION_MAX_MS;
   upstream->out_till = now_ms + upstream->out_ms;
   /* On its return one failure is enough to take it out again.  */
-  upstream->failures = POOL_FAILURES - 1;
+  upstream->failures = POOL_EJECTION_FAILURES - 1;
 }
 
 void
-pool_reached (pool_t *pool, str_t id, bool reached)
+pool_probe_finished (pool_t *pool, str_t id, bool reached)
 {
   upstream_t *upstream = map_get (pool->by_id, id);
   uint64_t now_ms = clock_ms (pool->clock);
@@ -675,20 +683,20 @@
 }
 
 bool
-upstream_lost (const upstream_t *upstream)
+upstream_is_unreachable (const upstream_t *upstream)
 {
   return upstream->lost;
 }
 
 void
-pool_first (upstream_t *upstream, uint32_t prompt)
+pool_prompt_processed (upstream_t *upstream, uint32_t prompt)
 {
   upstream->prompts -= prompt;
 }
 
 void
-pool_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
-               send_outcome_t outcome)
+pool_request_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
+                       send_outcome_t outcome)
 {
   uint64_t now_ms = clock_ms (pool->clock);
 
@@ -699,14 +707,15 @@
       upstream->failures = 0;
       upstream->out_ms = 0;
     }
-  else if (outcome == SEND_FAILED && ++upstream->failures >= POOL_FAILURES)
+  else if (outcome == SEND_FAILED
+           && ++upstream->failures >= POOL_EJECTION_FAILURES)
     take_out (upstream, now_ms);
   upstream_unref (upstream);
 }
 
 void
-pool_load (pool_t *pool, upstream_t *upstream, uint32_t running,
-           uint32_t waiting, uint32_t slots)
+pool_record_load (pool_t *pool, upstream_t *upstream, uint32_t running,
+                  uint32_t waiting, uint32_t slots)
 {
   double all = (double)running + waiting;
 
@@ -717,7 +726,7 @@
 }
 
 void
-pool_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms)
+pool_set_cold (pool_t *pool, upstream_t *upstream, uint64_t cold_ms)
 {
   upstream->cold_till = clock_ms (pool->clock) + cold_ms;
 }
@@ -741,7 +750,7 @@
 }
 
 double
-upstream_load (const pool_t *pool, const upstream_t *upstream)
+upstream_request_count (const pool_t *pool, const upstream_t *upstream)
 {
   return requests_at (upstream, clock_ms (pool->clock));
 }
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -27,7 +27,7 @@
 {
   bool filled;
   uint64_t at_ms;   /* Time at which the sums were computed.  */
-  uint64_t changes; /* State of the evidence at AT_MS (evidence_changes).  */
+  uint64_t changes; /* State of the evidence at AT_MS (crdt_change_count).  */
   double count;
   double sum;
   double squares;
@@ -35,7 +35,7 @@
 
 struct quality
 {
-  evidence_t *evidence;
+  crdt_t *evidence;
   decayed_sums_t *cache; /* Decayed sums by key index.  */
   quality_sampling_t sampling;
   double tokens; /* Requests to the rating service that may be sent now.  */
@@ -47,15 +47,15 @@
 quality_t *
 quality_create (uint64_t writer, const quality_sampling_t *sampling)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = QUALITY_EPOCH_MS,
-                                       .epochs = QUALITY_EPOCHS,
-                                       .fields = FIELDS,
-                                       .keys_max = QUALITY_SERIES_MAX,
-                                       .cells_max = QUALITY_CELLS_MAX };
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = QUALITY_EPOCH_MS,
+                                   .epochs = QUALITY_EPOCHS,
+                                   .fields = FIELDS,
+                                   .keys_max = QUALITY_SERIES_MAX,
+                                   .cells_max = QUALITY_CELLS_MAX };
   quality_t *q = mem_zalloc (sizeof *q);
 
-  q->evidence = evidence_create (&options);
+  q->evidence = crdt_create (&options);
   q->cache = mem_zalloc (QUALITY_SERIES_MAX * sizeof *q->cache);
   q->sampling = *sampling;
   q->tokens = sampling->burst;
@@ -67,7 +67,7 @@
 {
   if (q == NULL)
     return;
-  evidence_destroy (q->evidence);
+  crdt_destroy (q->evidence);
   free (q->cache);
   free (q);
 }
@@ -85,10 +85,11 @@
   if (isnan (rating))
     return false;
   double value = fmax (0, fmin (1, rating));
-  int64_t sample[FIELDS]
-      = { 0, evidence_fixed (value), evidence_fixed (value * value) };
-  int key = evidence_key (q->evidence, quality_series_hash (task, version));
-  return evidence_add (q->evidence, key, now_ms, sample);
+  int64_t sample[FIELDS] = { 0, crdt_to_fixed_point (value),
+                             crdt_to_fixed_point (value * value) };
+  int key = crdt_key_find_or_add (q->evidence,
+                                  quality_series_hash (task, version));
+  return crdt_add (q->evidence, key, now_ms, sample);
 }
 
 quality_bound_t
@@ -151,24 +152,25 @@
 collect_epochs (const quality_t *q, int key, uint64_t now_ms,
                 epoch_stats_t epochs[QUALITY_EPOCHS])
 {
-  uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
-  uint64_t last = evidence_last (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
+  uint64_t last = crdt_last_epoch (q->evidence);
   size_t count = 0;
 
-  for (uint64_t epoch = evidence_first (q->evidence); epoch <= last; epoch++)
+  for (uint64_t epoch = crdt_first_epoch (q->evidence); epoch <= last; epoch++)
     {
-      const int64_t *sums = evidence_sums (q->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (q->evidence, key, epoch);
       if (sums == NULL)
         continue;
       double age = now_epoch > epoch ? (double)(now_epoch - epoch) : 0;
       double decay = exp2 (-age * QUALITY_EPOCH_MS / QUALITY_HALF_LIFE_MS);
       double rating_count = (double)sums[0];
       epochs[count++] = (epoch_stats_t){
-        .mean = (double)sums[FIELD_RATING_SUM] / EVIDENCE_UNIT / rating_count,
+        .mean
+        = (double)sums[FIELD_RATING_SUM] / CRDT_FIXED_POINT_ONE / rating_count,
         .weight = decay * rating_count,
         .votes = decay * fmin (rating_count, EPOCH_VOTES_MAX),
         .count = rating_count,
-        .squares = (double)sums[FIELD_RATING_SQUARES] / EVIDENCE_UNIT
+        .squares = (double)sums[FIELD_RATING_SQUARES] / CRDT_FIXED_POINT_ONE
       };
     }
   qsort (epochs, count, sizeof *epochs, compare_means);
@@ -199,7 +201,7 @@
 
   *cache = (decayed_sums_t){ .filled = true,
                              .at_ms = now_ms,
-                             .changes = evidence_changes (q->evidence) };
+                             .changes = crdt_change_count (q->evidence) };
   for (size_t i = 0; i < count; i++)
     {
       const epoch_stats_t *epoch = &epochs[i];
@@ -221,7 +223,7 @@
 {
   decayed_sums_t *cache = &q->cache[key];
   bool is_stale = now_ms - cache->at_ms >= CACHE_MS
-                  && (cache->changes != evidence_changes (q->evidence)
+                  && (cache->changes != crdt_change_count (q->evidence)
                       || now_ms - cache->at_ms >= QUALITY_EPOCH_MS / 4);
 
   if (!cache->filled || now_ms < cache->at_ms || is_stale)
@@ -233,11 +235,11 @@
 quality_estimate (quality_t *q, str_t task, str_t version, double prior,
                   uint64_t now_ms)
 {
-  int key = evidence_find (q->evidence, quality_series_hash (task, version));
+  int key = crdt_key_find (q->evidence, quality_series_hash (task, version));
 
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
-  evidence_advance (q->evidence, now_ms);
+  crdt_advance (q->evidence, now_ms);
   const decayed_sums_t *cache = get_sums (q, key, now_ms);
   return quality_posterior (cache->count, cache->sum, cache->squares, prior,
                             QUALITY_PRIOR_VARIANCE);
@@ -302,21 +304,21 @@
 void
 quality_fold_epochs (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (q->evidence, now_ms);
-  uint64_t epoch = evidence_first (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (q->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (q->evidence, epoch, generation);
+    crdt_compact (q->evidence, epoch, generation);
 }
 
 void
 quality_write (const quality_t *q, bool own_only, buf_t *out)
 {
-  evidence_write (q->evidence, own_only, out);
+  crdt_write (q->evidence, own_only, out);
 }
 
 vh_code_t
 quality_merge (quality_t *q, str_t bytes, uint64_t now_ms)
 {
-  return evidence_merge (q->evidence, bytes, now_ms);
+  return crdt_merge (q->evidence, bytes, now_ms);
 }
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -119,11 +119,11 @@
 
 /* Merge the cells of all writers into one cell for each series, in all epochs
    but the last two, under GENERATION, the fencing number of the caller's lease
-   (see evidence_settle).  */
+   (see crdt_compact).  */
 void quality_fold_epochs (quality_t *quality, uint64_t generation,
                           uint64_t now_ms);
 /* Append the ratings to OUT: all for the stored table, or with OWN_ONLY the
-   recent ratings of this process for its peers (see evidence_write).  */
+   recent ratings of this process for its peers (see crdt_write).  */
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
 /* Merge the output of quality_write.  Return VH_OK, or VH_E_PROTOCOL with
    nothing merged.  */
--- a/packages/policy/readers.c
+++ b/packages/policy/readers.c
@@ -38,11 +38,11 @@
                     .owner = owner };
 }
 
-readers_t *
-readers_create (clock_iface_t *clock, uint64_t seed, str_t name, str_t zone,
-                uint32_t link_mbps)
+fanout_t *
+fanout_create (clock_iface_t *clock, uint64_t seed, str_t name, str_t zone,
+               uint32_t link_mbps)
 {
-  readers_t *readers = mem_zalloc (sizeof *readers);
+  fanout_t *readers = mem_zalloc (sizeof *readers);
 
   readers->clock = clock;
   readers->rng = rng_make (seed);
@@ -52,7 +52,7 @@
 }
 
 void
-readers_destroy (readers_t *readers)
+fanout_destroy (fanout_t *readers)
 {
   size_t cursor = 0;
   str_t key;
@@ -67,8 +67,8 @@
 }
 
 void
-readers_put (readers_t *readers, str_t name, str_t zone, uint32_t link_mbps,
-             void *owner)
+fanout_put (fanout_t *readers, str_t name, str_t zone, uint32_t link_mbps,
+            void *owner)
 {
   entry_t *entry = mem_alloc (sizeof *entry);
 
@@ -77,13 +77,13 @@
 }
 
 void
-readers_remove (readers_t *readers, str_t name)
+fanout_remove (fanout_t *readers, str_t name)
 {
   free (map_remove (readers->entries, name));
 }
 
 void
-readers_leave (readers_t *readers)
+fanout_stop_serving (fanout_t *readers)
 {
   readers->leaving = true;
 }
@@ -96,13 +96,13 @@
 }
 
 static bool
-is_large (const readers_t *readers)
+is_large (const fanout_t *readers)
 {
-  return map_size (readers->entries) >= READERS_FLEET;
+  return map_size (readers->entries) >= FANOUT_SMALL_FLEET_MAX;
 }
 
 static bool
-is_unfit (const readers_t *readers, uint64_t now_ms)
+is_unfit (const fanout_t *readers, uint64_t now_ms)
 {
   return readers->leaving || now_ms < readers->down_till_ms;
 }
@@ -110,7 +110,7 @@
 /* The first of the others that may be asked, with HOME_ONLY of this zone, or
    NULL.  IS_PATIENT: an unfit one keeps its place.  */
 static const entry_t *
-first_but (const readers_t *readers, bool home_only, bool is_patient,
+first_but (const fanout_t *readers, bool home_only, bool is_patient,
            uint64_t now_ms)
 {
   const entry_t *found = NULL;
@@ -134,33 +134,33 @@
 /* The same in a large fleet with patience: those behind an unfit one ask it
    too, and have nothing to tell.  */
 static const entry_t *
-first_other (const readers_t *readers, bool home_only, uint64_t now_ms)
+first_other (const fanout_t *readers, bool home_only, uint64_t now_ms)
 {
   return first_but (readers, home_only, is_large (readers), now_ms);
 }
 
 /* Tell whether this entry goes before OTHER, the first of the others.  */
 static bool
-is_first (const readers_t *readers, const entry_t *other)
+is_first (const fanout_t *readers, const entry_t *other)
 {
   return other == NULL || goes_before (&readers->self, other);
 }
 
 /* What the first of all does.  One that is unfit asks the first of the others,
    which may have turned to the store itself.  */
-static readers_role_t
-choose_root (readers_t *readers, const entry_t *other, readers_role_t role,
+static fanout_role_t
+choose_root (fanout_t *readers, const entry_t *other, fanout_role_t role,
              uint64_t now_ms, void **owner)
 {
   if (other == NULL
       || (!is_unfit (readers, now_ms) && is_first (readers, other)))
-    return ASKS_STORE;
+    return FANOUT_READS_STORE;
   *owner = other->owner;
   return role;
 }
 
-readers_role_t
-readers_choose (readers_t *readers, void **owner)
+fanout_role_t
+fanout_choose_source (fanout_t *readers, void **owner)
 {
   uint64_t now_ms = clock_ms (readers->clock);
   bool is_home = now_ms < readers->home_till_ms;
@@ -168,16 +168,16 @@
 
   *owner = NULL;
   if (!is_large (readers))
-    return choose_root (readers, other, ASKS_HEAD, now_ms, owner);
+    return choose_root (readers, other, FANOUT_READS_HEAD, now_ms, owner);
   const entry_t *near = first_other (readers, true, now_ms);
   if (is_first (readers, near))
-    return choose_root (readers, other, ASKS_ROOT, now_ms, owner);
+    return choose_root (readers, other, FANOUT_READS_ROOT, now_ms, owner);
   *owner = near->owner;
-  return ASKS_HEAD;
+  return FANOUT_READS_HEAD;
 }
 
 void *
-readers_next (readers_t *readers)
+fanout_next_source (fanout_t *readers)
 {
   uint64_t now_ms = clock_ms (readers->clock);
   bool is_home = now_ms < readers->home_till_ms;
@@ -192,7 +192,7 @@
 }
 
 void
-readers_failed (readers_t *readers, str_t name, bool silent)
+fanout_source_failed (fanout_t *readers, str_t name, bool silent)
 {
   uint64_t now_ms = clock_ms (readers->clock);
   entry_t *entry = map_get (readers->entries, name);
@@ -201,47 +201,49 @@
     return;
   if (!silent)
     {
-      entry->unfit_till_ms = now_ms + READERS_UNFIT_MS;
+      entry->unfit_till_ms = now_ms + FANOUT_NOT_READY_BACKOFF_MS;
       return;
     }
-  entry->silent_till_ms = now_ms + READERS_SILENT_MS;
+  entry->silent_till_ms = now_ms + FANOUT_SILENT_BACKOFF_MS;
   if (entry->zone != readers->self.zone)
-    readers->home_till_ms = now_ms + READERS_HOME_MS;
+    readers->home_till_ms = now_ms + FANOUT_OWN_ZONE_ONLY_MS;
 }
 
 void
-readers_store_said (readers_t *readers, bool answered)
+fanout_store_call_ended (fanout_t *readers, bool answered)
 {
   uint64_t now_ms = clock_ms (readers->clock);
 
-  readers->down_till_ms = answered ? 0 : now_ms + READERS_DOWN_MS;
-  readers->heard_till_ms = answered ? now_ms + READERS_PROBE_LAST_MS : 0;
+  readers->down_till_ms = answered ? 0 : now_ms + FANOUT_STORE_BACKOFF_MS;
+  readers->heard_till_ms
+      = answered ? now_ms + FANOUT_PROBE_INTERVAL_MAX_MS : 0;
 }
 
 bool
-readers_hears (const readers_t *readers)
+fanout_is_store_reachable (const fanout_t *readers)
 {
   return clock_ms (readers->clock) < readers->heard_till_ms;
 }
 
 bool
-readers_may_probe (readers_t *readers)
+fanout_may_probe_store (fanout_t *readers)
 {
   uint64_t now_ms = clock_ms (readers->clock);
-  uint64_t every_ms = (map_size (readers->entries) + 1) * READERS_PROBE_MS;
+  uint64_t every_ms = (map_size (readers->entries) + 1)
+                      * FANOUT_PROBE_INTERVAL_PER_GATEWAY_MS;
   bool is_home = now_ms < readers->home_till_ms;
   bool leads = is_first (readers, first_other (readers, is_home, now_ms));
 
-  if (readers_hears (readers))
+  if (fanout_is_store_reachable (readers))
     return true;
   if (leads)
-    every_ms = READERS_LEADS_PROBE_MS;
-  else if (every_ms > READERS_PROBE_LAST_MS)
-    every_ms = READERS_PROBE_LAST_MS;
+    every_ms = FANOUT_ROOT_PROBE_INTERVAL_MS;
+  else if (every_ms > FANOUT_PROBE_INTERVAL_MAX_MS)
+    every_ms = FANOUT_PROBE_INTERVAL_MAX_MS;
   /* Many that are told at the same moment do not all go at that moment.  */
   if (is_large (readers) && !leads
       && (readers->probe_ms == 0
-          || now_ms > readers->probe_ms + READERS_PROBE_LAST_MS))
+          || now_ms > readers->probe_ms + FANOUT_PROBE_INTERVAL_MAX_MS))
     readers->probe_ms = now_ms + rng_below (&readers->rng, every_ms);
   if (now_ms < readers->probe_ms)
     return false;
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -73,17 +73,17 @@
   uint64_t salt;        /* Of the version.  */
   uint64_t first_epoch; /* Of a peer whose clock is behind.  */
   decision_t decision;
-  evidence_t *evidence;
-  evidence_t *shown; /* One epoch that never ends; key by arm.  */
+  crdt_t *evidence;
+  crdt_t *shown; /* One epoch that never ends; key by arm.  */
   int shown_keys[2];
-  task_t tasks[ROLLOUT_TASKS_MAX + 1]; /* The last one: all others.  */
+  task_t tasks[ROLLOUT_TASK_CLASSES_MAX + 1]; /* The last one: all others.  */
   size_t task_count;
 };
 
 static int
-arm_key (evidence_t *e, uint64_t hash, uint64_t step, rollout_arm_t arm)
+arm_key (crdt_t *e, uint64_t hash, uint64_t step, rollout_arm_t arm)
 {
-  return evidence_key (e, (hash ^ arm) + step * 0x9e3779b97f4a7c15u);
+  return crdt_key_find_or_add (e, (hash ^ arm) + step * 0x9e3779b97f4a7c15u);
 }
 
 static uint64_t
@@ -103,9 +103,9 @@
   for (size_t i = 0; i < r->task_count; i++)
     if (r->tasks[i].hash == hash)
       return &r->tasks[i];
-  if (r->task_count > ROLLOUT_TASKS_MAX)
-    return &r->tasks[ROLLOUT_TASKS_MAX];
-  if (r->task_count == ROLLOUT_TASKS_MAX)
+  if (r->task_count > ROLLOUT_TASK_CLASSES_MAX)
+    return &r->tasks[ROLLOUT_TASK_CLASSES_MAX];
+  if (r->task_count == ROLLOUT_TASK_CLASSES_MAX)
     {
       name = STR ("other");
       hash = task_hash (name);
@@ -123,26 +123,26 @@
 rollout_run_t *
 rollout_create (uint64_t writer, str_t new_version, uint64_t start_ms)
 {
-  const evidence_options_t options
+  const crdt_options_t options
       = { .writer = writer,
           .epoch_ms = ROLLOUT_EPOCH_MS,
           .epochs = ROLLOUT_EPOCHS,
           .fields = SAMPLE_FIELD_COUNT,
-          .keys_max = 2 * ROLLOUT_STEP_COUNT * (ROLLOUT_TASKS_MAX + 1),
+          .keys_max = 2 * ROLLOUT_STEP_COUNT * (ROLLOUT_TASK_CLASSES_MAX + 1),
           .cells_max = ROLLOUT_CELLS_MAX };
-  const evidence_options_t shown = { .writer = writer,
-                                     .epoch_ms = UINT64_MAX,
-                                     .epochs = 1,
-                                     .fields = 1,
-                                     .keys_max = 2,
-                                     .cells_max = 2 * SHOWN_WRITERS_MAX };
+  const crdt_options_t shown = { .writer = writer,
+                                 .epoch_ms = UINT64_MAX,
+                                 .epochs = 1,
+                                 .fields = 1,
+                                 .keys_max = 2,
+                                 .cells_max = 2 * SHOWN_WRITERS_MAX };
   rollout_run_t *r = mem_zalloc (sizeof *r);
 
   r->salt = str_hash (new_version, start_ms) & ~(uint64_t)3;
-  r->evidence = evidence_create (&options);
-  r->first_epoch = evidence_epoch (r->evidence, start_ms);
+  r->evidence = crdt_create (&options);
+  r->first_epoch = crdt_epoch_at (r->evidence, start_ms);
   r->first_epoch -= r->first_epoch > 0;
-  r->shown = evidence_create (&shown);
+  r->shown = crdt_create (&shown);
   r->shown_keys[ROLLOUT_OLD] = arm_key (r->shown, r->salt, 0, ROLLOUT_OLD);
   r->shown_keys[ROLLOUT_NEW] = arm_key (r->shown, r->salt, 0, ROLLOUT_NEW);
   return r;
@@ -155,22 +155,21 @@
     return;
   for (size_t i = 0; i < r->task_count; i++)
     free (r->tasks[i].name);
-  evidence_destroy (r->shown);
-  evidence_destroy (r->evidence);
+  crdt_destroy (r->shown);
+  crdt_destroy (r->evidence);
   free (r);
 }
 
 uint64_t
-rollout_exposed (const rollout_run_t *r)
+rollout_exposed_count (const rollout_run_t *r)
 {
-  const int64_t *sums
-      = evidence_sums (r->shown, r->shown_keys[ROLLOUT_NEW], 0);
+  const int64_t *sums = crdt_sums (r->shown, r->shown_keys[ROLLOUT_NEW], 0);
 
   return sums != NULL ? (uint64_t)sums[0] : 0;
 }
 
 uint64_t
-rollout_exposure_bound (const rollout_run_t *r)
+rollout_exposure_cap (const rollout_run_t *r)
 {
   uint64_t step = r->decision.step;
 
@@ -189,7 +188,7 @@
     case ROLLOUT_PHASE_PAUSED:
       /* Guards the exposure when the lease holder is away: each process
          stops at the cap by itself.  */
-      if (rollout_exposed (r) >= rollout_exposure_bound (r))
+      if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
         return 0;
       return steps[r->decision.step].share;
     default:
@@ -198,7 +197,7 @@
 }
 
 bool
-rollout_assign (const rollout_run_t *r, uint64_t key)
+rollout_is_assigned (const rollout_run_t *r, uint64_t key)
 {
   uint64_t z = key ^ r->salt;
 
@@ -209,7 +208,7 @@
 }
 
 double
-rollout_rate_share (const rollout_run_t *r, rollout_arm_t arm)
+rollout_rating_share (const rollout_run_t *r, rollout_arm_t arm)
 {
   double share = rollout_share (r);
 
@@ -222,11 +221,11 @@
 }
 
 void
-rollout_shown (rollout_run_t *r, rollout_arm_t arm, uint64_t now_ms)
+rollout_count_exposure (rollout_run_t *r, rollout_arm_t arm, uint64_t now_ms)
 {
   const int64_t none[SAMPLE_FIELD_COUNT] = { 0 };
 
-  evidence_add (r->shown, r->shown_keys[arm], now_ms, none);
+  crdt_add (r->shown, r->shown_keys[arm], now_ms, none);
 }
 
 void
@@ -243,8 +242,7 @@
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
   sample_to_fields (sample, fields);
-  evidence_add (r->evidence, task_get (r, task)->keys[step][arm], now_ms,
-                fields);
+  crdt_add (r->evidence, task_get (r, task)->keys[step][arm], now_ms, fields);
 }
 
 /* Sums over the strata of a stratified difference of means.  */
@@ -318,8 +316,8 @@
 strata_add_task (const rollout_run_t *r, const task_t *task,
                  rollout_metric_t metric, strata_t *s)
 {
-  uint64_t last = evidence_last (r->evidence);
-  uint64_t epoch = evidence_first (r->evidence);
+  uint64_t last = crdt_last_epoch (r->evidence);
+  uint64_t epoch = crdt_first_epoch (r->evidence);
 
   if (epoch < r->first_epoch)
     epoch = r->first_epoch;
@@ -328,22 +326,22 @@
       {
         const int *keys = task->keys[step];
         moments_t fresh = sample_moments (
-            evidence_sums (r->evidence, keys[ROLLOUT_NEW], epoch), metric);
+            crdt_sums (r->evidence, keys[ROLLOUT_NEW], epoch), metric);
         moments_t old = sample_moments (
-            evidence_sums (r->evidence, keys[ROLLOUT_OLD], epoch), metric);
+            crdt_sums (r->evidence, keys[ROLLOUT_OLD], epoch), metric);
         strata_add (s, &fresh, &old);
       }
 }
 
 /* Judge METRIC for TASK, or overall when it is NULL.  */
-static rollout_evidence_t
+static rollout_estimate_t
 judge (const rollout_run_t *r, rollout_metric_t metric, const task_t *task)
 {
   uint64_t step = r->decision.step < ROLLOUT_STEP_COUNT
                       ? r->decision.step
                       : ROLLOUT_STEP_COUNT - 1;
   double alpha = ROLLOUT_ALPHA / 2 / ROLLOUT_METRIC_COUNT;
-  rollout_evidence_t e = { .lower = -INFINITY,
+  rollout_estimate_t e = { .lower = -INFINITY,
                            .upper = INFINITY,
                            .margin = metrics[metric].margin,
                            .tolerance = steps[step].tolerance[metric] };
@@ -371,8 +369,8 @@
   return e;
 }
 
-rollout_evidence_t
-rollout_evidence (const rollout_run_t *r, rollout_metric_t metric)
+rollout_estimate_t
+rollout_estimate (const rollout_run_t *r, rollout_metric_t metric)
 {
   return judge (r, metric, NULL);
 }
@@ -394,7 +392,7 @@
 static bool
 halt_if_worse (rollout_run_t *r, rollout_metric_t metric, const task_t *task)
 {
-  rollout_evidence_t e = judge (r, metric, task);
+  rollout_estimate_t e = judge (r, metric, task);
 
   if (e.count_new < COUNT_MIN || e.lower <= e.margin)
     return false;
@@ -426,12 +424,12 @@
 {
   for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
     {
-      rollout_evidence_t all = judge (r, (rollout_metric_t)m, NULL);
+      rollout_estimate_t all = judge (r, (rollout_metric_t)m, NULL);
       if (all.count_new < COUNT_MIN || all.upper >= all.tolerance)
         return false;
       for (size_t i = 0; i < r->task_count; i++)
         {
-          rollout_evidence_t e = judge (r, (rollout_metric_t)m, &r->tasks[i]);
+          rollout_estimate_t e = judge (r, (rollout_metric_t)m, &r->tasks[i]);
           if (e.count_new > 0 && e.difference >= e.tolerance)
             return false;
         }
@@ -440,11 +438,11 @@
 }
 
 bool
-rollout_step (rollout_run_t *r, uint64_t now_ms)
+rollout_decide (rollout_run_t *r, uint64_t now_ms)
 {
   rollout_phase_t phase = (rollout_phase_t)r->decision.phase;
 
-  evidence_advance (r->evidence, now_ms);
+  crdt_advance (r->evidence, now_ms);
   if (phase == ROLLOUT_PHASE_HALTED || phase == ROLLOUT_PHASE_ABORTED
       || phase == ROLLOUT_PHASE_COMPLETE)
     return false;
@@ -456,14 +454,14 @@
   if (step_is_proved (r))
     {
       r->decision.step++;
-      r->decision.shown_before = rollout_exposed (r);
+      r->decision.shown_before = rollout_exposed_count (r);
       change_phase (r, r->decision.step == ROLLOUT_STEP_COUNT
                            ? ROLLOUT_PHASE_COMPLETE
                            : ROLLOUT_PHASE_RUNNING);
       return true;
     }
   if (phase == ROLLOUT_PHASE_RUNNING
-      && rollout_exposed (r) >= rollout_exposure_bound (r))
+      && rollout_exposed_count (r) >= rollout_exposure_cap (r))
     {
       change_phase (r, ROLLOUT_PHASE_STARVED);
       return true;
@@ -487,8 +485,8 @@
   if (r->decision.phase != ROLLOUT_PHASE_STARVED
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return false;
-  if (rollout_exposed (r) >= rollout_exposure_bound (r))
-    r->decision.shown_before = rollout_exposed (r);
+  if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
+    r->decision.shown_before = rollout_exposed_count (r);
   change_phase (r, ROLLOUT_PHASE_RUNNING);
   return true;
 }
@@ -548,7 +546,8 @@
   if (d->step < ROLLOUT_STEP_COUNT)
     buf_printf (out, " at step %u of %d (%g%%)", (unsigned)d->step + 1,
                 ROLLOUT_STEP_COUNT, steps[d->step].share * 100);
-  buf_printf (out, ", shown %llu", (unsigned long long)rollout_exposed (r));
+  buf_printf (out, ", shown %llu",
+              (unsigned long long)rollout_exposed_count (r));
   if (d->phase != ROLLOUT_PHASE_HALTED)
     return;
   buf_printf (out, ": %s worse by %.3g, at least %.3g",
@@ -559,12 +558,12 @@
 }
 
 static void
-put_part (const evidence_t *e, bool own_only, buf_t *out)
+put_part (const crdt_t *e, bool own_only, buf_t *out)
 {
   buf_t part = BUF_NULL;
 
-  evidence_write (e, own_only, &part);
-  evidence_put (out, part.len);
+  crdt_write (e, own_only, &part);
+  crdt_write_varint (out, part.len);
   buf_append_str (out, buf_str (&part));
   buf_free (&part);
 }
@@ -578,12 +577,12 @@
           d->shown_before, d->metric, d->task,     d->harm_ppm, d->lower_ppm };
 
   for (size_t i = 0; i < sizeof words / sizeof words[0]; i++)
-    evidence_put (out, words[i]);
-  evidence_put (out, r->task_count);
+    crdt_write_varint (out, words[i]);
+  crdt_write_varint (out, r->task_count);
   for (size_t i = 0; i < r->task_count; i++)
     {
       str_t name = str_from (r->tasks[i].name);
-      evidence_put (out, name.len);
+      crdt_write_varint (out, name.len);
       buf_append_str (out, name);
     }
   put_part (r->shown, own_only, out);
@@ -598,7 +597,7 @@
           &d->metric,   &d->task,  &d->harm_ppm, &d->lower_ppm };
 
   for (size_t i = 0; i < sizeof words / sizeof words[0]; i++)
-    if (!evidence_take (rest, words[i]))
+    if (!crdt_read_varint (rest, words[i]))
       return false;
   return d->phase <= ROLLOUT_PHASE_COMPLETE && d->metric < ROLLOUT_METRIC_COUNT
          && d->step
@@ -635,38 +634,37 @@
   uint64_t format, salt, task_count;
   str_t name, shown, evidence;
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &salt) || salt != r->salt
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &salt) || salt != r->salt
       || !take_decision (&bytes, &decision)
-      || !evidence_take (&bytes, &task_count)
-      || task_count > ROLLOUT_TASKS_MAX + 1)
+      || !crdt_read_varint (&bytes, &task_count)
+      || task_count > ROLLOUT_TASK_CLASSES_MAX + 1)
     return VH_E_PROTOCOL;
   str_t names = bytes;
   for (uint64_t i = 0; i < task_count; i++)
-    if (!evidence_take_str (&bytes, &name) || name.len > TASK_NAME_MAX)
+    if (!crdt_read_string (&bytes, &name) || name.len > TASK_NAME_MAX)
       return VH_E_PROTOCOL;
-  if (!evidence_take_str (&bytes, &shown)
-      || !evidence_take_str (&bytes, &evidence) || bytes.len != 0)
+  if (!crdt_read_string (&bytes, &shown)
+      || !crdt_read_string (&bytes, &evidence) || bytes.len != 0)
     return VH_E_PROTOCOL;
-  if (!evidence_valid (r->evidence, evidence)
-      || !evidence_valid (r->shown, shown))
+  if (!crdt_is_valid (r->evidence, evidence)
+      || !crdt_is_valid (r->shown, shown))
     return VH_E_PROTOCOL;
-  for (uint64_t i = 0; i < task_count && evidence_take_str (&names, &name);
-       i++)
+  for (uint64_t i = 0; i < task_count && crdt_read_string (&names, &name); i++)
     task_get (r, name);
-  evidence_merge (r->evidence, evidence, now_ms);
-  evidence_merge (r->shown, shown, now_ms);
+  crdt_merge (r->evidence, evidence, now_ms);
+  crdt_merge (r->shown, shown, now_ms);
   if (decision_wins (&decision, &r->decision))
     r->decision = decision;
   return VH_OK;
 }
 
 void
-rollout_settle (rollout_run_t *r, uint64_t generation, uint64_t now_ms)
+rollout_compact (rollout_run_t *r, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (r->evidence, now_ms);
-  uint64_t epoch = evidence_first (r->evidence);
+  uint64_t now_epoch = crdt_epoch_at (r->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (r->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (r->evidence, epoch, generation);
+    crdt_compact (r->evidence, epoch, generation);
 }
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -80,7 +80,7 @@
   ROLLOUT_STEPS (X)
 #undef X
       ROLLOUT_STEP_COUNT,
-  ROLLOUT_TASKS_MAX = 16,
+  ROLLOUT_TASK_CLASSES_MAX = 16,
   ROLLOUT_EPOCH_MS = 60 * 60 * 1000,
   ROLLOUT_EPOCHS = 48, /* Two days of strata; older ones are forgotten.  */
   ROLLOUT_CELLS_MAX = 16384
@@ -123,7 +123,7 @@
   double tolerance; /* Of the step.  */
   uint64_t count_new;
   uint64_t count_old;
-} rollout_evidence_t;
+} rollout_estimate_t;
 
 /* Make the state of a roll-out of NEW_VERSION that starts at START_MS (real
    time); WRITER as in evidence.h.  All processes make it with the same
@@ -138,22 +138,22 @@
 /* Tell whether the session or request with hash KEY goes to the new version:
    the same everywhere for the same share, and a greater share only adds
    keys.  */
-bool rollout_assign (const rollout_run_t *rollout, uint64_t key);
+bool rollout_is_assigned (const rollout_run_t *rollout, uint64_t key);
 /* Share of the answers of ARM to send to the rating service at this step.
    All of the new version's until the step has its ratings, and as many of
    the old one's.  */
-double rollout_rate_share (const rollout_run_t *rollout, rollout_arm_t arm);
+double rollout_rating_share (const rollout_run_t *rollout, rollout_arm_t arm);
 
 /* Count a request as shown to ARM, when it is dispatched.  */
-void rollout_shown (rollout_run_t *rollout, rollout_arm_t arm,
-                    uint64_t now_ms);
+void rollout_count_exposure (rollout_run_t *rollout, rollout_arm_t arm,
+                             uint64_t now_ms);
 void rollout_observe (rollout_run_t *rollout, rollout_arm_t arm, str_t task,
                       const rollout_sample_t *sample, uint64_t now_ms);
 
 /* Decide on the evidence: advance, starve, halt or complete.  Only the lease
    holder calls it, as often as it likes (such as once a second), and writes
    the state when it returns true: something changed.  */
-bool rollout_step (rollout_run_t *rollout, uint64_t now_ms);
+bool rollout_decide (rollout_run_t *rollout, uint64_t now_ms);
 
 /* Operators' orders; each returns false when it does not apply.  Resuming a
    roll-out at its step's cap, starved or paused, grants the cap once more.  */
@@ -167,11 +167,11 @@
 /* From 0; ROLLOUT_STEP_COUNT when complete.  */
 uint32_t rollout_step_index (const rollout_run_t *rollout);
 /* Requests shown to the new version.  */
-uint64_t rollout_exposed (const rollout_run_t *rollout);
+uint64_t rollout_exposed_count (const rollout_run_t *rollout);
 /* The bound on requests shown before leaving the present step.  */
-uint64_t rollout_exposure_bound (const rollout_run_t *rollout);
+uint64_t rollout_exposure_cap (const rollout_run_t *rollout);
 /* What is known of METRIC overall.  */
-rollout_evidence_t rollout_evidence (const rollout_run_t *rollout,
+rollout_estimate_t rollout_estimate (const rollout_run_t *rollout,
                                      rollout_metric_t metric);
 /* One line, such as "halted at step 1 (1%): rating 0.12 worse (at least
    0.03) for draft".  */
@@ -185,7 +185,7 @@
    one.  Return VH_OK, or VH_E_PROTOCOL with nothing merged.  */
 vh_code_t rollout_merge (rollout_run_t *rollout, str_t bytes, uint64_t now_ms);
 /* Fold epochs older than the last two (see evidence.h).  */
-void rollout_settle (rollout_run_t *rollout, uint64_t generation,
-                     uint64_t now_ms);
+void rollout_compact (rollout_run_t *rollout, uint64_t generation,
+                      uint64_t now_ms);
 
 #endif
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -17,15 +17,16 @@
     {
       double log_ms = log (sample->latency_ms);
       fields[SAMPLE_LATENCY_COUNT] = 1;
-      fields[SAMPLE_LOG_LATENCY_SUM] = evidence_fixed (log_ms);
-      fields[SAMPLE_LOG_LATENCY_SQUARES] = evidence_fixed (log_ms * log_ms);
+      fields[SAMPLE_LOG_LATENCY_SUM] = crdt_to_fixed_point (log_ms);
+      fields[SAMPLE_LOG_LATENCY_SQUARES]
+          = crdt_to_fixed_point (log_ms * log_ms);
     }
   if (sample->rated && !isnan (sample->rating))
     {
       double rating = fmax (0, fmin (1, sample->rating));
       fields[SAMPLE_RATING_COUNT] = 1;
-      fields[SAMPLE_RATING_SUM] = evidence_fixed (rating);
-      fields[SAMPLE_RATING_SQUARES] = evidence_fixed (rating * rating);
+      fields[SAMPLE_RATING_SUM] = crdt_to_fixed_point (rating);
+      fields[SAMPLE_RATING_SQUARES] = crdt_to_fixed_point (rating * rating);
     }
 }
 
@@ -40,8 +41,9 @@
     {
     case ROLLOUT_RATING:
       moments.count = (double)sums[SAMPLE_RATING_COUNT];
-      moments.sum = -(double)sums[SAMPLE_RATING_SUM] / EVIDENCE_UNIT;
-      moments.squares = (double)sums[SAMPLE_RATING_SQUARES] / EVIDENCE_UNIT;
+      moments.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
+      moments.squares
+          = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     case ROLLOUT_ERROR:
       moments.count = (double)sums[SAMPLE_FINISHED_COUNT];
@@ -50,9 +52,10 @@
       break;
     default:
       moments.count = (double)sums[SAMPLE_LATENCY_COUNT];
-      moments.sum = (double)sums[SAMPLE_LOG_LATENCY_SUM] / EVIDENCE_UNIT;
+      moments.sum
+          = (double)sums[SAMPLE_LOG_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
       moments.squares
-          = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / EVIDENCE_UNIT;
+          = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     }
   return moments;
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -32,9 +32,9 @@
 } moments_t;
 
 /* Store the terms that SAMPLE adds to a cell in FIELDS, an array of
-   SAMPLE_FIELD_COUNT elements for evidence_add.  */
+   SAMPLE_FIELD_COUNT elements for crdt_add.  */
 void sample_to_fields (const rollout_sample_t *sample, int64_t *fields);
-/* Return the moments of METRIC from SUMS, a result of evidence_sums; all zero
+/* Return the moments of METRIC from SUMS, a result of crdt_sums; all zero
    if SUMS is NULL.  */
 moments_t sample_moments (const int64_t *sums, rollout_metric_t metric);
 
