--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -32,7 +32,7 @@
   trial_sums_t sums[TRIAL_ARMS][TRIAL_CELLS_ALL];
   bool told; /* By a peer to this entry.  */
   unsigned age_s;
-} evidence_t;
+} crdt_t;
 
 /* Sums over the logarithms of the old version's times at one load.  */
 typedef struct
@@ -54,9 +54,9 @@
   uint64_t from_ms; /* When STEP holds; the one before it until then.  */
   trial_phase_t phase;
   bool written;
-  evidence_t own;
+  crdt_t own;
   usual_t usual[TIMINGS][TRIAL_CELLS][TRIAL_LOADS];
-  map_t *peers; /* Entry to evidence_t.  */
+  map_t *peers; /* Entry to crdt_t.  */
   bool dirty;
 };
 
@@ -105,7 +105,7 @@
 }
 
 uint64_t
-trial_within_ms (const trial_t *trial)
+trial_time_limit_ms (const trial_t *trial)
 {
   return trial->within_ms;
 }
@@ -131,13 +131,13 @@
 }
 
 void
-trial_set_written (trial_t *trial, bool written)
+trial_set_final_phase_stored (trial_t *trial, bool written)
 {
   trial->written = written;
 }
 
 bool
-trial_written (const trial_t *trial)
+trial_is_final_phase_stored (const trial_t *trial)
 {
   return trial->written;
 }
@@ -152,19 +152,19 @@
 }
 
 void
-trial_set_seen (trial_t *trial, uint64_t seen_ms)
+trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms)
 {
   trial->seen_ms = seen_ms;
 }
 
 uint64_t
-trial_seen (const trial_t *trial)
+trial_order_seen_ms (const trial_t *trial)
 {
   return trial->seen_ms;
 }
 
 uint64_t
-trial_start (const trial_t *trial)
+trial_start_ms (const trial_t *trial)
 {
   return trial->start_ms;
 }
@@ -176,7 +176,7 @@
 }
 
 uint64_t
-trial_from (const trial_t *trial)
+trial_step_start_ms (const trial_t *trial)
 {
   return trial->from_ms;
 }
@@ -203,8 +203,8 @@
   double first = first_share (trial);
   double within_ms = (double)trial->within_ms;
   double from_ms = (double)trial->from_ms;
-  double half_ms
-      = (double)trial->start_ms + within_ms * step_parts[TRIAL_STEP_HELD];
+  double half_ms = (double)trial->start_ms
+                   + within_ms * step_parts[TRIAL_STEP_NO_TRAFFIC];
   double left_ms = trial->exposure * TRIAL_SPENT * within_ms - TRIAL_FINISH_MS
                    - first * fmax (from_ms - half_ms, 0);
   double lasts_ms = finish_ms (trial) - from_ms;
@@ -221,39 +221,39 @@
 
   if (trial->phase != TRIAL_RUNNING)
     return trial->phase == TRIAL_DONE ? 1 : 0;
-  if (step > TRIAL_STEP_HELD && now_ms < trial->from_ms)
+  if (step > TRIAL_STEP_NO_TRAFFIC && now_ms < trial->from_ms)
     step--;
-  if (trial->start_ms == 0 || step == TRIAL_STEP_HELD)
+  if (trial->start_ms == 0 || step == TRIAL_STEP_NO_TRAFFIC)
     return 0;
   return step == TRIAL_STEP_FIRST ? first_share (trial) : wider_share (trial);
 }
 
 bool
-trial_assign (const trial_t *trial, uint64_t key, uint64_t now_ms)
+trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms)
 {
   return (double)(key >> 11) * 0x1.0p-53 < trial_share (trial, now_ms);
 }
 
 trial_arm_t
-trial_choose (const trial_t *trial, uint64_t key, uint64_t now_ms,
-              const trial_sent_t *sent)
+trial_choose_arm (const trial_t *trial, uint64_t key, uint64_t now_ms,
+                  const trial_send_history_t *sent)
 {
   if (sent->failed)
     return TRIAL_OLD;
   if (sent->any)
     return sent->arm;
-  return trial_assign (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
+  return trial_is_assigned (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
 }
 
 static void
 sums_count (trial_sums_t *sums, trial_outcome_t outcome)
 {
-  double weight = outcome == TRIAL_BROKE ? TRIAL_BREAK : 1;
+  double weight = outcome == TRIAL_CONNECTION_LOST ? TRIAL_BREAK : 1;
 
   sums->count += weight;
   if (outcome != TRIAL_ANSWERED)
     sums->failed += weight;
-  if (outcome == TRIAL_BROKE)
+  if (outcome == TRIAL_CONNECTION_LOST)
     {
       sums->broken += 1;
       return;
@@ -309,19 +309,21 @@
 }
 
 void
-trial_time (trial_t *trial, trial_arm_t arm, uint64_t route,
-            trial_timing_t timing, uint32_t load, double ms, uint64_t now_ms)
+trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
+                      trial_timing_t timing, uint32_t load, double ms,
+                      uint64_t now_ms)
 {
   size_t cell = route % TRIAL_CELLS;
   /* All requests of a batch get their tokens at one pace.  */
-  usual_t *loads = trial->usual[timing][timing == TIMING_GAP ? 0 : cell];
+  usual_t *loads
+      = trial->usual[timing][timing == TRIAL_TIMING_EVENT_GAP ? 0 : cell];
   size_t class = load_class (load);
   trial_sums_t *sums = &trial->own.sums[arm][cell];
   double usual = usual_ms (loads, class);
 
   if (ms <= 0)
     return;
-  bool is_early = arm == TRIAL_NEW && timing == TIMING_FIRST
+  bool is_early = arm == TRIAL_NEW && timing == TRIAL_TIMING_FIRST_EVENT
                   && trial->step == TRIAL_STEP_FIRST
                   && now_ms < trial->from_ms + TRIAL_WARM_MS + (uint64_t)ms;
   if (usual > 0 && !is_early)
@@ -364,7 +366,7 @@
 }
 
 static void
-evidence_fade (evidence_t *evidence)
+evidence_fade (crdt_t *evidence)
 {
   for (size_t arm = 0; arm < TRIAL_ARMS; arm++)
     for (size_t cell = 0; cell < TRIAL_CELLS_ALL; cell++)
@@ -372,7 +374,7 @@
 }
 
 void
-trial_fade (trial_t *trial)
+trial_decay (trial_t *trial)
 {
   size_t cursor = 0;
   str_t key;
@@ -388,28 +390,28 @@
   while (map_next (trial->peers, &cursor, &key, &value))
     {
       evidence_fade (value);
-      ((evidence_t *)value)->age_s++;
+      ((crdt_t *)value)->age_s++;
     }
 }
 
 bool
-trial_dirty (const trial_t *trial)
+trial_has_unwritten_counts (const trial_t *trial)
 {
   return trial->dirty;
 }
 
 /* Add what the peers said, with TOLD_ONLY what they told this entry.  */
-static evidence_t
+static crdt_t
 gather (const trial_t *trial, bool told_only)
 {
-  evidence_t all = trial->own;
+  crdt_t all = trial->own;
   size_t cursor = 0;
   str_t key;
   void *value;
 
   while (map_next (trial->peers, &cursor, &key, &value))
     {
-      const evidence_t *peer = value;
+      const crdt_t *peer = value;
       if (peer->age_s > TRIAL_PEER_S || (told_only && !peer->told))
         continue;
       for (size_t arm = 0; arm < TRIAL_ARMS; arm++)
@@ -423,7 +425,7 @@
 void
 trial_write (trial_t *trial, bool all, buf_t *out)
 {
-  const evidence_t evidence = all ? gather (trial, true) : trial->own;
+  const crdt_t evidence = all ? gather (trial, true) : trial->own;
 
   buf_printf (out, "%llu", (unsigned long long)trial->order);
   for (size_t arm = 0; arm < TRIAL_ARMS; arm++)
@@ -454,7 +456,7 @@
 vh_code_t
 trial_merge (trial_t *trial, str_t entry, bool told, str_t text)
 {
-  evidence_t got = { .told = told };
+  crdt_t got = { .told = told };
   double order;
 
   if (!next_number (&text, &order))
@@ -475,7 +477,7 @@
               || !next_number (&text, &sums->late[timing]))
             return VH_E_PROTOCOL;
       }
-  evidence_t *peer = map_get (trial->peers, entry);
+  crdt_t *peer = map_get (trial->peers, entry);
   if (peer == NULL)
     {
       peer = mem_alloc (sizeof *peer);
@@ -597,10 +599,10 @@
   return false;
 }
 
-trial_verdict_t
-trial_judge (const trial_t *trial, uint64_t now_ms, bool alone, buf_t *why)
+trial_decision_t
+trial_decide (const trial_t *trial, uint64_t now_ms, bool alone, buf_t *why)
 {
-  evidence_t all = gather (trial, false);
+  crdt_t all = gather (trial, false);
   trial_sums_t sums[TRIAL_ARMS] = { 0 };
   bool any_doubtful = false;
 
@@ -609,19 +611,19 @@
   for (size_t cell = 0; cell < TRIAL_CELLS_ALL; cell++)
     {
       if (is_bad (&all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell], why))
-        return TRIAL_TAKE_BACK;
+        return TRIAL_ROLL_BACK;
       any_doubtful |= is_doubtful (&all.sums[TRIAL_OLD][cell],
                                    &all.sums[TRIAL_NEW][cell]);
       for (size_t arm = 0; arm < TRIAL_ARMS && cell < TRIAL_CELLS; arm++)
         sums_add (&sums[arm], &all.sums[arm][cell]);
     }
   if (is_bad (&sums[TRIAL_OLD], &sums[TRIAL_NEW], why))
-    return TRIAL_TAKE_BACK;
+    return TRIAL_ROLL_BACK;
   double within_ms = (double)trial->within_ms;
   double least_ms = step_parts[trial->step] * within_ms;
   /* The first move holds from the half on, and is written before it.  */
-  if (trial->step == TRIAL_STEP_HELD)
-    least_ms -= TRIAL_NOTICE_MS;
+  if (trial->step == TRIAL_STEP_NO_TRAFFIC)
+    least_ms -= TRIAL_STEP_NOTICE_MS;
   if (least_ms < TRIAL_STEP_MS_MIN)
     least_ms = TRIAL_STEP_MS_MIN;
   double in_step_ms
@@ -634,14 +636,14 @@
                   || !is_proven (
                       &sums[TRIAL_OLD], &sums[TRIAL_NEW], in_step_ms, least_ms,
                       is_due ? TRIAL_LAST_SIGMAS : TRIAL_DOUBT_SIGMAS);
-  if (trial->step > TRIAL_STEP_HELD && in_doubt)
+  if (trial->step > TRIAL_STEP_NO_TRAFFIC && in_doubt)
     {
       if (sums[TRIAL_NEW].count < TRIAL_ENOUGH
           || (double)now_ms + TRIAL_DOUBT_MS
                  < (double)trial->start_ms + within_ms)
         return TRIAL_WAIT;
       buf_printf (why, "in doubt at its time limit");
-      return TRIAL_TAKE_BACK;
+      return TRIAL_ROLL_BACK;
     }
   if (trial->step + 1 < TRIAL_STEP_COUNT)
     return TRIAL_ADVANCE;
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -57,8 +57,8 @@
    instance together.  The gaps between events depend on the size of the batch
    alone.  */
 #define TRIAL_TIMINGS(X)                                                      \
-  X (TIMING_FIRST, 4.0, 16, 4.5, "first events")                              \
-  X (TIMING_GAP, 2.5, 8, 4.0, "gaps between events")
+  X (TRIAL_TIMING_FIRST_EVENT, 4.0, 16, 4.5, "first events")                  \
+  X (TRIAL_TIMING_EVENT_GAP, 2.5, 8, 4.0, "gaps between events")
 #define TRIAL_LATE_HARM 0.3
 /* A step is not left while more are late by this and so many standard errors.
  */
@@ -94,7 +94,7 @@
 
 /* X (symbol, part of the order's time that the step lasts at least).  */
 #define TRIAL_STEPS(X)                                                        \
-  X (TRIAL_STEP_HELD, 0.50)                                                   \
+  X (TRIAL_STEP_NO_TRAFFIC, 0.50)                                             \
   X (TRIAL_STEP_FIRST, 0.11)                                                  \
   X (TRIAL_STEP_WIDER, 0.06)
 /* Of the bound on exposure: what all shares may add up to, and the share of
@@ -130,7 +130,7 @@
   TRIAL_LOADS = 8,
   /* A step in force is read by all entries within a second of its writing,
      and a second of answers must be judged before the next.  */
-  TRIAL_NOTICE_MS = 1000,
+  TRIAL_STEP_NOTICE_MS = 1000,
   /* Instances that get their first requests have read no prompt yet: their
      first events say nothing of the version for so long.  */
   TRIAL_WARM_MS = 1000,
@@ -191,33 +191,33 @@
 trial_t *trial_create (str_t service, str_t version, uint64_t order,
                        uint64_t within_ms, double exposure);
 /* When this entry saw the order, by the store's clock; 0: not known.  */
-void trial_set_seen (trial_t *trial, uint64_t seen_ms);
-uint64_t trial_seen (const trial_t *trial);
+void trial_set_order_seen_ms (trial_t *trial, uint64_t seen_ms);
+uint64_t trial_order_seen_ms (const trial_t *trial);
 void trial_destroy (trial_t *trial);
 str_t trial_version (const trial_t *trial);
 uint64_t trial_order (const trial_t *trial);
-uint64_t trial_within_ms (const trial_t *trial);
+uint64_t trial_time_limit_ms (const trial_t *trial);
 trial_phase_t trial_phase (const trial_t *trial);
 const char *trial_phase_name (trial_phase_t phase);
 void trial_set_phase (trial_t *trial, trial_phase_t phase);
 /* Whether the shared row bears a final phase.  */
-void trial_set_written (trial_t *trial, bool written);
-bool trial_written (const trial_t *trial);
+void trial_set_final_phase_stored (trial_t *trial, bool written);
+bool trial_is_final_phase_stored (const trial_t *trial);
 /* What the shared row says: when the order was first seen, the step, and from
    when it holds, all by the store's clock.  */
 void trial_set_progress (trial_t *trial, uint64_t start_ms, uint32_t step,
                          uint64_t from_ms);
 /* 0 while the row is not known.  */
-uint64_t trial_start (const trial_t *trial);
+uint64_t trial_start_ms (const trial_t *trial);
 uint32_t trial_step (const trial_t *trial);
-uint64_t trial_from (const trial_t *trial);
+uint64_t trial_step_start_ms (const trial_t *trial);
 
 /* Share of the requests for the new version at NOW_MS of the store's clock.
  */
 double trial_share (const trial_t *trial, uint64_t now_ms);
 /* Tell whether the session or request with hash KEY goes to the new version:
    a greater share only adds keys.  */
-bool trial_assign (const trial_t *trial, uint64_t key, uint64_t now_ms);
+bool trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms);
 
 /* What became of the sends of one request so far.  */
 typedef struct
@@ -225,20 +225,21 @@
   bool any; /* It was sent before, to ARM.  */
   trial_arm_t arm;
   bool failed; /* A send to the new version failed.  */
-} trial_sent_t;
+} trial_send_history_t;
 
 /* The arm of a request with hash KEY.  It stays with the arm of its first
    send: a stream that was broken on the old version must not go on at one
    that may be bad, where a second failure would end it.  What failed on the
    new version goes to the old one.  */
-trial_arm_t trial_choose (const trial_t *trial, uint64_t key, uint64_t now_ms,
-                          const trial_sent_t *sent);
+trial_arm_t trial_choose_arm (const trial_t *trial, uint64_t key,
+                              uint64_t now_ms,
+                              const trial_send_history_t *sent);
 
 typedef enum
 {
   TRIAL_ANSWERED,
-  TRIAL_FAILED, /* The upstream answered with a failure, or never.  */
-  TRIAL_BROKE   /* Its connection ended or the instance is gone.  */
+  TRIAL_FAILED,         /* The upstream answered with a failure, or never.  */
+  TRIAL_CONNECTION_LOST /* Its connection ended or the instance is gone.  */
 } trial_outcome_t;
 
 /* Take in what became of a send on a route with hash ROUTE; WAIT_MS until its
@@ -248,11 +249,11 @@
                     trial_outcome_t outcome, uint64_t wait_ms, bool is_loaded);
 /* A send on a route with hash ROUTE took MS for TIMING at an instance with
    LOAD requests, of all entries, until NOW_MS of the store's clock.  */
-void trial_time (trial_t *trial, trial_arm_t arm, uint64_t route,
-                 trial_timing_t timing, uint32_t load, double ms,
-                 uint64_t now_ms);
+void trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
+                           trial_timing_t timing, uint32_t load, double ms,
+                           uint64_t now_ms);
 /* Forget by one second.  */
-void trial_fade (trial_t *trial);
+void trial_decay (trial_t *trial);
 
 /* What this entry tells: what it saw and, with ALL, what others told it.  */
 void trial_write (trial_t *trial, bool all, buf_t *out);
@@ -260,19 +261,19 @@
    until TRIAL_PEER_S seconds went by without another word.  */
 vh_code_t trial_merge (trial_t *trial, str_t entry, bool told, str_t text);
 /* Tell whether anything was observed since the last write.  */
-bool trial_dirty (const trial_t *trial);
+bool trial_has_unwritten_counts (const trial_t *trial);
 
 typedef enum
 {
   TRIAL_WAIT,      /* Nothing to do yet.  */
   TRIAL_ADVANCE,   /* Take the next step.  */
-  TRIAL_TAKE_BACK, /* The version is bad.  */
+  TRIAL_ROLL_BACK, /* The version is bad.  */
   TRIAL_FINISH     /* The old version may stop.  */
-} trial_verdict_t;
+} trial_decision_t;
 
 /* Judge all evidence; WHY gets a sentence when the version is bad.  ALONE:
    the store does not answer, so the evidence of others is not here.  */
-trial_verdict_t trial_judge (const trial_t *trial, uint64_t now_ms, bool alone,
-                             buf_t *why);
+trial_decision_t trial_decide (const trial_t *trial, uint64_t now_ms,
+                               bool alone, buf_t *why);
 
 #endif
--- a/packages/policy/watch.c
+++ b/packages/policy/watch.c
@@ -75,35 +75,35 @@
 
 struct watch
 {
-  evidence_t *evidence;
-  series_t series[WATCH_SERIES_MAX];
-  version_alarm_t versions[WATCH_VERSIONS_MAX];
+  crdt_t *evidence;
+  series_t series[DEGRADATION_SERIES_MAX];
+  version_alarm_t versions[DEGRADATION_VERSIONS_MAX];
   uint32_t version_count;
-  track_t tracks[WATCH_SERIES_MAX][ROLLOUT_METRIC_COUNT];
+  track_t tracks[DEGRADATION_SERIES_MAX][ROLLOUT_METRIC_COUNT];
   uint64_t looked_epoch;
 };
 
-watch_t *
-watch_create (uint64_t writer)
+degradation_t *
+degradation_create (uint64_t writer)
 {
-  const evidence_options_t options = { .writer = writer,
-                                       .epoch_ms = WATCH_EPOCH_MS,
-                                       .epochs = WATCH_EPOCHS,
-                                       .fields = SAMPLE_FIELD_COUNT,
-                                       .keys_max = WATCH_SERIES_MAX,
-                                       .cells_max = WATCH_CELLS_MAX };
-  watch_t *w = mem_zalloc (sizeof *w);
+  const crdt_options_t options = { .writer = writer,
+                                   .epoch_ms = DEGRADATION_EPOCH_MS,
+                                   .epochs = DEGRADATION_EPOCHS,
+                                   .fields = SAMPLE_FIELD_COUNT,
+                                   .keys_max = DEGRADATION_SERIES_MAX,
+                                   .cells_max = DEGRADATION_CELLS_MAX };
+  degradation_t *w = mem_zalloc (sizeof *w);
 
-  w->evidence = evidence_create (&options);
+  w->evidence = crdt_create (&options);
   return w;
 }
 
 void
-watch_destroy (watch_t *w)
+degradation_destroy (degradation_t *w)
 {
   if (w == NULL)
     return;
-  evidence_destroy (w->evidence);
+  crdt_destroy (w->evidence);
   free (w);
 }
 
@@ -115,7 +115,7 @@
 }
 
 static version_alarm_t *
-version_find (const watch_t *w, uint64_t hash)
+version_find (const degradation_t *w, uint64_t hash)
 {
   for (uint32_t i = 0; i < w->version_count; i++)
     if (w->versions[i].hash == hash)
@@ -125,11 +125,11 @@
 
 /* Return the version's entry, made on first use; NULL when all are taken.  */
 static version_alarm_t *
-version_get (watch_t *w, uint64_t hash)
+version_get (degradation_t *w, uint64_t hash)
 {
   version_alarm_t *found = version_find (w, hash);
 
-  if (found != NULL || w->version_count == WATCH_VERSIONS_MAX)
+  if (found != NULL || w->version_count == DEGRADATION_VERSIONS_MAX)
     return found;
   w->versions[w->version_count].hash = hash;
   return &w->versions[w->version_count++];
@@ -138,14 +138,14 @@
 /* Return the key of the series, made on first use; -1 when there is no
    room.  */
 static int
-series_get (watch_t *w, uint64_t version, uint64_t task)
+series_get (degradation_t *w, uint64_t version, uint64_t task)
 {
   uint64_t hash = version ^ (task * 0x9e3779b97f4a7c15u);
   version_alarm_t *entry = version_get (w, version);
 
   if (entry == NULL)
     return -1;
-  int key = evidence_key (w->evidence, hash);
+  int key = crdt_key_find_or_add (w->evidence, hash);
   if (key >= 0 && w->series[key].version == 0)
     w->series[key]
         = (series_t){ version, task, (uint32_t)(entry - w->versions) };
@@ -153,14 +153,14 @@
 }
 
 void
-watch_observe (watch_t *w, str_t version, str_t task,
-               const rollout_sample_t *sample, uint64_t now_ms)
+degradation_observe (degradation_t *w, str_t version, str_t task,
+                     const rollout_sample_t *sample, uint64_t now_ms)
 {
   int64_t fields[SAMPLE_FIELD_COUNT];
   int key = series_get (w, name_hash (version), name_hash (task));
 
   sample_to_fields (sample, fields);
-  evidence_add (w->evidence, key, now_ms, fields);
+  crdt_add (w->evidence, key, now_ms, fields);
 }
 
 static bool
@@ -233,22 +233,21 @@
 /* Load the epoch into the tracks of METRIC and sum up by version what moved.
    Return the sum over all versions.  */
 static shift_t
-load_epoch (watch_t *w, uint64_t epoch, rollout_metric_t metric,
-            shift_t by_version[WATCH_VERSIONS_MAX])
+load_epoch (degradation_t *w, uint64_t epoch, rollout_metric_t metric,
+            shift_t by_version[DEGRADATION_VERSIONS_MAX])
 {
   shift_t all = { 0, 0 };
 
-  memset (by_version, 0, WATCH_VERSIONS_MAX * sizeof *by_version);
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  memset (by_version, 0, DEGRADATION_VERSIONS_MAX * sizeof *by_version);
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
       track_t *t = &w->tracks[key][metric];
       const series_t *s = &w->series[key];
       uint64_t cleared_ms = w->versions[s->slot].cleared_ms;
       t->now = (moments_t){ 0, 0, 0 };
-      if (s->version == 0 || epoch * WATCH_EPOCH_MS < cleared_ms)
+      if (s->version == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
         continue;
-      t->now
-          = sample_moments (evidence_sums (w->evidence, key, epoch), metric);
+      t->now = sample_moments (crdt_sums (w->evidence, key, epoch), metric);
       if (t->now.count <= 0 || t->reference.count < REFERENCE_MIN)
         continue;
       t->moved
@@ -295,7 +294,7 @@
     }
   else
     {
-      t->cusum = fmin (t->cusum, 2 * WATCH_THRESHOLD);
+      t->cusum = fmin (t->cusum, 2 * DEGRADATION_CUSUM_THRESHOLD);
       t->own_count += t->now.count;
       t->own_moved += t->now.count * t->moved;
       /* Weighted by this series' answers, so that the same epochs count
@@ -306,13 +305,13 @@
           t->other_moved += t->now.count * others->moved / others->count;
         }
     }
-  if (t->cusum < FREEZE_PART * WATCH_THRESHOLD)
+  if (t->cusum < FREEZE_PART * DEGRADATION_CUSUM_THRESHOLD)
     reference_learn (t);
-  if (t->cusum < WATCH_THRESHOLD)
+  if (t->cusum < DEGRADATION_CUSUM_THRESHOLD)
     return false;
   if (alone (t, others))
     return true;
-  if (++t->common >= WATCH_COMMON_EPOCHS)
+  if (++t->common >= DEGRADATION_RELEARN_EPOCHS)
     *t = (track_t){ .common = 0 };
   return false;
 }
@@ -320,20 +319,20 @@
 static void
 raise_alarm (version_alarm_t *v, rollout_metric_t metric, uint64_t epoch)
 {
-  v->since_ms = (epoch + 1) * WATCH_EPOCH_MS;
+  v->since_ms = (epoch + 1) * DEGRADATION_EPOCH_MS;
   v->metric = metric;
 }
 
 /* Take EPOCH into all tracks of METRIC; return true when an alarm was
    raised.  */
 static bool
-look_at (watch_t *w, uint64_t epoch, rollout_metric_t metric)
+look_at (degradation_t *w, uint64_t epoch, rollout_metric_t metric)
 {
-  shift_t by_version[WATCH_VERSIONS_MAX];
+  shift_t by_version[DEGRADATION_VERSIONS_MAX];
   shift_t all = load_epoch (w, epoch, metric, by_version);
   bool raised = false;
 
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
       const series_t *s = &w->series[key];
       if (s->version == 0)
@@ -352,19 +351,19 @@
 }
 
 bool
-watch_step (watch_t *w, uint64_t now_ms)
+degradation_check (degradation_t *w, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (w->evidence, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
   bool raised = false;
 
-  evidence_advance (w->evidence, now_ms);
+  crdt_advance (w->evidence, now_ms);
   if (now_epoch == w->looked_epoch)
     return false;
   w->looked_epoch = now_epoch;
   /* From the start of what is kept, so that evidence that came late or from
      elsewhere is seen in its place and every process finds the same.  */
   memset (w->tracks, 0, sizeof w->tracks);
-  uint64_t epoch = evidence_first (w->evidence);
+  uint64_t epoch = crdt_first_epoch (w->evidence);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
       raised = look_at (w, epoch, (rollout_metric_t)m) || raised;
@@ -372,21 +371,22 @@
 }
 
 double
-watch_weight (const watch_t *w, str_t version, uint64_t now_ms)
+degradation_traffic_weight (const degradation_t *w, str_t version,
+                            uint64_t now_ms)
 {
   const version_alarm_t *v = version_find (w, name_hash (version));
 
   if (v == NULL || !alarmed (v))
     return 1;
   uint64_t age_ms = now_ms > v->since_ms ? now_ms - v->since_ms : 0;
-  if (age_ms < WATCH_STEP_MS)
+  if (age_ms < DEGRADATION_WEIGHT_STEP_MS)
     return 0.5;
-  return age_ms < (uint64_t)2 * WATCH_STEP_MS ? 0.1 : 0;
+  return age_ms < (uint64_t)2 * DEGRADATION_WEIGHT_STEP_MS ? 0.1 : 0;
 }
 
 bool
-watch_alarm (const watch_t *w, str_t version, rollout_metric_t *metric,
-             uint64_t *since_ms)
+degradation_get_alarm (const degradation_t *w, str_t version,
+                       rollout_metric_t *metric, uint64_t *since_ms)
 {
   const version_alarm_t *v = version_find (w, name_hash (version));
 
@@ -398,7 +398,7 @@
 }
 
 void
-watch_clear (watch_t *w, str_t version, uint64_t now_ms)
+degradation_clear_alarm (degradation_t *w, str_t version, uint64_t now_ms)
 {
   version_alarm_t *v = version_get (w, name_hash (version));
 
@@ -407,38 +407,39 @@
 }
 
 void
-watch_write (const watch_t *w, bool own_only, buf_t *out)
+degradation_write (const degradation_t *w, bool own_only, buf_t *out)
 {
   uint64_t count = 0;
 
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     count += w->series[key].version != 0;
-  evidence_put (out, FORMAT);
-  evidence_put (out, count);
-  for (int key = 0; key < WATCH_SERIES_MAX; key++)
+  crdt_write_varint (out, FORMAT);
+  crdt_write_varint (out, count);
+  for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     if (w->series[key].version != 0)
       {
-        evidence_put (out, w->series[key].version);
-        evidence_put (out, w->series[key].task);
+        crdt_write_varint (out, w->series[key].version);
+        crdt_write_varint (out, w->series[key].task);
       }
-  evidence_put (out, w->version_count);
+  crdt_write_varint (out, w->version_count);
   for (uint32_t i = 0; i < w->version_count; i++)
     {
       const version_alarm_t *v = &w->versions[i];
-      evidence_put (out, v->hash);
-      evidence_put (out, v->cleared_ms);
-      evidence_put (out, v->since_ms);
-      evidence_put (out, v->metric);
+      crdt_write_varint (out, v->hash);
+      crdt_write_varint (out, v->cleared_ms);
+      crdt_write_varint (out, v->since_ms);
+      crdt_write_varint (out, v->metric);
     }
-  evidence_write (w->evidence, own_only, out);
+  crdt_write (w->evidence, own_only, out);
 }
 
 static bool
 take_alarm (str_t *rest, version_alarm_t *v)
 {
-  return evidence_take (rest, &v->hash) && evidence_take (rest, &v->cleared_ms)
-         && evidence_take (rest, &v->since_ms)
-         && evidence_take (rest, &v->metric) && v->hash != 0
+  return crdt_read_varint (rest, &v->hash)
+         && crdt_read_varint (rest, &v->cleared_ms)
+         && crdt_read_varint (rest, &v->since_ms)
+         && crdt_read_varint (rest, &v->metric) && v->hash != 0
          && v->metric < ROLLOUT_METRIC_COUNT;
 }
 
@@ -459,31 +460,33 @@
 }
 
 vh_code_t
-watch_merge (watch_t *w, str_t bytes, uint64_t now_ms)
+degradation_merge (degradation_t *w, str_t bytes, uint64_t now_ms)
 {
   uint64_t format, series, versions;
   uint64_t version = 0;
   uint64_t task = 0;
   version_alarm_t alarm = { 0 };
 
-  if (!evidence_take (&bytes, &format) || format != FORMAT
-      || !evidence_take (&bytes, &series) || series > WATCH_SERIES_MAX)
+  if (!crdt_read_varint (&bytes, &format) || format != FORMAT
+      || !crdt_read_varint (&bytes, &series)
+      || series > DEGRADATION_SERIES_MAX)
     return VH_E_PROTOCOL;
   str_t names = bytes;
   for (uint64_t i = 0; i < series; i++)
-    if (!evidence_take (&bytes, &version) || !evidence_take (&bytes, &task)
-        || version == 0)
+    if (!crdt_read_varint (&bytes, &version)
+        || !crdt_read_varint (&bytes, &task) || version == 0)
       return VH_E_PROTOCOL;
-  if (!evidence_take (&bytes, &versions) || versions > WATCH_VERSIONS_MAX)
+  if (!crdt_read_varint (&bytes, &versions)
+      || versions > DEGRADATION_VERSIONS_MAX)
     return VH_E_PROTOCOL;
   str_t alarms = bytes;
   for (uint64_t i = 0; i < versions; i++)
     if (!take_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
-  if (!evidence_valid (w->evidence, bytes))
+  if (!crdt_is_valid (w->evidence, bytes))
     return VH_E_PROTOCOL;
-  for (uint64_t i = 0; i < series && evidence_take (&names, &version)
-                       && evidence_take (&names, &task);
+  for (uint64_t i = 0; i < series && crdt_read_varint (&names, &version)
+                       && crdt_read_varint (&names, &task);
        i++)
     series_get (w, version, task);
   for (uint64_t i = 0; i < versions && take_alarm (&alarms, &alarm); i++)
@@ -492,15 +495,15 @@
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
-  return evidence_merge (w->evidence, bytes, now_ms);
+  return crdt_merge (w->evidence, bytes, now_ms);
 }
 
 void
-watch_settle (watch_t *w, uint64_t generation, uint64_t now_ms)
+degradation_compact (degradation_t *w, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = evidence_epoch (w->evidence, now_ms);
-  uint64_t epoch = evidence_first (w->evidence);
+  uint64_t now_epoch = crdt_epoch_at (w->evidence, now_ms);
+  uint64_t epoch = crdt_first_epoch (w->evidence);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    evidence_settle (w->evidence, epoch, generation);
+    crdt_compact (w->evidence, epoch, generation);
 }
--- a/packages/policy/zone.c
+++ b/packages/policy/zone.c
@@ -37,19 +37,20 @@
 {
   if (zone->state != ZONE_OUT)
     return;
-  zone->state = ZONE_RETURNING;
+  zone->state = ZONE_RAMPING;
   zone->since_ms = now_ms;
 }
 
 double
-zone_ramp (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms)
+zone_ramp_share (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms)
 {
   if (now_ms >= since_ms + ramp_ms)
     return 1;
   if (now_ms <= since_ms)
-    return ZONE_RAMP_FIRST;
-  return ZONE_RAMP_FIRST
-         + (1 - ZONE_RAMP_FIRST) * (double)(now_ms - since_ms) / ramp_ms;
+    return ZONE_RAMP_INITIAL_SHARE;
+  return ZONE_RAMP_INITIAL_SHARE
+         + (1 - ZONE_RAMP_INITIAL_SHARE) * (double)(now_ms - since_ms)
+               / ramp_ms;
 }
 
 double
@@ -59,11 +60,11 @@
 
   if (zone->state == ZONE_OUT)
     return 0;
-  if (zone->state == ZONE_IN)
+  if (zone->state == ZONE_ENABLED)
     return 1;
-  share = zone_ramp (zone->since_ms, zone->ramp_ms, now_ms);
+  share = zone_ramp_share (zone->since_ms, zone->ramp_ms, now_ms);
   if (share >= 1)
-    zone->state = ZONE_IN;
+    zone->state = ZONE_ENABLED;
   return share;
 }
 
--- a/packages/policy/zone.h
+++ b/packages/policy/zone.h
@@ -7,7 +7,8 @@
 
    - ZONE_RAMP_MS 10000: engines fill their caches in some seconds; longer
      would keep the other zones overloaded without need.
-   - ZONE_RAMP_FIRST 0.1: the share at the first moment, enough to warm up.  */
+   - ZONE_RAMP_INITIAL_SHARE 0.1: the share at the first moment, enough to warm
+   up.  */
 
 #ifndef POLICY_ZONE_H
 #define POLICY_ZONE_H
@@ -19,13 +20,13 @@
   ZONE_RAMP_MS = 10000
 };
 
-#define ZONE_RAMP_FIRST 0.1
+#define ZONE_RAMP_INITIAL_SHARE 0.1
 
 typedef enum
 {
-  ZONE_IN,
+  ZONE_ENABLED,
   ZONE_OUT,
-  ZONE_RETURNING
+  ZONE_RAMPING
 } zone_state_t;
 
 typedef struct zone zone_t;
@@ -43,7 +44,7 @@
 zone_state_t zone_state (const zone_t *zone);
 
 /* Return how far a ramp of RAMP_MS that began at SINCE_MS is at NOW_MS, from
-   ZONE_RAMP_FIRST to 1.  */
-double zone_ramp (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms);
+   ZONE_RAMP_INITIAL_SHARE to 1.  */
+double zone_ramp_share (uint64_t since_ms, uint32_t ramp_ms, uint64_t now_ms);
 
 #endif
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -416,12 +416,13 @@
 static bool
 may_share (const sidecar_t *sidecar, const attempt_t *attempt)
 {
-  const poison_company_t company
+  const poison_in_flight_t company
       = { .suspects = sidecar->running_suspect,
           .not_repeatable = sidecar->running_nonidempotent };
 
-  return poison_may_join (attempt->suspect ? POISON_SUSPECT : POISON_CLEAR,
-                          attempt->idempotent, &company);
+  return poison_may_run_beside (attempt->suspect ? POISON_SUSPECT
+                                                 : POISON_CLEAR,
+                                attempt->idempotent, &company);
 }
 
 static void
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -173,16 +173,17 @@
 
 /* The dialect of the tests: plain words in rows.  */
 
-static order_kind_t
+static operator_row_kind_t
 order_kind (str_t key, str_t *name)
 {
   str_t kind = str_cut (key, '/', name);
 
   if (str_eq (kind, STR ("catalog")))
-    return ORDER_CATALOG;
+    return OPERATOR_ROW_CATALOG;
   if (str_eq (kind, STR ("rollout")))
-    return ORDER_ROLLOUT;
-  return str_eq (kind, STR ("zone")) ? ORDER_ZONE_OUT : ORDER_NONE;
+    return OPERATOR_ROW_ROLLOUT;
+  return str_eq (kind, STR ("zone")) ? OPERATOR_ROW_ZONE_EXCLUSION
+                                     : OPERATOR_ROW_UNKNOWN;
 }
 
 /* A catalog's row is REVISION KEY, and whatever comes after a space: all the
@@ -206,7 +207,7 @@
     { .name = { "book", 4 },
       .host = { "desk.example", 12 },
       .prefix = { "/book/", 6 },
-      .kind = ROUTE_ONCE,
+      .kind = ROUTE_AT_MOST_ONCE,
       .timeout_ms = 600,
       .objective_ms = 300,
       .attempts_max = 1,
@@ -220,7 +221,7 @@
       .objective_ms = 600,
       .pause_ms = 500,
       .attempts_max = 3,
-      .resumable = true,
+      .is_resumable = true,
       .splits = { { { "llm", 3 }, 1 } },
       .split_count = 1,
       .models = { { "small", 5 }, { "large", 5 } },
@@ -242,7 +243,7 @@
 
   (void)pause;
   /* On a thread of its own: see the loader.  */
-  if (value.len >= LOADER_LONG)
+  if (value.len >= LOADER_ASYNC_BYTES_MIN)
     uv_sleep (GATEWAY_FIXTURE_READ_MS);
 
   if (!str_to_u64 (str_cut (value, ' ', &key), &revision))
@@ -272,7 +273,7 @@
 
 /* SERVICE VERSION WITHIN_MS.  */
 static vh_code_t
-read_rollout (str_t value, rollout_order_t *order, void **holder)
+read_rollout (str_t value, rollout_spec_t *order, void **holder)
 {
   str_t words[3];
 
@@ -366,7 +367,7 @@
     .confirm_ms = 3500,
     .lapse_ms = 2000,
     .retry_ratio = 0.9,
-    .retry_slack = 50,
+    .retry_fixed_budget = 50,
     .retry_window_ms = 10000,
     .cold_factor = 1.5,
     .cold_slack = 5,
@@ -383,7 +384,7 @@
   uv_loop_init (&f->loop);
   loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
   f->rows = fake_rows_create (&f->loop);
-  fake_rows_down (f->rows, true);
+  fake_rows_set_down (f->rows, true);
   fake_rows_put (f->rows, ROWS_ORDERS, "catalog", "1 key-1");
   for (size_t i = 0; i < upstreams; i++)
     {
@@ -403,7 +404,7 @@
 gateway_fixture_setup (gateway_fixture_t *f, size_t upstreams)
 {
   gateway_fixture_setup_early (f, upstreams);
-  fake_rows_down (f->rows, false);
+  fake_rows_set_down (f->rows, false);
   gateway_fixture_wait (f, gateway_fixture_ready (f) == 200);
 }
 
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -27,8 +27,8 @@
 
 enum
 {
-  /* What it takes to read a configuration of LOADER_LONG bytes: longer than
-     half of the age at which keys are no longer trusted.  */
+  /* What it takes to read a configuration of LOADER_ASYNC_BYTES_MIN bytes:
+     longer than half of the age at which keys are no longer trusted.  */
   GATEWAY_FIXTURE_READ_MS = 2600
 };
 
@@ -46,7 +46,7 @@
    `llm', each scripted to answer as it should, ready for requests.  */
 void gateway_fixture_setup (gateway_fixture_t *f, size_t upstreams);
 /* The same, not yet ready, with a store that answers only when it is told so
-   by fake_rows_down.  */
+   by fake_rows_set_down.  */
 void gateway_fixture_setup_early (gateway_fixture_t *f, size_t upstreams);
 void gateway_fixture_teardown (gateway_fixture_t *f);
 /* Turn the loop until COND holds; fail the test after some seconds.  */
--- a/tests/test_allotment.c
+++ b/tests/test_allotment.c
@@ -67,7 +67,7 @@
 
   for (size_t i = from; i < to; i++)
     allotment_put (fleet->entries[at], name_of (i, name), zone_of (i));
-  allotment_read (fleet->entries[at]);
+  allotment_set_loaded (fleet->entries[at]);
 }
 
 /* What all entries together may use of BOUND for object number OBJECT.  */
@@ -80,9 +80,9 @@
   for (size_t i = 0; i < fleet->count; i++)
     {
       const allotment_t *entry = fleet->entries[i];
-      sum += allotment_part (bound,
-                             allotment_rank (entry, hash, zone_of (object)),
-                             allotment_size (entry));
+      sum += allotment_share (bound,
+                              allotment_rank (entry, hash, zone_of (object)),
+                              allotment_gateway_count (entry));
     }
   return sum;
 }
@@ -169,7 +169,7 @@
             if (rng_below (&rng, 4) == 0)
               continue;
             living += 1.0 / (double)sizes[s];
-            sum += allotment_part (
+            sum += allotment_share (
                 10,
                 allotment_rank (fleet.entries[i],
                                 str_hash (STR ("object"), object),
@@ -205,10 +205,11 @@
           size_t rank = allotment_rank (entry, hash, STR ("a"));
           lists (&fleet, i, 68, 69);
           size_t later = allotment_rank (entry, hash, STR ("a"));
-          allotment_leave (entry, STR ("entry-68"));
-          clock_manual_advance_us (fleet.clock, ALLOTMENT_KEEP_MS * 1000u);
+          allotment_remove (entry, STR ("entry-68"));
+          clock_manual_advance_us (fleet.clock,
+                                   ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
           allotment_expire (entry);
-          ck_assert_uint_eq (allotment_size (entry), 68);
+          ck_assert_uint_eq (allotment_gateway_count (entry), 68);
           ck_assert_uint_ge (later, rank);
           ck_assert_uint_le (later, rank + 1);
           before += rank < 10;
@@ -229,24 +230,24 @@
   clock_iface_t *clock = clock_manual_create (0);
   allotment_t *entry = allotment_create (clock, STR ("one"), STR ("a"));
 
-  ck_assert (!allotment_is_known (entry));
+  ck_assert (!allotment_is_loaded (entry));
   allotment_put (entry, STR ("two"), STR ("a"));
-  allotment_read (entry);
-  ck_assert (allotment_is_known (entry));
-  allotment_leave (entry, STR ("two"));
-  clock_manual_advance_us (clock, (ALLOTMENT_KEEP_MS - 1) * 1000u);
+  allotment_set_loaded (entry);
+  ck_assert (allotment_is_loaded (entry));
+  allotment_remove (entry, STR ("two"));
+  clock_manual_advance_us (clock, (ALLOTMENT_REMOVAL_DELAY_MS - 1) * 1000u);
   allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 2);
+  ck_assert_uint_eq (allotment_gateway_count (entry), 2);
   allotment_put (entry, STR ("two"), STR ("a"));
-  clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
+  clock_manual_advance_us (clock, ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
   allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 2);
+  ck_assert_uint_eq (allotment_gateway_count (entry), 2);
   /* The own entry stays, whatever the list says.  */
-  allotment_leave (entry, STR ("one"));
-  allotment_leave (entry, STR ("two"));
-  clock_manual_advance_us (clock, ALLOTMENT_KEEP_MS * 1000u);
+  allotment_remove (entry, STR ("one"));
+  allotment_remove (entry, STR ("two"));
+  clock_manual_advance_us (clock, ALLOTMENT_REMOVAL_DELAY_MS * 1000u);
   allotment_expire (entry);
-  ck_assert_uint_eq (allotment_size (entry), 1);
+  ck_assert_uint_eq (allotment_gateway_count (entry), 1);
   allotment_destroy (entry);
   clock_manual_destroy (clock);
 }
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -8,7 +8,7 @@
    the requests plus the fixed part, in any window.  */
 START_TEST (all_entries_together_keep_the_bound)
 {
-  const allowance_options_t options
+  const send_budget_options_t options
       = { .ratio = 0.5, .slack = 60, .window_ms = 10000 };
   enum
   {
@@ -17,21 +17,21 @@
     PER_S = 10
   };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *entries[ENTRIES];
+  send_budget_t *entries[ENTRIES];
   int extras = 0;
 
   for (int i = 0; i < ENTRIES; i++)
     {
-      entries[i] = allowance_create (clock, &options);
-      allowance_set_entries (entries[i], ENTRIES);
+      entries[i] = send_budget_create (clock, &options);
+      send_budget_set_gateway_count (entries[i], ENTRIES);
     }
   for (int s = 0; s < SECONDS; s++)
     {
       for (int i = 0; i < ENTRIES; i++)
         for (int j = 0; j < PER_S; j++)
           {
-            allowance_request (entries[i]);
-            while (allowance_take (entries[i], 0))
+            send_budget_count_request (entries[i]);
+            while (send_budget_try_take (entries[i], 0))
               extras++;
           }
       clock_manual_advance_us (clock, 1000000);
@@ -41,25 +41,25 @@
   ck_assert_double_le (extras, bound);
   ck_assert_double_ge (extras, bound / 2);
   for (int i = 0; i < ENTRIES; i++)
-    allowance_destroy (entries[i]);
+    send_budget_destroy (entries[i]);
   clock_manual_destroy (clock);
 }
 END_TEST
 
 START_TEST (a_reserve_stays)
 {
-  const allowance_options_t options
+  const send_budget_options_t options
       = { .ratio = 0, .slack = 10, .window_ms = 10000 };
   clock_iface_t *clock = clock_manual_create (0);
-  allowance_t *allowance = allowance_create (clock, &options);
+  send_budget_t *allowance = send_budget_create (clock, &options);
 
-  while (allowance_take (allowance, 4))
+  while (send_budget_try_take (allowance, 4))
     ;
-  ck_assert_double_ge (allowance_left (allowance), 4);
-  ck_assert (allowance_take (allowance, 0));
+  ck_assert_double_ge (send_budget_remaining (allowance), 4);
+  ck_assert (send_budget_try_take (allowance, 0));
   clock_manual_advance_us (clock, 11000000);
-  ck_assert_double_ge (allowance_left (allowance), 8);
-  allowance_destroy (allowance);
+  ck_assert_double_ge (send_budget_remaining (allowance), 8);
+  send_budget_destroy (allowance);
   clock_manual_destroy (clock);
 }
 END_TEST
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -56,8 +56,8 @@
 static int
 pick_from (balance_t *from, uint64_t affinity)
 {
-  balance_request_t request
-      = { .pool = balance_pool (from, draft), .affinity = affinity };
+  balance_request_t request = { .pool = balance_find_or_add_pool (from, draft),
+                                .affinity = affinity };
   upstream_id_t id;
   balance_info_t info;
   uint64_t number;
@@ -84,7 +84,7 @@
     {
       int at = pick ();
       ck_assert_int_ge (at, 0);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       counts[at]++;
     }
 }
@@ -110,7 +110,7 @@
   ck_assert_int_eq (pick (), 0);
   balance_remove (balance, runner_name (0));
   ck_assert_int_eq (pick (), -1);
-  ck_assert_uint_eq (balance_known (balance), 0);
+  ck_assert_uint_eq (balance_upstream_count (balance), 0);
 }
 END_TEST
 
@@ -125,8 +125,8 @@
   old = ids[0];
   balance_remove (balance, runner_name (0));
   add_runners (balance, 1, 2, 1);
-  balance_started (balance, old);
-  balance_mark (balance, old, BALANCE_DRAINING, true);
+  balance_request_started (balance, old);
+  balance_set_mark (balance, old, BALANCE_DRAINING, true);
   ck_assert (!balance_info (balance, old, &info));
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert_uint_eq (info.in_flight, 0);
@@ -147,7 +147,7 @@
   upstream_id_t before[ROOM];
   upstream_id_t after[ROOM];
   balance_t *twin = balance_create (STR ("entry-1"), zones[0], manual, &rng);
-  pool_id_t pool = balance_pool (balance, draft);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft);
   balance_info_t info;
   size_t n;
   size_t own = 0;
@@ -157,9 +157,12 @@
   for (int i = MANY - 1; i >= 0; i--)
     balance_update (twin, runner_name (i), zones[i % 3], &draft, 1, false);
   n = balance_subset (balance, pool, before, ROOM);
-  ck_assert_uint_eq (n, BALANCE_SUBSET_OWN + 2 * BALANCE_SUBSET_OTHER);
-  ck_assert_uint_eq (
-      balance_subset (twin, balance_pool (twin, draft), after, ROOM), n);
+  ck_assert_uint_eq (n,
+                     BALANCE_SUBSET_OWN_ZONE + 2 * BALANCE_SUBSET_OTHER_ZONE);
+  ck_assert_uint_eq (balance_subset (twin,
+                                     balance_find_or_add_pool (twin, draft),
+                                     after, ROOM),
+                     n);
   for (size_t i = 0; i < n; i++)
     {
       balance_info_t same;
@@ -168,7 +171,7 @@
       ck_assert_uint_ne (balance_find (twin, info.name), 0);
       ck_assert (balance_info (twin, balance_find (twin, info.name), &same));
     }
-  ck_assert_uint_eq (own, BALANCE_SUBSET_OWN);
+  ck_assert_uint_eq (own, BALANCE_SUBSET_OWN_ZONE);
 
   ck_assert (balance_info (balance, before[3], &info));
   balance_remove (balance, info.name);
@@ -203,7 +206,8 @@
       size_t n;
 
       add_runners (entry, 0, MANY, 3);
-      n = balance_subset (entry, balance_pool (entry, draft), subset, ROOM);
+      n = balance_subset (entry, balance_find_or_add_pool (entry, draft),
+                          subset, ROOM);
       for (size_t i = 0; i < n; i++)
         {
           balance_info_t info;
@@ -256,11 +260,11 @@
   int later = 0;
 
   add_runners (balance, 0, 30, 3);
-  balance_set_zone (balance, zones[0], false);
+  balance_set_zone_enabled (balance, zones[0], false);
   send_many (60, counts);
   for (int i = 0; i < 30; i += 3)
     ck_assert_int_eq (counts[i], 0);
-  balance_set_zone (balance, zones[0], true);
+  balance_set_zone_enabled (balance, zones[0], true);
   clock_manual_advance_us (manual, 1000000);
   memset (counts, 0, sizeof counts);
   send_many (60, counts);
@@ -281,19 +285,20 @@
 START_TEST (marked_upstreams_get_nothing)
 {
   static const balance_mark_t marks[]
-      = { BALANCE_DRAINING, BALANCE_EJECTED, BALANCE_OUT, BALANCE_DOWN };
+      = { BALANCE_DRAINING, BALANCE_EJECTED, BALANCE_DISABLED,
+          BALANCE_UNREACHABLE };
 
   add_runners (balance, 0, 4, 1);
   for (int i = 0; i < 4; i++)
-    balance_mark (balance, ids[i], marks[i], i != 2);
+    balance_set_mark (balance, ids[i], marks[i], i != 2);
   for (int i = 0; i < 200; i++)
     ck_assert_int_eq (pick (), 2);
-  balance_mark (balance, ids[2], BALANCE_OUT, true);
+  balance_set_mark (balance, ids[2], BALANCE_DISABLED, true);
   ck_assert_int_eq (pick (), -1);
-  balance_mark (balance, ids[2], BALANCE_EJECTED, true);
-  balance_mark (balance, ids[2], BALANCE_OUT, false);
+  balance_set_mark (balance, ids[2], BALANCE_EJECTED, true);
+  balance_set_mark (balance, ids[2], BALANCE_DISABLED, false);
   ck_assert_int_eq (pick (), -1);
-  balance_mark (balance, ids[2], BALANCE_EJECTED, false);
+  balance_set_mark (balance, ids[2], BALANCE_EJECTED, false);
   ck_assert_int_eq (pick (), 2);
 }
 END_TEST
@@ -303,13 +308,13 @@
 START_TEST (draining_ones_are_replaced_in_the_subset)
 {
   upstream_id_t subset[256];
-  pool_id_t pool = balance_pool (balance, draft);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft);
   size_t n;
 
   add_runners (balance, 0, MANY, 1);
   n = balance_subset (balance, pool, subset, 256);
   for (size_t i = 0; i < n; i++)
-    balance_mark (balance, subset[i], BALANCE_DRAINING, true);
+    balance_set_mark (balance, subset[i], BALANCE_DRAINING, true);
   ck_assert_uint_eq (balance_subset (balance, pool, subset, 256), n);
   ck_assert_int_ge (pick (), 0);
 }
@@ -320,9 +325,9 @@
   int counts[10] = { 0 };
 
   add_runners (balance, 0, 10, 1);
-  balance_mark (balance, ids[0], BALANCE_EJECTED, true);
+  balance_set_mark (balance, ids[0], BALANCE_EJECTED, true);
   send_many (27, counts);
-  balance_mark (balance, ids[0], BALANCE_EJECTED, false);
+  balance_set_mark (balance, ids[0], BALANCE_EJECTED, false);
   send_many (27, counts);
   ck_assert_int_le (counts[0], 1);
   clock_manual_advance_us (manual, (uint64_t)BALANCE_RAMP_MS * 1000);
@@ -338,7 +343,7 @@
   upstream_id_t id;
 
   add_runners (balance, 0, 5, 1);
-  request.pool = balance_pool (balance, draft);
+  request.pool = balance_find_or_add_pool (balance, draft);
   request.tried = tried;
   for (; request.tried_count < 5; request.tried_count++)
     {
@@ -372,14 +377,14 @@
       int at = pick ();
 
       if (*oldest >= 0)
-        balance_ended (balance, ids[*oldest], true);
+        balance_request_ended (balance, ids[*oldest], true);
       *oldest = -1;
       clock_manual_advance_us (manual, 10000);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       if (at != 0)
         *oldest = at;
       else
-        balance_ended (balance, ids[at], false);
+        balance_request_ended (balance, ids[at], false);
       bad += at == 0;
     }
   /* By load alone it would win each of the 60 draws it is in.  */
@@ -395,7 +400,7 @@
 
   add_runners (balance, 0, 10, 1);
   for (int i = 0; i < 10; i++)
-    balance_report (balance, ids[i], i < 5 ? &busy : &idle, 0);
+    balance_record_load (balance, ids[i], i < 5 ? &busy : &idle, 0);
   send_many (50, counts);
   for (int i = 0; i < 5; i++)
     ck_assert_int_le (counts[i], 3);
@@ -412,8 +417,8 @@
 
   add_runners (balance, 0, 1, 1);
   clock_manual_advance_us (manual, 10000000);
-  balance_report (balance, ids[0], &now, 0);
-  balance_report (balance, ids[0], &then, 1000);
+  balance_record_load (balance, ids[0], &now, 0);
+  balance_record_load (balance, ids[0], &then, 1000);
   ck_assert (balance_info (balance, ids[0], &info));
   ck_assert (info.load < 1);
   clock_manual_advance_us (manual, 3000000);
@@ -433,16 +438,16 @@
   balance_load_t busy = { .in_flight = 6, .slots = 8 };
 
   for (int i = 0; i < 20; i++)
-    balance_report (balance, ids[i], i == 0 ? &idle : &busy, age_ms);
+    balance_record_load (balance, ids[i], i == 0 ? &idle : &busy, age_ms);
   send_many (60, counts);
   for (int i = 0; i < 20; i++)
     while (counts[i] > 0 && i > 0)
       {
-        balance_ended (balance, ids[i], true);
+        balance_request_ended (balance, ids[i], true);
         counts[i]--;
       }
   for (int i = counts[0]; i > 0; i--)
-    balance_ended (balance, ids[0], true);
+    balance_request_ended (balance, ids[0], true);
   return counts[0];
 }
 
@@ -478,7 +483,7 @@
     for (uint32_t i = 0; i < 2; i++)
       {
         balance_load_t load = { .slots = (round + i) % 2 == 0 ? 8 : 32 };
-        balance_report (balance, ids[i], &load, 0);
+        balance_record_load (balance, ids[i], &load, 0);
       }
   clock_manual_advance_us (manual, 5000000);
   send_many (30, counts);
@@ -497,8 +502,8 @@
   add_runners (balance, 0, 2, 1);
   for (int round = 0; round < 20; round++)
     for (int i = 0; i < 2; i++)
-      balance_report (balance, ids[i], &warm, 0);
-  balance_report (balance, ids[0], &cold, 0);
+      balance_record_load (balance, ids[i], &warm, 0);
+  balance_record_load (balance, ids[0], &cold, 0);
   send_many (18, counts);
   ck_assert_int_le (counts[0], 3);
 }
@@ -539,11 +544,11 @@
   for (int i = 0; i < 60; i++)
     {
       int at = pick_from (balance, i % 2 == 0 ? 77 : BALANCE_NO_AFFINITY);
-      balance_started (balance, ids[at]);
+      balance_request_started (balance, ids[at]);
       counts[at]++;
     }
   for (int i = 0; i < 10; i++)
-    ck_assert_int_le (counts[i], BALANCE_SLOTS_UNKNOWN);
+    ck_assert_int_le (counts[i], BALANCE_DEFAULT_SLOTS);
 }
 END_TEST
 
@@ -564,7 +569,7 @@
   ck_assert_int_eq (pick_from (balance, 77), home);
   /* The eviction is never told: the hint ends by itself.  */
   balance_cache_event (balance, ids[cached], 77, true);
-  clock_manual_advance_us (manual, (BALANCE_HINT_MS + 100) * 1000ul);
+  clock_manual_advance_us (manual, (BALANCE_HINT_TTL_MS + 100) * 1000ul);
   ck_assert_int_eq (pick_from (balance, 77), home);
   /* The upstream serves something else by now, or is gone.  */
   balance_cache_event (balance, ids[cached], 77, true);
@@ -584,7 +589,7 @@
   size_t cursor = 0;
 
   add_runners (balance, 0, 3, 1);
-  large.pool = balance_pool (balance, both[1]);
+  large.pool = balance_find_or_add_pool (balance, both[1]);
   ck_assert_int_eq (balance_pick (balance, &large, &id), VH_E_NO_UPSTREAM);
   ck_assert_uint_eq (
       balance_update (balance, runner_name (1), zones[0], both, 2, false),
@@ -597,21 +602,21 @@
   ck_assert (balance_info (balance, ids[1], &info));
   ck_assert (str_eq (info.zone, zones[2]));
   for (int i = 0; i < 3; i++)
-    ck_assert (balance_next (balance, &cursor, &info));
-  ck_assert (!balance_next (balance, &cursor, &info));
+    ck_assert (balance_next_upstream (balance, &cursor, &info));
+  ck_assert (!balance_next_upstream (balance, &cursor, &info));
 }
 END_TEST
 
 START_TEST (pressure_is_the_mean_and_fades)
 {
   balance_load_t full = { .in_flight = 16, .slots = 8 };
-  pool_id_t pool = balance_pool (balance, draft);
+  pool_id_t pool = balance_find_or_add_pool (balance, draft);
 
   add_runners (balance, 0, 10, 1);
   ck_assert (balance_pressure (balance, pool) == 0);
   for (int round = 0; round < 30; round++)
     for (int i = 0; i < 10; i++)
-      balance_report (balance, ids[i], &full, 0);
+      balance_record_load (balance, ids[i], &full, 0);
   ck_assert (balance_pressure (balance, pool) > 1.9);
   clock_manual_advance_us (manual, 60000000);
   ck_assert (balance_pressure (balance, pool) < 0.2);
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -101,7 +101,7 @@
 
   burn_observe (b, &s, START_MS);
   s.rating = 0.5;
-  burn_rated (b, &s, START_MS + MINUTE_MS);
+  burn_observe_rating (b, &s, START_MS + MINUTE_MS);
   burn_rate_t r = burn_rate (b, 0, BURN_QUALITY, BURN_VERSION, STR ("small@1"),
                              BURN_1H, START_MS + MINUTE_MS);
   ck_assert_double_eq (r.count, 1);
@@ -399,7 +399,7 @@
   burn_write (ordered, false, &copy);
   burn_merge (untouched, buf_str (&copy), end);
   buf_free (&copy);
-  burn_settle (shuffled, 9, end + 3 * HOUR_MS);
+  burn_compact (shuffled, 9, end + 3 * HOUR_MS);
   right.len = 0;
   burn_write_json (shuffled, end, &right);
   ck_assert (str_eq (buf_str (&left), buf_str (&right)));
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -29,7 +29,7 @@
       VH_OK);
   ck_assert_uint_eq (catalog_revision (catalog), 7);
   const route_t *route
-      = catalog_route (catalog, STR ("h.example"), STR ("/a/1"));
+      = catalog_match_route (catalog, STR ("h.example"), STR ("/a/1"));
   ck_assert_int_eq (route->kind, ROUTE_STREAM);
   ck_assert_uint_eq (route->timeout_ms, 25000);
   ck_assert_uint_eq (route->objective_ms, 3000);
@@ -39,18 +39,18 @@
   ck_assert (str_eq (route->models[1], STR ("l")));
   ck_assert_uint_eq (route->split_count, 2);
   ck_assert_uint_eq (route->splits[0].weight, 90);
-  ck_assert (route->resumable && !route->is_public);
-  route = catalog_route (catalog, STR ("h.example"), STR ("/b/"));
-  ck_assert_int_eq (route->kind, ROUTE_ONCE);
+  ck_assert (route->is_resumable && !route->is_public);
+  route = catalog_match_route (catalog, STR ("h.example"), STR ("/b/"));
+  ck_assert_int_eq (route->kind, ROUTE_AT_MOST_ONCE);
   ck_assert (route->is_public);
   ck_assert (str_eq (route->splits[0].service, STR ("y")));
-  const service_t *service = catalog_service (catalog, STR ("x"));
+  const service_t *service = catalog_find_service (catalog, STR ("x"));
   ck_assert (service->is_engine);
   ck_assert_double_eq (service->cold_per_s, 14);
   ck_assert_double_eq (service->models[0].cost, 0.014);
-  ck_assert (!catalog_service (catalog, STR ("y"))->is_engine);
+  ck_assert (!catalog_find_service (catalog, STR ("y"))->is_engine);
   ck_assert_uint_eq (catalog_limits (catalog)->idle_ms, 15000);
-  const team_t *team = catalog_team (catalog, STR ("k2"));
+  const team_t *team = catalog_find_team (catalog, STR ("k2"));
   ck_assert (str_eq (team->name, STR ("t")));
   ck_assert_uint_eq (team->priority, 2);
   catalog_unref (catalog);
@@ -136,21 +136,22 @@
 START_TEST (orders_are_told_apart)
 {
   const gateway_dialect_t *dialect = platform_dialect ();
-  rollout_order_t order;
+  rollout_spec_t order;
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
   void *holder;
   str_t name;
 
   ck_assert_int_eq (dialect->order_kind (STR ("config"), &name),
-                    ORDER_CATALOG);
+                    OPERATOR_ROW_CATALOG);
   ck_assert_int_eq (dialect->order_kind (STR ("rollout/x"), &name),
-                    ORDER_ROLLOUT);
+                    OPERATOR_ROW_ROLLOUT);
   ck_assert (str_eq (name, STR ("x")));
   ck_assert_int_eq (dialect->order_kind (STR ("evacuate/z"), &name),
-                    ORDER_ZONE_OUT);
+                    OPERATOR_ROW_ZONE_EXCLUSION);
   ck_assert (str_eq (name, STR ("z")));
-  ck_assert_int_eq (dialect->order_kind (STR ("other"), &name), ORDER_NONE);
+  ck_assert_int_eq (dialect->order_kind (STR ("other"), &name),
+                    OPERATOR_ROW_UNKNOWN);
   ck_assert_int_eq (
       dialect->read_rollout (
           STR ("{\"service\":\"x\",\"to\":\"v2\",\"withinS\":12}"), &order,
@@ -161,7 +162,7 @@
   ck_assert_int_ne (
       dialect->read_rollout (STR ("{\"service\":\"x\"}"), &order, &holder),
       VH_OK);
-  dialect->write_rollout_status (STR ("x"), STR ("v2"), ROLLOUT_TAKEN_BACK,
+  dialect->write_rollout_status (STR ("x"), STR ("v2"), ROLLOUT_ROLLED_BACK,
                                  &key, &value);
   ck_assert (str_eq (buf_str (&key), STR ("rollout/x")));
   ck_assert (str_eq (buf_str (&value), STR ("{\"service\":\"x\",\"to\":\"v2\","
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -29,26 +29,26 @@
 
 START_TEST (goes_through_its_states)
 {
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_SERVING);
-  ck_assert (drain_healthy (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), UINT64_MAX);
-  ck_assert (drain_begin (drain));
-  ck_assert (!drain_healthy (drain));
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_SERVING);
+  ck_assert (drain_is_healthy (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), UINT64_MAX);
+  ck_assert (drain_start (drain));
+  ck_assert (!drain_is_healthy (drain));
   /* Idle or not, the grace runs: the balancer still sends.  */
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_ANNOUNCED);
-  ck_assert (drain_accepts (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 1000);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_ANNOUNCED);
+  ck_assert (drain_accepts_requests (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 1000);
   pass_ms (999);
-  ck_assert_int_eq (drain_step (drain, 2), DRAIN_ANNOUNCED);
+  ck_assert_int_eq (drain_update (drain, 2), DRAIN_ANNOUNCED);
   pass_ms (1);
-  ck_assert_int_eq (drain_step (drain, 2), DRAIN_DRAINING);
-  ck_assert (!drain_accepts (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 9000);
+  ck_assert_int_eq (drain_update (drain, 2), DRAIN_DRAINING);
+  ck_assert (!drain_accepts_requests (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 9000);
   pass_ms (3000);
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
-  ck_assert_uint_eq (drain_cut (drain), 0);
-  ck_assert_uint_eq (drain_next_ms (drain), UINT64_MAX);
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
+  ck_assert_uint_eq (drain_unfinished_at_timeout (drain), 0);
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), UINT64_MAX);
 }
 END_TEST
 
@@ -56,17 +56,17 @@
    Requests in hand must not be cut for that, nor their time begin anew.  */
 START_TEST (second_signal_has_no_effect)
 {
-  ck_assert (drain_begin (drain));
+  ck_assert (drain_start (drain));
   pass_ms (500);
-  ck_assert (!drain_begin (drain));
-  ck_assert_uint_eq (drain_next_ms (drain), 500);
+  ck_assert (!drain_start (drain));
+  ck_assert_uint_eq (drain_ms_to_next_state (drain), 500);
   pass_ms (500);
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert (!drain_begin (drain));
-  ck_assert_int_eq (drain_step (drain, 1), DRAIN_DRAINING);
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
-  ck_assert (!drain_begin (drain));
-  ck_assert_int_eq (drain_step (drain, 0), DRAIN_DONE);
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert (!drain_start (drain));
+  ck_assert_int_eq (drain_update (drain, 1), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
+  ck_assert (!drain_start (drain));
+  ck_assert_int_eq (drain_update (drain, 0), DRAIN_DONE);
 }
 END_TEST
 
@@ -74,14 +74,14 @@
    cut.  */
 START_TEST (bound_ends_it_and_names_what_was_cut)
 {
-  drain_begin (drain);
+  drain_start (drain);
   pass_ms (1000);
-  drain_step (drain, 3);
+  drain_update (drain, 3);
   pass_ms (8999);
-  ck_assert_int_eq (drain_step (drain, 3), DRAIN_DRAINING);
+  ck_assert_int_eq (drain_update (drain, 3), DRAIN_DRAINING);
   pass_ms (1);
-  ck_assert_int_eq (drain_step (drain, 3), DRAIN_DONE);
-  ck_assert_uint_eq (drain_cut (drain), 3);
+  ck_assert_int_eq (drain_update (drain, 3), DRAIN_DONE);
+  ck_assert_uint_eq (drain_unfinished_at_timeout (drain), 3);
 }
 END_TEST
 
@@ -89,10 +89,10 @@
 {
   drain_t *hasty = drain_create (1000, 200, manual);
 
-  drain_begin (hasty);
-  ck_assert_uint_eq (drain_next_ms (hasty), 200);
+  drain_start (hasty);
+  ck_assert_uint_eq (drain_ms_to_next_state (hasty), 200);
   pass_ms (200);
-  ck_assert_int_eq (drain_step (hasty, 1), DRAIN_DONE);
+  ck_assert_int_eq (drain_update (hasty, 1), DRAIN_DONE);
   drain_destroy (hasty);
 }
 END_TEST
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -424,7 +424,7 @@
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_wait (&f, uv_now (&f.loop) - start_ms >= 100);
   ck_assert_int_eq (caller_status (&caller), 0);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, caller.closed);
   ck_assert_int_eq (caller_status (&caller), 200);
   caller_free (&f, &caller);
@@ -557,8 +557,8 @@
   uint64_t before = fake_rows_version (f.rows);
   fake_rows_put (f.rows, ROWS_ORDERS, "catalog", "2 key-2");
   pass (&f, 100);
-  fake_rows_stale (f.rows, before);
-  fake_rows_forget (f.rows);
+  fake_rows_set_stale_version (f.rows, before);
+  fake_rows_drop_history (f.rows);
   pass (&f, 300);
   gateway_fixture_ask (&f, &caller, "GET", "/read/", ASK, "");
   ck_assert_int_eq (caller_status (&caller), 401);
@@ -577,7 +577,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   pass (&f, 1000);
   gateway_fixture_ask (&f, &caller, "GET", "/read/", ASK, "");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -591,7 +591,7 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   caller_free (&f, &caller);
   ck_assert_int_eq (gateway_fixture_ready (&f), 503);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready (&f) == 200);
   gateway_fixture_teardown (&f);
 }
@@ -606,13 +606,13 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   pass (&f, 4000);
-  size_t before = fake_rows_calls (f.rows);
+  size_t before = fake_rows_call_count (f.rows);
   pass (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.rows) - before, 11);
+  ck_assert_uint_le (fake_rows_call_count (f.rows) - before, 11);
   gateway_fixture_list (&f, 0, "v1", "draining");
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready (&f) == 200);
   pass (&f, 200);
   for (int i = 0; i < 4; i++)
@@ -635,7 +635,7 @@
   gateway_fixture_setup (&f, 3);
   gateway_fixture_list (&f, 0, "v1", "draining");
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-1");
-  fake_rows_forget (f.rows);
+  fake_rows_drop_history (f.rows);
   pass (&f, 300);
   for (int i = 0; i < 6; i++)
     {
@@ -654,7 +654,7 @@
 START_TEST (a_configuration_that_is_being_read_ages_the_keys)
 {
   static const char head[] = "2 key-2 ";
-  static char text[LOADER_LONG + 32];
+  static char text[LOADER_ASYNC_BYTES_MIN + 32];
   gateway_fixture_t f;
   caller_t caller;
 
@@ -687,10 +687,10 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   pass (&f, 300);
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-0");
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_wait (&f, gateway_fixture_ready (&f) == 200);
   pass (&f, 900 - (uv_now (&f.loop) - start_ms));
@@ -717,14 +717,14 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   pass (&f, 300);
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-0");
-  fake_rows_hold (f.rows, ROWS_INSTANCES, true);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_stalled (f.rows, ROWS_INSTANCES, true);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready (&f) == 200);
   pass (&f, 1500);
-  fake_rows_hold (f.rows, ROWS_INSTANCES, false);
+  fake_rows_set_stalled (f.rows, ROWS_INSTANCES, false);
   pass (&f, 1000);
   gateway_fixture_ask (&f, &caller, "GET", "/read/", ASK, "");
   ck_assert_int_eq (caller_status (&caller), 503);
@@ -793,7 +793,7 @@
   fake_upstream_script (f.upstreams[0], acts, 2);
   caller_start (&f, &stream, "POST", "/chat/", ASK, "{}");
   gateway_fixture_wait (&f, requests_of (&f) == 1);
-  gateway_stop (f.gateway);
+  gateway_begin_stop (f.gateway);
   ck_assert_int_eq (gateway_fixture_ready (&f), 503);
   fake_upstream_script (f.upstreams[0], acts + 1, 1);
   gateway_fixture_ask (&f, &caller, "POST", "/chat/", ASK, "{}");
@@ -807,7 +807,7 @@
   gateway_fixture_wait (&f, stream.closed);
   ck_assert (caller_has (&stream, "data: e5\n"));
   ck_assert (caller_has (&stream, "\r\n0\r\n\r\n"));
-  gateway_fixture_wait (&f, gateway_over (f.gateway));
+  gateway_fixture_wait (&f, gateway_is_stopped (f.gateway));
   caller_free (&f, &stream);
   gateway_fixture_teardown (&f);
 }
@@ -831,7 +831,7 @@
       gateway_fixture_ask (f, &caller, "POST", "/chat/", headers, "{}");
       failed_asks += caller_status (&caller) != 200;
       caller_free (f, &caller);
-      fake_rows_advance (f->rows, 15);
+      fake_rows_advance_clock (f->rows, 15);
       /* At most 50 a second: one upstream bears 63, and more are refused.  */
       pass (f, 20);
     }
@@ -877,15 +877,15 @@
   gateway_fixture_setup (&f, 2);
   pass (&f, 500);
   uint64_t ordered_ms = fake_rows_now_ms (f.rows);
-  fake_rows_refuse_writes (f.rows, true);
+  fake_rows_set_refusing_writes (f.rows, true);
   fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
   pass (&f, LATE_MS);
-  ck_assert_ptr_null (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm"));
-  fake_rows_refuse_writes (f.rows, false);
+  ck_assert_ptr_null (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm"));
+  fake_rows_set_refusing_writes (f.rows, false);
   for (int i = 0; i < 50; i++)
-    if (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm") == NULL)
+    if (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm") == NULL)
       pass (&f, 100);
-  str_t text = str_from (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm"));
+  str_t text = str_from (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm"));
   ck_assert (str_to_u64 (str_cut (text, ' ', &rest), &order));
   ck_assert (str_to_u64 (str_cut (rest, ' ', &rest), &start_ms));
   ck_assert_uint_ge (start_ms + 50, ordered_ms);
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -26,7 +26,7 @@
   manual = clock_manual_create (0);
   outlier = outlier_create (0, manual);
   for (int i = 0; i < POOL; i++)
-    pool[i] = (upstream_t){ outlier_join (outlier, &pool[i]), true };
+    pool[i] = (upstream_t){ outlier_add_member (outlier, &pool[i]), true };
 }
 
 static void
@@ -42,7 +42,7 @@
   outlier_state_t state;
   upstream_t *upstream;
 
-  while ((upstream = outlier_next (outlier, &state)) != NULL)
+  while ((upstream = outlier_next_change (outlier, &state)) != NULL)
     upstream->in = state != OUTLIER_EJECTED;
 }
 
@@ -65,14 +65,14 @@
 START_TEST (failing_fast_is_out_after_five)
 {
   run_round (0, 0);
-  for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
+  for (int i = 0; i < OUTLIER_CONSECUTIVE_ERRORS; i++)
     {
       ck_assert (pool[0].in);
       outlier_record (outlier, pool[0].member, false, 1000, 1);
       apply_changes ();
     }
   ck_assert (!pool[0].in);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -85,7 +85,7 @@
         outlier_record (outlier, pool[0].member, false, 1000, 1);
     }
   ck_assert (!pool[0].in);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -96,7 +96,7 @@
   for (int round = 0; round < 30; round++)
     run_round (0, 1);
   ck_assert (!pool[0].in);
-  ck_assert_uint_eq (outlier_ejected (outlier), 1);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 1);
 }
 END_TEST
 
@@ -115,8 +115,8 @@
       clock_manual_advance_us (manual, 50000);
       apply_changes ();
     }
-  ck_assert_uint_eq (outlier_ejected (outlier), 0);
-  for (int i = 0; i < OUTLIER_ERROR_RUN; i++)
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 0);
+  for (int i = 0; i < OUTLIER_CONSECUTIVE_ERRORS; i++)
     outlier_record (outlier, pool[1].member, false, 0, 10);
   apply_changes ();
   ck_assert (!pool[1].in);
@@ -129,7 +129,7 @@
 {
   for (int round = 0; round < 100; round++)
     run_round (POOL, 0);
-  ck_assert_uint_eq (outlier_ejected (outlier), 0);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), 0);
 }
 END_TEST
 
@@ -137,7 +137,7 @@
 {
   for (int round = 0; round < 100; round++)
     run_round (9, 0);
-  ck_assert_uint_eq (outlier_ejected (outlier), POOL * 3 / 10);
+  ck_assert_uint_eq (outlier_ejected_count (outlier), POOL * 3 / 10);
 }
 END_TEST
 
@@ -157,8 +157,10 @@
       lengths_ms[i] = clock_ms (manual) - out_ms;
       ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_TRIAL);
     }
-  ck_assert_uint_ge (lengths_ms[0], OUTLIER_FIRST_MS - 100);
-  ck_assert_uint_le (lengths_ms[0], OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS + 100);
+  ck_assert_uint_ge (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS - 100);
+  ck_assert_uint_le (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS
+                                        + OUTLIER_EVALUATION_INTERVAL_MS
+                                        + 100);
   ck_assert_uint_ge (lengths_ms[1], lengths_ms[0] * 18 / 10);
   ck_assert_uint_ge (lengths_ms[2], lengths_ms[1] * 18 / 10);
   /* On trial a single failure is enough.  */
@@ -166,15 +168,16 @@
   ck_assert (!pool[0].in);
   while (!pool[0].in)
     run_round (0, 0);
-  for (int i = 0; i < OUTLIER_TRIAL_OK; i++)
+  for (int i = 0; i < OUTLIER_TRIAL_SUCCESSES; i++)
     run_round (0, 0);
-  ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_IN);
+  ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_ACTIVE);
   /* A member that was well for long starts afresh.  */
-  clock_manual_advance_us (manual, (uint64_t)OUTLIER_FORGIVE_MS * 1000);
+  clock_manual_advance_us (manual, (uint64_t)OUTLIER_EJECTION_RESET_MS * 1000);
   while (pool[0].in)
     run_round (1, 0);
-  clock_manual_advance_us (
-      manual, (uint64_t)(OUTLIER_FIRST_MS + OUTLIER_JUDGE_MS) * 1000);
+  clock_manual_advance_us (manual, (uint64_t)(OUTLIER_EJECTION_FIRST_MS
+                                              + OUTLIER_EVALUATION_INTERVAL_MS)
+                                       * 1000);
   apply_changes ();
   ck_assert (pool[0].in);
 }
@@ -183,23 +186,23 @@
 START_TEST (small_pools)
 {
   outlier_t *one = outlier_create (0, manual);
-  outlier_member_t *only = outlier_join (one, &pool[0]);
+  outlier_member_t *only = outlier_add_member (one, &pool[0]);
   outlier_member_t *second;
   outlier_state_t state;
 
   for (int i = 0; i < 50; i++)
     outlier_record (one, only, false, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_null (outlier_next (one, &state));
-  second = outlier_join (one, &pool[1]);
+  ck_assert_ptr_null (outlier_next_change (one, &state));
+  second = outlier_add_member (one, &pool[1]);
   for (int i = 0; i < 50; i++)
     outlier_record (one, second, true, 1000, 1);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_ptr_eq (outlier_next (one, &state), &pool[0]);
+  ck_assert_ptr_eq (outlier_next_change (one, &state), &pool[0]);
   ck_assert_int_eq (state, OUTLIER_EJECTED);
   /* Leaving while ejected frees the room for another.  */
-  outlier_leave (one, only);
-  ck_assert_uint_eq (outlier_ejected (one), 0);
+  outlier_remove_member (one, only);
+  ck_assert_uint_eq (outlier_ejected_count (one), 0);
   outlier_destroy (one);
 }
 END_TEST
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -39,13 +39,13 @@
 static void
 mark (const char *content, const char *id, uint64_t death)
 {
-  poison_mark (poison, digest_key (content), request_key (id), death);
+  poison_record_crash (poison, digest_key (content), request_key (id), death);
 }
 
-static poison_verdict_t
+static poison_class_t
 judge (const char *content, const char *id)
 {
-  return poison_judge (poison, digest_key (content), request_key (id));
+  return poison_classify (poison, digest_key (content), request_key (id));
 }
 
 /* A request ends the upstream that runs it, its caller sends it again under a
@@ -86,8 +86,8 @@
 {
   mark ("bad", "one", 1);
   ck_assert_int_eq (
-      poison_judge (poison, digest_key ("good"),
-                    poison_request_key (STR ("drift"), STR ("one"))),
+      poison_classify (poison, digest_key ("good"),
+                       poison_request_key (STR ("drift"), STR ("one"))),
       POISON_CLEAR);
 }
 END_TEST
@@ -98,9 +98,9 @@
 {
   static const struct
   {
-    poison_verdict_t verdict;
+    poison_class_t verdict;
     bool repeatable;
-    poison_company_t company;
+    poison_in_flight_t company;
     bool may;
   } cases[] = {
     { POISON_CLEAR, true, { 0, 0 }, true },
@@ -115,8 +115,9 @@
   };
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-    ck_assert_msg (poison_may_join (cases[i].verdict, cases[i].repeatable,
-                                    &cases[i].company)
+    ck_assert_msg (poison_may_run_beside (cases[i].verdict,
+                                          cases[i].repeatable,
+                                          &cases[i].company)
                        == cases[i].may,
                    "case %zu", i);
 }
@@ -140,21 +141,21 @@
 START_TEST (merges_as_a_set)
 {
   poison_t *other = poison_create (manual);
-  poison_mark_t mark_of;
+  poison_record_t mark_of;
   size_t cursor = 0;
 
   mark ("bad", "one", 1);
   clock_manual_advance_us (manual, 5000000);
-  poison_mark (other, digest_key ("bad"), request_key ("two"), 2);
+  poison_record_crash (other, digest_key ("bad"), request_key ("two"), 2);
   for (int round = 0; round < 3; round++)
-    for (cursor = 0; poison_next (poison, &cursor, &mark_of);)
+    for (cursor = 0; poison_next_record (poison, &cursor, &mark_of);)
       ck_assert (poison_merge (other, &mark_of) == (round == 0));
   ck_assert_int_eq (
-      poison_judge (other, digest_key ("bad"), request_key ("three")),
+      poison_classify (other, digest_key ("bad"), request_key ("three")),
       POISON_REFUSED);
   /* The age travels: the mark does not grow young by being passed on.  */
   cursor = 0;
-  ck_assert (poison_next (poison, &cursor, &mark_of));
+  ck_assert (poison_next_record (poison, &cursor, &mark_of));
   ck_assert_uint_eq (mark_of.age_ms, 5000);
   ck_assert_uint_eq (mark_of.death, 1);
   /* A third death, heard late, neither lifts nor lengthens a refusal.  */
@@ -167,10 +168,10 @@
   mark_of.age_ms = POISON_EXPIRY_MS - 1000;
   clock_manual_advance_us (manual, POISON_EXPIRY_MS * 1000ul);
   ck_assert (poison_merge (other, &mark_of));
-  ck_assert_int_eq (poison_judge (other, mark_of.key, request_key ("none")),
+  ck_assert_int_eq (poison_classify (other, mark_of.key, request_key ("none")),
                     POISON_SUSPECT);
   clock_manual_advance_us (manual, 1000000);
-  ck_assert_int_eq (poison_judge (other, mark_of.key, request_key ("none")),
+  ck_assert_int_eq (poison_classify (other, mark_of.key, request_key ("none")),
                     POISON_CLEAR);
   poison_destroy (other);
 }
@@ -182,7 +183,7 @@
 {
   mark ("bad", "one", 1);
   mark ("bad", "one", 2);
-  for (int i = 0; i < POISON_KEYS * 4; i++)
+  for (int i = 0; i < POISON_KEYS_MAX * 4; i++)
     {
       char text[16];
 
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -16,7 +16,7 @@
   clock_iface_t *clock;
   allotment_t *fleet;
   pool_t *pool;
-  pool_want_t want;
+  pool_criteria_t want;
 } fixture_t;
 
 static void
@@ -56,10 +56,10 @@
       else
         allotment_put (f->fleet, str_from (name), zone);
     }
-  allotment_read (f->fleet);
+  allotment_set_loaded (f->fleet);
   options.entries = f->fleet;
   f->pool = pool_create (f->clock, 1, &options);
-  f->want = (pool_want_t){ .service = STR ("llm") };
+  f->want = (pool_criteria_t){ .service = STR ("llm") };
   for (int i = 0; i < instances; i++)
     put (f, i, "v1", "a", 0);
 }
@@ -83,7 +83,7 @@
 {
   upstream_t *upstream = NULL;
 
-  ck_assert_int_eq (pool_choose (f->pool, &f->want, &upstream), VH_OK);
+  ck_assert_int_eq (pool_select (f->pool, &f->want, &upstream), VH_OK);
   return upstream;
 }
 
@@ -98,7 +98,7 @@
     {
       upstream_t *next = choose (f);
       bool known = false;
-      pool_started (f->pool, next, 0);
+      pool_request_started (f->pool, next, 0);
       for (size_t j = 0; j < count; j++)
         known = known || used[j] == next;
       if (!known)
@@ -141,15 +141,15 @@
   setup_one_of (&f, 0, 0, 6);
   put (&f, 0, "v1", "a", 5000);
   f.want.cold_per_s = 14;
-  while (pool_choose (f.pool, &f.want, &upstream) == VH_OK)
+  while (pool_select (f.pool, &f.want, &upstream) == VH_OK)
     {
-      pool_started (f.pool, upstream, 0);
+      pool_request_started (f.pool, upstream, 0);
       sent++;
     }
   ck_assert_int_ge (sent, 1);
   ck_assert_int_le (sent * 6, 14 + 5);
   clock_manual_advance_us (f.clock, 1000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream), VH_OK);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &upstream), VH_OK);
   teardown (&f);
 }
 END_TEST
@@ -169,9 +169,9 @@
       setup_one_of (&all[i], 0, i, entries);
       put (&all[i], 0, "v1", "a", 5000);
       all[i].want.cold_per_s = 10;
-      while (pool_choose (all[i].pool, &all[i].want, &upstream) == VH_OK)
+      while (pool_select (all[i].pool, &all[i].want, &upstream) == VH_OK)
         {
-          pool_started (all[i].pool, upstream, 0);
+          pool_request_started (all[i].pool, upstream, 0);
           sent++;
         }
     }
@@ -196,7 +196,7 @@
 
   setup (&f, INSTANCES);
   setup (&other, INSTANCES);
-  f.want.arm = other.want.arm = ARM_NEW;
+  f.want.arm = other.want.arm = VERSION_ARM_NEW;
   f.want.version = other.want.version = STR ("v1");
   f.want.few = other.want.few = 2;
   count = start_some (&f, 100, used);
@@ -205,7 +205,7 @@
   ck_assert (str_eq (id, upstream_id (used[0]))
              || str_eq (id, upstream_id (used[1])));
   while (upstream_running (used[0]) + upstream_running (used[1]) < 2 * 64)
-    pool_started (f.pool, choose (&f), 0);
+    pool_request_started (f.pool, choose (&f), 0);
   upstream_t *third = choose (&f);
   ck_assert (third != used[0] && third != used[1]);
   teardown (&f);
@@ -226,16 +226,17 @@
       upstream_t *next = choose (&f);
       if (bad == NULL)
         bad = next;
-      pool_started (f.pool, next, 0);
-      pool_finished (f.pool, next, 0, next == bad ? SEND_FAILED : SEND_OK);
+      pool_request_started (f.pool, next, 0);
+      pool_request_finished (f.pool, next, 0,
+                             next == bad ? SEND_FAILED : SEND_OK);
     }
   for (int i = 0; i < 20; i++)
     ck_assert_ptr_ne (choose (&f), bad);
   for (int i = 0; i < 4; i++)
     {
       upstream_t *good = choose (&f);
-      pool_started (f.pool, good, 0);
-      pool_finished (f.pool, good, 0, SEND_FAILED);
+      pool_request_started (f.pool, good, 0);
+      pool_request_finished (f.pool, good, 0, SEND_FAILED);
     }
   choose (&f);
   teardown (&f);
@@ -250,21 +251,21 @@
   setup (&f, 1);
   put (&f, 1, "v2", "b", 0);
   f.want.version = STR ("v2");
-  f.want.arm = ARM_NEW;
+  f.want.arm = VERSION_ARM_NEW;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-1")));
-  f.want.arm = ARM_OLD;
+  f.want.arm = VERSION_ARM_OLD;
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
-  pool_zone_out (f.pool, STR ("a"), true);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  pool_set_zone_disabled (f.pool, STR ("a"), true);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &upstream),
                     VH_E_NO_UPSTREAM);
-  f.want.arm = ARM_ANY;
+  f.want.arm = VERSION_ARM_ANY;
   upstream_t *only = choose (&f);
   const upstream_t *tried[] = { only };
   f.want.tried = tried;
   f.want.tried_count = 1;
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &upstream),
                     VH_E_NO_UPSTREAM);
-  pool_zone_out (f.pool, STR ("a"), false);
+  pool_set_zone_disabled (f.pool, STR ("a"), false);
   ck_assert (str_eq (upstream_id (choose (&f)), STR ("i-0")));
   teardown (&f);
 }
@@ -279,14 +280,14 @@
 
   setup (&f, 1);
   upstream_t *running = choose (&f);
-  pool_started (f.pool, running, 100);
+  pool_request_started (f.pool, running, 100);
   pool_remove (f.pool, STR ("i-0"), 2000);
   ck_assert_ptr_eq (choose (&f), running);
   clock_manual_advance_us (f.clock, 2000000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &upstream),
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &upstream),
                     VH_E_NO_UPSTREAM);
   ck_assert (str_eq (upstream_id (running), STR ("i-0")));
-  pool_finished (f.pool, running, 100, SEND_OK);
+  pool_request_finished (f.pool, running, 100, SEND_OK);
   teardown (&f);
 }
 END_TEST
@@ -299,14 +300,14 @@
 
   setup (&f, 2);
   upstream_t *busy = choose (&f);
-  pool_started (f.pool, busy, 12000);
+  pool_request_started (f.pool, busy, 12000);
   for (int i = 0; i < 8; i++)
     {
       upstream_t *next = choose (&f);
       ck_assert_ptr_ne (next, busy);
-      pool_started (f.pool, next, 200);
+      pool_request_started (f.pool, next, 200);
     }
-  pool_first (busy, 12000);
+  pool_prompt_processed (busy, 12000);
   ck_assert_ptr_eq (choose (&f), busy);
   teardown (&f);
 }
@@ -323,24 +324,25 @@
   setup (&f, 1);
   upstream_t *engine = choose (&f);
   uint64_t now_ms = clock_ms (f.clock);
-  pool_started (f.pool, engine, 0);
-  ck_assert_uint_eq (pool_silence_due (engine), now_ms + POOL_SILENCE_MS);
-  pool_started (f.pool, engine, 12000);
-  ck_assert_uint_ge (pool_silence_due (engine), now_ms + 1400);
+  pool_request_started (f.pool, engine, 0);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + POOL_SILENCE_TIMEOUT_MS);
+  pool_request_started (f.pool, engine, 12000);
+  ck_assert_uint_ge (pool_probe_due_ms (engine), now_ms + 1400);
   clock_manual_advance_us (f.clock, 400000);
-  pool_heard (f.pool, engine);
-  pool_first (engine, 12000);
-  ck_assert_uint_eq (pool_silence_due (engine),
-                     now_ms + 400 + POOL_SILENCE_MS);
+  pool_data_received (f.pool, engine);
+  pool_prompt_processed (engine, 12000);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + 400 + POOL_SILENCE_TIMEOUT_MS);
   clock_manual_advance_us (f.clock, 600000);
-  pool_reached (f.pool, upstream_id (engine), true);
-  ck_assert_uint_eq (pool_silence_due (engine),
-                     now_ms + 1000 + POOL_LOOK_AGAIN_MS);
-  pool_reached (f.pool, upstream_id (engine), false);
-  ck_assert (upstream_lost (engine));
-  ck_assert_uint_eq (pool_silence_due (engine), 0);
-  pool_heard (f.pool, engine);
-  ck_assert (!upstream_lost (engine));
+  pool_probe_finished (f.pool, upstream_id (engine), true);
+  ck_assert_uint_eq (pool_probe_due_ms (engine),
+                     now_ms + 1000 + POOL_PROBE_INTERVAL_MS);
+  pool_probe_finished (f.pool, upstream_id (engine), false);
+  ck_assert (upstream_is_unreachable (engine));
+  ck_assert_uint_eq (pool_probe_due_ms (engine), 0);
+  pool_data_received (f.pool, engine);
+  ck_assert (!upstream_is_unreachable (engine));
   teardown (&f);
 }
 END_TEST
@@ -357,20 +359,20 @@
 
   setup (&f, 1);
   put (&f, 1, "v2", "a", 0);
-  pool_withdraw (f.pool, STR ("llm"), STR ("v2"), true);
+  pool_set_version_withdrawn (f.pool, STR ("llm"), STR ("v2"), true);
   put (&f, 2, "v2", "a", 0);
-  f.want.arm = ARM_OLD;
+  f.want.arm = VERSION_ARM_OLD;
   f.want.version = STR ("v3");
   for (int i = 0; i < 20; i++)
     {
       chosen = choose (&f);
       ck_assert (str_eq (upstream_version (chosen), STR ("v1")));
-      pool_started (f.pool, chosen, 100);
+      pool_request_started (f.pool, chosen, 100);
     }
-  pool_write_withdrawn (f.pool, STR ("llm"), &text);
+  pool_append_withdrawn_versions (f.pool, STR ("llm"), &text);
   ck_assert (str_eq (buf_str (&text), STR (" v2")));
   buf_free (&text);
-  pool_withdraw (f.pool, STR ("llm"), STR ("v2"), false);
+  pool_set_version_withdrawn (f.pool, STR ("llm"), STR ("v2"), false);
   ck_assert (!str_eq (upstream_version (choose (&f)), STR ("v1")));
   teardown (&f);
 }
@@ -386,15 +388,15 @@
 
   setup (&f, 1);
   upstream_t *instance = choose (&f);
-  pool_load (f.pool, instance, 64, 3, 64);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_E_FULL);
+  pool_record_load (f.pool, instance, 64, 3, 64);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &chosen), VH_E_FULL);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_OK);
-  pool_load (f.pool, instance, 200, 0, 64);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &chosen), VH_OK);
+  pool_record_load (f.pool, instance, 200, 0, 64);
   clock_manual_advance_us (f.clock, 100000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_E_FULL);
-  clock_manual_advance_us (f.clock, POOL_FULL_FADE_MS * 1000);
-  ck_assert_int_eq (pool_choose (f.pool, &f.want, &chosen), VH_OK);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &chosen), VH_E_FULL);
+  clock_manual_advance_us (f.clock, POOL_FULL_DECAY_MS * 1000);
+  ck_assert_int_eq (pool_select (f.pool, &f.want, &chosen), VH_OK);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -381,26 +381,26 @@
    correct.  */
 START_TEST (full_memory_drops_oldest_epoch)
 {
-  const evidence_options_t options = { .writer = 1,
-                                       .epoch_ms = 1000,
-                                       .epochs = 8,
-                                       .fields = 2,
-                                       .keys_max = 16,
-                                       .cells_max = 32 };
-  evidence_t *e = evidence_create (&options);
+  const crdt_options_t options = { .writer = 1,
+                                   .epoch_ms = 1000,
+                                   .epochs = 8,
+                                   .fields = 2,
+                                   .keys_max = 16,
+                                   .cells_max = 32 };
+  crdt_t *e = crdt_create (&options);
   const int64_t sample[2] = { 0, 5 };
 
   for (uint64_t second = 0; second < 8; second++)
     for (uint64_t key = 1; key <= 8; key++)
-      ck_assert (evidence_add (e, evidence_key (e, key), 50000 + second * 1000,
-                               sample));
-  ck_assert_uint_ge (evidence_first (e), 54);
-  ck_assert_ptr_null (evidence_sums (e, evidence_find (e, 1), 52));
-  const int64_t *sums = evidence_sums (e, evidence_find (e, 8), 57);
+      ck_assert (crdt_add (e, crdt_key_find_or_add (e, key),
+                           50000 + second * 1000, sample));
+  ck_assert_uint_ge (crdt_first_epoch (e), 54);
+  ck_assert_ptr_null (crdt_sums (e, crdt_key_find (e, 1), 52));
+  const int64_t *sums = crdt_sums (e, crdt_key_find (e, 8), 57);
   ck_assert_ptr_nonnull (sums);
   ck_assert_int_eq (sums[1], 5);
-  ck_assert (!evidence_add (e, evidence_find (e, 1), 51000, sample));
-  evidence_destroy (e);
+  ck_assert (!crdt_add (e, crdt_key_find (e, 1), 51000, sample));
+  crdt_destroy (e);
 }
 END_TEST
 
--- a/tests/test_readers.c
+++ b/tests/test_readers.c
@@ -15,7 +15,7 @@
 {
   clock_iface_t *clock;
   size_t count;
-  readers_t *entries[ENTRIES_MAX];
+  fanout_t *entries[ENTRIES_MAX];
   size_t numbers[ENTRIES_MAX]; /* What stands for each.  */
 } fleet_t;
 
@@ -34,8 +34,8 @@
       fleet->numbers[i] = i;
       snprintf (name, sizeof name, "entry-%zu", i);
       snprintf (zone, sizeof zone, "zone-%zu", i % ZONES);
-      fleet->entries[i] = readers_create (fleet->clock, i, str_from (name),
-                                          str_from (zone), 20);
+      fleet->entries[i] = fanout_create (fleet->clock, i, str_from (name),
+                                         str_from (zone), 20);
     }
   for (size_t i = 0; i < count; i++)
     for (size_t j = 0; j < count; j++)
@@ -44,8 +44,8 @@
           continue;
         snprintf (name, sizeof name, "entry-%zu", j);
         snprintf (zone, sizeof zone, "zone-%zu", j % ZONES);
-        readers_put (fleet->entries[i], str_from (name), str_from (zone), 20,
-                     &fleet->numbers[j]);
+        fanout_put (fleet->entries[i], str_from (name), str_from (zone), 20,
+                    &fleet->numbers[j]);
       }
 }
 
@@ -53,7 +53,7 @@
 teardown (fleet_t *fleet)
 {
   for (size_t i = 0; i < fleet->count; i++)
-    readers_destroy (fleet->entries[i]);
+    fanout_destroy (fleet->entries[i]);
   clock_manual_destroy (fleet->clock);
 }
 
@@ -62,9 +62,9 @@
 asks (fleet_t *fleet, size_t index)
 {
   void *owner;
-  readers_role_t role = readers_choose (fleet->entries[index], &owner);
+  fanout_role_t role = fanout_choose_source (fleet->entries[index], &owner);
 
-  ck_assert ((role == ASKS_STORE) == (owner == NULL));
+  ck_assert ((role == FANOUT_READS_STORE) == (owner == NULL));
   return owner != NULL ? *(size_t *)owner : SIZE_MAX;
 }
 
@@ -89,7 +89,7 @@
             most = askers[asked];
         }
       ck_assert_uint_eq (of_store, 1);
-      if (sizes[s] > READERS_FLEET)
+      if (sizes[s] > FANOUT_SMALL_FLEET_MAX)
         ck_assert_uint_le (most, sizes[s] / ZONES + ZONES);
       /* Nobody is told by more than two hands.  */
       for (size_t i = 0; i < fleet.count; i++)
@@ -125,12 +125,12 @@
           size_t now = 0;
           clock_manual_advance_us (fleet.clock, STEP_MS * 1000u);
           for (size_t i = 0; i < fleet.count; i++)
-            if (readers_may_probe (fleet.entries[i]))
+            if (fanout_may_probe_store (fleet.entries[i]))
               {
                 now++;
                 if (first[i] == 0)
                   first[i] = ms;
-                readers_store_said (fleet.entries[i], false);
+                fanout_store_call_ended (fleet.entries[i], false);
               }
           if (now > most)
             most = now;
@@ -138,7 +138,7 @@
       for (size_t i = 0; i < fleet.count; i++)
         {
           ck_assert_uint_gt (first[i], 0);
-          ck_assert_uint_le (first[i], READERS_PROBE_LAST_MS + STEP_MS);
+          ck_assert_uint_le (first[i], FANOUT_PROBE_INTERVAL_MAX_MS + STEP_MS);
         }
       printf ("%zu entries: at most %zu calls in %d ms\n", sizes[s], most,
               STEP_MS);
@@ -162,22 +162,22 @@
   size_t head = asks (&fleet, member);
   char name[32];
   snprintf (name, sizeof name, "entry-%zu", head);
-  readers_failed (fleet.entries[member], str_from (name), false);
+  fanout_source_failed (fleet.entries[member], str_from (name), false);
   ck_assert_uint_eq (asks (&fleet, member), head);
-  ck_assert_ptr_nonnull (readers_next (fleet.entries[member]));
-  readers_failed (fleet.entries[member], str_from (name), true);
+  ck_assert_ptr_nonnull (fanout_next_source (fleet.entries[member]));
+  fanout_source_failed (fleet.entries[member], str_from (name), true);
   ck_assert_uint_ne (asks (&fleet, member), head);
-  clock_manual_advance_us (fleet.clock, READERS_SILENT_MS * 1000u);
+  clock_manual_advance_us (fleet.clock, FANOUT_SILENT_BACKOFF_MS * 1000u);
   ck_assert_uint_eq (asks (&fleet, member), head);
   /* The head's root, in another zone, is silent: it asks the store.  */
   snprintf (name, sizeof name, "entry-%zu", asks (&fleet, head));
-  readers_failed (fleet.entries[head], str_from (name), true);
+  fanout_source_failed (fleet.entries[head], str_from (name), true);
   ck_assert_uint_eq (asks (&fleet, head), SIZE_MAX);
-  ck_assert (!readers_hears (fleet.entries[head]));
-  readers_store_said (fleet.entries[head], true);
-  ck_assert (readers_hears (fleet.entries[head]));
-  ck_assert (readers_may_probe (fleet.entries[head]));
-  ck_assert (readers_may_probe (fleet.entries[head]));
+  ck_assert (!fanout_is_store_reachable (fleet.entries[head]));
+  fanout_store_call_ended (fleet.entries[head], true);
+  ck_assert (fanout_is_store_reachable (fleet.entries[head]));
+  ck_assert (fanout_may_probe_store (fleet.entries[head]));
+  ck_assert (fanout_may_probe_store (fleet.entries[head]));
   teardown (&fleet);
 }
 END_TEST
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -78,7 +78,7 @@
   if (hit)
     s.latency_ms *= w->fault.latency;
   s.rated = !s.failed && !w->no_ratings
-            && rng_double (&w->rng) < rollout_rate_share (w->run, arm);
+            && rng_double (&w->rng) < rollout_rating_share (w->run, arm);
   s.rating = rating - (hit ? w->fault.rating : 0);
   if (w->requests >= w->wrong_from && w->requests < w->wrong_to)
     s.rating = 0;
@@ -89,17 +89,17 @@
 static void
 world_request (world_t *w)
 {
-  bool fresh = rollout_assign (w->run, rng_u64 (&w->rng));
+  bool fresh = rollout_is_assigned (w->run, rng_u64 (&w->rng));
   rollout_arm_t arm = fresh ? ROLLOUT_NEW : ROLLOUT_OLD;
   int task = draw_task (w);
 
-  rollout_shown (w->run, arm, w->now_ms);
+  rollout_count_exposure (w->run, arm, w->now_ms);
   rollout_sample_t s = draw_sample (w, arm, task);
   rollout_observe (w->run, arm, str_from (tasks[task]), &s, w->now_ms);
   w->requests++;
   w->now_ms += 100;
   if (w->requests % 10 == 0)
-    rollout_step (w->run, w->now_ms);
+    rollout_decide (w->run, w->now_ms);
 }
 
 static bool
@@ -149,7 +149,7 @@
                      "%s, seed %d: %s", fault->name, (int)seed,
                      rollout_phase_name (rollout_phase (w.run)));
       ck_assert_double_eq (rollout_share (w.run), 0);
-      shown += rollout_exposed (w.run);
+      shown += rollout_exposed_count (w.run);
       rollout_destroy (w.run);
     }
   ck_assert_msg (shown / (SEEDS / 4) <= fault->shown_most,
@@ -245,25 +245,25 @@
 START_TEST (without_ratings_the_cap_holds)
 {
   world_t w = world_make (4, &no_fault);
-  uint64_t cap = rollout_exposure_bound (w.run);
+  uint64_t cap = rollout_exposure_cap (w.run);
 
   w.no_ratings = true;
   while (w.requests < REQUESTS_MAX)
     world_request (&w);
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
-  ck_assert_uint_eq (rollout_exposed (w.run), cap);
-  ck_assert (!rollout_assign (w.run, 12345));
+  ck_assert_uint_eq (rollout_exposed_count (w.run), cap);
+  ck_assert (!rollout_is_assigned (w.run, 12345));
   ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_bound (w.run), 2 * cap);
+  ck_assert_uint_eq (rollout_exposure_cap (w.run), 2 * cap);
   for (int i = 0; i < REQUESTS_MAX; i++)
     world_request (&w);
-  ck_assert_uint_eq (rollout_exposed (w.run), 2 * cap);
+  ck_assert_uint_eq (rollout_exposed_count (w.run), 2 * cap);
   /* A pause in between takes nothing of what a resume grants.  */
   ck_assert_int_eq (rollout_phase (w.run), ROLLOUT_PHASE_STARVED);
   ck_assert (rollout_pause (w.run));
   w.no_ratings = false;
   ck_assert (rollout_resume (w.run));
-  ck_assert_uint_eq (rollout_exposure_bound (w.run), 3 * cap);
+  ck_assert_uint_eq (rollout_exposure_cap (w.run), 3 * cap);
   for (int i = 0; i < REQUESTS_MAX && rollout_step_index (w.run) == 0; i++)
     world_request (&w);
   ck_assert_uint_ge (rollout_step_index (w.run), 1);
@@ -279,9 +279,9 @@
   rng_t rng = rng_make (3);
 
   for (int i = 0; i < REQUESTS_MAX; i++)
-    if (rollout_assign (run, rng_u64 (&rng)))
-      rollout_shown (run, ROLLOUT_NEW, START_MS + (uint64_t)i);
-  ck_assert_uint_eq (rollout_exposed (run), rollout_exposure_bound (run));
+    if (rollout_is_assigned (run, rng_u64 (&rng)))
+      rollout_count_exposure (run, ROLLOUT_NEW, START_MS + (uint64_t)i);
+  ck_assert_uint_eq (rollout_exposed_count (run), rollout_exposure_cap (run));
   rollout_destroy (run);
 }
 END_TEST
@@ -322,8 +322,8 @@
                             rollout_phase (broken.run));
           ck_assert_uint_eq (rollout_step_index (whole.run),
                              rollout_step_index (broken.run));
-          ck_assert_uint_eq (rollout_exposed (whole.run),
-                             rollout_exposed (broken.run));
+          ck_assert_uint_eq (rollout_exposed_count (whole.run),
+                             rollout_exposed_count (broken.run));
           if (rollout_step_index (broken.run) != handed_at
               || broken.requests % 4999 == 0)
             {
@@ -378,7 +378,7 @@
                                  .latency_ms = 500 + 10 * i,
                                  .rated = true,
                                  .rating = rng_double (&rng) };
-          rollout_shown (run, arm, START_MS);
+          rollout_count_exposure (run, arm, START_MS);
           rollout_observe (run, arm, STR ("draft"), &s, START_MS);
         }
       messages[m] = BUF_NULL;
@@ -394,8 +394,8 @@
   for (int m = MESSAGES - 1; m >= 0; m--)
     rollout_merge (shuffled, buf_str (&messages[m]), START_MS);
   ck_assert (same_state (ordered, shuffled));
-  ck_assert_uint_eq (rollout_exposed (shuffled), SHOWN);
-  ck_assert_uint_eq (rollout_evidence (shuffled, ROLLOUT_RATING).count_new,
+  ck_assert_uint_eq (rollout_exposed_count (shuffled), SHOWN);
+  ck_assert_uint_eq (rollout_estimate (shuffled, ROLLOUT_RATING).count_new,
                      SHOWN);
   for (int m = 0; m < MESSAGES; m++)
     buf_free (&messages[m]);
@@ -482,8 +482,8 @@
           buf_free (&state);
           for (uint64_t key = 0; key < KEYS; key++)
             {
-              bool fresh = rollout_assign (w.run, key);
-              ck_assert (fresh == rollout_assign (other, key));
+              bool fresh = rollout_is_assigned (w.run, key);
+              ck_assert (fresh == rollout_is_assigned (other, key));
               ck_assert (fresh || !placed[key]);
               placed[key] = fresh;
               count += fresh;
@@ -541,7 +541,7 @@
       char kept = bytes.ptr[at];
       bytes.ptr[at] = (char)rng_u64 (&rng);
       rollout_merge (other, buf_str (&bytes), w.now_ms);
-      rollout_step (other, w.now_ms);
+      rollout_decide (other, w.now_ms);
       bytes.ptr[at] = kept;
     }
   buf_free (&bytes);
--- a/tests/test_trial.c
+++ b/tests/test_trial.c
@@ -60,7 +60,7 @@
       for (int i = 0; i < per_tick; i++)
         {
           uint64_t route = rng_below (&rng, TRIAL_CELLS);
-          bool is_new = trial_assign (trial, rng_u64 (&rng), now_ms);
+          bool is_new = trial_is_assigned (trial, rng_u64 (&rng), now_ms);
           bool is_bad = is_new && ms >= version->bad_from
                         && (version->bad_route < 0
                             || version->bad_route == (int)route);
@@ -70,28 +70,29 @@
           uint64_t wait_ms = 50 + rng_below (&rng, 300);
           outcome.asked++;
           outcome.shown += is_new;
-          trial_outcome_t broken
-              = version->breaks && is_new ? TRIAL_BROKE : TRIAL_FAILED;
+          trial_outcome_t broken = version->breaks && is_new
+                                       ? TRIAL_CONNECTION_LOST
+                                       : TRIAL_FAILED;
           trial_observe (trial, is_new ? TRIAL_NEW : TRIAL_OLD, route,
                          rng_double (&rng) < fails ? broken : TRIAL_ANSWERED,
                          is_bad ? wait_ms * version->slow : wait_ms, false);
         }
       for (int i = 0; ms == version->crash_ms && ms > 0 && i < CRASH_RUNS; i++)
-        trial_observe (trial, TRIAL_NEW, 0, TRIAL_BROKE, 0, false);
+        trial_observe (trial, TRIAL_NEW, 0, TRIAL_CONNECTION_LOST, 0, false);
       if (ms == WITHIN_MS / 2 - TICK_MS)
         outcome.share_at_half = trial_share (trial, now_ms);
       if (ms % 1000 != 0)
         continue;
-      trial_fade (trial);
-      switch (trial_judge (trial, now_ms, away, &why))
+      trial_decay (trial);
+      switch (trial_decide (trial, now_ms, away, &why))
         {
         case TRIAL_WAIT:
           break;
         case TRIAL_ADVANCE:
           trial_set_progress (trial, START_MS, trial_step (trial) + 1,
-                              now_ms + TRIAL_NOTICE_MS);
+                              now_ms + TRIAL_STEP_NOTICE_MS);
           break;
-        case TRIAL_TAKE_BACK:
+        case TRIAL_ROLL_BACK:
           outcome.phase = TRIAL_ROLLED_BACK;
           outcome.end_ms = ms;
           goto over;
@@ -186,8 +187,8 @@
         trial_observe (trial, TRIAL_NEW, 0, TRIAL_ANSWERED, 50, false);
       for (int i = 0; i < answers; i++)
         trial_observe (trial, TRIAL_NEW, 1, TRIAL_ANSWERED, 50, false);
-      ck_assert_int_eq (trial_judge (trial, end_ms, false, &why),
-                        answers > 0 ? TRIAL_FINISH : TRIAL_TAKE_BACK);
+      ck_assert_int_eq (trial_decide (trial, end_ms, false, &why),
+                        answers > 0 ? TRIAL_FINISH : TRIAL_ROLL_BACK);
       buf_free (&why);
       trial_destroy (trial);
     }
@@ -227,7 +228,7 @@
     {
       trial_t *trial
           = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-      trial_verdict_t verdict = TRIAL_WAIT;
+      trial_decision_t verdict = TRIAL_WAIT;
       rng_t rng = rng_make (seed);
       buf_t why = BUF_NULL;
       trial_set_progress (trial, START_MS, TRIAL_STEP_WIDER, START_MS);
@@ -239,9 +240,9 @@
               = arm == TRIAL_NEW && is_loaded && rng_double (&rng) < 0.4;
           trial_observe (trial, arm, rng_below (&rng, TRIAL_CELLS),
                          fails ? TRIAL_FAILED : TRIAL_ANSWERED, 60, is_loaded);
-          verdict = trial_judge (trial, START_MS + 1, false, &why);
+          verdict = trial_decide (trial, START_MS + 1, false, &why);
         }
-      ck_assert_int_eq (verdict, TRIAL_TAKE_BACK);
+      ck_assert_int_eq (verdict, TRIAL_ROLL_BACK);
       buf_free (&why);
       trial_destroy (trial);
     }
@@ -256,7 +257,7 @@
 {
   for (int i = 0; i < per_s; i++)
     {
-      bool is_new = trial_assign (trial, rng_u64 (rng), now_ms);
+      bool is_new = trial_is_assigned (trial, rng_u64 (rng), now_ms);
       trial_arm_t arm = is_new ? TRIAL_NEW : TRIAL_OLD;
       uint32_t load = (uint32_t)(8 + rng_below (rng, 25));
       double spread = 0.8 + 0.5 * rng_double (rng);
@@ -266,8 +267,10 @@
       uint64_t route = rng_below (rng, TRIAL_CELLS);
       trial_observe (trial, arm, route, TRIAL_ANSWERED, (uint64_t)first_ms,
                      false);
-      trial_time (trial, arm, route, TIMING_FIRST, load, first_ms, now_ms);
-      trial_time (trial, arm, route, TIMING_GAP, load, gap_ms, now_ms);
+      trial_observe_timing (trial, arm, route, TRIAL_TIMING_FIRST_EVENT, load,
+                            first_ms, now_ms);
+      trial_observe_timing (trial, arm, route, TRIAL_TIMING_EVENT_GAP, load,
+                            gap_ms, now_ms);
     }
 }
 
@@ -290,12 +293,12 @@
       uint64_t now_ms = START_MS + ms;
       *shown += per_s * trial_share (trial, now_ms);
       time_second (trial, &rng, per_s, slow, now_ms);
-      trial_fade (trial);
-      trial_verdict_t verdict = trial_judge (trial, now_ms, false, &why);
+      trial_decay (trial);
+      trial_decision_t verdict = trial_decide (trial, now_ms, false, &why);
       if (verdict == TRIAL_ADVANCE)
         trial_set_progress (trial, START_MS, trial_step (trial) + 1,
-                            now_ms + TRIAL_NOTICE_MS);
-      else if (verdict == TRIAL_TAKE_BACK)
+                            now_ms + TRIAL_STEP_NOTICE_MS);
+      else if (verdict == TRIAL_ROLL_BACK)
         phase = TRIAL_ROLLED_BACK;
       else if (verdict == TRIAL_FINISH)
         phase = TRIAL_DONE;
@@ -345,18 +348,20 @@
   for (int i = 0; i < 200; i++)
     {
       trial_observe (trial, TRIAL_OLD, 1, TRIAL_ANSWERED, 50, false);
-      trial_time (trial, TRIAL_OLD, 1, TIMING_FIRST, 4, 50, later_ms);
+      trial_observe_timing (trial, TRIAL_OLD, 1, TRIAL_TIMING_FIRST_EVENT, 4,
+                            50, later_ms);
     }
   for (int i = 0; i < 30; i++)
     {
       trial_observe (trial, TRIAL_NEW, 1, TRIAL_ANSWERED, 50, false);
-      trial_time (trial, TRIAL_NEW, 1, TIMING_FIRST, 4, i % 4 == 0 ? 500 : 50,
-                  later_ms);
+      trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
+                            i % 4 == 0 ? 500 : 50, later_ms);
     }
   const uint64_t last_ms = START_MS + WITHIN_MS - TRIAL_DOUBT_MS;
-  ck_assert_int_eq (trial_judge (trial, last_ms - 1, false, &why), TRIAL_WAIT);
-  ck_assert_int_eq (trial_judge (trial, last_ms, false, &why),
-                    TRIAL_TAKE_BACK);
+  ck_assert_int_eq (trial_decide (trial, last_ms - 1, false, &why),
+                    TRIAL_WAIT);
+  ck_assert_int_eq (trial_decide (trial, last_ms, false, &why),
+                    TRIAL_ROLL_BACK);
   buf_free (&why);
   trial_destroy (trial);
 }
@@ -374,11 +379,12 @@
   for (uint64_t ms = 0; ms < 2000; ms += 5)
     {
       uint64_t now_ms = START_MS + ms;
-      trial_time (trial, TRIAL_OLD, 1, TIMING_FIRST, 4, 50, now_ms);
+      trial_observe_timing (trial, TRIAL_OLD, 1, TRIAL_TIMING_FIRST_EVENT, 4,
+                            50, now_ms);
       if (ms % 50 == 0)
-        trial_time (trial, TRIAL_NEW, 1, TIMING_FIRST, 4, ms < 1000 ? 400 : 50,
-                    now_ms);
-      ck_assert_int_eq (trial_judge (trial, now_ms, false, &why), TRIAL_WAIT);
+        trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
+                              ms < 1000 ? 400 : 50, now_ms);
+      ck_assert_int_eq (trial_decide (trial, now_ms, false, &why), TRIAL_WAIT);
     }
   buf_free (&why);
   trial_destroy (trial);
@@ -469,19 +475,19 @@
 {
   trial_t *trial
       = trial_create (STR ("llm"), STR ("v2"), 1, WITHIN_MS, EXPOSURE);
-  trial_sent_t sent = { 0 };
+  trial_send_history_t sent = { 0 };
   const uint64_t key = 0; /* The first that is placed on a new version.  */
 
-  trial_set_progress (trial, START_MS, TRIAL_STEP_HELD, START_MS);
-  ck_assert_int_eq (trial_choose (trial, key, START_MS, &sent), TRIAL_OLD);
-  sent = (trial_sent_t){ .any = true, .arm = TRIAL_OLD };
+  trial_set_progress (trial, START_MS, TRIAL_STEP_NO_TRAFFIC, START_MS);
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
+  sent = (trial_send_history_t){ .any = true, .arm = TRIAL_OLD };
   trial_set_progress (trial, START_MS, TRIAL_STEP_FIRST, START_MS);
-  ck_assert (trial_assign (trial, key, START_MS));
-  ck_assert_int_eq (trial_choose (trial, key, START_MS, &sent), TRIAL_OLD);
+  ck_assert (trial_is_assigned (trial, key, START_MS));
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
   sent.arm = TRIAL_NEW;
-  ck_assert_int_eq (trial_choose (trial, key, START_MS, &sent), TRIAL_NEW);
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_NEW);
   sent.failed = true;
-  ck_assert_int_eq (trial_choose (trial, key, START_MS, &sent), TRIAL_OLD);
+  ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &sent), TRIAL_OLD);
   trial_destroy (trial);
 }
 END_TEST
@@ -502,12 +508,12 @@
       trial_observe (one, TRIAL_OLD, 1, false, 100, false);
       trial_observe (one, TRIAL_NEW, 1, i % 2 == 0, 100, false);
     }
-  ck_assert_int_eq (trial_judge (other, START_MS, false, &why), TRIAL_WAIT);
+  ck_assert_int_eq (trial_decide (other, START_MS, false, &why), TRIAL_WAIT);
   trial_write (one, true, &text);
   ck_assert_int_eq (trial_merge (other, STR ("one"), false, buf_str (&text)),
                     VH_OK);
-  ck_assert_int_eq (trial_judge (other, START_MS, true, &why),
-                    TRIAL_TAKE_BACK);
+  ck_assert_int_eq (trial_decide (other, START_MS, true, &why),
+                    TRIAL_ROLL_BACK);
   ck_assert_int_eq (trial_merge (other, STR ("one"), false, STR ("7 x")),
                     VH_E_PROTOCOL);
   buf_free (&text);
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -30,7 +30,7 @@
 typedef struct
 {
   rng_t rng;
-  watch_t *watch;
+  degradation_t *watch;
   uint64_t now_ms;
   double other_share; /* Traffic of large@1; the rest is small@1's.  */
   double small_rating;
@@ -51,14 +51,14 @@
 world_make (uint64_t seed)
 {
   return (world_t){ .rng = rng_make (seed * 31 + 7),
-                    .watch = watch_create (seed + 1),
+                    .watch = degradation_create (seed + 1),
                     .now_ms = START_MS,
                     .other_share = 0.2,
                     .small_latency = 1 };
 }
 
 /* One minute of traffic: 10 requests a second, one answer in ten rated.
-   Return what watch_step says at its end.  */
+   Return what degradation_check says at its end.  */
 static bool
 world_minute (world_t *w)
 {
@@ -73,12 +73,13 @@
       s.latency_ms *= small ? w->small_latency : 1;
       s.rated = !s.failed && rng_double (&w->rng) < 0.1;
       s.rating = rating - (small ? w->small_rating : 0);
-      watch_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
-                     rng_below (&w->rng, 3) == 0 ? STR ("tag") : STR ("draft"),
-                     &s, w->now_ms);
+      degradation_observe (w->watch, small ? STR ("small@1") : STR ("large@1"),
+                           rng_below (&w->rng, 3) == 0 ? STR ("tag")
+                                                       : STR ("draft"),
+                           &s, w->now_ms);
       w->now_ms += MINUTE_MS / PER_MINUTE;
     }
-  return watch_step (w->watch, w->now_ms);
+  return degradation_check (w->watch, w->now_ms);
 }
 
 static bool
@@ -87,7 +88,7 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return watch_alarm (w->watch, STR ("small@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->watch, STR ("small@1"), &metric, &since_ms);
 }
 
 static bool
@@ -96,7 +97,7 @@
   rollout_metric_t metric;
   uint64_t since_ms;
 
-  return watch_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
+  return degradation_get_alarm (w->watch, STR ("large@1"), &metric, &since_ms);
 }
 
 static const fault_t faults[] = {
@@ -119,8 +120,8 @@
       int minutes = 0;
       for (int i = 0; i < QUIET_MINUTES; i++)
         ck_assert (!world_minute (&w));
-      ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
-                           1);
+      ck_assert_double_eq (
+          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms), 1);
       w.small_rating = fault->rating;
       w.small_error = fault->error;
       w.small_latency = fault->latency;
@@ -129,16 +130,19 @@
       ck_assert_msg (minutes <= fault->minutes_most, "%s, seed %d: %d min",
                      fault->name, (int)seed, minutes);
       ck_assert (!large_alarmed (&w));
-      ck_assert_double_eq (watch_weight (w.watch, STR ("small@1"), w.now_ms),
-                           0.5);
       ck_assert_double_eq (
-          watch_weight (w.watch, STR ("small@1"), w.now_ms + WATCH_STEP_MS),
+          degradation_traffic_weight (w.watch, STR ("small@1"), w.now_ms),
+          0.5);
+      ck_assert_double_eq (
+          degradation_traffic_weight (w.watch, STR ("small@1"),
+                                      w.now_ms + DEGRADATION_WEIGHT_STEP_MS),
           0.1);
+      ck_assert_double_eq (degradation_traffic_weight (
+                               w.watch, STR ("small@1"), w.now_ms + MINUTE_MS),
+                           0);
       ck_assert_double_eq (
-          watch_weight (w.watch, STR ("small@1"), w.now_ms + MINUTE_MS), 0);
-      ck_assert_double_eq (watch_weight (w.watch, STR ("large@1"), w.now_ms),
-                           1);
-      watch_destroy (w.watch);
+          degradation_traffic_weight (w.watch, STR ("large@1"), w.now_ms), 1);
+      degradation_destroy (w.watch);
     }
 }
 END_TEST
@@ -157,7 +161,7 @@
       for (; !small_alarmed (&w) && minutes < 60; minutes++)
         world_minute (&w);
       ck_assert_msg (minutes < 60, "seed %d", (int)seed);
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
 }
 END_TEST
@@ -174,7 +178,7 @@
       for (int i = 0; i < 180; i++)
         raised = world_minute (&w) || raised;
       alarms += raised;
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
   ck_assert_int_lt (alarms, SEEDS / 20);
 }
@@ -196,7 +200,7 @@
           raised = world_minute (&w) || raised;
         }
       alarms += raised;
-      watch_destroy (w.watch);
+      degradation_destroy (w.watch);
     }
   ck_assert_int_eq (alarms, 0);
 }
@@ -219,7 +223,7 @@
     world_minute (&w);
   ck_assert_int_le (minutes, 5);
   ck_assert (!large_alarmed (&w));
-  watch_destroy (w.watch);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
@@ -236,7 +240,7 @@
     world_minute (&w);
   ck_assert (small_alarmed (&w));
   w.small_error = 0;
-  watch_clear (w.watch, STR ("small@1"), w.now_ms);
+  degradation_clear_alarm (w.watch, STR ("small@1"), w.now_ms);
   ck_assert (!small_alarmed (&w));
   for (int i = 0; i < QUIET_MINUTES; i++)
     ck_assert (!world_minute (&w));
@@ -244,7 +248,7 @@
   for (int i = 0; i < 5; i++)
     world_minute (&w);
   ck_assert (small_alarmed (&w));
-  watch_destroy (w.watch);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
@@ -254,8 +258,8 @@
 START_TEST (state_survives_and_merges)
 {
   world_t w = world_make (9);
-  watch_t *late = watch_create (77);
-  watch_t *alone = watch_create (78);
+  degradation_t *late = degradation_create (77);
+  degradation_t *alone = degradation_create (78);
   buf_t bytes = BUF_NULL;
   buf_t again = BUF_NULL;
   rollout_metric_t metric, metric_late;
@@ -266,34 +270,39 @@
   w.small_error = 0.3;
   for (int i = 0; i < 3; i++)
     world_minute (&w);
-  ck_assert (watch_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
-  ck_assert_int_eq (metric, ROLLOUT_ERROR);
-  watch_write (w.watch, false, &bytes);
-  ck_assert_int_eq (watch_merge (late, buf_str (&bytes), w.now_ms), VH_OK);
-  ck_assert_int_eq (watch_merge (late, buf_str (&bytes), w.now_ms), VH_OK);
   ck_assert (
-      watch_alarm (late, STR ("small@1"), &metric_late, &since_late_ms));
+      degradation_get_alarm (w.watch, STR ("small@1"), &metric, &since_ms));
+  ck_assert_int_eq (metric, ROLLOUT_ERROR);
+  degradation_write (w.watch, false, &bytes);
+  ck_assert_int_eq (degradation_merge (late, buf_str (&bytes), w.now_ms),
+                    VH_OK);
+  ck_assert_int_eq (degradation_merge (late, buf_str (&bytes), w.now_ms),
+                    VH_OK);
+  ck_assert (degradation_get_alarm (late, STR ("small@1"), &metric_late,
+                                    &since_late_ms));
   ck_assert_uint_eq (since_ms, since_late_ms);
-  watch_write (late, false, &again);
+  degradation_write (late, false, &again);
   ck_assert (str_eq (buf_str (&bytes), buf_str (&again)));
-  watch_clear (late, STR ("small@1"), since_ms + 1);
-  watch_merge (late, buf_str (&bytes), w.now_ms);
-  ck_assert (!watch_alarm (late, STR ("small@1"), &metric, &since_ms));
+  degradation_clear_alarm (late, STR ("small@1"), since_ms + 1);
+  degradation_merge (late, buf_str (&bytes), w.now_ms);
+  ck_assert (
+      !degradation_get_alarm (late, STR ("small@1"), &metric, &since_ms));
   buf_t cleared = BUF_NULL;
   again.len = 0;
-  watch_write (late, false, &cleared);
-  watch_merge (w.watch, buf_str (&cleared), w.now_ms);
-  watch_write (w.watch, false, &again);
+  degradation_write (late, false, &cleared);
+  degradation_merge (w.watch, buf_str (&cleared), w.now_ms);
+  degradation_write (w.watch, false, &again);
   ck_assert (str_eq (buf_str (&cleared), buf_str (&again)));
   buf_free (&cleared);
   for (size_t len = 0; len < bytes.len; len += 1 + len / 50)
-    ck_assert_int_eq (watch_merge (alone, str_make (bytes.ptr, len), w.now_ms),
-                      VH_E_PROTOCOL);
+    ck_assert_int_eq (
+        degradation_merge (alone, str_make (bytes.ptr, len), w.now_ms),
+        VH_E_PROTOCOL);
   buf_free (&bytes);
   buf_free (&again);
-  watch_destroy (late);
-  watch_destroy (alone);
-  watch_destroy (w.watch);
+  degradation_destroy (late);
+  degradation_destroy (alone);
+  degradation_destroy (w.watch);
 }
 END_TEST
 
--- a/tests/test_zone.c
+++ b/tests/test_zone.c
@@ -14,16 +14,16 @@
   ck_assert (zone_share (zone, 100) <= 0);
   ck_assert_int_eq (zone_state (zone), ZONE_OUT);
   zone_in (zone, 1000);
-  ck_assert_int_eq (zone_state (zone), ZONE_RETURNING);
+  ck_assert_int_eq (zone_state (zone), ZONE_RAMPING);
   for (uint64_t ms = 1000; ms < 1000 + ZONE_RAMP_MS; ms += 100)
     {
       double share = zone_share (zone, ms);
       ck_assert (share > last && share < 1);
       last = share;
     }
-  ck_assert (zone_share (zone, 1000) >= ZONE_RAMP_FIRST);
+  ck_assert (zone_share (zone, 1000) >= ZONE_RAMP_INITIAL_SHARE);
   ck_assert (zone_share (zone, 1000 + ZONE_RAMP_MS) >= 1);
-  ck_assert_int_eq (zone_state (zone), ZONE_IN);
+  ck_assert_int_eq (zone_state (zone), ZONE_ENABLED);
   zone_destroy (zone);
 }
 END_TEST
