--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -178,22 +178,23 @@
       choices[count++]
           = (escalation_candidate_t){ .model = larger_model,
                                       .cost = model_cost (relay, larger_model),
-                                      .beside = load_for_model (relay, i) };
+                                      .running_requests
+                                      = load_for_model (relay, i) };
     }
   const escalation_request_t request
       = { .model = model,
           .cost = model_cost (relay, model),
-          .read = attrs->prompt_tokens,
-          .generated = attrs->output_tokens_max,
-          .rank = route->priority,
-          .opinion = confidence_points,
-          .has_first = relay->model_index > 0,
-          .first = relay->first_confidence,
+          .prompt_tokens = attrs->prompt_tokens,
+          .output_tokens = attrs->output_tokens_max,
+          .priority = route->priority,
+          .confidence = confidence_points,
+          .has_smallest_confidence = relay->model_index > 0,
+          .smallest_confidence = relay->first_confidence,
           .elapsed_ms = relay->last_activity_ms - attrs->arrived_ms,
           .objective_ms = route->objective_ms,
-          .pause_ms = route->event_gap_max_ms,
-          .choices = choices,
-          .choice_count = count };
+          .max_pause_ms = route->event_gap_max_ms,
+          .candidates = choices,
+          .candidate_count = count };
   size_t chosen = escalation_choose (escalation, &request);
   return chosen < count ? relay->model_index + 1 + chosen : relay->model_index;
 }
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -15,45 +15,48 @@
     }
   if (sample->finished && !sample->failed && sample->latency_ms > 0)
     {
-      double value = log (sample->latency_ms);
+      double log_ms = log (sample->latency_ms);
       fields[SAMPLE_LATENCY_COUNT] = 1;
-      fields[SAMPLE_LOG_LATENCY_SUM] = crdt_to_fixed_point (value);
-      fields[SAMPLE_LOG_LATENCY_SQUARES] = crdt_to_fixed_point (value * value);
+      fields[SAMPLE_LOG_LATENCY_SUM] = crdt_to_fixed_point (log_ms);
+      fields[SAMPLE_LOG_LATENCY_SQUARES]
+          = crdt_to_fixed_point (log_ms * log_ms);
     }
   if (sample->rated && !isnan (sample->rating))
     {
-      double value = fmax (0, fmin (1, sample->rating));
+      double rating = fmax (0, fmin (1, sample->rating));
       fields[SAMPLE_RATING_COUNT] = 1;
-      fields[SAMPLE_RATING_SUM] = crdt_to_fixed_point (value);
-      fields[SAMPLE_RATING_SQUARES] = crdt_to_fixed_point (value * value);
+      fields[SAMPLE_RATING_SUM] = crdt_to_fixed_point (rating);
+      fields[SAMPLE_RATING_SQUARES] = crdt_to_fixed_point (rating * rating);
     }
 }
 
 moments_t
 sample_moments (const int64_t *sums, rollout_metric_t metric)
 {
-  moments_t m = { 0, 0, 0 };
+  moments_t moments = { 0, 0, 0 };
 
   if (sums == NULL)
-    return m;
+    return moments;
   switch (metric)
     {
     case ROLLOUT_RATING:
-      m.count = (double)sums[SAMPLE_RATING_COUNT];
-      m.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
-      m.squares = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
+      moments.count = (double)sums[SAMPLE_RATING_COUNT];
+      moments.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
+      moments.squares
+          = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     case ROLLOUT_ERROR:
-      m.count = (double)sums[SAMPLE_FINISHED_COUNT];
-      m.sum = (double)sums[SAMPLE_FAILED_COUNT];
-      m.squares = m.sum;
+      moments.count = (double)sums[SAMPLE_FINISHED_COUNT];
+      moments.sum = (double)sums[SAMPLE_FAILED_COUNT];
+      moments.squares = moments.sum;
       break;
     default:
-      m.count = (double)sums[SAMPLE_LATENCY_COUNT];
-      m.sum = (double)sums[SAMPLE_LOG_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
-      m.squares
+      moments.count = (double)sums[SAMPLE_LATENCY_COUNT];
+      moments.sum
+          = (double)sums[SAMPLE_LOG_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
+      moments.squares
           = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     }
-  return m;
+  return moments;
 }
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -1,5 +1,6 @@
-/* How a rollout_sample_t is kept in evidence cells, and read back as the
-   moments of one metric; shared by rollout and watch.  */
+/* Conversion of a rollout_sample_t into the sums of an evidence cell, and of
+   these sums into the moments of one metric.  Used by the roll-out and by the
+   watch of a released version.  */
 
 #ifndef POLICY_SAMPLE_H
 #define POLICY_SAMPLE_H
@@ -8,11 +9,12 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
+  /* Index of each sum in an evidence cell; index 0 is the number of added
+     samples.  */
   SAMPLE_FINISHED_COUNT = 1,
   SAMPLE_FAILED_COUNT,
   SAMPLE_LATENCY_COUNT,
-  SAMPLE_LOG_LATENCY_SUM, /* Of the natural logarithm of milliseconds.  */
+  SAMPLE_LOG_LATENCY_SUM, /* Sum of the natural logarithms of the ms.  */
   SAMPLE_LOG_LATENCY_SQUARES,
   SAMPLE_RATING_COUNT,
   SAMPLE_RATING_SUM,
@@ -20,8 +22,8 @@
   SAMPLE_FIELD_COUNT
 };
 
-/* Count, sum and sum of squares of one metric, signed so that harm is
-   positive.  */
+/* Count, sum and sum of squares of one metric.  The sign is such that a larger
+   value is worse.  */
 typedef struct
 {
   double count;
@@ -29,9 +31,11 @@
   double squares;
 } moments_t;
 
-/* Fill FIELDS, SAMPLE_FIELD_COUNT long, for crdt_add.  */
+/* Store the terms that SAMPLE adds to a cell in FIELDS, an array of
+   SAMPLE_FIELD_COUNT elements for crdt_add.  */
 void sample_to_fields (const rollout_sample_t *sample, int64_t *fields);
-/* Moments of METRIC in the SUMS of crdt_sums; zeros when it is NULL.  */
+/* Return the moments of METRIC from SUMS, a result of crdt_sums; all zero
+   if SUMS is NULL.  */
 moments_t sample_moments (const int64_t *sums, rollout_metric_t metric);
 
 #endif
