--- a/packages/entry/answer.c
+++ b/packages/entry/answer.c
@@ -1,4 +1,4 @@
-/* Towards the caller: errors, whole answers and streams.  */
+/* Answers to callers: errors, complete answers and streams.  */
 
 #include "entry/entryint.h"
 
@@ -7,8 +7,8 @@
 
 enum
 {
-  HEADERS_OUT = WIRE_HEADERS_MAX + 12,
-  /* Without any estimate of the wait.  */
+  ANSWER_HEADERS_MAX = WIRE_HEADERS_MAX + 12,
+  /* Sent if no estimate of the waiting time is known.  */
   RETRY_AFTER_DEFAULT_MS = 1000
 };
 
@@ -46,9 +46,9 @@
   buf_free (&body);
 }
 
-/* End REQUEST with an error that tells OUTCOME.  */
+/* End REQUEST with error CODE and OUTCOME.  */
 static void
-end_with_error (request_t *request, vh_code_t code, const char *outcome)
+send_error (request_t *request, vh_code_t code, const char *outcome)
 {
   httpd_req_t *http = request->http;
   str_t id = str_from (request->request_id);
@@ -61,10 +61,11 @@
   request_destroy (request);
 }
 
-/* Set when the caller of a request that found no room is to return: not
-   before its share has worked off what was refused, spread over that time.  */
+/* Set the Retry-After time of a request that was refused for lack of
+   capacity.  The time is what the team's share needs for the refused work;
+   callers are spread over the time at random.  */
 static void
-spread_return (request_t *request, vh_code_t code)
+set_retry_after (request_t *request, vh_code_t code)
 {
   if ((code != VH_E_FULL && code != VH_E_DEADLINE) || request->pool == NULL)
     return;
@@ -75,115 +76,120 @@
     request->retry_after_ms = wait_ms;
 }
 
-filter_step_t
+filter_result_t
 answer_refuse (request_t *request, vh_code_t code)
 {
-  if (request->released)
+  if (request->answer_started)
     {
-      answer_break (request, code);
+      answer_abort (request, code);
       return FILTER_DONE;
     }
   if (request->may_have_run && !request->idempotent)
     {
-      answer_unknown (request, VH_E_UNKNOWN);
+      answer_unknown_outcome (request, VH_E_UNKNOWN);
       return FILTER_DONE;
     }
   if (request->may_have_run)
     {
-      answer_unknown (request, code);
+      answer_unknown_outcome (request, code);
       return FILTER_DONE;
     }
   claim_release (request);
-  objective_ended (request, code);
+  objective_request_ended (request, code);
   counter_add (request->entry->counters.refused, 1);
-  spread_return (request, code);
-  end_with_error (request, code, "not-run");
+  set_retry_after (request, code);
+  send_error (request, code, "not-run");
   return FILTER_DONE;
 }
 
 void
-answer_unknown (request_t *request, vh_code_t code)
+answer_unknown_outcome (request_t *request, vh_code_t code)
 {
-  if (request->released)
+  if (request->answer_started)
     {
-      answer_break (request, code);
+      answer_abort (request, code);
       return;
     }
   claim_record (request);
-  objective_ended (request, code);
-  counter_add (request->entry->counters.unknown, 1);
-  end_with_error (request, code, "unknown");
+  objective_request_ended (request, code);
+  counter_add (request->entry->counters.unknown_outcomes, 1);
+  send_error (request, code, "unknown");
 }
 
-/* Collects the answer's headers; texts that are made live in STORE.  */
+/* Headers of an answer, and the values that are generated for them.  */
 typedef struct
 {
-  httpc_header_t list[HEADERS_OUT];
+  httpc_header_t list[ANSWER_HEADERS_MAX];
   size_t count;
   buf_t session;
   buf_t explain;
-} head_t;
+} answer_headers_t;
 
 static void
-add (head_t *head, str_t name, str_t value)
+add_header (answer_headers_t *headers, str_t name, str_t value)
 {
-  if (head->count < HEADERS_OUT && value.len > 0)
-    head->list[head->count++] = (httpc_header_t){ name, value };
+  if (headers->count < ANSWER_HEADERS_MAX && value.len > 0)
+    headers->list[headers->count++] = (httpc_header_t){ name, value };
 }
 
 static void
-fill_head (const request_t *request, head_t *head)
+build_headers (const request_t *request, answer_headers_t *headers)
 {
-  memset (head, 0, sizeof *head);
-  for (size_t i = 0; i < request->at.header_count; i++)
-    add (head, request->at.headers[i].name, request->at.headers[i].value);
-  add (head, STR ("vanillahook-request-id"), str_from (request->request_id));
-  add (head, STR ("vanillahook-outcome"), STR ("answered"));
+  memset (headers, 0, sizeof *headers);
+  for (size_t i = 0; i < request->attempt.header_count; i++)
+    add_header (headers, request->attempt.headers[i].name,
+                request->attempt.headers[i].value);
+  add_header (headers, STR ("vanillahook-request-id"),
+              str_from (request->request_id));
+  add_header (headers, STR ("vanillahook-outcome"), STR ("answered"));
   if (request->version == NULL)
     return;
   str_t version;
-  add (head, STR ("vanillahook-model"),
-       str_cut (request->version->name, '@', &version));
-  add (head, STR ("vanillahook-version"), version);
-  choose_session_token (request, &head->session);
-  add (head, STR ("vanillahook-session"), buf_str (&head->session));
+  add_header (headers, STR ("vanillahook-model"),
+              str_cut (request->version->name, '@', &version));
+  add_header (headers, STR ("vanillahook-version"), version);
+  choose_write_session_token (request, &headers->session);
+  add_header (headers, STR ("vanillahook-session"),
+              buf_str (&headers->session));
   if (request->session_moved)
-    add (head, STR ("vanillahook-session-moved"), STR ("withdrawn"));
+    add_header (headers, STR ("vanillahook-session-moved"), STR ("withdrawn"));
   if (request->explain)
     {
-      buf_printf (&head->explain, "%s; version=%.*s; tries=%u%s",
+      buf_printf (&headers->explain, "%s; version=%.*s; tries=%u%s",
                   choose_reason (request), STR_ARG (request->version->name),
-                  request->tries, request->escalated ? "; escalated" : "");
-      add (head, STR ("vanillahook-explain"), buf_str (&head->explain));
+                  request->attempt_count,
+                  request->escalated ? "; escalated" : "");
+      add_header (headers, STR ("vanillahook-explain"),
+                  buf_str (&headers->explain));
     }
 }
 
 static void
-free_head (head_t *head)
+free_headers (answer_headers_t *headers)
 {
-  buf_free (&head->session);
-  buf_free (&head->explain);
+  buf_free (&headers->session);
+  buf_free (&headers->explain);
 }
 
 static void
-bill (request_t *request)
+record_bill (request_t *request)
 {
   entry_t *entry = request->entry;
-  const member_t *member = request->at.member;
+  const member_t *member = request->attempt.member;
   str_t target = request->version != NULL ? request->version->name
                                           : request->service->name;
   buf_t id = BUF_NULL;
 
-  if (request->at.status >= 400)
+  if (request->attempt.http_status >= 400)
     return;
   buf_printf (&id, "%.*s:%s", STR_ARG (request->team->name),
               request->request_id);
   buf_append_char (&id, '\0');
-  char *target_text = str_dup (target);
+  char *target_name = str_dup (target);
   char *team = str_dup (request->team->name);
   const wire_bill_t bill = { .bill_id = id.ptr,
                              .team = team,
-                             .target = target_text,
+                             .target = target_name,
                              .at_ms = request->billed_ms,
                              .tokens_in = request->tokens_in,
                              .tokens_out = request->tokens_out,
@@ -191,7 +197,7 @@
   entry->options.host->bill (entry->options.arg, &bill,
                              member != NULL ? str_from (member->name)
                                             : STR (""));
-  free (target_text);
+  free (target_name);
   free (team);
   buf_free (&id);
 }
@@ -202,27 +208,27 @@
   entry_t *entry = request->entry;
 
   counter_add (entry->counters.answered, 1);
-  histogram_record (entry->whole,
+  histogram_record (entry->answer_latency,
                     clock_us (entry->clock) - request->received_us);
-  objective_ended (request, VH_OK);
-  learn_answered (request);
+  objective_request_ended (request, VH_OK);
+  learn_request_answered (request);
   claim_record (request);
-  bill (request);
+  record_bill (request);
   request_destroy (request);
 }
 
 void
-answer_whole (request_t *request)
+answer_send_buffered (request_t *request)
 {
-  head_t head;
+  answer_headers_t headers;
 
   if (request->http != NULL)
     {
-      fill_head (request, &head);
+      build_headers (request, &headers);
       httpd_watch (request->http, NULL, NULL, NULL);
-      httpd_reply (request->http, request->at.status, head.list, head.count,
-                   buf_str (&request->at.body));
-      free_head (&head);
+      httpd_reply (request->http, request->attempt.http_status, headers.list,
+                   headers.count, buf_str (&request->attempt.body));
+      free_headers (&headers);
       request->http = NULL;
     }
   answer_finish (request);
@@ -231,17 +237,18 @@
 void
 answer_stream (request_t *request, str_t bytes, bool last)
 {
-  head_t head;
+  answer_headers_t headers;
 
   if (request->http == NULL)
     return;
-  if (!request->released)
+  if (!request->answer_started)
     {
-      fill_head (request, &head);
-      httpd_start (request->http, request->at.status, head.list, head.count);
-      free_head (&head);
-      request->released = true;
-      histogram_record (request->entry->first_byte,
+      build_headers (request, &headers);
+      httpd_start (request->http, request->attempt.http_status, headers.list,
+                   headers.count);
+      free_headers (&headers);
+      request->answer_started = true;
+      histogram_record (request->entry->first_byte_latency,
                         clock_us (request->entry->clock)
                             - request->received_us);
     }
@@ -253,20 +260,20 @@
 }
 
 void
-answer_break (request_t *request, vh_code_t code)
+answer_abort (request_t *request, vh_code_t code)
 {
   httpd_req_t *http = request->http;
 
   claim_record (request);
-  objective_ended (request, code);
-  counter_add (request->entry->counters.unknown, 1);
+  objective_request_ended (request, code);
+  counter_add (request->entry->counters.unknown_outcomes, 1);
   if (http != NULL)
     {
       httpd_watch (http, NULL, NULL, NULL);
       if (request->stream)
         {
-          /* A stream's reader sees the event; one that reads no events still
-             sees that the last chunk never came.  */
+          /* A client that ignores the error event still detects the missing
+             last chunk.  */
           buf_t event = BUF_NULL;
           buf_append_str (&event, STR ("data: "));
           code_write_error (code, "unknown", &event);
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -1,5 +1,5 @@
-/* Which version answers: candidates the team may use, the session's own, and
-   the cascade's plan.  */
+/* Selection of the version that answers a request: the candidates that the
+   team may use, the version of the session, or a cascade of two versions.  */
 
 #include "entry/content.h"
 #include "entry/entryint.h"
@@ -10,11 +10,11 @@
 
 enum
 {
-  MAC_LEN = 16,
+  SESSION_MAC_LEN = 16,
   RATING_TIMEOUT_MS = 2000,
-  ANSWER_RATED_MAX = 64 << 10,
-  /* Until a pool has shown its own.  */
-  LATENCY_UNKNOWN_MS = 2000
+  RATED_ANSWER_MAX_BYTES = 64 << 10,
+  /* Assumed for a pool without a measured latency.  */
+  LATENCY_DEFAULT_MS = 2000
 };
 
 static void
@@ -25,8 +25,8 @@
     request->candidates[request->candidate_count++] = version;
 }
 
-/* Add the versions of MODEL in service.  One that is being rolled out gets
-   requests by its roll-out's share alone.  */
+/* Add the versions of MODEL in state serving.  A version that is being rolled
+   out gets its requests from learn_assign_rollout only.  */
 static void
 add_model (request_t *request, const model_t *model)
 {
@@ -35,9 +35,9 @@
       add_candidate (request, model->versions[i]);
 }
 
-/* Add every model of task class TASK; return false when there is none.  */
+/* Add every model of task class TASK.  Return false if there is none.  */
 static bool
-add_task (request_t *request, str_t task)
+add_task_models (request_t *request, str_t task)
 {
   const model_t *model;
   bool found = false;
@@ -52,11 +52,11 @@
   return found;
 }
 
-filter_step_t
+filter_result_t
 choose_candidates (request_t *request)
 {
   const snapshot_t *snapshot = request->snapshot;
-  str_t name = str_from (request->model);
+  str_t name = str_from (request->target_name);
   const version_t *version = snapshot_version (snapshot, name);
   const model_t *model = snapshot_model (snapshot, name);
 
@@ -66,16 +66,18 @@
     add_candidate (request, version);
   else if (model != NULL)
     add_model (request, model);
-  else if (!add_task (request, name))
+  else if (!add_task_models (request, name))
     return answer_refuse (request, VH_E_NO_MODEL);
   if (request->candidate_count == 0)
     return answer_refuse (request, VH_E_NOT_ALLOWED);
-  return FILTER_NEXT;
+  return FILTER_CONTINUE;
 }
 
-/* The mac of a session token for TARGET at INSTANCE, in lower-case hex.  */
+/* Append the MAC of the session token for version TARGET on INSTANCE, in
+   lower-case hex.  */
 static void
-token_mac (const request_t *request, str_t target, str_t instance, buf_t *out)
+append_session_mac (const request_t *request, str_t target, str_t instance,
+                    buf_t *out)
 {
   str_t key = request->entry->settings->session_key;
   unsigned char digest[EVP_MAX_MD_SIZE] = { 0 };
@@ -86,25 +88,25 @@
               STR_ARG (target), STR_ARG (instance));
   HMAC (EVP_sha256 (), key.ptr != NULL ? key.ptr : "", (int)key.len,
         (const unsigned char *)text.ptr, text.len, digest, &len);
-  buf_append_hex (out, digest, MAC_LEN);
+  buf_append_hex (out, digest, SESSION_MAC_LEN);
   buf_free (&text);
 }
 
 void
-choose_session_token (const request_t *request, buf_t *out)
+choose_write_session_token (const request_t *request, buf_t *out)
 {
-  str_t instance = request->at.member != NULL
-                       ? str_from (request->at.member->name)
+  str_t instance = request->attempt.member != NULL
+                       ? str_from (request->attempt.member->name)
                        : STR ("");
 
   buf_printf (out, "%.*s~%.*s~", STR_ARG (request->version->name),
               STR_ARG (instance));
-  token_mac (request, request->version->name, instance, out);
+  append_session_mac (request, request->version->name, instance, out);
 }
 
-/* Take a token apart.  Return false when it is none of ours.  */
+/* Parse a session token.  Return false if its MAC is not valid.  */
 static bool
-read_token (request_t *request, str_t token)
+parse_session_token (request_t *request, str_t token)
 {
   str_t rest, mac;
   str_t target = str_cut (token, '~', &rest);
@@ -113,11 +115,11 @@
 
   if (mac.ptr == NULL)
     return false;
-  token_mac (request, target, instance, &expected);
-  bool good = expected.len == mac.len
-              && CRYPTO_memcmp (expected.ptr, mac.ptr, mac.len) == 0;
+  append_session_mac (request, target, instance, &expected);
+  bool is_valid = expected.len == mac.len
+                  && CRYPTO_memcmp (expected.ptr, mac.ptr, mac.len) == 0;
   buf_free (&expected);
-  if (!good)
+  if (!is_valid)
     return false;
   request->session_version = snapshot_version (request->snapshot, target);
   request->session_instance = str_dup (instance);
@@ -125,64 +127,66 @@
 }
 
 static bool
-is_candidate_model (const request_t *request, const version_t *version)
+is_requested_version (const request_t *request, const version_t *version)
 {
-  str_t asked = str_from (request->model);
+  str_t requested = str_from (request->target_name);
 
-  return str_eq (asked, version->name) || str_eq (asked, version->model->name)
-         || str_eq (asked, version->model->task);
+  return str_eq (requested, version->name)
+         || str_eq (requested, version->model->name)
+         || str_eq (requested, version->model->task);
 }
 
-filter_step_t
-choose_session (request_t *request)
+filter_result_t
+choose_read_session (request_t *request)
 {
   str_t header = httpd_header (request->http, STR ("vanillahook-session"));
   const version_t *version;
 
-  if (header.ptr == NULL || request->kind != KIND_CHAT)
-    return FILTER_NEXT;
+  if (header.ptr == NULL || request->kind != REQUEST_KIND_CHAT)
+    return FILTER_CONTINUE;
   if (header.len == 0 || header.len > WIRE_ID_MAX)
     return answer_refuse (request, VH_E_BAD_HEADER);
-  request->session = str_dup (header);
-  if (!read_token (request, header))
-    return FILTER_NEXT;
+  request->session_token = str_dup (header);
+  if (!parse_session_token (request, header))
+    return FILTER_CONTINUE;
   version = request->session_version;
-  if (version != NULL && !is_candidate_model (request, version))
+  if (version != NULL && !is_requested_version (request, version))
     version = NULL;
-  /* Withdrawn wins over kept: the session moves, once, and is told.  */
+  /* A withdrawn version takes precedence over session affinity: the session
+     moves to another version, and the answer reports the move.  */
   if (version == NULL
       || !snapshot_allows (request->snapshot, request->team, version)
-      || learn_taken_back (request->entry, version))
+      || learn_is_rolled_back (request->entry, version))
     request->session_moved = true;
   request->session_version = request->session_moved ? NULL : version;
-  return FILTER_NEXT;
+  return FILTER_CONTINUE;
 }
 
-/* Fill the latency and quality of candidate VERSION.  */
+/* Fill CANDIDATE with the cost, latency and quality of VERSION.  */
 static void
-weigh (request_t *request, const version_t *version,
-       cascade_candidate_t *candidate)
+fill_candidate (request_t *request, const version_t *version,
+                cascade_candidate_t *candidate)
 {
   entry_t *entry = request->entry;
-  pool_t *pool = fleet_pool (entry, version->name);
-  double mean_ms = (double)pool->latency_us / 1000.0;
+  pool_t *pool = fleet_get_pool (entry, version->name);
+  double mean_ms = (double)pool->latency_mean_us / 1000.0;
 
   candidate->version = version->name;
-  candidate->cost = version->cost * request->cost / 1000.0;
+  candidate->cost = version->cost * request->estimated_tokens / 1000.0;
   candidate->latency_ms
-      = pool->latency_us > 0
+      = pool->latency_mean_us > 0
             ? mean_ms + 3.0 * (double)pool->latency_dev_us / 1000.0
-            : LATENCY_UNKNOWN_MS;
+            : LATENCY_DEFAULT_MS;
   candidate->quality = quality_get (
       entry->quality, version->model->task, version->name,
       version->model->quality_prior, clock_realtime_ms (entry->clock));
 }
 
 static bool
-has_upstream (entry_t *entry, const version_t *version)
+has_selectable_upstream (entry_t *entry, const version_t *version)
 {
   upstream_id_t id;
-  pool_t *pool = fleet_pool (entry, version->name);
+  pool_t *pool = fleet_get_pool (entry, version->name);
   const balance_request_t probe = { .pool = pool->id };
 
   return balance_pick (entry->balance, &probe, &id) == VH_OK;
@@ -191,45 +195,46 @@
 static bool
 is_usable (request_t *request, const version_t *version)
 {
-  return has_upstream (request->entry, version)
-         && !learn_avoids (request, version);
+  return has_selectable_upstream (request->entry, version)
+         && !learn_is_avoided (request, version);
 }
 
-/* Leave out candidates with no upstream in service and those under alarm,
-   unless that is all.  */
+/* Remove candidates without a selectable upstream or with a degradation
+   alarm, unless no candidate would remain.  */
 static void
-drop_unusable (request_t *request)
+drop_unusable_candidates (request_t *request)
 {
-  const version_t *kept[CANDIDATES_MAX];
+  const version_t *usable[CANDIDATES_MAX];
   size_t count = 0;
 
   if (request->candidate_count < 2)
     return;
   for (size_t i = 0; i < request->candidate_count; i++)
     if (is_usable (request, request->candidates[i]))
-      kept[count++] = request->candidates[i];
+      usable[count++] = request->candidates[i];
   if (count == 0)
     return;
-  memcpy (request->candidates, kept, count * sizeof kept[0]);
+  memcpy (request->candidates, usable, count * sizeof usable[0]);
   request->candidate_count = count;
 }
 
 static void
-make_plan (request_t *request)
+make_cascade_plan (request_t *request)
 {
   entry_t *entry = request->entry;
   cascade_candidate_t candidates[CANDIDATES_MAX];
   uint64_t now_ms = clock_ms (entry->clock);
   uint64_t real_ms = clock_realtime_ms (entry->clock);
-  /* A resent request must make the same choice, or it would not meet its
-     earlier self.  */
-  rng_t own = rng_make (request->digest);
+  /* A request that is sent again with the same idempotency key must get the
+     same plan; otherwise it would not reach the sidecar of its earlier
+     submission.  */
+  rng_t request_rng = rng_make (request->digest);
 
-  drop_unusable (request);
+  drop_unusable_candidates (request);
   for (size_t i = 0; i < request->candidate_count; i++)
-    weigh (request, request->candidates[i], &candidates[i]);
+    fill_candidate (request, request->candidates[i], &candidates[i]);
   const plan_t *plan = request->team->plan;
-  const cascade_request_t asked = {
+  const cascade_request_t cascade_request = {
     .task = request->candidates[0]->model->task,
     .candidates = candidates,
     .count = request->candidate_count,
@@ -245,34 +250,36 @@
     .rater_ok = quality_rater_ok (entry->quality, real_ms),
     .explore = CASCADE_EXPLORE_DEFAULT,
   };
-  request->plan
-      = cascade_plan (entry->cascade, request->key_given ? &own : &entry->rng,
-                      &asked, real_ms);
-  request->plan_first = request->candidates[request->plan.first];
+  request->plan = cascade_plan (
+      entry->cascade, request->key_given ? &request_rng : &entry->rng,
+      &cascade_request, real_ms);
+  request->first_version = request->candidates[request->plan.first];
   if (request->plan.kind == CASCADE_FIRST)
-    request->plan_second = request->candidates[request->plan.second];
+    request->second_version = request->candidates[request->plan.second];
 }
 
-filter_step_t
+filter_result_t
 choose_version (request_t *request)
 {
-  if (request->kind == KIND_SERVICE)
+  if (request->kind == REQUEST_KIND_SERVICE)
     {
-      request->pool = fleet_pool (request->entry, request->service->name);
-      return FILTER_NEXT;
+      request->pool = fleet_get_pool (request->entry, request->service->name);
+      return FILTER_CONTINUE;
     }
   if (request->session_version != NULL)
-    request->plan_first = request->session_version;
+    request->first_version = request->session_version;
   else
-    make_plan (request);
-  /* A session stays where it is; its answers still count as evidence.  */
-  const version_t *assigned = learn_assign (request, request->plan_first);
+    make_cascade_plan (request);
+  /* A session keeps its version, but its answers count as evidence for the
+     roll-out.  */
+  const version_t *assigned
+      = learn_assign_rollout (request, request->first_version);
   if (request->session_version == NULL)
-    request->plan_first = assigned;
-  request->version = request->plan_first;
-  request->pool = fleet_pool (request->entry, request->version->name);
-  learn_sample (request);
-  return FILTER_NEXT;
+    request->first_version = assigned;
+  request->version = request->first_version;
+  request->pool = fleet_get_pool (request->entry, request->version->name);
+  learn_decide_sampling (request);
+  return FILTER_CONTINUE;
 }
 
 const char *
@@ -283,20 +290,20 @@
   return cascade_reason_code (request->plan.reason);
 }
 
-/* The prompt as text for the rating service.  */
+/* Return the prompt for the rating service: the request body.  */
 static str_t
-question (const request_t *request)
+request_text (const request_t *request)
 {
-  return buf_str (&request->raw);
+  return buf_str (&request->raw_body);
 }
 
 static void
-on_rated (void *arg, vh_code_t code, double score)
+on_first_rated (void *arg, vh_code_t code, double score)
 {
   request_t *request = arg;
   entry_t *entry = request->entry;
 
-  request->rating = false;
+  request->rating_pending = false;
   if (request->ended)
     {
       request_destroy (request);
@@ -305,39 +312,40 @@
   uint64_t now_ms = clock_realtime_ms (entry->clock);
   if (code != VH_OK)
     {
-      /* Without a rating the answer cannot be told good from bad: the
-         stronger version gives it.  */
+      /* The quality of the first answer is unknown, so the request is run on
+         the stronger version.  */
       quality_rater_failed (entry->quality, now_ms);
-      dispatch_escalate (request, request->plan_second);
+      dispatch_escalate (request, request->second_version);
       return;
     }
   buf_t content = BUF_NULL;
   quality_rater_answered (entry->quality);
   request->first_rating = score;
-  content_extract (buf_str (&request->at.body), false, &content);
+  content_extract (buf_str (&request->attempt.body), false, &content);
   learn_first_rated (request, buf_str (&content));
   buf_free (&content);
   if (score < request->plan.threshold)
-    dispatch_escalate (request, request->plan_second);
+    dispatch_escalate (request, request->second_version);
   else
-    dispatch_release (request);
+    dispatch_send_held_answer (request);
 }
 
 bool
-choose_rate_first (request_t *request)
+choose_start_rating (request_t *request)
 {
   entry_t *entry = request->entry;
   buf_t content = BUF_NULL;
 
-  if (request->plan_second == NULL || request->escalated
-      || request->at.status != 200 || request->session_version != NULL
-      || request->at.body.len > ANSWER_RATED_MAX)
+  if (request->second_version == NULL || request->escalated
+      || request->attempt.http_status != 200
+      || request->session_version != NULL
+      || request->attempt.body.len > RATED_ANSWER_MAX_BYTES)
     return false;
-  request->rating = true;
-  content_extract (buf_str (&request->at.body), false, &content);
+  request->rating_pending = true;
+  content_extract (buf_str (&request->attempt.body), false, &content);
   entry->options.platform->ops->rate (
       entry->options.platform, request->version->model->task,
-      question (request), buf_str (&content), on_rated, request);
+      request_text (request), buf_str (&content), on_first_rated, request);
   buf_free (&content);
   return true;
 }
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -1,10 +1,11 @@
-/* Attempts: each request is sent to one sidecar at a time, its answer pulled
-   by offset, and sent again elsewhere only where that is sure to be right.
+/* Attempts: a request is sent to one sidecar at a time, and its answer is
+   fetched by offset.
 
-   An idempotent request may be run again within the retry budget as long as
-   no byte of an answer reached the caller.  Any other request is run again
-   only when its earlier attempt is known not to have started: refused by the
-   sidecar, never sent, or fenced.  What stays unclear is told as such.  */
+   An idempotent request is retried on another sidecar within the retry budget
+   until the first byte of the answer is sent to the caller.  A non-idempotent
+   request is retried only if its earlier attempt is known not to have started:
+   it was refused by the sidecar, never sent, or fenced.  In all other cases
+   the caller gets the outcome "unknown".  */
 
 #include "entry/entryint.h"
 
@@ -15,105 +16,106 @@
 
 enum
 {
-  FETCH_WAIT_MS = 10000,
-  FETCH_BYTES = 256 << 10,
-  CALL_SLACK_MS = 5000,
-  /* Bytes the caller's socket may be behind before no more are fetched.  */
-  AHEAD_MAX = 256 << 10,
-  /* A larger answer is passed on as it comes.  */
-  BUFFER_MAX = 1 << 20,
+  FETCH_WAIT_MAX_MS = 10000,
+  FETCH_MAX_BYTES = 256 << 10,
+  CALL_TIMEOUT_MARGIN_MS = 5000,
+  /* Fetching pauses while more bytes than this wait for the caller.  */
+  CALLER_BACKLOG_MAX_BYTES = 256 << 10,
+  /* A larger answer is forwarded while it is received.  */
+  ANSWER_BUFFER_MAX_BYTES = 1 << 20,
   FENCE_TIMEOUT_MS = 2000,
   FENCE_RETRY_MS = 300,
-  TOUCH_MS = 4000,
-  /* While the upstreams of a pool are restarted one after the other there may
-     be a moment with none: one is stopping, the next not yet connected.  A
-     pool that is empty for longer refuses at once.  */
-  EMPTY_PATIENCE_MS = 2000,
-  EMPTY_RETRY_MS = 50,
-  /* A sidecar refuses within a round trip; what it has not refused by now it
-     has taken.  */
-  TAKEN_AFTER_MS = 50,
-  STATUS_SERVER_ERROR = 500
+  ATTEMPT_KEEPALIVE_MS = 4000,
+  /* During a rolling restart of its upstreams a pool may be empty for a
+     moment: one upstream is stopping and the next is not yet connected.
+     Requests wait for this time; a pool that is empty for longer refuses
+     them at once.  */
+  EMPTY_POOL_WAIT_MS = 2000,
+  EMPTY_POOL_RETRY_MS = 50,
+  /* A sidecar that refuses an attempt does so within a round trip.  After this
+     time an attempt counts as accepted.  */
+  ASSUME_ACCEPTED_AFTER_MS = 50,
+  HTTP_SERVER_ERROR_MIN = 500
 };
 
 static void send_fence (request_t *request);
-static void try_next (request_t *request);
+static void start_next_attempt (request_t *request);
 
 void
-dispatch_clear (request_t *request)
+dispatch_clear_attempt (request_t *request)
 {
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
 
-  rpc_cancel (at->call);
-  for (size_t i = 0; i < at->header_count; i++)
+  rpc_cancel (attempt->call);
+  for (size_t i = 0; i < attempt->header_count; i++)
     {
-      free ((char *)(uintptr_t)at->headers[i].name.ptr);
-      free ((char *)(uintptr_t)at->headers[i].value.ptr);
+      free ((char *)(uintptr_t)attempt->headers[i].name.ptr);
+      free ((char *)(uintptr_t)attempt->headers[i].value.ptr);
     }
-  free (at->headers);
-  if (at->digest != NULL)
-    XXH3_freeState (at->digest);
-  buf_free (&at->body);
+  free (attempt->headers);
+  if (attempt->digest_state != NULL)
+    XXH3_freeState (attempt->digest_state);
+  buf_free (&attempt->body);
   request->transcript.len = 0;
-  if (at->member != NULL)
-    fleet_unuse (at->member);
-  memset (at, 0, sizeof *at);
+  if (attempt->member != NULL)
+    fleet_member_unref (attempt->member);
+  memset (attempt, 0, sizeof *attempt);
 }
 
-/* The present try has ended at its upstream, well or badly.  */
+/* The current attempt ended on its upstream; OK: without an error.  */
 static void
-settle (request_t *request, bool ok)
+end_attempt (request_t *request, bool ok)
 {
   entry_t *entry = request->entry;
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
 
-  if (!at->live)
+  if (!attempt->in_flight)
     return;
-  at->live = false;
-  if (!at->joined)
-    balance_request_ended (entry->balance, at->upstream, ok);
+  attempt->in_flight = false;
+  if (!attempt->joined)
+    balance_request_ended (entry->balance, attempt->upstream_id, ok);
 }
 
-/* Count the present try for or against its upstream.  */
+/* Record success or failure of the current attempt for its upstream.  */
 static void
-judge (request_t *request, bool ok, uint32_t units)
+record_result (request_t *request, bool ok, uint32_t units)
 {
-  try_t *at = &request->at;
-  uint64_t took_us = clock_us (request->entry->clock) - at->began_us;
+  entry_attempt_t *attempt = &request->attempt;
+  uint64_t latency_us = clock_us (request->entry->clock) - attempt->started_us;
 
-  if (at->joined)
+  if (attempt->joined)
     return;
-  fleet_record (request->entry, request->pool, at->member, ok, took_us,
-                units > 0 ? units : 1);
-  learn_ended (request, !ok);
+  fleet_record_result (request->entry, request->pool, attempt->member, ok,
+                       latency_us, units > 0 ? units : 1);
+  learn_attempt_ended (request, !ok);
 }
 
-/* Tell admission, once a try, that the sidecar took it.  Guards against
-   counting at the end of the answer: admission compares what is taken with
-   what is asked for, and in the first seconds of a load nothing has ended
-   yet, so that it would let nothing through.  */
+/* Report to admission control, once per attempt, that the sidecar accepted
+   the attempt.  The report must not wait for the end of the answer: admission
+   control compares accepted with requested work, and in the first seconds of
+   load, when no answer has ended, it would refuse everything.  */
 static void
-count_taken (request_t *request)
+count_acceptance (request_t *request)
 {
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
 
-  if (at->counted || at->joined)
+  if (attempt->admission_counted || attempt->joined)
     return;
-  at->counted = true;
-  admission_result (request->pool->admission, request->cost, true);
+  attempt->admission_counted = true;
+  admission_result (request->pool->admission, request->estimated_tokens, true);
 }
 
 static uint64_t
-left_ms (const request_t *request)
+remaining_ms (const request_t *request)
 {
   uint64_t now_ms = clock_ms (request->entry->clock);
 
   return request->deadline_ms > now_ms ? request->deadline_ms - now_ms : 0;
 }
 
-/* Tell whether another upstream of the pool can go on with a stream.  */
+/* Tell whether another upstream of the pool can resume a stream.  */
 static bool
-pool_resumes (const request_t *request)
+pool_can_resume (const request_t *request)
 {
   size_t cursor = 0;
   void *value;
@@ -123,231 +125,244 @@
       const member_t *member = value;
       if ((member->features & FEATURE_RESUME) != 0
           && member_serves (member, str_from (request->pool->name))
-          && member != request->at.member)
+          && member != request->attempt.member)
         return true;
     }
   return false;
 }
 
-/* Try again elsewhere after what SPENDS of the retry budget allows; otherwise
-   end the request with CODE.  */
+/* Retry the request on another upstream, or end the request with CODE if no
+   retry is allowed.  USES_RETRY_BUDGET: charge the retry to the retry budget
+   and delay it by the backoff time.  */
 static void
-try_elsewhere (request_t *request, vh_code_t code, bool spends)
+retry_elsewhere (request_t *request, vh_code_t code, bool uses_retry_budget)
 {
   entry_t *entry = request->entry;
 
-  request->last_code = code;
-  dispatch_clear (request);
-  if (request->http == NULL || left_ms (request) == 0)
+  request->last_error = code;
+  dispatch_clear_attempt (request);
+  if (request->http == NULL || remaining_ms (request) == 0)
     {
-      answer_refuse (request, left_ms (request) == 0 ? VH_E_DEADLINE : code);
+      answer_refuse (request,
+                     remaining_ms (request) == 0 ? VH_E_DEADLINE : code);
       return;
     }
-  if (request->tries >= TRIES_MAX
-      || (spends && retry_spend (request->pool->retry) != VH_OK))
+  if (request->attempt_count >= ATTEMPTS_MAX
+      || (uses_retry_budget && retry_spend (request->pool->retry) != VH_OK))
     {
       answer_refuse (request, code);
       return;
     }
   counter_add (entry->counters.retries, 1);
-  if (!spends)
+  if (!uses_retry_budget)
     {
-      try_next (request);
+      start_next_attempt (request);
       return;
     }
   request->retry_at_ms
       = clock_ms (entry->clock)
-        + retry_backoff_ms (request->pool->retry, request->tries);
+        + retry_backoff_ms (request->pool->retry, request->attempt_count);
 }
 
-/* Go on with a broken stream elsewhere, where the engines can.  Return false
-   when it is not to be.  */
+/* Resume a broken stream on another upstream.  Return false if this is not
+   possible.  */
 static bool
-resume (request_t *request)
+resume_stream (request_t *request)
 {
-  if (!request->stream || request->kind != KIND_CHAT || request->http == NULL
-      || request->tries >= TRIES_MAX || left_ms (request) == 0
-      || !pool_resumes (request)
+  if (!request->stream || request->kind != REQUEST_KIND_CHAT
+      || request->http == NULL || request->attempt_count >= ATTEMPTS_MAX
+      || remaining_ms (request) == 0 || !pool_can_resume (request)
       || retry_spend (request->pool->retry) != VH_OK)
     return false;
-  log_info ("entry", "A broken stream goes on elsewhere. request=%s events=%u",
-            request->request_id, request->events);
-  request->tail.len = 0;
-  request->tokens_out += request->events;
-  json_object_set_new (request->body, "resume_from_token",
-                       json_integer (request->events));
+  log_info ("entry",
+            "A stream broke and is resumed on another instance. "
+            "request=%s events=%u",
+            request->request_id, request->event_count);
+  request->partial_event.len = 0;
+  request->tokens_out += request->event_count;
+  json_object_set_new (request->body_json, "resume_from_token",
+                       json_integer (request->event_count));
   counter_add (request->entry->counters.retries, 1);
-  dispatch_clear (request);
-  try_next (request);
+  dispatch_clear_attempt (request);
+  start_next_attempt (request);
   return true;
 }
 
-/* The present try may have run and gives no answer.  */
+/* The current attempt may have run, and its answer is lost.  */
 static void
-try_unclear (request_t *request, vh_code_t code)
+handle_unknown_outcome (request_t *request, vh_code_t code)
 {
   request->may_have_run = true;
-  settle (request, false);
-  if (request->released && resume (request))
+  end_attempt (request, false);
+  if (request->answer_started && resume_stream (request))
     return;
-  if (request->released)
-    answer_break (request, code);
+  if (request->answer_started)
+    answer_abort (request, code);
   else if (request->idempotent)
-    try_elsewhere (request, code, true);
+    retry_elsewhere (request, code, true);
   else
-    answer_unknown (request, VH_E_UNKNOWN);
+    answer_unknown_outcome (request, VH_E_UNKNOWN);
 }
 
-/* Codes with which a sidecar refuses before anything starts.  */
+/* Tell whether CODE means that the sidecar refused the attempt before any
+   work, so that a retry need not be charged to the retry budget.  */
 static bool
-is_cheap_refusal (vh_code_t code)
+is_free_to_retry (vh_code_t code)
 {
   return code == VH_E_GATE || code == VH_E_DRAINING || code == VH_E_FENCED
          || code == VH_E_UPSTREAM_DOWN || code == VH_E_NO_ATTEMPT
          || code == VH_E_CANCELLED;
 }
 
-/* The sidecar ended the try with a code of its own.  SENT counts the
-   connections that the call was written to.  */
+/* The sidecar ended the current attempt with an error code.  SENT is the
+   number of connections on which the call was sent.  */
 static void
-try_refused (request_t *request, const wire_answer_t *answer, unsigned sent)
+handle_refusal (request_t *request, const wire_answer_t *answer, unsigned sent)
 {
   vh_code_t code = (vh_code_t)answer->code;
   bool started = answer->started;
 
   if (answer->death != 0)
-    guard_died (request, answer->death);
-  /* Any other refusal before the start says nothing of the room there is.  */
+    guard_upstream_crashed (request, answer->death);
+  /* Other refusals before the start carry no information about the free
+     capacity, so admission control does not count them.  */
   if (started)
-    count_taken (request);
+    count_acceptance (request);
   else if (code == VH_E_FULL || code == VH_E_DEADLINE)
-    admission_result (request->pool->admission, request->cost, false);
+    admission_result (request->pool->admission, request->estimated_tokens,
+                      false);
   if (answer->retry_after_ms > request->retry_after_ms)
     request->retry_after_ms = answer->retry_after_ms;
-  /* The sidecar was restarted.  What only ever went to its new life has not
-     run; what went to the old one too may have.  */
-  if (code == VH_E_NO_ATTEMPT && (sent > 1 || request->at.accepted))
+  /* The sidecar was restarted.  A call sent only to the new process did not
+     run; a call also sent to the old process may have run.  */
+  if (code == VH_E_NO_ATTEMPT && (sent > 1 || request->attempt.accepted))
     started = true;
-  /* What an earlier submission began is never begun again.  */
-  started = started || request->at.joined;
+  /* An attempt started by an earlier submission counts as started, so that
+     the request is not run twice.  */
+  started = started || request->attempt.joined;
   if (started)
     {
-      judge (request, false, 1);
-      try_unclear (request, code);
+      record_result (request, false, 1);
+      handle_unknown_outcome (request, code);
       return;
     }
-  settle (request, code == VH_E_FULL || code == VH_E_DEADLINE
-                       || code == VH_E_KEY_REUSED);
+  end_attempt (request, code == VH_E_FULL || code == VH_E_DEADLINE
+                            || code == VH_E_KEY_REUSED);
   if (code == VH_E_UPSTREAM_DOWN)
-    judge (request, false, 1);
+    record_result (request, false, 1);
   if (code == VH_E_DEADLINE || code == VH_E_KEY_REUSED)
     answer_refuse (request, code);
   else
-    try_elsewhere (request, code, !is_cheap_refusal (code));
+    retry_elsewhere (request, code, !is_free_to_retry (code));
 }
 
 static void
-copy_head (request_t *request, const wire_answer_t *answer)
+copy_headers (request_t *request, const wire_answer_t *answer)
 {
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
   size_t count = answer->headers.headers_len;
 
-  if (at->headers != NULL)
+  if (attempt->headers != NULL)
     return;
-  at->headers = mem_zalloc ((count + 1) * sizeof *at->headers);
-  at->header_count = count;
+  attempt->headers = mem_zalloc ((count + 1) * sizeof *attempt->headers);
+  attempt->header_count = count;
   for (size_t i = 0; i < count; i++)
     {
-      const wire_header_t *from = &answer->headers.headers_val[i];
-      size_t name_len = strlen (from->name);
-      size_t value_len = strlen (from->value);
-      at->headers[i].name
-          = str_make (str_dup (str_make (from->name, name_len)), name_len);
-      at->headers[i].value
-          = str_make (str_dup (str_make (from->value, value_len)), value_len);
+      const wire_header_t *header = &answer->headers.headers_val[i];
+      size_t name_len = strlen (header->name);
+      size_t value_len = strlen (header->value);
+      attempt->headers[i].name
+          = str_make (str_dup (str_make (header->name, name_len)), name_len);
+      attempt->headers[i].value = str_make (
+          str_dup (str_make (header->value, value_len)), value_len);
     }
 }
 
-/* Tell whether bytes go to the caller as they come.  */
+/* Tell whether received bytes are forwarded to the caller at once.  */
 static bool
-passes_on (const request_t *request)
+is_forwarding (const request_t *request)
 {
-  if (request->released)
+  if (request->answer_started)
     return true;
-  if (request->at.status >= 400)
+  if (request->attempt.http_status >= 400)
     return false;
-  if (request->plan_second != NULL && !request->escalated)
+  if (request->second_version != NULL && !request->escalated)
     return false;
-  return request->stream || request->at.body.len > BUFFER_MAX;
+  return request->stream
+         || request->attempt.body.len > ANSWER_BUFFER_MAX_BYTES;
 }
 
-/* Return how many bytes of TEXT are whole events, which a blank line ends, and
-   count those with data in *EVENTS.  */
+/* Return the length of the complete events at the start of TEXT; a blank line
+   ends an event.  Add the number of events with data to *EVENTS.  */
 static size_t
-whole_events (str_t text, uint32_t *events)
+find_complete_events (str_t text, uint32_t *events)
 {
-  size_t done = 0;
+  size_t complete_len = 0;
 
   for (size_t i = 1; i < text.len; i++)
     {
-      bool blank
+      bool is_blank_line
           = text.ptr[i - 1] == '\n'
             || (i > 1 && text.ptr[i - 1] == '\r' && text.ptr[i - 2] == '\n');
-      if (text.ptr[i] != '\n' || !blank)
+      if (text.ptr[i] != '\n' || !is_blank_line)
         continue;
-      if (str_starts (str_make (text.ptr + done, i - done), STR ("data: {")))
+      if (str_starts (str_make (text.ptr + complete_len, i - complete_len),
+                      STR ("data: {")))
         ++*events;
-      done = i + 1;
+      complete_len = i + 1;
     }
-  return done;
+  return complete_len;
 }
 
-/* Pass BYTES on to the caller: of a stream whole events only, so that it can
-   be gone on with elsewhere at a known place.  */
+/* Forward BYTES to the caller.  Only complete events of a stream are
+   forwarded, so that another upstream can resume the stream after the last
+   event.  */
 static void
-pass_on (request_t *request, str_t bytes)
+forward_bytes (request_t *request, str_t bytes)
 {
   if (!request->stream)
     {
       answer_stream (request, bytes, false);
       return;
     }
-  buf_append_str (&request->tail, bytes);
-  size_t done = whole_events (buf_str (&request->tail), &request->events);
-  if (done == 0)
+  buf_append_str (&request->partial_event, bytes);
+  size_t complete_len = find_complete_events (
+      buf_str (&request->partial_event), &request->event_count);
+  if (complete_len == 0)
     return;
-  answer_stream (request, str_make (request->tail.ptr, done), false);
-  buf_consume (&request->tail, done);
+  answer_stream (request, str_make (request->partial_event.ptr, complete_len),
+                 false);
+  buf_consume (&request->partial_event, complete_len);
 }
 
 static void
-take_bytes (request_t *request, const wire_answer_t *answer)
+receive_bytes (request_t *request, const wire_answer_t *answer)
 {
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
   str_t bytes = str_make (answer->bytes.bytes_val, answer->bytes.bytes_len);
 
   if (bytes.len == 0)
     return;
-  at->last_byte_us = clock_us (request->entry->clock);
-  if (at->first_byte_us == 0)
-    at->first_byte_us = at->last_byte_us;
-  XXH3_64bits_update (at->digest, bytes.ptr, bytes.len);
-  learn_bytes (request, bytes);
-  at->offset += bytes.len;
-  if (!passes_on (request))
+  attempt->last_byte_us = clock_us (request->entry->clock);
+  if (attempt->first_byte_us == 0)
+    attempt->first_byte_us = attempt->last_byte_us;
+  XXH3_64bits_update (attempt->digest_state, bytes.ptr, bytes.len);
+  learn_append_transcript (request, bytes);
+  attempt->offset += bytes.len;
+  if (!is_forwarding (request))
     {
-      buf_append_str (&at->body, bytes);
+      buf_append_str (&attempt->body, bytes);
       return;
     }
-  if (at->body.len > 0)
-    pass_on (request, buf_str (&at->body));
-  at->body.len = 0;
-  pass_on (request, bytes);
+  if (attempt->body.len > 0)
+    forward_bytes (request, buf_str (&attempt->body));
+  attempt->body.len = 0;
+  forward_bytes (request, bytes);
 }
 
-/* Add the price of the try that ended.  */
+/* Add the tokens and the price of the finished attempt to the bill.  */
 static void
-count_cost (request_t *request, const wire_answer_t *answer)
+add_cost (request_t *request, const wire_answer_t *answer)
 {
   double tokens = (double)answer->tokens_in + answer->tokens_out;
 
@@ -358,29 +373,29 @@
     request->cost_micro += (uint32_t)(request->version->cost * tokens * 1000);
 }
 
-/* The answer is whole.  */
+/* The answer of the current attempt is complete.  */
 static void
-try_whole (request_t *request, const wire_answer_t *answer)
+handle_complete_answer (request_t *request, const wire_answer_t *answer)
 {
-  bool failed = request->at.status >= STATUS_SERVER_ERROR;
+  bool failed = request->attempt.http_status >= HTTP_SERVER_ERROR_MIN;
 
-  settle (request, !failed);
-  judge (request, !failed, answer->tokens_out);
-  if (failed && request->kind == KIND_CHAT && !request->released)
+  end_attempt (request, !failed);
+  record_result (request, !failed, answer->tokens_out);
+  if (failed && request->kind == REQUEST_KIND_CHAT && !request->answer_started)
     {
       request->may_have_run = true;
-      try_elsewhere (request, VH_E_UPSTREAM_ERROR, true);
+      retry_elsewhere (request, VH_E_UPSTREAM_ERROR, true);
       return;
     }
-  count_cost (request, answer);
-  if (choose_rate_first (request))
+  add_cost (request, answer);
+  if (choose_start_rating (request))
     return;
-  if (!request->released)
+  if (!request->answer_started)
     {
-      answer_whole (request);
+      answer_send_buffered (request);
       return;
     }
-  answer_stream (request, buf_str (&request->tail), true);
+  answer_stream (request, buf_str (&request->partial_event), true);
   answer_finish (request);
 }
 
@@ -389,21 +404,21 @@
 {
   request_t *request = arg;
   const wire_answer_t *answer = result;
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
 
-  at->call = NULL;
-  if (code == VH_E_CONNECT && sent == 0 && !at->accepted)
+  attempt->call = NULL;
+  if (code == VH_E_CONNECT && sent == 0 && !attempt->accepted)
     {
-      settle (request, false);
-      judge (request, false, 1);
-      try_elsewhere (request, VH_E_NO_UPSTREAM, false);
+      end_attempt (request, false);
+      record_result (request, false, 1);
+      retry_elsewhere (request, VH_E_NO_UPSTREAM, false);
       return;
     }
   if (code == VH_E_CANCELLED)
     return;
-  if (code != VH_OK && at->joined)
+  if (code != VH_OK && attempt->joined)
     {
-      try_unclear (request, code);
+      handle_unknown_outcome (request, code);
       return;
     }
   if (code != VH_OK)
@@ -412,131 +427,138 @@
         send_fence (request);
       else
         {
-          judge (request, false, 1);
-          try_unclear (request, code);
+          record_result (request, false, 1);
+          handle_unknown_outcome (request, code);
         }
       return;
     }
   if (answer->code != 0)
     {
-      try_refused (request, answer, sent);
+      handle_refusal (request, answer, sent);
       return;
     }
-  at->accepted = true;
-  count_taken (request);
+  attempt->accepted = true;
+  count_acceptance (request);
   if (answer->status != 0)
-    at->status = answer->status;
+    attempt->http_status = answer->status;
   if (answer->offset == 0 && answer->status != 0)
-    copy_head (request, answer);
-  if (answer->offset != at->offset)
+    copy_headers (request, answer);
+  if (answer->offset != attempt->offset)
     {
-      /* A reply to an earlier question; ask again for what is missing.  */
+      /* The reply to an earlier fetch; fetch again at the current offset.  */
       dispatch_fetch (request);
       return;
     }
-  take_bytes (request, answer);
+  receive_bytes (request, answer);
   if (!answer->end)
     {
       dispatch_fetch (request);
       return;
     }
-  if (answer->total != at->offset
-      || answer->digest != XXH3_64bits_digest (at->digest))
+  if (answer->total != attempt->offset
+      || answer->digest != XXH3_64bits_digest (attempt->digest_state))
     {
-      counter_add (request->entry->counters.digest, 1);
-      log_err ("entry", "An answer's digest does not match. request=%s",
+      counter_add (request->entry->counters.digest_mismatches, 1);
+      log_err ("entry",
+               "The digest of an answer does not match its bytes; the attempt "
+               "has failed. request=%s",
                request->request_id);
-      try_unclear (request, VH_E_DIGEST);
+      handle_unknown_outcome (request, VH_E_DIGEST);
       return;
     }
-  try_whole (request, answer);
+  handle_complete_answer (request, answer);
 }
 
-/* Ask for up to MAX_BYTES, waiting WAIT_MS for the first.  */
+/* Fetch up to MAX_BYTES of the answer.  The sidecar replies with the first
+   bytes, or after WAIT_MS without any.  */
 static void
 send_fetch (request_t *request, uint32_t max_bytes, uint64_t wait_ms)
 {
-  try_t *at = &request->at;
-  wire_fetch_args_t args = { .attempt = at->id,
-                             .epoch = at->epoch,
-                             .offset = at->offset,
+  entry_attempt_t *attempt = &request->attempt;
+  wire_fetch_args_t args = { .attempt = attempt->id,
+                             .epoch = attempt->epoch,
+                             .offset = attempt->offset,
                              .max_bytes = max_bytes,
                              .wait_ms = (u_int)wait_ms };
 
-  at->asked_ms = clock_ms (request->entry->clock);
-  at->call = rpc_peer_call (at->member->peer, WIRE_FETCH, &args,
-                            args.wait_ms + CALL_SLACK_MS, on_answer, request);
+  attempt->last_fetch_ms = clock_ms (request->entry->clock);
+  attempt->call = rpc_peer_call (attempt->member->peer, WIRE_FETCH, &args,
+                                 args.wait_ms + CALL_TIMEOUT_MARGIN_MS,
+                                 on_answer, request);
 }
 
 static bool
-may_fetch (const request_t *request)
+can_fetch (const request_t *request)
 {
-  const try_t *at = &request->at;
+  const entry_attempt_t *attempt = &request->attempt;
 
-  return at->call == NULL && at->member != NULL && at->live && at->accepted
-         && left_ms (request) > 0;
+  return attempt->call == NULL && attempt->member != NULL && attempt->in_flight
+         && attempt->accepted && remaining_ms (request) > 0;
 }
 
 void
 dispatch_fetch (request_t *request)
 {
-  uint64_t left = left_ms (request);
+  uint64_t left_ms = remaining_ms (request);
 
-  if (!may_fetch (request))
+  if (!can_fetch (request))
     return;
-  if (request->released && request->http != NULL
-      && httpd_buffered (request->http) > AHEAD_MAX)
+  if (request->answer_started && request->http != NULL
+      && httpd_buffered (request->http) > CALLER_BACKLOG_MAX_BYTES)
     return;
-  send_fetch (request, FETCH_BYTES,
-              left < FETCH_WAIT_MS ? left : (uint64_t)FETCH_WAIT_MS);
+  send_fetch (request, FETCH_MAX_BYTES,
+              left_ms < FETCH_WAIT_MAX_MS ? left_ms
+                                          : (uint64_t)FETCH_WAIT_MAX_MS);
 }
 
-/* The outcome of a fence.  */
+/* The reply to a WIRE_FENCE call.  */
 static void
 on_fenced (void *arg, vh_code_t code, void *result, unsigned sent)
 {
   request_t *request = arg;
-  vh_code_t said
+  vh_code_t fence_result
       = code == VH_OK ? (vh_code_t)((wire_code_res_t *)result)->code : code;
 
   (void)sent;
-  request->at.call = NULL;
-  request->waiting_fence = false;
+  request->attempt.call = NULL;
+  request->fence_pending = false;
   if (code == VH_E_CANCELLED)
     return;
-  if (said == VH_E_FENCED)
+  if (fence_result == VH_E_FENCED)
     {
-      settle (request, false);
-      try_elsewhere (request, VH_E_FENCED, true);
+      end_attempt (request, false);
+      retry_elsewhere (request, VH_E_FENCED, true);
     }
-  else if (said == VH_E_STARTED)
+  else if (fence_result == VH_E_STARTED)
     {
-      request->at.accepted = true;
+      request->attempt.accepted = true;
       dispatch_fetch (request);
     }
   else if (code == VH_OK)
-    try_unclear (request, VH_E_UNKNOWN);
+    handle_unknown_outcome (request, VH_E_UNKNOWN);
   else
-    /* Not reached: ask again until the deadline.  */
+    /* The sidecar is not reachable: repeat the call until the deadline.  */
     request->retry_at_ms = clock_ms (request->entry->clock) + FENCE_RETRY_MS;
 }
 
-/* Ask the sidecar to make sure that the present try never starts, or to say
-   that it has.  */
+/* Send WIRE_FENCE: the sidecar guarantees that the current attempt never
+   starts, or replies that the attempt has started.  */
 static void
 send_fence (request_t *request)
 {
-  try_t *at = &request->at;
-  wire_attempt_args_t args = { .attempt = at->id, .epoch = at->epoch };
+  entry_attempt_t *attempt = &request->attempt;
+  wire_attempt_args_t args
+      = { .attempt = attempt->id, .epoch = attempt->epoch };
 
-  request->waiting_fence = true;
-  at->call = rpc_peer_call (at->member->peer, WIRE_FENCE, &args,
-                            FENCE_TIMEOUT_MS, on_fenced, request);
+  request->fence_pending = true;
+  attempt->call = rpc_peer_call (attempt->member->peer, WIRE_FENCE, &args,
+                                 FENCE_TIMEOUT_MS, on_fenced, request);
 }
 
-/* Return the member that the session lives at, if it serves the pool.  */
+/* Return the balancer id of the session's instance, or 0 if the instance does
+   not serve the pool or is not in service.  */
 static upstream_id_t
-session_home (request_t *request)
+find_session_upstream (request_t *request)
 {
   balance_info_t info;
   upstream_id_t id;
@@ -549,94 +571,101 @@
   if (id == 0 || !balance_info (request->entry->balance, id, &info)
       || info.marks != 0)
     return 0;
-  const member_t *member = fleet_member (request->entry, id);
+  const member_t *member = fleet_find_member (request->entry, id);
   return member != NULL
                  && member_serves (member, str_from (request->pool->name))
              ? id
              : 0;
 }
 
-/* Choose where the next try goes.  Return VH_OK or VH_E_NO_UPSTREAM.  */
+/* Select the upstream *ID of the next attempt.  Return VH_OK or
+   VH_E_NO_UPSTREAM.  */
 static vh_code_t
-pick (request_t *request, upstream_id_t *id)
+pick_upstream (request_t *request, upstream_id_t *id)
 {
-  const balance_request_t asked = { .pool = request->pool->id,
-                                    .affinity = request->affinity,
-                                    .tried = request->tried,
-                                    .tried_count = request->tried_count };
+  const balance_request_t balance_request
+      = { .pool = request->pool->id,
+          .affinity = request->affinity,
+          .tried = request->tried_upstreams,
+          .tried_count = request->tried_count };
 
-  *id = session_home (request);
+  *id = find_session_upstream (request);
   if (*id != 0)
     return VH_OK;
-  return balance_pick (request->entry->balance, &asked, id);
+  return balance_pick (request->entry->balance, &balance_request, id);
 }
 
-/* Choose where a broken stream goes on: only where the engine can.  */
+/* Select an upstream *ID whose engine can resume a stream.  Return VH_OK or
+   VH_E_NO_UPSTREAM.  */
 static vh_code_t
-pick_resuming (request_t *request, upstream_id_t *id)
+pick_resumable_upstream (request_t *request, upstream_id_t *id)
 {
-  while (request->tried_count < TRIES_MAX)
+  while (request->tried_count < ATTEMPTS_MAX)
     {
-      if (pick (request, id) != VH_OK)
+      if (pick_upstream (request, id) != VH_OK)
         return VH_E_NO_UPSTREAM;
-      const member_t *member = fleet_member (request->entry, *id);
+      const member_t *member = fleet_find_member (request->entry, *id);
       if (member != NULL && (member->features & FEATURE_RESUME) != 0)
         return VH_OK;
-      request->tried[request->tried_count++] = *id;
+      request->tried_upstreams[request->tried_count++] = *id;
     }
   return VH_E_NO_UPSTREAM;
 }
 
-/* Move to another candidate version when none of the present one's upstreams
-   can be had.  Return VH_OK with *ID.  */
+/* Switch to another candidate version and select its upstream *ID, because the
+   current version has no selectable upstream.  Return VH_OK, or
+   VH_E_NO_UPSTREAM with the version unchanged.  */
 static vh_code_t
 pick_other_version (request_t *request, upstream_id_t *id)
 {
-  const version_t *was = request->version;
+  const version_t *previous = request->version;
 
-  if (request->kind == KIND_SERVICE || request->session_version != NULL)
+  if (request->kind == REQUEST_KIND_SERVICE
+      || request->session_version != NULL)
     return VH_E_NO_UPSTREAM;
   for (size_t i = 0; i < request->candidate_count; i++)
     {
-      if (request->candidates[i] == was)
+      if (request->candidates[i] == previous)
         continue;
       request->version = request->candidates[i];
-      request->pool = fleet_pool (request->entry, request->version->name);
-      if (pick (request, id) == VH_OK)
+      request->pool = fleet_get_pool (request->entry, request->version->name);
+      if (pick_upstream (request, id) == VH_OK)
         {
-          request->plan_second = NULL;
+          request->second_version = NULL;
           return VH_OK;
         }
     }
-  request->version = was;
-  request->pool = fleet_pool (request->entry, was->name);
+  request->version = previous;
+  request->pool = fleet_get_pool (request->entry, previous->name);
   return VH_E_NO_UPSTREAM;
 }
 
-/* The body with "model" set to the version chosen; *OWNED is to be freed.  */
+/* Return the body for the upstream; "model" is the selected version.  The
+   caller frees *OWNED_BODY.  */
 static str_t
-make_body (request_t *request, char **owned)
+build_body (request_t *request, char **owned_body)
 {
-  *owned = NULL;
-  if (request->kind == KIND_SERVICE)
-    return buf_str (&request->raw);
+  *owned_body = NULL;
+  if (request->kind == REQUEST_KIND_SERVICE)
+    return buf_str (&request->raw_body);
   json_object_set_new (
-      request->body, "model",
+      request->body_json, "model",
       json_stringn (request->version->name.ptr, request->version->name.len));
-  *owned = json_dumps (request->body, JSON_COMPACT);
-  return str_from (*owned);
+  *owned_body = json_dumps (request->body_json, JSON_COMPACT);
+  return str_from (*owned_body);
 }
 
 enum
 {
-  FORWARDED_MAX = 24
+  FORWARDED_HEADERS_MAX = 24
 };
 
-/* Headers of the caller that the upstream is to see.  */
+/* Copy the headers of the caller that are forwarded to the upstream.  Return
+   their number; the caller frees the strings.  */
 static size_t
-make_headers (request_t *request, wire_header_t *headers)
+copy_forwarded_headers (request_t *request, wire_header_t *headers)
 {
-  static const char *const dropped[]
+  static const char *const excluded_headers[]
       = { "host",       "connection",        "content-length", "authorization",
           "keep-alive", "transfer-encoding", "expect",         "te",
           "upgrade",    "proxy-connection" };
@@ -645,14 +674,17 @@
 
   if (request->http == NULL)
     return 0;
-  for (size_t i = 0;
-       count < FORWARDED_MAX && httpd_header_at (request->http, i, &header);
+  for (size_t i = 0; count < FORWARDED_HEADERS_MAX
+                     && httpd_header_at (request->http, i, &header);
        i++)
     {
-      bool drop = str_starts (header.name, STR ("vanillahook-"));
-      for (size_t j = 0; j < sizeof dropped / sizeof dropped[0]; j++)
-        drop = drop || str_eq_nocase (header.name, str_from (dropped[j]));
-      if (drop || header.value.len >= WIRE_HEADER_MAX
+      bool is_dropped = str_starts (header.name, STR ("vanillahook-"));
+      for (size_t j = 0;
+           j < sizeof excluded_headers / sizeof excluded_headers[0]; j++)
+        is_dropped
+            = is_dropped
+              || str_eq_nocase (header.name, str_from (excluded_headers[j]));
+      if (is_dropped || header.value.len >= WIRE_HEADER_MAX
           || header.name.len >= WIRE_NAME_MAX)
         continue;
       headers[count].name = str_dup (header.name);
@@ -664,49 +696,52 @@
 static void
 send_submit (request_t *request)
 {
-  try_t *at = &request->at;
-  wire_header_t headers[FORWARDED_MAX];
-  size_t count = make_headers (request, headers);
+  entry_attempt_t *attempt = &request->attempt;
+  wire_header_t headers[FORWARDED_HEADERS_MAX];
+  size_t count = copy_forwarded_headers (request, headers);
   char *team = str_dup (request->team->name);
-  char *owned;
-  str_t body = make_body (request, &owned);
-  uint64_t left = left_ms (request);
+  char *owned_body;
+  str_t body = build_body (request, &owned_body);
+  uint64_t left_ms = remaining_ms (request);
   wire_submit_args_t args
-      = { .attempt = at->id,
+      = { .attempt = attempt->id,
           .request_id = request->request_id,
           .team = team,
           .target = request->pool->name,
-          .epoch = at->epoch,
+          .epoch = attempt->epoch,
           .digest = request->digest,
-          .deadline_ms = (u_int)left,
-          .cost = request->cost,
+          .deadline_ms = (u_int)left_ms,
+          .cost = request->estimated_tokens,
           .weight = request->team->weight,
           .priority = request->priority,
           .idempotent = request->idempotent,
           .key_given = request->key_given,
-          .is_suspect = request->suspect,
+          .is_suspect = request->is_suspect,
           .stream = request->stream,
           .method = request->method,
           .path = request->path,
           .headers = { (u_int)count, headers },
           .body = { (u_int)body.len, (char *)(uintptr_t)body.ptr },
-          .wait_ms = (u_int)(left < FETCH_WAIT_MS ? left : FETCH_WAIT_MS),
-          .max_bytes = FETCH_BYTES };
+          .wait_ms
+          = (u_int)(left_ms < FETCH_WAIT_MAX_MS ? left_ms : FETCH_WAIT_MAX_MS),
+          .max_bytes = FETCH_MAX_BYTES };
 
-  at->call = rpc_peer_call (at->member->peer, WIRE_SUBMIT, &args,
-                            args.wait_ms + CALL_SLACK_MS, on_answer, request);
+  attempt->call = rpc_peer_call (attempt->member->peer, WIRE_SUBMIT, &args,
+                                 args.wait_ms + CALL_TIMEOUT_MARGIN_MS,
+                                 on_answer, request);
   for (size_t i = 0; i < count; i++)
     {
       free (headers[i].name);
       free (headers[i].value);
     }
-  free (owned);
+  free (owned_body);
   free (team);
 }
 
-/* Tell whether an upstream of the pool may be back any moment.  */
+/* Tell whether the pool has a sidecar that the configuration keeps in
+   service.  */
 static bool
-pool_may_return (const request_t *request)
+pool_may_recover (const request_t *request)
 {
   const snapshot_t *snapshot = request->snapshot;
   size_t cursor = 0;
@@ -724,125 +759,128 @@
   return false;
 }
 
-/* No upstream can be had: wait a little for one, or end the request.  */
+/* No upstream is selectable: schedule a retry, or end the request.  */
 static void
 wait_for_upstream (request_t *request)
 {
   pool_t *pool = request->pool;
   uint64_t now_ms = clock_ms (request->entry->clock);
 
-  if (pool->empty_ms == 0)
-    pool->empty_ms = now_ms;
-  if (!request->released && request->http != NULL && pool_may_return (request)
-      && now_ms - pool->empty_ms < EMPTY_PATIENCE_MS)
+  if (pool->empty_since_ms == 0)
+    pool->empty_since_ms = now_ms;
+  if (!request->answer_started && request->http != NULL
+      && pool_may_recover (request)
+      && now_ms - pool->empty_since_ms < EMPTY_POOL_WAIT_MS)
     {
       request->tried_count = 0;
-      request->retry_at_ms = now_ms + EMPTY_RETRY_MS;
+      request->retry_at_ms = now_ms + EMPTY_POOL_RETRY_MS;
       return;
     }
-  answer_refuse (request, request->last_code != VH_OK ? request->last_code
-                                                      : VH_E_NO_UPSTREAM);
+  answer_refuse (request, request->last_error != VH_OK ? request->last_error
+                                                       : VH_E_NO_UPSTREAM);
 }
 
 static void
-try_next (request_t *request)
+start_next_attempt (request_t *request)
 {
   entry_t *entry = request->entry;
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
   upstream_id_t id;
 
   request->retry_at_ms = 0;
-  if (guard_poison (request) != FILTER_NEXT)
+  if (guard_poison (request) != FILTER_CONTINUE)
     return;
-  vh_code_t picked
-      = request->released ? pick_resuming (request, &id) : pick (request, &id);
-  if (picked != VH_OK && !request->released)
-    picked = pick_other_version (request, &id);
-  if (picked != VH_OK)
+  vh_code_t pick_result = request->answer_started
+                              ? pick_resumable_upstream (request, &id)
+                              : pick_upstream (request, &id);
+  if (pick_result != VH_OK && !request->answer_started)
+    pick_result = pick_other_version (request, &id);
+  if (pick_result != VH_OK)
     {
       wait_for_upstream (request);
       return;
     }
-  request->pool->empty_ms = 0;
-  at->member = fleet_member (entry, id);
-  at->member->in_use++;
-  at->upstream = id;
-  at->epoch = rpc_peer_epoch (at->member->peer);
-  if (at->epoch == 0 && !request->idempotent)
+  request->pool->empty_since_ms = 0;
+  attempt->member = fleet_find_member (entry, id);
+  attempt->member->ref_count++;
+  attempt->upstream_id = id;
+  attempt->epoch = rpc_peer_epoch (attempt->member->peer);
+  if (attempt->epoch == 0 && !request->idempotent)
     {
-      /* Without the sidecar's epoch a restart would go unnoticed and the
-         request could run in both of its lives.  */
-      dispatch_clear (request);
+      /* The epoch of the sidecar is needed to detect a restart; without it the
+         request could run before and after the restart.  */
+      dispatch_clear_attempt (request);
       answer_refuse (request, VH_E_NO_UPSTREAM);
       return;
     }
-  at->began_us = clock_us (entry->clock);
-  at->live = true;
-  at->digest = XXH3_createState ();
-  XXH3_64bits_reset (at->digest);
-  snprintf (at->id, sizeof at->id, "%016llx%016llx",
+  attempt->started_us = clock_us (entry->clock);
+  attempt->in_flight = true;
+  attempt->digest_state = XXH3_createState ();
+  XXH3_64bits_reset (attempt->digest_state);
+  snprintf (attempt->id, sizeof attempt->id, "%016llx%016llx",
             (unsigned long long)rpc_node_epoch (entry->node),
-            (unsigned long long)++entry->next_id);
-  if (request->tried_count < TRIES_MAX)
-    request->tried[request->tried_count++] = id;
-  request->tries++;
+            (unsigned long long)++entry->last_id);
+  if (request->tried_count < ATTEMPTS_MAX)
+    request->tried_upstreams[request->tried_count++] = id;
+  request->attempt_count++;
   counter_add (entry->counters.attempts, 1);
   balance_request_started (entry->balance, id);
   send_submit (request);
 }
 
 void
-dispatch_join (request_t *request, member_t *member, str_t attempt)
+dispatch_join_attempt (request_t *request, member_t *member, str_t attempt_id)
 {
-  try_t *at = &request->at;
+  entry_attempt_t *attempt = &request->attempt;
 
-  if (attempt.len >= sizeof at->id)
+  if (attempt_id.len >= sizeof attempt->id)
     {
-      fleet_unuse (member);
-      answer_unknown (request, VH_E_UNKNOWN);
+      fleet_member_unref (member);
+      answer_unknown_outcome (request, VH_E_UNKNOWN);
       return;
     }
-  memcpy (at->id, attempt.ptr, attempt.len);
-  at->id[attempt.len] = '\0';
-  at->member = member;
-  at->epoch = rpc_peer_epoch (member->peer);
-  at->began_us = clock_us (request->entry->clock);
-  at->live = true;
-  at->accepted = true;
-  at->joined = true;
-  at->digest = XXH3_createState ();
-  XXH3_64bits_reset (at->digest);
+  memcpy (attempt->id, attempt_id.ptr, attempt_id.len);
+  attempt->id[attempt_id.len] = '\0';
+  attempt->member = member;
+  attempt->epoch = rpc_peer_epoch (member->peer);
+  attempt->started_us = clock_us (request->entry->clock);
+  attempt->in_flight = true;
+  attempt->accepted = true;
+  attempt->joined = true;
+  attempt->digest_state = XXH3_createState ();
+  XXH3_64bits_reset (attempt->digest_state);
   request->may_have_run = true;
   dispatch_fetch (request);
 }
 
-filter_step_t
+filter_result_t
 dispatch_start (request_t *request)
 {
   retry_request (request->pool->retry);
-  try_next (request);
-  return FILTER_WAIT;
+  start_next_attempt (request);
+  return FILTER_PENDING;
 }
 
-/* Tell the sidecar that nobody waits for the present try.  */
+/* Cancel the current attempt on the sidecar.  */
 static void
 send_cancel (request_t *request)
 {
-  try_t *at = &request->at;
-  wire_attempt_args_t args = { .attempt = at->id, .epoch = at->epoch };
+  entry_attempt_t *attempt = &request->attempt;
+  wire_attempt_args_t args
+      = { .attempt = attempt->id, .epoch = attempt->epoch };
 
-  if (!at->live)
+  if (!attempt->in_flight)
     return;
-  rpc_cancel (at->call);
-  at->call = NULL;
-  settle (request, true);
-  rpc_peer_fire (at->member->peer, WIRE_CANCEL, &args);
+  rpc_cancel (attempt->call);
+  attempt->call = NULL;
+  end_attempt (request, true);
+  rpc_peer_fire (attempt->member->peer, WIRE_CANCEL, &args);
 }
 
 void
-dispatch_release (request_t *request)
+dispatch_send_held_answer (request_t *request)
 {
-  answer_whole (request);
+  answer_send_buffered (request);
 }
 
 void
@@ -850,21 +888,21 @@
 {
   request->escalated = true;
   counter_add (request->entry->counters.escalations, 1);
-  dispatch_clear (request);
+  dispatch_clear_attempt (request);
   request->version = version;
-  request->pool = fleet_pool (request->entry, version->name);
+  request->pool = fleet_get_pool (request->entry, version->name);
   request->tried_count = 0;
-  try_next (request);
+  start_next_attempt (request);
 }
 
 void
-dispatch_departed (request_t *request)
+dispatch_caller_disconnected (request_t *request)
 {
   request->http = NULL;
-  counter_add (request->entry->counters.departed, 1);
-  /* What may not be repeated runs on, so that its outcome is recorded and
+  counter_add (request->entry->counters.caller_disconnects, 1);
+  /* A non-idempotent attempt continues, so that its outcome is recorded and
      billed.  */
-  if (!request->idempotent && request->at.live)
+  if (!request->idempotent && request->attempt.in_flight)
     return;
   send_cancel (request);
   request_destroy (request);
@@ -873,34 +911,34 @@
 void
 dispatch_tick (request_t *request, uint64_t now_ms)
 {
-  if (request->rating || request->claiming || request->ended)
+  if (request->rating_pending || request->claim_pending || request->ended)
     return;
   if (now_ms >= request->deadline_ms)
     {
-      bool live = request->at.live;
+      bool was_in_flight = request->attempt.in_flight;
       if (request->idempotent)
         send_cancel (request);
-      request->may_have_run = request->may_have_run || live;
+      request->may_have_run = request->may_have_run || was_in_flight;
       if (request->may_have_run)
-        answer_unknown (request, VH_E_DEADLINE);
+        answer_unknown_outcome (request, VH_E_DEADLINE);
       else
         answer_refuse (request, VH_E_DEADLINE);
       return;
     }
-  if (request->at.live
-      && clock_us (request->entry->clock) - request->at.began_us
-             >= TAKEN_AFTER_MS * 1000ull)
-    count_taken (request);
-  /* A slow caller holds back the fetches; the sidecar must not take the
-     attempt for one that nobody waits for.  */
-  if (request->retry_at_ms == 0 && may_fetch (request)
-      && now_ms - request->at.asked_ms >= TOUCH_MS)
+  if (request->attempt.in_flight
+      && clock_us (request->entry->clock) - request->attempt.started_us
+             >= ASSUME_ACCEPTED_AFTER_MS * 1000ull)
+    count_acceptance (request);
+  /* A slow caller delays the fetches.  An empty fetch keeps the sidecar from
+     expiring the attempt.  */
+  if (request->retry_at_ms == 0 && can_fetch (request)
+      && now_ms - request->attempt.last_fetch_ms >= ATTEMPT_KEEPALIVE_MS)
     send_fetch (request, 0, 0);
   if (request->retry_at_ms == 0 || now_ms < request->retry_at_ms)
     return;
   request->retry_at_ms = 0;
-  if (request->at.live)
+  if (request->attempt.in_flight)
     send_fence (request);
   else
-    try_next (request);
+    start_next_attempt (request);
 }
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -1,3 +1,5 @@
+/* Life cycle of the entry: start, configuration, timer, status and end.  */
+
 #include "entry/entryint.h"
 
 #include "base/log.h"
@@ -7,10 +9,10 @@
 enum
 {
   TICK_MS = 10,
-  FLEET_TICKS = 10, /* Ticks between looks at the fleet.  */
+  FLEET_TICK_INTERVAL = 10, /* Ticks between calls of fleet_tick.  */
   READ_TIMEOUT_MS = 10000,
-  /* About 1 KB each when all are filled: a quarter of what the entry's
-     control may take.  */
+  /* A cell takes about 1 KB if all are filled; all cells together take a
+     quarter of what the entry may use for control data.  */
   BURN_CELLS = 8192
 };
 
@@ -23,17 +25,17 @@
     context->revision = snapshot_revision (entry->snapshot);
   context->confirmed_ms
       = entry->options.host->confirmed_ms (entry->options.arg);
-  context->draining = entry->announced;
+  context->draining = entry->draining;
 }
 
 static void
-see_context (void *arg, rpc_peer_t *peer, const wire_context_t *context)
+on_context (void *arg, rpc_peer_t *peer, const wire_context_t *context)
 {
   if (peer != NULL)
-    fleet_see (arg, peer, context);
+    fleet_on_context (arg, peer, context);
 }
 
-static const rpc_hooks_t hooks = { fill_context, see_context };
+static const rpc_hooks_t rpc_hooks = { fill_context, on_context };
 
 void
 request_destroy (request_t *request)
@@ -42,20 +44,20 @@
     httpd_watch (request->http, NULL, NULL, NULL);
   request->http = NULL;
   request->ended = true;
-  claim_forget (request);
-  if (request->rating || request->claiming)
-    return; /* The callback to come ends up here again.  */
+  claim_cancel_recalls (request);
+  if (request->rating_pending || request->claim_pending)
+    return; /* The outstanding callback calls this function again.  */
   list_remove (&request->link);
-  dispatch_clear (request);
-  json_decref (request->body);
-  buf_free (&request->raw);
+  dispatch_clear_attempt (request);
+  json_decref (request->body_json);
+  buf_free (&request->raw_body);
   buf_free (&request->transcript);
-  buf_free (&request->tail);
+  buf_free (&request->partial_event);
   free (request->method);
   free (request->path);
-  free (request->model);
+  free (request->target_name);
   free (request->request_id);
-  free (request->session);
+  free (request->session_token);
   free (request->session_instance);
   snapshot_unref (request->snapshot);
   free (request);
@@ -69,16 +71,16 @@
 
   LIST_EACH (at, &entry->requests)
     dispatch_tick (CONTAINER_OF (at, request_t, link), now_ms);
-  if (++entry->ticks % FLEET_TICKS == 0)
+  if (++entry->tick_count % FLEET_TICK_INTERVAL == 0)
     {
       fleet_tick (entry, now_ms);
       learn_tick (entry, now_ms);
-      lead_tick (entry->lead, now_ms);
+      leader_tick (entry->leader, now_ms);
     }
 }
 
 static void
-make_metrics (entry_t *entry)
+create_metrics (entry_t *entry)
 {
   metrics_t *metrics = entry->options.metrics;
 
@@ -86,16 +88,18 @@
   entry->counters.name = metrics_counter (metrics, series, "", help);
   ENTRY_COUNTERS (X)
 #undef X
-  entry->first_byte
+  entry->first_byte_latency
       = metrics_histogram (metrics, "vanillahook_first_byte_seconds", "",
                            "From a streamed request to its first byte.");
-  entry->whole = metrics_histogram (metrics, "vanillahook_answer_seconds", "",
-                                    "From a request to its whole answer.");
+  entry->answer_latency
+      = metrics_histogram (metrics, "vanillahook_answer_seconds", "",
+                           "From a request to its whole answer.");
 }
 
-/* Open the callers' and the peers' ports.  */
+/* Open the port for callers and, if configured, the port for peers.  Return
+   VH_OK or VH_E_IO.  */
 static vh_code_t
-listen_all (entry_t *entry)
+open_ports (entry_t *entry)
 {
   const settings_t *settings = entry->settings;
   char *certificate = settings->tls_certificate.len > 0
@@ -115,13 +119,15 @@
   free (key);
   if (code != VH_OK)
     {
-      log_err ("entry", "Cannot listen. address=%.*s",
+      log_err ("entry",
+               "Cannot listen for callers; the entry does not start. "
+               "address=%.*s",
                STR_ARG (settings->listen));
       return code;
     }
   if (settings->rpc.len == 0)
     return VH_OK;
-  return rpc_server_create (entry->node, settings->rpc, fleet_serve, entry,
+  return rpc_server_create (entry->node, settings->rpc, peering_serve, entry,
                             &entry->server);
 }
 
@@ -144,22 +150,22 @@
   list_init (&entry->rollouts);
   entry->balance = balance_create (settings->name, settings->zone,
                                    options->clock, &entry->rng);
-  make_metrics (entry);
+  create_metrics (entry);
   entry->node = rpc_node_create (options->loop, options->clock,
                                  rng_make (rng_u64 (&entry->rng)),
                                  settings->name, settings->rpc_keys,
-                                 settings->rpc_keys_count, &hooks, entry);
+                                 settings->rpc_keys_count, &rpc_hooks, entry);
   entry->quality = quality_create (rpc_node_epoch (entry->node), &sampling);
   entry->cascade = cascade_create (rpc_node_epoch (entry->node));
   entry->poison = poison_create (options->clock);
-  entry->watch = degradation_create (rpc_node_epoch (entry->node));
+  entry->degradation = degradation_create (rpc_node_epoch (entry->node));
   entry->burn = burn_create (rpc_node_epoch (entry->node), BURN_CELLS_DEFAULT);
-  entry->lead = lead_create (entry);
-  claim_start (entry);
-  uv_timer_init (options->loop, &entry->tick);
-  entry->tick.data = entry;
-  uv_timer_start (&entry->tick, on_tick, TICK_MS, TICK_MS);
-  vh_code_t code = listen_all (entry);
+  entry->leader = leader_create (entry);
+  claim_init (entry);
+  uv_timer_init (options->loop, &entry->tick_timer);
+  entry->tick_timer.data = entry;
+  uv_timer_start (&entry->tick_timer, on_tick, TICK_MS, TICK_MS);
+  vh_code_t code = open_ports (entry);
   if (code != VH_OK)
     {
       entry_destroy (entry);
@@ -200,24 +206,25 @@
   conf_errors_free (&errors);
   if (code != VH_OK)
     {
-      log_err ("entry", "A configuration has errors. revision=%llu",
+      log_err ("entry",
+               "A configuration has errors and is not applied. revision=%llu",
                (unsigned long long)revision);
       return code;
     }
-  learn_configured (entry, entry->snapshot, snapshot);
+  learn_config_changed (entry, entry->snapshot, snapshot);
   snapshot_unref (entry->snapshot);
   entry->snapshot = snapshot;
-  log_info ("entry", "Configuration is in force. revision=%llu",
+  log_info ("entry", "Configuration is applied. revision=%llu",
             (unsigned long long)revision);
-  objective_configured (entry);
-  fleet_configured (entry);
+  objective_config_changed (entry);
+  fleet_config_changed (entry);
   return VH_OK;
 }
 
 void
 entry_announce (entry_t *entry)
 {
-  entry->announced = true;
+  entry->draining = true;
   if (entry->http != NULL)
     httpd_drain (entry->http);
 }
@@ -242,7 +249,7 @@
 }
 
 static void
-on_tick_closed (uv_handle_t *handle)
+on_tick_timer_closed (uv_handle_t *handle)
 {
   entry_t *entry = handle->data;
 
@@ -250,7 +257,7 @@
   quality_destroy (entry->quality);
   cascade_destroy (entry->cascade);
   poison_destroy (entry->poison);
-  degradation_destroy (entry->watch);
+  degradation_destroy (entry->degradation);
   burn_destroy (entry->burn);
   balance_destroy (entry->balance);
   snapshot_unref (entry->snapshot);
@@ -274,14 +281,14 @@
   httpd_destroy (entry->http);
   rpc_server_destroy (entry->server);
   claims_destroy (entry->claims);
-  lead_destroy (entry->lead);
+  leader_destroy (entry->leader);
   fleet_destroy (entry);
   rpc_node_destroy (entry->node);
-  uv_close ((uv_handle_t *)&entry->tick, on_tick_closed);
+  uv_close ((uv_handle_t *)&entry->tick_timer, on_tick_timer_closed);
 }
 
 static void
-zones_status (const entry_t *entry, buf_t *out)
+write_zones_status (const entry_t *entry, buf_t *out)
 {
   str_t zone;
 
@@ -297,7 +304,7 @@
 }
 
 static void
-decisions_status (const entry_t *entry, buf_t *out)
+write_decisions_status (const entry_t *entry, buf_t *out)
 {
   bool first = true;
 
@@ -321,11 +328,11 @@
 void
 entry_status (entry_t *entry, buf_t *out)
 {
-  zones_status (entry, out);
+  write_zones_status (entry, out);
   buf_append_char (out, ',');
   fleet_status (entry, out);
   buf_append_char (out, ',');
   learn_status (entry, out);
   buf_append_char (out, ',');
-  decisions_status (entry, out);
+  write_decisions_status (entry, out);
 }
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -1,6 +1,6 @@
-/* The entry: terminates callers' HTTP and runs each request through a chain
-   of filters that ends in one or more attempts at sidecars.  It keeps nothing
-   that another entry would need to answer in its place.  */
+/* The entry process: accepts HTTP requests of callers and passes each through
+   a chain of filters that ends in one or more attempts on sidecars.  An entry
+   holds no state that another entry would need to serve in its place.  */
 
 #ifndef ENTRY_ENTRY_H
 #define ENTRY_ENTRY_H
@@ -15,39 +15,42 @@
 
 typedef struct entry entry_t;
 
-/* What an entry sees of an instance directly.  */
+/* Changes of an instance that the entry detects on its own connection.  */
 typedef enum
 {
-  SIGHT_HEARD,
-  SIGHT_SILENT,
-  SIGHT_RESTARTED, /* The same name, another process.  */
+  SIGHT_HEARD,     /* The instance sent a message.  */
+  SIGHT_SILENT,    /* The connection to the instance failed.  */
+  SIGHT_RESTARTED, /* A new process sends under the instance's name.  */
   SIGHT_DRAINING,
   SIGHT_NOT_DRAINING
 } sight_t;
 
-/* What the process around the entry does for it.  */
+/* Callbacks of the process that runs the entry.  */
 typedef struct
 {
-  /* Append to UPDATE what a peer at revision HAVE lacks; return false when
-     it lacks nothing.  */
+  /* Append to UPDATE the changes from revision HAVE to the revision in force.
+     Return false if a peer at HAVE needs no update.  */
   bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
-  /* Take a peer's update.  Return VH_OK, or VH_E_STALE_REVISION when it
-     starts past the revision in force here.  */
+  /* Apply the configuration update of a peer.  Return VH_OK, or
+     VH_E_STALE_REVISION if UPDATE starts at a later revision than the one in
+     force here.  */
   vh_code_t (*learn) (void *arg, str_t update);
-  /* A peer had REVISION confirmed AGE_MS ago.  */
+  /* A peer reports that the store confirmed REVISION AGE_MS ago.  */
   void (*confirm) (void *arg, uint64_t revision, uint64_t age_ms);
-  /* Age of the confirmation of the revision in force.  */
+  /* Return the time in ms since the store last confirmed the revision in
+     force.  */
   uint32_t (*confirmed_ms) (void *arg);
-  /* An answer was delivered whole, or the bill of one whose entry is gone
-     was taken over: write it.  INSTANCE holds a copy until then.  */
+  /* Write BILL to the store: its answer was delivered completely, or the
+     entry that held the bill is gone.  INSTANCE is the sidecar that keeps a
+     copy until the bill is written; empty if there is none.  */
   void (*bill) (void *arg, const wire_bill_t *bill, str_t instance);
-  /* Bills were taken over: write them without waiting for others.  */
+  /* Write the pending bills at once, without waiting for a full batch.  */
   void (*write_bills) (void *arg);
-  /* Instance NAME was seen so.  */
+  /* The entry detected SIGHT on the connection to instance NAME.  */
   void (*seen) (void *arg, str_t name, sight_t sight);
 } entry_host_t;
 
-/* Everything is borrowed and must outlive the entry.  */
+/* All pointers are borrowed and must outlive the entry.  */
 typedef struct
 {
   uv_loop_t *loop;
@@ -57,54 +60,66 @@
   platform_t *platform;
   uint64_t seed;
   const entry_host_t *host;
-  void *arg;
+  void *arg; /* Passed to the callbacks.  */
 } entry_options_t;
 
-/* Listen and serve.  Return VH_OK and *OUT, or VH_E_IO.  */
+/* Open the ports of callers and peers.  Return VH_OK and *OUT, owned by the
+   caller, or VH_E_IO.  */
 vh_code_t entry_create (const entry_options_t *options, entry_t **out);
 uint16_t entry_port (const entry_t *entry);
 rpc_node_t *entry_node (entry_t *entry);
-/* Put TEXT in force as REVISION unless a later one is.  */
+/* Apply configuration TEXT as REVISION.  A revision that is not later than
+   the one in force is ignored.  Return VH_OK or the error of the parser.  */
 vh_code_t entry_configure (entry_t *entry, uint64_t revision, str_t text);
-/* The snapshot in force, borrowed; NULL before the first.  */
+/* Return the configuration in force, borrowed, or NULL before the first.  */
 snapshot_t *entry_snapshot (const entry_t *entry);
 
-/* Make an instance known, or change what is known of it.  */
+/* Add or update an instance.  */
 void entry_member_put (entry_t *entry, const instance_row_t *row);
 void entry_member_remove (entry_t *entry, str_t name);
 
-/* Entries known, this one included.  */
+/* Return the number of known entries, this one included.  */
 size_t entry_peers (const entry_t *entry);
-/* Rank of this entry among the entries of its zone that it can reach, from
-   0; the first few look after shared duties such as polling the store.  */
+/* Return the rank, from 0, of this entry among the reachable entries of its
+   availability zone.  The first few ranks take over shared duties such as
+   polling the store.  */
 size_t entry_rank (const entry_t *entry);
 
-/* Say that this entry leaves, keep accepting.  */
+/* Report this entry as draining to peers and end keep-alive connections of
+   callers; new connections are still accepted.  */
 void entry_announce (entry_t *entry);
-/* Accept no more connections; what is in hand goes on.  */
+/* Accept no more connections; requests in progress continue.  */
 void entry_stop_listening (entry_t *entry);
+/* Return the number of requests that are unanswered, incompletely written or
+   still running after their caller disconnected.  */
 size_t entry_in_hand (const entry_t *entry);
+/* Abort all requests and release ENTRY on a later turn of the loop.  NULL is
+   accepted.  */
 void entry_destroy (entry_t *entry);
 
-/* Tell the sidecar INSTANCE that the bills of BILL_IDS are written.  */
+/* Notify the sidecar INSTANCE that the bills BILL_IDS are in the store, so
+   that the sidecar drops its copies.  */
 void entry_bills_written (entry_t *entry, str_t instance,
                           const str_t *bill_ids, size_t count);
-/* Give BILLS to another entry; CB says whether it has them.  Return false
-   when there is none to ask.  */
+/* Send BILLS to another entry; CB reports whether that entry accepted them.
+   Return false, without calling CB, if no other entry is reachable.  */
 bool entry_bills_hand_over (entry_t *entry, wire_bill_t *bills, size_t count,
-                            void (*cb) (void *arg, bool taken), void *arg);
-/* The lease under which one entry at a time does the shared duties.  */
+                            void (*cb) (void *arg, bool accepted), void *arg);
+/* Return the lease under which one entry at a time performs the duties of the
+   leader.  */
 lease_t *entry_lease (entry_t *entry);
-/* Append the service-level burn as text, JSON or one HTML page.  */
+
 typedef enum
 {
   BURN_TEXT,
   BURN_JSON,
   BURN_HTML
 } burn_format_t;
+/* Append the report of error budgets and burn rates of the service-level
+   objectives.  */
 void entry_burn (entry_t *entry, burn_format_t format, buf_t *out);
-/* Append the parts of the operators' status that the entry knows: "zones",
-   "peers", "rollouts" and "decisions".  */
+/* Append the members "zones", "peers", "rollouts", "alarms" and "decisions"
+   of the operators' status object.  */
 void entry_status (entry_t *entry, buf_t *out);
 
 #endif
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -1,5 +1,5 @@
-/* The chain of filters that a request goes through before its first attempt:
-   each either lets it on or ends it with a numbered error.  */
+/* The filter chain that a request passes before its first attempt.  Each
+   filter accepts the request or ends the request with an error code.  */
 
 #include "entry/entryint.h"
 
@@ -10,14 +10,14 @@
 enum
 {
   KEY_SHA256_LEN = 32,
-  /* Output tokens assumed when the caller sets no bound.  */
-  TOKENS_DEFAULT = 256,
-  TOKENS_MAX = 1000000,
+  /* Output tokens assumed if the caller sets no limit.  */
+  OUTPUT_TOKENS_DEFAULT = 256,
+  ESTIMATED_TOKENS_MAX = 1000000,
   BYTES_PER_TOKEN = 4,
-  PREFIX_BYTES = 1024
+  AFFINITY_PREFIX_BYTES = 1024
 };
 
-/* Give REQUEST its method and path, and drop it to KIND.  */
+/* Set KIND, method and path of REQUEST; the query is appended to PATH.  */
 static void
 set_route (request_t *request, request_kind_t kind, str_t path)
 {
@@ -33,79 +33,82 @@
   request->method = str_dup (httpd_method (request->http));
 }
 
-/* Take the body apart.  Return VH_OK or the caller's fault.  */
+/* Parse the JSON body of a chat request.  Return VH_OK, VH_E_BAD_JSON or
+   VH_E_BAD_FIELD.  */
 static vh_code_t
-decode_chat (request_t *request)
+parse_chat_body (request_t *request)
 {
   str_t body = httpd_body (request->http);
 
-  request->body = json_loadb (body.ptr, body.len, 0, NULL);
-  if (request->body == NULL)
+  request->body_json = json_loadb (body.ptr, body.len, 0, NULL);
+  if (request->body_json == NULL)
     return VH_E_BAD_JSON;
-  const json_t *model = json_object_get (request->body, "model");
-  const json_t *messages = json_object_get (request->body, "messages");
-  const json_t *stream = json_object_get (request->body, "stream");
-  if (!json_is_object (request->body) || !json_is_string (model)
+  const json_t *model = json_object_get (request->body_json, "model");
+  const json_t *messages = json_object_get (request->body_json, "messages");
+  const json_t *stream = json_object_get (request->body_json, "stream");
+  if (!json_is_object (request->body_json) || !json_is_string (model)
       || !json_is_array (messages)
       || (stream != NULL && !json_is_boolean (stream)
           && !json_is_null (stream)))
     return VH_E_BAD_FIELD;
-  request->model = str_dup (
+  request->target_name = str_dup (
       str_make (json_string_value (model), json_string_length (model)));
   request->stream = json_is_true (stream);
   request->idempotent = true;
   return VH_OK;
 }
 
-/* Tell whether the headers are within the settings' bound together.  */
+/* Tell whether the total size of the headers is within the configured
+   limit.  */
 static bool
-headers_fit (const request_t *request)
+are_headers_within_limit (const request_t *request)
 {
-  uint64_t bound = request->entry->settings->header_limit;
-  uint64_t sum = 0;
+  uint64_t limit = request->entry->settings->header_limit;
+  uint64_t total = 0;
   httpc_header_t header;
 
   for (size_t i = 0; httpd_header_at (request->http, i, &header); i++)
-    sum += header.name.len + header.value.len;
-  return bound == 0 || sum <= bound;
+    total += header.name.len + header.value.len;
+  return limit == 0 || total <= limit;
 }
 
-static filter_step_t
+static filter_result_t
 filter_decode (request_t *request)
 {
-  static const char services[] = "/services/";
+  static const char services_path[] = "/services/";
   str_t path = httpd_path (request->http);
   str_t method = httpd_method (request->http);
 
-  if (!headers_fit (request))
+  if (!are_headers_within_limit (request))
     return answer_refuse (request, VH_E_BAD_HEADER);
   if (str_eq (path, STR ("/v1/chat/completions")))
     {
       if (!str_eq (method, STR ("POST")))
         return answer_refuse (request, VH_E_BAD_METHOD);
-      set_route (request, KIND_CHAT, path);
-      vh_code_t code = decode_chat (request);
-      return code == VH_OK ? FILTER_NEXT : answer_refuse (request, code);
+      set_route (request, REQUEST_KIND_CHAT, path);
+      vh_code_t code = parse_chat_body (request);
+      return code == VH_OK ? FILTER_CONTINUE : answer_refuse (request, code);
     }
-  if (str_starts (path, STR (services)))
+  if (str_starts (path, STR (services_path)))
     {
-      str_t rest = str_make (path.ptr + sizeof services - 1,
-                             path.len - (sizeof services - 1));
-      str_t tail;
-      str_t name = str_cut (rest, '/', &tail);
+      str_t rest = str_make (path.ptr + sizeof services_path - 1,
+                             path.len - (sizeof services_path - 1));
+      str_t remainder;
+      str_t name = str_cut (rest, '/', &remainder);
       if (name.len == 0)
         return answer_refuse (request, VH_E_NO_ROUTE);
-      str_t upstream_path = tail.ptr != NULL
-                                ? str_make (tail.ptr - 1, tail.len + 1)
-                                : STR ("/");
-      set_route (request, KIND_SERVICE, upstream_path);
-      request->model = str_dup (name);
-      return FILTER_NEXT;
+      str_t upstream_path
+          = remainder.ptr != NULL
+                ? str_make (remainder.ptr - 1, remainder.len + 1)
+                : STR ("/");
+      set_route (request, REQUEST_KIND_SERVICE, upstream_path);
+      request->target_name = str_dup (name);
+      return FILTER_CONTINUE;
     }
   return answer_refuse (request, VH_E_NO_ROUTE);
 }
 
-static filter_step_t
+static filter_result_t
 filter_authenticate (request_t *request)
 {
   uint8_t digest[KEY_SHA256_LEN];
@@ -119,7 +122,7 @@
   if (EVP_Digest (key.ptr, key.len, digest, NULL, EVP_sha256 (), NULL) != 1)
     return answer_refuse (request, VH_E_INTERNAL);
   request->team = snapshot_team_by_key (request->snapshot, digest);
-  return request->team != NULL ? FILTER_NEXT
+  return request->team != NULL ? FILTER_CONTINUE
                                : answer_refuse (request, VH_E_BAD_KEY);
 }
 
@@ -133,14 +136,14 @@
 }
 
 static void
-mint_id (entry_t *entry, buf_t *id)
+generate_id (entry_t *entry, buf_t *id)
 {
   buf_printf (id, "%016llx%016llx",
               (unsigned long long)rpc_node_epoch (entry->node),
-              (unsigned long long)++entry->next_id);
+              (unsigned long long)++entry->last_id);
 }
 
-static filter_step_t
+static filter_result_t
 filter_identify (request_t *request)
 {
   str_t key = httpd_header (request->http, STR ("idempotency-key"));
@@ -148,25 +151,27 @@
   buf_t id = BUF_NULL;
 
   if (key.ptr != NULL
-      && (key.len == 0 || key.len > KEY_MAX || !is_printable (key)))
+      && (key.len == 0 || key.len > IDEMPOTENCY_KEY_MAX
+          || !is_printable (key)))
     return answer_refuse (request, VH_E_BAD_HEADER);
   request->key_given = key.ptr != NULL;
   if (request->key_given)
     buf_append_str (&id, key);
   else
-    mint_id (request->entry, &id);
+    generate_id (request->entry, &id);
   buf_append_char (&id, '\0');
   request->request_id = id.ptr;
   request->digest = str_hash (str_from (request->method), 1);
   request->digest = str_hash (str_from (request->path), request->digest);
   request->digest = str_hash (body, request->digest);
-  return FILTER_NEXT;
+  return FILTER_CONTINUE;
 }
 
-/* Read header NAME as a whole number.  Return false when it is not one.  */
+/* Read header NAME as an unsigned integer.  Return false if its value is not
+   an integer; *VALUE is unchanged if the header is missing.  */
 static bool
-number_header (const request_t *request, str_t name, uint64_t *value,
-               bool *given)
+read_number_header (const request_t *request, str_t name, uint64_t *value,
+                    bool *given)
 {
   str_t text = httpd_header (request->http, name);
 
@@ -174,23 +179,23 @@
   return !*given || str_to_u64 (text, value);
 }
 
-static filter_step_t
-filter_deadline (request_t *request)
+static filter_result_t
+filter_read_options (request_t *request)
 {
   const settings_t *settings = request->entry->settings;
-  uint64_t left_ms = request->team->plan->deadline_ms > 0
-                         ? request->team->plan->deadline_ms
-                         : settings->deadline_default_ms;
+  uint64_t timeout_ms = request->team->plan->deadline_ms > 0
+                            ? request->team->plan->deadline_ms
+                            : settings->deadline_default_ms;
   str_t priority = httpd_header (request->http, STR ("vanillahook-priority"));
   str_t explain = httpd_header (request->http, STR ("vanillahook-explain"));
 
-  if (!number_header (request, STR ("vanillahook-deadline-ms"), &left_ms,
-                      &request->deadline_given)
-      || left_ms == 0)
+  if (!read_number_header (request, STR ("vanillahook-deadline-ms"),
+                           &timeout_ms, &request->deadline_given)
+      || timeout_ms == 0)
     return answer_refuse (request, VH_E_BAD_HEADER);
-  if (left_ms > settings->deadline_max_ms)
-    left_ms = settings->deadline_max_ms;
-  request->deadline_ms = request->received_us / 1000 + left_ms;
+  if (timeout_ms > settings->deadline_max_ms)
+    timeout_ms = settings->deadline_max_ms;
+  request->deadline_ms = request->received_us / 1000 + timeout_ms;
   request->explain = str_eq (explain, STR ("1"));
   request->priority = WIRE_PRIORITY_NORMAL;
   if (str_eq_nocase (priority, STR ("high")))
@@ -199,15 +204,16 @@
     request->priority = WIRE_PRIORITY_LOW;
   else if (priority.ptr != NULL && !str_eq_nocase (priority, STR ("normal")))
     return answer_refuse (request, VH_E_BAD_HEADER);
-  return FILTER_NEXT;
+  return FILTER_CONTINUE;
 }
 
-static filter_step_t
-filter_permit_service (request_t *request)
+static filter_result_t
+authorize_service (request_t *request)
 {
   const snapshot_t *snapshot = request->snapshot;
 
-  request->service = snapshot_service (snapshot, str_from (request->model));
+  request->service
+      = snapshot_service (snapshot, str_from (request->target_name));
   if (request->service == NULL)
     return answer_refuse (request, VH_E_NO_MODEL);
   if (!snapshot_allows_service (snapshot, request->team, request->service))
@@ -225,90 +231,94 @@
       if (limit_ms < request->deadline_ms)
         request->deadline_ms = limit_ms;
     }
-  return FILTER_NEXT;
+  return FILTER_CONTINUE;
 }
 
-static filter_step_t
-filter_permit (request_t *request)
+static filter_result_t
+filter_authorize (request_t *request)
 {
-  if (request->kind == KIND_SERVICE)
-    return filter_permit_service (request);
+  if (request->kind == REQUEST_KIND_SERVICE)
+    return authorize_service (request);
   return choose_candidates (request);
 }
 
-/* Estimated tokens, for queue and fairness.  */
+/* Return the estimated number of tokens, the cost used for queueing and fair
+   sharing.  */
 static uint32_t
-estimate_cost (const request_t *request)
+estimate_tokens (const request_t *request)
 {
-  uint64_t tokens = TOKENS_DEFAULT;
+  uint64_t tokens = OUTPUT_TOKENS_DEFAULT;
 
-  if (request->kind == KIND_SERVICE)
+  if (request->kind == REQUEST_KIND_SERVICE)
     return 1;
-  const json_t *bound = json_object_get (request->body, "max_tokens");
-  if (bound == NULL)
-    bound = json_object_get (request->body, "max_completion_tokens");
-  if (json_is_integer (bound) && json_integer_value (bound) > 0)
-    tokens = (uint64_t)json_integer_value (bound);
-  tokens += request->raw.len / BYTES_PER_TOKEN / 8;
-  return tokens < TOKENS_MAX ? (uint32_t)tokens : (uint32_t)TOKENS_MAX;
+  const json_t *limit = json_object_get (request->body_json, "max_tokens");
+  if (limit == NULL)
+    limit = json_object_get (request->body_json, "max_completion_tokens");
+  if (json_is_integer (limit) && json_integer_value (limit) > 0)
+    tokens = (uint64_t)json_integer_value (limit);
+  tokens += request->raw_body.len / BYTES_PER_TOKEN / 8;
+  return tokens < ESTIMATED_TOKENS_MAX ? (uint32_t)tokens
+                                       : (uint32_t)ESTIMATED_TOKENS_MAX;
 }
 
-/* What the request should be near to: its session, its earlier self, or
-   others with the same prompt prefix.  */
+/* Return the affinity key for the balancer: requests of the same session, with
+   the same idempotency key or with the same prompt prefix go to the same
+   upstreams.  */
 static uint64_t
-find_affinity (const request_t *request)
+compute_affinity (const request_t *request)
 {
-  str_t body = buf_str (&request->raw);
+  str_t body = buf_str (&request->raw_body);
 
-  if (request->session != NULL)
-    return str_hash (str_from (request->session), 2) | 1;
+  if (request->session_token != NULL)
+    return str_hash (str_from (request->session_token), 2) | 1;
   if (request->key_given)
     return str_hash (str_from (request->request_id), 3) | 1;
-  if (request->kind == KIND_CHAT && body.len > PREFIX_BYTES)
-    return str_hash (str_make (body.ptr, PREFIX_BYTES), 4) | 1;
+  if (request->kind == REQUEST_KIND_CHAT && body.len > AFFINITY_PREFIX_BYTES)
+    return str_hash (str_make (body.ptr, AFFINITY_PREFIX_BYTES), 4) | 1;
   return BALANCE_NO_AFFINITY;
 }
 
-static filter_step_t
-filter_measure (request_t *request)
+static filter_result_t
+filter_estimate (request_t *request)
 {
-  buf_append_str (&request->raw, httpd_body (request->http));
-  request->cost = estimate_cost (request);
-  request->affinity = find_affinity (request);
-  return FILTER_NEXT;
+  buf_append_str (&request->raw_body, httpd_body (request->http));
+  request->estimated_tokens = estimate_tokens (request);
+  request->affinity = compute_affinity (request);
+  return FILTER_CONTINUE;
 }
 
-typedef filter_step_t (*filter_t) (request_t *request);
+typedef filter_result_t (*filter_t) (request_t *request);
 
 static const filter_t chain[]
-    = { filter_decode,  filter_authenticate, filter_identify, filter_deadline,
-        filter_permit,  guard_poison,        choose_session,  filter_measure,
-        choose_version, guard_admit,         claim_filter,    dispatch_start };
+    = { filter_decode,       filter_authenticate, filter_identify,
+        filter_read_options, filter_authorize,    guard_poison,
+        choose_read_session, filter_estimate,     choose_version,
+        guard_admit,         claim_filter,        dispatch_start };
 
 void
 request_run (request_t *request)
 {
-  while (request->filter_at < sizeof chain / sizeof chain[0])
+  while (request->next_filter < sizeof chain / sizeof chain[0])
     {
-      filter_t filter = chain[request->filter_at++];
-      if (filter (request) != FILTER_NEXT)
+      filter_t filter = chain[request->next_filter++];
+      if (filter (request) != FILTER_CONTINUE)
         return;
     }
 }
 
 static void
-on_drained (void *arg)
+on_writable (void *arg)
 {
   dispatch_fetch (arg);
 }
 
 static void
-on_stopped (void *arg)
+on_caller_disconnected (void *arg)
 {
-  dispatch_departed (arg);
+  dispatch_caller_disconnected (arg);
 }
 
-/* Append one model or version that TEAM may use.  */
+/* Append the JSON object of the model or version ID.  */
 static void
 append_model (buf_t *body, str_t id, const model_t *model, bool *first)
 {
@@ -319,7 +329,7 @@
   *first = false;
 }
 
-/* GET /v1/models: what the team may use.  */
+/* Answer GET /v1/models with the versions that the team may use.  */
 static void
 list_models (request_t *request)
 {
@@ -357,12 +367,12 @@
   request->snapshot = snapshot_ref (entry->snapshot);
   list_init (&request->recalls);
   list_append (&entry->requests, &request->link);
-  httpd_watch (http, on_drained, on_stopped, request);
+  httpd_watch (http, on_writable, on_caller_disconnected, request);
   if (str_eq (httpd_path (http), STR ("/v1/models")))
     {
       if (!str_eq (httpd_method (http), STR ("GET")))
         answer_refuse (request, VH_E_BAD_METHOD);
-      else if (filter_authenticate (request) == FILTER_NEXT)
+      else if (filter_authenticate (request) == FILTER_CONTINUE)
         list_models (request);
       return;
     }
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -1,4 +1,4 @@
-/* The instances this entry knows, their connections, pools and load.  */
+/* The known instances with their connections, pools and load.  */
 
 #include "entry/entryint.h"
 
@@ -8,17 +8,17 @@
 
 enum
 {
-  /* Control traffic of idle connections: a ping and its answer are about 400
-     bytes, and an entry may spend 3 KB a second.  */
+  /* Control traffic of idle connections.  A ping and its reply take about 400
+     bytes; an entry may use 3 KB per second in all.  */
   PING_BYTES = 400,
   PING_BUDGET_BYTES_PER_S = 1500,
   PING_MIN_MS = 1000,
   PING_MAX_MS = 30000,
-  ENTRY_PEERS = 12,
-  HEARD_EVERY_MS = 1000,
-  SUBSET_ROOM = 512,
-  WANTED_MS = 1000,
-  PINGS_PER_TICK = 16
+  ENTRY_CONNECTIONS_MEAN = 12,
+  ALIVE_EVENT_INTERVAL_MS = 1000,
+  SUBSET_MAX = 512,
+  CHOOSE_CONNECTIONS_INTERVAL_MS = 1000,
+  PINGS_PER_TICK_MAX = 16
 };
 
 static void
@@ -33,7 +33,7 @@
 }
 
 pool_t *
-fleet_pool (entry_t *entry, str_t target)
+fleet_get_pool (entry_t *entry, str_t target)
 {
   const retry_config_t retries = { .share = entry->settings->retry_share,
                                    .burst = entry->settings->retry_burst };
@@ -54,7 +54,7 @@
 }
 
 member_t *
-fleet_member (entry_t *entry, upstream_id_t id)
+fleet_find_member (entry_t *entry, upstream_id_t id)
 {
   balance_info_t info;
 
@@ -73,21 +73,22 @@
 }
 
 static void
-learn_latency (pool_t *pool, uint64_t latency_us)
+record_latency (pool_t *pool, uint64_t latency_us)
 {
-  if (pool->latency_us == 0)
+  if (pool->latency_mean_us == 0)
     {
-      pool->latency_us = latency_us;
+      pool->latency_mean_us = latency_us;
       pool->latency_dev_us = latency_us / 2;
       return;
     }
-  uint64_t gap = latency_us > pool->latency_us ? latency_us - pool->latency_us
-                                               : pool->latency_us - latency_us;
-  pool->latency_us = (7 * pool->latency_us + latency_us) / 8;
-  pool->latency_dev_us = (3 * pool->latency_dev_us + gap) / 4;
+  uint64_t deviation = latency_us > pool->latency_mean_us
+                           ? latency_us - pool->latency_mean_us
+                           : pool->latency_mean_us - latency_us;
+  pool->latency_mean_us = (7 * pool->latency_mean_us + latency_us) / 8;
+  pool->latency_dev_us = (3 * pool->latency_dev_us + deviation) / 4;
 }
 
-/* Apply what the watch over POOL has decided.  */
+/* Apply the pending ejections and returns of POOL's outlier detection.  */
 static void
 apply_ejections (entry_t *entry, pool_t *pool)
 {
@@ -96,45 +97,46 @@
 
   while ((member = outlier_next_change (pool->outlier, &state)) != NULL)
     {
-      bool out = state == OUTLIER_EJECTED;
-      if (member->id != 0)
-        balance_set_mark (entry->balance, member->id, BALANCE_EJECTED, out);
+      bool is_ejected = state == OUTLIER_EJECTED;
+      if (member->upstream_id != 0)
+        balance_set_mark (entry->balance, member->upstream_id, BALANCE_EJECTED,
+                          is_ejected);
       log_notice ("entry", "%s. instance=%s pool=%s",
-                  out ? "Upstream is ejected" : "Upstream is let back",
+                  is_ejected ? "Upstream is ejected"
+                             : "Upstream is returned to service",
                   member->name, pool->name);
     }
 }
 
 void
-fleet_record (entry_t *entry, pool_t *pool, member_t *member, bool ok,
-              uint64_t latency_us, uint32_t units)
+fleet_record_result (entry_t *entry, pool_t *pool, member_t *member, bool ok,
+                     uint64_t latency_us, uint32_t units)
 {
   str_t name = str_from (member->name);
-  outlier_member_t *watched = map_get (pool->outlier_members, name);
+  outlier_member_t *outlier_member = map_get (pool->outlier_members, name);
 
   if (member->removed)
     return;
-  if (watched == NULL)
+  if (outlier_member == NULL)
     {
-      watched = outlier_add_member (pool->outlier, member);
-      map_put (pool->outlier_members, name, watched);
+      outlier_member = outlier_add_member (pool->outlier, member);
+      map_put (pool->outlier_members, name, outlier_member);
     }
-  /* Slow while its limit holds it low for coldness: judged by that it would
-     be ejected just when it is warm.  */
-  outlier_record (pool->outlier, watched, ok,
+  /* A warming upstream is slow because its concurrency limit is still low.  If
+     its latency were recorded, the upstream would be ejected just after it has
+     warmed up.  */
+  outlier_record (pool->outlier, outlier_member, ok,
                   member->load.warming ? 0 : latency_us, units);
   if (ok)
     {
-      learn_latency (pool, latency_us);
+      record_latency (pool, latency_us);
       retry_observe (pool->retry, latency_us);
     }
   apply_ejections (entry, pool);
 }
 
-/* Connections.  */
-
 static void
-tell (member_t *member, sight_t sight)
+report_event (member_t *member, sight_t sight)
 {
   const entry_t *entry = member->entry;
 
@@ -148,16 +150,16 @@
 {
   member_t *member = arg;
 
-  member->down = state != RPC_UP;
-  if (member->down)
-    tell (member, SIGHT_SILENT);
+  member->unreachable = state != RPC_UP;
+  if (member->unreachable)
+    report_event (member, SIGHT_SILENT);
   else
-    /* A request may have come before the first ping; what the process serves
-       and can do is only in its pong.  */
+    /* A request may open the connection before the first ping, but only the
+       reply to a ping lists the served targets and the features.  */
     rpc_peer_ping (member->peer);
-  if (member->id != 0)
-    balance_set_mark (member->entry->balance, member->id, BALANCE_UNREACHABLE,
-                      member->down);
+  if (member->upstream_id != 0)
+    balance_set_mark (member->entry->balance, member->upstream_id,
+                      BALANCE_UNREACHABLE, member->unreachable);
   log_info ("entry", "Connection is %s. instance=%s",
             state == RPC_UP       ? "up"
             : state == RPC_SILENT ? "silent"
@@ -166,7 +168,7 @@
 }
 
 static void
-set_serves (member_t *member, const str_t *serves, size_t count)
+set_served_targets (member_t *member, const str_t *serves, size_t count)
 {
   for (size_t i = 0; i < member->serves_count; i++)
     free ((char *)(uintptr_t)member->serves[i].ptr);
@@ -178,7 +180,7 @@
 }
 
 static bool
-same_serves (const member_t *member, const str_t *serves, size_t count)
+serves_same_targets (const member_t *member, const str_t *serves, size_t count)
 {
   if (member->serves_count != count)
     return false;
@@ -188,9 +190,9 @@
   return true;
 }
 
-/* Tell the balance what MEMBER serves and how it stands.  */
+/* Update the targets and the marks of MEMBER at the balancer.  */
 static void
-publish (member_t *member)
+update_balancer (member_t *member)
 {
   entry_t *entry = member->entry;
   const snapshot_t *snapshot = entry->snapshot;
@@ -198,22 +200,23 @@
   if (member->is_entry)
     return;
   for (size_t i = 0; i < member->serves_count; i++)
-    fleet_pool (entry, member->serves[i]);
-  member->id = balance_update (entry->balance, str_from (member->name),
-                               str_from (member->zone), member->serves,
-                               member->serves_count, member->id != 0);
-  balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
+    fleet_get_pool (entry, member->serves[i]);
+  member->upstream_id = balance_update (
+      entry->balance, str_from (member->name), str_from (member->zone),
+      member->serves, member->serves_count, member->upstream_id != 0);
+  balance_set_mark (entry->balance, member->upstream_id, BALANCE_DRAINING,
                     member->draining || member->leaving);
-  balance_set_mark (entry->balance, member->id, BALANCE_UNREACHABLE,
-                    member->down);
+  balance_set_mark (entry->balance, member->upstream_id, BALANCE_UNREACHABLE,
+                    member->unreachable);
   balance_set_mark (
-      entry->balance, member->id, BALANCE_DISABLED,
+      entry->balance, member->upstream_id, BALANCE_DISABLED,
       snapshot != NULL
           && !snapshot_instance_in (snapshot, str_from (member->name)));
 }
 
-/* What a sidecar says it serves goes before the platform's list, which lags
-   and may never have known.  */
+/* Process the reply to a ping.  The targets reported by a sidecar take
+   precedence over those in the platform's list, which may be late or
+   incomplete.  */
 static void
 on_pong (void *arg, const wire_ping_res_t *pong)
 {
@@ -221,19 +224,19 @@
   size_t count = pong->serves.serves_len;
 
   for (u_int i = 0; i < pong->suspects.suspects_len; i++)
-    guard_told (member->entry, &pong->suspects.suspects_val[i]);
+    guard_record_crash (member->entry, &pong->suspects.suspects_val[i]);
   member->features = pong->features;
   if (pong->orphans > 0)
-    peering_take_bills (member);
+    peering_fetch_orphaned_bills (member);
   if (member->is_entry || count == 0)
     return;
   str_t *serves = mem_zalloc (count * sizeof *serves);
   for (size_t i = 0; i < count; i++)
     serves[i] = str_from (pong->serves.serves_val[i]);
-  if (!same_serves (member, serves, count))
+  if (!serves_same_targets (member, serves, count))
     {
-      set_serves (member, serves, count);
-      publish (member);
+      set_served_targets (member, serves, count);
+      update_balancer (member);
     }
   free (serves);
 }
@@ -243,7 +246,7 @@
 static void
 member_free (member_t *member)
 {
-  set_serves (member, NULL, 0);
+  set_served_targets (member, NULL, 0);
   free (member->serves);
   rpc_peer_destroy (member->peer);
   free (member->name);
@@ -253,14 +256,14 @@
 }
 
 void
-fleet_unuse (member_t *member)
+fleet_member_unref (member_t *member)
 {
-  if (--member->in_use == 0 && member->removed)
+  if (--member->ref_count == 0 && member->removed)
     member_free (member);
 }
 
 static void
-set_idle_ping (entry_t *entry)
+set_idle_ping_interval (entry_t *entry)
 {
   uint64_t ms = map_size (entry->members) * PING_BYTES * 1000
                 / PING_BUDGET_BYTES_PER_S;
@@ -273,7 +276,7 @@
 }
 
 static void
-split_serves (member_t *member, str_t text)
+parse_served_targets (member_t *member, str_t text)
 {
   str_t list[WIRE_SERVES_MAX];
   size_t count = 0;
@@ -281,18 +284,18 @@
 
   while (rest.len > 0 && count < WIRE_SERVES_MAX)
     {
-      str_t one = str_trim (str_cut (rest, ',', &rest));
-      if (str_starts (one, STR ("service:")))
-        one = str_make (one.ptr + 8, one.len - 8);
-      if (one.len > 0)
-        list[count++] = one;
+      str_t target = str_trim (str_cut (rest, ',', &rest));
+      if (str_starts (target, STR ("service:")))
+        target = str_make (target.ptr + 8, target.len - 8);
+      if (target.len > 0)
+        list[count++] = target;
     }
   if (count > 0)
-    set_serves (member, list, count);
+    set_served_targets (member, list, count);
 }
 
-/* Forget MEMBER: at once, or when the last request that points at it ends.
-   Its calls are given back first.  */
+/* Remove MEMBER from the maps and from the balancer.  The memory is freed when
+   the last reference is dropped.  */
 static void
 member_remove (member_t *member)
 {
@@ -302,19 +305,19 @@
 
   map_remove (entry->members, str_from (member->name));
   balance_remove (entry->balance, str_from (member->name));
-  member->id = 0;
+  member->upstream_id = 0;
   while (map_next (entry->pools, &cursor, NULL, &value))
     {
       pool_t *pool = value;
-      outlier_member_t *watched
+      outlier_member_t *outlier_member
           = map_remove (pool->outlier_members, str_from (member->name));
-      if (watched != NULL)
-        outlier_remove_member (pool->outlier, watched);
+      if (outlier_member != NULL)
+        outlier_remove_member (pool->outlier, outlier_member);
     }
   member->removed = true;
-  if (member->in_use == 0)
+  if (member->ref_count == 0)
     member_free (member);
-  set_idle_ping (entry);
+  set_idle_ping_interval (entry);
 }
 
 void
@@ -353,69 +356,73 @@
           = rpc_peer_create (entry->node, row->address, &peer_events, member);
       if (member->peer == NULL)
         {
-          log_warning ("entry",
-                       "An instance's address is not valid. "
-                       "instance=%s address=%s",
-                       member->name, member->address);
+          log_warning (
+              "entry",
+              "The address of an instance is not valid; the instance is "
+              "ignored. instance=%s address=%s",
+              member->name, member->address);
           member_free (member);
           return;
         }
       map_put (entry->members, row->name, member);
-      set_idle_ping (entry);
-      entry->wanted_ms = 0;
+      set_idle_ping_interval (entry);
+      entry->connections_chosen_ms = 0;
     }
   member->leaving = row->state == INSTANCE_LEAVING;
   if (member->serves_count == 0)
-    split_serves (member, row->serves);
-  publish (member);
+    parse_served_targets (member, row->serves);
+  update_balancer (member);
 }
 
 void
-fleet_see (entry_t *entry, rpc_peer_t *peer, const wire_context_t *context)
+fleet_on_context (entry_t *entry, rpc_peer_t *peer,
+                  const wire_context_t *context)
 {
   member_t *member = rpc_peer_arg (peer);
-  uint64_t mine
+  uint64_t own_revision
       = entry->snapshot != NULL ? snapshot_revision (entry->snapshot) : 0;
 
   if (member == NULL || member->removed)
     return;
   member->revision = context->revision;
-  member->confirmed_ms = context->confirmed_ms;
+  member->confirmation_age_ms = context->confirmed_ms;
   member->load = context->load;
   if (member->epoch != 0 && member->epoch != context->epoch)
-    tell (member, SIGHT_RESTARTED);
+    report_event (member, SIGHT_RESTARTED);
   member->epoch = context->epoch;
   uint64_t now_ms = clock_ms (entry->clock);
-  if (now_ms - member->told_ms >= HEARD_EVERY_MS)
+  if (now_ms - member->last_alive_event_ms >= ALIVE_EVENT_INTERVAL_MS)
     {
-      member->told_ms = now_ms;
-      tell (member, SIGHT_HEARD);
+      member->last_alive_event_ms = now_ms;
+      report_event (member, SIGHT_HEARD);
     }
   if (member->draining != (bool)context->draining)
     {
       member->draining = context->draining;
-      tell (member, member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
-      if (member->id != 0)
-        balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
+      report_event (member,
+                    member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
+      if (member->upstream_id != 0)
+        balance_set_mark (entry->balance, member->upstream_id,
+                          BALANCE_DRAINING,
                           member->draining || member->leaving);
     }
-  if (member->id != 0)
+  if (member->upstream_id != 0)
     {
       const balance_load_t load = { .in_flight = context->load.in_flight,
                                     .slots = context->load.limit };
-      balance_record_load (entry->balance, member->id, &load, 0);
+      balance_record_load (entry->balance, member->upstream_id, &load, 0);
     }
-  if (context->revision < mine)
-    peering_push (member, context->revision);
-  else if (context->revision > mine)
-    peering_pull (member);
+  if (context->revision < own_revision)
+    peering_push_config (member, context->revision);
+  else if (context->revision > own_revision)
+    peering_pull_config (member);
   else if (member->is_entry)
-    entry->options.host->confirm (entry->options.arg, mine,
+    entry->options.host->confirm (entry->options.arg, own_revision,
                                   context->confirmed_ms);
 }
 
 void
-fleet_configured (entry_t *entry)
+fleet_config_changed (entry_t *entry)
 {
   size_t cursor = 0;
   void *value;
@@ -428,36 +435,40 @@
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
-      publish (member);
-      /* A change goes at once from the entry that ranks first for a member;
-         the others find out with their next message whether it came.  */
+      update_balancer (member);
+      /* The entry that ranks first for a member pushes a new configuration at
+         once.  Other entries push only if a later message of the member still
+         reports an old revision.  */
       if (rpc_peer_state (member->peer) == RPC_UP
           && peering_ranks_first (member))
-        peering_push (member, member->revision);
+        peering_push_config (member, member->revision);
     }
 }
 
-/* The rank of the entry NAME in the own zone; lower comes first.  */
+/* Return the priority of entry NAME for the shared duties of this entry's
+   zone; a higher value ranks first.  */
 static uint64_t
-duty_rank (const entry_t *entry, str_t name)
+duty_priority (const entry_t *entry, str_t name)
 {
   return str_hash (name, str_hash (entry->settings->zone, 6));
 }
 
-/* Tell whether a connection to the entry MEMBER is kept: to a dozen of them
-   on average, so that what entries tell each other reaches all in a few
-   rounds, and to the first of the own zone, whose duties others take over.  */
+/* Tell whether this entry keeps a connection to the entry MEMBER.  Connections
+   are kept to twelve entries on average, so that an update reaches all entries
+   in a few rounds, and to the entries of the same zone with the highest duty
+   priority, so that their duties are taken over when they fail.  */
 static bool
-wants_entry (const member_t *member, size_t entries)
+is_chosen_peer (const member_t *member, size_t entries)
 {
   const entry_t *entry = member->entry;
   str_t name = str_from (member->name);
-  uint64_t draw = str_hash (name, str_hash (entry->settings->name, 9));
+  uint64_t hash = str_hash (name, str_hash (entry->settings->name, 9));
 
-  if (entries <= ENTRY_PEERS || draw % entries < ENTRY_PEERS)
+  if (entries <= ENTRY_CONNECTIONS_MEAN
+      || hash % entries < ENTRY_CONNECTIONS_MEAN)
     return true;
   return str_eq (str_from (member->zone), entry->settings->zone)
-         && duty_rank (entry, name) > UINT64_MAX - UINT64_MAX / 16;
+         && duty_priority (entry, name) > UINT64_MAX - UINT64_MAX / 16;
 }
 
 static size_t
@@ -472,11 +483,12 @@
   return count;
 }
 
-/* Choose whom to keep connections to: the balance's subset of each pool.  */
+/* Choose the members to keep connections to: some entries, and the balancer's
+   subset of each pool.  */
 static void
-choose_wanted (entry_t *entry)
+choose_connections (entry_t *entry)
 {
-  upstream_id_t ids[SUBSET_ROOM];
+  upstream_id_t ids[SUBSET_MAX];
   size_t entries = count_entries (entry);
   size_t cursor = 0;
   void *value;
@@ -484,44 +496,45 @@
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
-      /* One without any pool yet must be asked what it serves.  */
-      member->wanted = member->is_entry ? wants_entry (member, entries)
-                                        : member->serves_count == 0;
+      /* A sidecar whose targets are unknown is pinged for them.  */
+      member->keep_connected = member->is_entry
+                                   ? is_chosen_peer (member, entries)
+                                   : member->serves_count == 0;
     }
   cursor = 0;
   while (map_next (entry->pools, &cursor, NULL, &value))
     {
       const pool_t *pool = value;
       size_t count
-          = balance_subset (entry->balance, pool->id, ids, SUBSET_ROOM);
-      for (size_t i = 0; i < count && i < SUBSET_ROOM; i++)
+          = balance_subset (entry->balance, pool->id, ids, SUBSET_MAX);
+      for (size_t i = 0; i < count && i < SUBSET_MAX; i++)
         {
-          member_t *member = fleet_member (entry, ids[i]);
+          member_t *member = fleet_find_member (entry, ids[i]);
           if (member != NULL)
-            member->wanted = true;
+            member->keep_connected = true;
         }
     }
 }
 
-/* Connect to whom is wanted, and see whether those that were down are back, a
-   bounded number at a time.  */
+/* Ping chosen members without a connection, and unreachable members, a bounded
+   number of them per tick.  A ping opens the connection.  */
 static void
-ping_unconnected (entry_t *entry, uint64_t now_ms)
+ping_disconnected (entry_t *entry, uint64_t now_ms)
 {
   size_t cursor = 0;
-  size_t room = PINGS_PER_TICK;
+  size_t pings_left = PINGS_PER_TICK_MAX;
   void *value;
 
-  while (room > 0 && map_next (entry->members, &cursor, NULL, &value))
+  while (pings_left > 0 && map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
       if (rpc_peer_state (member->peer) == RPC_UP
-          || !(member->wanted || member->down)
-          || now_ms - member->pinged_ms < PING_MIN_MS)
+          || !(member->keep_connected || member->unreachable)
+          || now_ms - member->last_ping_ms < PING_MIN_MS)
         continue;
-      member->pinged_ms = now_ms;
+      member->last_ping_ms = now_ms;
       rpc_peer_ping (member->peer);
-      room--;
+      pings_left--;
     }
 }
 
@@ -531,12 +544,12 @@
   size_t cursor = 0;
   void *value;
 
-  if (now_ms - entry->wanted_ms >= WANTED_MS)
+  if (now_ms - entry->connections_chosen_ms >= CHOOSE_CONNECTIONS_INTERVAL_MS)
     {
-      entry->wanted_ms = now_ms;
-      choose_wanted (entry);
+      entry->connections_chosen_ms = now_ms;
+      choose_connections (entry);
     }
-  ping_unconnected (entry, now_ms);
+  ping_disconnected (entry, now_ms);
   while (map_next (entry->pools, &cursor, NULL, &value))
     {
       pool_t *pool = value;
@@ -555,7 +568,7 @@
 size_t
 entry_rank (const entry_t *entry)
 {
-  uint64_t mine = duty_rank (entry, entry->settings->name);
+  uint64_t own_revision = duty_priority (entry, entry->settings->name);
   size_t rank = 0;
   size_t cursor = 0;
   void *value;
@@ -563,10 +576,10 @@
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       const member_t *member = value;
-      if (member->is_entry && !member->down && !member->draining
+      if (member->is_entry && !member->unreachable && !member->draining
           && !member->leaving
           && str_eq (str_from (member->zone), entry->settings->zone)
-          && duty_rank (entry, str_from (member->name)) > mine)
+          && duty_priority (entry, str_from (member->name)) > own_revision)
         rank++;
     }
   return rank;
@@ -580,7 +593,8 @@
 
   while (map_next (entry->members, &cursor, NULL, &value))
     {
-      /* Calls in flight hold the member; they end here.  */
+      /* Calls in flight hold references to the member; destroying the peer
+         cancels them.  */
       rpc_peer_destroy (((member_t *)value)->peer);
       member_remove (value);
       cursor = 0;
@@ -605,14 +619,14 @@
 }
 
 static void
-member_status (const member_t *member, uint64_t now_ms, buf_t *out)
+member_status (const member_t *member, uint64_t now_ms, buf_t *is_ejected)
 {
   balance_info_t info = { 0 };
   uint64_t heard_ms = rpc_peer_heard_ms (member->peer);
 
-  if (member->id != 0)
-    balance_info (member->entry->balance, member->id, &info);
-  buf_printf (out,
+  if (member->upstream_id != 0)
+    balance_info (member->entry->balance, member->upstream_id, &info);
+  buf_printf (is_ejected,
               "{\"name\":\"%s\",\"role\":\"%s\",\"zone\":\"%s\","
               "\"state\":\"%s\",\"revision\":%llu,\"heard_ms_ago\":%llu,"
               "\"in_flight\":%u,\"limit\":%u,\"queue\":%u,\"serves\":[",
@@ -622,26 +636,26 @@
               (unsigned long long)(heard_ms > 0 ? now_ms - heard_ms : 0),
               member->load.in_flight, member->load.limit, member->load.queued);
   for (size_t i = 0; i < member->serves_count; i++)
-    buf_printf (out, "%s\"%.*s\"", i > 0 ? "," : "",
+    buf_printf (is_ejected, "%s\"%.*s\"", i > 0 ? "," : "",
                 STR_ARG (member->serves[i]));
-  buf_printf (out, "]}");
+  buf_printf (is_ejected, "]}");
 }
 
 void
-fleet_status (entry_t *entry, buf_t *out)
+fleet_status (entry_t *entry, buf_t *is_ejected)
 {
   uint64_t now_ms = clock_ms (entry->clock);
   size_t cursor = 0;
   bool first = true;
   void *value;
 
-  buf_printf (out, "\"peers\":[");
+  buf_printf (is_ejected, "\"peers\":[");
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       if (!first)
-        buf_append_char (out, ',');
+        buf_append_char (is_ejected, ',');
       first = false;
-      member_status (value, now_ms, out);
+      member_status (value, now_ms, is_ejected);
     }
-  buf_printf (out, "]");
+  buf_printf (is_ejected, "]");
 }
--- a/packages/entry/guard.c
+++ b/packages/entry/guard.c
@@ -1,5 +1,5 @@
-/* Requests kept out before they are dispatched: those that end their
-   upstreams, and those over their team's share while the fleet is full.  */
+/* Refusal of requests before dispatch: requests that crash upstreams, and
+   requests above the share of their team while the fleet is at capacity.  */
 
 #include "entry/entryint.h"
 
@@ -7,26 +7,27 @@
 
 enum
 {
-  /* Domains of the keys, so that a digest is never taken for a request.  */
-  DOMAIN_DIGEST = 1,
-  DOMAIN_REQUEST = 2
+  /* High halves of the keys, so that a digest and a request id never have
+     equal keys.  */
+  KEY_DOMAIN_DIGEST = 1,
+  KEY_DOMAIN_REQUEST_ID = 2
 };
 
 static poison_key_t
-digest_key (uint64_t digest)
+make_digest_key (uint64_t digest)
 {
-  return (poison_key_t){ DOMAIN_DIGEST, digest };
+  return (poison_key_t){ KEY_DOMAIN_DIGEST, digest };
 }
 
 static poison_key_t
-request_key (uint64_t request)
+make_request_key (uint64_t request_id_hash)
 {
-  return (poison_key_t){ DOMAIN_REQUEST, request };
+  return (poison_key_t){ KEY_DOMAIN_REQUEST_ID, request_id_hash };
 }
 
-/* The hash that sidecars make of a team and a request id.  */
+/* Return the hash of team and request id.  Sidecars compute the same hash.  */
 static uint64_t
-request_hash (const request_t *request)
+hash_request_id (const request_t *request)
 {
   buf_t text = BUF_NULL;
 
@@ -37,49 +38,50 @@
   return hash;
 }
 
-filter_step_t
+filter_result_t
 guard_poison (request_t *request)
 {
-  poison_class_t verdict
-      = poison_classify (request->entry->poison, digest_key (request->digest),
-                         request_key (request_hash (request)));
+  poison_class_t poison_class = poison_classify (
+      request->entry->poison, make_digest_key (request->digest),
+      make_request_key (hash_request_id (request)));
 
-  if (verdict == POISON_REFUSED)
+  if (poison_class == POISON_REFUSED)
     return answer_refuse (request, VH_E_POISON);
-  request->suspect = verdict == POISON_SUSPECT;
-  return FILTER_NEXT;
+  request->is_suspect = poison_class == POISON_SUSPECT;
+  return FILTER_CONTINUE;
 }
 
 void
-guard_told (entry_t *entry, const wire_suspect_t *suspect)
+guard_record_crash (entry_t *entry, const wire_suspect_t *suspect)
 {
-  poison_record_crash (entry->poison, digest_key (suspect->digest),
-                       request_key (suspect->request), suspect->death);
+  poison_record_crash (entry->poison, make_digest_key (suspect->digest),
+                       make_request_key (suspect->request), suspect->death);
 }
 
 void
-guard_died (request_t *request, uint64_t death)
+guard_upstream_crashed (request_t *request, uint64_t crash_id)
 {
   const wire_suspect_t suspect
-      = { request->digest, request_hash (request), death };
+      = { request->digest, hash_request_id (request), crash_id };
 
-  guard_told (request->entry, &suspect);
-  /* The caller may send it again through another entry within
+  guard_record_crash (request->entry, &suspect);
+  /* The caller may send the request again through another entry within
      milliseconds.  */
-  learn_spread (request->entry);
+  learn_broadcast (request->entry);
 }
 
 void
 guard_write (const entry_t *entry, buf_t *out)
 {
   size_t cursor = 0;
-  poison_record_t mark;
-
-  while (poison_next_record (entry->poison, &cursor, &mark))
-    buf_printf (
-        out, "%llu %llu %llu %llu\n", (unsigned long long)mark.key.high,
-        (unsigned long long)mark.key.low, (unsigned long long)mark.crash_id,
-        (unsigned long long)mark.age_ms);
+  poison_record_t record;
+
+  while (poison_next_record (entry->poison, &cursor, &record))
+    buf_printf (out, "%llu %llu %llu %llu\n",
+                (unsigned long long)record.key.high,
+                (unsigned long long)record.key.low,
+                (unsigned long long)record.crash_id,
+                (unsigned long long)record.age_ms);
 }
 
 void
@@ -87,19 +89,19 @@
 {
   while (bytes.len > 0)
     {
-      poison_record_t mark = { 0 };
+      poison_record_t record = { 0 };
       str_t line = str_cut (bytes, '\n', &bytes);
-      uint64_t *fields[]
-          = { &mark.key.high, &mark.key.low, &mark.crash_id, &mark.age_ms };
+      uint64_t *fields[] = { &record.key.high, &record.key.low,
+                             &record.crash_id, &record.age_ms };
       for (size_t i = 0; i < sizeof fields / sizeof fields[0]; i++)
         if (!str_to_u64 (str_cut (line, ' ', &line), fields[i]))
           return;
-      poison_merge (entry->poison, &mark);
+      poison_merge (entry->poison, &record);
     }
 }
 
 static queue_priority_t
-priority_of (const request_t *request)
+queue_priority (const request_t *request)
 {
   static const queue_priority_t priorities[]
       = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
@@ -109,17 +111,17 @@
   return priorities[request->priority];
 }
 
-filter_step_t
+filter_result_t
 guard_admit (request_t *request)
 {
   admission_t *admission = request->pool->admission;
   str_t team = request->team->name;
 
   admission_set_weight (admission, team, request->team->weight);
-  vh_code_t code = admission_decide (admission, team, request->cost,
-                                     priority_of (request));
+  vh_code_t code = admission_decide (
+      admission, team, request->estimated_tokens, queue_priority (request));
   if (code == VH_OK)
-    return FILTER_NEXT;
+    return FILTER_CONTINUE;
   request->retry_after_ms
       = 1000ull * admission_retry_after_s (admission, team);
   return answer_refuse (request, code);
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -1,11 +1,14 @@
-/* The entry that steps roll-outs and keeps what was learned.
-
-   One entry at a time, under the lease "learn".  Roll-outs' states stand in
-   table rows, written in transactions conditional on the lease, so that a
-   holder paused past its term takes no decision back.  Evidence for quality
-   and cascade stands in two objects; it is merged, so an older copy written
-   late costs at most the evidence since.  Every entry reads all of it once
-   when it starts, and goes on by exchange with the others.  */
+/* Duties of the leader: steps of the roll-outs, and storage of the learned
+   evidence.
+
+   One entry at a time is the leader; it holds the lease "learn".  The states
+   of the roll-outs are stored in table rows, which are written in transactions
+   conditional on the lease, so that a holder that was paused beyond its term
+   cannot revert a later decision.  The evidence, such as that for
+   quality and cascades, is stored in one object.  Evidence is merged, so an
+   older copy that is written late loses at most the evidence added since.
+   Every entry loads both once at its start, and then exchanges evidence with
+   the other entries.  */
 
 #include "entry/entryint.h"
 
@@ -17,105 +20,105 @@
 
 enum
 {
-  STEP_MS = 500,
-  SAVE_MS = 30000,
-  LOAD_RETRY_MS = 2000,
+  ROLLOUT_STEP_INTERVAL_MS = 500,
+  EVIDENCE_SAVE_INTERVAL_MS = 30000,
+  LOAD_RETRY_INTERVAL_MS = 2000,
   LEASE_TERM_MS = 10000,
-  SCAN_LIMIT = 100,
-  PATIENCE_MS = 10000
+  ROLLOUT_ROWS_MAX = 100,
+  STORE_TIMEOUT_MS = 10000
 };
 
-static const char row_prefix[] = "learn/rollout/";
+static const char rollout_row_prefix[] = "learn/rollout/";
 
-struct lead
+struct leader
 {
   entry_t *entry;
   control_env_t env;
   store_t *store;
   lease_t *lease;
-  bool loading;
-  bool loaded;
-  bool asking;          /* For the evidence.  */
-  bool evidence_loaded; /* Since the lease was taken.  */
-  bool ended;
-  uint64_t load_at_ms;
-  uint64_t stepped_ms;
-  uint64_t saved_ms;
+  bool loading_rollouts;
+  bool rollouts_loaded;
+  bool loading_evidence;
+  bool evidence_loaded; /* Evidence was loaded under the current lease.  */
+  bool destroyed;
+  uint64_t next_load_ms;
+  uint64_t last_step_ms;
+  uint64_t last_save_ms;
 };
 
-static void load_evidence (lead_t *lead);
+static void load_evidence (leader_t *leader);
 
 static void
 on_lease (void *owner, bool held)
 {
-  lead_t *lead = owner;
+  leader_t *leader = owner;
 
-  /* Folding what one knows less of than the last holder did would lose what
-     that one had: read it first.  */
-  lead->evidence_loaded = false;
+  /* The evidence of the previous holder is loaded first: a compaction without
+     that evidence would lose it.  */
+  leader->evidence_loaded = false;
   if (held)
-    load_evidence (lead);
+    load_evidence (leader);
   log_notice ("entry", "%s",
               held ? "This entry steps the roll-outs now."
                    : "This entry steps the roll-outs no longer.");
 }
 
-lead_t *
-lead_create (entry_t *entry)
+leader_t *
+leader_create (entry_t *entry)
 {
-  lead_t *lead = mem_zalloc (sizeof *lead);
+  leader_t *leader = mem_zalloc (sizeof *leader);
   char holder[64];
 
-  lead->entry = entry;
-  lead->env
+  leader->entry = entry;
+  leader->env
       = (control_env_t){ entry->loop, entry->clock, entry->options.platform,
                          rng_u64 (&entry->rng) };
-  lead->store = store_create (&lead->env);
+  leader->store = store_create (&leader->env);
   const lease_options_t options
-      = { .term_ms = LEASE_TERM_MS, .changed = on_lease, .owner = lead };
+      = { .term_ms = LEASE_TERM_MS, .changed = on_lease, .owner = leader };
   snprintf (holder, sizeof holder, "%016llx",
             (unsigned long long)rpc_node_epoch (entry->node));
-  lead->lease
-      = lease_create (&lead->env, STR ("learn"), str_from (holder), &options);
-  return lead;
+  leader->lease = lease_create (&leader->env, STR ("learn"), str_from (holder),
+                                &options);
+  return leader;
 }
 
-/* Release LEAD once the platform owes it no answer.  */
+/* Free LEADER; no callback of the platform may be outstanding.  */
 static void
-lead_free (lead_t *lead)
+leader_free (leader_t *leader)
 {
-  free (lead);
+  free (leader);
 }
 
 void
-lead_destroy (lead_t *lead)
+leader_destroy (leader_t *leader)
 {
-  if (lead == NULL)
+  if (leader == NULL)
     return;
-  lead->ended = true;
-  lease_destroy (lead->lease);
-  store_destroy (lead->store);
-  lead->lease = NULL;
-  lead->store = NULL;
-  if (!lead->asking)
-    lead_free (lead);
+  leader->destroyed = true;
+  lease_destroy (leader->lease);
+  store_destroy (leader->store);
+  leader->lease = NULL;
+  leader->store = NULL;
+  if (!leader->loading_evidence)
+    leader_free (leader);
 }
 
 lease_t *
-lead_lease (lead_t *lead)
+leader_lease (leader_t *leader)
 {
-  return lead->lease;
+  return leader->lease;
 }
 
 lease_t *
 entry_lease (entry_t *entry)
 {
-  return entry->lead->lease;
+  return entry->leader->lease;
 }
 
-/* Rows are text: state bytes travel in hexadecimal.  */
+/* Decode the state of a roll-out, which rows hold in hexadecimal.  */
 static bool
-unhex (str_t text, buf_t *out)
+decode_hex (str_t text, buf_t *out)
 {
   if (text.len % 2 != 0)
     return false;
@@ -127,17 +130,17 @@
 }
 
 static void
-load_row (lead_t *lead, const row_t *row)
+load_rollout_row (leader_t *leader, const row_t *row)
 {
-  entry_t *entry = lead->entry;
-  str_t version = str_make (row->key.ptr + sizeof row_prefix - 1,
-                            row->key.len - (sizeof row_prefix - 1));
+  entry_t *entry = leader->entry;
+  str_t version = str_make (row->key.ptr + sizeof rollout_row_prefix - 1,
+                            row->key.len - (sizeof rollout_row_prefix - 1));
   buf_t state = BUF_NULL;
   uint64_t start_ms;
-  str_t hex;
+  str_t state_hex;
 
-  if (str_to_u64 (str_cut (row->value, ' ', &hex), &start_ms)
-      && unhex (hex, &state))
+  if (str_to_u64 (str_cut (row->value, ' ', &state_hex), &start_ms)
+      && decode_hex (state_hex, &state))
     {
       learn_rollout_t *rollout = learn_rollout_put (entry, version, start_ms);
       if (rollout != NULL)
@@ -148,84 +151,90 @@
 }
 
 static void
-on_rows (void *arg, vh_code_t code, const row_t *rows, size_t count, bool more)
+on_rollout_rows (void *arg, vh_code_t code, const row_t *rows, size_t count,
+                 bool more)
 {
-  lead_t *lead = arg;
+  leader_t *leader = arg;
 
   (void)more;
-  lead->loading = false;
+  leader->loading_rollouts = false;
   if (code != VH_OK)
     return;
   for (size_t i = 0; i < count; i++)
-    load_row (lead, &rows[i]);
-  lead->loaded = true;
+    load_rollout_row (leader, &rows[i]);
+  leader->rollouts_loaded = true;
 }
 
 static void
-on_evidence (void *arg, vh_code_t code, str_t bytes)
+on_evidence_loaded (void *arg, vh_code_t code, str_t bytes)
 {
-  lead_t *lead = arg;
+  leader_t *leader = arg;
 
-  if (lead->ended)
+  if (leader->destroyed)
     {
-      lead_free (lead);
+      leader_free (leader);
       return;
     }
-  lead->asking = false;
+  leader->loading_evidence = false;
   if (code == VH_OK)
-    learn_merge (lead->entry, bytes);
-  lead->evidence_loaded = code == VH_OK || code == VH_E_NOT_FOUND;
+    learn_merge (leader->entry, bytes);
+  leader->evidence_loaded = code == VH_OK || code == VH_E_NOT_FOUND;
 }
 
 static void
-load_evidence (lead_t *lead)
+load_evidence (leader_t *leader)
 {
-  platform_t *platform = lead->entry->options.platform;
+  platform_t *platform = leader->entry->options.platform;
 
-  if (lead->asking)
+  if (leader->loading_evidence)
     return;
-  lead->asking = true;
-  platform->ops->object_get (platform, STR ("learn-evidence"), on_evidence,
-                             lead);
+  leader->loading_evidence = true;
+  platform->ops->object_get (platform, STR ("learn-evidence"),
+                             on_evidence_loaded, leader);
 }
 
 static void
-load (lead_t *lead, uint64_t now_ms)
+load_state (leader_t *leader, uint64_t now_ms)
 {
-  entry_t *entry = lead->entry;
+  entry_t *entry = leader->entry;
 
-  if (lead->loading || now_ms < lead->load_at_ms)
+  if (leader->loading_rollouts || now_ms < leader->next_load_ms)
     return;
-  lead->loading = true;
-  lead->load_at_ms = now_ms + rng_jitter (&entry->rng, 2 * LOAD_RETRY_MS);
-  store_scan (lead->store, STR (row_prefix), STR (""), SCAN_LIMIT, on_rows,
-              lead);
-  load_evidence (lead);
+  leader->loading_rollouts = true;
+  leader->next_load_ms
+      = now_ms + rng_jitter (&entry->rng, 2 * LOAD_RETRY_INTERVAL_MS);
+  store_scan (leader->store, STR (rollout_row_prefix), STR (""),
+              ROLLOUT_ROWS_MAX, on_rollout_rows, leader);
+  load_evidence (leader);
 }
 
 static void
-on_saved (void *arg, vh_code_t code, uint64_t revision, str_t conflict_key)
+on_rollout_saved (void *arg, vh_code_t code, uint64_t revision,
+                  str_t conflict_key)
 {
   (void)arg;
   (void)revision;
   (void)conflict_key;
   if (code != VH_OK)
-    log_warning ("entry", "A roll-out's state was not kept. code=%d",
+    log_warning ("entry",
+                 "The state of a roll-out was not written to the store. "
+                 "code=%d",
                  (int)code);
 }
 
-/* Keep ROLLOUT's state, if this entry still leads.  */
+/* Write the state of ROLLOUT on the condition that this entry still holds the
+   lease.  */
 static void
-save (lead_t *lead, const learn_rollout_t *rollout)
+save_rollout (leader_t *leader, const learn_rollout_t *rollout)
 {
   buf_t key = BUF_NULL, value = BUF_NULL, state = BUF_NULL, token = BUF_NULL;
 
   rollout_write (rollout->run, false, &state);
-  buf_printf (&key, "%s%s", row_prefix, rollout->version);
+  buf_printf (&key, "%s%s", rollout_row_prefix, rollout->version);
   buf_printf (&value, "%llu ", (unsigned long long)rollout->start_ms);
   buf_append_hex (&value, state.ptr, state.len);
-  store_token (lead->store, &token);
-  const txn_condition_t condition = lease_condition (lead->lease);
+  store_token (leader->store, &token);
+  const txn_condition_t condition = lease_condition (leader->lease);
   const txn_write_t write
       = { .key = buf_str (&key), .value = buf_str (&value) };
   const txn_t txn = { .conditions = &condition,
@@ -233,17 +242,17 @@
                       .writes = &write,
                       .write_count = 1,
                       .token = buf_str (&token) };
-  store_txn (lead->store, &txn, PATIENCE_MS, on_saved, lead);
+  store_txn (leader->store, &txn, STORE_TIMEOUT_MS, on_rollout_saved, leader);
   buf_free (&key);
   buf_free (&value);
   buf_free (&state);
   buf_free (&token);
 }
 
-/* Apply what the operators want of CONFIGURED.  Return true when the state
-   changed.  */
+/* Pause, abort or resume RUN according to the state that the operators set in
+   CONFIGURED.  Return true if the phase of RUN changed.  */
 static bool
-follow_orders (const rollout_t *configured, rollout_run_t *run)
+apply_configured_state (const rollout_t *configured, rollout_run_t *run)
 {
   switch (configured->state)
     {
@@ -259,86 +268,91 @@
 }
 
 static void
-step_one (lead_t *lead, const rollout_t *configured)
+step_rollout (leader_t *leader, const rollout_t *configured)
 {
-  entry_t *entry = lead->entry;
+  entry_t *entry = leader->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
   learn_rollout_t *rollout
       = learn_rollout_find (entry, configured->version->name);
-  bool wanted = configured->state == ROLLOUT_RUNNING;
-  bool is_new
-      = rollout == NULL
-        || (wanted && rollout_phase (rollout->run) == ROLLOUT_PHASE_ABORTED);
+  bool should_run = configured->state == ROLLOUT_RUNNING;
+  bool is_new = rollout == NULL
+                || (should_run
+                    && rollout_phase (rollout->run) == ROLLOUT_PHASE_ABORTED);
 
   if (is_new)
     {
-      if (!wanted)
+      if (!should_run)
         return;
       rollout = learn_rollout_put (entry, configured->version->name, now_ms);
       if (rollout == NULL)
         return;
-      log_notice ("entry", "A roll-out begins. version=%s", rollout->version);
+      log_notice ("entry", "A roll-out starts. version=%s", rollout->version);
     }
-  bool changed = follow_orders (configured, rollout->run);
+  bool changed = apply_configured_state (configured, rollout->run);
   changed = rollout_decide (rollout->run, now_ms) || changed;
   if (!changed && !is_new)
     return;
   buf_t reason = BUF_NULL;
   rollout_explain (rollout->run, &reason);
-  log_notice ("entry", "A roll-out moved. version=%s state=%s why=\"%.*s\"",
+  log_notice ("entry",
+              "A roll-out changed its state. version=%s state=%s "
+              "why=\"%.*s\"",
               rollout->version,
               rollout_phase_name (rollout_phase (rollout->run)),
               STR_ARG (buf_str (&reason)));
   buf_free (&reason);
-  save (lead, rollout);
-  learn_spread (entry);
+  save_rollout (leader, rollout);
+  learn_broadcast (entry);
 }
 
 static void
-on_object_saved (void *arg, vh_code_t code, str_t bytes)
+on_evidence_saved (void *arg, vh_code_t code, str_t bytes)
 {
   (void)arg;
   (void)bytes;
   if (code != VH_OK && code != VH_E_CANCELLED)
-    log_info ("entry", "Evidence was not kept. code=%d", (int)code);
+    log_info ("entry",
+              "The learned evidence was not written to the store. code=%d",
+              (int)code);
 }
 
 static void
-save_evidence (lead_t *lead)
+save_evidence (leader_t *leader)
 {
-  entry_t *entry = lead->entry;
+  entry_t *entry = leader->entry;
   platform_t *platform = entry->options.platform;
   buf_t rows = BUF_NULL;
 
   learn_write (entry, false, &rows);
   platform->ops->object_put (platform, STR ("learn-evidence"), buf_str (&rows),
-                             on_object_saved, NULL);
+                             on_evidence_saved, NULL);
   buf_free (&rows);
 }
 
 void
-lead_tick (lead_t *lead, uint64_t now_ms)
+leader_tick (leader_t *leader, uint64_t now_ms)
 {
-  entry_t *entry = lead->entry;
+  entry_t *entry = leader->entry;
   const rollout_t *configured;
 
-  if (!lead->loaded)
-    load (lead, now_ms);
-  if (now_ms - lead->stepped_ms < STEP_MS || !lead->loaded
-      || entry->snapshot == NULL || !lease_held (lead->lease))
+  if (!leader->rollouts_loaded)
+    load_state (leader, now_ms);
+  if (now_ms - leader->last_step_ms < ROLLOUT_STEP_INTERVAL_MS
+      || !leader->rollouts_loaded || entry->snapshot == NULL
+      || !lease_held (leader->lease))
     return;
-  lead->stepped_ms = now_ms;
+  leader->last_step_ms = now_ms;
   for (size_t i = 0;
        (configured = snapshot_rollout_at (entry->snapshot, i)) != NULL; i++)
-    step_one (lead, configured);
-  if (now_ms - lead->saved_ms < SAVE_MS)
+    step_rollout (leader, configured);
+  if (now_ms - leader->last_save_ms < EVIDENCE_SAVE_INTERVAL_MS)
     return;
-  lead->saved_ms = now_ms;
-  if (!lead->evidence_loaded)
+  leader->last_save_ms = now_ms;
+  if (!leader->evidence_loaded)
     {
-      load_evidence (lead);
+      load_evidence (leader);
       return;
     }
-  learn_settle (entry, lease_condition (lead->lease).version);
-  save_evidence (lead);
+  learn_compact (entry, lease_condition (leader->lease).version);
+  save_evidence (leader);
 }
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -1,5 +1,6 @@
-/* What an entry learns from its answers: ratings off the request's way,
-   roll-outs' evidence, and the exchange of both between entries.  */
+/* Statistics that an entry learns from its answers: ratings, which are
+   requested outside the request path, and evidence for roll-outs.  Entries
+   exchange both.  */
 
 #include "entry/content.h"
 #include "entry/entryint.h"
@@ -11,14 +12,14 @@
 
 enum
 {
-  EXCHANGE_MS = 1000,
+  EXCHANGE_INTERVAL_MS = 1000,
   EXCHANGE_TIMEOUT_MS = 3000,
-  TRANSCRIPT_MAX = 64 << 10,
-  RATINGS_MAX = 256 /* On their way at a time.  */
+  TRANSCRIPT_MAX_BYTES = 64 << 10,
+  RATINGS_IN_FLIGHT_MAX = 256
 };
 
 static bool
-sampled_for_rollout (request_t *request)
+is_sampled_for_rollout (request_t *request)
 {
   entry_t *entry = request->entry;
 
@@ -29,29 +30,27 @@
 }
 
 void
-learn_sample (request_t *request)
+learn_decide_sampling (request_t *request)
 {
   entry_t *entry = request->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
   if (!quality_rater_ok (entry->quality, now_ms))
     return;
-  request->sampled = sampled_for_rollout (request)
-                     || quality_sample (entry->quality, &entry->rng,
-                                        request->version->model->task,
-                                        request->version->name, now_ms);
+  request->rating_sampled = is_sampled_for_rollout (request)
+                            || quality_sample (entry->quality, &entry->rng,
+                                               request->version->model->task,
+                                               request->version->name, now_ms);
 }
 
 void
-learn_bytes (request_t *request, str_t bytes)
+learn_append_transcript (request_t *request, str_t bytes)
 {
-  if ((request->sampled || request->plan.audit)
-      && request->transcript.len + bytes.len <= TRANSCRIPT_MAX)
+  if ((request->rating_sampled || request->plan.audit)
+      && request->transcript.len + bytes.len <= TRANSCRIPT_MAX_BYTES)
     buf_append_str (&request->transcript, bytes);
 }
 
-/* Roll-outs.  */
-
 learn_rollout_t *
 learn_rollout_find (entry_t *entry, str_t version)
 {
@@ -69,7 +68,7 @@
 {
   learn_rollout_t *rollout = learn_rollout_find (entry, version);
 
-  /* A later start is a new roll-out of the same version.  */
+  /* A later start time means a new roll-out of the same version.  */
   if (rollout != NULL && rollout->start_ms >= start_ms)
     return rollout->start_ms == start_ms ? rollout : NULL;
   if (rollout == NULL)
@@ -87,7 +86,7 @@
 }
 
 static bool
-is_taken_back (const learn_rollout_t *rollout)
+is_halted_or_aborted (const learn_rollout_t *rollout)
 {
   rollout_phase_t phase = rollout_phase (rollout->run);
 
@@ -95,34 +94,35 @@
 }
 
 bool
-learn_taken_back (entry_t *entry, const version_t *version)
+learn_is_rolled_back (entry_t *entry, const version_t *version)
 {
   const learn_rollout_t *rollout = learn_rollout_find (entry, version->name);
 
   return version->state == VERSION_ROLLING_OUT && rollout != NULL
-         && is_taken_back (rollout);
+         && is_halted_or_aborted (rollout);
 }
 
-/* Return the roll-out that CONFIGURED names, or NULL before its state has
-   reached this entry: until then nothing goes to the new version.  */
+/* Return the replica of the roll-out CONFIGURED, or NULL before its state has
+   reached this entry.  Until then the new version gets no requests.  */
 static learn_rollout_t *
-running (entry_t *entry, const rollout_t *configured)
+find_configured_rollout (entry_t *entry, const rollout_t *configured)
 {
   return learn_rollout_find (entry, configured->version->name);
 }
 
 const version_t *
-learn_assign (request_t *request, const version_t *chosen)
+learn_assign_rollout (request_t *request, const version_t *chosen)
 {
   entry_t *entry = request->entry;
   const rollout_t *configured;
-  str_t key = request->session != NULL ? str_from (request->session)
-                                       : str_from (request->request_id);
+  str_t key = request->session_token != NULL
+                  ? str_from (request->session_token)
+                  : str_from (request->request_id);
 
   for (size_t i = 0;
        (configured = snapshot_rollout_at (request->snapshot, i)) != NULL; i++)
     {
-      learn_rollout_t *rollout = running (entry, configured);
+      learn_rollout_t *rollout = find_configured_rollout (entry, configured);
       if (rollout == NULL)
         continue;
       bool is_old = configured->over == chosen;
@@ -148,39 +148,39 @@
 }
 
 bool
-learn_avoids (const request_t *request, const version_t *version)
+learn_is_avoided (const request_t *request, const version_t *version)
 {
   entry_t *entry = request->entry;
   double weight = degradation_traffic_weight (
-      entry->watch, version->name, clock_realtime_ms (entry->clock));
-  rng_t draw = rng_make (str_hash (str_from (request->request_id), 7));
+      entry->degradation, version->name, clock_realtime_ms (entry->clock));
+  rng_t rng = rng_make (str_hash (str_from (request->request_id), 7));
 
-  return weight < 1.0 && rng_double (&draw) >= weight;
+  return weight < 1.0 && rng_double (&rng) >= weight;
 }
 
 void
-learn_configured (entry_t *entry, const snapshot_t *last,
-                  const snapshot_t *next)
+learn_config_changed (entry_t *entry, const snapshot_t *last,
+                      const snapshot_t *next)
 {
-  const version_t *now;
+  const version_t *version;
 
   for (size_t i = 0;
-       last != NULL && (now = snapshot_version_at (next, i)) != NULL; i++)
+       last != NULL && (version = snapshot_version_at (next, i)) != NULL; i++)
     {
-      const version_t *was = snapshot_version (last, now->name);
-      if (was != NULL && was->state == VERSION_WITHDRAWN
-          && now->state != VERSION_WITHDRAWN)
-        degradation_clear_alarm (entry->watch, now->name,
+      const version_t *previous = snapshot_version (last, version->name);
+      if (previous != NULL && previous->state == VERSION_WITHDRAWN
+          && version->state != VERSION_WITHDRAWN)
+        degradation_clear_alarm (entry->degradation, version->name,
                                  clock_realtime_ms (entry->clock));
     }
 }
 
 static void
-observe (request_t *request, const rollout_sample_t *sample)
+record_sample (request_t *request, const rollout_sample_t *sample)
 {
   if (request->version == NULL)
     return;
-  degradation_observe (request->entry->watch, request->version->name,
+  degradation_observe (request->entry->degradation, request->version->name,
                        request->version->model->task, sample,
                        clock_realtime_ms (request->entry->clock));
   if (request->rollout == NULL)
@@ -191,39 +191,37 @@
 }
 
 void
-learn_ended (request_t *request, bool failed)
+learn_attempt_ended (request_t *request, bool failed)
 {
-  double took_ms
-      = (double)(clock_us (request->entry->clock) - request->at.began_us)
-        / 1000.0;
+  double latency_ms = (double)(clock_us (request->entry->clock)
+                               - request->attempt.started_us)
+                      / 1000.0;
   const rollout_sample_t sample = { .finished = true,
                                     .failed = failed,
-                                    .latency_ms = failed ? 0 : took_ms };
+                                    .latency_ms = failed ? 0 : latency_ms };
 
-  observe (request, &sample);
+  record_sample (request, &sample);
 }
 
-/* Ratings.  */
-
-/* What a rating is for.  */
+/* Reason why a rating is requested.  */
 typedef enum
 {
-  RATING_SAMPLE, /* Of an answer not chosen for its rating.  */
-  RATING_AUDIT,  /* The second one of a cascade's first answer.  */
-  RATING_SECOND  /* Of the answer that an escalation gave.  */
+  RATING_PURPOSE_SAMPLE,    /* A random sample of the answers.  */
+  RATING_PURPOSE_AUDIT,     /* A second rating of a cascade's first answer.  */
+  RATING_PURPOSE_ESCALATION /* The answer of an escalated request.  */
 } rating_purpose_t;
 
 typedef struct
 {
   entry_t *entry;
   rating_purpose_t purpose;
-  char *first;         /* Version of a cascade's first answer, or NULL.  */
-  double first_rating; /* Of that answer.  */
+  char *first_version; /* First version of the request's plan.  */
+  double first_rating; /* Rating of the cascade's first answer.  */
   char *task;
   char *team;
   char *version;
   char *zone;
-  char *rollout; /* Version rolled out, or NULL.  */
+  char *rollout_version; /* Version being rolled out, or NULL.  */
   uint64_t rollout_start_ms;
   rollout_arm_t arm;
 } rating_t;
@@ -231,38 +229,39 @@
 static void
 rating_free (rating_t *rating)
 {
-  free (rating->first);
+  free (rating->first_version);
   free (rating->task);
   free (rating->team);
   free (rating->zone);
   free (rating->version);
-  free (rating->rollout);
+  free (rating->rollout_version);
   free (rating);
 }
 
-/* Take SCORE in as evidence about the version.  Answers of escalations are
-   those of harder requests than the average: they say nothing of the
-   version's quality in general.  */
+/* Record SCORE of a sampled answer as evidence for its version.  Scores of
+   escalated requests are not recorded here: such requests are harder than the
+   average, so their scores are no measure of the version's quality.  */
 static void
-learn_score (const rating_t *rating, double score, uint64_t now_ms)
+record_sample_score (const rating_t *rating, double score, uint64_t now_ms)
 {
   entry_t *entry = rating->entry;
   str_t task = str_from (rating->task);
   str_t version = str_from (rating->version);
-  const rollout_sample_t rated = { .rated = true, .rating = score };
+  const rollout_sample_t rollout_sample = { .rated = true, .rating = score };
 
   quality_add (entry->quality, task, version, score, now_ms);
-  degradation_observe (entry->watch, version, task, &rated, now_ms);
+  degradation_observe (entry->degradation, version, task, &rollout_sample,
+                       now_ms);
   learn_rollout_t *rollout
-      = rating->rollout != NULL
-            ? learn_rollout_find (entry, str_from (rating->rollout))
+      = rating->rollout_version != NULL
+            ? learn_rollout_find (entry, str_from (rating->rollout_version))
             : NULL;
   if (rollout != NULL && rollout->start_ms == rating->rollout_start_ms)
-    rollout_observe (rollout->run, rating->arm, task, &rated, now_ms);
+    rollout_observe (rollout->run, rating->arm, task, &rollout_sample, now_ms);
 }
 
 static void
-take_score (const rating_t *rating, double score)
+record_score (const rating_t *rating, double score)
 {
   entry_t *entry = rating->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
@@ -276,18 +275,18 @@
                                  .rating = score };
 
   quality_rater_answered (entry->quality);
-  if (rating->purpose == RATING_AUDIT)
+  if (rating->purpose == RATING_PURPOSE_AUDIT)
     {
       cascade_first (entry->cascade, task, version, rating->first_rating,
                      score, now_ms);
       return;
     }
   burn_observe_rating (entry->burn, &sample, now_ms);
-  if (rating->purpose == RATING_SECOND)
-    cascade_second (entry->cascade, task, str_from (rating->first), version,
-                    rating->first_rating, score, now_ms);
+  if (rating->purpose == RATING_PURPOSE_ESCALATION)
+    cascade_second (entry->cascade, task, str_from (rating->first_version),
+                    version, rating->first_rating, score, now_ms);
   else
-    learn_score (rating, score, now_ms);
+    record_sample_score (rating, score, now_ms);
 }
 
 static void
@@ -298,15 +297,15 @@
 
   if (code != VH_E_CANCELLED)
     {
-      entry->ratings_on_way--;
+      entry->ratings_in_flight--;
       if (code == VH_OK)
-        take_score (rating, score);
+        record_score (rating, score);
       else
         {
           quality_rater_failed (entry->quality,
                                 clock_realtime_ms (entry->clock));
-          /* The audit's first rating still counts.  */
-          if (rating->purpose == RATING_AUDIT)
+          /* The first rating of the audited answer is still recorded.  */
+          if (rating->purpose == RATING_PURPOSE_AUDIT)
             cascade_first (entry->cascade, str_from (rating->task),
                            str_from (rating->version), rating->first_rating,
                            NAN, clock_realtime_ms (entry->clock));
@@ -315,33 +314,33 @@
   rating_free (rating);
 }
 
-/* Send CONTENT, the answer of REQUEST's present version, to be rated.  */
+/* Send CONTENT, the answer of the current version, to the rating service.  */
 static void
-ask_rating (request_t *request, rating_purpose_t purpose, str_t content)
+request_rating (request_t *request, rating_purpose_t purpose, str_t content)
 {
   entry_t *entry = request->entry;
   rating_t *rating = mem_zalloc (sizeof *rating);
 
   rating->entry = entry;
   rating->purpose = purpose;
-  rating->first = str_dup (request->plan_first->name);
+  rating->first_version = str_dup (request->first_version->name);
   rating->first_rating = request->first_rating;
   rating->task = str_dup (request->version->model->task);
   rating->team = str_dup (request->team->name);
-  rating->zone = str_dup (request->at.member != NULL
-                              ? str_from (request->at.member->zone)
+  rating->zone = str_dup (request->attempt.member != NULL
+                              ? str_from (request->attempt.member->zone)
                               : STR (""));
   rating->version = str_dup (request->version->name);
   rating->arm = request->arm;
   if (request->rollout != NULL)
     {
-      rating->rollout = str_dup (str_from (request->rollout->version));
+      rating->rollout_version = str_dup (str_from (request->rollout->version));
       rating->rollout_start_ms = request->rollout->start_ms;
     }
-  entry->ratings_on_way++;
+  entry->ratings_in_flight++;
   entry->options.platform->ops->rate (
       entry->options.platform, request->version->model->task,
-      buf_str (&request->raw), content, on_rated, rating);
+      buf_str (&request->raw_body), content, on_rated, rating);
 }
 
 void
@@ -352,32 +351,34 @@
 
   quality_add (entry->quality, request->version->model->task,
                request->version->name, request->first_rating, now_ms);
-  if (request->plan.audit && entry->ratings_on_way < RATINGS_MAX)
-    ask_rating (request, RATING_AUDIT, content);
+  if (request->plan.audit && entry->ratings_in_flight < RATINGS_IN_FLIGHT_MAX)
+    request_rating (request, RATING_PURPOSE_AUDIT, content);
   else
     cascade_first (entry->cascade, request->version->model->task,
                    request->version->name, request->first_rating, NAN, now_ms);
 }
 
 void
-learn_answered (request_t *request)
+learn_request_answered (request_t *request)
 {
   entry_t *entry = request->entry;
   buf_t content = BUF_NULL;
-  bool wanted = request->escalated ? request->plan.audit : request->sampled;
+  bool is_rating_wanted
+      = request->escalated ? request->plan.audit : request->rating_sampled;
 
-  if (request->version == NULL || !wanted
-      || entry->ratings_on_way >= RATINGS_MAX || request->at.status != 200
-      || request->transcript.len == 0)
+  if (request->version == NULL || !is_rating_wanted
+      || entry->ratings_in_flight >= RATINGS_IN_FLIGHT_MAX
+      || request->attempt.http_status != 200 || request->transcript.len == 0)
     return;
   content_extract (buf_str (&request->transcript), request->stream, &content);
-  ask_rating (request, request->escalated ? RATING_SECOND : RATING_SAMPLE,
-              buf_str (&content));
+  request_rating (request,
+                  request->escalated ? RATING_PURPOSE_ESCALATION
+                                     : RATING_PURPOSE_SAMPLE,
+                  buf_str (&content));
   buf_free (&content);
 }
 
-/* Exchange.  The rows are "KIND NAME START LENGTH\n" and LENGTH bytes.  */
-
+/* Append a row of evidence: "KIND NAME START LENGTH\n" and LENGTH bytes.  */
 static void
 append_row (buf_t *out, const char *kind, str_t name, uint64_t start_ms,
             const buf_t *bytes)
@@ -388,13 +389,13 @@
 }
 
 void
-learn_settle (entry_t *entry, uint64_t generation)
+learn_compact (entry_t *entry, uint64_t generation)
 {
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
   quality_settle (entry->quality, generation, now_ms);
   cascade_settle (entry->cascade, generation, now_ms);
-  degradation_compact (entry->watch, generation, now_ms);
+  degradation_compact (entry->degradation, generation, now_ms);
   burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
     rollout_compact (CONTAINER_OF (at, learn_rollout_t, link)->run, generation,
@@ -412,7 +413,7 @@
   cascade_write (entry->cascade, own_only, &bytes);
   append_row (out, "cascade", STR ("-"), 0, &bytes);
   bytes.len = 0;
-  degradation_write (entry->watch, own_only, &bytes);
+  degradation_write (entry->degradation, own_only, &bytes);
   append_row (out, "watch", STR ("-"), 0, &bytes);
   bytes.len = 0;
   burn_write (entry->burn, own_only, &bytes);
@@ -432,7 +433,8 @@
   buf_free (&bytes);
 }
 
-/* Merge one row; what is malformed or not known is passed over.  */
+/* Merge one row.  A row of an unknown kind is ignored, and so is a roll-out
+   that starts more than 60 s in the future.  */
 static void
 merge_row (entry_t *entry, str_t kind, str_t name, uint64_t start_ms,
            str_t bytes)
@@ -444,7 +446,7 @@
   else if (str_eq (kind, STR ("cascade")))
     cascade_merge (entry->cascade, bytes, now_ms);
   else if (str_eq (kind, STR ("watch")))
-    degradation_merge (entry->watch, bytes, now_ms);
+    degradation_merge (entry->degradation, bytes, now_ms);
   else if (str_eq (kind, STR ("burn")))
     burn_merge (entry->burn, bytes, now_ms);
   else if (str_eq (kind, STR ("poison")))
@@ -477,7 +479,7 @@
 }
 
 static void
-on_exchanged (void *arg, vh_code_t code, void *result, unsigned sent)
+on_evidence_received (void *arg, vh_code_t code, void *result, unsigned sent)
 {
   member_t *member = arg;
   const wire_evidence_res_t *answer = result;
@@ -486,12 +488,13 @@
   if (code == VH_OK && !member->entry->destroyed)
     learn_merge (member->entry,
                  str_make (answer->rows.rows_val, answer->rows.rows_len));
-  fleet_unuse (member);
+  fleet_member_unref (member);
 }
 
-/* Return an entry to exchange with, each in its turn, or NULL.  */
+/* Return a connected entry to exchange evidence with, drawn at random, or NULL
+   if there is none.  */
 static member_t *
-next_partner (entry_t *entry)
+pick_partner (entry_t *entry)
 {
   member_t *partners[64];
   size_t count = 0;
@@ -508,20 +511,20 @@
 }
 
 static void
-exchange (member_t *partner)
+exchange_evidence (member_t *partner)
 {
   buf_t rows = BUF_NULL;
 
   learn_write (partner->entry, true, &rows);
   wire_evidence_args_t args = { .rows = { (u_int)rows.len, rows.ptr } };
-  partner->in_use++;
+  partner->ref_count++;
   rpc_peer_call (partner->peer, WIRE_EVIDENCE, &args, EXCHANGE_TIMEOUT_MS,
-                 on_exchanged, partner);
+                 on_evidence_received, partner);
   buf_free (&rows);
 }
 
 void
-learn_spread (entry_t *entry)
+learn_broadcast (entry_t *entry)
 {
   size_t cursor = 0;
   void *value;
@@ -530,22 +533,22 @@
     {
       member_t *member = value;
       if (member->is_entry && rpc_peer_state (member->peer) == RPC_UP)
-        exchange (member);
+        exchange_evidence (member);
     }
 }
 
 void
 learn_tick (entry_t *entry, uint64_t now_ms)
 {
-  if (now_ms - entry->exchanged_ms < EXCHANGE_MS)
+  if (now_ms - entry->last_exchange_ms < EXCHANGE_INTERVAL_MS)
     return;
-  entry->exchanged_ms = now_ms;
-  if (degradation_check (entry->watch, clock_realtime_ms (entry->clock)))
-    log_warning ("entry", "A version in service has turned bad; its share "
-                          "goes to the others.");
-  member_t *partner = next_partner (entry);
+  entry->last_exchange_ms = now_ms;
+  if (degradation_check (entry->degradation, clock_realtime_ms (entry->clock)))
+    log_warning ("entry", "A version in service is degraded; its traffic is "
+                          "moved to other versions.");
+  member_t *partner = pick_partner (entry);
   if (partner != NULL)
-    exchange (partner);
+    exchange_evidence (partner);
 }
 
 void
@@ -562,10 +565,8 @@
     }
 }
 
-/* Operators.  */
-
 static void
-alarms_status (entry_t *entry, buf_t *out)
+write_alarms_status (entry_t *entry, buf_t *out)
 {
   const version_t *version;
   rollout_metric_t metric;
@@ -577,7 +578,7 @@
        && (version = snapshot_version_at (entry->snapshot, i)) != NULL;
        i++)
     {
-      if (!degradation_get_alarm (entry->watch, version->name, &metric,
+      if (!degradation_get_alarm (entry->degradation, version->name, &metric,
                                   &since_ms))
         continue;
       buf_printf (
@@ -586,7 +587,7 @@
           "\"since_ms\":%llu,\"weight\":%g}",
           first ? "" : ",", STR_ARG (version->name),
           rollout_metric_name (metric), (unsigned long long)since_ms,
-          degradation_traffic_weight (entry->watch, version->name,
+          degradation_traffic_weight (entry->degradation, version->name,
                                       clock_realtime_ms (entry->clock)));
       first = false;
     }
@@ -604,7 +605,8 @@
        && (configured = snapshot_rollout_at (entry->snapshot, i)) != NULL;
        i++)
     {
-      const learn_rollout_t *rollout = running (entry, configured);
+      const learn_rollout_t *rollout
+          = find_configured_rollout (entry, configured);
       buf_t reason = BUF_NULL;
       if (rollout != NULL)
         rollout_explain (rollout->run, &reason);
@@ -626,6 +628,6 @@
       first = false;
     }
   buf_printf (out, "],\"alarms\":[");
-  alarms_status (entry, out);
+  write_alarms_status (entry, out);
   buf_printf (out, "]");
 }
--- a/packages/entry/objective.c
+++ b/packages/entry/objective.c
@@ -1,4 +1,4 @@
-/* Service-level objectives: what each request's end means for them.  */
+/* Service-level objectives: classification of ended requests.  */
 
 #include "entry/entryint.h"
 
@@ -6,53 +6,55 @@
 
 enum
 {
-  /* Below it the codes are the caller's own doing, see base/code.h.  */
-  FIRST_CODE_OF_OURS = 300
+  /* Lower codes are errors of the caller; see base/code.h.  */
+  FIRST_SERVER_SIDE_CODE = 300
 };
 
 void
-objective_configured (entry_t *entry)
+objective_config_changed (entry_t *entry)
 {
   burn_objective_t objectives[BURN_OBJECTIVES_MAX];
-  const objective_t *asked;
+  const objective_t *objective;
   size_t count = 0;
 
   while (count < BURN_OBJECTIVES_MAX
-         && (asked = snapshot_objective_at (entry->snapshot, count)) != NULL)
+         && (objective = snapshot_objective_at (entry->snapshot, count))
+                != NULL)
     objectives[count++] = (burn_objective_t){
-      .name = asked->name,
-      .team = asked->team,
-      .answered = asked->answered,
-      .first_token_ms = asked->first_token_ms,
-      .between_tokens_ms = asked->between_tokens_ms,
-      .within = asked->within,
-      .quality = asked->quality,
-      .cost = asked->cost,
+      .name = objective->name,
+      .team = objective->team,
+      .answered = objective->answered,
+      .first_token_ms = objective->first_token_ms,
+      .between_tokens_ms = objective->between_tokens_ms,
+      .within = objective->within,
+      .quality = objective->quality,
+      .cost = objective->cost,
     };
   burn_set_objectives (entry->burn, objectives, count);
 }
 
-/* Mean time between the events of a stream, 0 when there were none.  */
+/* Return the mean time between two events of a stream, in ms; 0 if there were
+   fewer than two events.  */
 static double
-between_tokens_ms (const request_t *request)
+mean_token_gap_ms (const request_t *request)
 {
-  const try_t *at = &request->at;
+  const entry_attempt_t *attempt = &request->attempt;
 
-  if (!request->stream || request->events < 2
-      || at->last_byte_us <= at->first_byte_us)
+  if (!request->stream || request->event_count < 2
+      || attempt->last_byte_us <= attempt->first_byte_us)
     return 0;
-  return (double)(at->last_byte_us - at->first_byte_us) / 1000.0
-         / (request->events - 1);
+  return (double)(attempt->last_byte_us - attempt->first_byte_us) / 1000.0
+         / (request->event_count - 1);
 }
 
 void
-objective_ended (const request_t *request, vh_code_t code)
+objective_request_ended (const request_t *request, vh_code_t code)
 {
   entry_t *entry = request->entry;
-  const try_t *at = &request->at;
+  const entry_attempt_t *attempt = &request->attempt;
 
   if (request->team == NULL || code == VH_E_CANCELLED
-      || (code != VH_OK && (int)code < FIRST_CODE_OF_OURS))
+      || (code != VH_OK && (int)code < FIRST_SERVER_SIDE_CODE))
     return;
   burn_sample_t sample = { .team = request->team->name,
                            .answered = code == VH_OK,
@@ -65,12 +67,12 @@
     }
   else if (request->service != NULL)
     sample.model = request->service->name;
-  if (at->member != NULL)
-    sample.zone = str_from (at->member->zone);
-  if (request->stream && at->first_byte_us > request->received_us)
+  if (attempt->member != NULL)
+    sample.zone = str_from (attempt->member->zone);
+  if (request->stream && attempt->first_byte_us > request->received_us)
     sample.first_token_ms
-        = (double)(at->first_byte_us - request->received_us) / 1000.0;
-  sample.between_tokens_ms = between_tokens_ms (request);
+        = (double)(attempt->first_byte_us - request->received_us) / 1000.0;
+  sample.between_tokens_ms = mean_token_gap_ms (request);
   burn_observe (entry->burn, &sample, clock_realtime_ms (entry->clock));
 }
 
--- a/packages/entry/peering.c
+++ b/packages/entry/peering.c
@@ -1,5 +1,5 @@
-/* What this entry and its peers tell each other beside requests: the
-   configuration in force, bills, and the procedures that others call here.  */
+/* Communication with peers apart from requests: distribution of the
+   configuration, transfer of bills, and the procedures that peers call.  */
 
 #include "entry/entryint.h"
 
@@ -9,45 +9,44 @@
 
 enum
 {
-  CONFIG_TIMEOUT_MS = 5000
+  PEER_CALL_TIMEOUT_MS = 5000
 };
 
-/* Configuration along traffic.  */
-
 static void
 on_pushed (void *arg, vh_code_t code, void *result, unsigned sent)
 {
   member_t *member = arg;
 
   (void)sent;
-  member->pushing = false;
+  member->config_push_pending = false;
   if (code == VH_OK)
     code = (vh_code_t)((wire_code_res_t *)result)->code;
   if (code == VH_E_STALE_REVISION && !member->removed)
-    peering_push (member, 0);
+    peering_push_config (member, 0);
   else if (code != VH_OK && code != VH_E_CANCELLED)
-    log_notice ("entry", "A configuration was not taken. instance=%s code=%d",
+    log_notice ("entry",
+                "A configuration could not be pushed to an instance. "
+                "instance=%s code=%d",
                 member->name, (int)code);
-  fleet_unuse (member);
+  fleet_member_unref (member);
 }
 
-/* Bring MEMBER, which is at revision HAVE, to the revision in force here.  */
 void
-peering_push (member_t *member, uint64_t have)
+peering_push_config (member_t *member, uint64_t have)
 {
   entry_t *entry = member->entry;
   buf_t update = BUF_NULL;
 
-  if (member->pushing || entry->snapshot == NULL)
+  if (member->config_push_pending || entry->snapshot == NULL)
     return;
   if (entry->options.host->delta_from (entry->options.arg, have, &update))
     {
       wire_config_push_args_t args
           = { .update = { (u_int)update.len, update.ptr } };
-      member->pushing = true;
-      member->in_use++;
-      rpc_peer_call (member->peer, WIRE_CONFIG_PUSH, &args, CONFIG_TIMEOUT_MS,
-                     on_pushed, member);
+      member->config_push_pending = true;
+      member->ref_count++;
+      rpc_peer_call (member->peer, WIRE_CONFIG_PUSH, &args,
+                     PEER_CALL_TIMEOUT_MS, on_pushed, member);
     }
   buf_free (&update);
 }
@@ -60,42 +59,41 @@
   const wire_config_pull_res_t *pulled = result;
 
   (void)sent;
-  entry->pulling = false;
+  entry->config_pull_pending = false;
   if (code == VH_OK && pulled->update.update_len > 0 && !entry->destroyed)
     entry->options.host->learn (
         entry->options.arg,
         str_make (pulled->update.update_val, pulled->update.update_len));
-  fleet_unuse (member);
+  fleet_member_unref (member);
 }
 
 void
-peering_pull (member_t *member)
+peering_pull_config (member_t *member)
 {
   entry_t *entry = member->entry;
   wire_config_pull_args_t args
       = { .have = entry->snapshot != NULL ? snapshot_revision (entry->snapshot)
                                           : 0 };
 
-  if (entry->pulling)
+  if (entry->config_pull_pending)
     return;
-  entry->pulling = true;
-  member->in_use++;
-  rpc_peer_call (member->peer, WIRE_CONFIG_PULL, &args, CONFIG_TIMEOUT_MS,
+  entry->config_pull_pending = true;
+  member->ref_count++;
+  rpc_peer_call (member->peer, WIRE_CONFIG_PULL, &args, PEER_CALL_TIMEOUT_MS,
                  on_pulled, member);
 }
 
 static uint64_t
-rank_for (str_t entry_name, const member_t *member)
+push_priority (str_t entry_name, const member_t *member)
 {
   return str_hash (entry_name, str_hash (str_from (member->name), 8));
 }
 
-/* Tell whether no entry that this one reaches ranks before it for MEMBER.  */
 bool
 peering_ranks_first (const member_t *member)
 {
   const entry_t *entry = member->entry;
-  uint64_t mine = rank_for (entry->settings->name, member);
+  uint64_t own_priority = push_priority (entry->settings->name, member);
   size_t cursor = 0;
   void *value;
 
@@ -104,7 +102,7 @@
       const member_t *other = value;
       if (other->is_entry && other != member
           && rpc_peer_state (other->peer) == RPC_UP
-          && rank_for (str_from (other->name), member) > mine)
+          && push_priority (str_from (other->name), member) > own_priority)
         return false;
     }
   return true;
@@ -129,58 +127,57 @@
 }
 
 static void
-on_taken (void *arg, vh_code_t code, void *result, unsigned sent)
+on_bills_fetched (void *arg, vh_code_t code, void *result, unsigned sent)
 {
   member_t *member = arg;
   entry_t *entry = member->entry;
-  const wire_bills_take_res_t *taken = result;
+  const wire_bills_take_res_t *fetched = result;
 
   (void)sent;
-  member->taking = false;
+  member->bill_fetch_pending = false;
   if (code == VH_OK && !entry->destroyed)
-    for (u_int i = 0; i < taken->bills.bills_len; i++)
+    for (u_int i = 0; i < fetched->bills.bills_len; i++)
       entry->options.host->bill (entry->options.arg,
-                                 &taken->bills.bills_val[i],
+                                 &fetched->bills.bills_val[i],
                                  str_from (member->name));
-  if (code == VH_OK && !entry->destroyed && taken->bills.bills_len > 0)
+  if (code == VH_OK && !entry->destroyed && fetched->bills.bills_len > 0)
     entry->options.host->write_bills (entry->options.arg);
-  fleet_unuse (member);
+  fleet_member_unref (member);
 }
 
-/* Take over the bills at MEMBER whose entry is gone.  */
 void
-peering_take_bills (member_t *member)
+peering_fetch_orphaned_bills (member_t *member)
 {
   wire_bills_take_args_t args = { .most = WIRE_BILLS_MAX };
 
-  if (member->taking)
+  if (member->bill_fetch_pending)
     return;
-  member->taking = true;
-  member->in_use++;
-  rpc_peer_call (member->peer, WIRE_BILLS_TAKE, &args, CONFIG_TIMEOUT_MS,
-                 on_taken, member);
+  member->bill_fetch_pending = true;
+  member->ref_count++;
+  rpc_peer_call (member->peer, WIRE_BILLS_TAKE, &args, PEER_CALL_TIMEOUT_MS,
+                 on_bills_fetched, member);
 }
 
 typedef struct
 {
-  void (*cb) (void *arg, bool taken);
+  void (*cb) (void *arg, bool accepted);
   void *arg;
-} hand_over_t;
+} bill_transfer_t;
 
 static void
-on_handed_over (void *arg, vh_code_t code, void *result, unsigned sent)
+on_bills_accepted (void *arg, vh_code_t code, void *result, unsigned sent)
 {
-  hand_over_t *hand_over = arg;
-  bool taken = code == VH_OK && ((wire_code_res_t *)result)->code == VH_OK;
+  bill_transfer_t *transfer = arg;
+  bool accepted = code == VH_OK && ((wire_code_res_t *)result)->code == VH_OK;
 
   (void)sent;
-  hand_over->cb (hand_over->arg, taken);
-  free (hand_over);
+  transfer->cb (transfer->arg, accepted);
+  free (transfer);
 }
 
 bool
 entry_bills_hand_over (entry_t *entry, wire_bill_t *bills, size_t count,
-                       void (*cb) (void *arg, bool taken), void *arg)
+                       void (*cb) (void *arg, bool accepted), void *arg)
 {
   wire_bills_hold_args_t args
       = { .bills = { (u_int)(count < WIRE_BILLS_MAX ? count : WIRE_BILLS_MAX),
@@ -194,28 +191,27 @@
       if (!member->is_entry || member->draining
           || rpc_peer_state (member->peer) != RPC_UP)
         continue;
-      hand_over_t *hand_over = mem_alloc (sizeof *hand_over);
-      *hand_over = (hand_over_t){ cb, arg };
-      rpc_peer_call (member->peer, WIRE_BILLS_HOLD, &args, CONFIG_TIMEOUT_MS,
-                     on_handed_over, hand_over);
+      bill_transfer_t *transfer = mem_alloc (sizeof *transfer);
+      *transfer = (bill_transfer_t){ cb, arg };
+      rpc_peer_call (member->peer, WIRE_BILLS_HOLD, &args,
+                     PEER_CALL_TIMEOUT_MS, on_bills_accepted, transfer);
       return true;
     }
   return false;
 }
 
-/* Procedures that peers call at an entry.  */
 void
-fleet_serve (void *arg, rpc_request_t *request, uint32_t proc, void *args)
+peering_serve (void *arg, rpc_request_t *request, uint32_t proc, void *args)
 {
   entry_t *entry = arg;
 
   if (proc == WIRE_PING)
     {
-      char nothing[] = "";
+      char empty[] = "";
       char *zone = str_dup (entry->settings->zone);
       wire_ping_res_t pong
           = { .sequence = ((wire_ping_args_t *)args)->sequence,
-              .instance = nothing,
+              .instance = empty,
               .zone = zone };
       rpc_reply (request, &pong);
       free (zone);
@@ -256,11 +252,11 @@
     }
   if (proc == WIRE_EVIDENCE)
     {
-      const wire_evidence_args_t *given = args;
+      const wire_evidence_args_t *evidence = args;
       wire_evidence_res_t result;
       buf_t rows = BUF_NULL;
-      learn_merge (entry,
-                   str_make (given->rows.rows_val, given->rows.rows_len));
+      learn_merge (
+          entry, str_make (evidence->rows.rows_val, evidence->rows.rows_len));
       learn_write (entry, true, &rows);
       result.rows.rows_val = rows.ptr;
       result.rows.rows_len = (u_int)rows.len;
