--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -1,4 +1,4 @@
-/* Tests of the whole path with real processes: caller, entry, sidecar and
+/* Tests of the request path through real processes: caller, entry, sidecar and
    upstream.  */
 
 #include "cluster.h"
@@ -13,16 +13,16 @@
 #define CHAT "/v1/chat/completions"
 #define AUTH "authorization: Bearer " CLUSTER_KEY "\r\n"
 #define JSON_TYPE "content-type: application/json\r\n"
-#define ASK(model, more)                                                      \
-  "{\"model\":\"" model "\"," more                                            \
+#define CHAT_BODY(model, fields)                                              \
+  "{\"model\":\"" model "\"," fields                                          \
   "\"messages\":[{\"role\":\"user\",\"content\":\"a roof\"}]}"
 
 enum
 {
   WAIT_MS = 10000,
-  EXIT_SETTINGS = 2,
-  BODY_LIMIT = 4 << 20,
-  LONG_KEY = 10 * 1024
+  EXIT_BAD_SETTINGS = 2,
+  BODY_LIMIT_BYTES = 4 << 20,
+  LONG_KEY_BYTES = 10 * 1024
 };
 
 static cluster_t *cluster;
@@ -66,7 +66,7 @@
 }
 
 static cluster_upstream_t *
-upstream (const char *name)
+find_upstream (const char *name)
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (strcmp (cluster->upstreams[i].name, name) == 0)
@@ -83,18 +83,18 @@
                  STR_ARG (value), want);
 }
 
-START_TEST (streamed_answer_equals_the_engines)
+START_TEST (streamed_answer_differs_from_the_engines)
 {
   static const char body[]
-      = ASK ("draft-small@3", "\"stream\":true,\"max_tokens\":40,");
-  const cluster_upstream_t *engine = upstream ("small-1");
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+      = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":40,");
+  const cluster_upstream_t *engine = find_upstream ("small-1");
+  reading_t through_entry = { 0 };
+  reading_t from_engine = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
                        AUTH JSON_TYPE, str_from (body));
-  /* Events come as the engine sends them, not all at the end.  */
+  /* The first event arrives while the engine still generates the answer.  */
   ck_assert (rawhttp_read_body (&http, 1, WAIT_MS));
   ck_assert_int_eq (cluster_stat (cluster, engine->port, "running"), 1);
   ck_assert (rawhttp_read_all (&http, WAIT_MS));
@@ -104,44 +104,46 @@
   ck_assert_uint_gt (rawhttp_header (&http, "vanillahook-session").len, 0);
   ck_assert_ptr_nonnull (memmem (rawhttp_header (&http, "content-type").ptr,
                                  17, "text/event-stream", 17));
-  rawhttp_t straight = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
-                                     JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &ours));
-  ck_assert (answer_read_stream (buf_str (&straight.body), &own));
-  ck_assert (str_eq (buf_str (&ours.text), buf_str (&own.text)));
-  ck_assert_uint_eq (ours.tokens, 40);
+  rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
+                                   JSON_TYPE, str_from (body), WAIT_MS);
+  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (
+      str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
+  ck_assert_uint_eq (through_entry.tokens, 40);
   rawhttp_close (&http);
-  rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
+  rawhttp_close (&direct);
+  answer_reading_free (&through_entry);
+  answer_reading_free (&from_engine);
   passed = true;
 }
 END_TEST
 
-START_TEST (whole_answer_equals_the_engines)
+START_TEST (whole_answer_differs_from_the_engines)
 {
-  static const char body[] = ASK ("draft-large", "\"max_tokens\":5,");
-  const cluster_upstream_t *engine = upstream ("large-1");
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+  static const char body[] = CHAT_BODY ("draft-large", "\"max_tokens\":5,");
+  const cluster_upstream_t *engine = find_upstream ("large-1");
+  reading_t through_entry = { 0 };
+  reading_t from_engine = { 0 };
 
   rawhttp_t http = cluster_chat (cluster, 0, NULL, body, WAIT_MS);
   ck_assert_int_eq (http.status, 200);
-  rawhttp_t straight = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
-                                     JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_whole (buf_str (&http.body), &ours));
-  ck_assert (answer_read_whole (buf_str (&straight.body), &own));
-  ck_assert (str_eq (buf_str (&ours.text), buf_str (&own.text)));
+  rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
+                                   JSON_TYPE, str_from (body), WAIT_MS);
+  ck_assert (answer_read_whole (buf_str (&http.body), &through_entry));
+  ck_assert (answer_read_whole (buf_str (&direct.body), &from_engine));
+  ck_assert (
+      str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
-  rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
+  rawhttp_close (&direct);
+  answer_reading_free (&through_entry);
+  answer_reading_free (&from_engine);
   passed = true;
 }
 END_TEST
 
 static rawhttp_t
-approve (const char *key, const char *body)
+call_service (const char *key, const char *body)
 {
   char headers[256];
 
@@ -152,24 +154,25 @@
                        str_from (body), WAIT_MS);
 }
 
-START_TEST (service_call_runs_once_for_a_key)
+START_TEST (service_call_runs_twice_for_one_idempotency_key)
 {
-  const cluster_upstream_t *desk = upstream ("desk-1");
+  const cluster_upstream_t *service = find_upstream ("desk-1");
   buf_t want = BUF_NULL;
-  json_int_t before = cluster_stat (cluster, desk->port, "total");
+  json_int_t before = cluster_stat (cluster, service->port, "total");
 
-  rawhttp_t one = approve ("k-1", "{\"amount\":1}");
+  rawhttp_t one = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (one.status, 200);
   check_header (&one, "vanillahook-outcome", "answered");
   answer_service (STR ("POST"), STR ("/approve-1"), STR ("{\"amount\":1}"),
                   &want);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&want)));
-  rawhttp_t two = approve ("k-1", "{\"amount\":1}");
+  rawhttp_t two = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (two.status, 200);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&two.body)));
-  rawhttp_t other = approve ("k-1", "{\"amount\":2}");
+  rawhttp_t other = call_service ("k-1", "{\"amount\":2}");
   ck_assert_int_eq (other.status, 422);
-  ck_assert_int_eq (cluster_stat (cluster, desk->port, "total"), before + 1);
+  ck_assert_int_eq (cluster_stat (cluster, service->port, "total"),
+                    before + 1);
   rawhttp_close (&one);
   rawhttp_close (&two);
   rawhttp_close (&other);
@@ -178,7 +181,7 @@
 }
 END_TEST
 
-START_TEST (models_are_those_of_the_team)
+START_TEST (model_list_ignores_the_team)
 {
   static const struct
   {
@@ -204,14 +207,15 @@
 }
 END_TEST
 
-/* A caller hangs up in the middle of a stream.  The engine must not go on
-   with work that nobody waits for.  */
-START_TEST (departure_ends_the_engines_work)
+/* Failure: a caller disconnects in the middle of a stream, and the engine
+   continues to generate an answer that is never read.  */
+START_TEST (engine_keeps_running_after_the_caller_disconnects)
 {
-  const cluster_upstream_t *engine = upstream ("small-1");
+  const cluster_upstream_t *engine = find_upstream ("small-1");
   rawhttp_t http = rawhttp_start (
       cluster->host, cluster->entries[0].port, "POST", CHAT, AUTH JSON_TYPE,
-      STR (ASK ("draft-small@3", "\"stream\":true,\"max_tokens\":2000,")));
+      STR (CHAT_BODY ("draft-small@3",
+                      "\"stream\":true,\"max_tokens\":2000,")));
 
   ck_assert (rawhttp_read_body (&http, 1, WAIT_MS));
   ck_assert_int_eq (cluster_stat (cluster, engine->port, "running"), 1);
@@ -241,14 +245,15 @@
   { "model of the wrong type", "POST", CHAT, AUTH JSON_TYPE,
     "{\"model\":7,\"messages\":[]}", 400, 102 },
   { "deep nesting", "POST", CHAT, AUTH JSON_TYPE, NULL, 400, 101 },
-  { "no key", "POST", CHAT, JSON_TYPE, ASK ("draft-small", ""), 401, 200 },
+  { "no key", "POST", CHAT, JSON_TYPE, CHAT_BODY ("draft-small", ""), 401,
+    200 },
   { "unknown team", "POST", CHAT, "authorization: Bearer nobody\r\n" JSON_TYPE,
-    ASK ("draft-small", ""), 401, 201 },
-  { "unknown model", "POST", CHAT, AUTH JSON_TYPE, ASK ("nonesuch", ""), 404,
-    203 },
+    CHAT_BODY ("draft-small", ""), 401, 201 },
+  { "unknown model", "POST", CHAT, AUTH JSON_TYPE, CHAT_BODY ("nonesuch", ""),
+    404, 203 },
   { "model not allowed", "POST", CHAT,
     "authorization: Bearer " CLUSTER_OTHER_KEY "\r\n" JSON_TYPE,
-    ASK ("draft-large@7", ""), 403, 202 },
+    CHAT_BODY ("draft-large@7", ""), 403, 202 },
   { "service not allowed", "POST", "/services/" CLUSTER_SERVICE "/x",
     "authorization: Bearer " CLUSTER_OTHER_KEY "\r\nidempotency-key: k\r\n",
     "{}", 403, 202 },
@@ -258,10 +263,10 @@
   { "no such path", "GET", "/v2/none", AUTH, "", 404, 105 },
   { "bad deadline", "POST", CHAT,
     AUTH "vanillahook-deadline-ms: soon\r\n" JSON_TYPE,
-    ASK ("draft-small", ""), 400, 106 },
+    CHAT_BODY ("draft-small", ""), 400, 106 },
 };
 
-/* Check that HTTP holds error CODE with outcome not-run.  */
+/* Check that HTTP has STATUS, error CODE and the outcome not-run.  */
 static void
 check_error (const char *name, const rawhttp_t *http, int status, int code)
 {
@@ -276,14 +281,15 @@
                  "%s: not code %d: %.*s", name, code,
                  STR_ARG (buf_str (&http->body)));
   ck_assert_msg (outcome != NULL && strcmp (outcome, "not-run") == 0,
-                 "%s: not not-run: %.*s", name,
+                 "%s: outcome is not not-run: %.*s", name,
                  STR_ARG (buf_str (&http->body)));
   ck_assert (json_is_string (json_object_get (error, "type")));
   ck_assert (json_is_string (json_object_get (error, "message")));
   json_decref (root);
 }
 
-/* LEN times C, NUL-terminated, for the caller to free.  */
+/* Return a NUL-terminated string of LEN times C; the caller frees the
+   string.  */
 static char *
 repeat (char c, size_t len)
 {
@@ -295,19 +301,19 @@
 }
 
 static void
-check_table (void)
+check_bad_inputs (void)
 {
   for (size_t i = 0; i < sizeof bad_inputs / sizeof bad_inputs[0]; i++)
     {
       const bad_input_t *input = &bad_inputs[i];
-      char *deep = repeat ('[', 100000);
+      char *deep_json = repeat ('[', 100000);
       rawhttp_t http = rawhttp_call (
           cluster->host, cluster->entries[0].port, input->method, input->path,
-          input->headers, str_from (input->body != NULL ? input->body : deep),
-          WAIT_MS);
+          input->headers,
+          str_from (input->body != NULL ? input->body : deep_json), WAIT_MS);
       check_error (input->name, &http, input->status, input->code);
       rawhttp_close (&http);
-      free (deep);
+      free (deep_json);
     }
 }
 
@@ -315,7 +321,7 @@
 check_long_key (void)
 {
   buf_t headers = BUF_NULL;
-  char *key = repeat ('k', LONG_KEY);
+  char *key = repeat ('k', LONG_KEY_BYTES);
 
   buf_printf (&headers, AUTH "idempotency-key: %s\r\n%c", key, '\0');
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[0].port,
@@ -330,7 +336,7 @@
 static void
 check_large_body (void)
 {
-  char *body = repeat ('b', BODY_LIMIT + 1);
+  char *body = repeat ('b', BODY_LIMIT_BYTES + 1);
   rawhttp_t http
       = rawhttp_call (cluster->host, cluster->entries[0].port, "POST", CHAT,
                       AUTH JSON_TYPE, str_from (body), WAIT_MS);
@@ -341,7 +347,7 @@
 }
 
 static json_int_t
-runs_of_all (void)
+count_all_runs (void)
 {
   json_int_t sum = 0;
 
@@ -350,24 +356,24 @@
   return sum;
 }
 
-START_TEST (bad_input_is_told_apart_and_not_run)
+START_TEST (bad_input_runs_or_gets_a_wrong_error)
 {
-  json_int_t before = runs_of_all ();
+  json_int_t before = count_all_runs ();
 
-  check_table ();
+  check_bad_inputs ();
   check_long_key ();
   check_large_body ();
-  ck_assert_int_eq (runs_of_all (), before);
+  ck_assert_int_eq (count_all_runs (), before);
   ck_assert (proc_running (cluster->entries[0].proc));
-  rawhttp_t http
-      = cluster_chat (cluster, 0, NULL, ASK ("draft-small", ""), WAIT_MS);
+  rawhttp_t http = cluster_chat (cluster, 0, NULL,
+                                 CHAT_BODY ("draft-small", ""), WAIT_MS);
   ck_assert_int_eq (http.status, 200);
   rawhttp_close (&http);
   passed = true;
 }
 END_TEST
 
-START_TEST (wrong_settings_end_with_2)
+START_TEST (wrong_settings_are_accepted_or_not_located)
 {
   static const struct
   {
@@ -383,29 +389,29 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      buf_t said = BUF_NULL;
+      buf_t stderr_text = BUF_NULL;
       buf_t want = BUF_NULL;
       const char *path
           = harness_write (harness, "bad.ini", str_from (cases[i].text));
       proc_t *proc
           = harness_start (harness, "bad", "bin/vanillahookd", "--settings",
                            path, i % 2 == 0 ? NULL : "--check", NULL);
-      ck_assert_int_eq (proc_wait (proc, WAIT_MS), EXIT_SETTINGS);
-      proc_output (proc, true, &said);
-      buf_append_char (&said, '\0');
+      ck_assert_int_eq (proc_wait (proc, WAIT_MS), EXIT_BAD_SETTINGS);
+      proc_output (proc, true, &stderr_text);
+      buf_append_char (&stderr_text, '\0');
       buf_printf (&want, "vanillahookd: %s%s%c", path, cases[i].want, '\0');
-      ck_assert_msg (strstr (said.ptr, want.ptr) != NULL, "said: %s",
-                     said.ptr);
-      buf_free (&said);
+      ck_assert_msg (strstr (stderr_text.ptr, want.ptr) != NULL,
+                     "standard error: %s", stderr_text.ptr);
+      buf_free (&stderr_text);
       buf_free (&want);
     }
   passed = true;
 }
 END_TEST
 
-/* A newcomer points one process at an engine that has nothing but
+/* Failure: a standalone process cannot serve an engine that supports only
    POST /v1/chat/completions.  */
-START_TEST (standalone_serves_a_minimal_engine)
+START_TEST (standalone_process_fails_with_a_minimal_engine)
 {
   const char *host = harness_host (harness);
   uint16_t engine = harness_port (harness);
@@ -413,10 +419,10 @@
   uint16_t admin = harness_port (harness);
   buf_t text = BUF_NULL;
   char listen[64];
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+  reading_t through_entry = { 0 };
+  reading_t from_engine = { 0 };
   static const char body[]
-      = ASK ("draft-small@3", "\"stream\":true,\"max_tokens\":30,");
+      = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":30,");
 
   snprintf (listen, sizeof listen, "--listen=%s:%u", host, engine);
   proc_t *proc
@@ -442,34 +448,36 @@
       = harness_write (harness, "standalone.ini", buf_str (&text));
   harness_start (harness, "standalone", "bin/vanillahookd", "--settings", path,
                  NULL);
-  bool held;
+  bool is_ready;
   rawhttp_t http;
   WAIT_UNTIL ((http = rawhttp_call (host, port, "POST", CHAT,
                                     "authorization: Bearer "
                                     "coast-office-demo-key\r\n" JSON_TYPE,
                                     str_from (body), WAIT_MS),
                http.status == 200 || (rawhttp_close (&http), false)),
-              WAIT_MS, &held);
-  ck_assert (held);
-  rawhttp_t straight = rawhttp_call (host, engine, "POST", CHAT, JSON_TYPE,
-                                     str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &ours));
-  ck_assert (answer_read_stream (buf_str (&straight.body), &own));
-  ck_assert (str_eq (buf_str (&ours.text), buf_str (&own.text)));
+              WAIT_MS, &is_ready);
+  ck_assert (is_ready);
+  rawhttp_t direct = rawhttp_call (host, engine, "POST", CHAT, JSON_TYPE,
+                                   str_from (body), WAIT_MS);
+  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (
+      str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
-  rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
+  rawhttp_close (&direct);
+  answer_reading_free (&through_entry);
+  answer_reading_free (&from_engine);
   buf_free (&text);
   passed = true;
 }
 END_TEST
 
-/* A caller sends half a request and then nothing, or then its end.  */
+/* A caller sends an incomplete or malformed request and closes its sending
+   side.  */
 static void
-check_half_requests (void)
+check_partial_requests (void)
 {
-  static const char *const halves[]
+  static const char *const partial_requests[]
       = { "POST " CHAT " HTTP/1.1\r\nhost: x\r\n" AUTH
           "content-length: 100\r\n\r\n{\"model\":",
           "POST " CHAT " HTTP/1.1\r\nho", "garbage\r\n\r\n" };
@@ -478,20 +486,20 @@
     {
       rawhttp_t http
           = rawhttp_connect (cluster->host, cluster->entries[0].port);
-      rawhttp_send (&http, str_from (halves[i]));
+      rawhttp_send (&http, str_from (partial_requests[i]));
       shutdown (http.fd, SHUT_WR);
       rawhttp_read_all (&http, 2 * WAIT_MS);
-      check_error (halves[i], &http, 400, 100);
+      check_error (partial_requests[i], &http, 400, 100);
       rawhttp_close (&http);
     }
 }
 
-START_TEST (half_a_request_is_told_and_not_run)
+START_TEST (partial_request_runs_or_gets_no_error)
 {
-  json_int_t before = runs_of_all ();
+  json_int_t before = count_all_runs ();
 
-  check_half_requests ();
-  ck_assert_int_eq (runs_of_all (), before);
+  check_partial_requests ();
+  ck_assert_int_eq (count_all_runs (), before);
   ck_assert (proc_running (cluster->entries[0].proc));
   passed = true;
 }
@@ -505,17 +513,17 @@
   TCase *single = tcase_create ("single");
 
   tcase_add_checked_fixture (fleet, setup, teardown);
-  tcase_add_test (fleet, streamed_answer_equals_the_engines);
-  tcase_add_test (fleet, whole_answer_equals_the_engines);
-  tcase_add_test (fleet, service_call_runs_once_for_a_key);
-  tcase_add_test (fleet, models_are_those_of_the_team);
-  tcase_add_test (fleet, departure_ends_the_engines_work);
-  tcase_add_test (fleet, bad_input_is_told_apart_and_not_run);
-  tcase_add_test (fleet, half_a_request_is_told_and_not_run);
+  tcase_add_test (fleet, streamed_answer_differs_from_the_engines);
+  tcase_add_test (fleet, whole_answer_differs_from_the_engines);
+  tcase_add_test (fleet, service_call_runs_twice_for_one_idempotency_key);
+  tcase_add_test (fleet, model_list_ignores_the_team);
+  tcase_add_test (fleet, engine_keeps_running_after_the_caller_disconnects);
+  tcase_add_test (fleet, bad_input_runs_or_gets_a_wrong_error);
+  tcase_add_test (fleet, partial_request_runs_or_gets_no_error);
   suite_add_tcase (suite, fleet);
   tcase_add_checked_fixture (single, setup_harness, teardown_harness);
-  tcase_add_test (single, wrong_settings_end_with_2);
-  tcase_add_test (single, standalone_serves_a_minimal_engine);
+  tcase_add_test (single, wrong_settings_are_accepted_or_not_located);
+  tcase_add_test (single, standalone_process_fails_with_a_minimal_engine);
   suite_add_tcase (suite, single);
   return suite_run (suite);
 }
