--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -182,7 +182,7 @@
 }
 
 rpc_node_t *
-entry_node (entry_t *entry)
+entry_rpc_node (entry_t *entry)
 {
   return entry->node;
 }
@@ -222,7 +222,7 @@
 }
 
 void
-entry_announce (entry_t *entry)
+entry_start_draining (entry_t *entry)
 {
   entry->draining = true;
   if (entry->http != NULL)
@@ -237,7 +237,7 @@
 }
 
 size_t
-entry_in_hand (const entry_t *entry)
+entry_count_unfinished_requests (const entry_t *entry)
 {
   size_t count = entry->http != NULL ? httpd_unwritten (entry->http) : 0;
 
@@ -326,7 +326,7 @@
 }
 
 void
-entry_status (entry_t *entry, buf_t *out)
+entry_write_status (entry_t *entry, buf_t *out)
 {
   write_zones_status (entry, out);
   buf_append_char (out, ',');
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -18,12 +18,13 @@
 /* Changes of an instance that the entry detects on its own connection.  */
 typedef enum
 {
-  SIGHT_HEARD,     /* The instance sent a message.  */
-  SIGHT_SILENT,    /* The connection to the instance failed.  */
-  SIGHT_RESTARTED, /* A new process sends under the instance's name.  */
-  SIGHT_DRAINING,
-  SIGHT_NOT_DRAINING
-} sight_t;
+  INSTANCE_EVENT_ALIVE,       /* The instance sent a message.  */
+  INSTANCE_EVENT_UNREACHABLE, /* The connection to the instance failed.  */
+  INSTANCE_EVENT_RESTARTED,   /* A new process sends under the instance's name.
+                               */
+  INSTANCE_EVENT_DRAINING_STARTED,
+  INSTANCE_EVENT_DRAINING_ENDED
+} instance_event_t;
 
 /* Callbacks of the process that runs the entry.  */
 typedef struct
@@ -47,8 +48,8 @@
   /* Write the pending bills at once, without waiting for a full batch.  */
   void (*write_bills) (void *arg);
   /* The entry detected SIGHT on the connection to instance NAME.  */
-  void (*seen) (void *arg, str_t name, sight_t sight);
-} entry_host_t;
+  void (*seen) (void *arg, str_t name, instance_event_t sight);
+} entry_callbacks_t;
 
 /* All pointers are borrowed and must outlive the entry.  */
 typedef struct
@@ -59,7 +60,7 @@
   const settings_t *settings;
   platform_t *platform;
   uint64_t seed;
-  const entry_host_t *host;
+  const entry_callbacks_t *host;
   void *arg; /* Passed to the callbacks.  */
 } entry_options_t;
 
@@ -67,7 +68,7 @@
    caller, or VH_E_IO.  */
 vh_code_t entry_create (const entry_options_t *options, entry_t **out);
 uint16_t entry_port (const entry_t *entry);
-rpc_node_t *entry_node (entry_t *entry);
+rpc_node_t *entry_rpc_node (entry_t *entry);
 /* Apply configuration TEXT as REVISION.  A revision that is not later than
    the one in force is ignored.  Return VH_OK or the error of the parser.  */
 vh_code_t entry_configure (entry_t *entry, uint64_t revision, str_t text);
@@ -75,51 +76,52 @@
 snapshot_t *entry_snapshot (const entry_t *entry);
 
 /* Add or update an instance.  */
-void entry_member_put (entry_t *entry, const instance_row_t *row);
-void entry_member_remove (entry_t *entry, str_t name);
+void entry_put_instance (entry_t *entry, const instance_row_t *row);
+void entry_remove_instance (entry_t *entry, str_t name);
 
 /* Return the number of known entries, this one included.  */
-size_t entry_peers (const entry_t *entry);
+size_t entry_count_known_entries (const entry_t *entry);
 /* Return the rank, from 0, of this entry among the reachable entries of its
    availability zone.  The first few ranks take over shared duties such as
    polling the store.  */
-size_t entry_rank (const entry_t *entry);
+size_t entry_zone_rank (const entry_t *entry);
 
 /* Report this entry as draining to peers and end keep-alive connections of
    callers; new connections are still accepted.  */
-void entry_announce (entry_t *entry);
+void entry_start_draining (entry_t *entry);
 /* Accept no more connections; requests in progress continue.  */
 void entry_stop_listening (entry_t *entry);
 /* Return the number of requests that are unanswered, incompletely written or
    still running after their caller disconnected.  */
-size_t entry_in_hand (const entry_t *entry);
+size_t entry_count_unfinished_requests (const entry_t *entry);
 /* Abort all requests and release ENTRY on a later turn of the loop.  NULL is
    accepted.  */
 void entry_destroy (entry_t *entry);
 
 /* Notify the sidecar INSTANCE that the bills BILL_IDS are in the store, so
    that the sidecar drops its copies.  */
-void entry_bills_written (entry_t *entry, str_t instance,
-                          const str_t *bill_ids, size_t count);
+void entry_acknowledge_bills (entry_t *entry, str_t instance,
+                              const str_t *bill_ids, size_t count);
 /* Send BILLS to another entry; CB reports whether that entry accepted them.
    Return false, without calling CB, if no other entry is reachable.  */
-bool entry_bills_hand_over (entry_t *entry, wire_bill_t *bills, size_t count,
-                            void (*cb) (void *arg, bool accepted), void *arg);
+bool entry_transfer_bills (entry_t *entry, wire_bill_t *bills, size_t count,
+                           void (*cb) (void *arg, bool accepted), void *arg);
 /* Return the lease under which one entry at a time performs the duties of the
    leader.  */
-lease_t *entry_lease (entry_t *entry);
+lease_t *entry_leader_lease (entry_t *entry);
 
 typedef enum
 {
-  BURN_TEXT,
-  BURN_JSON,
-  BURN_HTML
+  BURN_FORMAT_TEXT,
+  BURN_FORMAT_JSON,
+  BURN_FORMAT_HTML
 } burn_format_t;
 /* Append the report of error budgets and burn rates of the service-level
    objectives.  */
-void entry_burn (entry_t *entry, burn_format_t format, buf_t *out);
+void entry_write_burn_report (entry_t *entry, burn_format_t format,
+                              buf_t *out);
 /* Append the members "zones", "peers", "rollouts", "alarms" and "decisions"
    of the operators' status object.  */
-void entry_status (entry_t *entry, buf_t *out);
+void entry_write_status (entry_t *entry, buf_t *out);
 
 #endif
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -64,7 +64,7 @@
   str_t *serves;     /* Versions and services; owned strings.  */
   size_t serves_count;
   uint64_t last_ping_ms;
-  uint64_t last_alive_event_ms; /* Time of the last SIGHT_HEARD.  */
+  uint64_t last_alive_event_ms; /* Time of the last INSTANCE_EVENT_ALIVE.  */
   size_t ref_count; /* Attempts and calls that point at the member.  */
   bool removed;     /* Freed as soon as REF_COUNT is 0.  */
 };
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -136,7 +136,7 @@
 }
 
 static void
-report_event (member_t *member, sight_t sight)
+report_event (member_t *member, instance_event_t sight)
 {
   const entry_t *entry = member->entry;
 
@@ -152,7 +152,7 @@
 
   member->unreachable = state != RPC_UP;
   if (member->unreachable)
-    report_event (member, SIGHT_SILENT);
+    report_event (member, INSTANCE_EVENT_UNREACHABLE);
   else
     /* A request may open the connection before the first ping, but only the
        reply to a ping lists the served targets and the features.  */
@@ -321,7 +321,7 @@
 }
 
 void
-entry_member_remove (entry_t *entry, str_t name)
+entry_remove_instance (entry_t *entry, str_t name)
 {
   member_t *member = map_get (entry->members, name);
 
@@ -330,7 +330,7 @@
 }
 
 void
-entry_member_put (entry_t *entry, const instance_row_t *row)
+entry_put_instance (entry_t *entry, const instance_row_t *row)
 {
   member_t *member = map_get (entry->members, row->name);
 
@@ -388,19 +388,19 @@
   member->confirmation_age_ms = context->confirmed_ms;
   member->load = context->load;
   if (member->epoch != 0 && member->epoch != context->epoch)
-    report_event (member, SIGHT_RESTARTED);
+    report_event (member, INSTANCE_EVENT_RESTARTED);
   member->epoch = context->epoch;
   uint64_t now_ms = clock_ms (entry->clock);
   if (now_ms - member->last_alive_event_ms >= ALIVE_EVENT_INTERVAL_MS)
     {
       member->last_alive_event_ms = now_ms;
-      report_event (member, SIGHT_HEARD);
+      report_event (member, INSTANCE_EVENT_ALIVE);
     }
   if (member->draining != (bool)context->draining)
     {
       member->draining = context->draining;
-      report_event (member,
-                    member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
+      report_event (member, member->draining ? INSTANCE_EVENT_DRAINING_STARTED
+                                             : INSTANCE_EVENT_DRAINING_ENDED);
       if (member->upstream_id != 0)
         balance_set_mark (entry->balance, member->upstream_id,
                           BALANCE_DRAINING,
@@ -560,13 +560,13 @@
 }
 
 size_t
-entry_peers (const entry_t *entry)
+entry_count_known_entries (const entry_t *entry)
 {
   return count_entries (entry) + 1;
 }
 
 size_t
-entry_rank (const entry_t *entry)
+entry_zone_rank (const entry_t *entry)
 {
   uint64_t own_revision = duty_priority (entry, entry->settings->name);
   size_t rank = 0;
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -111,7 +111,7 @@
 }
 
 lease_t *
-entry_lease (entry_t *entry)
+entry_leader_lease (entry_t *entry)
 {
   return entry->leader->lease;
 }
