--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -65,13 +65,13 @@
 static void host_seen (void *arg, str_t name, instance_event_t sight);
 
 static const entry_callbacks_t entry_host = {
-  .delta_from = host_delta_from,
-  .learn = host_learn,
-  .confirm = host_confirm,
-  .confirmed_ms = host_confirmed_ms,
-  .bill = host_bill,
-  .write_bills = host_write_bills,
-  .seen = host_seen,
+  .build_config_update = host_delta_from,
+  .apply_config_update = host_learn,
+  .confirm_revision = host_confirm,
+  .get_confirmation_age_ms = host_confirmed_ms,
+  .record_bill = host_bill,
+  .flush_bills = host_write_bills,
+  .on_instance_event = host_seen,
 };
 static const sidecar_host_t sidecar_host = { host_learn, host_delta_from };
 
@@ -371,7 +371,7 @@
                                     .settings = process->settings,
                                     .platform = process->platform,
                                     .seed = process->seed,
-                                    .host = &entry_host,
+                                    .callbacks = &entry_host,
                                     .arg = process };
 
   return entry_create (&options, &process->entry);
--- a/packages/entry/answer.c
+++ b/packages/entry/answer.c
@@ -194,9 +194,9 @@
                              .tokens_in = request->tokens_in,
                              .tokens_out = request->tokens_out,
                              .cost_micro = request->cost_micro };
-  entry->options.host->bill (entry->options.arg, &bill,
-                             member != NULL ? str_from (member->name)
-                                            : STR (""));
+  entry->options.callbacks->record_bill (
+      entry->options.arg, &bill,
+      member != NULL ? str_from (member->name) : STR (""));
   free (target_name);
   free (team);
   buf_free (&id);
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -24,7 +24,7 @@
   if (entry->snapshot != NULL)
     context->revision = snapshot_revision (entry->snapshot);
   context->confirmed_ms
-      = entry->options.host->confirmed_ms (entry->options.arg);
+      = entry->options.callbacks->get_confirmation_age_ms (entry->options.arg);
   context->draining = entry->draining;
 }
 
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -31,24 +31,24 @@
 {
   /* Append to UPDATE the changes from revision HAVE to the revision in force.
      Return false if a peer at HAVE needs no update.  */
-  bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
+  bool (*build_config_update) (void *arg, uint64_t have, buf_t *update);
   /* Apply the configuration update of a peer.  Return VH_OK, or
      VH_E_STALE_REVISION if UPDATE starts at a later revision than the one in
      force here.  */
-  vh_code_t (*learn) (void *arg, str_t update);
+  vh_code_t (*apply_config_update) (void *arg, str_t update);
   /* A peer reports that the store confirmed REVISION AGE_MS ago.  */
-  void (*confirm) (void *arg, uint64_t revision, uint64_t age_ms);
+  void (*confirm_revision) (void *arg, uint64_t revision, uint64_t age_ms);
   /* Return the time in ms since the store last confirmed the revision in
      force.  */
-  uint32_t (*confirmed_ms) (void *arg);
+  uint32_t (*get_confirmation_age_ms) (void *arg);
   /* Write BILL to the store: its answer was delivered completely, or the
      entry that held the bill is gone.  INSTANCE is the sidecar that keeps a
      copy until the bill is written; empty if there is none.  */
-  void (*bill) (void *arg, const wire_bill_t *bill, str_t instance);
+  void (*record_bill) (void *arg, const wire_bill_t *bill, str_t instance);
   /* Write the pending bills at once, without waiting for a full batch.  */
-  void (*write_bills) (void *arg);
+  void (*flush_bills) (void *arg);
   /* The entry detected SIGHT on the connection to instance NAME.  */
-  void (*seen) (void *arg, str_t name, instance_event_t sight);
+  void (*on_instance_event) (void *arg, str_t name, instance_event_t sight);
 } entry_callbacks_t;
 
 /* All pointers are borrowed and must outlive the entry.  */
@@ -60,7 +60,7 @@
   const settings_t *settings;
   platform_t *platform;
   uint64_t seed;
-  const entry_callbacks_t *host;
+  const entry_callbacks_t *callbacks;
   void *arg; /* Passed to the callbacks.  */
 } entry_options_t;
 
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -141,8 +141,8 @@
   const entry_t *entry = member->entry;
 
   if (!entry->destroyed)
-    entry->options.host->seen (entry->options.arg, str_from (member->name),
-                               sight);
+    entry->options.callbacks->on_instance_event (
+        entry->options.arg, str_from (member->name), sight);
 }
 
 static void
@@ -417,8 +417,8 @@
   else if (context->revision > own_revision)
     peering_pull_config (member);
   else if (member->is_entry)
-    entry->options.host->confirm (entry->options.arg, own_revision,
-                                  context->confirmed_ms);
+    entry->options.callbacks->confirm_revision (
+        entry->options.arg, own_revision, context->confirmed_ms);
 }
 
 void
--- a/packages/entry/peering.c
+++ b/packages/entry/peering.c
@@ -39,7 +39,8 @@
 
   if (member->config_push_pending || entry->snapshot == NULL)
     return;
-  if (entry->options.host->delta_from (entry->options.arg, have, &update))
+  if (entry->options.callbacks->build_config_update (entry->options.arg, have,
+                                                     &update))
     {
       wire_config_push_args_t args
           = { .update = { (u_int)update.len, update.ptr } };
@@ -61,7 +62,7 @@
   (void)sent;
   entry->config_pull_pending = false;
   if (code == VH_OK && pulled->update.update_len > 0 && !entry->destroyed)
-    entry->options.host->learn (
+    entry->options.callbacks->apply_config_update (
         entry->options.arg,
         str_make (pulled->update.update_val, pulled->update.update_len));
   fleet_member_unref (member);
@@ -137,11 +138,11 @@
   member->bill_fetch_pending = false;
   if (code == VH_OK && !entry->destroyed)
     for (u_int i = 0; i < fetched->bills.bills_len; i++)
-      entry->options.host->bill (entry->options.arg,
-                                 &fetched->bills.bills_val[i],
-                                 str_from (member->name));
+      entry->options.callbacks->record_bill (entry->options.arg,
+                                             &fetched->bills.bills_val[i],
+                                             str_from (member->name));
   if (code == VH_OK && !entry->destroyed && fetched->bills.bills_len > 0)
-    entry->options.host->write_bills (entry->options.arg);
+    entry->options.callbacks->flush_bills (entry->options.arg);
   fleet_member_unref (member);
 }
 
@@ -221,7 +222,7 @@
     {
       const wire_config_push_args_t *push = args;
       wire_code_res_t result;
-      result.code = (int)entry->options.host->learn (
+      result.code = (int)entry->options.callbacks->apply_config_update (
           entry->options.arg,
           str_make (push->update.update_val, push->update.update_len));
       rpc_reply (request, &result);
@@ -231,9 +232,9 @@
     {
       wire_config_pull_res_t result;
       buf_t update = BUF_NULL;
-      entry->options.host->delta_from (entry->options.arg,
-                                       ((wire_config_pull_args_t *)args)->have,
-                                       &update);
+      entry->options.callbacks->build_config_update (
+          entry->options.arg, ((wire_config_pull_args_t *)args)->have,
+          &update);
       result.update.update_val = update.ptr;
       result.update.update_len = (u_int)update.len;
       rpc_reply (request, &result);
@@ -245,8 +246,8 @@
       const wire_bills_hold_args_t *hold = args;
       wire_code_res_t result = { .code = VH_OK };
       for (u_int i = 0; i < hold->bills.bills_len; i++)
-        entry->options.host->bill (entry->options.arg,
-                                   &hold->bills.bills_val[i], STR (""));
+        entry->options.callbacks->record_bill (
+            entry->options.arg, &hold->bills.bills_val[i], STR (""));
       rpc_reply (request, &result);
       return;
     }
