--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -3,7 +3,7 @@
    called by peers), filter.c (filter chain), choose.c (version selection),
    claim.c (claims of non-idempotent requests), guard.c (poison requests and
    admission), dispatch.c (attempts), answer.c (answers to callers), learn.c
-   (ratings and roll-outs), lead.c (duties of the elected entry) and
+   (ratings and roll-outs), leader.c (duties of the elected entry) and
    objective.c (service-level objectives).  */
 
 #ifndef ENTRY_ENTRYINT_H
@@ -374,7 +374,7 @@
 /* Record that REQUEST ended with CODE; VH_OK: answered.  */
 void objective_request_ended (const request_t *request, vh_code_t code);
 
-/* lead.c */
+/* leader.c */
 leader_t *leader_create (entry_t *entry);
 void leader_destroy (leader_t *leader);
 void leader_tick (leader_t *leader, uint64_t now_ms);
