--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -20,8 +20,7 @@
 {
   INSTANCE_EVENT_ALIVE,       /* The instance sent a message.  */
   INSTANCE_EVENT_UNREACHABLE, /* The connection to the instance failed.  */
-  INSTANCE_EVENT_RESTARTED,   /* A new process sends under the instance's name.
-                               */
+  INSTANCE_EVENT_RESTARTED,   /* A new process uses the instance name.  */
   INSTANCE_EVENT_DRAINING_STARTED,
   INSTANCE_EVENT_DRAINING_ENDED
 } instance_event_t;
@@ -47,8 +46,8 @@
   void (*record_bill) (void *arg, const wire_bill_t *bill, str_t instance);
   /* Write the pending bills at once, without waiting for a full batch.  */
   void (*flush_bills) (void *arg);
-  /* The entry detected SIGHT on the connection to instance NAME.  */
-  void (*on_instance_event) (void *arg, str_t name, instance_event_t sight);
+  /* The entry detected EVENT on the connection to instance NAME.  */
+  void (*on_instance_event) (void *arg, str_t name, instance_event_t event);
 } entry_callbacks_t;
 
 /* All pointers are borrowed and must outlive the entry.  */
@@ -75,7 +74,8 @@
 /* Return the configuration in force, borrowed, or NULL before the first.  */
 snapshot_t *entry_snapshot (const entry_t *entry);
 
-/* Add or update an instance.  */
+/* Add the instance ROW, or update its address, zone and state.  The row of
+   this entry itself is ignored.  */
 void entry_put_instance (entry_t *entry, const instance_row_t *row);
 void entry_remove_instance (entry_t *entry, str_t name);
 
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -142,7 +142,7 @@
   char *path; /* Path and query sent to the upstream.  */
   uint64_t received_us;
   uint64_t deadline_ms; /* Monotonic time.  */
-  bool deadline_given;  /* The caller set the deadline.  */
+  bool deadline_given;  /* The caller sent the deadline in a header.  */
   const team_t *team;
   char *request_id; /* Idempotency key of the caller, or a generated id.  */
   bool key_given;   /* The caller sent an idempotency key.  */
@@ -151,7 +151,7 @@
   bool explain; /* The answer gets a vanillahook-explain header.  */
   wire_priority_t priority;
   uint64_t digest;   /* Hash of method, path and body.  */
-  uint64_t affinity; /* Affinity key for the balancer.  */
+  uint64_t affinity; /* Requests with equal keys prefer the same upstreams.  */
   uint32_t estimated_tokens;
   json_t *body_json;
   buf_t raw_body;
@@ -176,12 +176,13 @@
   bool rating_sampled; /* The answer is sent to the rating service.  */
   buf_t transcript;    /* Answer bytes kept for the rating.  */
   pool_t *pool;
-  uint32_t cost_micro; /* Price of the finished attempts in 1e-6 units.  */
+  uint32_t cost_micro; /* Price of finished attempts, in millionths.  */
   uint64_t billed_ms;  /* Timestamp of the bill, real time.  */
   uint32_t tokens_in;
   uint32_t tokens_out;
   /* Attempts.  */
-  entry_attempt_t attempt; /* Current attempt.  */
+  entry_attempt_t attempt; /* Current attempt; its MEMBER is NULL if there is
+                              none.  */
   unsigned attempt_count;
   upstream_id_t tried_upstreams[ATTEMPTS_MAX];
   size_t tried_count;
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -22,14 +22,14 @@
 set_route (request_t *request, request_kind_t kind, str_t path)
 {
   str_t query = httpd_query (request->http);
-  buf_t full = BUF_NULL;
+  buf_t full_path = BUF_NULL;
 
-  buf_append_str (&full, path);
+  buf_append_str (&full_path, path);
   if (query.ptr != NULL)
-    buf_printf (&full, "?%.*s", STR_ARG (query));
-  buf_append_char (&full, '\0');
+    buf_printf (&full_path, "?%.*s", STR_ARG (query));
+  buf_append_char (&full_path, '\0');
   request->kind = kind;
-  request->path = full.ptr;
+  request->path = full_path.ptr;
   request->method = str_dup (httpd_method (request->http));
 }
 
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -136,13 +136,13 @@
 }
 
 static void
-report_event (member_t *member, instance_event_t sight)
+report_event (member_t *member, instance_event_t event)
 {
   const entry_t *entry = member->entry;
 
   if (!entry->destroyed)
     entry->options.callbacks->on_instance_event (
-        entry->options.arg, str_from (member->name), sight);
+        entry->options.arg, str_from (member->name), event);
 }
 
 static void
@@ -265,14 +265,14 @@
 static void
 set_idle_ping_interval (entry_t *entry)
 {
-  uint64_t ms = map_size (entry->members) * PING_BYTES * 1000
-                / PING_BUDGET_BYTES_PER_S;
+  uint64_t interval_ms = map_size (entry->members) * PING_BYTES * 1000
+                         / PING_BUDGET_BYTES_PER_S;
 
-  if (ms < PING_MIN_MS)
-    ms = PING_MIN_MS;
-  if (ms > PING_MAX_MS)
-    ms = PING_MAX_MS;
-  rpc_node_set_idle_ping_ms (entry->node, ms);
+  if (interval_ms < PING_MIN_MS)
+    interval_ms = PING_MIN_MS;
+  if (interval_ms > PING_MAX_MS)
+    interval_ms = PING_MAX_MS;
+  rpc_node_set_idle_ping_ms (entry->node, interval_ms);
 }
 
 static void
@@ -458,14 +458,14 @@
    in a few rounds, and to the entries of the same zone with the highest duty
    priority, so that their duties are taken over when they fail.  */
 static bool
-is_chosen_peer (const member_t *member, size_t entries)
+is_chosen_peer (const member_t *member, size_t entry_count)
 {
   const entry_t *entry = member->entry;
   str_t name = str_from (member->name);
   uint64_t hash = str_hash (name, str_hash (entry->settings->name, 9));
 
-  if (entries <= ENTRY_CONNECTIONS_MEAN
-      || hash % entries < ENTRY_CONNECTIONS_MEAN)
+  if (entry_count <= ENTRY_CONNECTIONS_MEAN
+      || hash % entry_count < ENTRY_CONNECTIONS_MEAN)
     return true;
   return str_eq (str_from (member->zone), entry->settings->zone)
          && duty_priority (entry, name) > UINT64_MAX - UINT64_MAX / 16;
@@ -489,7 +489,7 @@
 choose_connections (entry_t *entry)
 {
   upstream_id_t ids[SUBSET_MAX];
-  size_t entries = count_entries (entry);
+  size_t entry_count = count_entries (entry);
   size_t cursor = 0;
   void *value;
 
@@ -498,7 +498,7 @@
       member_t *member = value;
       /* A sidecar whose targets are unknown is pinged for them.  */
       member->keep_connected = member->is_entry
-                                   ? is_chosen_peer (member, entries)
+                                   ? is_chosen_peer (member, entry_count)
                                    : member->serves_count == 0;
     }
   cursor = 0;
