--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -102,7 +102,8 @@
   if (attempt->admission_counted || attempt->joined)
     return;
   attempt->admission_counted = true;
-  admission_result (request->pool->admission, request->estimated_tokens, true);
+  admission_record_result (request->pool->admission, request->estimated_tokens,
+                           true);
 }
 
 static uint64_t
@@ -229,8 +230,8 @@
   if (started)
     count_acceptance (request);
   else if (code == VH_E_FULL || code == VH_E_DEADLINE)
-    admission_result (request->pool->admission, request->estimated_tokens,
-                      false);
+    admission_record_result (request->pool->admission,
+                             request->estimated_tokens, false);
   if (answer->retry_after_ms > request->retry_after_ms)
     request->retry_after_ms = answer->retry_after_ms;
   /* The sidecar was restarted.  A call sent only to the new process did not
@@ -856,7 +857,7 @@
 filter_result_t
 dispatch_start (request_t *request)
 {
-  retry_request (request->pool->retry);
+  retry_add_request (request->pool->retry);
   start_next_attempt (request);
   return FILTER_PENDING;
 }
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -130,7 +130,7 @@
   if (ok)
     {
       record_latency (pool, latency_us);
-      retry_observe (pool->retry, latency_us);
+      retry_record_latency (pool->retry, latency_us);
     }
   apply_ejections (entry, pool);
 }
@@ -554,8 +554,8 @@
     {
       pool_t *pool = value;
       apply_ejections (entry, pool);
-      admission_pressure (pool->admission,
-                          balance_pressure (entry->balance, pool->id));
+      admission_set_pressure (pool->admission,
+                              balance_pressure (entry->balance, pool->id));
     }
 }
 
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -35,12 +35,13 @@
   entry_t *entry = request->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  if (!quality_rater_ok (entry->quality, now_ms))
+  if (!quality_is_rater_available (entry->quality, now_ms))
     return;
-  request->rating_sampled = is_sampled_for_rollout (request)
-                            || quality_sample (entry->quality, &entry->rng,
-                                               request->version->model->task,
-                                               request->version->name, now_ms);
+  request->rating_sampled
+      = is_sampled_for_rollout (request)
+        || quality_should_rate (entry->quality, &entry->rng,
+                                request->version->model->task,
+                                request->version->name, now_ms);
 }
 
 void
@@ -249,7 +250,7 @@
   str_t version = str_from (rating->version);
   const rollout_sample_t rollout_sample = { .rated = true, .rating = score };
 
-  quality_add (entry->quality, task, version, score, now_ms);
+  quality_add_rating (entry->quality, task, version, score, now_ms);
   degradation_observe (entry->degradation, version, task, &rollout_sample,
                        now_ms);
   learn_rollout_t *rollout
@@ -274,17 +275,18 @@
                                  .zone = str_from (rating->zone),
                                  .rating = score };
 
-  quality_rater_answered (entry->quality);
+  quality_record_rater_success (entry->quality);
   if (rating->purpose == RATING_PURPOSE_AUDIT)
     {
-      cascade_first (entry->cascade, task, version, rating->first_rating,
-                     score, now_ms);
+      cascade_record_first (entry->cascade, task, version,
+                            rating->first_rating, score, now_ms);
       return;
     }
   burn_observe_rating (entry->burn, &sample, now_ms);
   if (rating->purpose == RATING_PURPOSE_ESCALATION)
-    cascade_second (entry->cascade, task, str_from (rating->first_version),
-                    version, rating->first_rating, score, now_ms);
+    cascade_record_second (entry->cascade, task,
+                           str_from (rating->first_version), version,
+                           rating->first_rating, score, now_ms);
   else
     record_sample_score (rating, score, now_ms);
 }
@@ -302,13 +304,14 @@
         record_score (rating, score);
       else
         {
-          quality_rater_failed (entry->quality,
-                                clock_realtime_ms (entry->clock));
+          quality_record_rater_failure (entry->quality,
+                                        clock_realtime_ms (entry->clock));
           /* The first rating of the audited answer is still recorded.  */
           if (rating->purpose == RATING_PURPOSE_AUDIT)
-            cascade_first (entry->cascade, str_from (rating->task),
-                           str_from (rating->version), rating->first_rating,
-                           NAN, clock_realtime_ms (entry->clock));
+            cascade_record_first (entry->cascade, str_from (rating->task),
+                                  str_from (rating->version),
+                                  rating->first_rating, NAN,
+                                  clock_realtime_ms (entry->clock));
         }
     }
   rating_free (rating);
@@ -349,13 +352,14 @@
   entry_t *entry = request->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  quality_add (entry->quality, request->version->model->task,
-               request->version->name, request->first_rating, now_ms);
+  quality_add_rating (entry->quality, request->version->model->task,
+                      request->version->name, request->first_rating, now_ms);
   if (request->plan.audit && entry->ratings_in_flight < RATINGS_IN_FLIGHT_MAX)
     request_rating (request, RATING_PURPOSE_AUDIT, content);
   else
-    cascade_first (entry->cascade, request->version->model->task,
-                   request->version->name, request->first_rating, NAN, now_ms);
+    cascade_record_first (entry->cascade, request->version->model->task,
+                          request->version->name, request->first_rating, NAN,
+                          now_ms);
 }
 
 void
@@ -393,8 +397,8 @@
 {
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  quality_settle (entry->quality, generation, now_ms);
-  cascade_settle (entry->cascade, generation, now_ms);
+  quality_fold_epochs (entry->quality, generation, now_ms);
+  cascade_fold_epochs (entry->cascade, generation, now_ms);
   degradation_compact (entry->degradation, generation, now_ms);
   burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
