--- a/packages/control/billset.c
+++ b/packages/control/billset.c
@@ -8,10 +8,10 @@
 
 struct billset
 {
-  bill_t *items; /* Each owns its strings.  */
+  bill_t *items; /* Each bill owns its strings.  */
   size_t count;
   size_t cap;
-  map_t *by_id; /* Of the index plus one.  */
+  map_t *by_id; /* Maps request id to index + 1 in ITEMS.  */
 };
 
 billset_t *
@@ -24,7 +24,7 @@
 }
 
 static str_t
-own (str_t s)
+copy_str (str_t s)
 {
   return str_make (str_dup (s), s.len);
 }
@@ -43,10 +43,10 @@
 {
   bill_t copy = *bill;
 
-  copy.request_id = own (bill->request_id);
-  copy.team = own (bill->team);
-  copy.model = own (bill->model);
-  copy.version = own (bill->version);
+  copy.request_id = copy_str (bill->request_id);
+  copy.team = copy_str (bill->team);
+  copy.model = copy_str (bill->model);
+  copy.version = copy_str (bill->version);
   return copy;
 }
 
--- a/packages/control/billset.h
+++ b/packages/control/billset.h
@@ -1,4 +1,5 @@
-/* A set of bills by request id, and its form in a row of the ledger.  */
+/* A set of bills with unique request ids, and its serialization as the value
+   of a ledger row.  */
 
 #ifndef CONTROL_BILLSET_H
 #define CONTROL_BILLSET_H
@@ -10,16 +11,16 @@
 billset_t *billset_create (void);
 /* NULL is accepted.  */
 void billset_destroy (billset_t *set);
-/* Add BILL, copied.  Of two with one request id that of more tokens stays,
-   whatever the order they come in.  */
+/* Add a copy of BILL.  Of two bills with the same request id, the set keeps
+   the bill with more tokens, in whichever order the two are added.  */
 void billset_add (billset_t *set, const bill_t *bill);
 size_t billset_size (const billset_t *set);
-/* The bills, borrowed, in order of arrival.  */
+/* Return the bills in the order of their addition; the set owns the array.  */
 const bill_t *billset_items (const billset_t *set);
-/* Append the row's text to OUT.  */
+/* Append the JSON text of SET to OUT.  */
 void billset_write (const billset_t *set, buf_t *out);
-/* Add the bills of a row's text.  Return VH_OK, or VH_E_PROTOCOL when it is
-   no such text.  */
+/* Add the bills in TEXT, which billset_write produced.  Return VH_OK, or
+   VH_E_PROTOCOL if TEXT is not a JSON array.  */
 vh_code_t billset_read (billset_t *set, str_t text);
 
 #endif
--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -9,24 +9,28 @@
 
 enum
 {
-  PATIENCE_MS = 1000,
-  SWEEP_MS = 10 * 60 * 1000,
+  BATCH_TIMEOUT_MS = 1000,
+  CLEANUP_INTERVAL_MS = 10 * 60 * 1000,
   TICK_MS = 20,
-  /* A transaction of 64 claims has 192 conditions and a few kilobytes. */
-  BATCH_MAX = 64,
-  /* Batches whose outcome is still being found out.  Past that the store is
-     so unwell that more would only pile up.  */
-  STRAYS_MAX = 16,
-  QUEUE_MAX = 20000,
-  SWEEP_ROWS = 500,
-  KEEP_DAYS = 3,
+  /* A transaction of 64 claims has 192 conditions and a size of a few
+     kilobytes.  */
+  BATCH_OPS_MAX = 64,
+  /* Maximum number of detached batches, whose outcome is still being
+     resolved.  Above it the store is assumed to be failing, and further
+     batches would only accumulate.  */
+  DETACHED_BATCHES_MAX = 16,
+  QUEUE_OPS_MAX = 20000,
+  CLEANUP_PAGE_ROWS = 500,
+  RETENTION_DAYS = 3,
   DAY_MS = 24 * 3600 * 1000,
   DAYS_CHECKED = 3,
-  /* Nobody waits for an outcome: it may wait for company so long.  */
-  GATHER_MS = 100,
-  RETRY_MIN_MS = 50,
-  /* Claimers wait meanwhile; the platform's breaker does the rest.  */
-  RETRY_MAX_MS = 1000
+  /* Maximum delay of the write of an outcome, so that several outcomes share
+     a transaction.  No client waits for the write.  */
+  OUTCOME_DELAY_MAX_MS = 100,
+  RETRY_DELAY_MIN_MS = 50,
+  /* Short, because clients wait for their claims during the delay; the
+     platform's circuit breaker limits the load on a failing store.  */
+  RETRY_DELAY_MAX_MS = 1000
 };
 
 typedef enum
@@ -36,44 +40,46 @@
   ROW_ABANDONED
 } row_state_t;
 
-static const char *const row_states[] = { "open", "done", "abandoned" };
+static const char *const row_state_names[] = { "open", "done", "abandoned" };
 
-/* A claim that is ours.  */
+/* A claim that this process holds.  */
 typedef struct
 {
   buf_t key;
   uint64_t version;
-  bool settling; /* Its outcome is queued.  */
-} held_t;
+  bool is_outcome_queued; /* The write of its outcome is queued.  */
+} held_claim_t;
 
 typedef struct
 {
   list_t link;
   claims_t *claims;
   bool is_claim;
-  uint64_t queued_ms; /* Since when, through all attempts.  */
+  /* Time when the outcome was first queued; 0 for a claim.  */
+  uint64_t queued_ms;
   buf_t id;
-  uint64_t day; /* Of the row to write.  */
-  /* Claim.  */
-  bool answered;
+  uint64_t claim_day; /* Day in the key of the row to write.  */
+  /* The next four fields are used for claims only.  */
+  bool is_callback_done;
   uint64_t deadline_ms;
   claims_cb_t cb;
   void *arg;
-  /* Row to take over, or to write a state to; key empty: none.  */
+  /* Existing row to take over or to write STATE to; KEY is empty if there is
+     none.  */
   buf_t key;
   uint64_t version;
   row_state_t state;
   buf_t outcome;
-} item_t;
+} operation_t;
 
 typedef struct
 {
   list_t link;
   claims_t *claims;
   uint64_t sent_ms;
-  bool stray;
+  bool is_detached;
   size_t count;
-  item_t *items[BATCH_MAX];
+  operation_t *ops[BATCH_OPS_MAX];
 } batch_t;
 
 struct claims
@@ -84,21 +90,21 @@
   buf_t writer;
   uv_timer_t timer;
   list_t queue;
-  size_t queued;
-  list_t reading; /* Claims that wait for the row they met.  */
+  size_t queue_length;
+  list_t conflict_reads; /* Claims whose conflicting row is being read.  */
   batch_t *current;
-  list_t strays;
-  size_t stray_count;
-  map_t *held; /* Of held_t by id.  */
+  list_t detached_batches;
+  size_t detached_count;
+  map_t *held; /* Maps id to held_claim_t.  */
   backoff_t backoff;
-  uint64_t not_before_ms;
-  bool sweeping;
-  uint64_t next_sweep_ms;
-  uint64_t batches;
-  uint64_t items;
+  uint64_t next_send_ms;
+  bool is_cleanup_running;
+  uint64_t next_cleanup_ms;
+  uint64_t batches_sent;
+  uint64_t ops_sent;
 };
 
-static void commit_next (claims_t *claims);
+static void send_next_batch (claims_t *claims);
 
 static uint64_t
 now_ms (const claims_t *claims)
@@ -107,7 +113,7 @@
 }
 
 static uint64_t
-today (const claims_t *claims)
+current_day (const claims_t *claims)
 {
   return clock_realtime_ms (claims->env.clock) / DAY_MS;
 }
@@ -119,135 +125,138 @@
 }
 
 static void
-item_free (item_t *item)
+op_free (operation_t *op)
 {
-  buf_free (&item->id);
-  buf_free (&item->key);
-  buf_free (&item->outcome);
-  free (item);
+  buf_free (&op->id);
+  buf_free (&op->key);
+  buf_free (&op->outcome);
+  free (op);
 }
 
-/* Tell the claimer once; the item stays.  */
+/* Call the callback of the claim OP unless it was called before.  OP is not
+   freed.  */
 static void
-answer (item_t *item, vh_code_t code, const claim_info_t *info)
+invoke_callback (operation_t *op, vh_code_t code, const claim_info_t *info)
 {
   static const claim_info_t unknown = { 0 };
 
-  if (item->answered || !item->is_claim)
+  if (op->is_callback_done || !op->is_claim)
     return;
-  item->answered = true;
-  item->cb (item->arg, code, info != NULL ? info : &unknown);
+  op->is_callback_done = true;
+  op->cb (op->arg, code, info != NULL ? info : &unknown);
 }
 
 static void
-answer_and_free (item_t *item, vh_code_t code, const claim_info_t *info)
+invoke_callback_and_free (operation_t *op, vh_code_t code,
+                          const claim_info_t *info)
 {
-  answer (item, code, info);
-  item_free (item);
+  invoke_callback (op, code, info);
+  op_free (op);
 }
 
 static void
-enqueue (item_t *item)
+enqueue (operation_t *op)
 {
-  list_append (&item->claims->queue, &item->link);
-  item->claims->queued++;
+  list_append (&op->claims->queue, &op->link);
+  op->claims->queue_length++;
 }
 
 static void
-dequeue (item_t *item)
+dequeue (operation_t *op)
 {
-  list_remove (&item->link);
-  item->claims->queued--;
+  list_remove (&op->link);
+  op->claims->queue_length--;
 }
 
-/* Put ITEM before the first of the queue.  */
+/* Insert OP at the head of the queue.  */
 static void
-enqueue_first (item_t *item)
+enqueue_first (operation_t *op)
 {
-  claims_t *claims = item->claims;
+  claims_t *claims = op->claims;
 
-  list_append (claims->queue.next, &item->link);
-  claims->queued++;
+  list_append (claims->queue.next, &op->link);
+  claims->queue_length++;
 }
 
 static void
-write_row (const item_t *item, str_t token, buf_t *out)
+write_row (const operation_t *op, str_t token, buf_t *out)
 {
-  const claims_t *claims = item->claims;
+  const claims_t *claims = op->claims;
   json_t *json = json_object ();
 
-  json_object_set_new (json, "state", json_string (row_states[item->state]));
+  json_object_set_new (json, "state",
+                       json_string (row_state_names[op->state]));
   json_put_str (json, "writer", buf_str (&claims->writer));
   json_object_set_new (
       json, "at_ms",
       json_integer ((json_int_t)clock_realtime_ms (claims->env.clock)));
   json_put_str (json, "token", token);
-  if (item->state == ROW_DONE)
-    json_put_str (json, "outcome", buf_str (&item->outcome));
+  if (op->state == ROW_DONE)
+    json_put_str (json, "outcome", buf_str (&op->outcome));
   json_write (json, out);
 }
 
-/* A transaction while it is put together; the strings are owned by BUFS.  */
+/* A transaction under construction; BUFS own its strings.  */
 typedef struct
 {
-  txn_condition_t conditions[BATCH_MAX * DAYS_CHECKED];
+  txn_condition_t conditions[BATCH_OPS_MAX * DAYS_CHECKED];
   size_t condition_count;
-  txn_write_t writes[BATCH_MAX * 2];
+  txn_write_t writes[BATCH_OPS_MAX * 2];
   size_t write_count;
-  buf_t bufs[BATCH_MAX * (DAYS_CHECKED + 1)];
+  buf_t bufs[BATCH_OPS_MAX * (DAYS_CHECKED + 1)];
   size_t buf_count;
-} draft_t;
+} txn_builder_t;
 
 static void
-draft_claim (draft_t *draft, item_t *item, str_t token)
+add_claim (txn_builder_t *builder, operation_t *op, str_t token)
 {
-  str_t taken = buf_str (&item->key);
+  str_t reusable_key = buf_str (&op->key);
   str_t today_key = STR_NULL;
 
-  item->day = today (item->claims);
-  for (uint64_t day = item->day - 1; day <= item->day + 1; day++)
+  op->claim_day = current_day (op->claims);
+  for (uint64_t day = op->claim_day - 1; day <= op->claim_day + 1; day++)
     {
-      buf_t *key = &draft->bufs[draft->buf_count++];
-      append_key (key, day, buf_str (&item->id));
-      bool is_taken = str_eq (buf_str (key), taken);
-      draft->conditions[draft->condition_count++]
-          = (txn_condition_t){ buf_str (key), is_taken ? item->version : 0 };
-      if (day == item->day)
+      buf_t *key = &builder->bufs[builder->buf_count++];
+      append_key (key, day, buf_str (&op->id));
+      bool is_reusable = str_eq (buf_str (key), reusable_key);
+      builder->conditions[builder->condition_count++]
+          = (txn_condition_t){ buf_str (key), is_reusable ? op->version : 0 };
+      if (day == op->claim_day)
         today_key = buf_str (key);
-      else if (is_taken)
-        draft->writes[draft->write_count++]
+      else if (is_reusable)
+        builder->writes[builder->write_count++]
             = (txn_write_t){ buf_str (key), STR_NULL, true };
     }
-  buf_t *row = &draft->bufs[draft->buf_count++];
-  item->state = ROW_OPEN;
-  write_row (item, token, row);
-  draft->writes[draft->write_count++]
+  buf_t *row = &builder->bufs[builder->buf_count++];
+  op->state = ROW_OPEN;
+  write_row (op, token, row);
+  builder->writes[builder->write_count++]
       = (txn_write_t){ today_key, buf_str (row), false };
 }
 
 static void
-draft_state (draft_t *draft, item_t *item, str_t token)
+add_state_update (txn_builder_t *builder, operation_t *op, str_t token)
 {
-  buf_t *row = &draft->bufs[draft->buf_count++];
+  buf_t *row = &builder->bufs[builder->buf_count++];
 
-  write_row (item, token, row);
-  draft->conditions[draft->condition_count++]
-      = (txn_condition_t){ buf_str (&item->key), item->version };
-  draft->writes[draft->write_count++]
-      = (txn_write_t){ buf_str (&item->key), buf_str (row), false };
+  write_row (op, token, row);
+  builder->conditions[builder->condition_count++]
+      = (txn_condition_t){ buf_str (&op->key), op->version };
+  builder->writes[builder->write_count++]
+      = (txn_write_t){ buf_str (&op->key), buf_str (row), false };
 }
 
 static bool
-batch_has (const batch_t *batch, const item_t *item)
+batch_has_id (const batch_t *batch, const operation_t *op)
 {
   for (size_t i = 0; i < batch->count; i++)
-    if (str_eq (buf_str (&batch->items[i]->id), buf_str (&item->id)))
+    if (str_eq (buf_str (&batch->ops[i]->id), buf_str (&op->id)))
       return true;
   return false;
 }
 
 static batch_t *
-take_batch (claims_t *claims)
+create_batch (claims_t *claims)
 {
   batch_t *batch = mem_zalloc (sizeof *batch);
 
@@ -256,26 +265,26 @@
   list_init (&batch->link);
   LIST_EACH (at, &claims->queue)
     {
-      item_t *item = CONTAINER_OF (at, item_t, link);
-      /* Two claims of one id in one transaction would both hold.  */
-      if (batch_has (batch, item))
+      operation_t *op = CONTAINER_OF (at, operation_t, link);
+      /* Two claims of one id in the same transaction would both succeed.  */
+      if (batch_has_id (batch, op))
         continue;
-      dequeue (item);
-      batch->items[batch->count++] = item;
-      if (batch->count == BATCH_MAX)
+      dequeue (op);
+      batch->ops[batch->count++] = op;
+      if (batch->count == BATCH_OPS_MAX)
         break;
     }
   return batch;
 }
 
 static void
-hold (claims_t *claims, const item_t *item, uint64_t version)
+add_held_claim (claims_t *claims, const operation_t *op, uint64_t version)
 {
-  held_t *held = mem_zalloc (sizeof *held);
+  held_claim_t *held = mem_zalloc (sizeof *held);
 
-  append_key (&held->key, item->day, buf_str (&item->id));
+  append_key (&held->key, op->claim_day, buf_str (&op->id));
   held->version = version;
-  held_t *old = map_put (claims->held, buf_str (&item->id), held);
+  held_claim_t *old = map_put (claims->held, buf_str (&op->id), held);
   if (old != NULL)
     {
       buf_free (&old->key);
@@ -283,11 +292,12 @@
     }
 }
 
-/* Drop the hold on ID that stands on VERSION; a later one stays.  */
+/* Remove the held claim on ID if its row has VERSION.  A later claim of the
+   same id is kept.  */
 static void
-unhold (claims_t *claims, str_t id, uint64_t version)
+remove_held_claim (claims_t *claims, str_t id, uint64_t version)
 {
-  held_t *held = map_get (claims->held, id);
+  held_claim_t *held = map_get (claims->held, id);
 
   if (held == NULL || held->version != version)
     return;
@@ -296,47 +306,48 @@
   free (held);
 }
 
-/* Queue a write of STATE to the row of ITEM's claim.  */
+/* Queue a write of STATE to the row KEY of ID, conditional on VERSION.  */
 static void
-queue_state (claims_t *claims, str_t id, str_t key, uint64_t version,
-             row_state_t state, str_t outcome)
+queue_state_update (claims_t *claims, str_t id, str_t key, uint64_t version,
+                    row_state_t state, str_t outcome)
 {
-  item_t *item = mem_zalloc (sizeof *item);
+  operation_t *op = mem_zalloc (sizeof *op);
 
-  item->claims = claims;
-  item->queued_ms = now_ms (claims);
-  item->version = version;
-  item->state = state;
-  buf_append_str (&item->id, id);
-  buf_append_str (&item->key, key);
-  buf_append_str (&item->outcome, outcome);
-  enqueue (item);
+  op->claims = claims;
+  op->queued_ms = now_ms (claims);
+  op->version = version;
+  op->state = state;
+  buf_append_str (&op->id, id);
+  buf_append_str (&op->key, key);
+  buf_append_str (&op->outcome, outcome);
+  enqueue (op);
 }
 
 static void
-on_written (item_t *item, uint64_t version)
+on_op_committed (operation_t *op, uint64_t version)
 {
-  claims_t *claims = item->claims;
+  claims_t *claims = op->claims;
 
-  if (!item->is_claim)
+  if (!op->is_claim)
     {
-      unhold (claims, buf_str (&item->id), item->version);
-      item_free (item);
+      remove_held_claim (claims, buf_str (&op->id), op->version);
+      op_free (op);
       return;
     }
-  if (item->answered)
+  if (op->is_callback_done)
     {
-      /* The claimer was told that this will not run: let others run it.  */
+      /* The caller was told that the request will not run under this claim,
+         so other processes must be able to claim the id.  */
       buf_t key = BUF_NULL;
-      append_key (&key, item->day, buf_str (&item->id));
-      queue_state (claims, buf_str (&item->id), buf_str (&key), version,
-                   ROW_ABANDONED, STR_NULL);
+      append_key (&key, op->claim_day, buf_str (&op->id));
+      queue_state_update (claims, buf_str (&op->id), buf_str (&key), version,
+                          ROW_ABANDONED, STR_NULL);
       buf_free (&key);
-      item_free (item);
+      op_free (op);
       return;
     }
-  hold (claims, item, version);
-  answer_and_free (item, VH_OK, NULL);
+  add_held_claim (claims, op, version);
+  invoke_callback_and_free (op, VH_OK, NULL);
 }
 
 static row_state_t
@@ -344,343 +355,358 @@
 {
   str_t state = json_get_plain (json, "state");
 
-  if (str_eq (state, str_from (row_states[ROW_DONE])))
+  if (str_eq (state, str_from (row_state_names[ROW_DONE])))
     return ROW_DONE;
-  if (str_eq (state, str_from (row_states[ROW_ABANDONED])))
+  if (str_eq (state, str_from (row_state_names[ROW_ABANDONED])))
     return ROW_ABANDONED;
   return ROW_OPEN;
 }
 
-/* Tell whether nobody will ever dispatch under the row.  */
+/* Return whether no process will ever dispatch the request under a row that
+   has STATE and WRITER.  */
 static bool
-may_take_over (const item_t *item, row_state_t state, str_t writer)
+may_take_over (const operation_t *op, row_state_t state, str_t writer)
 {
-  claims_t *claims = item->claims;
+  claims_t *claims = op->claims;
 
   if (state == ROW_ABANDONED)
     return true;
-  /* Open and ours, but not held: a claim of this process that was answered
-     before its outcome was known.  What is held stays so until its outcome
-     is in the row.  */
+  /* An open row that this process wrote but does not hold belongs to a claim
+     that expired before the outcome of its transaction was known.  A held
+     claim is kept until its outcome is in the row.  */
   return state == ROW_OPEN && str_eq (writer, buf_str (&claims->writer))
-         && map_get (claims->held, buf_str (&item->id)) == NULL;
+         && map_get (claims->held, buf_str (&op->id)) == NULL;
 }
 
 static void
-on_met_row (void *arg, vh_code_t code, const row_t *row)
+on_conflicting_row (void *arg, vh_code_t code, const row_t *row)
 {
-  item_t *item = arg;
-  claims_t *claims = item->claims;
+  operation_t *op = arg;
+  claims_t *claims = op->claims;
   json_t *json = NULL;
   buf_t scratch = BUF_NULL;
 
-  list_remove (&item->link);
+  list_remove (&op->link);
   if (code != VH_OK && code != VH_E_NOT_FOUND)
     {
-      answer_and_free (item, VH_E_CLAIMED, NULL);
+      invoke_callback_and_free (op, VH_E_CLAIMED, NULL);
       return;
     }
   if (code == VH_OK)
     json = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
   row_state_t state = parse_row (json);
   str_t writer = json_get_plain (json, "writer");
-  bool again = code == VH_E_NOT_FOUND || may_take_over (item, state, writer);
-  if (again && !item->answered)
+  bool can_retry = code == VH_E_NOT_FOUND || may_take_over (op, state, writer);
+  if (can_retry && !op->is_callback_done)
     {
-      item->key.len = 0;
-      item->version = row->version;
+      op->key.len = 0;
+      op->version = row->version;
       if (code == VH_OK)
-        buf_append_str (&item->key, row->key);
-      enqueue (item);
-      commit_next (claims);
+        buf_append_str (&op->key, row->key);
+      enqueue (op);
+      send_next_batch (claims);
     }
   else
     {
       const claim_info_t info
           = { true, state == ROW_DONE, writer, json_get_u64 (json, "at_ms"),
               json_get_str (json, "outcome", &scratch) };
-      answer_and_free (item, VH_E_CLAIMED, &info);
+      invoke_callback_and_free (op, VH_E_CLAIMED, &info);
     }
   json_decref (json);
   buf_free (&scratch);
 }
 
-/* Tell whether KEY is one of the rows that ITEM depends on.  */
+/* Return whether KEY is the key of one of OP's conditions.  */
 static bool
-item_has_key (const item_t *item, str_t key)
+op_depends_on_key (const operation_t *op, str_t key)
 {
-  bool has = str_eq (buf_str (&item->key), key);
+  bool depends = str_eq (buf_str (&op->key), key);
 
-  for (uint64_t day = item->day - 1;
-       item->is_claim && !has && day <= item->day + 1; day++)
+  for (uint64_t day = op->claim_day - 1;
+       op->is_claim && !depends && day <= op->claim_day + 1; day++)
     {
-      buf_t own = BUF_NULL;
-      append_key (&own, day, buf_str (&item->id));
-      has = str_eq (buf_str (&own), key);
-      buf_free (&own);
+      buf_t row_key = BUF_NULL;
+      append_key (&row_key, day, buf_str (&op->id));
+      depends = str_eq (buf_str (&row_key), key);
+      buf_free (&row_key);
     }
-  return has;
+  return depends;
 }
 
-/* ITEM alone kept the batch from being written.  */
+/* Handle the conflict of OP at KEY, because of which its whole batch was not
+   written.  */
 static void
-on_conflict_item (item_t *item, str_t key)
+on_op_conflict (operation_t *op, str_t key)
 {
-  claims_t *claims = item->claims;
+  claims_t *claims = op->claims;
 
-  if (!item->is_claim)
+  if (!op->is_claim)
     {
-      /* Written by an attempt whose reply was lost, or taken over.  */
-      on_written (item, 0);
+      /* The row was written by an attempt whose reply was lost, or was taken
+         over by another process.  */
+      on_op_committed (op, 0);
       return;
     }
-  if (item->answered)
+  if (op->is_callback_done)
     {
-      item_free (item);
+      op_free (op);
       return;
     }
-  list_append (&claims->reading, &item->link);
-  store_get (claims->store, key, on_met_row, item);
+  list_append (&claims->conflict_reads, &op->link);
+  store_get (claims->store, key, on_conflicting_row, op);
 }
 
-/* Put back what the batch holds, but for the item of the row KEY.  */
+/* Return the operations of BATCH to the queue, except the operation whose
+   condition on KEY failed.  */
 static void
-on_conflict (batch_t *batch, str_t key)
+on_batch_conflict (batch_t *batch, str_t key)
 {
-  bool found = false;
+  bool is_conflict_found = false;
 
   for (size_t i = batch->count; i-- > 0;)
     {
-      item_t *item = batch->items[i];
-      if (!found && item_has_key (item, key))
+      operation_t *op = batch->ops[i];
+      if (!is_conflict_found && op_depends_on_key (op, key))
         {
-          found = true;
-          on_conflict_item (item, key);
+          is_conflict_found = true;
+          on_op_conflict (op, key);
         }
-      else if (item->answered)
-        item_free (item);
+      else if (op->is_callback_done)
+        op_free (op);
       else
-        enqueue_first (item);
+        enqueue_first (op);
     }
 }
 
-/* Nothing of the batch was written.  */
+/* Handle the failure CODE of BATCH, of which nothing was written.  */
 static void
-on_refused (batch_t *batch, vh_code_t code)
+on_batch_refused (batch_t *batch, vh_code_t code)
 {
   claims_t *claims = batch->claims;
 
-  claims->not_before_ms
+  claims->next_send_ms
       = now_ms (claims)
         + backoff_next (&claims->backoff, store_rng (claims->store));
   for (size_t i = batch->count; i-- > 0;)
     {
-      item_t *item = batch->items[i];
-      bool wait
-          = !item->is_claim || (code == VH_E_STORE_BUSY && !item->answered);
-      if (wait)
-        enqueue_first (item);
+      operation_t *op = batch->ops[i];
+      bool is_retried = !op->is_claim
+                        || (code == VH_E_STORE_BUSY && !op->is_callback_done);
+      if (is_retried)
+        enqueue_first (op);
       else
-        answer_and_free (item, VH_E_STORE_DOWN, NULL);
+        invoke_callback_and_free (op, VH_E_STORE_DOWN, NULL);
     }
 }
 
-/* The outcome was not found out in all the time that tokens are kept.  */
+/* Handle BATCH, whose outcome was not resolved while the store remembered its
+   token.  */
 static void
-on_lost (batch_t *batch)
+on_batch_unresolved (batch_t *batch)
 {
-  log_err ("claims", "A batch of claims has no known outcome. items=%zu",
+  log_err ("claims",
+           "The store did not report the outcome of a batch; its claims are "
+           "not used. items=%zu",
            batch->count);
   for (size_t i = 0; i < batch->count; i++)
     {
-      item_t *item = batch->items[i];
-      if (item->is_claim)
-        answer_and_free (item, VH_E_STORE_LATE, NULL);
+      operation_t *op = batch->ops[i];
+      if (op->is_claim)
+        invoke_callback_and_free (op, VH_E_STORE_LATE, NULL);
       else
-        enqueue (item);
+        enqueue (op);
     }
 }
 
 static void
-on_batch (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
+on_batch_done (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
 {
   batch_t *batch = arg;
   claims_t *claims = batch->claims;
 
-  if (batch->stray)
-    claims->stray_count--;
+  if (batch->is_detached)
+    claims->detached_count--;
   else
     claims->current = NULL;
   list_remove (&batch->link);
   if (code == VH_OK)
     {
       backoff_reset (&claims->backoff);
-      claims->not_before_ms = 0;
+      claims->next_send_ms = 0;
       for (size_t i = 0; i < batch->count; i++)
-        on_written (batch->items[i], version);
+        on_op_committed (batch->ops[i], version);
     }
   else if (code == VH_E_CONFLICT)
-    on_conflict (batch, conflict_key);
+    on_batch_conflict (batch, conflict_key);
   else if (code == VH_E_STORE_LATE)
-    on_lost (batch);
+    on_batch_unresolved (batch);
   else
-    on_refused (batch, code);
+    on_batch_refused (batch, code);
   free (batch);
-  commit_next (claims);
+  send_next_batch (claims);
 }
 
 static void
 send_batch (claims_t *claims, batch_t *batch)
 {
-  draft_t *draft = mem_zalloc (sizeof *draft);
+  txn_builder_t *builder = mem_zalloc (sizeof *builder);
   buf_t token = BUF_NULL;
 
   store_token (claims->store, &token);
   for (size_t i = 0; i < batch->count; i++)
-    if (batch->items[i]->is_claim)
-      draft_claim (draft, batch->items[i], buf_str (&token));
+    if (batch->ops[i]->is_claim)
+      add_claim (builder, batch->ops[i], buf_str (&token));
     else
-      draft_state (draft, batch->items[i], buf_str (&token));
-  const txn_t txn = { draft->conditions, draft->condition_count, draft->writes,
-                      draft->write_count, buf_str (&token) };
-  claims->batches++;
-  claims->items += batch->count;
+      add_state_update (builder, batch->ops[i], buf_str (&token));
+  const txn_t txn
+      = { builder->conditions, builder->condition_count, builder->writes,
+          builder->write_count, buf_str (&token) };
+  claims->batches_sent++;
+  claims->ops_sent += batch->count;
   claims->current = batch;
-  store_txn (claims->store, &txn, STORE_PATIENCE_MAX_MS, on_batch, batch);
-  for (size_t i = 0; i < draft->buf_count; i++)
-    buf_free (&draft->bufs[i]);
-  free (draft);
+  store_txn (claims->store, &txn, STORE_RESOLVE_TIMEOUT_MAX_MS, on_batch_done,
+             batch);
+  for (size_t i = 0; i < builder->buf_count; i++)
+    buf_free (&builder->bufs[i]);
+  free (builder);
   buf_free (&token);
 }
 
-/* Tell whether a claim waits, or an outcome has waited long enough.  */
+/* Return whether the queue contains a claim, or an outcome whose maximum
+   delay has passed.  */
 static bool
-is_due (const claims_t *claims)
+has_due_op (const claims_t *claims)
 {
   uint64_t now = now_ms (claims);
 
   LIST_EACH (at, &claims->queue)
     {
-      const item_t *item = CONTAINER_OF (at, item_t, link);
-      if (item->is_claim || now - item->queued_ms >= GATHER_MS)
+      const operation_t *op = CONTAINER_OF (at, operation_t, link);
+      if (op->is_claim || now - op->queued_ms >= OUTCOME_DELAY_MAX_MS)
         return true;
     }
   return false;
 }
 
 static void
-commit_next (claims_t *claims)
+send_next_batch (claims_t *claims)
 {
-  if (claims->current != NULL || claims->stray_count >= STRAYS_MAX
-      || now_ms (claims) < claims->not_before_ms || !is_due (claims))
+  if (claims->current != NULL || claims->detached_count >= DETACHED_BATCHES_MAX
+      || now_ms (claims) < claims->next_send_ms || !has_due_op (claims))
     return;
-  send_batch (claims, take_batch (claims));
+  send_batch (claims, create_batch (claims));
 }
 
-/* Answer the claims whose time is up: those not sent were surely not
-   written.  */
+/* End the claims whose deadline has passed.  Claims that were not sent were
+   certainly not written and end with VH_E_STORE_DOWN.  */
 static void
-check_deadlines (claims_t *claims)
+expire_claims (claims_t *claims)
 {
   uint64_t now = now_ms (claims);
   batch_t *batch = claims->current;
 
   LIST_EACH (at, &claims->queue)
     {
-      item_t *item = CONTAINER_OF (at, item_t, link);
-      if (!item->is_claim || now < item->deadline_ms)
+      operation_t *op = CONTAINER_OF (at, operation_t, link);
+      if (!op->is_claim || now < op->deadline_ms)
         continue;
-      dequeue (item);
-      answer_and_free (item, VH_E_STORE_DOWN, NULL);
+      dequeue (op);
+      invoke_callback_and_free (op, VH_E_STORE_DOWN, NULL);
     }
-  LIST_EACH (at, &claims->reading)
+  LIST_EACH (at, &claims->conflict_reads)
     {
-      item_t *item = CONTAINER_OF (at, item_t, link);
-      if (now >= item->deadline_ms)
-        answer (item, VH_E_CLAIMED, NULL);
+      operation_t *op = CONTAINER_OF (at, operation_t, link);
+      if (now >= op->deadline_ms)
+        invoke_callback (op, VH_E_CLAIMED, NULL);
     }
   for (size_t i = 0; batch != NULL && i < batch->count; i++)
-    if (now >= batch->items[i]->deadline_ms)
-      answer (batch->items[i], VH_E_STORE_LATE, NULL);
+    if (now >= batch->ops[i]->deadline_ms)
+      invoke_callback (batch->ops[i], VH_E_STORE_LATE, NULL);
 }
 
-/* Let the next batch go when the one under way takes too long.  */
+/* Detach the current batch if its outcome is still unknown after the batch
+   timeout, so that the next batch can be sent.  */
 static void
-check_current (claims_t *claims)
+detach_slow_batch (claims_t *claims)
 {
   batch_t *batch = claims->current;
 
   if (batch == NULL
-      || now_ms (claims) - batch->sent_ms < claims->options.patience_ms)
+      || now_ms (claims) - batch->sent_ms < claims->options.batch_timeout_ms)
     return;
   claims->current = NULL;
-  batch->stray = true;
-  list_append (&claims->strays, &batch->link);
-  claims->stray_count++;
+  batch->is_detached = true;
+  list_append (&claims->detached_batches, &batch->link);
+  claims->detached_count++;
   for (size_t i = 0; i < batch->count; i++)
-    answer (batch->items[i], VH_E_STORE_LATE, NULL);
+    invoke_callback (batch->ops[i], VH_E_STORE_LATE, NULL);
 }
 
-static void sweep (claims_t *claims);
+static void delete_expired_rows (claims_t *claims);
 
 static void
-on_swept (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
+on_rows_deleted (void *arg, vh_code_t code, uint64_t version,
+                 str_t conflict_key)
 {
   claims_t *claims = arg;
 
   (void)version;
   (void)conflict_key;
-  claims->sweeping = false;
+  claims->is_cleanup_running = false;
   if (code == VH_OK)
-    sweep (claims);
+    delete_expired_rows (claims);
 }
 
-/* The rows come by day, the oldest first.  */
+/* Delete the expired rows of one page.  Row keys are sorted by day, so the
+   page contains the oldest rows.  */
 static void
-on_old_rows (void *arg, vh_code_t code, const row_t *rows, size_t count,
-             bool more)
+on_oldest_rows (void *arg, vh_code_t code, const row_t *rows, size_t count,
+                bool more)
 {
   claims_t *claims = arg;
-  txn_write_t writes[SWEEP_ROWS];
+  txn_write_t writes[CLEANUP_PAGE_ROWS];
   size_t write_count = 0;
-  buf_t keep = BUF_NULL;
+  buf_t first_kept_key = BUF_NULL;
 
   (void)more;
-  append_key (&keep, today (claims) - KEEP_DAYS + 1, STR (""));
+  append_key (&first_kept_key, current_day (claims) - RETENTION_DAYS + 1,
+              STR (""));
   for (size_t i = 0; code == VH_OK && i < count; i++)
-    if (str_cmp (rows[i].key, buf_str (&keep)) < 0)
+    if (str_cmp (rows[i].key, buf_str (&first_kept_key)) < 0)
       writes[write_count++] = (txn_write_t){ rows[i].key, STR_NULL, true };
-  buf_free (&keep);
+  buf_free (&first_kept_key);
   if (write_count == 0 || !lease_held (claims->options.lease))
     {
-      claims->sweeping = false;
+      claims->is_cleanup_running = false;
       return;
     }
   const txn_condition_t condition = lease_condition (claims->options.lease);
   const txn_t txn = { &condition, 1, writes, write_count, STR_NULL };
-  store_txn (claims->store, &txn, 0, on_swept, claims);
+  store_txn (claims->store, &txn, 0, on_rows_deleted, claims);
 }
 
 static void
-sweep (claims_t *claims)
+delete_expired_rows (claims_t *claims)
 {
-  claims->sweeping = true;
-  store_scan (claims->store, STR ("claim/"), STR_NULL, SWEEP_ROWS, on_old_rows,
-              claims);
+  claims->is_cleanup_running = true;
+  store_scan (claims->store, STR ("claim/"), STR_NULL, CLEANUP_PAGE_ROWS,
+              on_oldest_rows, claims);
 }
 
 static void
-check_sweep (claims_t *claims)
+start_cleanup_if_due (claims_t *claims)
 {
   uint64_t now = now_ms (claims);
 
-  if (claims->options.lease == NULL || claims->sweeping
-      || now < claims->next_sweep_ms)
+  if (claims->options.lease == NULL || claims->is_cleanup_running
+      || now < claims->next_cleanup_ms)
     return;
-  claims->next_sweep_ms
-      = now + rng_jitter (store_rng (claims->store), claims->options.sweep_ms);
+  claims->next_cleanup_ms = now
+                            + rng_jitter (store_rng (claims->store),
+                                          claims->options.cleanup_interval_ms);
   if (lease_held (claims->options.lease))
-    sweep (claims);
+    delete_expired_rows (claims);
 }
 
 static void
@@ -688,10 +714,10 @@
 {
   claims_t *claims = timer->data;
 
-  check_deadlines (claims);
-  check_current (claims);
-  check_sweep (claims);
-  commit_next (claims);
+  expire_claims (claims);
+  detach_slow_batch (claims);
+  start_cleanup_if_due (claims);
+  send_next_batch (claims);
 }
 
 claims_t *
@@ -702,16 +728,16 @@
   claims->store = store_create (env);
   claims->env = *env;
   claims->options = *options;
-  if (claims->options.patience_ms == 0)
-    claims->options.patience_ms = PATIENCE_MS;
-  if (claims->options.sweep_ms == 0)
-    claims->options.sweep_ms = SWEEP_MS;
+  if (claims->options.batch_timeout_ms == 0)
+    claims->options.batch_timeout_ms = BATCH_TIMEOUT_MS;
+  if (claims->options.cleanup_interval_ms == 0)
+    claims->options.cleanup_interval_ms = CLEANUP_INTERVAL_MS;
   buf_append_str (&claims->writer, options->writer);
   list_init (&claims->queue);
-  list_init (&claims->reading);
-  list_init (&claims->strays);
+  list_init (&claims->conflict_reads);
+  list_init (&claims->detached_batches);
   claims->held = map_create ();
-  claims->backoff = (backoff_t){ RETRY_MIN_MS, RETRY_MAX_MS, 0 };
+  claims->backoff = (backoff_t){ RETRY_DELAY_MIN_MS, RETRY_DELAY_MAX_MS, 0 };
   uv_timer_init (env->loop, &claims->timer);
   claims->timer.data = claims;
   uv_timer_start (&claims->timer, on_tick, TICK_MS, TICK_MS);
@@ -719,23 +745,24 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
 
 static void
-cancel_items (list_t *items)
+cancel_ops (list_t *ops)
 {
-  LIST_EACH (at, items)
-    answer_and_free (CONTAINER_OF (at, item_t, link), VH_E_CANCELLED, NULL);
+  LIST_EACH (at, ops)
+    invoke_callback_and_free (CONTAINER_OF (at, operation_t, link),
+                              VH_E_CANCELLED, NULL);
 }
 
 static void
 cancel_batch (batch_t *batch)
 {
   for (size_t i = 0; i < batch->count; i++)
-    answer_and_free (batch->items[i], VH_E_CANCELLED, NULL);
+    invoke_callback_and_free (batch->ops[i], VH_E_CANCELLED, NULL);
   free (batch);
 }
 
@@ -748,87 +775,88 @@
   if (claims == NULL)
     return;
   store_destroy (claims->store);
-  cancel_items (&claims->queue);
-  cancel_items (&claims->reading);
-  LIST_EACH (at, &claims->strays)
+  cancel_ops (&claims->queue);
+  cancel_ops (&claims->conflict_reads);
+  LIST_EACH (at, &claims->detached_batches)
     cancel_batch (CONTAINER_OF (at, batch_t, link));
   if (claims->current != NULL)
     cancel_batch (claims->current);
   while (map_next (claims->held, &cursor, NULL, &value))
     {
-      held_t *held = value;
+      held_claim_t *held = value;
       buf_free (&held->key);
       free (held);
     }
   map_destroy (claims->held);
   buf_free (&claims->writer);
-  uv_close ((uv_handle_t *)&claims->timer, on_closed);
+  uv_close ((uv_handle_t *)&claims->timer, on_timer_closed);
 }
 
 void
-claims_claim (claims_t *claims, str_t id, uint64_t wait_ms, claims_cb_t cb,
+claims_claim (claims_t *claims, str_t id, uint64_t timeout_ms, claims_cb_t cb,
               void *arg)
 {
-  item_t *item = mem_zalloc (sizeof *item);
+  operation_t *op = mem_zalloc (sizeof *op);
 
-  item->claims = claims;
-  item->is_claim = true;
-  item->deadline_ms = now_ms (claims) + wait_ms;
-  item->cb = cb;
-  item->arg = arg;
-  buf_append_str (&item->id, id);
-  /* A queue past its bound is answered by the deadline, never at once from
-     inside this call.  */
-  if (claims->queued >= QUEUE_MAX)
-    item->deadline_ms = 0;
-  enqueue (item);
-  commit_next (claims);
+  op->claims = claims;
+  op->is_claim = true;
+  op->deadline_ms = now_ms (claims) + timeout_ms;
+  op->cb = cb;
+  op->arg = arg;
+  buf_append_str (&op->id, id);
+  /* If the queue is full, the claim expires at the next timer tick, so that
+     the callback is never called from inside this function.  */
+  if (claims->queue_length >= QUEUE_OPS_MAX)
+    op->deadline_ms = 0;
+  enqueue (op);
+  send_next_batch (claims);
 }
 
-/* Write STATE to the row of ID, which is held.  */
+/* Queue a write of STATE to the row of the held claim on ID.  */
 static vh_code_t
-settle (claims_t *claims, str_t id, row_state_t state, str_t outcome)
+finish_claim (claims_t *claims, str_t id, row_state_t state, str_t outcome)
 {
-  held_t *held = map_get (claims->held, id);
+  held_claim_t *held = map_get (claims->held, id);
 
-  if (held == NULL || held->settling)
+  if (held == NULL || held->is_outcome_queued)
     return VH_E_NOT_FOUND;
-  if (claims->queued >= QUEUE_MAX)
+  if (claims->queue_length >= QUEUE_OPS_MAX)
     return VH_E_FULL;
-  held->settling = true;
-  queue_state (claims, id, buf_str (&held->key), held->version, state,
-               outcome);
-  commit_next (claims);
+  held->is_outcome_queued = true;
+  queue_state_update (claims, id, buf_str (&held->key), held->version, state,
+                      outcome);
+  send_next_batch (claims);
   return VH_OK;
 }
 
 vh_code_t
 claims_record (claims_t *claims, str_t id, str_t outcome)
 {
-  return settle (claims, id, ROW_DONE, outcome);
+  return finish_claim (claims, id, ROW_DONE, outcome);
 }
 
 vh_code_t
 claims_release (claims_t *claims, str_t id)
 {
-  return settle (claims, id, ROW_ABANDONED, STR_NULL);
+  return finish_claim (claims, id, ROW_ABANDONED, STR_NULL);
 }
 
 size_t
-claims_waiting (const claims_t *claims)
+claims_pending_count (const claims_t *claims)
 {
-  size_t waiting = claims->queued;
+  size_t pending_count = claims->queue_length;
 
   if (claims->current != NULL)
-    waiting += claims->current->count;
-  LIST_EACH (at, &claims->strays)
-    waiting += CONTAINER_OF (at, batch_t, link)->count;
-  return waiting;
+    pending_count += claims->current->count;
+  LIST_EACH (at, &claims->detached_batches)
+    pending_count += CONTAINER_OF (at, batch_t, link)->count;
+  return pending_count;
 }
 
 void
-claims_figures (const claims_t *claims, uint64_t *batches, uint64_t *items)
+claims_get_stats (const claims_t *claims, uint64_t *batches,
+                  uint64_t *operations)
 {
-  *batches = claims->batches;
-  *items = claims->items;
+  *batches = claims->batches_sent;
+  *operations = claims->ops_sent;
 }
--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -1,26 +1,31 @@
-/* Claims: the right to run a request that may run once.
+/* Claims: the exclusive right to run a non-idempotent request.
 
-   Answers: a caller that sends a request again through another entry while
-   the first is running, or after it ran.  Without a claim both would run it.
-   Before a non-idempotent request is dispatched its id is put into the
-   platform's table on the condition that it is not there; only who put it
-   there may dispatch it.  A claim row says who claimed, and later what came
-   of it.
+   Load pattern: a client sends a request again through another entry process
+   while the first attempt is running, or after it completed.  Without claims
+   both entries would run the request.  Before an entry dispatches a
+   non-idempotent request, it inserts a row for the request id into the
+   platform's table on the condition that the row is absent; only the process
+   that inserted the row may dispatch the request.  The row names the claiming
+   process and later holds the outcome of the request.
 
-   Claims that arrive while a transaction is under way share the next one, and
-   outcomes ride along, or wait a tenth of a second for each other.  A claim
-   that meets an earlier one leaves the batch and the rest goes on.
+   Claims that arrive while a transaction is in progress share the next
+   transaction.  Outcomes are written in the same transactions, or wait up to
+   100 ms so that several outcomes share a transaction.  A claim that
+   conflicts with an earlier claim is removed from its batch, and the rest of
+   the batch is sent again.
 
-   The row of an id stands under the day of its claim; a claim asks that the
-   id be absent from the day before, the day itself and the day after, so
-   that clocks may differ by a day and an id is kept for at least one.
+   The key of a row contains the day of the claim.  A claim requires that the
+   id is absent on the previous day, the same day and the next day.  The
+   clocks of two processes may therefore differ by a day, and an id stays
+   claimed for at least one day.
 
-   A claim whose transaction has no known outcome in time is abandoned: this
-   process will never dispatch under it, so the run it would have licensed
-   never happens.  It is answered VH_E_STORE_LATE all the same, for the store
-   could not say whether an earlier run holds the id.  Its outcome is followed
-   up, and if its row was written it is marked abandoned, which anyone may
-   take over on the condition of the row's version.  */
+   If the outcome of a claim's transaction is not known before the deadline,
+   the claim is abandoned: this process will never dispatch the request under
+   that claim.  The caller still gets VH_E_STORE_LATE, because the store could
+   not say whether an earlier submission has claimed the id.  The process
+   continues to resolve the transaction; if the row was written, the process
+   marks the row as abandoned, and any process may then take the row over on
+   the condition that its version is unchanged.  */
 
 #ifndef CONTROL_CLAIMS_H
 #define CONTROL_CLAIMS_H
@@ -31,50 +36,58 @@
 
 typedef struct
 {
-  /* Name of this process and start: never the same twice.  */
+  /* Identifies one start of this process; never reused after a restart.  */
   str_t writer;
-  uint64_t patience_ms; /* A batch may hold up the next so long; 0: 1 s.  */
-  /* Rows that are three days old are deleted while it is held; NULL: this
-     process deletes nothing.  */
+  /* Time after which the next batch is sent although the outcome of the
+     previous batch is unknown, in ms; 0: 1 s.  */
+  uint64_t batch_timeout_ms;
+  /* Rows that are three days old are deleted while this process holds the
+     lease; NULL: this process never deletes rows.  */
   lease_t *lease;
-  uint64_t sweep_ms; /* Between two looks for old rows; 0: ten minutes.  */
+  /* Interval between deletions of expired rows, in ms; 0: ten minutes.  */
+  uint64_t cleanup_interval_ms;
 } claims_options_t;
 
-/* What the row of an earlier claim says.  */
+/* Contents of the row of an earlier claim.  */
 typedef struct
 {
-  bool known; /* False: the row could not be read.  */
-  bool done;  /* OUTCOME is what was recorded.  */
+  bool known; /* False if the row could not be read.  */
+  bool done;  /* True if OUTCOME holds the recorded outcome.  */
   str_t writer;
-  uint64_t at_ms; /* Since the epoch.  */
+  uint64_t claimed_at_ms; /* Time of the claim, in ms since the epoch.  */
   str_t outcome;
 } claim_info_t;
 
-/* VH_OK: the id is ours, dispatch.  VH_E_CLAIMED: INFO is the earlier claim.
-   VH_E_STORE_DOWN: nothing was written for this submission, and it will not
-   run; says nothing about earlier submissions of the id.  VH_E_STORE_LATE:
-   as above, but an earlier run may hold the id.  */
+/* VH_OK: this process holds the claim and may dispatch the request.
+   VH_E_CLAIMED: INFO describes the earlier claim.
+   VH_E_STORE_DOWN: nothing was written for this submission, and the request
+   will not run; earlier submissions of the id may have run.
+   VH_E_STORE_LATE: this submission will not run, but an earlier submission
+   may have claimed the id.  */
 typedef void (*claims_cb_t) (void *arg, vh_code_t code,
                              const claim_info_t *info);
 
 claims_t *claims_create (const control_env_t *env,
                          const claims_options_t *options);
-/* Claims under way end with VH_E_CANCELLED inside the call.  NULL is
+/* Pending claims end with VH_E_CANCELLED before the call returns.  NULL is
    accepted.  */
 void claims_destroy (claims_t *claims);
-/* Claim request ID within WAIT_MS.  */
-void claims_claim (claims_t *claims, str_t id, uint64_t wait_ms,
+/* Claim the request ID; CB is called within about TIMEOUT_MS.  */
+void claims_claim (claims_t *claims, str_t id, uint64_t timeout_ms,
                    claims_cb_t cb, void *arg);
-/* Record OUTCOME for ID, which is held; written with the next batch and
-   again until the store has it.  Return VH_OK, VH_E_NOT_FOUND when the id is
-   not held, or VH_E_FULL when too many wait for the store.  */
+/* Record OUTCOME for ID, which this process must hold.  The write is retried
+   until the store has accepted it.  Return VH_OK, VH_E_NOT_FOUND if this
+   process does not hold ID, or VH_E_FULL if the write queue is full.  */
 vh_code_t claims_record (claims_t *claims, str_t id, str_t outcome);
-/* ID is held and was surely never dispatched: let others claim it.  */
+/* Release the claim on ID, whose request was never dispatched, so that other
+   processes may claim ID.  Return values as of claims_record.  */
 vh_code_t claims_release (claims_t *claims, str_t id);
-/* Claims and outcomes that the store does not have yet.  */
-size_t claims_waiting (const claims_t *claims);
-/* Batches sent, and claims and outcomes in them, since the start.  */
-void claims_figures (const claims_t *claims, uint64_t *batches,
-                     uint64_t *items);
+/* Return the number of claims and outcomes that the store has not yet
+   acknowledged.  */
+size_t claims_pending_count (const claims_t *claims);
+/* Set BATCHES to the number of batches sent since creation, and OPERATIONS to
+   the number of claims and outcomes in these batches.  */
+void claims_get_stats (const claims_t *claims, uint64_t *batches,
+                       uint64_t *operations);
 
 #endif
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -10,20 +10,22 @@
 
 enum
 {
-  PERIOD_MS = 1000,
-  PATIENCE_MS = 5000,
-  /* Longest wait between two looks while the store is down.  */
+  POLL_INTERVAL_MS = 1000,
+  APPLY_TIMEOUT_MS = 5000,
+  /* Maximum delay between polls while the store is unavailable.  */
   POLL_BACKOFF_MAX_MS = 10000,
-  /* Deltas kept for peers: at 20,000 changes a day, one in 4 s, they cover
-     five minutes, longer than a peer that is heard at all stays behind.  */
-  CHAIN_MAX = 64,
-  /* Texts kept in the store, and every so many one kept longer as the base
-     from which deltas give the texts that follow.  */
+  /* Deltas kept in memory for peers.  At 20,000 changes a day, one every 4 s,
+     they cover about five minutes, which is longer than a reachable peer lags
+     behind.  */
+  DELTAS_KEPT = 64,
+  /* Number of recent texts kept in the store.  In addition, the text of every
+     CHECKPOINT_EVERY-th revision is kept longer as a checkpoint, from which
+     the following texts can be reconstructed with the deltas.  */
   TEXTS_KEPT = 64,
   CHECKPOINT_EVERY = 1000,
   CHECKPOINTS_KEPT = 50,
   HISTORY_MAX = 1000,
-  APPLY_TRIES = 8,
+  APPLY_ATTEMPTS_MAX = 8,
   KEY_SIZE = 40
 };
 
@@ -34,7 +36,7 @@
 {
   uint64_t revision;
   buf_t delta;
-} link_t;
+} ring_delta_t;
 
 typedef struct apply
 {
@@ -43,11 +45,12 @@
   buf_t text;
   buf_t who;
   uint64_t if_revision;
-  uint64_t head; /* Revision and row version that the swap starts from.  */
-  uint64_t head_version;
+  uint64_t base_revision;    /* Revision that the change is based on.  */
+  uint64_t head_row_version; /* Version of conf/head at that revision.  */
   uint64_t sent_ms;
-  int tries;
-  bool waiting; /* For the text of the head.  */
+  int attempts;
+  /* Whether the change waits until the text of the head is fetched.  */
+  bool awaits_text;
   confstore_apply_cb_t cb;
   void *arg;
 } apply_t;
@@ -70,22 +73,24 @@
   backoff_t backoff;
   uint64_t revision;
   buf_t text;
-  bool confirmed;
+  bool is_confirmed;
   uint64_t confirmed_ms;
-  link_t chain[CHAIN_MAX]; /* Ring: revision R stands at R % CHAIN_MAX.  */
-  bool polling;
+  /* Ring buffer; the delta of revision R is at index R % DELTAS_KEPT.  */
+  ring_delta_t recent_deltas[DELTAS_KEPT];
+  bool is_polling;
   uint64_t poll_sent_ms;
-  bool fetching;
-  uint64_t fetch_head;    /* What the fetch under way is to reach.  */
-  uint64_t fetch_sent_ms; /* When that head was asked for.  */
+  bool is_fetching;
+  uint64_t fetch_revision; /* Target revision of the fetch in progress.  */
+  uint64_t
+      fetch_sent_ms; /* Time when the head was requested from the store.  */
   list_t applies;
   list_t histories;
 };
 
 static str_t
-make_key (char *buf, const char *kind, uint64_t revision)
+make_key (char *buf, const char *row_kind, uint64_t revision)
 {
-  int len = snprintf (buf, KEY_SIZE, "conf/%s/%012llu", kind,
+  int len = snprintf (buf, KEY_SIZE, "conf/%s/%012llu", row_kind,
                       (unsigned long long)revision);
 
   return str_make (buf, (size_t)len);
@@ -100,33 +105,36 @@
 static void
 set_confirmed (confstore_t *conf, uint64_t at_ms)
 {
-  if (!conf->confirmed || at_ms > conf->confirmed_ms)
+  if (!conf->is_confirmed || at_ms > conf->confirmed_ms)
     conf->confirmed_ms = at_ms;
-  conf->confirmed = true;
+  conf->is_confirmed = true;
 }
 
-/* Bring REVISION into force if it is higher; DELTA, from the one before, may
-   be STR_NULL.  */
+/* Make REVISION the active revision if it is higher than the active one.
+   DELTA is the difference from the preceding revision; STR_NULL if unknown.
+   Return whether REVISION became active.  */
 static bool
-adopt (confstore_t *conf, uint64_t revision, str_t text, str_t delta)
+activate_revision (confstore_t *conf, uint64_t revision, str_t text,
+                   str_t delta)
 {
   if (revision <= conf->revision)
     return false;
-  link_t *link = &conf->chain[revision % CHAIN_MAX];
-  bool linked = delta.ptr != NULL && revision == conf->revision + 1;
+  ring_delta_t *ring_delta = &conf->recent_deltas[revision % DELTAS_KEPT];
+  bool has_delta = delta.ptr != NULL && revision == conf->revision + 1;
   buf_t copy = BUF_NULL;
 
-  link->revision = linked ? revision : 0;
-  link->delta.len = 0;
-  if (linked)
-    buf_append_str (&link->delta, delta);
-  /* TEXT may be borrowed from the one that goes.  */
+  ring_delta->revision = has_delta ? revision : 0;
+  ring_delta->delta.len = 0;
+  if (has_delta)
+    buf_append_str (&ring_delta->delta, delta);
+  /* TEXT may point into the text that is freed below.  */
   buf_append_str (&copy, text);
   buf_free (&conf->text);
   conf->text = copy;
   conf->revision = revision;
-  conf->confirmed = false;
-  log_info ("conf", "Configuration in force. revision=%llu bytes=%zu",
+  conf->is_confirmed = false;
+  log_info ("conf",
+            "Configuration revision is active. revision=%llu bytes=%zu",
             (unsigned long long)revision, text.len);
   if (conf->options.in_force != NULL)
     conf->options.in_force (conf->options.owner, revision,
@@ -134,10 +142,11 @@
   return true;
 }
 
-/* Bring REVISION into force from DELTA.  Return VH_OK, VH_E_PROTOCOL, or
-   VH_E_STALE_REVISION when revisions lie between.  */
+/* Make REVISION the active revision by applying DELTA to the active text.
+   Return VH_OK, VH_E_PROTOCOL, or VH_E_STALE_REVISION if REVISION does not
+   directly follow the active revision.  */
 static vh_code_t
-adopt_delta (confstore_t *conf, uint64_t revision, str_t delta)
+activate_delta (confstore_t *conf, uint64_t revision, str_t delta)
 {
   buf_t text = BUF_NULL;
 
@@ -147,14 +156,15 @@
     return VH_E_STALE_REVISION;
   vh_code_t code = conf_delta_apply (buf_str (&conf->text), delta, &text);
   if (code == VH_OK)
-    adopt (conf, revision, buf_str (&text), delta);
+    activate_revision (conf, revision, buf_str (&text), delta);
   buf_free (&text);
   return code;
 }
 
 static void start_apply (apply_t *apply);
-static void swap_head (apply_t *apply);
-static void fetch (confstore_t *conf, uint64_t head, uint64_t sent_ms);
+static void commit_apply (apply_t *apply);
+static void start_fetch (confstore_t *conf, uint64_t head_revision,
+                         uint64_t sent_ms);
 
 static void
 apply_free (apply_t *apply)
@@ -166,7 +176,7 @@
 }
 
 static void
-apply_end (apply_t *apply, vh_code_t code, uint64_t revision)
+finish_apply (apply_t *apply, vh_code_t code, uint64_t revision)
 {
   confstore_apply_cb_t cb = apply->cb;
   void *arg = apply->arg;
@@ -175,46 +185,47 @@
   cb (arg, code, revision);
 }
 
-/* The text of the head was fetched, or could not be.  */
+/* End the pending fetch and resume the changes that waited for the text.  If
+   the fetch failed (IS_FETCHED is false), these changes are not accepted.  */
 static void
-fetch_end (confstore_t *conf, bool ok)
+finish_fetch (confstore_t *conf, bool is_fetched)
 {
-  list_t waiting;
+  list_t waiting_applies;
 
-  conf->fetching = false;
-  if (ok && conf->revision == conf->fetch_head)
+  conf->is_fetching = false;
+  if (is_fetched && conf->revision == conf->fetch_revision)
     set_confirmed (conf, conf->fetch_sent_ms);
-  list_init (&waiting);
+  list_init (&waiting_applies);
   LIST_EACH (at, &conf->applies)
     {
-      if (!CONTAINER_OF (at, apply_t, link)->waiting)
+      if (!CONTAINER_OF (at, apply_t, link)->awaits_text)
         continue;
       list_remove (at);
-      list_append (&waiting, at);
+      list_append (&waiting_applies, at);
     }
-  LIST_EACH (at, &waiting)
+  LIST_EACH (at, &waiting_applies)
     {
       apply_t *apply = CONTAINER_OF (at, apply_t, link);
       list_remove (at);
       list_append (&conf->applies, at);
-      apply->waiting = false;
-      if (ok)
-        swap_head (apply);
+      apply->awaits_text = false;
+      if (is_fetched)
+        commit_apply (apply);
       else
-        apply_end (apply, VH_E_NOT_ACCEPTED, conf->revision);
+        finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
     }
 }
 
 static void
-on_text (void *arg, vh_code_t code, const row_t *row)
+on_text_fetched (void *arg, vh_code_t code, const row_t *row)
 {
   confstore_t *conf = arg;
 
   if (code == VH_OK)
-    adopt (conf, conf->fetch_head, row->value, STR_NULL);
-  /* A text that is gone was overtaken by many revisions: the next look at
+    activate_revision (conf, conf->fetch_revision, row->value, STR_NULL);
+  /* The text is deleted when many newer revisions exist.  The next poll of
      the head finds them.  */
-  fetch_end (conf, code == VH_OK);
+  finish_fetch (conf, code == VH_OK);
 }
 
 static void
@@ -222,13 +233,13 @@
 {
   char key[KEY_SIZE];
 
-  store_get (conf->store, make_key (key, "text", conf->fetch_head), on_text,
-             conf);
+  store_get (conf->store, make_key (key, "text", conf->fetch_revision),
+             on_text_fetched, conf);
 }
 
 static void
-on_deltas (void *arg, vh_code_t code, const row_t *rows, size_t count,
-           bool more)
+on_deltas_fetched (void *arg, vh_code_t code, const row_t *rows, size_t count,
+                   bool more)
 {
   confstore_t *conf = arg;
 
@@ -238,81 +249,86 @@
       buf_t scratch = BUF_NULL;
       json_t *json = json_loadb (rows[i].value.ptr, rows[i].value.len,
                                  JSON_ALLOW_NUL, NULL);
-      code = adopt_delta (conf, json_get_u64 (json, "revision"),
-                          json_get_str (json, "delta", &scratch));
+      code = activate_delta (conf, json_get_u64 (json, "revision"),
+                             json_get_str (json, "delta", &scratch));
       json_decref (json);
       buf_free (&scratch);
     }
   if (code == VH_E_STORE_DOWN || code == VH_E_STORE_BUSY)
-    fetch_end (conf, false);
-  else if (conf->revision < conf->fetch_head)
+    finish_fetch (conf, false);
+  else if (conf->revision < conf->fetch_revision)
     fetch_text (conf);
   else
-    fetch_end (conf, true);
+    finish_fetch (conf, true);
 }
 
-/* Catch up with HEAD, which was asked for at SENT_MS.  */
+/* Fetch the deltas or the text up to HEAD_REVISION, which was read from the
+   store by a request sent at SENT_MS.  */
 static void
-fetch (confstore_t *conf, uint64_t head, uint64_t sent_ms)
+start_fetch (confstore_t *conf, uint64_t head_revision, uint64_t sent_ms)
 {
   char key[KEY_SIZE];
 
-  if (conf->fetching)
+  if (conf->is_fetching)
     return;
-  conf->fetching = true;
-  conf->fetch_head = head;
+  conf->is_fetching = true;
+  conf->fetch_revision = head_revision;
   conf->fetch_sent_ms = sent_ms;
-  if (conf->revision > 0 && head - conf->revision <= CHAIN_MAX)
+  if (conf->revision > 0 && head_revision - conf->revision <= DELTAS_KEPT)
     store_scan (conf->store, DELTA_PREFIX,
-                make_key (key, "delta", conf->revision), CHAIN_MAX, on_deltas,
-                conf);
+                make_key (key, "delta", conf->revision), DELTAS_KEPT,
+                on_deltas_fetched, conf);
   else
     fetch_text (conf);
 }
 
-/* Read the head row's value; an absent head is revision 0.  */
+/* Parse the value of the head row; an absent row means revision 0.  Return
+   false if the read failed or the value is not a number.  */
 static bool
-read_head (vh_code_t code, const row_t *row, uint64_t *head)
+parse_head (vh_code_t code, const row_t *row, uint64_t *head_revision)
 {
-  *head = 0;
+  *head_revision = 0;
   if (code == VH_E_NOT_FOUND)
     return true;
-  return code == VH_OK && str_to_u64 (row->value, head);
+  return code == VH_OK && str_to_u64 (row->value, head_revision);
 }
 
 static void
-on_polled (void *arg, vh_code_t code, const row_t *row)
+on_head_polled (void *arg, vh_code_t code, const row_t *row)
 {
   confstore_t *conf = arg;
-  uint64_t head;
+  uint64_t head_revision;
 
-  conf->polling = false;
-  if (!read_head (code, row, &head))
+  conf->is_polling = false;
+  if (!parse_head (code, row, &head_revision))
     return;
   backoff_reset (&conf->backoff);
-  if (head > conf->revision)
-    fetch (conf, head, conf->poll_sent_ms);
-  else if (head == conf->revision)
+  if (head_revision > conf->revision)
+    start_fetch (conf, head_revision, conf->poll_sent_ms);
+  else if (head_revision == conf->revision)
     set_confirmed (conf, conf->poll_sent_ms);
   else
     log_warning ("conf",
-                 "The store is behind; its revision is not taken. "
+                 "The store has a lower revision than this process; it is "
+                 "ignored. "
                  "store=%llu here=%llu",
-                 (unsigned long long)head, (unsigned long long)conf->revision);
+                 (unsigned long long)head_revision,
+                 (unsigned long long)conf->revision);
 }
 
 void
 confstore_poll (confstore_t *conf)
 {
-  if (conf->polling || conf->fetching)
+  if (conf->is_polling || conf->is_fetching)
     return;
-  conf->polling = true;
+  conf->is_polling = true;
   conf->poll_sent_ms = now_ms (conf);
-  store_get (conf->store, HEAD_KEY, on_polled, conf);
+  store_get (conf->store, HEAD_KEY, on_head_polled, conf);
 }
 
-/* The wait grows while looks fail: many pollers must not meet a store that
-   comes back all at once.  A look that succeeds resets it.  */
+/* The delay grows while polls fail, so that a store that recovers is not
+   overloaded by many processes polling at the same time.  A successful poll
+   resets the delay.  */
 static void
 on_timer (uv_timer_t *timer)
 {
@@ -334,9 +350,9 @@
   conf->env = *env;
   conf->options = *options;
   if (conf->options.period_ms == 0)
-    conf->options.period_ms = PERIOD_MS;
-  if (conf->options.patience_ms == 0)
-    conf->options.patience_ms = PATIENCE_MS;
+    conf->options.period_ms = POLL_INTERVAL_MS;
+  if (conf->options.apply_timeout_ms == 0)
+    conf->options.apply_timeout_ms = APPLY_TIMEOUT_MS;
   conf->backoff
       = (backoff_t){ conf->options.period_ms, POLL_BACKOFF_MAX_MS, 0 };
   list_init (&conf->applies);
@@ -348,7 +364,7 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -360,17 +376,17 @@
     return;
   store_destroy (conf->store);
   LIST_EACH (at, &conf->applies)
-    apply_end (CONTAINER_OF (at, apply_t, link), VH_E_CANCELLED, 0);
+    finish_apply (CONTAINER_OF (at, apply_t, link), VH_E_CANCELLED, 0);
   LIST_EACH (at, &conf->histories)
     {
       history_t *history = CONTAINER_OF (at, history_t, link);
       history->cb (history->arg, VH_E_CANCELLED, NULL, 0);
       free (history);
     }
-  for (size_t i = 0; i < CHAIN_MAX; i++)
-    buf_free (&conf->chain[i].delta);
+  for (size_t i = 0; i < DELTAS_KEPT; i++)
+    buf_free (&conf->recent_deltas[i].delta);
   buf_free (&conf->text);
-  uv_close ((uv_handle_t *)&conf->timer, on_closed);
+  uv_close ((uv_handle_t *)&conf->timer, on_timer_closed);
 }
 
 uint64_t
@@ -388,7 +404,7 @@
 uint64_t
 confstore_confirmed_age_ms (const confstore_t *conf)
 {
-  return conf->confirmed ? now_ms (conf) - conf->confirmed_ms : UINT64_MAX;
+  return conf->is_confirmed ? now_ms (conf) - conf->confirmed_ms : UINT64_MAX;
 }
 
 void
@@ -402,48 +418,51 @@
 {
   apply_t *apply = arg;
   confstore_t *conf = apply->conf;
-  uint64_t head;
-
-  /* The conflict alone proves that another revision came first.  */
-  if (!read_head (code, row, &head) || head <= apply->head)
-    head = apply->head + 1;
-  apply_end (apply, VH_E_STALE_REVISION, head);
-  if (!conf->polling)
+  uint64_t head_revision;
+
+  /* The conflict proves that a newer revision exists even if the head cannot
+     be read.  */
+  if (!parse_head (code, row, &head_revision)
+      || head_revision <= apply->base_revision)
+    head_revision = apply->base_revision + 1;
+  finish_apply (apply, VH_E_STALE_REVISION, head_revision);
+  if (!conf->is_polling)
     confstore_poll (conf);
 }
 
 static void
-on_swapped (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
+on_committed (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
 {
   apply_t *apply = arg;
   confstore_t *conf = apply->conf;
-  uint64_t revision = apply->head + 1;
+  uint64_t revision = apply->base_revision + 1;
 
   (void)version;
   (void)conflict_key;
   if (code == VH_OK)
     {
       buf_t delta = BUF_NULL;
-      if (conf->revision == apply->head)
+      if (conf->revision == apply->base_revision)
         conf_delta_make (buf_str (&conf->text), buf_str (&apply->text),
                          &delta);
-      adopt (conf, revision, buf_str (&apply->text), buf_str (&delta));
+      activate_revision (conf, revision, buf_str (&apply->text),
+                         buf_str (&delta));
       buf_free (&delta);
       if (conf->revision == revision)
         set_confirmed (conf, apply->sent_ms);
-      apply_end (apply, VH_OK, revision);
+      finish_apply (apply, VH_OK, revision);
     }
   else if (code == VH_E_CONFLICT && apply->if_revision == CONFSTORE_ANY)
     start_apply (apply);
   else if (code == VH_E_CONFLICT)
     store_get (conf->store, HEAD_KEY, on_head_after_conflict, apply);
   else
-    apply_end (apply,
-               code == VH_E_STORE_LATE ? VH_E_STORE_LATE : VH_E_NOT_ACCEPTED,
-               code == VH_E_STORE_LATE ? revision : conf->revision);
+    finish_apply (
+        apply, code == VH_E_STORE_LATE ? VH_E_STORE_LATE : VH_E_NOT_ACCEPTED,
+        code == VH_E_STORE_LATE ? revision : conf->revision);
 }
 
-/* Append to OUT the history row of REVISION.  */
+/* Append to OUT the value of the history row of REVISION.  */
 static void
 write_delta_row (const apply_t *apply, uint64_t revision, str_t token,
                  buf_t *out)
@@ -464,91 +483,99 @@
   buf_free (&delta);
 }
 
-/* Return the revision whose text goes when REVISION comes, or 0.  */
+/* Return the revision whose text is deleted when REVISION is written, or 0 if
+   no text is deleted.  */
 static uint64_t
-expired_text (uint64_t revision)
+expired_text_revision (uint64_t revision)
 {
   uint64_t old = revision > TEXTS_KEPT ? revision - TEXTS_KEPT : 0;
 
   return old % CHECKPOINT_EVERY != 0 ? old : 0;
 }
 
+/* Return the checkpoint revision whose text is deleted when REVISION is
+   written, or 0 if no checkpoint is deleted.  */
 static uint64_t
-expired_checkpoint (uint64_t revision)
+expired_checkpoint_revision (uint64_t revision)
 {
-  uint64_t span = (uint64_t)CHECKPOINT_EVERY * CHECKPOINTS_KEPT;
+  uint64_t kept_revisions = (uint64_t)CHECKPOINT_EVERY * CHECKPOINTS_KEPT;
 
-  return revision % CHECKPOINT_EVERY == 0 && revision > span ? revision - span
-                                                             : 0;
+  return revision % CHECKPOINT_EVERY == 0 && revision > kept_revisions
+             ? revision - kept_revisions
+             : 0;
 }
 
-/* Swap the head from the revision in force here, whose text is at hand.  */
+/* Write the change and advance the head in one transaction.  The active
+   revision must be the one that the change is based on.  */
 static void
-swap_head (apply_t *apply)
+commit_apply (apply_t *apply)
 {
   confstore_t *conf = apply->conf;
-  uint64_t revision = apply->head + 1;
+  uint64_t revision = apply->base_revision + 1;
   char delta_key[KEY_SIZE];
   char text_key[KEY_SIZE];
-  char old_key[KEY_SIZE];
+  char text_to_delete_key[KEY_SIZE];
   char checkpoint_key[KEY_SIZE];
-  char number[KEY_SIZE];
+  char head_text[KEY_SIZE];
   buf_t token = BUF_NULL;
   buf_t row = BUF_NULL;
 
-  if (conf->revision != apply->head)
+  if (conf->revision != apply->base_revision)
     {
       start_apply (apply);
       return;
     }
   store_token (conf->store, &token);
   write_delta_row (apply, revision, buf_str (&token), &row);
-  snprintf (number, sizeof number, "%llu", (unsigned long long)revision);
+  snprintf (head_text, sizeof head_text, "%llu", (unsigned long long)revision);
   txn_write_t writes[5]
-      = { { HEAD_KEY, str_from (number), false },
+      = { { HEAD_KEY, str_from (head_text), false },
           { make_key (delta_key, "delta", revision), buf_str (&row), false },
           { make_key (text_key, "text", revision), buf_str (&apply->text),
             false } };
   size_t count = 3;
-  if (expired_text (revision) > 0)
+  if (expired_text_revision (revision) > 0)
+    writes[count++]
+        = (txn_write_t){ make_key (text_to_delete_key, "text",
+                                   expired_text_revision (revision)),
+                         STR_NULL, true };
+  if (expired_checkpoint_revision (revision) > 0)
     writes[count++]
-        = (txn_write_t){ make_key (old_key, "text", expired_text (revision)),
+        = (txn_write_t){ make_key (checkpoint_key, "text",
+                                   expired_checkpoint_revision (revision)),
                          STR_NULL, true };
-  if (expired_checkpoint (revision) > 0)
-    writes[count++] = (txn_write_t){ make_key (checkpoint_key, "text",
-                                               expired_checkpoint (revision)),
-                                     STR_NULL, true };
-  const txn_condition_t condition = { HEAD_KEY, apply->head_version };
+  const txn_condition_t condition = { HEAD_KEY, apply->head_row_version };
   const txn_t txn = { &condition, 1, writes, count, buf_str (&token) };
   apply->sent_ms = now_ms (conf);
-  store_txn (conf->store, &txn, conf->options.patience_ms, on_swapped, apply);
+  store_txn (conf->store, &txn, conf->options.apply_timeout_ms, on_committed,
+             apply);
   buf_free (&row);
   buf_free (&token);
 }
 
 static void
-on_head (void *arg, vh_code_t code, const row_t *row)
+on_apply_head (void *arg, vh_code_t code, const row_t *row)
 {
   apply_t *apply = arg;
   confstore_t *conf = apply->conf;
-  bool any = apply->if_revision == CONFSTORE_ANY;
-
-  if (!read_head (code, row, &apply->head))
-    apply_end (apply, VH_E_NOT_ACCEPTED, conf->revision);
-  else if (!any && apply->head != apply->if_revision)
-    apply_end (apply, VH_E_STALE_REVISION, apply->head);
-  else if (apply->head < conf->revision)
-    /* Read before a swap that is known here, or a store that lost rows:
-       accepting would bring back a lower revision.  */
+  bool is_any_revision = apply->if_revision == CONFSTORE_ANY;
+
+  if (!parse_head (code, row, &apply->base_revision))
+    finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
+  else if (!is_any_revision && apply->base_revision != apply->if_revision)
+    finish_apply (apply, VH_E_STALE_REVISION, apply->base_revision);
+  else if (apply->base_revision < conf->revision)
+    /* The head was read before a newer change, or the store has lost rows.
+       Accepting the change would reactivate a lower revision.  */
     start_apply (apply);
   else
     {
-      apply->head_version = row->version;
-      apply->waiting = apply->head > conf->revision;
-      if (apply->waiting)
-        fetch (conf, apply->head, apply->sent_ms);
+      apply->head_row_version = row->version;
+      apply->awaits_text = apply->base_revision > conf->revision;
+      if (apply->awaits_text)
+        start_fetch (conf, apply->base_revision, apply->sent_ms);
       else
-        swap_head (apply);
+        commit_apply (apply);
     }
 }
 
@@ -557,13 +584,13 @@
 {
   confstore_t *conf = apply->conf;
 
-  if (apply->tries++ >= APPLY_TRIES)
+  if (apply->attempts++ >= APPLY_ATTEMPTS_MAX)
     {
-      apply_end (apply, VH_E_NOT_ACCEPTED, conf->revision);
+      finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
       return;
     }
   apply->sent_ms = now_ms (conf);
-  store_get (conf->store, HEAD_KEY, on_head, apply);
+  store_get (conf->store, HEAD_KEY, on_apply_head, apply);
 }
 
 void
@@ -583,8 +610,8 @@
 }
 
 static void
-history_end (history_t *history, vh_code_t code,
-             const confstore_entry_t *entries, size_t count)
+finish_history (history_t *history, vh_code_t code,
+                const confstore_entry_t *entries, size_t count)
 {
   list_remove (&history->link);
   history->cb (history->arg, code, entries, count);
@@ -613,7 +640,7 @@
         .delta = json_get_str (json[i], "delta", &scratch[2 * i + 1]),
       };
     }
-  history_end (history, code, entries, count);
+  finish_history (history, code, entries, count);
   for (size_t i = 0; i < count; i++)
     {
       json_decref (json[i]);
@@ -630,16 +657,18 @@
 {
   history_t *history = arg;
   char key[KEY_SIZE];
-  uint64_t head;
+  uint64_t head_revision;
 
-  if (!read_head (code, row, &head))
+  if (!parse_head (code, row, &head_revision))
     {
-      history_end (history, code, NULL, 0);
+      finish_history (history, code, NULL, 0);
       return;
     }
   store_scan (history->conf->store, DELTA_PREFIX,
               make_key (key, "delta",
-                        head > history->limit ? head - history->limit : 0),
+                        head_revision > history->limit
+                            ? head_revision - history->limit
+                            : 0),
               history->limit, on_history_rows, history);
 }
 
@@ -658,9 +687,9 @@
 }
 
 bool
-confstore_learn (confstore_t *conf, uint64_t revision, str_t text)
+confstore_receive_text (confstore_t *conf, uint64_t revision, str_t text)
 {
-  return adopt (conf, revision, text, STR_NULL);
+  return activate_revision (conf, revision, text, STR_NULL);
 }
 
 void
@@ -673,32 +702,38 @@
 }
 
 bool
-confstore_delta_from (const confstore_t *conf, uint64_t have, buf_t *buf)
+confstore_delta_from (const confstore_t *conf, uint64_t peer_revision,
+                      buf_t *buf)
 {
-  size_t bytes = 0;
-  bool linked = have > 0 && conf->revision - have <= CHAIN_MAX;
+  size_t delta_bytes = 0;
+  bool has_all_deltas
+      = peer_revision > 0 && conf->revision - peer_revision <= DELTAS_KEPT;
 
-  if (have >= conf->revision)
+  if (peer_revision >= conf->revision)
     return false;
-  for (uint64_t r = have + 1; linked && r <= conf->revision; r++)
+  for (uint64_t revision = peer_revision + 1;
+       has_all_deltas && revision <= conf->revision; revision++)
     {
-      const link_t *link = &conf->chain[r % CHAIN_MAX];
-      linked = link->revision == r;
-      bytes += link->delta.len;
+      const ring_delta_t *ring_delta
+          = &conf->recent_deltas[revision % DELTAS_KEPT];
+      has_all_deltas = ring_delta->revision == revision;
+      delta_bytes += ring_delta->delta.len;
     }
-  if (!linked || bytes >= conf->text.len)
+  if (!has_all_deltas || delta_bytes >= conf->text.len)
     {
       buf_printf (buf, "text %llu %zu\n", (unsigned long long)conf->revision,
                   conf->text.len);
       buf_append_str (buf, buf_str (&conf->text));
       return true;
     }
-  for (uint64_t r = have + 1; r <= conf->revision; r++)
+  for (uint64_t revision = peer_revision + 1; revision <= conf->revision;
+       revision++)
     {
-      const link_t *link = &conf->chain[r % CHAIN_MAX];
-      buf_printf (buf, "delta %llu %zu\n", (unsigned long long)r,
-                  link->delta.len);
-      buf_append_str (buf, buf_str (&link->delta));
+      const ring_delta_t *ring_delta
+          = &conf->recent_deltas[revision % DELTAS_KEPT];
+      buf_printf (buf, "delta %llu %zu\n", (unsigned long long)revision,
+                  ring_delta->delta.len);
+      buf_append_str (buf, buf_str (&ring_delta->delta));
     }
   return true;
 }
@@ -711,7 +746,7 @@
       str_t rest;
       str_t line = str_cut (update, '\n', &rest);
       str_t numbers;
-      str_t kind = str_cut (line, ' ', &numbers);
+      str_t section_kind = str_cut (line, ' ', &numbers);
       str_t len_text;
       str_t revision_text = str_cut (numbers, ' ', &len_text);
       uint64_t revision;
@@ -720,12 +755,12 @@
       if (!str_to_u64 (revision_text, &revision)
           || !str_to_u64 (len_text, &len) || len > rest.len)
         return VH_E_PROTOCOL;
-      str_t bytes = str_make (rest.ptr, len);
+      str_t content = str_make (rest.ptr, len);
       vh_code_t code = VH_OK;
-      if (str_eq (kind, STR ("text")))
-        adopt (conf, revision, bytes, STR_NULL);
-      else if (str_eq (kind, STR ("delta")))
-        code = adopt_delta (conf, revision, bytes);
+      if (str_eq (section_kind, STR ("text")))
+        activate_revision (conf, revision, content, STR_NULL);
+      else if (str_eq (section_kind, STR ("delta")))
+        code = activate_delta (conf, revision, content);
       else
         code = VH_E_PROTOCOL;
       if (code != VH_OK)
--- a/packages/control/confstore.h
+++ b/packages/control/confstore.h
@@ -1,14 +1,16 @@
-/* The operators' configuration: agreed in the platform's table, kept in force
-   here, never reverting.
+/* The operators' configuration: the platform's table decides which revision
+   is the head, and each process keeps an active revision that never
+   decreases.
 
-   conf/head holds the number of the revision in force and is changed by
-   compare-and-swap in one transaction with conf/delta/N (who, when, the
-   difference; kept for good) and conf/text/N (the whole text).  The same
-   transaction deletes the text that is TEXTS_KEPT revisions old, unless it
-   is one of the last checkpoints, so that texts do not pile up.
+   The row conf/head holds the number of the newest revision.  A change is one
+   transaction, conditional on the version of conf/head, that also writes
+   conf/delta/N (author, time and difference; kept permanently) and
+   conf/text/N (the whole text).  The same transaction deletes the text that
+   is TEXTS_KEPT revisions old, unless it is one of the last checkpoints, so
+   that the number of stored texts stays bounded.
 
-   A process takes a higher revision from the store or from a peer and never
-   a lower one.  */
+   A process accepts a higher revision from the store or from a peer, and
+   never a lower one.  */
 
 #ifndef CONTROL_CONFSTORE_H
 #define CONTROL_CONFSTORE_H
@@ -19,70 +21,82 @@
 
 typedef struct
 {
-  uint64_t period_ms;   /* Between two looks at the head; 0: 1 s.  */
-  uint64_t patience_ms; /* To find out what became of a change; 0: 5 s.  */
-  bool polls;           /* Whether this process looks at the store.  */
-  /* A revision came into force; TEXT lives until the next one.  */
+  uint64_t period_ms; /* Interval between polls of the head, in ms; 0: 1 s.  */
+  /* Maximum time to resolve the outcome of a change, in ms; 0: 5 s.  */
+  uint64_t apply_timeout_ms;
+  bool polls; /* Whether this process polls the store.  */
+  /* Called when REVISION has become active; TEXT is valid until the next
+     revision becomes active.  */
   void (*in_force) (void *owner, uint64_t revision, str_t text);
   void *owner;
 } confstore_options_t;
 
-/* Apply over whatever is in force.  */
+/* Value of IF_REVISION that applies a change on top of any revision.  */
 #define CONFSTORE_ANY UINT64_MAX
 
-/* VH_OK: REVISION was accepted.  VH_E_STALE_REVISION: REVISION is in force,
-   not the one asked for.  VH_E_NOT_ACCEPTED: nothing changed, nor will.
-   VH_E_STORE_LATE: the store went away with the change; REVISION may have
-   been accepted, and its history row says by whom.  */
+/* VH_OK: REVISION was accepted.
+   VH_E_STALE_REVISION: the head is REVISION, not the expected revision.
+   VH_E_NOT_ACCEPTED: the change was not made and will not be made.
+   VH_E_STORE_LATE: the store became unavailable during the change; REVISION
+   may have been accepted, and its history row names the author.  */
 typedef void (*confstore_apply_cb_t) (void *arg, vh_code_t code,
                                       uint64_t revision);
 
+/* One change in the history.  */
 typedef struct
 {
   uint64_t revision;
-  str_t who;
-  uint64_t when_ms; /* Since the epoch.  */
+  str_t who;        /* Author of the change.  */
+  uint64_t when_ms; /* Time of the change, in ms since the epoch.  */
   str_t delta;
 } confstore_entry_t;
 
-/* ENTRIES live for the callback, newest first.  */
+/* ENTRIES are ordered from the newest to the oldest and are valid during the
+   callback.  */
 typedef void (*confstore_history_cb_t) (void *arg, vh_code_t code,
                                         const confstore_entry_t *entries,
                                         size_t count);
 
 confstore_t *confstore_create (const control_env_t *env,
                                const confstore_options_t *options);
-/* Applies and histories not yet answered end with VH_E_CANCELLED inside the
-   call.  NULL is accepted.  */
+/* Pending changes and history reads end with VH_E_CANCELLED before the call
+   returns.  NULL is accepted.  */
 void confstore_destroy (confstore_t *conf);
-/* The revision in force here; 0 and an empty text before the first.  */
+/* Return the active revision; 0 before the first revision.  */
 uint64_t confstore_revision (const confstore_t *conf);
+/* Return the text of the active revision; empty before the first
+   revision.  */
 str_t confstore_text (const confstore_t *conf);
-/* Milliseconds since the revision here was known to be the head; UINT64_MAX
-   when it never was.  */
+/* Return the time since the active revision was last confirmed to be the
+   head, in ms; UINT64_MAX if it was never confirmed.  */
 uint64_t confstore_confirmed_age_ms (const confstore_t *conf);
 void confstore_set_polls (confstore_t *conf, bool polls);
-/* Look at the head now.  */
+/* Read the head now, without waiting for the next poll.  */
 void confstore_poll (confstore_t *conf);
-/* Make TEXT, which the caller has checked, the next revision if IF_REVISION
-   is in force.  */
+/* Make TEXT, which the caller has validated, the next revision if the head is
+   IF_REVISION.  */
 void confstore_apply (confstore_t *conf, str_t text, str_t who,
                       uint64_t if_revision, confstore_apply_cb_t cb,
                       void *arg);
+/* Read the last LIMIT changes.  */
 void confstore_history (confstore_t *conf, size_t limit,
                         confstore_history_cb_t cb, void *arg);
 
-/* A peer holds TEXT as REVISION.  Return true when it came into force.  */
-bool confstore_learn (confstore_t *conf, uint64_t revision, str_t text);
-/* A peer had REVISION confirmed AGE_MS ago.  */
+/* Handle TEXT, which a peer sent as REVISION.  Return true if it became the
+   active revision.  */
+bool confstore_receive_text (confstore_t *conf, uint64_t revision, str_t text);
+/* Handle the report of a peer that REVISION was confirmed as the head AGE_MS
+   ago.  */
 void confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms);
-/* Append what a peer at revision HAVE lacks: the deltas since, or the whole
-   text when that is shorter or the deltas are not kept.  Return false when
-   it lacks nothing.  */
-bool confstore_delta_from (const confstore_t *conf, uint64_t have, buf_t *buf);
-/* Take what confstore_delta_from made elsewhere.  Return VH_OK,
-   VH_E_PROTOCOL when it is malformed, or VH_E_STALE_REVISION when it starts
-   past the revision here: then ask again from revision 0.  */
+/* Append to BUF the update for a peer whose revision is PEER_REVISION: the
+   deltas after that revision, or the whole text if it is shorter or if the
+   deltas are no longer in memory.  Return false if the peer is up to date.  */
+bool confstore_delta_from (const confstore_t *conf, uint64_t peer_revision,
+                           buf_t *buf);
+/* Handle UPDATE, which confstore_delta_from produced in a peer.  Return
+   VH_OK, VH_E_PROTOCOL if it is malformed, or VH_E_STALE_REVISION if its
+   first delta does not follow the active revision: the caller should then
+   request an update from revision 0.  */
 vh_code_t confstore_learn_update (confstore_t *conf, str_t update);
 
 #endif
--- a/packages/control/lease.c
+++ b/packages/control/lease.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  /* Two beats may be lost before the lease lapses.  */
-  BEATS_A_TERM = 3
+  /* Two heartbeats may be lost before the lease expires.  */
+  HEARTBEATS_PER_TERM = 3
 };
 
 struct lease
@@ -17,15 +17,16 @@
   control_env_t env;
   lease_options_t options;
   buf_t fence_key;
-  buf_t beat_key;
+  buf_t heartbeat_key;
   buf_t holder;
   uv_timer_t timer;
-  bool busy; /* A step is under way.  */
+  bool is_attempt_pending; /* A renewal or acquisition is in progress.  */
   bool held;
-  uint64_t fence;         /* Version of the fence row.  */
-  uint64_t beat;          /* Version of the beat row last seen.  */
-  uint64_t beat_since_ms; /* When it was first seen.  */
-  uint64_t sent_ms;       /* When the step under way was begun.  */
+  uint64_t fence_version; /* Version of the fence row: the fencing token.  */
+  uint64_t heartbeat_version; /* Last read version of the heartbeat row.  */
+  uint64_t heartbeat_seen_ms; /* Time of the first read of that version.  */
+  /* Start time of the last renewal or acquisition.  */
+  uint64_t attempt_started_ms;
   uint64_t valid_until_ms;
 };
 
@@ -37,7 +38,7 @@
   lease->held = held;
   log_info ("lease", "Lease %s. name=%.*s fence=%llu",
             held ? "acquired" : "lost", (int)lease->fence_key.len,
-            lease->fence_key.ptr, (unsigned long long)lease->fence);
+            lease->fence_key.ptr, (unsigned long long)lease->fence_version);
   if (lease->options.changed != NULL)
     lease->options.changed (lease->options.owner, held);
 }
@@ -53,14 +54,15 @@
 txn_condition_t
 lease_condition (const lease_t *lease)
 {
-  return (txn_condition_t){ buf_str (&lease->fence_key), lease->fence };
+  return (txn_condition_t){ buf_str (&lease->fence_key),
+                            lease->fence_version };
 }
 
 static void
-see_beat (lease_t *lease, uint64_t version)
+record_heartbeat (lease_t *lease, uint64_t version)
 {
-  lease->beat = version;
-  lease->beat_since_ms = clock_ms (lease->env.clock);
+  lease->heartbeat_version = version;
+  lease->heartbeat_seen_ms = clock_ms (lease->env.clock);
 }
 
 static void
@@ -69,11 +71,12 @@
   lease_t *lease = arg;
 
   (void)conflict_key;
-  lease->busy = false;
+  lease->is_attempt_pending = false;
   if (code == VH_OK)
     {
-      see_beat (lease, revision);
-      lease->valid_until_ms = lease->sent_ms + lease->options.term_ms;
+      record_heartbeat (lease, revision);
+      lease->valid_until_ms
+          = lease->attempt_started_ms + lease->options.term_ms;
     }
   else if (code == VH_E_CONFLICT)
     set_held (lease, false);
@@ -85,90 +88,94 @@
 {
   const txn_condition_t condition = lease_condition (lease);
   const txn_write_t write
-      = { buf_str (&lease->beat_key), buf_str (&lease->holder), false };
+      = { buf_str (&lease->heartbeat_key), buf_str (&lease->holder), false };
   buf_t token = BUF_NULL;
 
   store_token (lease->store, &token);
   const txn_t txn = { &condition, 1, &write, 1, buf_str (&token) };
-  store_txn (lease->store, &txn, lease->options.term_ms / BEATS_A_TERM,
+  store_txn (lease->store, &txn, lease->options.term_ms / HEARTBEATS_PER_TERM,
              on_renewed, lease);
   buf_free (&token);
 }
 
 static void
-on_taken (void *arg, vh_code_t code, uint64_t revision, str_t conflict_key)
+on_acquired (void *arg, vh_code_t code, uint64_t revision, str_t conflict_key)
 {
   lease_t *lease = arg;
 
   (void)conflict_key;
-  lease->busy = false;
+  lease->is_attempt_pending = false;
   if (code != VH_OK)
     return;
-  lease->fence = revision;
-  see_beat (lease, revision);
-  lease->valid_until_ms = lease->sent_ms + lease->options.term_ms;
-  /* The reply may have taken longer than the term.  */
+  lease->fence_version = revision;
+  record_heartbeat (lease, revision);
+  lease->valid_until_ms = lease->attempt_started_ms + lease->options.term_ms;
+  /* The lease may have expired before the reply arrived.  */
   if (clock_ms (lease->env.clock) < lease->valid_until_ms)
     set_held (lease, true);
 }
 
-/* Take a lease that lapsed, was given up or never held, if its beat is still
-   BEAT: a holder that renews meanwhile makes this fail.  */
+/* Acquire a lease that has expired, was released or was never held.  Fails if
+   the version of the heartbeat row is no longer HEARTBEAT_VERSION, because
+   the holder has renewed the lease.  */
 static void
-take (lease_t *lease, uint64_t beat)
+acquire (lease_t *lease, uint64_t heartbeat_version)
 {
-  const txn_condition_t condition = { buf_str (&lease->beat_key), beat };
+  const txn_condition_t condition
+      = { buf_str (&lease->heartbeat_key), heartbeat_version };
   const txn_write_t writes[]
-      = { { buf_str (&lease->beat_key), buf_str (&lease->holder), false },
+      = { { buf_str (&lease->heartbeat_key), buf_str (&lease->holder), false },
           { buf_str (&lease->fence_key), buf_str (&lease->holder), false } };
   buf_t token = BUF_NULL;
 
   store_token (lease->store, &token);
   const txn_t txn = { &condition, 1, writes, 2, buf_str (&token) };
-  lease->sent_ms = clock_ms (lease->env.clock);
-  store_txn (lease->store, &txn, lease->options.term_ms / BEATS_A_TERM,
-             on_taken, lease);
+  lease->attempt_started_ms = clock_ms (lease->env.clock);
+  store_txn (lease->store, &txn, lease->options.term_ms / HEARTBEATS_PER_TERM,
+             on_acquired, lease);
   buf_free (&token);
 }
 
 static void
-on_beat (void *arg, vh_code_t code, const row_t *row)
+on_heartbeat_read (void *arg, vh_code_t code, const row_t *row)
 {
   lease_t *lease = arg;
-  bool free_now = code == VH_E_NOT_FOUND || row->value.len == 0;
+  bool is_free = code == VH_E_NOT_FOUND || row->value.len == 0;
 
   if (code != VH_OK && code != VH_E_NOT_FOUND)
     {
-      lease->busy = false;
+      lease->is_attempt_pending = false;
       return;
     }
-  if (row->version != lease->beat)
-    see_beat (lease, row->version);
-  uint64_t seen_ms = clock_ms (lease->env.clock) - lease->beat_since_ms;
-  if (free_now || seen_ms >= lease->options.term_ms)
-    take (lease, row->version);
+  if (row->version != lease->heartbeat_version)
+    record_heartbeat (lease, row->version);
+  uint64_t unchanged_ms
+      = clock_ms (lease->env.clock) - lease->heartbeat_seen_ms;
+  if (is_free || unchanged_ms >= lease->options.term_ms)
+    acquire (lease, row->version);
   else
-    lease->busy = false;
+    lease->is_attempt_pending = false;
 }
 
 void
 lease_poll (lease_t *lease)
 {
-  if (lease->busy)
+  if (lease->is_attempt_pending)
     return;
-  lease->busy = true;
-  lease->sent_ms = clock_ms (lease->env.clock);
+  lease->is_attempt_pending = true;
+  lease->attempt_started_ms = clock_ms (lease->env.clock);
   if (lease_held (lease))
     renew (lease);
   else
-    store_get (lease->store, buf_str (&lease->beat_key), on_beat, lease);
+    store_get (lease->store, buf_str (&lease->heartbeat_key),
+               on_heartbeat_read, lease);
 }
 
 static void
 on_timer (uv_timer_t *timer)
 {
   lease_t *lease = timer->data;
-  uint64_t period_ms = lease->options.term_ms / BEATS_A_TERM;
+  uint64_t period_ms = lease->options.term_ms / HEARTBEATS_PER_TERM;
 
   lease_poll (lease);
   uv_timer_start (&lease->timer, on_timer,
@@ -185,7 +192,7 @@
   lease->env = *env;
   lease->options = *options;
   buf_printf (&lease->fence_key, "lease/%.*s/fence", STR_ARG (name));
-  buf_printf (&lease->beat_key, "lease/%.*s/beat", STR_ARG (name));
+  buf_printf (&lease->heartbeat_key, "lease/%.*s/beat", STR_ARG (name));
   buf_append_str (&lease->holder, holder);
   uv_timer_init (env->loop, &lease->timer);
   lease->timer.data = lease;
@@ -194,12 +201,12 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   lease_t *lease = handle->data;
 
   buf_free (&lease->fence_key);
-  buf_free (&lease->beat_key);
+  buf_free (&lease->heartbeat_key);
   buf_free (&lease->holder);
   free (lease);
 }
@@ -213,13 +220,15 @@
   (void)conflict_key;
 }
 
-/* Empty the beat row: the next holder need not wait for the term.  Sent past
-   the store object, for nobody waits for the reply.  */
+/* Empty the heartbeat row, so that the next holder need not wait for the end
+   of the term.  The request bypasses the store object, which is about to be
+   destroyed, because its reply is ignored.  */
 static void
-give_up (lease_t *lease)
+release_lease (lease_t *lease)
 {
   const txn_condition_t condition = lease_condition (lease);
-  const txn_write_t write = { buf_str (&lease->beat_key), STR_NULL, false };
+  const txn_write_t write
+      = { buf_str (&lease->heartbeat_key), STR_NULL, false };
   const txn_t txn = { &condition, 1, &write, 1, STR_NULL };
   platform_t *platform = lease->env.platform;
 
@@ -232,7 +241,7 @@
   if (lease == NULL)
     return;
   if (lease_held (lease))
-    give_up (lease);
+    release_lease (lease);
   store_destroy (lease->store);
-  uv_close ((uv_handle_t *)&lease->timer, on_closed);
+  uv_close ((uv_handle_t *)&lease->timer, on_timer_closed);
 }
--- a/packages/control/lease.h
+++ b/packages/control/lease.h
@@ -1,16 +1,17 @@
-/* A lease on a named duty, kept in two rows of the table.
+/* A lease on a named duty, kept in two rows of the platform's table.
 
-   lease/NAME/fence is written when the lease changes hands and at no other
-   time: its version is the fencing number, and every write made under the
-   lease is a transaction conditional on it.  So a holder that was paused past
-   its lease changes nothing on waking, whatever it still believes.
-   lease/NAME/beat is written at each renewal, which therefore disturbs no
-   write under way.
+   lease/NAME/fence is written only when the lease changes hands.  The version
+   of the row is the fencing token: every write made under the lease is a
+   transaction conditional on that version.  A holder that was paused for
+   longer than the term therefore cannot write after it resumes, even if it
+   still considers itself the holder.  lease/NAME/beat is the heartbeat row,
+   written at each renewal.  Renewals do not touch the fence row, so they do
+   not conflict with a write in progress.
 
-   Nobody's wall clock is trusted: a lease has lapsed for an observer when it
-   has seen the same beat for the whole term by its own monotonic clock.  The
-   holder counts its term from before it sent the renewal, so it stops first.
-   */
+   No process depends on the wall clock of another.  An observer considers a
+   lease expired when the heartbeat row has not changed for a whole term by
+   the observer's own monotonic clock.  The holder measures its term from the
+   time before it sent the renewal, so the holder's term ends first.  */
 
 #ifndef CONTROL_LEASE_H
 #define CONTROL_LEASE_H
@@ -21,25 +22,27 @@
 
 typedef struct
 {
-  uint64_t term_ms;
-  /* Told when the lease is won (HELD) and when it is lost or lapses.  */
+  uint64_t term_ms; /* Lifetime of the lease after a renewal.  */
+  /* Called when the lease was acquired (HELD is true), and when it was lost
+     or has expired.  */
   void (*changed) (void *owner, bool held);
   void *owner;
 } lease_options_t;
 
-/* Try to hold NAME as HOLDER for as long as the lease object lives.  */
+/* Try to acquire and renew the lease NAME as HOLDER until lease_destroy.  */
 lease_t *lease_create (const control_env_t *env, str_t name, str_t holder,
                        const lease_options_t *options);
-/* Give the lease up, at once when the store can be told.  NULL is
+/* Release the lease.  Another process can acquire the lease immediately if
+   the store is reachable, and after the term otherwise.  NULL is
    accepted.  */
 void lease_destroy (lease_t *lease);
-/* Renew or try to acquire now rather than at the next beat.  */
+/* Renew the lease, or try to acquire it, without waiting for the timer.  */
 void lease_poll (lease_t *lease);
-/* Tell whether the holder may still begin work.  Only a hint: what protects
-   the table is the condition.  */
+/* Return whether the holder may start new work.  The result is only a hint:
+   lease_condition is what protects the table.  */
 bool lease_held (lease_t *lease);
-/* The condition that every write under the lease must bear; its key lives as
-   long as the lease.  Only while held.  */
+/* Return the condition that every write under the lease must include.  The
+   lease must be held; the key of the condition is valid as long as LEASE.  */
 txn_condition_t lease_condition (const lease_t *lease);
 
 #endif
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -12,41 +12,47 @@
 {
   FLUSH_BILLS = 500,
   FLUSH_MS = 10000,
-  /* About 300 bytes a bill.  */
-  BILLS_MAX = 100000,
-  COMPACT_MS = 500,
+  /* A bill takes about 300 bytes of memory, so the limit is about 30 MB.  */
+  PENDING_BILLS_MAX = 100000,
+  COMPACT_INTERVAL_MS = 500,
   TICK_MS = 20,
-  /* After an outage full rows go out so many to a transaction.  */
-  ROWS_A_TXN = 8,
-  PATIENCE_MS = 30000,
-  RETRY_MIN_MS = 100,
-  RETRY_MAX_MS = 5000,
-  REPORT_ROWS = 20,
-  /* One step reads and merges this much on the loop that answers callers: 64
-     rows of 500 bills held it up for 100 ms.  */
-  COMPACT_ROWS = 8,
-  /* A row of so many bills is left alone.  Merging full rows of a
-     busy entry again and again into ever larger ones took 50 ms a step.  */
-  LARGE_BILLS = 350,
-  BILL_BYTES = 128, /* No bill of usual names is longer in a row.  */
-  /* Steps without work after which compaction slows down, and by how much.  */
+  /* Maximum number of rows in a transaction; reached after an outage.  */
+  ROWS_PER_TXN = 8,
+  RESOLVE_TIMEOUT_MS = 30000,
+  RETRY_DELAY_MIN_MS = 100,
+  RETRY_DELAY_MAX_MS = 5000,
+  REPORT_PAGE_ROWS = 20,
+  /* Rows read by one compaction step.  Steps run on the event loop that
+     answers clients, and a step of 64 rows of 500 bills blocked the loop for
+     100 ms.  */
+  COMPACT_PAGE_ROWS = 8,
+  /* Rows with at least this number of bills are not merged.  Without the
+     limit, repeatedly merging the full rows of a busy entry into ever larger
+     rows took 50 ms per step.  */
+  LARGE_ROW_BILLS = 350,
+  /* Upper bound of the length of a bill in a row, for names of usual
+     length.  */
+  BILL_ROW_BYTES = 128,
+  /* After IDLE_STEPS steps in sequence without work, IDLE_INTERVAL_FACTOR
+     additional intervals pass between steps.  */
   IDLE_STEPS = 6,
-  IDLE_FACTOR = 30,
-  /* Bills of the last days may still come in.  */
+  IDLE_INTERVAL_FACTOR = 30,
+  /* Number of days to compact, because bills of recent days may still
+     arrive.  */
   COMPACT_DAYS = 3,
   DAY_S = 24 * 3600,
-  DAY_SIZE = 16
+  DAY_TEXT_SIZE = 16
 };
 
-#define SMALL_PREFIX STR ("ledger/")
-#define LARGE_PREFIX STR ("ledger-large/")
+#define SMALL_ROW_PREFIX STR ("ledger/")
+#define LARGE_ROW_PREFIX STR ("ledger-large/")
 
 typedef struct
 {
   list_t link;
-  char day[DAY_SIZE];
-  uint64_t opened_ms;
-  buf_t key; /* Empty until the batch is sealed.  */
+  char day[DAY_TEXT_SIZE];
+  uint64_t created_ms;
+  buf_t key; /* Row key; empty until the batch is sealed.  */
   billset_t *bills;
 } batch_t;
 
@@ -55,8 +61,8 @@
   list_t link;
   ledger_t *ledger;
   buf_t day;
-  bool large; /* Reading the large rows.  */
-  buf_t after;
+  bool reads_large_rows; /* The small rows have been read.  */
+  buf_t last_key;
   billset_t *bills;
   ledger_report_cb_t cb;
   void *arg;
@@ -64,12 +70,12 @@
 
 typedef struct
 {
-  bool busy;
-  uint64_t next_ms;
-  uint64_t day; /* How many days back.  */
-  buf_t after;
-  size_t merging; /* Rows that go if the merge succeeds.  */
-  int idle_steps; /* In a row.  */
+  bool is_step_pending;
+  uint64_t next_step_ms;
+  uint64_t day; /* Day to compact, in days before today.  */
+  buf_t last_key;
+  size_t rows_to_remove; /* Rows that the pending transaction removes.  */
+  int idle_steps;        /* Steps without work since the last merge.  */
 } compaction_t;
 
 struct ledger
@@ -81,17 +87,17 @@
   buf_t epoch;
   uint64_t sequence;
   uv_timer_t timer;
-  list_t open;   /* One a day.  */
-  list_t sealed; /* In order.  */
-  batch_t *sent[ROWS_A_TXN];
-  size_t sent_count;
-  size_t pending;
-  bool near_bound;
+  list_t open_batches;   /* One batch for each day.  */
+  list_t sealed_batches; /* To be written, the oldest first.  */
+  batch_t *in_flight[ROWS_PER_TXN];
+  size_t in_flight_count;
+  size_t pending_count;
+  bool is_near_limit;
   backoff_t backoff;
-  uint64_t not_before_ms;
+  uint64_t next_send_ms;
   list_t reports;
   compaction_t compaction;
-  ledger_figures_t figures;
+  ledger_stats_t stats;
 };
 
 static uint64_t
@@ -107,7 +113,7 @@
   struct tm tm;
 
   gmtime_r (&seconds, &tm);
-  strftime (day, DAY_SIZE, "%Y-%m-%d", &tm);
+  strftime (day, DAY_TEXT_SIZE, "%Y-%m-%d", &tm);
 }
 
 static void
@@ -119,9 +125,9 @@
 }
 
 static batch_t *
-open_batch (ledger_t *ledger, const char *day)
+get_open_batch (ledger_t *ledger, const char *day)
 {
-  LIST_EACH (at, &ledger->open)
+  LIST_EACH (at, &ledger->open_batches)
     {
       batch_t *batch = CONTAINER_OF (at, batch_t, link);
       if (strcmp (batch->day, day) == 0)
@@ -129,9 +135,9 @@
     }
   batch_t *batch = mem_zalloc (sizeof *batch);
   snprintf (batch->day, sizeof batch->day, "%s", day);
-  batch->opened_ms = now_ms (ledger);
+  batch->created_ms = now_ms (ledger);
   batch->bills = billset_create ();
-  list_append (&ledger->open, &batch->link);
+  list_append (&ledger->open_batches, &batch->link);
   return batch;
 }
 
@@ -143,129 +149,131 @@
               STR_ARG (buf_str (&ledger->epoch)),
               (unsigned long long)++ledger->sequence);
   list_remove (&batch->link);
-  list_append (&ledger->sealed, &batch->link);
+  list_append (&ledger->sealed_batches, &batch->link);
 }
 
 static void
-on_row_written (ledger_t *ledger, batch_t *batch)
+on_batch_written (ledger_t *ledger, batch_t *batch)
 {
   size_t count = billset_size (batch->bills);
 
-  ledger->figures.rows++;
-  ledger->figures.bills += count;
-  ledger->pending -= count;
+  ledger->stats.rows_written++;
+  ledger->stats.bills_written += count;
+  ledger->pending_count -= count;
   if (ledger->options.written != NULL)
     ledger->options.written (ledger->options.owner,
                              billset_items (batch->bills), count);
   batch_free (batch);
 }
 
-/* Put back what was sent, before the rest.  */
+/* Return the batches in flight to the head of the sealed batches.  */
 static void
-unsend (ledger_t *ledger)
+requeue_in_flight (ledger_t *ledger)
 {
-  for (size_t i = ledger->sent_count; i-- > 0;)
-    list_append (ledger->sealed.next, &ledger->sent[i]->link);
-  ledger->sent_count = 0;
+  for (size_t i = ledger->in_flight_count; i-- > 0;)
+    list_append (ledger->sealed_batches.next, &ledger->in_flight[i]->link);
+  ledger->in_flight_count = 0;
 }
 
 static void
-on_sent (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
+on_rows_sent (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
 {
   ledger_t *ledger = arg;
 
   (void)version;
   if (code == VH_OK)
     {
-      size_t count = ledger->sent_count;
-      ledger->sent_count = 0;
+      size_t count = ledger->in_flight_count;
+      ledger->in_flight_count = 0;
       backoff_reset (&ledger->backoff);
       for (size_t i = 0; i < count; i++)
-        on_row_written (ledger, ledger->sent[i]);
+        on_batch_written (ledger, ledger->in_flight[i]);
       return;
     }
   if (code == VH_E_CONFLICT)
     {
-      /* The key is of this start alone: an earlier attempt wrote the row and
-         its reply was lost.  */
-      for (size_t i = 0; i < ledger->sent_count; i++)
-        if (str_eq (buf_str (&ledger->sent[i]->key), conflict_key))
+      /* The key contains the epoch of this process, so the row was written by
+         an earlier attempt whose reply was lost.  */
+      for (size_t i = 0; i < ledger->in_flight_count; i++)
+        if (str_eq (buf_str (&ledger->in_flight[i]->key), conflict_key))
           {
-            batch_t *batch = ledger->sent[i];
-            ledger->sent[i] = ledger->sent[--ledger->sent_count];
-            on_row_written (ledger, batch);
+            batch_t *batch = ledger->in_flight[i];
+            ledger->in_flight[i]
+                = ledger->in_flight[--ledger->in_flight_count];
+            on_batch_written (ledger, batch);
             break;
           }
-      unsend (ledger);
+      requeue_in_flight (ledger);
       return;
     }
-  unsend (ledger);
-  ledger->not_before_ms
+  requeue_in_flight (ledger);
+  ledger->next_send_ms
       = now_ms (ledger)
         + backoff_next (&ledger->backoff, store_rng (ledger->store));
 }
 
 static void
-send_rows (ledger_t *ledger)
+send_sealed_batches (ledger_t *ledger)
 {
-  txn_condition_t conditions[ROWS_A_TXN];
-  txn_write_t writes[ROWS_A_TXN];
-  buf_t values[ROWS_A_TXN] = { BUF_NULL };
+  txn_condition_t conditions[ROWS_PER_TXN];
+  txn_write_t writes[ROWS_PER_TXN];
+  buf_t values[ROWS_PER_TXN] = { BUF_NULL };
   buf_t token = BUF_NULL;
   size_t count = 0;
 
-  LIST_EACH (at, &ledger->sealed)
+  LIST_EACH (at, &ledger->sealed_batches)
     {
       batch_t *batch = CONTAINER_OF (at, batch_t, link);
-      if (count == ROWS_A_TXN)
+      if (count == ROWS_PER_TXN)
         break;
       list_remove (at);
       billset_write (batch->bills, &values[count]);
       conditions[count] = (txn_condition_t){ buf_str (&batch->key), 0 };
       writes[count] = (txn_write_t){ buf_str (&batch->key),
                                      buf_str (&values[count]), false };
-      ledger->sent[count++] = batch;
+      ledger->in_flight[count++] = batch;
     }
-  ledger->sent_count = count;
-  ledger->figures.txns++;
+  ledger->in_flight_count = count;
+  ledger->stats.txns_sent++;
   store_token (ledger->store, &token);
   const txn_t txn = { conditions, count, writes, count, buf_str (&token) };
-  store_txn (ledger->store, &txn, PATIENCE_MS, on_sent, ledger);
+  store_txn (ledger->store, &txn, RESOLVE_TIMEOUT_MS, on_rows_sent, ledger);
   for (size_t i = 0; i < count; i++)
     buf_free (&values[i]);
   buf_free (&token);
 }
 
-/* Seal what is full or old.  While rows wait for the store an open batch goes
-   on filling: an outage ends in few full rows, not many small ones.  */
+/* Seal the open batches that are full or old.  While sealed batches wait for
+   the store, only full batches are sealed, so that an outage results in a few
+   full rows and not in many small ones.  */
 static void
-seal_due (ledger_t *ledger)
+seal_due_batches (ledger_t *ledger)
 {
-  bool store_keeps_up = list_empty (&ledger->sealed);
+  bool is_store_keeping_up = list_empty (&ledger->sealed_batches);
   uint64_t now = now_ms (ledger);
 
-  LIST_EACH (at, &ledger->open)
+  LIST_EACH (at, &ledger->open_batches)
     {
       batch_t *batch = CONTAINER_OF (at, batch_t, link);
-      bool old = now - batch->opened_ms >= ledger->options.flush_ms;
+      bool is_old = now - batch->created_ms >= ledger->options.flush_ms;
       if (billset_size (batch->bills) >= ledger->options.flush_bills
-          || (old && store_keeps_up))
+          || (is_old && is_store_keeping_up))
         seal (ledger, batch);
     }
 }
 
-static void compact (ledger_t *ledger);
+static void run_compaction_step (ledger_t *ledger);
 
 static void
 on_tick (uv_timer_t *timer)
 {
   ledger_t *ledger = timer->data;
 
-  seal_due (ledger);
-  if (ledger->sent_count == 0 && !list_empty (&ledger->sealed)
-      && now_ms (ledger) >= ledger->not_before_ms)
-    send_rows (ledger);
-  compact (ledger);
+  seal_due_batches (ledger);
+  if (ledger->in_flight_count == 0 && !list_empty (&ledger->sealed_batches)
+      && now_ms (ledger) >= ledger->next_send_ms)
+    send_sealed_batches (ledger);
+  run_compaction_step (ledger);
 }
 
 static void
@@ -275,12 +283,12 @@
     options->flush_bills = FLUSH_BILLS;
   if (options->flush_ms == 0)
     options->flush_ms = FLUSH_MS;
-  if (options->bills_max == 0)
-    options->bills_max = BILLS_MAX;
-  if (options->large_bills == 0)
-    options->large_bills = LARGE_BILLS;
-  if (options->compact_ms == 0)
-    options->compact_ms = COMPACT_MS;
+  if (options->pending_bills_max == 0)
+    options->pending_bills_max = PENDING_BILLS_MAX;
+  if (options->large_row_bills == 0)
+    options->large_row_bills = LARGE_ROW_BILLS;
+  if (options->compact_interval_ms == 0)
+    options->compact_interval_ms = COMPACT_INTERVAL_MS;
 }
 
 ledger_t *
@@ -296,10 +304,10 @@
   buf_printf (&ledger->epoch, "%013llu-",
               (unsigned long long)clock_realtime_ms (env->clock));
   store_token (ledger->store, &ledger->epoch);
-  list_init (&ledger->open);
-  list_init (&ledger->sealed);
+  list_init (&ledger->open_batches);
+  list_init (&ledger->sealed_batches);
   list_init (&ledger->reports);
-  ledger->backoff = (backoff_t){ RETRY_MIN_MS, RETRY_MAX_MS, 0 };
+  ledger->backoff = (backoff_t){ RETRY_DELAY_MIN_MS, RETRY_DELAY_MAX_MS, 0 };
   uv_timer_init (env->loop, &ledger->timer);
   ledger->timer.data = ledger;
   uv_timer_start (&ledger->timer, on_tick, TICK_MS, TICK_MS);
@@ -307,7 +315,7 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -324,7 +332,7 @@
 {
   billset_destroy (report->bills);
   buf_free (&report->day);
-  buf_free (&report->after);
+  buf_free (&report->last_key);
   free (report);
 }
 
@@ -334,72 +342,76 @@
   if (ledger == NULL)
     return;
   store_destroy (ledger->store);
-  free_batches (&ledger->open);
-  free_batches (&ledger->sealed);
-  for (size_t i = 0; i < ledger->sent_count; i++)
-    batch_free (ledger->sent[i]);
+  free_batches (&ledger->open_batches);
+  free_batches (&ledger->sealed_batches);
+  for (size_t i = 0; i < ledger->in_flight_count; i++)
+    batch_free (ledger->in_flight[i]);
   LIST_EACH (at, &ledger->reports)
     {
       report_t *report = CONTAINER_OF (at, report_t, link);
       report->cb (report->arg, VH_E_CANCELLED, NULL, 0);
       report_free (report);
     }
-  buf_free (&ledger->compaction.after);
+  buf_free (&ledger->compaction.last_key);
   buf_free (&ledger->epoch);
   buf_free (&ledger->writer);
-  uv_close ((uv_handle_t *)&ledger->timer, on_closed);
+  uv_close ((uv_handle_t *)&ledger->timer, on_timer_closed);
 }
 
-/* Say loudly, once each time, that the store must come back soon.  */
+/* Log an error once each time that the number of pending bills rises to 80%
+   of the limit.  */
 static void
-watch_bound (ledger_t *ledger)
+check_pending_limit (ledger_t *ledger)
 {
-  bool near = ledger->pending >= ledger->options.bills_max / 5 * 4;
+  bool is_near
+      = ledger->pending_count >= ledger->options.pending_bills_max / 5 * 4;
 
-  if (near && !ledger->near_bound)
+  if (is_near && !ledger->is_near_limit)
     {
-      ledger->figures.near_bound++;
-      log_err ("ledger",
-               "Unwritten bills are near the bound. held=%zu bound=%zu",
-               ledger->pending, ledger->options.bills_max);
+      ledger->stats.limit_warnings++;
+      log_err (
+          "ledger",
+          "Pending bills have reached 80%% of the limit; at the limit, new "
+          "bills are rejected. held=%zu bound=%zu",
+          ledger->pending_count, ledger->options.pending_bills_max);
     }
-  ledger->near_bound = near;
+  ledger->is_near_limit = is_near;
 }
 
 vh_code_t
 ledger_add (ledger_t *ledger, const bill_t *bill)
 {
-  return ledger_adopt (ledger, bill, 1);
+  return ledger_add_all (ledger, bill, 1);
 }
 
 vh_code_t
-ledger_adopt (ledger_t *ledger, const bill_t *bills, size_t count)
+ledger_add_all (ledger_t *ledger, const bill_t *bills, size_t count)
 {
-  char day[DAY_SIZE];
+  char day[DAY_TEXT_SIZE];
 
-  if (ledger->pending + count > ledger->options.bills_max)
+  if (ledger->pending_count + count > ledger->options.pending_bills_max)
     {
-      ledger->figures.refused += count;
+      ledger->stats.bills_rejected += count;
       return VH_E_FULL;
     }
   for (size_t i = 0; i < count; i++)
     {
       format_day (day, bills[i].at_ms);
-      batch_t *batch = open_batch (ledger, day);
-      size_t before = billset_size (batch->bills);
+      batch_t *batch = get_open_batch (ledger, day);
+      size_t size_before = billset_size (batch->bills);
       billset_add (batch->bills, &bills[i]);
-      ledger->pending += billset_size (batch->bills) - before;
+      ledger->pending_count += billset_size (batch->bills) - size_before;
       if (billset_size (batch->bills) >= ledger->options.flush_bills)
         seal (ledger, batch);
     }
-  watch_bound (ledger);
+  check_pending_limit (ledger);
   return VH_OK;
 }
 
 void
 ledger_flush (ledger_t *ledger)
 {
-  LIST_EACH (at, &ledger->open)
+  LIST_EACH (at, &ledger->open_batches)
     seal (ledger, CONTAINER_OF (at, batch_t, link));
 }
 
@@ -412,7 +424,7 @@
 size_t
 ledger_pending (const ledger_t *ledger)
 {
-  return ledger->pending;
+  return ledger->pending_count;
 }
 
 static void
@@ -429,18 +441,18 @@
 ledger_each_pending (const ledger_t *ledger,
                      void (*each) (void *arg, const bill_t *bill), void *arg)
 {
-  for (size_t i = 0; i < ledger->sent_count; i++)
-    each_bill (ledger->sent[i], each, arg);
-  LIST_EACH (at, &ledger->sealed)
+  for (size_t i = 0; i < ledger->in_flight_count; i++)
+    each_bill (ledger->in_flight[i], each, arg);
+  LIST_EACH (at, &ledger->sealed_batches)
     each_bill (CONTAINER_OF (at, batch_t, link), each, arg);
-  LIST_EACH (at, &ledger->open)
+  LIST_EACH (at, &ledger->open_batches)
     each_bill (CONTAINER_OF (at, batch_t, link), each, arg);
 }
 
-ledger_figures_t
-ledger_figures (const ledger_t *ledger)
+ledger_stats_t
+ledger_stats (const ledger_t *ledger)
 {
-  return ledger->figures;
+  return ledger->stats;
 }
 
 static int
@@ -455,10 +467,10 @@
   return order != 0 ? order : str_cmp (a->version, b->version);
 }
 
-/* Add up BILLS, one line to each team, model and version, into LINES, which
-   has room for all; return their number.  */
+/* Sum BILLS by team, model and version into LINES, which has space for one
+   line for each bill.  Return the number of lines.  */
 static size_t
-add_up (const billset_t *bills, ledger_line_t *lines)
+sum_bills (const billset_t *bills, ledger_line_t *lines)
 {
   const bill_t *items = billset_items (bills);
   size_t count = 0;
@@ -483,11 +495,11 @@
 }
 
 static void
-report_end (report_t *report, vh_code_t code)
+report_finish (report_t *report, vh_code_t code)
 {
   ledger_line_t *lines
       = mem_zalloc ((billset_size (report->bills) + 1) * sizeof *lines);
-  size_t count = code == VH_OK ? add_up (report->bills, lines) : 0;
+  size_t count = code == VH_OK ? sum_bills (report->bills, lines) : 0;
 
   list_remove (&report->link);
   report->cb (report->arg, code, lines, count);
@@ -495,40 +507,44 @@
   report_free (report);
 }
 
-static void read_page (report_t *report);
+static void read_report_page (report_t *report);
 
 static void
-on_page (void *arg, vh_code_t code, const row_t *rows, size_t count, bool more)
+on_report_page (void *arg, vh_code_t code, const row_t *rows, size_t count,
+                bool more)
 {
   report_t *report = arg;
 
   for (size_t i = 0; i < count && code == VH_OK; i++)
     code = billset_read (report->bills, rows[i].value);
-  bool prefix_done = !more || count == 0;
-  if (code != VH_OK || (prefix_done && report->large))
+  bool is_prefix_done = !more || count == 0;
+  if (code != VH_OK || (is_prefix_done && report->reads_large_rows))
     {
-      report_end (report, code);
+      report_finish (report, code);
       return;
     }
-  report->after.len = 0;
-  /* The small rows first: bills move from these to the large ones.  */
-  if (prefix_done)
-    report->large = true;
+  report->last_key.len = 0;
+  /* Small rows are read first because compaction moves bills from small to
+     large rows, and a moved bill must not be missed.  */
+  if (is_prefix_done)
+    report->reads_large_rows = true;
   else
-    buf_append_str (&report->after, rows[count - 1].key);
-  read_page (report);
+    buf_append_str (&report->last_key, rows[count - 1].key);
+  read_report_page (report);
 }
 
 static void
-read_page (report_t *report)
+read_report_page (report_t *report)
 {
   buf_t prefix = BUF_NULL;
 
-  buf_append_str (&prefix, report->large ? LARGE_PREFIX : SMALL_PREFIX);
+  buf_append_str (&prefix, report->reads_large_rows ? LARGE_ROW_PREFIX
+                                                    : SMALL_ROW_PREFIX);
   buf_append_str (&prefix, buf_str (&report->day));
   buf_append_char (&prefix, '/');
   store_scan (report->ledger->store, buf_str (&prefix),
-              buf_str (&report->after), REPORT_ROWS, on_page, report);
+              buf_str (&report->last_key), REPORT_PAGE_ROWS, on_report_page,
+              report);
   buf_free (&prefix);
 }
 
@@ -537,60 +553,62 @@
 {
   report_t *report = mem_zalloc (sizeof *report);
 
-  /* XXX: all request ids of a day are in memory at once, some 300 bytes
-     each; a day of more than a few million wants passes by part of the ids.
-     */
+  /* XXX: all bills of a day are in memory at once, about 300 bytes each.  A
+     day with more than a few million bills would need several passes, each
+     over a part of the request ids.  */
   report->ledger = ledger;
   report->cb = cb;
   report->arg = arg;
   report->bills = billset_create ();
   buf_append_str (&report->day, day);
   list_append (&ledger->reports, &report->link);
-  read_page (report);
+  read_report_page (report);
 }
 
 static void
-on_merged (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
+on_compaction_written (void *arg, vh_code_t code, uint64_t version,
+                       str_t conflict_key)
 {
   ledger_t *ledger = arg;
 
   (void)version;
   (void)conflict_key;
-  ledger->compaction.busy = false;
-  /* Without VH_OK nothing is known and nothing need be: the next look reads
-     the rows as they are.  */
+  ledger->compaction.is_step_pending = false;
+  /* After an error the outcome is unknown, but need not be resolved: the next
+     step reads the current rows.  */
   if (code == VH_OK)
-    ledger->figures.merged_rows += ledger->compaction.merging;
+    ledger->stats.rows_merged += ledger->compaction.rows_to_remove;
 }
 
-/* Write BILLS, all those of the COUNT rows, as one row in place of them: the
-   last of them, or, when it has become large, one that no later step reads
-   again.  */
+/* Replace the COUNT rows by one row with BILLS, the union of their bills.
+   The new row has the key of the last row, or, if the new row is large, a key
+   with the prefix of large rows, which compaction does not read.  */
 static void
-merge (ledger_t *ledger, const row_t *rows, size_t count,
-       const billset_t *bills)
+merge_rows (ledger_t *ledger, const row_t *rows, size_t count,
+            const billset_t *bills)
 {
-  txn_condition_t conditions[COMPACT_ROWS + 2];
-  txn_write_t writes[COMPACT_ROWS + 1];
+  txn_condition_t conditions[COMPACT_PAGE_ROWS + 2];
+  txn_write_t writes[COMPACT_PAGE_ROWS + 1];
   size_t condition_count = 0;
   size_t write_count = 0;
   buf_t value = BUF_NULL;
   buf_t key = BUF_NULL;
-  bool large = billset_size (bills) >= ledger->options.large_bills;
+  bool is_large_result
+      = billset_size (bills) >= ledger->options.large_row_bills;
 
   for (size_t i = 0; i < count; i++)
     {
       conditions[condition_count++]
           = (txn_condition_t){ rows[i].key, rows[i].version };
-      if (i + 1 < count || large)
+      if (i + 1 < count || is_large_result)
         writes[write_count++] = (txn_write_t){ rows[i].key, STR_NULL, true };
     }
   str_t last = rows[count - 1].key;
-  if (large)
+  if (is_large_result)
     {
-      size_t skip = SMALL_PREFIX.len;
-      buf_append_str (&key, LARGE_PREFIX);
-      buf_append (&key, last.ptr + skip, last.len - skip);
+      size_t prefix_len = SMALL_ROW_PREFIX.len;
+      buf_append_str (&key, LARGE_ROW_PREFIX);
+      buf_append (&key, last.ptr + prefix_len, last.len - prefix_len);
       conditions[condition_count++] = (txn_condition_t){ buf_str (&key), 0 };
     }
   else
@@ -601,47 +619,50 @@
   conditions[condition_count++] = lease_condition (ledger->options.lease);
   const txn_t txn
       = { conditions, condition_count, writes, write_count, STR_NULL };
-  ledger->compaction.merging = count - 1;
-  store_txn (ledger->store, &txn, 0, on_merged, ledger);
+  ledger->compaction.rows_to_remove = count - 1;
+  store_txn (ledger->store, &txn, 0, on_compaction_written, ledger);
   buf_free (&value);
   buf_free (&key);
 }
 
-/* Tell by its length, before it is read, that ROW is to be left alone.  */
+/* Return whether ROW is too large to be merged, estimated from the length of
+   its value without parsing it.  */
 static bool
 is_large (const ledger_t *ledger, const row_t *row)
 {
-  return row->value.len >= ledger->options.large_bills * BILL_BYTES;
+  return row->value.len >= ledger->options.large_row_bills * BILL_ROW_BYTES;
 }
 
-/* Gather in BILLS the rows from the first on until they make a large one;
-   return how many.  A row that cannot be read ends the run: it stays for a
-   person to look at.  */
+/* Add to BILLS the bills of consecutive rows, starting with the first row,
+   until BILLS would make a large row.  Return the number of rows read.  A row
+   that cannot be parsed ends the run and is kept for manual inspection.  */
 static size_t
-gather (const ledger_t *ledger, const row_t *rows, size_t count,
-        billset_t *bills)
+read_mergeable_rows (const ledger_t *ledger, const row_t *rows, size_t count,
+                     billset_t *bills)
 {
-  size_t taken = 0;
+  size_t row_count = 0;
 
-  while (taken < count && billset_size (bills) < ledger->options.large_bills
-         && !is_large (ledger, &rows[taken]))
+  while (row_count < count
+         && billset_size (bills) < ledger->options.large_row_bills
+         && !is_large (ledger, &rows[row_count]))
     {
-      if (billset_read (bills, rows[taken].value) != VH_OK)
+      if (billset_read (bills, rows[row_count].value) != VH_OK)
         break;
-      taken++;
+      row_count++;
     }
-  return taken;
+  return row_count;
 }
 
-/* Put ROW, large as it is, where compaction does not look again.  */
+/* Move ROW, which is large, to the prefix of large rows, which compaction
+   does not read.  */
 static void
-move_aside (ledger_t *ledger, const row_t *row)
+move_large_row (ledger_t *ledger, const row_t *row)
 {
   buf_t key = BUF_NULL;
 
-  buf_append_str (&key, LARGE_PREFIX);
-  buf_append (&key, row->key.ptr + SMALL_PREFIX.len,
-              row->key.len - SMALL_PREFIX.len);
+  buf_append_str (&key, LARGE_ROW_PREFIX);
+  buf_append (&key, row->key.ptr + SMALL_ROW_PREFIX.len,
+              row->key.len - SMALL_ROW_PREFIX.len);
   const txn_condition_t conditions[]
       = { { row->key, row->version },
           { buf_str (&key), 0 },
@@ -649,13 +670,13 @@
   const txn_write_t writes[] = { { row->key, STR_NULL, true },
                                  { buf_str (&key), row->value, false } };
   const txn_t txn = { conditions, 3, writes, 2, STR_NULL };
-  ledger->compaction.merging = 0;
-  store_txn (ledger->store, &txn, 0, on_merged, ledger);
+  ledger->compaction.rows_to_remove = 0;
+  store_txn (ledger->store, &txn, 0, on_compaction_written, ledger);
   buf_free (&key);
 }
 
-/* Merge the first run of at least two rows.  Return false when there is none
-   among them.  */
+/* Merge the first run of at least two small rows, or move a large row that
+   precedes it.  Return false if there is neither.  */
 static bool
 merge_first_run (ledger_t *ledger, const row_t *rows, size_t count)
 {
@@ -663,39 +684,40 @@
     {
       if (is_large (ledger, &rows[first]))
         {
-          move_aside (ledger, &rows[first]);
+          move_large_row (ledger, &rows[first]);
           return true;
         }
       if (first + 1 == count)
         break;
       billset_t *bills = billset_create ();
-      size_t taken = gather (ledger, &rows[first], count - first, bills);
-      if (taken >= 2)
-        merge (ledger, &rows[first], taken, bills);
+      size_t row_count
+          = read_mergeable_rows (ledger, &rows[first], count - first, bills);
+      if (row_count >= 2)
+        merge_rows (ledger, &rows[first], row_count, bills);
       billset_destroy (bills);
-      if (taken >= 2)
+      if (row_count >= 2)
         return true;
     }
   return false;
 }
 
 static void
-next_day (compaction_t *compaction)
+advance_day (compaction_t *compaction)
 {
-  compaction->after.len = 0;
+  compaction->last_key.len = 0;
   compaction->day = (compaction->day + 1) % COMPACT_DAYS;
 }
 
 static void
-on_small_rows (void *arg, vh_code_t code, const row_t *rows, size_t count,
-               bool more)
+on_compaction_page (void *arg, vh_code_t code, const row_t *rows, size_t count,
+                    bool more)
 {
   ledger_t *ledger = arg;
   compaction_t *compaction = &ledger->compaction;
 
   if (code != VH_OK || !lease_held (ledger->options.lease))
     {
-      compaction->busy = false;
+      compaction->is_step_pending = false;
       return;
     }
   if (merge_first_run (ledger, rows, count))
@@ -704,36 +726,39 @@
       return;
     }
   compaction->idle_steps++;
-  compaction->busy = false;
+  compaction->is_step_pending = false;
   if (!more || count == 0)
-    next_day (compaction);
+    advance_day (compaction);
   else
     {
-      compaction->after.len = 0;
-      buf_append_str (&compaction->after, rows[count - 1].key);
+      compaction->last_key.len = 0;
+      buf_append_str (&compaction->last_key, rows[count - 1].key);
     }
 }
 
-/* One step: read a page of a day's rows and merge the first run in it.  */
+/* Start a compaction step if one is due: read one page of the small rows of
+   a day and merge the first run of rows in it.  */
 static void
-compact (ledger_t *ledger)
+run_compaction_step (ledger_t *ledger)
 {
   compaction_t *compaction = &ledger->compaction;
   uint64_t now = now_ms (ledger);
-  char day[DAY_SIZE];
+  char day[DAY_TEXT_SIZE];
   buf_t prefix = BUF_NULL;
 
-  if (ledger->options.lease == NULL || compaction->busy
-      || now < compaction->next_ms || !lease_held (ledger->options.lease))
+  if (ledger->options.lease == NULL || compaction->is_step_pending
+      || now < compaction->next_step_ms || !lease_held (ledger->options.lease))
     return;
-  compaction->busy = true;
-  compaction->next_ms = now + ledger->options.compact_ms;
+  compaction->is_step_pending = true;
+  compaction->next_step_ms = now + ledger->options.compact_interval_ms;
   if (compaction->idle_steps >= IDLE_STEPS)
-    compaction->next_ms += ledger->options.compact_ms * IDLE_FACTOR;
+    compaction->next_step_ms
+        += ledger->options.compact_interval_ms * IDLE_INTERVAL_FACTOR;
   format_day (day, clock_realtime_ms (ledger->env.clock)
                        - compaction->day * DAY_S * 1000ull);
-  buf_printf (&prefix, "%s%s/", SMALL_PREFIX.ptr, day);
-  store_scan (ledger->store, buf_str (&prefix), buf_str (&compaction->after),
-              COMPACT_ROWS, on_small_rows, ledger);
+  buf_printf (&prefix, "%s%s/", SMALL_ROW_PREFIX.ptr, day);
+  store_scan (ledger->store, buf_str (&prefix),
+              buf_str (&compaction->last_key), COMPACT_PAGE_ROWS,
+              on_compaction_page, ledger);
   buf_free (&prefix);
 }
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -1,20 +1,23 @@
-/* The ledger: every answered request billed once.
+/* The ledger: every answered request is billed exactly once.
 
-   Bills are written many to a row, under ledger/DAY/WRITER/EPOCH/SEQUENCE,
-   where DAY is that of the bill (UTC) and EPOCH names one start of the
-   writer.  A row is written on the condition that it is absent, so a repeat
-   of a write whose reply was lost changes nothing.  A bill may come to stand
-   in several rows (two processes hold it until it is written, and either may
-   write it): the ledger is the set union by request id, made when reading.
-   A bill therefore travels whole, with its time: the day decides its row.
+   Many bills are written to one row, with the key
+   ledger/DAY/WRITER/EPOCH/SEQUENCE, where DAY is the UTC day of the bills and
+   EPOCH identifies one start of the writer.  A row is written on the
+   condition that it is absent, so a repeated write whose first reply was lost
+   has no effect.  A bill may be stored in several rows, because two processes
+   hold each bill until it is written and either may write it.  A reader
+   therefore takes the union of all rows by request id.  A bill keeps its
+   creation time when it is sent to another process, because the day decides
+   which row it is stored in.
 
-   While the store is away bills gather in few full rows, one transaction at
-   a time is tried with backoff, and memory is bounded.
+   While the store is unavailable, bills accumulate in a few full rows, one
+   transaction at a time is retried with backoff, and memory use is bounded.
 
-   Compaction, under a lease, merges small rows into the last one of a run in
-   one transaction conditional on each of them.  The merged row keeps the
-   greatest key of the run: a report that reads in key order meets each bill
-   before or after the merge, perhaps twice, never not at all.  */
+   Compaction, which requires a lease, merges a run of small rows into the
+   last row of the run, in one transaction conditional on each of the rows.
+   The merged row keeps the greatest key of the run.  A report that reads rows
+   in key order therefore finds each bill at least once while compaction runs;
+   it may find a bill twice.  */
 
 #ifndef CONTROL_LEDGER_H
 #define CONTROL_LEDGER_H
@@ -31,56 +34,69 @@
   str_t version;
   uint64_t tokens;
   double cost;
-  uint64_t at_ms; /* Since the epoch; made once, with the bill.  */
+  /* Creation time of the bill, in ms since the epoch; never changed.  */
+  uint64_t at_ms;
 } bill_t;
 
 typedef struct
 {
-  str_t writer;        /* Name of this process.  */
-  size_t flush_bills;  /* A row is full at so many; 0: 500.  */
-  uint64_t flush_ms;   /* A bill waits for others so long; 0: 10 s.  */
-  size_t bills_max;    /* Held in memory; 0: 100,000.  */
-  lease_t *lease;      /* Compacts while it is held; NULL: never.  */
-  size_t large_bills;  /* Rows of so many are not merged on; 0: 350.  */
-  uint64_t compact_ms; /* Between two steps of compaction; 0: 500 ms.  */
-  /* BILLS are in the store: copies held elsewhere may go.  May be NULL.  */
+  str_t writer;       /* Name of this process.  */
+  size_t flush_bills; /* Number of bills in a full row; 0: 500.  */
+  /* Maximum time that a row that is not full is held back, in ms; 0: 10 s.  */
+  uint64_t flush_ms;
+  size_t pending_bills_max; /* Limit of bills in memory; 0: 100,000.  */
+  /* Compaction runs while this process holds the lease; NULL: never.  */
+  lease_t *lease;
+  /* Rows with at least this number of bills are not merged; 0: 350.  */
+  size_t large_row_bills;
+  /* Interval between compaction steps, in ms; 0: 500 ms.  */
+  uint64_t compact_interval_ms;
+  /* Called when BILLS are in the store and copies in other processes may be
+     discarded.  May be NULL.  */
   void (*written) (void *owner, const bill_t *bills, size_t count);
   void *owner;
 } ledger_options_t;
 
 ledger_t *ledger_create (const control_env_t *env,
                          const ledger_options_t *options);
-/* What is pending is dropped: hand it to a peer first.  Reports under way end
-   with VH_E_CANCELLED.  NULL is accepted.  */
+/* Pending bills are discarded, so the caller must send them to a peer first.
+   Pending reports end with VH_E_CANCELLED.  NULL is accepted.  */
 void ledger_destroy (ledger_t *ledger);
-/* Take BILL, copied.  VH_E_FULL when as many are held as may be.  */
+/* Add a copy of BILL.  Return VH_OK, or VH_E_FULL if the limit of pending
+   bills is reached.  */
 vh_code_t ledger_add (ledger_t *ledger, const bill_t *bill);
-/* Take the bills of a peer that died or stops: all, or none with
-   VH_E_FULL.  */
-vh_code_t ledger_adopt (ledger_t *ledger, const bill_t *bills, size_t count);
-/* Write what is held now rather than when a row is full or old.  */
+/* Add copies of BILLS, which a peer that failed or is stopping had not
+   written.  Return VH_OK, or VH_E_FULL if the limit of pending bills would be
+   exceeded; then none is added.  */
+vh_code_t ledger_add_all (ledger_t *ledger, const bill_t *bills, size_t count);
+/* Write all pending bills without waiting for full rows or the flush
+   delay.  */
 void ledger_flush (ledger_t *ledger);
-/* Let a bill wait for others so long from now on.  */
+/* Change the maximum time that a row that is not full is held back.  */
 void ledger_set_flush_ms (ledger_t *ledger, uint64_t flush_ms);
-/* Bills that the store is not known to have.  */
+/* Return the number of pending bills, whose write the store has not
+   acknowledged.  */
 size_t ledger_pending (const ledger_t *ledger);
-/* Call EACH for every one of them.  */
+/* Call EACH for every pending bill.  */
 void ledger_each_pending (const ledger_t *ledger,
                           void (*each) (void *arg, const bill_t *bill),
                           void *arg);
 
+/* Counters since ledger_create.  */
 typedef struct
 {
-  uint64_t rows;        /* Rows written.  */
-  uint64_t txns;        /* Transactions sent to write them.  */
-  uint64_t bills;       /* Bills in them.  */
-  uint64_t refused;     /* Bills refused for want of memory.  */
-  uint64_t near_bound;  /* Times that four fifths of it were used.  */
-  uint64_t merged_rows; /* Rows that compaction made go.  */
-} ledger_figures_t;
+  uint64_t rows_written;
+  uint64_t txns_sent;      /* Transactions sent to write rows.  */
+  uint64_t bills_written;  /* Bills in the written rows.  */
+  uint64_t bills_rejected; /* Bills rejected at the limit of pending bills.  */
+  /* Number of times that the pending bills rose to 80% of the limit.  */
+  uint64_t limit_warnings;
+  uint64_t rows_merged; /* Rows that compaction removed.  */
+} ledger_stats_t;
 
-ledger_figures_t ledger_figures (const ledger_t *ledger);
+ledger_stats_t ledger_stats (const ledger_t *ledger);
 
+/* Sums over the bills of one team, model and version.  */
 typedef struct
 {
   str_t team;
@@ -91,12 +107,13 @@
   double cost;
 } ledger_line_t;
 
-/* LINES, one a team, model and version, in that order, live for the
+/* LINES are sorted by team, model and version, and are valid during the
    callback.  */
 typedef void (*ledger_report_cb_t) (void *arg, vh_code_t code,
                                     const ledger_line_t *lines, size_t count);
 
-/* Report DAY (YYYY-MM-DD) as the store has it.  */
+/* Report the bills in the store for the UTC day DAY (YYYY-MM-DD).  Pending
+   bills are not included.  */
 void ledger_report (ledger_t *ledger, str_t day, ledger_report_cb_t cb,
                     void *arg);
 
--- a/packages/control/qualitystore.h
+++ b/packages/control/qualitystore.h
@@ -1,12 +1,15 @@
-/* Evidence on the quality of versions, kept in the table across processes.
+/* Quality statistics of model versions, shared between processes through the
+   platform's table.
 
-   Each process writes its own rows, quality/WRITER/PART, and reads those of
-   all: nobody merges into another's row, so nothing need be agreed.  A part
-   is opaque here; the newest bytes of it win.  Parts that changed go out
-   together, one transaction in a period at most.
+   Each process writes only its own rows, quality/WRITER/PART, and reads the
+   rows of all processes.  No process updates the row of another, so no
+   coordination is needed.  The contents of a part are opaque to this module,
+   and the latest bytes replace earlier ones.  Changed parts are written
+   together, in at most one transaction per interval.
 
-   XXX: rows are written without a condition; a write that reaches the table
-   after its patience of 5 s may put back older bytes until the next save.  */
+   XXX: rows are written without a condition.  A write that reaches the table
+   after its timeout of 5 s may overwrite newer bytes with older ones until
+   the next save.  */
 
 #ifndef CONTROL_QUALITYSTORE_H
 #define CONTROL_QUALITYSTORE_H
@@ -17,8 +20,8 @@
 
 typedef struct
 {
-  str_t writer;
-  uint64_t period_ms; /* Between two writes; 0: 30 s.  */
+  str_t writer;               /* Name of this process.  */
+  uint64_t write_interval_ms; /* Minimum time between writes; 0: 30 s.  */
 } qualitystore_options_t;
 
 typedef struct
@@ -26,23 +29,25 @@
   str_t writer;
   str_t part;
   str_t bytes;
-  uint64_t at_ms; /* Written then, since the epoch.  */
+  uint64_t written_at_ms; /* Time of the write, in ms since the epoch.  */
 } quality_row_t;
 
-/* Called for each row and then once with ROW NULL and the outcome: VH_OK when
-   all were read.  */
+/* Called once for each row, and then once with ROW NULL and the result: VH_OK
+   if all rows were read.  */
 typedef void (*qualitystore_cb_t) (void *arg, vh_code_t code,
                                    const quality_row_t *row);
 
 qualitystore_t *qualitystore_create (const control_env_t *env,
                                      const qualitystore_options_t *options);
-/* Loads under way end with VH_E_CANCELLED; what was not written is lost.
-   NULL is accepted.  */
+/* Pending loads end with VH_E_CANCELLED; unwritten parts are discarded.  NULL
+   is accepted.  */
 void qualitystore_destroy (qualitystore_t *quality);
-/* Keep BYTES as the newest of PART, to be written by and by.  */
+/* Replace the contents of PART by BYTES.  PART is written at the end of the
+   write interval.  */
 void qualitystore_save (qualitystore_t *quality, str_t part, str_t bytes);
-/* Parts whose newest bytes the store is not known to have.  */
-size_t qualitystore_unsaved (const qualitystore_t *quality);
+/* Return the number of parts whose latest bytes the store has not
+   acknowledged.  */
+size_t qualitystore_unsaved_count (const qualitystore_t *quality);
 /* Read the rows of all writers.  */
 void qualitystore_load (qualitystore_t *quality, qualitystore_cb_t cb,
                         void *arg);
--- a/packages/control/roster.c
+++ b/packages/control/roster.c
@@ -7,38 +7,41 @@
 
 enum
 {
-  /* With the jitter 730 entries read the list 195 times a second.  */
-  PERIOD_MS = 5000,
-  LINGER_MS = 10000,
-  /* A departure that is listed just after an outage must be known within
-     seconds, and half of the usual reads is no stampede.  */
-  BACKOFF_PERIODS = 2
+  /* With this interval and its jitter, 730 entry processes read the list 195
+     times per second.  */
+  POLL_INTERVAL_MS = 5000,
+  UNLISTED_TTL_MS = 10000,
+  /* Maximum delay between polls while the list cannot be read, in poll
+     intervals.  The limit is low because an instance that leaves just after
+     an outage must be detected within seconds, and half of the normal poll
+     rate does not overload a recovering service.  */
+  BACKOFF_INTERVALS_MAX = 2
 };
 
 typedef enum
 {
-  LISTED_NOT_YET,
-  LISTED_LIVE,
-  LISTED_LEAVING,
-  LISTED_GONE
-} listed_t;
+  LIST_ABSENT,
+  LIST_LIVE,
+  LIST_LEAVING,
+  LIST_GONE
+} list_state_t;
 
 typedef enum
 {
-  SEEN_NOT_YET,
-  SEEN_HEARD,
-  SEEN_SILENT
-} seen_t;
+  CONTACT_NONE,
+  CONTACT_RESPONSIVE,
+  CONTACT_UNRESPONSIVE
+} contact_t;
 
 typedef struct
 {
-  roster_entry_t entry; /* Owns its strings.  */
-  listed_t listed;
-  seen_t seen;
-  uint64_t heard_ms;
-  bool draining;
-  bool in_full; /* Met in the full list being read.  */
-  size_t index; /* Where it stands in the roster.  */
+  roster_entry_t entry; /* The member owns the strings of its entry.  */
+  list_state_t list_state;
+  contact_t contact;
+  uint64_t last_response_ms;
+  bool is_draining;
+  bool is_in_full_list; /* Found in the list that is being applied.  */
+  size_t index;         /* Index in MEMBERS of the roster.  */
 } member_t;
 
 struct roster
@@ -48,11 +51,11 @@
   roster_options_t options;
   uv_timer_t timer;
   backoff_t backoff;
-  bool polling;
-  uint64_t sent_ms;
-  bool was_read;
-  uint64_t read_ms;
-  uint64_t sequence;
+  bool is_polling;
+  uint64_t poll_sent_ms;
+  bool has_list;
+  uint64_t list_read_ms;
+  uint64_t list_sequence;
   member_t **members;
   size_t count;
   size_t cap;
@@ -66,7 +69,7 @@
 }
 
 static void
-free_strings (roster_entry_t *entry)
+free_entry_strings (roster_entry_t *entry)
 {
   free ((char *)entry->name.ptr);
   free ((char *)entry->role.ptr);
@@ -77,28 +80,28 @@
 }
 
 static str_t
-own (str_t s)
+copy_str (str_t s)
 {
   return str_make (str_dup (s), s.len);
 }
 
 static void
-set_row (roster_entry_t *entry, const instance_row_t *row)
+copy_row (roster_entry_t *entry, const instance_row_t *row)
 {
   roster_entry_t old = *entry;
 
-  *entry = (roster_entry_t){ .name = own (row->name),
-                             .role = own (row->role),
-                             .zone = own (row->zone),
-                             .region = own (row->region),
-                             .address = own (row->address),
-                             .serves = own (row->serves),
+  *entry = (roster_entry_t){ .name = copy_str (row->name),
+                             .role = copy_str (row->role),
+                             .zone = copy_str (row->zone),
+                             .region = copy_str (row->region),
+                             .address = copy_str (row->address),
+                             .serves = copy_str (row->serves),
                              .state = old.state };
-  free_strings (&old);
+  free_entry_strings (&old);
 }
 
 static bool
-same_row (const roster_entry_t *entry, const instance_row_t *row)
+is_same_row (const roster_entry_t *entry, const instance_row_t *row)
 {
   return str_eq (entry->role, row->role) && str_eq (entry->zone, row->zone)
          && str_eq (entry->region, row->region)
@@ -107,45 +110,47 @@
 }
 
 static member_t *
-find (const roster_t *roster, str_t name)
+find_member (const roster_t *roster, str_t name)
 {
   return map_get (roster->by_name, name);
 }
 
 static void
-tell (roster_t *roster, roster_event_t event, const member_t *member)
+notify (roster_t *roster, roster_event_t event, const member_t *member)
 {
   if (roster->options.changed != NULL)
     roster->options.changed (roster->options.owner, event, &member->entry);
 }
 
-/* Return the state by the table at the head of roster.h.  */
+/* Return the state according to the table at the top of roster.h.  */
 static roster_state_t
-state_of (const member_t *member)
+member_state (const member_t *member)
 {
-  if (member->seen == SEEN_SILENT)
+  if (member->contact == CONTACT_UNRESPONSIVE)
     return ROSTER_SILENT;
-  if (member->draining || member->listed == LISTED_LEAVING
-      || member->listed == LISTED_GONE)
+  if (member->is_draining || member->list_state == LIST_LEAVING
+      || member->list_state == LIST_GONE)
     return ROSTER_DRAINING;
   return ROSTER_UP;
 }
 
 static bool
-is_heard (const roster_t *roster, const member_t *member)
+responded_recently (const roster_t *roster, const member_t *member)
 {
-  return member->seen == SEEN_HEARD
-         && now_ms (roster) - member->heard_ms < roster->options.linger_ms;
+  return member->contact == CONTACT_RESPONSIVE
+         && now_ms (roster) - member->last_response_ms
+                < roster->options.unlisted_ttl_ms;
 }
 
-/* Tell whether MEMBER is neither listed nor heard.  */
+/* Return whether MEMBER is not in the list and has not responded within the
+   TTL of unlisted instances.  */
 static bool
-is_over (const roster_t *roster, const member_t *member)
+is_removable (const roster_t *roster, const member_t *member)
 {
-  bool listed
-      = member->listed == LISTED_LIVE || member->listed == LISTED_LEAVING;
+  bool is_listed
+      = member->list_state == LIST_LIVE || member->list_state == LIST_LEAVING;
 
-  return !listed && !is_heard (roster, member);
+  return !is_listed && !responded_recently (roster, member);
 }
 
 static void
@@ -156,19 +161,19 @@
   roster->members[member->index] = last;
   last->index = member->index;
   map_remove (roster->by_name, member->entry.name);
-  tell (roster, ROSTER_REMOVED, member);
-  free_strings (&member->entry);
+  notify (roster, ROSTER_REMOVED, member);
+  free_entry_strings (&member->entry);
   free (member);
 }
 
-/* Bring the state of MEMBER up to what is known; CHANGED tells that its row
-   did change.  MEMBER may be gone afterwards.  */
+/* Recompute the state of MEMBER, and notify the owner if the state changed or
+   if CHANGED says that the row changed.  Frees MEMBER if it is removable.  */
 static void
-settle (roster_t *roster, member_t *member, bool changed)
+update_state (roster_t *roster, member_t *member, bool changed)
 {
-  roster_state_t state = state_of (member);
+  roster_state_t state = member_state (member);
 
-  if (is_over (roster, member))
+  if (is_removable (roster, member))
     {
       remove_member (roster, member);
       return;
@@ -176,11 +181,12 @@
   if (state == member->entry.state && !changed)
     return;
   member->entry.state = state;
-  tell (roster, ROSTER_CHANGED, member);
+  notify (roster, ROSTER_CHANGED, member);
 }
 
 static member_t *
-add (roster_t *roster, const instance_row_t *row, listed_t listed, seen_t seen)
+add_member (roster_t *roster, const instance_row_t *row,
+            list_state_t list_state, contact_t contact)
 {
   member_t *member = mem_zalloc (sizeof *member);
 
@@ -193,101 +199,104 @@
   member->index = roster->count;
   roster->members[roster->count++] = member;
   map_put (roster->by_name, row->name, member);
-  set_row (&member->entry, row);
-  member->listed = listed;
-  member->seen = seen;
-  member->heard_ms = now_ms (roster);
-  member->entry.state = state_of (member);
-  tell (roster, ROSTER_ADDED, member);
+  copy_row (&member->entry, row);
+  member->list_state = list_state;
+  member->contact = contact;
+  member->last_response_ms = now_ms (roster);
+  member->entry.state = member_state (member);
+  notify (roster, ROSTER_ADDED, member);
   return member;
 }
 
-/* Take over ROW; one at a new address is a new process.  */
+/* Replace the row of MEMBER by ROW.  A new address means a new process, which
+   inherits neither draining nor contact state.  Return whether the row
+   changed.  */
 static bool
-renew_row (member_t *member, const instance_row_t *row)
+update_row (member_t *member, const instance_row_t *row)
 {
-  if (same_row (&member->entry, row))
+  if (is_same_row (&member->entry, row))
     return false;
   if (!str_eq (member->entry.address, row->address))
     {
-      member->draining = false;
-      member->seen = SEEN_NOT_YET;
+      member->is_draining = false;
+      member->contact = CONTACT_NONE;
     }
-  set_row (&member->entry, row);
+  copy_row (&member->entry, row);
   return true;
 }
 
 static void
 apply_row (roster_t *roster, const instance_row_t *row)
 {
-  static const listed_t listed[]
-      = { LISTED_LIVE, LISTED_LEAVING, LISTED_GONE };
-  member_t *member = find (roster, row->name);
-  bool gone = row->state == INSTANCE_GONE;
+  static const list_state_t list_states[]
+      = { LIST_LIVE, LIST_LEAVING, LIST_GONE };
+  member_t *member = find_member (roster, row->name);
+  bool is_gone = row->state == INSTANCE_GONE;
 
-  if (member == NULL && gone)
+  if (member == NULL && is_gone)
     return;
   if (member == NULL)
-    member = add (roster, row, listed[row->state], SEEN_NOT_YET);
-  member->in_full = true;
-  member->listed = listed[row->state];
-  /* The row of one that is gone may be empty but for its name.  */
-  settle (roster, member, !gone && renew_row (member, row));
+    member = add_member (roster, row, list_states[row->state], CONTACT_NONE);
+  member->is_in_full_list = true;
+  member->list_state = list_states[row->state];
+  /* The row of an instance that has gone may contain only its name.  */
+  update_state (roster, member, !is_gone && update_row (member, row));
 }
 
-/* What a full list lacks is gone, unless it was never listed.  */
+/* Treat the members that are missing from a full list as gone, except members
+   that were never listed.  */
 static void
-drop_missing (roster_t *roster)
+remove_unlisted (roster_t *roster)
 {
   for (size_t i = roster->count; i-- > 0;)
     {
       member_t *member = roster->members[i];
-      bool missing = !member->in_full;
-      member->in_full = false;
-      if (!missing || member->listed == LISTED_NOT_YET)
+      bool is_missing = !member->is_in_full_list;
+      member->is_in_full_list = false;
+      if (!is_missing || member->list_state == LIST_ABSENT)
         continue;
-      member->listed = LISTED_GONE;
-      settle (roster, member, false);
+      member->list_state = LIST_GONE;
+      update_state (roster, member, false);
     }
 }
 
 static void
-on_list (void *arg, vh_code_t code, uint64_t sequence, bool full,
-         const instance_row_t *rows, size_t count)
+on_list_read (void *arg, vh_code_t code, uint64_t list_sequence, bool full,
+              const instance_row_t *rows, size_t count)
 {
   roster_t *roster = arg;
 
-  roster->polling = false;
+  roster->is_polling = false;
   if (code != VH_OK)
     return;
   backoff_reset (&roster->backoff);
   for (size_t i = 0; i < roster->count; i++)
-    roster->members[i]->in_full = false;
+    roster->members[i]->is_in_full_list = false;
   for (size_t i = 0; i < count; i++)
     apply_row (roster, &rows[i]);
   if (full)
-    drop_missing (roster);
-  roster->sequence = sequence;
-  roster->was_read = true;
-  roster->read_ms = roster->sent_ms;
+    remove_unlisted (roster);
+  roster->list_sequence = list_sequence;
+  roster->has_list = true;
+  roster->list_read_ms = roster->poll_sent_ms;
 }
 
 void
 roster_poll (roster_t *roster)
 {
-  if (roster->polling)
+  if (roster->is_polling)
     return;
-  roster->polling = true;
-  roster->sent_ms = now_ms (roster);
-  store_instances (roster->store, roster->sequence, on_list, roster);
+  roster->is_polling = true;
+  roster->poll_sent_ms = now_ms (roster);
+  store_instances (roster->store, roster->list_sequence, on_list_read, roster);
 }
 
-/* Let go of those that were kept in by hearing alone.  */
+/* Remove the unlisted members that have not responded recently.  */
 static void
-drop_unheard (roster_t *roster)
+remove_expired (roster_t *roster)
 {
   for (size_t i = roster->count; i-- > 0;)
-    if (is_over (roster, roster->members[i]))
+    if (is_removable (roster, roster->members[i]))
       remove_member (roster, roster->members[i]);
 }
 
@@ -296,11 +305,12 @@
 {
   roster_t *roster = timer->data;
 
-  /* The wait grows while the list cannot be read, see backoff_next.  */
+  /* The delay grows while the list cannot be read; a successful read resets
+     it.  */
   uv_timer_start (
       &roster->timer, on_timer,
       backoff_next (&roster->backoff, store_rng (roster->store)) + 1, 0);
-  drop_unheard (roster);
+  remove_expired (roster);
   roster_poll (roster);
 }
 
@@ -313,12 +323,12 @@
   roster->env = *env;
   roster->options = *options;
   if (roster->options.period_ms == 0)
-    roster->options.period_ms = PERIOD_MS;
-  if (roster->options.linger_ms == 0)
-    roster->options.linger_ms = LINGER_MS;
+    roster->options.period_ms = POLL_INTERVAL_MS;
+  if (roster->options.unlisted_ttl_ms == 0)
+    roster->options.unlisted_ttl_ms = UNLISTED_TTL_MS;
   roster->backoff
       = (backoff_t){ roster->options.period_ms,
-                     BACKOFF_PERIODS * roster->options.period_ms, 0 };
+                     BACKOFF_INTERVALS_MAX * roster->options.period_ms, 0 };
   roster->by_name = map_create ();
   uv_timer_init (env->loop, &roster->timer);
   roster->timer.data = roster;
@@ -327,7 +337,7 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -340,70 +350,71 @@
   store_destroy (roster->store);
   for (size_t i = 0; i < roster->count; i++)
     {
-      free_strings (&roster->members[i]->entry);
+      free_entry_strings (&roster->members[i]->entry);
       free (roster->members[i]);
     }
   free (roster->members);
   map_destroy (roster->by_name);
-  uv_close ((uv_handle_t *)&roster->timer, on_closed);
+  uv_close ((uv_handle_t *)&roster->timer, on_timer_closed);
 }
 
 uint64_t
 roster_age_ms (const roster_t *roster)
 {
-  return roster->was_read ? now_ms (roster) - roster->read_ms : UINT64_MAX;
+  return roster->has_list ? now_ms (roster) - roster->list_read_ms
+                          : UINT64_MAX;
 }
 
 void
 roster_sighted (roster_t *roster, const instance_row_t *row)
 {
-  member_t *member = find (roster, row->name);
+  member_t *member = find_member (roster, row->name);
 
   if (member == NULL)
     {
-      add (roster, row, LISTED_NOT_YET, SEEN_HEARD);
+      add_member (roster, row, LIST_ABSENT, CONTACT_RESPONSIVE);
       return;
     }
-  bool changed = renew_row (member, row);
-  member->seen = SEEN_HEARD;
-  member->heard_ms = now_ms (roster);
-  settle (roster, member, changed);
+  bool changed = update_row (member, row);
+  member->contact = CONTACT_RESPONSIVE;
+  member->last_response_ms = now_ms (roster);
+  update_state (roster, member, changed);
 }
 
 void
 roster_heard (roster_t *roster, str_t name)
 {
-  member_t *member = find (roster, name);
+  member_t *member = find_member (roster, name);
 
   if (member == NULL)
     return;
-  member->seen = SEEN_HEARD;
-  member->heard_ms = now_ms (roster);
-  settle (roster, member, false);
+  member->contact = CONTACT_RESPONSIVE;
+  member->last_response_ms = now_ms (roster);
+  update_state (roster, member, false);
 }
 
 void
 roster_silent (roster_t *roster, str_t name)
 {
-  member_t *member = find (roster, name);
+  member_t *member = find_member (roster, name);
 
   if (member == NULL)
     return;
-  member->seen = SEEN_SILENT;
-  settle (roster, member, false);
+  member->contact = CONTACT_UNRESPONSIVE;
+  update_state (roster, member, false);
 }
 
 void
 roster_draining (roster_t *roster, str_t name, bool draining)
 {
-  member_t *member = find (roster, name);
+  member_t *member = find_member (roster, name);
 
   if (member == NULL)
     return;
-  member->draining = draining;
-  member->seen = SEEN_HEARD;
-  member->heard_ms = now_ms (roster);
-  settle (roster, member, false);
+  member->is_draining = draining;
+  member->contact = CONTACT_RESPONSIVE;
+  member->last_response_ms = now_ms (roster);
+  update_state (roster, member, false);
 }
 
 size_t
@@ -421,7 +432,7 @@
 const roster_entry_t *
 roster_find (const roster_t *roster, str_t name)
 {
-  const member_t *member = find (roster, name);
+  const member_t *member = find_member (roster, name);
 
   return member != NULL ? &member->entry : NULL;
 }
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -1,18 +1,23 @@
-/* Who is there: the platform's lagging list, corrected by direct sight.
+/* The instances of the service: the platform's instance list, which lags
+   behind, corrected by what this process observes on its connections.
 
-   What a process says of itself and what the connections show is newer than
-   the list, and the list knows of those that nobody here has met:
+   Reports of an instance about itself and the state of the connections to it
+   are newer than the list.  The list contains the instances that this process
+   has not contacted yet.  The state is derived from both:
 
-     list      seen               state
-     live      heard, or not yet  up
-     live      silent             silent: no new work, still probed
-     leaving   heard, or not yet  draining
-     any       said draining      draining
-     gone      heard              draining, removed once it is not heard
-     gone      silent, or not     removed
-     not yet   heard              up, removed once it is not heard
+     list         observed               state
+     live         responsive or unknown  up
+     live/leaving unresponsive           silent: no new work, still probed
+     leaving      responsive or unknown  draining
+     any          reports draining       draining
+     gone         responsive             draining, then removed
+     gone         otherwise              removed
+     not listed   responsive             up, then removed
+     not listed   otherwise              removed
 
-   While the list cannot be read it stays as it is.  */
+   "Then removed" means once the instance has not responded for the TTL of
+   unlisted instances.  If the list cannot be read, the last list remains in
+   use.  */
 
 #ifndef CONTROL_ROSTER_H
 #define CONTROL_ROSTER_H
@@ -48,9 +53,11 @@
 
 typedef struct
 {
-  uint64_t period_ms; /* Between two looks at the list; 0: 5 s.  */
-  uint64_t linger_ms; /* How long hearing keeps one in that the list lacks;
-                         0: 10 s.  */
+  uint64_t period_ms; /* Interval between polls of the list; 0: 5 s.  */
+  /* Time since its last response after which an instance that is not in the
+     list is removed, in ms; 0: 10 s.  */
+  uint64_t unlisted_ttl_ms;
+  /* Called after ENTRY was added, changed or removed; may be NULL.  */
   void (*changed) (void *owner, roster_event_t event,
                    const roster_entry_t *entry);
   void *owner;
@@ -60,27 +67,33 @@
                          const roster_options_t *options);
 /* NULL is accepted.  */
 void roster_destroy (roster_t *roster);
-/* Look at the list now.  */
+/* Read the list now, without waiting for the next poll.  */
 void roster_poll (roster_t *roster);
-/* Milliseconds since the list was read; UINT64_MAX when it never was.  */
+/* Return the time since the list was last read, in ms; UINT64_MAX if it was
+   never read.  */
 uint64_t roster_age_ms (const roster_t *roster);
 
-/* A process that the list may not have yet has shown itself.  */
+/* Report that the instance in ROW, which the list may not contain yet, is
+   responsive.  */
 void roster_sighted (roster_t *roster, const instance_row_t *row);
-/* NAME answered, or a heartbeat of it came.  */
+/* Report that the instance NAME replied or sent a heartbeat.  */
 void roster_heard (roster_t *roster, str_t name);
-/* NAME does not answer.  */
+/* Report that the instance NAME does not respond.  */
 void roster_silent (roster_t *roster, str_t name);
-/* NAME said that it is, or is not, draining.  */
+/* Report that the instance NAME announced that it is, or is not, draining.  */
 void roster_draining (roster_t *roster, str_t name, bool draining);
 
 size_t roster_count (const roster_t *roster);
-/* Entry INDEX, in no order, until the next change; NULL past the end.  */
+/* Return the entry with index INDEX, in no particular order; NULL if INDEX is
+   out of range.  The entry is valid until the roster changes.  */
 const roster_entry_t *roster_at (const roster_t *roster, size_t index);
+/* Return the entry of the instance NAME, valid until the roster changes; NULL
+   if there is none.  */
 const roster_entry_t *roster_find (const roster_t *roster, str_t name);
-/* Rank of NAME for DUTY among those of ROLE that are up in ZONE, from 0, by
-   rendezvous hashing: all who know the same members give the same answer,
-   and one that goes moves only its own duties.  NAME need not be listed.  */
+/* Return the rank, from 0, of the instance NAME for DUTY among the instances
+   of ROLE that are up in ZONE, by rendezvous hashing.  Processes that know
+   the same instances compute the same ranks, and the departure of an instance
+   reassigns only its own duties.  NAME need not be in the roster.  */
 size_t roster_rank (const roster_t *roster, str_t duty, str_t role, str_t zone,
                     str_t name);
 
--- a/packages/control/store.c
+++ b/packages/control/store.c
@@ -6,18 +6,18 @@
 
 enum
 {
-  RESEND_MIN_MS = 50,
-  RESEND_MAX_MS = 2000
+  RESEND_DELAY_MIN_MS = 50,
+  RESEND_DELAY_MAX_MS = 2000
 };
 
 typedef struct
 {
   list_t link;
-  store_t *store; /* NULL once the owner has gone.  */
-  txn_t *txn;     /* Of a transaction.  */
+  store_t *store; /* NULL after the owner was destroyed.  */
+  txn_t *txn;     /* The transaction; NULL for other calls.  */
   uint64_t deadline_ms;
   backoff_t backoff;
-  bool maybe; /* An attempt may have taken effect.  */
+  bool may_have_committed; /* True if an attempt may have taken effect.  */
   uv_timer_t timer;
   union
   {
@@ -34,8 +34,8 @@
   control_env_t env;
   rng_t rng;
   list_t calls;
-  uint64_t tokens;
-  uint64_t nonce;
+  uint64_t token_count;
+  uint64_t token_nonce;
 };
 
 store_t *
@@ -45,14 +45,15 @@
 
   store->env = *env;
   store->rng = rng_make (env->seed);
-  /* Two processes may be started with one seed: their tokens must differ.  */
-  uv_random (NULL, NULL, &store->nonce, sizeof store->nonce, 0, NULL);
+  /* Tokens must differ even between processes started with the same seed.  */
+  uv_random (NULL, NULL, &store->token_nonce, sizeof store->token_nonce, 0,
+             NULL);
   list_init (&store->calls);
   return store;
 }
 
 static void
-on_timer_closed (uv_handle_t *handle)
+on_call_closed (uv_handle_t *handle)
 {
   store_call_t *call = handle->data;
 
@@ -61,10 +62,10 @@
 }
 
 static void
-release (store_call_t *call)
+call_release (store_call_t *call)
 {
   list_remove (&call->link);
-  uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
+  uv_close ((uv_handle_t *)&call->timer, on_call_closed);
 }
 
 void
@@ -77,9 +78,10 @@
       store_call_t *call = CONTAINER_OF (at, store_call_t, link);
       list_remove (at);
       call->store = NULL;
-      /* Between two attempts nothing else would release the call.  */
+      /* A call that waits for its next attempt has no callback pending that
+         would release it.  */
       if (uv_is_active ((uv_handle_t *)&call->timer))
-        release (call);
+        call_release (call);
     }
   free (store);
 }
@@ -91,7 +93,7 @@
 
   call->store = store;
   call->arg = arg;
-  call->backoff = (backoff_t){ RESEND_MIN_MS, RESEND_MAX_MS, 0 };
+  call->backoff = (backoff_t){ RESEND_DELAY_MIN_MS, RESEND_DELAY_MAX_MS, 0 };
   uv_timer_init (store->env.loop, &call->timer);
   call->timer.data = call;
   list_append (&store->calls, &call->link);
@@ -101,26 +103,29 @@
 static void send_txn (store_call_t *call);
 
 static void
-on_resend (uv_timer_t *timer)
+on_resend_timer (uv_timer_t *timer)
 {
   send_txn (timer->data);
 }
 
-/* Tell whether CALL is to be sent again after CODE, and see to it.  */
+/* Schedule another attempt of CALL if its last attempt, which ended with
+   CODE, left the outcome unknown and the timeout has not expired.  Return
+   whether an attempt was scheduled.  */
 static bool
-resend (store_call_t *call, vh_code_t code)
+schedule_resend (store_call_t *call, vh_code_t code)
 {
   store_t *store = call->store;
-  bool lost = code == VH_E_STORE_LATE;
-  bool refused = code == VH_E_STORE_DOWN || code == VH_E_STORE_BUSY;
+  bool is_reply_lost = code == VH_E_STORE_LATE;
+  bool is_refused = code == VH_E_STORE_DOWN || code == VH_E_STORE_BUSY;
 
-  call->maybe = call->maybe || lost;
-  if ((!lost && !refused) || !call->maybe || call->txn->token.len == 0)
+  call->may_have_committed = call->may_have_committed || is_reply_lost;
+  if ((!is_reply_lost && !is_refused) || !call->may_have_committed
+      || call->txn->token.len == 0)
     return false;
-  uint64_t wait_ms = backoff_next (&call->backoff, &store->rng);
-  if (clock_ms (store->env.clock) + wait_ms >= call->deadline_ms)
+  uint64_t delay_ms = backoff_next (&call->backoff, &store->rng);
+  if (clock_ms (store->env.clock) + delay_ms >= call->deadline_ms)
     return false;
-  uv_timer_start (&call->timer, on_resend, wait_ms, 0);
+  uv_timer_start (&call->timer, on_resend_timer, delay_ms, 0);
   return true;
 }
 
@@ -128,20 +133,20 @@
 on_txn (void *arg, vh_code_t code, uint64_t revision, str_t conflict_key)
 {
   store_call_t *call = arg;
-  bool known = code == VH_OK || code == VH_E_CONFLICT;
+  bool is_outcome_known = code == VH_OK || code == VH_E_CONFLICT;
 
   if (call->store == NULL)
     {
-      release (call);
+      call_release (call);
       return;
     }
-  if (resend (call, code))
+  if (schedule_resend (call, code))
     return;
-  if (call->maybe && !known)
+  if (call->may_have_committed && !is_outcome_known)
     code = VH_E_STORE_LATE;
   list_remove (&call->link);
   call->cb.txn (call->arg, code, revision, conflict_key);
-  release (call);
+  call_release (call);
 }
 
 static void
@@ -153,16 +158,16 @@
 }
 
 void
-store_txn (store_t *store, const txn_t *txn, uint64_t patience_ms, txn_cb_t cb,
-           void *arg)
+store_txn (store_t *store, const txn_t *txn, uint64_t resolve_timeout_ms,
+           txn_cb_t cb, void *arg)
 {
   store_call_t *call = call_create (store, arg);
 
-  if (patience_ms > STORE_PATIENCE_MAX_MS)
-    patience_ms = STORE_PATIENCE_MAX_MS;
+  if (resolve_timeout_ms > STORE_RESOLVE_TIMEOUT_MAX_MS)
+    resolve_timeout_ms = STORE_RESOLVE_TIMEOUT_MAX_MS;
   call->txn = txn_copy (txn);
   call->cb.txn = cb;
-  call->deadline_ms = clock_ms (store->env.clock) + patience_ms;
+  call->deadline_ms = clock_ms (store->env.clock) + resolve_timeout_ms;
   send_txn (call);
 }
 
@@ -174,7 +179,7 @@
   list_remove (&call->link);
   if (call->store != NULL)
     call->cb.get (call->arg, code, row);
-  release (call);
+  call_release (call);
 }
 
 void
@@ -195,7 +200,7 @@
   list_remove (&call->link);
   if (call->store != NULL)
     call->cb.scan (call->arg, code, rows, count, more);
-  release (call);
+  call_release (call);
 }
 
 void
@@ -218,7 +223,7 @@
   list_remove (&call->link);
   if (call->store != NULL)
     call->cb.instances (call->arg, code, sequence, full, rows, count);
-  release (call);
+  call_release (call);
 }
 
 void
@@ -234,18 +239,19 @@
 void
 store_token (store_t *store, buf_t *out)
 {
-  buf_printf (out, "%016llx-%llx", (unsigned long long)store->nonce,
-              (unsigned long long)++store->tokens);
+  buf_printf (out, "%016llx-%llx", (unsigned long long)store->token_nonce,
+              (unsigned long long)++store->token_count);
 }
 
 uint64_t
 backoff_next (backoff_t *backoff, rng_t *rng)
 {
-  uint64_t wait_ms = backoff->next_ms > 0 ? backoff->next_ms : backoff->min_ms;
+  uint64_t delay_ms
+      = backoff->next_ms > 0 ? backoff->next_ms : backoff->min_ms;
 
   backoff->next_ms
-      = wait_ms * 2 < backoff->max_ms ? wait_ms * 2 : backoff->max_ms;
-  return rng_jitter (rng, wait_ms);
+      = delay_ms * 2 < backoff->max_ms ? delay_ms * 2 : backoff->max_ms;
+  return rng_jitter (rng, delay_ms);
 }
 
 void
--- a/tests/control_fixture.c
+++ b/tests/control_fixture.c
@@ -5,9 +5,9 @@
 
 enum
 {
-  PATIENCE_MS = 10000,
-  START_S = 1800000000, /* A day of January 2027.  */
-  SCAN_MAX = 100000
+  WAIT_TIMEOUT_MS = 10000,
+  CLOCK_START_S = 1800000000, /* 15 January 2027, 08:00 UTC.  */
+  SCAN_LIMIT = 100000
 };
 
 void
@@ -15,7 +15,7 @@
 {
   memset (f, 0, sizeof *f);
   uv_loop_init (&f->loop);
-  f->clock = clock_manual_create (START_S);
+  f->clock = clock_manual_create (CLOCK_START_S);
   f->memory = platform_memory_create (&f->loop);
   f->faulty = faulty_create (&f->loop, f->memory, seed);
   f->env = (control_env_t){ &f->loop, f->clock, f->faulty, seed };
@@ -24,7 +24,7 @@
 void
 control_teardown (control_fixture_t *f)
 {
-  control_settle (f);
+  control_run_until_idle (f);
   f->faulty->ops->destroy (f->faulty);
   f->memory->ops->destroy (f->memory);
   uv_run (&f->loop, UV_RUN_DEFAULT);
@@ -32,9 +32,10 @@
   clock_manual_destroy (f->clock);
 }
 
-/* One turn of at most a millisecond, so that no wait outlives its end.  */
+/* Run one iteration of the loop, of at most about 1 ms, so that callers check
+   their deadline in time.  */
 static void
-turn (control_fixture_t *f)
+run_once (control_fixture_t *f)
 {
   uint64_t before_us = clock_us (clock_system ());
 
@@ -47,84 +48,87 @@
 void
 control_run_until (control_fixture_t *f, const bool *flag)
 {
-  uint64_t end_ms = clock_ms (clock_system ()) + PATIENCE_MS;
+  uint64_t end_ms = clock_ms (clock_system ()) + WAIT_TIMEOUT_MS;
 
   while (!*flag)
     {
-      ck_assert_msg (clock_ms (clock_system ()) < end_ms, "waited in vain");
-      turn (f);
+      ck_assert_msg (clock_ms (clock_system ()) < end_ms,
+                     "condition not met before the timeout");
+      run_once (f);
     }
 }
 
 void
-control_run_for (control_fixture_t *f, uint64_t span_ms)
+control_run_for (control_fixture_t *f, uint64_t duration_ms)
 {
-  uint64_t end_ms = clock_ms (clock_system ()) + span_ms;
+  uint64_t end_ms = clock_ms (clock_system ()) + duration_ms;
 
   while (clock_ms (clock_system ()) < end_ms)
-    turn (f);
+    run_once (f);
 }
 
 void
-control_settle (control_fixture_t *f)
+control_run_until_idle (control_fixture_t *f)
 {
-  uint64_t end_ms = clock_ms (clock_system ()) + PATIENCE_MS;
+  uint64_t end_ms = clock_ms (clock_system ()) + WAIT_TIMEOUT_MS;
 
   do
     {
-      ck_assert_msg (clock_ms (clock_system ()) < end_ms, "never settles");
-      turn (f);
+      ck_assert_msg (clock_ms (clock_system ()) < end_ms,
+                     "calls still pending after the timeout");
+      run_once (f);
     }
   while (faulty_pending (f->faulty) > 0);
 }
 
 typedef struct
 {
-  bool done;
+  bool is_done;
   size_t count;
   buf_t *value;
-  bool found;
-} look_t;
+  bool is_found;
+} query_t;
 
 static void
 on_scan (void *arg, vh_code_t code, const row_t *rows, size_t count, bool more)
 {
-  look_t *look = arg;
+  query_t *query = arg;
 
   (void)rows;
   ck_assert_int_eq (code, VH_OK);
   ck_assert (!more);
-  look->count = count;
-  look->done = true;
+  query->count = count;
+  query->is_done = true;
 }
 
 size_t
 control_count_rows (control_fixture_t *f, str_t prefix)
 {
-  look_t look = { 0 };
+  query_t query = { 0 };
 
-  f->memory->ops->scan (f->memory, prefix, STR_NULL, SCAN_MAX, on_scan, &look);
-  control_run_until (f, &look.done);
-  return look.count;
+  f->memory->ops->scan (f->memory, prefix, STR_NULL, SCAN_LIMIT, on_scan,
+                        &query);
+  control_run_until (f, &query.is_done);
+  return query.count;
 }
 
 static void
 on_get (void *arg, vh_code_t code, const row_t *row)
 {
-  look_t *look = arg;
+  query_t *query = arg;
 
-  look->found = code == VH_OK;
-  if (look->found)
-    buf_append_str (look->value, row->value);
-  look->done = true;
+  query->is_found = code == VH_OK;
+  if (query->is_found)
+    buf_append_str (query->value, row->value);
+  query->is_done = true;
 }
 
 bool
-control_read (control_fixture_t *f, str_t key, buf_t *value)
+control_read_row (control_fixture_t *f, str_t key, buf_t *value)
 {
-  look_t look = { .value = value };
+  query_t query = { .value = value };
 
-  f->memory->ops->get (f->memory, key, on_get, &look);
-  control_run_until (f, &look.done);
-  return look.found;
+  f->memory->ops->get (f->memory, key, on_get, &query);
+  control_run_until (f, &query.is_done);
+  return query.is_found;
 }
--- a/tests/faulty_platform.c
+++ b/tests/faulty_platform.c
@@ -10,20 +10,20 @@
   uv_loop_t *loop;
   platform_t *inner;
   rng_t rng;
-  faulty_knobs_t knobs;
+  faulty_config_t config;
   faulty_counts_t counts;
-  list_t held;
-  size_t pending;
+  list_t held_calls;
+  size_t pending_count;
 } faulty_t;
 
 typedef enum
 {
-  FATE_PASS,
-  FATE_DOWN,
-  FATE_LOST,
-  FATE_VANISH,
-  FATE_LATE_EFFECT
-} fate_t;
+  FAULT_NONE,
+  FAULT_DOWN,
+  FAULT_LOST_REPLY,
+  FAULT_LOST_REQUEST,
+  FAULT_LATE_EFFECT
+} fault_t;
 
 typedef enum
 {
@@ -38,8 +38,8 @@
   list_t link;
   faulty_t *faulty;
   kind_t kind;
-  fate_t fate;
-  bool told;
+  fault_t fault;
+  bool is_callback_done;
   uv_timer_t timer;
   txn_t *txn;
   char *key;
@@ -56,240 +56,241 @@
     instances_cb_t instances;
   } cb;
   void *arg;
-} op_t;
+} call_t;
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
-  op_t *op = handle->data;
+  call_t *call = handle->data;
 
-  txn_free (op->txn);
-  free (op->key);
-  free (op->after);
-  free (op);
+  txn_free (call->txn);
+  free (call->key);
+  free (call->after);
+  free (call);
 }
 
 static void
-op_end (op_t *op)
+call_finish (call_t *call)
 {
-  op->faulty->pending--;
-  uv_close ((uv_handle_t *)&op->timer, on_closed);
+  call->faulty->pending_count--;
+  uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
 }
 
 static void
 on_txn (void *arg, vh_code_t code, uint64_t revision, str_t conflict_key)
 {
-  op_t *op = arg;
+  call_t *call = arg;
 
-  if (op->fate == FATE_LOST)
+  if (call->fault == FAULT_LOST_REPLY)
     {
-      op->faulty->counts.lost++;
-      op->cb.txn (op->arg, VH_E_STORE_LATE, 0, STR_NULL);
+      call->faulty->counts.lost_replies++;
+      call->cb.txn (call->arg, VH_E_STORE_LATE, 0, STR_NULL);
     }
-  else if (!op->told)
-    op->cb.txn (op->arg, code, revision, conflict_key);
-  op_end (op);
+  else if (!call->is_callback_done)
+    call->cb.txn (call->arg, code, revision, conflict_key);
+  call_finish (call);
 }
 
 static void
 on_get (void *arg, vh_code_t code, const row_t *row)
 {
-  op_t *op = arg;
+  call_t *call = arg;
 
-  op->cb.get (op->arg, code, row);
-  op_end (op);
+  call->cb.get (call->arg, code, row);
+  call_finish (call);
 }
 
 static void
 on_scan (void *arg, vh_code_t code, const row_t *rows, size_t count, bool more)
 {
-  op_t *op = arg;
+  call_t *call = arg;
 
-  op->cb.scan (op->arg, code, rows, count, more);
-  op_end (op);
+  call->cb.scan (call->arg, code, rows, count, more);
+  call_finish (call);
 }
 
 static void
 on_instances (void *arg, vh_code_t code, uint64_t sequence, bool full,
               const instance_row_t *rows, size_t count)
 {
-  op_t *op = arg;
+  call_t *call = arg;
 
-  op->cb.instances (op->arg, code, sequence, full, rows, count);
-  op_end (op);
+  call->cb.instances (call->arg, code, sequence, full, rows, count);
+  call_finish (call);
 }
 
 static void
-tell_code (op_t *op, vh_code_t code)
+report_code (call_t *call, vh_code_t code)
 {
-  const row_t none = { str_make (op->key, op->key_len), STR_NULL, 0 };
+  const row_t absent_row
+      = { str_make (call->key, call->key_len), STR_NULL, 0 };
 
-  op->told = true;
-  switch (op->kind)
+  call->is_callback_done = true;
+  switch (call->kind)
     {
     case KIND_TXN:
-      op->cb.txn (op->arg, code, 0, STR_NULL);
+      call->cb.txn (call->arg, code, 0, STR_NULL);
       break;
     case KIND_GET:
-      op->cb.get (op->arg, code, &none);
+      call->cb.get (call->arg, code, &absent_row);
       break;
     case KIND_SCAN:
-      op->cb.scan (op->arg, code, NULL, 0, false);
+      call->cb.scan (call->arg, code, NULL, 0, false);
       break;
     case KIND_INSTANCES:
-      op->cb.instances (op->arg, code, 0, false, NULL, 0);
+      call->cb.instances (call->arg, code, 0, false, NULL, 0);
       break;
     }
 }
 
 static void
-pass (op_t *op)
+forward (call_t *call)
 {
-  platform_t *inner = op->faulty->inner;
-  str_t key = str_make (op->key, op->key_len);
-  str_t after = str_make (op->after, op->after_len);
+  platform_t *inner = call->faulty->inner;
+  str_t key = str_make (call->key, call->key_len);
+  str_t after = str_make (call->after, call->after_len);
 
-  switch (op->kind)
+  switch (call->kind)
     {
     case KIND_TXN:
-      inner->ops->txn (inner, op->txn, on_txn, op);
+      inner->ops->txn (inner, call->txn, on_txn, call);
       break;
     case KIND_GET:
-      inner->ops->get (inner, key, on_get, op);
+      inner->ops->get (inner, key, on_get, call);
       break;
     case KIND_SCAN:
-      inner->ops->scan (inner, key, after, op->limit, on_scan, op);
+      inner->ops->scan (inner, key, after, call->limit, on_scan, call);
       break;
     case KIND_INSTANCES:
-      inner->ops->instances (inner, op->sequence, on_instances, op);
+      inner->ops->instances (inner, call->sequence, on_instances, call);
       break;
     }
 }
 
 static void
-on_late_effect (uv_timer_t *timer)
+on_late_effect_timer (uv_timer_t *timer)
 {
-  pass (timer->data);
+  forward (timer->data);
 }
 
 static void
-on_due (uv_timer_t *timer)
+on_start_timer (uv_timer_t *timer)
 {
-  op_t *op = timer->data;
-  faulty_t *faulty = op->faulty;
+  call_t *call = timer->data;
+  faulty_t *faulty = call->faulty;
 
-  if (op->kind == KIND_TXN ? faulty->knobs.hold_txns
-                           : faulty->knobs.hold_reads)
+  if (call->kind == KIND_TXN ? faulty->config.hold_txns
+                             : faulty->config.hold_reads)
     {
-      list_append (&faulty->held, &op->link);
+      list_append (&faulty->held_calls, &call->link);
       return;
     }
-  switch (op->fate)
+  switch (call->fault)
     {
-    case FATE_DOWN:
-      tell_code (op, VH_E_STORE_DOWN);
-      op_end (op);
+    case FAULT_DOWN:
+      report_code (call, VH_E_STORE_DOWN);
+      call_finish (call);
       break;
-    case FATE_VANISH:
-      tell_code (op, VH_E_STORE_LATE);
-      op_end (op);
+    case FAULT_LOST_REQUEST:
+      report_code (call, VH_E_STORE_LATE);
+      call_finish (call);
       break;
-    case FATE_LATE_EFFECT:
-      tell_code (op, VH_E_STORE_LATE);
+    case FAULT_LATE_EFFECT:
+      report_code (call, VH_E_STORE_LATE);
       uv_timer_start (
-          &op->timer, on_late_effect,
-          rng_below (&faulty->rng, faulty->knobs.late_effect_ms + 1), 0);
+          &call->timer, on_late_effect_timer,
+          rng_below (&faulty->rng, faulty->config.late_effect_ms + 1), 0);
       break;
-    case FATE_PASS:
-    case FATE_LOST:
-      pass (op);
+    case FAULT_NONE:
+    case FAULT_LOST_REPLY:
+      forward (call);
       break;
     }
 }
 
-static fate_t
-choose_fate (faulty_t *faulty, kind_t kind)
+static fault_t
+choose_fault (faulty_t *faulty, kind_t kind)
 {
-  const faulty_knobs_t *knobs = &faulty->knobs;
+  const faulty_config_t *config = &faulty->config;
 
-  if (knobs->down || rng_double (&faulty->rng) < knobs->fail_share)
-    return FATE_DOWN;
+  if (config->down || rng_double (&faulty->rng) < config->fail_share)
+    return FAULT_DOWN;
   if (kind != KIND_TXN)
-    return FATE_PASS;
+    return FAULT_NONE;
   double draw = rng_double (&faulty->rng);
-  if (draw < knobs->lost_share)
-    return FATE_LOST;
-  draw -= knobs->lost_share;
-  if (draw < knobs->vanish_share)
-    return FATE_VANISH;
-  draw -= knobs->vanish_share;
-  return draw < knobs->late_effect_share ? FATE_LATE_EFFECT : FATE_PASS;
+  if (draw < config->lost_reply_share)
+    return FAULT_LOST_REPLY;
+  draw -= config->lost_reply_share;
+  if (draw < config->lost_request_share)
+    return FAULT_LOST_REQUEST;
+  draw -= config->lost_request_share;
+  return draw < config->late_effect_share ? FAULT_LATE_EFFECT : FAULT_NONE;
 }
 
-static op_t *
-op_create (platform_t *platform, kind_t kind, void *arg)
+static call_t *
+call_create (platform_t *platform, kind_t kind, void *arg)
 {
   faulty_t *faulty = (faulty_t *)platform;
-  op_t *op = mem_zalloc (sizeof *op);
-
-  op->faulty = faulty;
-  op->kind = kind;
-  op->arg = arg;
-  op->fate = choose_fate (faulty, kind);
-  list_init (&op->link);
-  uv_timer_init (faulty->loop, &op->timer);
-  op->timer.data = op;
-  uv_timer_start (&op->timer, on_due,
-                  rng_below (&faulty->rng, faulty->knobs.delay_ms + 1), 0);
-  faulty->pending++;
-  return op;
+  call_t *call = mem_zalloc (sizeof *call);
+
+  call->faulty = faulty;
+  call->kind = kind;
+  call->arg = arg;
+  call->fault = choose_fault (faulty, kind);
+  list_init (&call->link);
+  uv_timer_init (faulty->loop, &call->timer);
+  call->timer.data = call;
+  uv_timer_start (&call->timer, on_start_timer,
+                  rng_below (&faulty->rng, faulty->config.delay_ms + 1), 0);
+  faulty->pending_count++;
+  return call;
 }
 
 static void
 faulty_txn (platform_t *platform, const txn_t *txn, txn_cb_t cb, void *arg)
 {
-  op_t *op = op_create (platform, KIND_TXN, arg);
+  call_t *call = call_create (platform, KIND_TXN, arg);
 
-  op->txn = txn_copy (txn);
-  op->cb.txn = cb;
-  op->faulty->counts.txns++;
-  op->faulty->counts.writes += txn->write_count;
+  call->txn = txn_copy (txn);
+  call->cb.txn = cb;
+  call->faulty->counts.txns++;
+  call->faulty->counts.writes += txn->write_count;
 }
 
 static void
 faulty_get (platform_t *platform, str_t key, get_cb_t cb, void *arg)
 {
-  op_t *op = op_create (platform, KIND_GET, arg);
+  call_t *call = call_create (platform, KIND_GET, arg);
 
-  op->key = str_dup (key);
-  op->key_len = key.len;
-  op->cb.get = cb;
-  op->faulty->counts.gets++;
+  call->key = str_dup (key);
+  call->key_len = key.len;
+  call->cb.get = cb;
+  call->faulty->counts.gets++;
 }
 
 static void
 faulty_scan (platform_t *platform, str_t prefix, str_t after, size_t limit,
              scan_cb_t cb, void *arg)
 {
-  op_t *op = op_create (platform, KIND_SCAN, arg);
-
-  op->key = str_dup (prefix);
-  op->key_len = prefix.len;
-  op->after = str_dup (after);
-  op->after_len = after.len;
-  op->limit = limit;
-  op->cb.scan = cb;
-  op->faulty->counts.scans++;
+  call_t *call = call_create (platform, KIND_SCAN, arg);
+
+  call->key = str_dup (prefix);
+  call->key_len = prefix.len;
+  call->after = str_dup (after);
+  call->after_len = after.len;
+  call->limit = limit;
+  call->cb.scan = cb;
+  call->faulty->counts.scans++;
 }
 
 static void
 faulty_instances (platform_t *platform, uint64_t after, instances_cb_t cb,
                   void *arg)
 {
-  op_t *op = op_create (platform, KIND_INSTANCES, arg);
+  call_t *call = call_create (platform, KIND_INSTANCES, arg);
 
-  op->sequence = after;
-  op->cb.instances = cb;
+  call->sequence = after;
+  call->cb.instances = cb;
 }
 
 static void
@@ -315,14 +316,14 @@
   faulty->loop = loop;
   faulty->inner = inner;
   faulty->rng = rng_make (seed);
-  list_init (&faulty->held);
+  list_init (&faulty->held_calls);
   return &faulty->base;
 }
 
-faulty_knobs_t *
-faulty_knobs (platform_t *platform)
+faulty_config_t *
+faulty_config (platform_t *platform)
 {
-  return &((faulty_t *)platform)->knobs;
+  return &((faulty_t *)platform)->config;
 }
 
 faulty_counts_t *
@@ -336,18 +337,18 @@
 {
   faulty_t *faulty = (faulty_t *)platform;
 
-  faulty->knobs.hold_reads = false;
-  faulty->knobs.hold_txns = false;
-  LIST_EACH (at, &faulty->held)
+  faulty->config.hold_reads = false;
+  faulty->config.hold_txns = false;
+  LIST_EACH (at, &faulty->held_calls)
     {
-      op_t *op = CONTAINER_OF (at, op_t, link);
+      call_t *call = CONTAINER_OF (at, call_t, link);
       list_remove (at);
-      uv_timer_start (&op->timer, on_due, 0, 0);
+      uv_timer_start (&call->timer, on_start_timer, 0, 0);
     }
 }
 
 size_t
 faulty_pending (platform_t *platform)
 {
-  return ((faulty_t *)platform)->pending;
+  return ((faulty_t *)platform)->pending_count;
 }
