--- a/tests/test_confstore.c
+++ b/tests/test_confstore.c
@@ -1,5 +1,5 @@
-/* Tests of the configuration store: racing operators, lost replies, a store
-   that goes and comes back, and peers that lag.  */
+/* Tests of the configuration store: concurrent changes, lost replies, outages
+   of the store, and peers with an older revision.  */
 
 #include "control/confstore.h"
 #include "control_fixture.h"
@@ -9,8 +9,8 @@
 
 enum
 {
-  PERIOD_MS = 20,
-  PATIENCE_MS = 200
+  POLL_INTERVAL_MS = 20,
+  APPLY_TIMEOUT_MS = 200
 };
 
 typedef struct
@@ -18,34 +18,35 @@
   control_fixture_t base;
   confstore_t *a;
   confstore_t *b;
-  uint64_t in_force; /* Last told for A.  */
-  bool reverted;
+  uint64_t active_revision; /* Last revision reported by A.  */
+  bool has_reverted;
 } fixture_t;
 
 typedef struct
 {
-  bool done;
+  bool is_done;
   vh_code_t code;
   uint64_t revision;
 } result_t;
 
 static void
-on_in_force (void *owner, uint64_t revision, str_t text)
+on_revision_active (void *owner, uint64_t revision, str_t text)
 {
   fixture_t *f = owner;
 
   (void)text;
-  f->reverted = f->reverted || revision <= f->in_force;
-  f->in_force = revision;
+  f->has_reverted = f->has_reverted || revision <= f->active_revision;
+  f->active_revision = revision;
 }
 
 static confstore_t *
-make (fixture_t *f, bool watched, bool polls)
+create_confstore (fixture_t *f, bool is_observed, bool polls)
 {
   const confstore_options_t options
-      = { PERIOD_MS, PATIENCE_MS, polls, watched ? on_in_force : NULL, f };
+      = { POLL_INTERVAL_MS, APPLY_TIMEOUT_MS, polls,
+          is_observed ? on_revision_active : NULL, f };
 
-  /* Each with a seed of its own, as processes have.  */
+  /* Each object has a different seed, like the processes of a deployment.  */
   f->base.env.seed++;
   return confstore_create (&f->base.env, &options);
 }
@@ -55,14 +56,14 @@
 {
   memset (f, 0, sizeof *f);
   control_setup (&f->base, seed);
-  f->a = make (f, true, true);
-  f->b = make (f, false, true);
+  f->a = create_confstore (f, true, true);
+  f->b = create_confstore (f, false, true);
 }
 
 static void
 teardown (fixture_t *f)
 {
-  ck_assert (!f->reverted);
+  ck_assert (!f->has_reverted);
   confstore_destroy (f->a);
   confstore_destroy (f->b);
   control_teardown (&f->base);
@@ -73,7 +74,7 @@
 {
   result_t *result = arg;
 
-  ck_assert (!result->done);
+  ck_assert (!result->is_done);
   *result = (result_t){ true, code, revision };
 }
 
@@ -85,25 +86,25 @@
 
   confstore_apply (conf, str_from (text), str_from (who), if_revision,
                    on_applied, &result);
-  control_run_until (&f->base, &result.done);
+  control_run_until (&f->base, &result.is_done);
   return result;
 }
 
 static void
 run_until_revision (fixture_t *f, confstore_t *conf, uint64_t revision)
 {
-  bool reached = false;
+  bool is_reached = false;
 
-  for (int i = 0; i < 500 && !reached; i++)
+  for (int i = 0; i < 500 && !is_reached; i++)
     {
       control_run_for (&f->base, 5);
-      reached = confstore_revision (conf) >= revision;
+      is_reached = confstore_revision (conf) >= revision;
     }
-  ck_assert_msg (reached, "revision %llu never came",
+  ck_assert_msg (is_reached, "revision %llu was not reached",
                  (unsigned long long)revision);
 }
 
-START_TEST (accepted_reaches_the_others)
+START_TEST (accepted_change_reaches_other_processes)
 {
   fixture_t f;
 
@@ -111,50 +112,52 @@
   result_t result = apply (&f, f.a, "[team a]\nweight = 1\n", "amina", 0);
   ck_assert_int_eq (result.code, VH_OK);
   ck_assert_uint_eq (result.revision, 1);
-  ck_assert_uint_eq (f.in_force, 1);
+  ck_assert_uint_eq (f.active_revision, 1);
   run_until_revision (&f, f.b, 1);
   ck_assert (str_eq (confstore_text (f.b), confstore_text (f.a)));
-  control_run_for (&f.base, 5 * PERIOD_MS);
-  ck_assert_uint_lt (confstore_confirmed_age_ms (f.b), 3 * PERIOD_MS);
+  control_run_for (&f.base, 5 * POLL_INTERVAL_MS);
+  ck_assert_uint_lt (confstore_confirmed_age_ms (f.b), 3 * POLL_INTERVAL_MS);
   teardown (&f);
 }
 END_TEST
 
-/* Two operators edit the same revision and apply at the same moment through
-   two entries.  One must win; the other must hear which revision beat it and
-   must not have changed anything.  */
-START_TEST (racing_operators)
+/* Failure: two operators change the same revision at the same time through two
+   entries, and the second change silently overwrites the first.  One change
+   must be accepted; the other must fail with the number of the accepted
+   revision and must not be stored.  */
+START_TEST (one_of_two_concurrent_changes_wins)
 {
   fixture_t f;
   result_t a = { 0 };
   result_t b = { 0 };
-  buf_t head = BUF_NULL;
+  buf_t stored_text = BUF_NULL;
 
   setup (&f, 2);
   apply (&f, f.a, "base\n", "amina", 0);
   run_until_revision (&f, f.b, 1);
   confstore_apply (f.a, STR ("by a\n"), STR ("amina"), 1, on_applied, &a);
   confstore_apply (f.b, STR ("by b\n"), STR ("badr"), 1, on_applied, &b);
-  control_run_until (&f.base, &a.done);
-  control_run_until (&f.base, &b.done);
-  result_t won = a.code == VH_OK ? a : b;
-  result_t lost = a.code == VH_OK ? b : a;
-  ck_assert_int_eq (won.code, VH_OK);
-  ck_assert_uint_eq (won.revision, 2);
-  ck_assert_int_eq (lost.code, VH_E_STALE_REVISION);
-  ck_assert_uint_eq (lost.revision, 2);
-  ck_assert (control_read (&f.base, STR ("conf/text/000000000002"), &head));
-  ck_assert (str_eq (buf_str (&head),
+  control_run_until (&f.base, &a.is_done);
+  control_run_until (&f.base, &b.is_done);
+  result_t winner = a.code == VH_OK ? a : b;
+  result_t loser = a.code == VH_OK ? b : a;
+  ck_assert_int_eq (winner.code, VH_OK);
+  ck_assert_uint_eq (winner.revision, 2);
+  ck_assert_int_eq (loser.code, VH_E_STALE_REVISION);
+  ck_assert_uint_eq (loser.revision, 2);
+  ck_assert (control_read_row (&f.base, STR ("conf/text/000000000002"),
+                               &stored_text));
+  ck_assert (str_eq (buf_str (&stored_text),
                      a.code == VH_OK ? STR ("by a\n") : STR ("by b\n")));
-  buf_free (&head);
-  /* Told to apply over anything, both succeed, one after the other.  */
-  a.done = b.done = false;
+  buf_free (&stored_text);
+  /* With CONFSTORE_ANY both changes are accepted, one after the other.  */
+  a.is_done = b.is_done = false;
   confstore_apply (f.a, STR ("a any\n"), STR ("amina"), CONFSTORE_ANY,
                    on_applied, &a);
   confstore_apply (f.b, STR ("b any\n"), STR ("badr"), CONFSTORE_ANY,
                    on_applied, &b);
-  control_run_until (&f.base, &a.done);
-  control_run_until (&f.base, &b.done);
+  control_run_until (&f.base, &a.is_done);
+  control_run_until (&f.base, &b.is_done);
   ck_assert_int_eq (a.code, VH_OK);
   ck_assert_int_eq (b.code, VH_OK);
   ck_assert_uint_eq (a.revision + b.revision, 3 + 4);
@@ -164,7 +167,7 @@
 
 typedef struct
 {
-  bool done;
+  bool is_done;
   vh_code_t code;
   size_t count;
   char who[64][16];
@@ -179,7 +182,7 @@
 {
   history_t *history = arg;
 
-  history->done = true;
+  history->is_done = true;
   history->code = code;
   history->count = count;
   for (size_t i = 0; i < count && i < 64; i++)
@@ -200,11 +203,11 @@
 {
   memset (history, 0, sizeof *history);
   confstore_history (f->a, limit, on_history, history);
-  control_run_until (&f->base, &history->done);
+  control_run_until (&f->base, &history->is_done);
   ck_assert_int_eq (history->code, VH_OK);
 }
 
-START_TEST (history_says_who_when_and_what)
+START_TEST (history_contains_author_time_and_delta)
 {
   fixture_t f;
   history_t history;
@@ -227,10 +230,11 @@
 }
 END_TEST
 
-/* The store loses replies, loses calls and lets effects come late while two
-   operators apply in turn.  "Accepted" must be in the history under that
-   revision, "not accepted" and "stale" must not be in it, ever.  */
-START_TEST (told_outcome_is_true)
+/* Failure: the outcome reported to an operator is wrong, because the store
+   loses replies and requests and applies some transactions late.  An accepted
+   change must be in the history under the reported revision; a change that was
+   not accepted or was stale must never be in the history.  */
+START_TEST (reported_outcome_matches_history)
 {
   enum
   {
@@ -243,13 +247,13 @@
   char text[32];
 
   setup (&f, (uint64_t)_i * 100 + 4);
-  faulty_knobs_t *knobs = faulty_knobs (f.base.faulty);
-  *knobs = (faulty_knobs_t){ .fail_share = 0.1,
-                             .lost_share = 0.2,
-                             .vanish_share = 0.1,
-                             .late_effect_share = 0.2,
-                             .late_effect_ms = 50,
-                             .delay_ms = 3 };
+  faulty_config_t *config = faulty_config (f.base.faulty);
+  *config = (faulty_config_t){ .fail_share = 0.1,
+                               .lost_reply_share = 0.2,
+                               .lost_request_share = 0.1,
+                               .late_effect_share = 0.2,
+                               .late_effect_ms = 50,
+                               .delay_ms = 3 };
   for (int i = 0; i < ROUNDS; i++)
     {
       confstore_t *conf = i % 2 == 0 ? f.a : f.b;
@@ -257,8 +261,8 @@
       snprintf (text, sizeof text, "round = %d\n", i);
       results[i] = apply (&f, conf, text, who, confstore_revision (conf));
     }
-  *knobs = (faulty_knobs_t){ 0 };
-  control_settle (&f.base);
+  *config = (faulty_config_t){ 0 };
+  control_run_until_idle (&f.base);
   read_history (&f, 64, &history);
   int accepted = 0;
   for (int i = 0; i < ROUNDS; i++)
@@ -277,7 +281,8 @@
         ck_assert_uint_eq (revision, 0);
       accepted += results[i].code == VH_OK;
     }
-  /* About half are; none at all would prove nothing.  */
+  /* Usually about half are accepted; without any accepted change the test
+     would check nothing.  */
   ck_assert_int_gt (accepted, ROUNDS / 10);
   printf ("figures: seed %d: %d of %d accepted\n", _i, accepted, ROUNDS);
   run_until_revision (&f, f.b, confstore_revision (f.a));
@@ -285,32 +290,32 @@
 }
 END_TEST
 
-/* The store is down when an operator applies: the operator must hear "not
-   accepted", the revision in force must stay, and the confirmation must be
-   seen to age.  */
-START_TEST (store_down)
+/* Failure: while the store is down, a change is reported as accepted, or the
+   active revision changes, or the age of the last confirmation does not
+   grow.  */
+START_TEST (apply_fails_while_store_is_down)
 {
   fixture_t f;
 
   setup (&f, 5);
   apply (&f, f.a, "one\n", "amina", 0);
-  faulty_knobs (f.base.faulty)->down = true;
+  faulty_config (f.base.faulty)->down = true;
   result_t result = apply (&f, f.a, "two\n", "amina", 1);
   ck_assert_int_eq (result.code, VH_E_NOT_ACCEPTED);
   ck_assert_uint_eq (confstore_revision (f.a), 1);
-  control_run_for (&f.base, 4 * PERIOD_MS);
-  ck_assert_uint_ge (confstore_confirmed_age_ms (f.a), 3 * PERIOD_MS);
-  faulty_knobs (f.base.faulty)->down = false;
+  control_run_for (&f.base, 4 * POLL_INTERVAL_MS);
+  ck_assert_uint_ge (confstore_confirmed_age_ms (f.a), 3 * POLL_INTERVAL_MS);
+  faulty_config (f.base.faulty)->down = false;
   result = apply (&f, f.a, "two\n", "amina", 1);
   ck_assert_int_eq (result.code, VH_OK);
   teardown (&f);
 }
 END_TEST
 
-/* Fifty pollers meet an outage of many periods.  While it lasts they must ask
-   less and less, and when it ends not all at once, or the store goes down
-   again under them.  */
-START_TEST (no_stampede_after_an_outage)
+/* Failure: after an outage of many poll intervals, 50 processes poll the store
+   at the same time and overload it again.  The poll rate must decrease during
+   the outage and must not spike after it.  */
+START_TEST (poll_rate_is_limited_after_outage)
 {
   enum
   {
@@ -322,48 +327,50 @@
 
   setup (&f, 6);
   for (int i = 0; i < POLLERS; i++)
-    pollers[i] = make (&f, false, true);
+    pollers[i] = create_confstore (&f, false, true);
   control_run_for (&f.base, 100);
-  faulty_knobs (f.base.faulty)->down = true;
+  faulty_config (f.base.faulty)->down = true;
   faulty_counts (f.base.faulty)->gets = 0;
   control_run_for (&f.base, OUTAGE_MS);
-  uint64_t asked = faulty_counts (f.base.faulty)->gets;
-  /* Steady polling would have asked 30 times each.  */
-  ck_assert_uint_lt (asked, (uint64_t)POLLERS * 9);
-  faulty_knobs (f.base.faulty)->down = false;
-  uint64_t most = 0;
+  uint64_t reads_in_outage = faulty_counts (f.base.faulty)->gets;
+  /* Without backoff, each process would have polled 30 times.  */
+  ck_assert_uint_lt (reads_in_outage, (uint64_t)POLLERS * 9);
+  faulty_config (f.base.faulty)->down = false;
+  uint64_t max_reads_per_interval = 0;
   for (int i = 0; i < 20; i++)
     {
       faulty_counts (f.base.faulty)->gets = 0;
-      control_run_for (&f.base, PERIOD_MS);
+      control_run_for (&f.base, POLL_INTERVAL_MS);
       uint64_t gets = faulty_counts (f.base.faulty)->gets;
-      most = gets > most ? gets : most;
+      max_reads_per_interval
+          = gets > max_reads_per_interval ? gets : max_reads_per_interval;
     }
-  ck_assert_uint_lt (most, 3 * POLLERS);
+  ck_assert_uint_lt (max_reads_per_interval, 3 * POLLERS);
   printf ("figures: outage of %d periods, %d pollers: %llu reads meanwhile, "
           "at most %llu a period after\n",
-          OUTAGE_MS / PERIOD_MS, POLLERS, (unsigned long long)asked,
-          (unsigned long long)most);
+          OUTAGE_MS / POLL_INTERVAL_MS, POLLERS,
+          (unsigned long long)reads_in_outage,
+          (unsigned long long)max_reads_per_interval);
   for (int i = 0; i < POLLERS; i++)
     confstore_destroy (pollers[i]);
   teardown (&f);
 }
 END_TEST
 
-/* An entry hears an old revision from a peer that lags, and the store comes
-   back from a backup without the newest rows.  A withdrawn version must not
-   come into service again: nothing lower is taken, and no change is accepted
-   on top of the lost state.  */
-START_TEST (never_reverts)
+/* Failure: a withdrawn model version is activated again because an entry
+   accepts a lower revision, from a peer with an older revision or from a store
+   restored from a backup without the newest rows.  A change must not be
+   accepted on top of such a store either.  */
+START_TEST (revision_never_decreases)
 {
   fixture_t f;
 
   setup (&f, 7);
-  ck_assert (confstore_learn (f.a, 9, STR ("nine\n")));
-  ck_assert (!confstore_learn (f.a, 8, STR ("eight\n")));
-  ck_assert (!confstore_learn (f.a, 9, STR ("other\n")));
+  ck_assert (confstore_receive_text (f.a, 9, STR ("nine\n")));
+  ck_assert (!confstore_receive_text (f.a, 8, STR ("eight\n")));
+  ck_assert (!confstore_receive_text (f.a, 9, STR ("other\n")));
   ck_assert_int_eq (apply (&f, f.b, "one\n", "amina", 0).code, VH_OK);
-  control_run_for (&f.base, 5 * PERIOD_MS);
+  control_run_for (&f.base, 5 * POLL_INTERVAL_MS);
   ck_assert_uint_eq (confstore_revision (f.a), 9);
   ck_assert (str_eq (confstore_text (f.a), STR ("nine\n")));
   ck_assert_uint_eq (confstore_confirmed_age_ms (f.a), UINT64_MAX);
@@ -373,14 +380,15 @@
 }
 END_TEST
 
-/* A process starts while the store is down and learns from a peer, by deltas
-   when it was there a moment ago, by the whole text when it is new.  */
-START_TEST (peers_teach)
+/* Failure: a process that starts while the store is down gets no configuration
+   from its peers.  A process with a recent revision must get deltas, and a new
+   process the whole text.  */
+START_TEST (updates_from_peers_are_applied)
 {
   fixture_t f;
   buf_t update = BUF_NULL;
   buf_t text = BUF_NULL;
-  char extra[32];
+  char added_line[32];
 
   setup (&f, 8);
   confstore_set_polls (f.b, false);
@@ -391,27 +399,28 @@
   ck_assert (confstore_delta_from (f.a, 0, &update));
   ck_assert (str_starts (buf_str (&update), STR ("text 1 ")));
   ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
-  size_t whole = update.len;
+  size_t full_update_len = update.len;
   text.len--;
   for (int i = 0; i < 3; i++)
     {
-      snprintf (extra, sizeof extra, "more = %d\n", i);
-      buf_append (&text, extra, strlen (extra) + 1);
+      snprintf (added_line, sizeof added_line, "more = %d\n", i);
+      buf_append (&text, added_line, strlen (added_line) + 1);
       apply (&f, f.a, text.ptr, "amina", (uint64_t)i + 1);
       text.len--;
     }
   update.len = 0;
   ck_assert (confstore_delta_from (f.a, 1, &update));
   ck_assert (str_starts (buf_str (&update), STR ("delta 2 ")));
-  ck_assert_uint_lt (update.len, whole / 4);
+  ck_assert_uint_lt (update.len, full_update_len / 4);
   ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
   ck_assert_uint_eq (confstore_revision (f.b), 4);
   ck_assert (str_eq (confstore_text (f.b), confstore_text (f.a)));
   ck_assert (!confstore_delta_from (f.a, 4, &update));
-  /* Told again, and told out of order.  */
+  /* The update is received a second time, and without the revision that it
+     starts from.  */
   ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
   confstore_destroy (f.b);
-  f.b = make (&f, false, false);
+  f.b = create_confstore (&f, false, false);
   ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)),
                     VH_E_STALE_REVISION);
   ck_assert_int_eq (confstore_learn_update (f.b, STR ("text 5 999\nshort")),
@@ -420,17 +429,17 @@
                     VH_E_PROTOCOL);
   ck_assert_uint_eq (confstore_revision (f.b), 0);
   confstore_confirm (f.a, 4, 0);
-  ck_assert_uint_lt (confstore_confirmed_age_ms (f.a), PERIOD_MS);
+  ck_assert_uint_lt (confstore_confirmed_age_ms (f.a), POLL_INTERVAL_MS);
   buf_free (&update);
   buf_free (&text);
   teardown (&f);
 }
 END_TEST
 
-/* Operators change the configuration all day.  The rows of texts must stay
-   bounded while every change stays in the history, and a process that was
-   away must still find its way to the head.  */
-START_TEST (texts_are_compacted)
+/* Failure: frequent changes fill the store with whole texts.  The number of
+   text rows must stay bounded, the history must keep every change, and a
+   process that has missed many revisions must still reach the head.  */
+START_TEST (number_of_stored_texts_is_bounded)
 {
   enum
   {
@@ -474,15 +483,15 @@
   TCase *tcase = tcase_create ("confstore");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, accepted_reaches_the_others);
-  tcase_add_test (tcase, racing_operators);
-  tcase_add_test (tcase, history_says_who_when_and_what);
-  tcase_add_loop_test (tcase, told_outcome_is_true, 0, 6);
-  tcase_add_test (tcase, store_down);
-  tcase_add_test (tcase, no_stampede_after_an_outage);
-  tcase_add_test (tcase, never_reverts);
-  tcase_add_test (tcase, peers_teach);
-  tcase_add_test (tcase, texts_are_compacted);
+  tcase_add_test (tcase, accepted_change_reaches_other_processes);
+  tcase_add_test (tcase, one_of_two_concurrent_changes_wins);
+  tcase_add_test (tcase, history_contains_author_time_and_delta);
+  tcase_add_loop_test (tcase, reported_outcome_matches_history, 0, 6);
+  tcase_add_test (tcase, apply_fails_while_store_is_down);
+  tcase_add_test (tcase, poll_rate_is_limited_after_outage);
+  tcase_add_test (tcase, revision_never_decreases);
+  tcase_add_test (tcase, updates_from_peers_are_applied);
+  tcase_add_test (tcase, number_of_stored_texts_is_bounded);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -1,4 +1,5 @@
-/* Tests of the lease: who holds, and what a former holder can still do.  */
+/* Tests of the lease: which process holds it, and that a former holder cannot
+   write.  */
 
 #include "control/lease.h"
 #include "control_fixture.h"
@@ -16,7 +17,7 @@
   lease_t *b;
   bool a_held;
   bool b_held;
-  bool a_lost;
+  bool a_has_lost;
 } fixture_t;
 
 static void
@@ -25,7 +26,7 @@
   fixture_t *f = owner;
 
   f->a_held = held;
-  f->a_lost = !held;
+  f->a_has_lost = !held;
 }
 
 static void
@@ -35,7 +36,7 @@
 }
 
 static lease_t *
-make (fixture_t *f, const char *holder, void (*changed) (void *, bool))
+create_lease (fixture_t *f, const char *holder, void (*changed) (void *, bool))
 {
   const lease_options_t options = { TERM_MS, changed, f };
 
@@ -48,7 +49,7 @@
 {
   memset (f, 0, sizeof *f);
   control_setup (&f->base, 1);
-  f->a = make (f, "a", a_changed);
+  f->a = create_lease (f, "a", a_changed);
   control_run_until (&f->base, &f->a_held);
 }
 
@@ -62,7 +63,7 @@
 
 typedef struct
 {
-  bool done;
+  bool is_done;
   vh_code_t code;
 } result_t;
 
@@ -74,7 +75,7 @@
   (void)revision;
   (void)conflict_key;
   result->code = code;
-  result->done = true;
+  result->is_done = true;
 }
 
 /* Write VALUE to a row under CONDITION; return the code.  */
@@ -86,77 +87,78 @@
   result_t result = { 0 };
 
   f->base.memory->ops->txn (f->base.memory, &txn, on_txn, &result);
-  control_run_until (&f->base, &result.done);
+  control_run_until (&f->base, &result.is_done);
   return result.code;
 }
 
-START_TEST (one_holder_who_renews)
+START_TEST (renewals_keep_the_lease)
 {
   fixture_t f;
 
   setup (&f);
-  f.b = make (&f, "b", b_changed);
+  f.b = create_lease (&f, "b", b_changed);
   control_run_for (&f.base, 3 * TERM_MS);
   ck_assert (f.a_held);
-  ck_assert (!f.a_lost);
+  ck_assert (!f.a_has_lost);
   ck_assert (!f.b_held);
-  /* A renewal must not disturb a write under way.  */
+  /* A renewal must not change the condition of a write in progress.  */
   ck_assert_int_eq (write_under (&f, lease_condition (f.a), STR ("a")), VH_OK);
   teardown (&f);
 }
 END_TEST
 
-/* A planned stop: the duty must pass on at once, not after the term.  */
-START_TEST (given_up_is_taken_at_once)
+/* Failure: after a planned stop of the holder, the next holder has to wait for
+   the end of the term.  */
+START_TEST (released_lease_is_acquired_immediately)
 {
   fixture_t f;
 
   setup (&f);
   lease_destroy (f.a);
   f.a = NULL;
-  control_settle (&f.base);
+  control_run_until_idle (&f.base);
   uint64_t start_ms = clock_ms (f.base.clock);
-  f.b = make (&f, "b", b_changed);
+  f.b = create_lease (&f, "b", b_changed);
   control_run_until (&f.base, &f.b_held);
   ck_assert_uint_lt (clock_ms (f.base.clock) - start_ms, TERM_MS / 2);
   teardown (&f);
 }
 END_TEST
 
-/* A controller is paused in the middle of its work, its lease lapses, another
-   takes over and works on.  The first wakes, has not looked at a clock yet
-   and goes on writing: the operator must not see the newer work undone.  */
-START_TEST (paused_holder_changes_nothing)
+/* Failure: a holder is paused until its lease expires and another process has
+   acquired the lease.  When it resumes, it overwrites the newer writes before
+   it checks the clock.  */
+START_TEST (paused_holder_cannot_write)
 {
   fixture_t f;
 
   setup (&f);
-  txn_condition_t stale = lease_condition (f.a);
-  /* Paused: its calls fail and its timers do nothing that counts.  */
-  faulty_knobs (f.base.faulty)->down = true;
+  txn_condition_t old_condition = lease_condition (f.a);
+  /* Simulates the pause: all calls of the first holder fail.  */
+  faulty_config (f.base.faulty)->down = true;
   f.base.env.platform = f.base.memory;
-  f.b = make (&f, "b", b_changed);
+  f.b = create_lease (&f, "b", b_changed);
   control_run_until (&f.base, &f.b_held);
   ck_assert_int_eq (write_under (&f, lease_condition (f.b), STR ("b")), VH_OK);
-  ck_assert_int_eq (write_under (&f, stale, STR ("a")), VH_E_CONFLICT);
+  ck_assert_int_eq (write_under (&f, old_condition, STR ("a")), VH_E_CONFLICT);
   ck_assert (!lease_held (f.a));
-  ck_assert (f.a_lost);
-  /* Awake again, it learns that the lease has passed on.  */
-  faulty_knobs (f.base.faulty)->down = false;
+  ck_assert (f.a_has_lost);
+  /* After the pause, the first holder must detect the new holder.  */
+  faulty_config (f.base.faulty)->down = false;
   control_run_for (&f.base, 2 * TERM_MS);
   ck_assert (!lease_held (f.a));
   ck_assert (lease_held (f.b));
   buf_t value = BUF_NULL;
-  ck_assert (control_read (&f.base, STR ("work"), &value));
+  ck_assert (control_read_row (&f.base, STR ("work"), &value));
   ck_assert (str_eq (buf_str (&value), STR ("b")));
   buf_free (&value);
   teardown (&f);
 }
 END_TEST
 
-/* The holder's clock jumps past the term between two looks (a pause as the
-   process itself sees it): it must not begin new work.  */
-START_TEST (lapsed_holder_knows)
+/* Failure: a holder starts new work after a pause that was longer than the
+   term, which the process observes as a jump of its clock.  */
+START_TEST (expired_lease_is_not_held)
 {
   fixture_t f;
 
@@ -168,10 +170,10 @@
 }
 END_TEST
 
-/* An observer has seen no renewal for a term and sends its bid, which is slow
-   on the way; the holder renews meanwhile.  The bid must fail, or a holder in
-   the middle of its work would lose it for nothing.  */
-START_TEST (renewal_beats_a_slow_bid)
+/* Failure: an observer sees no renewal for a whole term and sends a
+   transaction to acquire the lease, which is delayed.  The holder renews in
+   the meantime, but loses the lease to the delayed transaction.  */
+START_TEST (renewal_defeats_slow_acquisition)
 {
   fixture_t f;
 
@@ -180,17 +182,17 @@
   platform_t *faulty = f.base.env.platform;
   f.base.env.platform = f.base.memory;
   f.base.env.clock = clock_system ();
-  f.a = make (&f, "a", a_changed);
+  f.a = create_lease (&f, "a", a_changed);
   control_run_until (&f.base, &f.a_held);
   f.base.env.platform = faulty;
   f.base.env.clock = f.base.clock;
-  f.b = make (&f, "b", b_changed);
-  control_settle (&f.base);
-  faulty_knobs (faulty)->hold_txns = true;
-  /* Only B's clock jumps.  */
+  f.b = create_lease (&f, "b", b_changed);
+  control_run_until_idle (&f.base);
+  faulty_config (faulty)->hold_txns = true;
+  /* Only the clock of B is advanced past the term.  */
   clock_manual_advance_us (f.base.clock, (TERM_MS + 1) * 1000);
-  uint64_t bids = faulty_counts (faulty)->txns;
-  while (faulty_counts (faulty)->txns == bids)
+  uint64_t txns_before = faulty_counts (faulty)->txns;
+  while (faulty_counts (faulty)->txns == txns_before)
     {
       lease_poll (f.b);
       control_run_for (&f.base, 5);
@@ -199,29 +201,29 @@
   lease_poll (f.a);
   control_run_for (&f.base, 20);
   faulty_release (faulty);
-  control_settle (&f.base);
+  control_run_until_idle (&f.base);
   ck_assert (!f.b_held);
   ck_assert_int_eq (write_under (&f, lease_condition (f.a), STR ("a")), VH_OK);
   teardown (&f);
 }
 END_TEST
 
-/* Replies are lost and effects come late while two processes want the duty.
-   At no time may both be able to write under it.  */
-START_TEST (never_two_writers)
+/* Failure: two processes can write under the lease at the same time, because
+   replies are lost and transactions take effect late.  */
+START_TEST (never_two_concurrent_writers)
 {
   fixture_t f;
 
   memset (&f, 0, sizeof f);
   control_setup (&f.base, (uint64_t)_i);
-  faulty_knobs_t *knobs = faulty_knobs (f.base.faulty);
-  knobs->lost_share = 0.2;
-  knobs->vanish_share = 0.1;
-  knobs->late_effect_share = 0.2;
-  knobs->late_effect_ms = TERM_MS;
-  knobs->delay_ms = 20;
-  f.a = make (&f, "a", a_changed);
-  f.b = make (&f, "b", b_changed);
+  faulty_config_t *config = faulty_config (f.base.faulty);
+  config->lost_reply_share = 0.2;
+  config->lost_request_share = 0.1;
+  config->late_effect_share = 0.2;
+  config->late_effect_ms = TERM_MS;
+  config->delay_ms = 20;
+  f.a = create_lease (&f, "a", a_changed);
+  f.b = create_lease (&f, "b", b_changed);
   for (int i = 0; i < 30; i++)
     {
       control_run_for (&f.base, 20);
@@ -231,9 +233,11 @@
         continue;
       vh_code_t a = write_under (&f, lease_condition (f.a), STR ("a"));
       vh_code_t b = write_under (&f, lease_condition (f.b), STR ("b"));
-      ck_assert_msg (a != VH_OK || b != VH_OK, "two writers, seed %d", _i);
+      ck_assert_msg (a != VH_OK || b != VH_OK,
+                     "both processes wrote under the lease, seed %d", _i);
     }
-  knobs->lost_share = knobs->vanish_share = knobs->late_effect_share = 0;
+  config->lost_reply_share = config->lost_request_share
+      = config->late_effect_share = 0;
   control_run_for (&f.base, 2 * TERM_MS);
   ck_assert (lease_held (f.a) != lease_held (f.b));
   teardown (&f);
@@ -246,12 +250,12 @@
   Suite *suite = suite_create ("lease");
   TCase *tcase = tcase_create ("lease");
 
-  tcase_add_test (tcase, one_holder_who_renews);
-  tcase_add_test (tcase, given_up_is_taken_at_once);
-  tcase_add_test (tcase, paused_holder_changes_nothing);
-  tcase_add_test (tcase, lapsed_holder_knows);
-  tcase_add_test (tcase, renewal_beats_a_slow_bid);
-  tcase_add_loop_test (tcase, never_two_writers, 0, 5);
+  tcase_add_test (tcase, renewals_keep_the_lease);
+  tcase_add_test (tcase, released_lease_is_acquired_immediately);
+  tcase_add_test (tcase, paused_holder_cannot_write);
+  tcase_add_test (tcase, expired_lease_is_not_held);
+  tcase_add_test (tcase, renewal_defeats_slow_acquisition);
+  tcase_add_loop_test (tcase, never_two_concurrent_writers, 0, 5);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -1,4 +1,5 @@
-/* Tests of the roster: the lagging list against what is seen.  */
+/* Tests of the roster, which combines the instance list, which lags behind,
+   with observations of the instances.  */
 
 #include "control/roster.h"
 #include "control_fixture.h"
@@ -8,15 +9,15 @@
 
 enum
 {
-  PERIOD_MS = 20,
-  LINGER_MS = 100
+  POLL_INTERVAL_MS = 20,
+  UNLISTED_TTL_MS = 100
 };
 
 typedef struct
 {
   control_fixture_t base;
   roster_t *roster;
-  buf_t events; /* "+name ", "~name:STATE ", "-name " in order.  */
+  buf_t events; /* Sequence of "+name:STATE ", "~name:STATE " and "-name ".  */
 } fixture_t;
 
 static void
@@ -33,7 +34,8 @@
 }
 
 static void
-list (fixture_t *f, const char *name, const char *zone, instance_state_t state)
+set_listed_state (fixture_t *f, const char *name, const char *zone,
+                  instance_state_t state)
 {
   const instance_row_t row = { .name = str_from (name),
                                .role = STR ("entry"),
@@ -44,12 +46,13 @@
   platform_memory_instance (f->base.memory, &row);
 }
 
-/* Let the roster read the list, then compare and forget the events.  */
+/* Poll the list, assert that the events since the last call are EVENTS, and
+   clear them.  */
 static void
-expect (fixture_t *f, str_t events)
+assert_events (fixture_t *f, str_t events)
 {
   roster_poll (f->roster);
-  control_settle (&f->base);
+  control_run_until_idle (&f->base);
   ck_assert_msg (str_eq (buf_str (&f->events), events), "%.*s, not %.*s",
                  (int)f->events.len, f->events.ptr, STR_ARG (events));
   f->events.len = 0;
@@ -58,14 +61,15 @@
 static void
 setup (fixture_t *f)
 {
-  const roster_options_t options = { PERIOD_MS, LINGER_MS, on_changed, f };
+  const roster_options_t options
+      = { POLL_INTERVAL_MS, UNLISTED_TTL_MS, on_changed, f };
 
   memset (f, 0, sizeof *f);
   control_setup (&f->base, 1);
-  list (f, "r-1", "a", INSTANCE_LIVE);
+  set_listed_state (f, "r-1", "a", INSTANCE_LIVE);
   f->roster = roster_create (&f->base.env, &options);
   ck_assert_uint_eq (roster_age_ms (f->roster), UINT64_MAX);
-  expect (f, STR ("+r-1:up "));
+  assert_events (f, STR ("+r-1:up "));
   ck_assert_uint_lt (roster_age_ms (f->roster), 1000);
 }
 
@@ -77,67 +81,70 @@
   buf_free (&f->events);
 }
 
-START_TEST (the_list_is_followed)
+START_TEST (changes_of_the_list_are_applied)
 {
   fixture_t f;
 
   setup (&f);
-  list (&f, "r-2", "a", INSTANCE_LIVE);
-  expect (&f, STR ("+r-2:up "));
-  list (&f, "r-1", "a", INSTANCE_LEAVING);
-  expect (&f, STR ("~r-1:draining "));
-  list (&f, "r-1", "a", INSTANCE_GONE);
-  expect (&f, STR ("-r-1 "));
+  set_listed_state (&f, "r-2", "a", INSTANCE_LIVE);
+  assert_events (&f, STR ("+r-2:up "));
+  set_listed_state (&f, "r-1", "a", INSTANCE_LEAVING);
+  assert_events (&f, STR ("~r-1:draining "));
+  set_listed_state (&f, "r-1", "a", INSTANCE_GONE);
+  assert_events (&f, STR ("-r-1 "));
   ck_assert_ptr_null (roster_find (f.roster, STR ("r-1")));
   ck_assert_uint_eq (roster_count (f.roster), 1);
-  /* Nothing new, nothing told.  */
-  expect (&f, STR (""));
+  /* Without a change there must be no event.  */
+  assert_events (&f, STR (""));
   teardown (&f);
 }
 END_TEST
 
-/* A runner stops answering, or says that it drains, seconds before the list
-   knows: it must get no new work from then on, and work again when it
-   returns.  */
-START_TEST (sight_comes_before_the_list)
+/* Failure: an instance that stops responding, or reports that it is draining,
+   gets new work for seconds until the list shows the change; or it gets no
+   work after it has recovered.  */
+START_TEST (observations_override_the_list)
 {
   fixture_t f;
 
   setup (&f);
   roster_silent (f.roster, STR ("r-1"));
-  expect (&f, STR ("~r-1:silent "));
+  assert_events (&f, STR ("~r-1:silent "));
   roster_heard (f.roster, STR ("r-1"));
-  expect (&f, STR ("~r-1:up "));
+  assert_events (&f, STR ("~r-1:up "));
   roster_draining (f.roster, STR ("r-1"), true);
-  /* The list, which still says live, does not undo it.  */
-  expect (&f, STR ("~r-1:draining "));
+  /* The list, in which the instance is still live, must not override the
+     report.  */
+  assert_events (&f, STR ("~r-1:draining "));
   roster_heard (f.roster, STR ("r-1"));
-  expect (&f, STR (""));
+  assert_events (&f, STR (""));
   roster_draining (f.roster, STR ("r-1"), false);
-  expect (&f, STR ("~r-1:up "));
+  assert_events (&f, STR ("~r-1:up "));
   teardown (&f);
 }
 END_TEST
 
-/* The list drops a runner that still answers.  What it has in hand must not
-   be cut off, but it gets nothing new, and it goes once it is quiet.  */
-START_TEST (gone_but_heard_drains)
+/* Failure: the list removes an instance that still responds, and its running
+   requests are cut off.  The instance must drain, and must be removed when it
+   no longer responds.  */
+START_TEST (unlisted_but_responsive_instance_drains)
 {
   fixture_t f;
 
   setup (&f);
   roster_heard (f.roster, STR ("r-1"));
-  list (&f, "r-1", "a", INSTANCE_GONE);
-  expect (&f, STR ("~r-1:draining "));
-  clock_manual_advance_us (f.base.clock, (LINGER_MS + 1) * 1000);
-  control_run_for (&f.base, 3 * PERIOD_MS);
-  expect (&f, STR ("-r-1 "));
+  set_listed_state (&f, "r-1", "a", INSTANCE_GONE);
+  assert_events (&f, STR ("~r-1:draining "));
+  clock_manual_advance_us (f.base.clock, (UNLISTED_TTL_MS + 1) * 1000);
+  control_run_for (&f.base, 3 * POLL_INTERVAL_MS);
+  assert_events (&f, STR ("-r-1 "));
   teardown (&f);
 }
 END_TEST
 
-/* A new runner says hello before the list has it.  */
-START_TEST (sighted_before_listed)
+/* Failure: a new instance that has contacted this process is not used until
+   the list contains it.  */
+START_TEST (instance_is_added_before_it_is_listed)
 {
   fixture_t f;
   const instance_row_t row = { .name = STR ("r-9"),
@@ -147,19 +154,19 @@
 
   setup (&f);
   roster_sighted (f.roster, &row);
-  expect (&f, STR ("+r-9:up "));
-  list (&f, "r-9", "a", INSTANCE_LIVE);
-  expect (&f, STR (""));
-  clock_manual_advance_us (f.base.clock, (LINGER_MS + 1) * 1000);
-  control_run_for (&f.base, 3 * PERIOD_MS);
-  expect (&f, STR (""));
+  assert_events (&f, STR ("+r-9:up "));
+  set_listed_state (&f, "r-9", "a", INSTANCE_LIVE);
+  assert_events (&f, STR (""));
+  clock_manual_advance_us (f.base.clock, (UNLISTED_TTL_MS + 1) * 1000);
+  control_run_for (&f.base, 3 * POLL_INTERVAL_MS);
+  assert_events (&f, STR (""));
   teardown (&f);
 }
 END_TEST
 
-/* A runner is replaced by one of the same name elsewhere while the old one
-   was draining: the new one must not inherit that.  */
-START_TEST (new_address_is_a_new_process)
+/* Failure: a draining instance is replaced by one with the same name at
+   another address, and the new instance is treated as draining.  */
+START_TEST (new_address_resets_draining)
 {
   fixture_t f;
   const instance_row_t row = { .name = STR ("r-1"),
@@ -171,61 +178,60 @@
   setup (&f);
   roster_draining (f.roster, STR ("r-1"), true);
   platform_memory_instance (f.base.memory, &row);
-  expect (&f, STR ("~r-1:draining ~r-1:up "));
+  assert_events (&f, STR ("~r-1:draining ~r-1:up "));
   ck_assert (str_eq (roster_find (f.roster, STR ("r-1"))->address,
                      STR ("127.0.0.2:1")));
   teardown (&f);
 }
 END_TEST
 
-/* The list cannot be read for long: nobody may be dropped for it, and the
-   service is asked less and less.  */
-START_TEST (list_down_keeps_all)
+/* Failure: instances are removed because the list cannot be read.  */
+START_TEST (unreadable_list_removes_no_instance)
 {
   fixture_t f;
 
   setup (&f);
-  faulty_knobs (f.base.faulty)->down = true;
+  faulty_config (f.base.faulty)->down = true;
   control_run_for (&f.base, 200);
-  expect (&f, STR (""));
+  assert_events (&f, STR (""));
   ck_assert_uint_eq (roster_count (f.roster), 1);
   ck_assert_uint_ge (roster_age_ms (f.roster), 150);
-  faulty_knobs (f.base.faulty)->down = false;
-  list (&f, "r-2", "a", INSTANCE_LIVE);
-  expect (&f, STR ("+r-2:up "));
+  faulty_config (f.base.faulty)->down = false;
+  set_listed_state (&f, "r-2", "a", INSTANCE_LIVE);
+  assert_events (&f, STR ("+r-2:up "));
   teardown (&f);
 }
 END_TEST
 
-/* The store was down for many periods.  Just after its return the platform
-   lists an upstream as leaving.  A roster whose waits had doubled all the
-   while would go on sending it work for as long as half the outage: the wait
-   was drawn before the return and nothing cuts it short.  */
-START_TEST (departure_after_an_outage)
+/* Failure: an upstream that the platform lists as leaving just after an outage
+   continues to get work for up to half the length of the outage.  This happens
+   if the poll delay doubles without a low limit, because the delay was chosen
+   during the outage and is not shortened afterwards.  */
+START_TEST (departure_is_detected_soon_after_outage)
 {
   enum
   {
     OUTAGE_MS = 1500,
-    KNOWN_MS = 6 * PERIOD_MS
+    DETECTION_MAX_MS = 6 * POLL_INTERVAL_MS
   };
   fixture_t f;
 
   setup (&f);
-  faulty_knobs (f.base.faulty)->down = true;
+  faulty_config (f.base.faulty)->down = true;
   control_run_for (&f.base, OUTAGE_MS);
-  faulty_knobs (f.base.faulty)->down = false;
-  list (&f, "r-1", "a", INSTANCE_LEAVING);
-  control_run_for (&f.base, KNOWN_MS);
+  faulty_config (f.base.faulty)->down = false;
+  set_listed_state (&f, "r-1", "a", INSTANCE_LEAVING);
+  control_run_for (&f.base, DETECTION_MAX_MS);
   ck_assert_msg (str_eq (buf_str (&f.events), STR ("~r-1:draining ")),
                  "events: %.*s", STR_ARG (buf_str (&f.events)));
   teardown (&f);
 }
 END_TEST
 
-/* Which entries poll the store must follow from the roster alone: distinct
-   ranks, the same for all who ask, and one that leaves changes no order
-   among the others.  */
-START_TEST (ranks_are_agreed)
+/* Failure: the entries do not agree on which of them poll the store.  Ranks
+   must be distinct, and must depend only on the roster; an instance that
+   leaves must not change the order of the others.  */
+START_TEST (ranks_are_distinct_and_stable)
 {
   enum
   {
@@ -234,36 +240,36 @@
   fixture_t f;
   char name[16];
   size_t rank[MEMBERS];
-  bool taken[MEMBERS] = { false };
-  int last = 0;
+  bool is_taken[MEMBERS] = { false };
+  int first_ranked = 0;
 
   setup (&f);
-  list (&f, "r-1", "a", INSTANCE_GONE);
+  set_listed_state (&f, "r-1", "a", INSTANCE_GONE);
   for (int i = 0; i < MEMBERS; i++)
     {
       snprintf (name, sizeof name, "e-%d", i);
-      list (&f, name, "b", INSTANCE_LIVE);
+      set_listed_state (&f, name, "b", INSTANCE_LIVE);
     }
   roster_poll (f.roster);
-  control_settle (&f.base);
+  control_run_until_idle (&f.base);
   for (int i = 0; i < MEMBERS; i++)
     {
       snprintf (name, sizeof name, "e-%d", i);
       rank[i] = roster_rank (f.roster, STR ("conf"), STR ("entry"), STR ("b"),
                              str_from (name));
       ck_assert_uint_lt (rank[i], MEMBERS);
-      ck_assert (!taken[rank[i]]);
-      taken[rank[i]] = true;
-      last = rank[i] == 0 ? i : last;
+      ck_assert (!is_taken[rank[i]]);
+      is_taken[rank[i]] = true;
+      first_ranked = rank[i] == 0 ? i : first_ranked;
     }
-  snprintf (name, sizeof name, "e-%d", last);
+  snprintf (name, sizeof name, "e-%d", first_ranked);
   roster_silent (f.roster, str_from (name));
   for (int i = 0; i < MEMBERS; i++)
     {
       snprintf (name, sizeof name, "e-%d", i);
-      size_t now = roster_rank (f.roster, STR ("conf"), STR ("entry"),
-                                STR ("b"), str_from (name));
-      ck_assert_uint_eq (now, i == last ? 0 : rank[i] - 1);
+      size_t new_rank = roster_rank (f.roster, STR ("conf"), STR ("entry"),
+                                     STR ("b"), str_from (name));
+      ck_assert_uint_eq (new_rank, i == first_ranked ? 0 : rank[i] - 1);
     }
   f.events.len = 0;
   teardown (&f);
@@ -276,14 +282,14 @@
   Suite *suite = suite_create ("roster");
   TCase *tcase = tcase_create ("roster");
 
-  tcase_add_test (tcase, the_list_is_followed);
-  tcase_add_test (tcase, sight_comes_before_the_list);
-  tcase_add_test (tcase, gone_but_heard_drains);
-  tcase_add_test (tcase, sighted_before_listed);
-  tcase_add_test (tcase, new_address_is_a_new_process);
-  tcase_add_test (tcase, list_down_keeps_all);
-  tcase_add_test (tcase, departure_after_an_outage);
-  tcase_add_test (tcase, ranks_are_agreed);
+  tcase_add_test (tcase, changes_of_the_list_are_applied);
+  tcase_add_test (tcase, observations_override_the_list);
+  tcase_add_test (tcase, unlisted_but_responsive_instance_drains);
+  tcase_add_test (tcase, instance_is_added_before_it_is_listed);
+  tcase_add_test (tcase, new_address_resets_draining);
+  tcase_add_test (tcase, unreadable_list_removes_no_instance);
+  tcase_add_test (tcase, departure_is_detected_soon_after_outage);
+  tcase_add_test (tcase, ranks_are_distinct_and_stable);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
