--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -553,7 +553,7 @@
   txn_builder_t *builder = mem_zalloc (sizeof *builder);
   buf_t token = BUF_NULL;
 
-  store_token (claims->store, &token);
+  store_append_token (claims->store, &token);
   for (size_t i = 0; i < batch->count; i++)
     if (batch->ops[i]->is_claim)
       add_claim (builder, batch->ops[i], buf_str (&token));
@@ -676,7 +676,7 @@
     if (str_cmp (rows[i].key, buf_str (&first_kept_key)) < 0)
       writes[write_count++] = (txn_write_t){ rows[i].key, STR_NULL, true };
   buf_free (&first_kept_key);
-  if (write_count == 0 || !lease_held (claims->options.lease))
+  if (write_count == 0 || !lease_is_held (claims->options.lease))
     {
       claims->is_cleanup_running = false;
       return;
@@ -705,7 +705,7 @@
   claims->next_cleanup_ms = now
                             + rng_jitter (store_rng (claims->store),
                                           claims->options.cleanup_interval_ms);
-  if (lease_held (claims->options.lease))
+  if (lease_is_held (claims->options.lease))
     delete_expired_rows (claims);
 }
 
@@ -793,8 +793,8 @@
 }
 
 void
-claims_claim (claims_t *claims, str_t id, uint64_t timeout_ms, claims_cb_t cb,
-              void *arg)
+claims_acquire (claims_t *claims, str_t id, uint64_t timeout_ms,
+                claims_cb_t cb, void *arg)
 {
   operation_t *op = mem_zalloc (sizeof *op);
 
@@ -830,7 +830,7 @@
 }
 
 vh_code_t
-claims_record (claims_t *claims, str_t id, str_t outcome)
+claims_record_outcome (claims_t *claims, str_t id, str_t outcome)
 {
   return finish_claim (claims, id, ROW_DONE, outcome);
 }
--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -73,14 +73,14 @@
    accepted.  */
 void claims_destroy (claims_t *claims);
 /* Claim the request ID; CB is called within about TIMEOUT_MS.  */
-void claims_claim (claims_t *claims, str_t id, uint64_t timeout_ms,
-                   claims_cb_t cb, void *arg);
+void claims_acquire (claims_t *claims, str_t id, uint64_t timeout_ms,
+                     claims_cb_t cb, void *arg);
 /* Record OUTCOME for ID, which this process must hold.  The write is retried
    until the store has accepted it.  Return VH_OK, VH_E_NOT_FOUND if this
    process does not hold ID, or VH_E_FULL if the write queue is full.  */
-vh_code_t claims_record (claims_t *claims, str_t id, str_t outcome);
+vh_code_t claims_record_outcome (claims_t *claims, str_t id, str_t outcome);
 /* Release the claim on ID, whose request was never dispatched, so that other
-   processes may claim ID.  Return values as of claims_record.  */
+   processes may claim ID.  Return values as of claims_record_outcome.  */
 vh_code_t claims_release (claims_t *claims, str_t id);
 /* Return the number of claims and outcomes that the store has not yet
    acknowledged.  */
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -408,7 +408,7 @@
 }
 
 void
-confstore_set_polls (confstore_t *conf, bool polls)
+confstore_set_polling (confstore_t *conf, bool polls)
 {
   conf->options.polls = polls;
 }
@@ -525,7 +525,7 @@
       start_apply (apply);
       return;
     }
-  store_token (conf->store, &token);
+  store_append_token (conf->store, &token);
   write_delta_row (apply, revision, buf_str (&token), &row);
   snprintf (head_text, sizeof head_text, "%llu", (unsigned long long)revision);
   txn_write_t writes[5]
@@ -611,7 +611,7 @@
 
 static void
 finish_history (history_t *history, vh_code_t code,
-                const confstore_entry_t *entries, size_t count)
+                const confstore_history_entry_t *entries, size_t count)
 {
   list_remove (&history->link);
   history->cb (history->arg, code, entries, count);
@@ -623,7 +623,8 @@
                  bool more)
 {
   history_t *history = arg;
-  confstore_entry_t *entries = mem_zalloc ((count + 1) * sizeof *entries);
+  confstore_history_entry_t *entries
+      = mem_zalloc ((count + 1) * sizeof *entries);
   json_t **json = mem_zalloc ((count + 1) * sizeof (json_t *));
   buf_t *scratch = mem_zalloc ((2 * count + 1) * sizeof *scratch);
 
@@ -633,7 +634,7 @@
       const row_t *row = &rows[count - 1 - i];
       json[i]
           = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
-      entries[i] = (confstore_entry_t){
+      entries[i] = (confstore_history_entry_t){
         .revision = json_get_u64 (json[i], "revision"),
         .who = json_get_str (json[i], "who", &scratch[2 * i]),
         .when_ms = json_get_u64 (json[i], "when_ms"),
@@ -693,7 +694,8 @@
 }
 
 void
-confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms)
+confstore_record_confirmation (confstore_t *conf, uint64_t revision,
+                               uint64_t age_ms)
 {
   uint64_t now = now_ms (conf);
 
@@ -702,8 +704,8 @@
 }
 
 bool
-confstore_delta_from (const confstore_t *conf, uint64_t peer_revision,
-                      buf_t *buf)
+confstore_write_update (const confstore_t *conf, uint64_t peer_revision,
+                        buf_t *buf)
 {
   size_t delta_bytes = 0;
   bool has_all_deltas
@@ -739,7 +741,7 @@
 }
 
 vh_code_t
-confstore_learn_update (confstore_t *conf, str_t update)
+confstore_receive_update (confstore_t *conf, str_t update)
 {
   while (update.len > 0)
     {
--- a/packages/control/confstore.h
+++ b/packages/control/confstore.h
@@ -49,13 +49,13 @@
   str_t who;        /* Author of the change.  */
   uint64_t when_ms; /* Time of the change, in ms since the epoch.  */
   str_t delta;
-} confstore_entry_t;
+} confstore_history_entry_t;
 
 /* ENTRIES are ordered from the newest to the oldest and are valid during the
    callback.  */
-typedef void (*confstore_history_cb_t) (void *arg, vh_code_t code,
-                                        const confstore_entry_t *entries,
-                                        size_t count);
+typedef void (*confstore_history_cb_t) (
+    void *arg, vh_code_t code, const confstore_history_entry_t *entries,
+    size_t count);
 
 confstore_t *confstore_create (const control_env_t *env,
                                const confstore_options_t *options);
@@ -70,7 +70,7 @@
 /* Return the time since the active revision was last confirmed to be the
    head, in ms; UINT64_MAX if it was never confirmed.  */
 uint64_t confstore_confirmed_age_ms (const confstore_t *conf);
-void confstore_set_polls (confstore_t *conf, bool polls);
+void confstore_set_polling (confstore_t *conf, bool polls);
 /* Read the head now, without waiting for the next poll.  */
 void confstore_poll (confstore_t *conf);
 /* Make TEXT, which the caller has validated, the next revision if the head is
@@ -87,16 +87,17 @@
 bool confstore_receive_text (confstore_t *conf, uint64_t revision, str_t text);
 /* Handle the report of a peer that REVISION was confirmed as the head AGE_MS
    ago.  */
-void confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms);
+void confstore_record_confirmation (confstore_t *conf, uint64_t revision,
+                                    uint64_t age_ms);
 /* Append to BUF the update for a peer whose revision is PEER_REVISION: the
    deltas after that revision, or the whole text if it is shorter or if the
    deltas are no longer in memory.  Return false if the peer is up to date.  */
-bool confstore_delta_from (const confstore_t *conf, uint64_t peer_revision,
-                           buf_t *buf);
-/* Handle UPDATE, which confstore_delta_from produced in a peer.  Return
+bool confstore_write_update (const confstore_t *conf, uint64_t peer_revision,
+                             buf_t *buf);
+/* Handle UPDATE, which confstore_write_update produced in a peer.  Return
    VH_OK, VH_E_PROTOCOL if it is malformed, or VH_E_STALE_REVISION if its
    first delta does not follow the active revision: the caller should then
    request an update from revision 0.  */
-vh_code_t confstore_learn_update (confstore_t *conf, str_t update);
+vh_code_t confstore_receive_update (confstore_t *conf, str_t update);
 
 #endif
--- a/packages/control/lease.h
+++ b/packages/control/lease.h
@@ -40,7 +40,7 @@
 void lease_poll (lease_t *lease);
 /* Return whether the holder may start new work.  The result is only a hint:
    lease_condition is what protects the table.  */
-bool lease_held (lease_t *lease);
+bool lease_is_held (lease_t *lease);
 /* Return the condition that every write under the lease must include.  The
    lease must be held; the key of the condition is valid as long as LEASE.  */
 txn_condition_t lease_condition (const lease_t *lease);
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -235,7 +235,7 @@
     }
   ledger->in_flight_count = count;
   ledger->stats.txns_sent++;
-  store_token (ledger->store, &token);
+  store_append_token (ledger->store, &token);
   const txn_t txn = { conditions, count, writes, count, buf_str (&token) };
   store_txn (ledger->store, &txn, RESOLVE_TIMEOUT_MS, on_rows_sent, ledger);
   for (size_t i = 0; i < count; i++)
@@ -303,7 +303,7 @@
   buf_append_str (&ledger->writer, options->writer);
   buf_printf (&ledger->epoch, "%013llu-",
               (unsigned long long)clock_realtime_ms (env->clock));
-  store_token (ledger->store, &ledger->epoch);
+  store_append_token (ledger->store, &ledger->epoch);
   list_init (&ledger->open_batches);
   list_init (&ledger->sealed_batches);
   list_init (&ledger->reports);
@@ -422,7 +422,7 @@
 }
 
 size_t
-ledger_pending (const ledger_t *ledger)
+ledger_pending_count (const ledger_t *ledger)
 {
   return ledger->pending_count;
 }
@@ -438,8 +438,9 @@
 }
 
 void
-ledger_each_pending (const ledger_t *ledger,
-                     void (*each) (void *arg, const bill_t *bill), void *arg)
+ledger_foreach_pending (const ledger_t *ledger,
+                        void (*each) (void *arg, const bill_t *bill),
+                        void *arg)
 {
   for (size_t i = 0; i < ledger->in_flight_count; i++)
     each_bill (ledger->in_flight[i], each, arg);
@@ -458,8 +459,8 @@
 static int
 compare_lines (const void *left, const void *right)
 {
-  const ledger_line_t *a = left;
-  const ledger_line_t *b = right;
+  const ledger_report_line_t *a = left;
+  const ledger_report_line_t *b = right;
   int order = str_cmp (a->team, b->team);
 
   if (order == 0)
@@ -470,15 +471,15 @@
 /* Sum BILLS by team, model and version into LINES, which has space for one
    line for each bill.  Return the number of lines.  */
 static size_t
-sum_bills (const billset_t *bills, ledger_line_t *lines)
+sum_bills (const billset_t *bills, ledger_report_line_t *lines)
 {
   const bill_t *items = billset_items (bills);
   size_t count = 0;
 
   for (size_t i = 0; i < billset_size (bills); i++)
-    lines[i] = (ledger_line_t){ items[i].team,    items[i].model,
-                                items[i].version, 1,
-                                items[i].tokens,  items[i].cost };
+    lines[i] = (ledger_report_line_t){ items[i].team,    items[i].model,
+                                       items[i].version, 1,
+                                       items[i].tokens,  items[i].cost };
   qsort (lines, billset_size (bills), sizeof *lines, compare_lines);
   for (size_t i = 0; i < billset_size (bills); i++)
     {
@@ -497,7 +498,7 @@
 static void
 report_finish (report_t *report, vh_code_t code)
 {
-  ledger_line_t *lines
+  ledger_report_line_t *lines
       = mem_zalloc ((billset_size (report->bills) + 1) * sizeof *lines);
   size_t count = code == VH_OK ? sum_bills (report->bills, lines) : 0;
 
@@ -715,7 +716,7 @@
   ledger_t *ledger = arg;
   compaction_t *compaction = &ledger->compaction;
 
-  if (code != VH_OK || !lease_held (ledger->options.lease))
+  if (code != VH_OK || !lease_is_held (ledger->options.lease))
     {
       compaction->is_step_pending = false;
       return;
@@ -747,7 +748,8 @@
   buf_t prefix = BUF_NULL;
 
   if (ledger->options.lease == NULL || compaction->is_step_pending
-      || now < compaction->next_step_ms || !lease_held (ledger->options.lease))
+      || now < compaction->next_step_ms
+      || !lease_is_held (ledger->options.lease))
     return;
   compaction->is_step_pending = true;
   compaction->next_step_ms = now + ledger->options.compact_interval_ms;
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -76,11 +76,11 @@
 void ledger_set_flush_ms (ledger_t *ledger, uint64_t flush_ms);
 /* Return the number of pending bills, whose write the store has not
    acknowledged.  */
-size_t ledger_pending (const ledger_t *ledger);
+size_t ledger_pending_count (const ledger_t *ledger);
 /* Call EACH for every pending bill.  */
-void ledger_each_pending (const ledger_t *ledger,
-                          void (*each) (void *arg, const bill_t *bill),
-                          void *arg);
+void ledger_foreach_pending (const ledger_t *ledger,
+                             void (*each) (void *arg, const bill_t *bill),
+                             void *arg);
 
 /* Counters since ledger_create.  */
 typedef struct
@@ -105,12 +105,13 @@
   uint64_t requests;
   uint64_t tokens;
   double cost;
-} ledger_line_t;
+} ledger_report_line_t;
 
 /* LINES are sorted by team, model and version, and are valid during the
    callback.  */
 typedef void (*ledger_report_cb_t) (void *arg, vh_code_t code,
-                                    const ledger_line_t *lines, size_t count);
+                                    const ledger_report_line_t *lines,
+                                    size_t count);
 
 /* Report the bills in the store for the UTC day DAY (YYYY-MM-DD).  Pending
    bills are not included.  */
--- a/packages/control/qualitystore.c
+++ b/packages/control/qualitystore.c
@@ -101,7 +101,7 @@
   if (count == 0)
     return;
   buf_t token = BUF_NULL;
-  store_token (quality->store, &token);
+  store_append_token (quality->store, &token);
   const txn_t txn = { NULL, 0, writes, count, buf_str (&token) };
   quality->is_write_pending = true;
   store_txn (quality->store, &txn, RESOLVE_TIMEOUT_MS, on_parts_written,
--- a/packages/control/roster.c
+++ b/packages/control/roster.c
@@ -127,7 +127,7 @@
 member_state (const member_t *member)
 {
   if (member->contact == CONTACT_UNRESPONSIVE)
-    return ROSTER_SILENT;
+    return ROSTER_UNRESPONSIVE;
   if (member->is_draining || member->list_state == LIST_LEAVING
       || member->list_state == LIST_GONE)
     return ROSTER_DRAINING;
@@ -366,7 +366,7 @@
 }
 
 void
-roster_sighted (roster_t *roster, const instance_row_t *row)
+roster_report_instance (roster_t *roster, const instance_row_t *row)
 {
   member_t *member = find_member (roster, row->name);
 
@@ -382,7 +382,7 @@
 }
 
 void
-roster_heard (roster_t *roster, str_t name)
+roster_report_responsive (roster_t *roster, str_t name)
 {
   member_t *member = find_member (roster, name);
 
@@ -394,7 +394,7 @@
 }
 
 void
-roster_silent (roster_t *roster, str_t name)
+roster_report_unresponsive (roster_t *roster, str_t name)
 {
   member_t *member = find_member (roster, name);
 
@@ -405,7 +405,7 @@
 }
 
 void
-roster_draining (roster_t *roster, str_t name, bool draining)
+roster_report_draining (roster_t *roster, str_t name, bool draining)
 {
   member_t *member = find_member (roster, name);
 
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -30,7 +30,7 @@
 {
   ROSTER_UP,
   ROSTER_DRAINING,
-  ROSTER_SILENT
+  ROSTER_UNRESPONSIVE
 } roster_state_t;
 
 typedef enum
@@ -75,13 +75,13 @@
 
 /* Report that the instance in ROW, which the list may not contain yet, is
    responsive.  */
-void roster_sighted (roster_t *roster, const instance_row_t *row);
+void roster_report_instance (roster_t *roster, const instance_row_t *row);
 /* Report that the instance NAME replied or sent a heartbeat.  */
-void roster_heard (roster_t *roster, str_t name);
+void roster_report_responsive (roster_t *roster, str_t name);
 /* Report that the instance NAME does not respond.  */
-void roster_silent (roster_t *roster, str_t name);
+void roster_report_unresponsive (roster_t *roster, str_t name);
 /* Report that the instance NAME announced that it is, or is not, draining.  */
-void roster_draining (roster_t *roster, str_t name, bool draining);
+void roster_report_draining (roster_t *roster, str_t name, bool draining);
 
 size_t roster_count (const roster_t *roster);
 /* Return the entry with index INDEX, in no particular order; NULL if INDEX is
--- a/packages/control/store.h
+++ b/packages/control/store.h
@@ -51,7 +51,7 @@
 void store_instances (store_t *store, uint64_t after, instances_cb_t cb,
                       void *arg);
 /* Append to OUT a transaction token that is unique across processes.  */
-void store_token (store_t *store, buf_t *out);
+void store_append_token (store_t *store, buf_t *out);
 
 /* Exponential backoff: the delay doubles from MIN_MS to MAX_MS.  */
 typedef struct
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -262,8 +262,8 @@
 }
 
 static void
-on_history (void *arg, vh_code_t code, const confstore_entry_t *entries,
-            size_t count)
+on_history (void *arg, vh_code_t code,
+            const confstore_history_entry_t *entries, size_t count)
 {
   httpd_req_t *req = end_wait (arg);
   buf_t body = BUF_NULL;
@@ -355,7 +355,7 @@
 } bill_report_t;
 
 static void
-on_bill_report (void *arg, vh_code_t code, const ledger_line_t *lines,
+on_bill_report (void *arg, vh_code_t code, const ledger_report_line_t *lines,
                 size_t count)
 {
   bill_report_t *report = arg;
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -26,20 +26,20 @@
 static bool
 host_delta_from (void *arg, uint64_t have, buf_t *update)
 {
-  return confstore_delta_from (((process_t *)arg)->conf, have, update);
+  return confstore_write_update (((process_t *)arg)->conf, have, update);
 }
 
 static vh_code_t
 host_learn (void *arg, str_t update)
 {
-  return confstore_learn_update (((process_t *)arg)->conf, update);
+  return confstore_receive_update (((process_t *)arg)->conf, update);
 }
 
 static void
 host_confirm (void *arg, uint64_t revision, uint64_t age_ms)
 {
   if (age_ms < UINT32_MAX)
-    confstore_confirm (((process_t *)arg)->conf, revision, age_ms);
+    confstore_record_confirmation (((process_t *)arg)->conf, revision, age_ms);
 }
 
 static uint32_t
@@ -133,11 +133,11 @@
   if (sight == SIGHT_SILENT || sight == SIGHT_RESTARTED)
     bills_home_lost (process, name);
   if (sight == SIGHT_HEARD || sight == SIGHT_RESTARTED)
-    roster_heard (process->roster, name);
+    roster_report_responsive (process->roster, name);
   else if (sight == SIGHT_SILENT)
-    roster_silent (process->roster, name);
+    roster_report_unresponsive (process->roster, name);
   else
-    roster_draining (process->roster, name, sight == SIGHT_DRAINING);
+    roster_report_draining (process->roster, name, sight == SIGHT_DRAINING);
 }
 
 static void
@@ -165,7 +165,7 @@
         .zone = peer->zone,
         .address = peer->address,
       };
-      roster_sighted (process->roster, &row);
+      roster_report_instance (process->roster, &row);
     }
 }
 
@@ -311,8 +311,8 @@
 
   if (process->entry != NULL && !process->over)
     {
-      confstore_set_polls (process->conf,
-                           entry_rank (process->entry) < POLLERS);
+      confstore_set_polling (process->conf,
+                             entry_rank (process->entry) < POLLERS);
       ledger_set_flush_ms (process->ledger, flush_ms (process));
     }
   /* Without the list the settings' peers are all there is to try.  */
--- a/tests/test_claims.c
+++ b/tests/test_claims.c
@@ -84,8 +84,8 @@
 {
   result_t result = { 0 };
 
-  claims_claim (f->claims[entry], str_from (id), CLAIM_TIMEOUT_MS, on_claim,
-                &result);
+  claims_acquire (f->claims[entry], str_from (id), CLAIM_TIMEOUT_MS, on_claim,
+                  &result);
   ck_assert (!result.is_done);
   control_run_until (&f->base, &result.is_done);
   return result;
@@ -115,14 +115,16 @@
   ck_assert_str_eq (result.writer, "entry-0.1");
   ck_assert_int_eq (claim (&f, 0, "pay-1").code, VH_E_CLAIMED);
   ck_assert_int_eq (
-      claims_record (f.claims[0], STR ("pay-1"), STR ("paid 100")), VH_OK);
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("paid 100")),
+      VH_OK);
   wait_until_written (&f, 0);
   result = claim (&f, 1, "pay-1");
   ck_assert_int_eq (result.code, VH_E_CLAIMED);
   ck_assert (result.has_outcome);
   ck_assert_str_eq (result.outcome, "paid 100");
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("x")),
-                    VH_E_NOT_FOUND);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("x")),
+      VH_E_NOT_FOUND);
   teardown (&f);
 }
 END_TEST
@@ -138,12 +140,12 @@
   result_t second_claim = { 0 };
 
   setup (&f, 2);
-  claims_claim (f.claims[0], STR ("other"), CLAIM_TIMEOUT_MS, on_claim,
-                &other_claim);
-  claims_claim (f.claims[0], STR ("pay-1"), CLAIM_TIMEOUT_MS, on_claim,
-                &first_claim);
-  claims_claim (f.claims[0], STR ("pay-1"), CLAIM_TIMEOUT_MS, on_claim,
-                &second_claim);
+  claims_acquire (f.claims[0], STR ("other"), CLAIM_TIMEOUT_MS, on_claim,
+                  &other_claim);
+  claims_acquire (f.claims[0], STR ("pay-1"), CLAIM_TIMEOUT_MS, on_claim,
+                  &first_claim);
+  claims_acquire (f.claims[0], STR ("pay-1"), CLAIM_TIMEOUT_MS, on_claim,
+                  &second_claim);
   control_run_until (&f.base, &first_claim.is_done);
   control_run_until (&f.base, &second_claim.is_done);
   ck_assert_int_eq (first_claim.code, VH_OK);
@@ -176,7 +178,7 @@
   for (int i = 0; i < BURST_CLAIMS; i++)
     {
       snprintf (id, sizeof id, "book-%d", i);
-      claims_claim (f.claims[0], str_from (id), 5000, on_claim, &results[i]);
+      claims_acquire (f.claims[0], str_from (id), 5000, on_claim, &results[i]);
     }
   for (int i = 0; i < BURST_CLAIMS; i++)
     {
@@ -212,8 +214,9 @@
     {
       snprintf (id, sizeof id, "book-%d", i);
       ck_assert_int_eq (claim (&f, 0, id).code, VH_OK);
-      ck_assert_int_eq (claims_record (f.claims[0], str_from (id), STR ("x")),
-                        VH_OK);
+      ck_assert_int_eq (
+          claims_record_outcome (f.claims[0], str_from (id), STR ("x")),
+          VH_OK);
     }
   wait_until_written (&f, 0);
   claims_get_stats (f.claims[0], &batches, &operations);
@@ -254,8 +257,8 @@
     {
       snprintf (id, sizeof id, "id-%d", i);
       for (int entry = 0; entry < ENTRIES; entry++)
-        claims_claim (f.claims[entry], str_from (id), CLAIM_TIMEOUT_MS,
-                      on_claim, &results[i][entry]);
+        claims_acquire (f.claims[entry], str_from (id), CLAIM_TIMEOUT_MS,
+                        on_claim, &results[i][entry]);
       control_run_for (&f.base, 4);
     }
   for (int i = 0; i < IDS; i++)
@@ -297,8 +300,9 @@
   faulty_config_t *config = faulty_config (f.base.faulty);
   *config = (faulty_config_t){ .late_effect_share = 1, .late_effect_ms = 100 };
   ck_assert_int_eq (claim (&f, 0, "pay-1").code, VH_E_STORE_LATE);
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("x")),
-                    VH_E_NOT_FOUND);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("x")),
+      VH_E_NOT_FOUND);
   *config = (faulty_config_t){ 0 };
   wait_until_written (&f, 0);
   control_run_until_idle (&f.base);
@@ -325,8 +329,8 @@
   wait_until_written (&f, 0);
   control_run_until_idle (&f.base);
   ck_assert_int_eq (claim (&f, 1, "pay-1").code, VH_E_CLAIMED);
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("paid")),
-                    VH_OK);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("paid")), VH_OK);
   wait_until_written (&f, 0);
   ck_assert_str_eq (claim (&f, 1, "pay-1").outcome, "paid");
   teardown (&f);
@@ -342,8 +346,8 @@
   setup (&f, 6);
   ck_assert_int_eq (claim (&f, 0, "early").code, VH_OK);
   faulty_config (f.base.faulty)->down = true;
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("early"), STR ("ran")),
-                    VH_OK);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("early"), STR ("ran")), VH_OK);
   uint64_t start_ms = clock_ms (f.base.clock);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (claim (&f, 0, "later").code, VH_E_STORE_DOWN);
@@ -440,7 +444,7 @@
     {
       snprintf (id, sizeof id, "old-%d", i);
       result_t result = { 0 };
-      claims_claim (f.claims[1], str_from (id), 5000, on_claim, &result);
+      claims_acquire (f.claims[1], str_from (id), 5000, on_claim, &result);
       control_run_until (&f.base, &result.is_done);
     }
   clock_manual_advance_us (f.base.clock, 2ull * DAY_S * 1000000ull);
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -141,13 +141,13 @@
   control_run_until (&f.base, &f.b_held);
   ck_assert_int_eq (write_under (&f, lease_condition (f.b), STR ("b")), VH_OK);
   ck_assert_int_eq (write_under (&f, old_condition, STR ("a")), VH_E_CONFLICT);
-  ck_assert (!lease_held (f.a));
+  ck_assert (!lease_is_held (f.a));
   ck_assert (f.a_has_lost);
   /* After the pause, the first holder must detect the new holder.  */
   faulty_config (f.base.faulty)->down = false;
   control_run_for (&f.base, 2 * TERM_MS);
-  ck_assert (!lease_held (f.a));
-  ck_assert (lease_held (f.b));
+  ck_assert (!lease_is_held (f.a));
+  ck_assert (lease_is_held (f.b));
   buf_t value = BUF_NULL;
   ck_assert (control_read_row (&f.base, STR ("work"), &value));
   ck_assert (str_eq (buf_str (&value), STR ("b")));
@@ -163,9 +163,9 @@
   fixture_t f;
 
   setup (&f);
-  ck_assert (lease_held (f.a));
+  ck_assert (lease_is_held (f.a));
   clock_manual_advance_us (f.base.clock, TERM_MS * 1000);
-  ck_assert (!lease_held (f.a));
+  ck_assert (!lease_is_held (f.a));
   teardown (&f);
 }
 END_TEST
@@ -229,7 +229,7 @@
       control_run_for (&f.base, 20);
       if (i % 10 == 9)
         clock_manual_advance_us (f.base.clock, TERM_MS * 1000);
-      if (!lease_held (f.a) || !lease_held (f.b))
+      if (!lease_is_held (f.a) || !lease_is_held (f.b))
         continue;
       vh_code_t a = write_under (&f, lease_condition (f.a), STR ("a"));
       vh_code_t b = write_under (&f, lease_condition (f.b), STR ("b"));
@@ -239,7 +239,7 @@
   config->lost_reply_share = config->lost_request_share
       = config->late_effect_share = 0;
   control_run_for (&f.base, 2 * TERM_MS);
-  ck_assert (lease_held (f.a) != lease_held (f.b));
+  ck_assert (lease_is_held (f.a) != lease_is_held (f.b));
   teardown (&f);
 }
 END_TEST
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -91,10 +91,10 @@
 flush_and_wait (fixture_t *f, int writer_index)
 {
   ledger_flush (f->ledgers[writer_index]);
-  for (int i = 0; i < 1000 && ledger_pending (f->ledgers[writer_index]) > 0;
-       i++)
+  for (int i = 0;
+       i < 1000 && ledger_pending_count (f->ledgers[writer_index]) > 0; i++)
     control_run_for (&f->base, 10);
-  ck_assert_uint_eq (ledger_pending (f->ledgers[writer_index]), 0);
+  ck_assert_uint_eq (ledger_pending_count (f->ledgers[writer_index]), 0);
 }
 
 typedef struct
@@ -109,7 +109,8 @@
 } report_t;
 
 static void
-on_report (void *arg, vh_code_t code, const ledger_line_t *lines, size_t count)
+on_report (void *arg, vh_code_t code, const ledger_report_line_t *lines,
+           size_t count)
 {
   report_t *report = arg;
 
@@ -151,7 +152,7 @@
   setup (&f, 1);
   for (int i = 0; i < 95; i++)
     ck_assert_int_eq (add_bill (&f, 0, i), VH_OK);
-  ck_assert_uint_eq (ledger_pending (f.ledgers[0]), 95);
+  ck_assert_uint_eq (ledger_pending_count (f.ledgers[0]), 95);
   /* The row with the last five bills is written after FLUSH_MS.  */
   for (int i = 0; i < 100 && f.written < 95; i++)
     control_run_for (&f.base, 10);
@@ -243,7 +244,7 @@
   faulty_config (f.base.faulty)->lost_reply_share = 1;
   control_run_for (&f.base, 60);
   ck_assert_uint_gt (faulty_counts (f.base.faulty)->lost_replies, 0);
-  ledger_each_pending (f.ledgers[0], collect_bill, held);
+  ledger_foreach_pending (f.ledgers[0], collect_bill, held);
   ck_assert_uint_eq (billset_size (held), 25);
   ledger_destroy (f.ledgers[0]);
   faulty_config (f.base.faulty)->lost_reply_share = 0;
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -108,17 +108,17 @@
   fixture_t f;
 
   setup (&f);
-  roster_silent (f.roster, STR ("r-1"));
+  roster_report_unresponsive (f.roster, STR ("r-1"));
   assert_events (&f, STR ("~r-1:silent "));
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   assert_events (&f, STR ("~r-1:up "));
-  roster_draining (f.roster, STR ("r-1"), true);
+  roster_report_draining (f.roster, STR ("r-1"), true);
   /* The list, in which the instance is still live, must not override the
      report.  */
   assert_events (&f, STR ("~r-1:draining "));
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   assert_events (&f, STR (""));
-  roster_draining (f.roster, STR ("r-1"), false);
+  roster_report_draining (f.roster, STR ("r-1"), false);
   assert_events (&f, STR ("~r-1:up "));
   teardown (&f);
 }
@@ -132,7 +132,7 @@
   fixture_t f;
 
   setup (&f);
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   set_listed_state (&f, "r-1", "a", INSTANCE_GONE);
   assert_events (&f, STR ("~r-1:draining "));
   clock_manual_advance_us (f.base.clock, (UNLISTED_TTL_MS + 1) * 1000);
@@ -153,7 +153,7 @@
                                .address = STR ("127.0.0.1:1") };
 
   setup (&f);
-  roster_sighted (f.roster, &row);
+  roster_report_instance (f.roster, &row);
   assert_events (&f, STR ("+r-9:up "));
   set_listed_state (&f, "r-9", "a", INSTANCE_LIVE);
   assert_events (&f, STR (""));
@@ -176,7 +176,7 @@
                                .state = INSTANCE_LIVE };
 
   setup (&f);
-  roster_draining (f.roster, STR ("r-1"), true);
+  roster_report_draining (f.roster, STR ("r-1"), true);
   platform_memory_instance (f.base.memory, &row);
   assert_events (&f, STR ("~r-1:draining ~r-1:up "));
   ck_assert (str_eq (roster_find (f.roster, STR ("r-1"))->address,
@@ -263,7 +263,7 @@
       first_ranked = rank[i] == 0 ? i : first_ranked;
     }
   snprintf (name, sizeof name, "e-%d", first_ranked);
-  roster_silent (f.roster, str_from (name));
+  roster_report_unresponsive (f.roster, str_from (name));
   for (int i = 0; i < MEMBERS; i++)
     {
       snprintf (name, sizeof name, "e-%d", i);
