--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -51,8 +51,8 @@
 /* Contents of the row of an earlier claim.  */
 typedef struct
 {
-  bool known; /* False if the row could not be read.  */
-  bool done;  /* True if OUTCOME holds the recorded outcome.  */
+  bool is_known;    /* False if the row could not be read.  */
+  bool has_outcome; /* True if OUTCOME holds the recorded outcome.  */
   str_t writer;
   uint64_t claimed_at_ms; /* Time of the claim, in ms since the epoch.  */
   str_t outcome;
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -136,9 +136,9 @@
   log_info ("conf",
             "Configuration revision is active. revision=%llu bytes=%zu",
             (unsigned long long)revision, text.len);
-  if (conf->options.in_force != NULL)
-    conf->options.in_force (conf->options.owner, revision,
-                            buf_str (&conf->text));
+  if (conf->options.on_revision != NULL)
+    conf->options.on_revision (conf->options.owner, revision,
+                               buf_str (&conf->text));
   return true;
 }
 
@@ -337,7 +337,7 @@
   uv_timer_start (&conf->timer, on_timer,
                   backoff_next (&conf->backoff, store_rng (conf->store)) + 1,
                   0);
-  if (conf->options.polls)
+  if (conf->options.polling_enabled)
     confstore_poll (conf);
 }
 
@@ -349,12 +349,12 @@
   conf->store = store_create (env);
   conf->env = *env;
   conf->options = *options;
-  if (conf->options.period_ms == 0)
-    conf->options.period_ms = POLL_INTERVAL_MS;
+  if (conf->options.poll_interval_ms == 0)
+    conf->options.poll_interval_ms = POLL_INTERVAL_MS;
   if (conf->options.apply_timeout_ms == 0)
     conf->options.apply_timeout_ms = APPLY_TIMEOUT_MS;
   conf->backoff
-      = (backoff_t){ conf->options.period_ms, POLL_BACKOFF_MAX_MS, 0 };
+      = (backoff_t){ conf->options.poll_interval_ms, POLL_BACKOFF_MAX_MS, 0 };
   list_init (&conf->applies);
   list_init (&conf->histories);
   uv_timer_init (env->loop, &conf->timer);
@@ -410,7 +410,7 @@
 void
 confstore_set_polling (confstore_t *conf, bool polls)
 {
-  conf->options.polls = polls;
+  conf->options.polling_enabled = polls;
 }
 
 static void
--- a/packages/control/confstore.h
+++ b/packages/control/confstore.h
@@ -21,13 +21,14 @@
 
 typedef struct
 {
-  uint64_t period_ms; /* Interval between polls of the head, in ms; 0: 1 s.  */
+  /* Interval between polls of the head, in ms; 0: 1 s.  */
+  uint64_t poll_interval_ms;
   /* Maximum time to resolve the outcome of a change, in ms; 0: 5 s.  */
   uint64_t apply_timeout_ms;
-  bool polls; /* Whether this process polls the store.  */
+  bool polling_enabled; /* Whether this process polls the store.  */
   /* Called when REVISION has become active; TEXT is valid until the next
      revision becomes active.  */
-  void (*in_force) (void *owner, uint64_t revision, str_t text);
+  void (*on_revision) (void *owner, uint64_t revision, str_t text);
   void *owner;
 } confstore_options_t;
 
--- a/packages/control/lease.c
+++ b/packages/control/lease.c
@@ -39,8 +39,8 @@
   log_info ("lease", "Lease %s. name=%.*s fence=%llu",
             held ? "acquired" : "lost", (int)lease->fence_key.len,
             lease->fence_key.ptr, (unsigned long long)lease->fence_version);
-  if (lease->options.changed != NULL)
-    lease->options.changed (lease->options.owner, held);
+  if (lease->options.on_change != NULL)
+    lease->options.on_change (lease->options.owner, held);
 }
 
 bool
--- a/packages/control/lease.h
+++ b/packages/control/lease.h
@@ -25,7 +25,7 @@
   uint64_t term_ms; /* Lifetime of the lease after a renewal.  */
   /* Called when the lease was acquired (HELD is true), and when it was lost
      or has expired.  */
-  void (*changed) (void *owner, bool held);
+  void (*on_change) (void *owner, bool held);
   void *owner;
 } lease_options_t;
 
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -160,9 +160,9 @@
   ledger->stats.rows_written++;
   ledger->stats.bills_written += count;
   ledger->pending_count -= count;
-  if (ledger->options.written != NULL)
-    ledger->options.written (ledger->options.owner,
-                             billset_items (batch->bills), count);
+  if (ledger->options.on_written != NULL)
+    ledger->options.on_written (ledger->options.owner,
+                                billset_items (batch->bills), count);
   batch_free (batch);
 }
 
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -53,7 +53,7 @@
   uint64_t compact_interval_ms;
   /* Called when BILLS are in the store and copies in other processes may be
      discarded.  May be NULL.  */
-  void (*written) (void *owner, const bill_t *bills, size_t count);
+  void (*on_written) (void *owner, const bill_t *bills, size_t count);
   void *owner;
 } ledger_options_t;
 
--- a/packages/control/roster.c
+++ b/packages/control/roster.c
@@ -118,8 +118,8 @@
 static void
 notify (roster_t *roster, roster_event_t event, const member_t *member)
 {
-  if (roster->options.changed != NULL)
-    roster->options.changed (roster->options.owner, event, &member->entry);
+  if (roster->options.on_change != NULL)
+    roster->options.on_change (roster->options.owner, event, &member->entry);
 }
 
 /* Return the state according to the table at the top of roster.h.  */
@@ -322,13 +322,14 @@
   roster->store = store_create (env);
   roster->env = *env;
   roster->options = *options;
-  if (roster->options.period_ms == 0)
-    roster->options.period_ms = POLL_INTERVAL_MS;
+  if (roster->options.poll_interval_ms == 0)
+    roster->options.poll_interval_ms = POLL_INTERVAL_MS;
   if (roster->options.unlisted_ttl_ms == 0)
     roster->options.unlisted_ttl_ms = UNLISTED_TTL_MS;
   roster->backoff
-      = (backoff_t){ roster->options.period_ms,
-                     BACKOFF_INTERVALS_MAX * roster->options.period_ms, 0 };
+      = (backoff_t){ roster->options.poll_interval_ms,
+                     BACKOFF_INTERVALS_MAX * roster->options.poll_interval_ms,
+                     0 };
   roster->by_name = map_create ();
   uv_timer_init (env->loop, &roster->timer);
   roster->timer.data = roster;
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -53,13 +53,13 @@
 
 typedef struct
 {
-  uint64_t period_ms; /* Interval between polls of the list; 0: 5 s.  */
+  uint64_t poll_interval_ms; /* Interval between polls of the list; 0: 5 s.  */
   /* Time since its last response after which an instance that is not in the
      list is removed, in ms; 0: 10 s.  */
   uint64_t unlisted_ttl_ms;
   /* Called after ENTRY was added, changed or removed; may be NULL.  */
-  void (*changed) (void *owner, roster_event_t event,
-                   const roster_entry_t *entry);
+  void (*on_change) (void *owner, roster_event_t event,
+                     const roster_entry_t *entry);
   void *owner;
 } roster_options_t;
 
--- a/packages/daemon/bills.c
+++ b/packages/daemon/bills.c
@@ -78,7 +78,7 @@
       = { .writer = process->settings->name,
           .lease
           = process->entry != NULL ? entry_lease (process->entry) : NULL,
-          .written = on_written,
+          .on_written = on_written,
           .owner = process };
 
   process->bill_homes = map_create ();
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -145,8 +145,9 @@
 {
   const control_env_t env = { process->loop, process->clock, process->platform,
                               process->seed + 4000 };
-  const roster_options_t options
-      = { .period_ms = ROSTER_MS, .changed = on_roster, .owner = process };
+  const roster_options_t options = { .poll_interval_ms = ROSTER_MS,
+                                     .on_change = on_roster,
+                                     .owner = process };
 
   process->roster = roster_create (&env, &options);
 }
@@ -445,9 +446,9 @@
   const control_env_t env = { process->loop, process->clock, process->platform,
                               process->seed + 2000 };
   const confstore_options_t options
-      = { .period_ms = process->settings->poll_ms,
-          .polls = process->settings->role != ROLE_SIDECAR,
-          .in_force = on_in_force,
+      = { .poll_interval_ms = process->settings->poll_ms,
+          .polling_enabled = process->settings->role != ROLE_SIDECAR,
+          .on_revision = on_in_force,
           .owner = process };
 
   process->conf = confstore_create (&env, &options);
--- a/packages/entry/claim.c
+++ b/packages/entry/claim.c
@@ -232,7 +232,7 @@
 on_earlier (request_t *request, const claim_info_t *info)
 {
   json_t *outcome
-      = info->known && info->done
+      = info->is_known && info->has_outcome
             ? json_loadb (info->outcome.ptr, info->outcome.len, 0, NULL)
             : NULL;
 
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -72,7 +72,7 @@
                          rng_u64 (&entry->rng) };
   lead->store = store_create (&lead->env);
   const lease_options_t options
-      = { .term_ms = LEASE_TERM_MS, .changed = on_lease, .owner = lead };
+      = { .term_ms = LEASE_TERM_MS, .on_change = on_lease, .owner = lead };
   snprintf (holder, sizeof holder, "%016llx",
             (unsigned long long)rpc_node_epoch (entry->node));
   lead->lease
--- a/tests/test_claims.c
+++ b/tests/test_claims.c
@@ -71,8 +71,8 @@
   ck_assert (!result->is_done);
   result->is_done = true;
   result->code = code;
-  result->is_known = info->known;
-  result->has_outcome = info->done;
+  result->is_known = info->is_known;
+  result->has_outcome = info->has_outcome;
   snprintf (result->writer, sizeof result->writer, "%.*s",
             STR_ARG (info->writer));
   snprintf (result->outcome, sizeof result->outcome, "%.*s",
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -48,7 +48,7 @@
                                      .lease = lease,
                                      .large_row_bills = 2500,
                                      .compact_interval_ms = 5,
-                                     .written = on_written,
+                                     .on_written = on_written,
                                      .owner = f };
   f->ledgers[writer_index] = ledger_create (&f->base.env, &options);
 }
