--- a/packages/control/billset.c
+++ b/packages/control/billset.c
@@ -10,7 +10,7 @@
 {
   bill_t *items; /* Each bill owns its strings.  */
   size_t count;
-  size_t cap;
+  size_t capacity;
   map_t *by_id; /* Maps request id to index + 1 in ITEMS.  */
 };
 
@@ -77,10 +77,11 @@
       bill_free (&old);
       return;
     }
-  if (set->count == set->cap)
+  if (set->count == set->capacity)
     {
-      set->cap = set->cap > 0 ? set->cap * 2 : 16;
-      set->items = mem_realloc (set->items, set->cap * sizeof *set->items);
+      set->capacity = set->capacity > 0 ? set->capacity * 2 : 16;
+      set->items
+          = mem_realloc (set->items, set->capacity * sizeof *set->items);
     }
   set->items[set->count++] = bill_copy (bill);
   map_put (set->by_id, bill->request_id, (void *)(uintptr_t)set->count);
--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -12,12 +12,12 @@
   BATCH_TIMEOUT_MS = 1000,
   CLEANUP_INTERVAL_MS = 10 * 60 * 1000,
   TICK_MS = 20,
-  /* A transaction of 64 claims has 192 conditions and a size of a few
-     kilobytes.  */
+  /* Maximum number of operations in a batch.  A transaction of 64 claims has
+     192 conditions and a size of a few kilobytes.  */
   BATCH_OPS_MAX = 64,
   /* Maximum number of detached batches, whose outcome is still being
-     resolved.  Above it the store is assumed to be failing, and further
-     batches would only accumulate.  */
+     resolved.  Beyond this number the store is assumed to be failing, and
+     further batches would only accumulate.  */
   DETACHED_BATCHES_MAX = 16,
   QUEUE_OPS_MAX = 20000,
   CLEANUP_PAGE_ROWS = 500,
@@ -28,8 +28,9 @@
      a transaction.  No client waits for the write.  */
   OUTCOME_DELAY_MAX_MS = 100,
   RETRY_DELAY_MIN_MS = 50,
-  /* Short, because clients wait for their claims during the delay; the
-     platform's circuit breaker limits the load on a failing store.  */
+  /* Maximum delay after a failed batch.  The delay is short because clients
+     wait for their claims; the platform's circuit breaker limits the load on a
+     failing store.  */
   RETRY_DELAY_MAX_MS = 1000
 };
 
@@ -92,10 +93,10 @@
   list_t queue;
   size_t queue_length;
   list_t conflict_reads; /* Claims whose conflicting row is being read.  */
-  batch_t *current;
+  batch_t *current_batch;
   list_t detached_batches;
   size_t detached_count;
-  map_t *held; /* Maps id to held_claim_t.  */
+  map_t *held_claims; /* Maps id to held_claim_t.  */
   backoff_t backoff;
   uint64_t next_send_ms;
   bool is_cleanup_running;
@@ -284,7 +285,7 @@
 
   append_key (&held->key, op->claim_day, buf_str (&op->id));
   held->version = version;
-  held_claim_t *old = map_put (claims->held, buf_str (&op->id), held);
+  held_claim_t *old = map_put (claims->held_claims, buf_str (&op->id), held);
   if (old != NULL)
     {
       buf_free (&old->key);
@@ -297,11 +298,11 @@
 static void
 remove_held_claim (claims_t *claims, str_t id, uint64_t version)
 {
-  held_claim_t *held = map_get (claims->held, id);
+  held_claim_t *held = map_get (claims->held_claims, id);
 
   if (held == NULL || held->version != version)
     return;
-  map_remove (claims->held, id);
+  map_remove (claims->held_claims, id);
   buf_free (&held->key);
   free (held);
 }
@@ -375,7 +376,7 @@
      that expired before the outcome of its transaction was known.  A held
      claim is kept until its outcome is in the row.  */
   return state == ROW_OPEN && str_eq (writer, buf_str (&claims->writer))
-         && map_get (claims->held, buf_str (&op->id)) == NULL;
+         && map_get (claims->held_claims, buf_str (&op->id)) == NULL;
 }
 
 static void
@@ -506,8 +507,8 @@
 on_batch_unresolved (batch_t *batch)
 {
   log_err ("claims",
-           "The store did not report the outcome of a batch; its claims are "
-           "not used. items=%zu",
+           "The outcome of a batch is unknown; its claims are refused and its "
+           "outcomes are written again. items=%zu",
            batch->count);
   for (size_t i = 0; i < batch->count; i++)
     {
@@ -528,7 +529,7 @@
   if (batch->is_detached)
     claims->detached_count--;
   else
-    claims->current = NULL;
+    claims->current_batch = NULL;
   list_remove (&batch->link);
   if (code == VH_OK)
     {
@@ -564,7 +565,7 @@
           builder->write_count, buf_str (&token) };
   claims->batches_sent++;
   claims->ops_sent += batch->count;
-  claims->current = batch;
+  claims->current_batch = batch;
   store_txn (claims->store, &txn, STORE_RESOLVE_TIMEOUT_MAX_MS, on_batch_done,
              batch);
   for (size_t i = 0; i < builder->buf_count; i++)
@@ -592,7 +593,8 @@
 static void
 send_next_batch (claims_t *claims)
 {
-  if (claims->current != NULL || claims->detached_count >= DETACHED_BATCHES_MAX
+  if (claims->current_batch != NULL
+      || claims->detached_count >= DETACHED_BATCHES_MAX
       || now_ms (claims) < claims->next_send_ms || !has_due_op (claims))
     return;
   send_batch (claims, create_batch (claims));
@@ -604,7 +606,7 @@
 expire_claims (claims_t *claims)
 {
   uint64_t now = now_ms (claims);
-  batch_t *batch = claims->current;
+  batch_t *batch = claims->current_batch;
 
   LIST_EACH (at, &claims->queue)
     {
@@ -630,12 +632,12 @@
 static void
 detach_slow_batch (claims_t *claims)
 {
-  batch_t *batch = claims->current;
+  batch_t *batch = claims->current_batch;
 
   if (batch == NULL
       || now_ms (claims) - batch->sent_ms < claims->options.batch_timeout_ms)
     return;
-  claims->current = NULL;
+  claims->current_batch = NULL;
   batch->is_detached = true;
   list_append (&claims->detached_batches, &batch->link);
   claims->detached_count++;
@@ -736,7 +738,7 @@
   list_init (&claims->queue);
   list_init (&claims->conflict_reads);
   list_init (&claims->detached_batches);
-  claims->held = map_create ();
+  claims->held_claims = map_create ();
   claims->backoff = (backoff_t){ RETRY_DELAY_MIN_MS, RETRY_DELAY_MAX_MS, 0 };
   uv_timer_init (env->loop, &claims->timer);
   claims->timer.data = claims;
@@ -779,15 +781,15 @@
   cancel_ops (&claims->conflict_reads);
   LIST_EACH (at, &claims->detached_batches)
     cancel_batch (CONTAINER_OF (at, batch_t, link));
-  if (claims->current != NULL)
-    cancel_batch (claims->current);
-  while (map_next (claims->held, &cursor, NULL, &value))
+  if (claims->current_batch != NULL)
+    cancel_batch (claims->current_batch);
+  while (map_next (claims->held_claims, &cursor, NULL, &value))
     {
       held_claim_t *held = value;
       buf_free (&held->key);
       free (held);
     }
-  map_destroy (claims->held);
+  map_destroy (claims->held_claims);
   buf_free (&claims->writer);
   uv_close ((uv_handle_t *)&claims->timer, on_timer_closed);
 }
@@ -816,7 +818,7 @@
 static vh_code_t
 finish_claim (claims_t *claims, str_t id, row_state_t state, str_t outcome)
 {
-  held_claim_t *held = map_get (claims->held, id);
+  held_claim_t *held = map_get (claims->held_claims, id);
 
   if (held == NULL || held->is_outcome_queued)
     return VH_E_NOT_FOUND;
@@ -846,8 +848,8 @@
 {
   size_t pending_count = claims->queue_length;
 
-  if (claims->current != NULL)
-    pending_count += claims->current->count;
+  if (claims->current_batch != NULL)
+    pending_count += claims->current_batch->count;
   LIST_EACH (at, &claims->detached_batches)
     pending_count += CONTAINER_OF (at, batch_t, link)->count;
   return pending_count;
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -38,7 +38,7 @@
   buf_t delta;
 } ring_delta_t;
 
-typedef struct apply
+typedef struct change
 {
   list_t link;
   confstore_t *conf;
@@ -46,14 +46,14 @@
   buf_t who;
   uint64_t if_revision;
   uint64_t base_revision;    /* Revision that the change is based on.  */
-  uint64_t head_row_version; /* Version of conf/head at that revision.  */
+  uint64_t head_row_version; /* Version of conf/head at BASE_REVISION.  */
   uint64_t sent_ms;
   int attempts;
   /* Whether the change waits until the text of the head is fetched.  */
   bool awaits_text;
   confstore_apply_cb_t cb;
   void *arg;
-} apply_t;
+} change_t;
 
 typedef struct
 {
@@ -83,7 +83,7 @@
   uint64_t fetch_revision; /* Target revision of the fetch in progress.  */
   uint64_t
       fetch_sent_ms; /* Time when the head was requested from the store.  */
-  list_t applies;
+  list_t pending_changes;
   list_t histories;
 };
 
@@ -161,27 +161,27 @@
   return code;
 }
 
-static void start_apply (apply_t *apply);
-static void commit_apply (apply_t *apply);
+static void start_change (change_t *change);
+static void commit_change (change_t *change);
 static void start_fetch (confstore_t *conf, uint64_t head_revision,
                          uint64_t sent_ms);
 
 static void
-apply_free (apply_t *apply)
+change_free (change_t *change)
 {
-  list_remove (&apply->link);
-  buf_free (&apply->text);
-  buf_free (&apply->who);
-  free (apply);
+  list_remove (&change->link);
+  buf_free (&change->text);
+  buf_free (&change->who);
+  free (change);
 }
 
 static void
-finish_apply (apply_t *apply, vh_code_t code, uint64_t revision)
+finish_change (change_t *change, vh_code_t code, uint64_t revision)
 {
-  confstore_apply_cb_t cb = apply->cb;
-  void *arg = apply->arg;
+  confstore_apply_cb_t cb = change->cb;
+  void *arg = change->arg;
 
-  apply_free (apply);
+  change_free (change);
   cb (arg, code, revision);
 }
 
@@ -190,29 +190,29 @@
 static void
 finish_fetch (confstore_t *conf, bool is_fetched)
 {
-  list_t waiting_applies;
+  list_t waiting_changes;
 
   conf->is_fetching = false;
   if (is_fetched && conf->revision == conf->fetch_revision)
     set_confirmed (conf, conf->fetch_sent_ms);
-  list_init (&waiting_applies);
-  LIST_EACH (at, &conf->applies)
+  list_init (&waiting_changes);
+  LIST_EACH (at, &conf->pending_changes)
     {
-      if (!CONTAINER_OF (at, apply_t, link)->awaits_text)
+      if (!CONTAINER_OF (at, change_t, link)->awaits_text)
         continue;
       list_remove (at);
-      list_append (&waiting_applies, at);
+      list_append (&waiting_changes, at);
     }
-  LIST_EACH (at, &waiting_applies)
+  LIST_EACH (at, &waiting_changes)
     {
-      apply_t *apply = CONTAINER_OF (at, apply_t, link);
+      change_t *change = CONTAINER_OF (at, change_t, link);
       list_remove (at);
-      list_append (&conf->applies, at);
-      apply->awaits_text = false;
+      list_append (&conf->pending_changes, at);
+      change->awaits_text = false;
       if (is_fetched)
-        commit_apply (apply);
+        commit_change (change);
       else
-        finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
+        finish_change (change, VH_E_NOT_ACCEPTED, conf->revision);
     }
 }
 
@@ -223,8 +223,8 @@
 
   if (code == VH_OK)
     activate_revision (conf, conf->fetch_revision, row->value, STR_NULL);
-  /* The text is deleted when many newer revisions exist.  The next poll of
-     the head finds them.  */
+  /* If the text row was deleted, many newer revisions exist, and the next poll
+     of the head finds them.  */
   finish_fetch (conf, code == VH_OK);
 }
 
@@ -309,8 +309,8 @@
     set_confirmed (conf, conf->poll_sent_ms);
   else
     log_warning ("conf",
-                 "The store has a lower revision than this process; it is "
-                 "ignored. "
+                 "The revision in the store is lower than the active revision "
+                 "and is ignored. "
                  "store=%llu here=%llu",
                  (unsigned long long)head_revision,
                  (unsigned long long)conf->revision);
@@ -355,7 +355,7 @@
     conf->options.apply_timeout_ms = APPLY_TIMEOUT_MS;
   conf->backoff
       = (backoff_t){ conf->options.poll_interval_ms, POLL_BACKOFF_MAX_MS, 0 };
-  list_init (&conf->applies);
+  list_init (&conf->pending_changes);
   list_init (&conf->histories);
   uv_timer_init (env->loop, &conf->timer);
   conf->timer.data = conf;
@@ -375,8 +375,8 @@
   if (conf == NULL)
     return;
   store_destroy (conf->store);
-  LIST_EACH (at, &conf->applies)
-    finish_apply (CONTAINER_OF (at, apply_t, link), VH_E_CANCELLED, 0);
+  LIST_EACH (at, &conf->pending_changes)
+    finish_change (CONTAINER_OF (at, change_t, link), VH_E_CANCELLED, 0);
   LIST_EACH (at, &conf->histories)
     {
       history_t *history = CONTAINER_OF (at, history_t, link);
@@ -416,16 +416,16 @@
 static void
 on_head_after_conflict (void *arg, vh_code_t code, const row_t *row)
 {
-  apply_t *apply = arg;
-  confstore_t *conf = apply->conf;
+  change_t *change = arg;
+  confstore_t *conf = change->conf;
   uint64_t head_revision;
 
   /* The conflict proves that a newer revision exists even if the head cannot
      be read.  */
   if (!parse_head (code, row, &head_revision)
-      || head_revision <= apply->base_revision)
-    head_revision = apply->base_revision + 1;
-  finish_apply (apply, VH_E_STALE_REVISION, head_revision);
+      || head_revision <= change->base_revision)
+    head_revision = change->base_revision + 1;
+  finish_change (change, VH_E_STALE_REVISION, head_revision);
   if (!conf->is_polling)
     confstore_poll (conf);
 }
@@ -433,50 +433,50 @@
 static void
 on_committed (void *arg, vh_code_t code, uint64_t version, str_t conflict_key)
 {
-  apply_t *apply = arg;
-  confstore_t *conf = apply->conf;
-  uint64_t revision = apply->base_revision + 1;
+  change_t *change = arg;
+  confstore_t *conf = change->conf;
+  uint64_t revision = change->base_revision + 1;
 
   (void)version;
   (void)conflict_key;
   if (code == VH_OK)
     {
       buf_t delta = BUF_NULL;
-      if (conf->revision == apply->base_revision)
-        conf_delta_make (buf_str (&conf->text), buf_str (&apply->text),
+      if (conf->revision == change->base_revision)
+        conf_delta_make (buf_str (&conf->text), buf_str (&change->text),
                          &delta);
-      activate_revision (conf, revision, buf_str (&apply->text),
+      activate_revision (conf, revision, buf_str (&change->text),
                          buf_str (&delta));
       buf_free (&delta);
       if (conf->revision == revision)
-        set_confirmed (conf, apply->sent_ms);
-      finish_apply (apply, VH_OK, revision);
+        set_confirmed (conf, change->sent_ms);
+      finish_change (change, VH_OK, revision);
     }
-  else if (code == VH_E_CONFLICT && apply->if_revision == CONFSTORE_ANY)
-    start_apply (apply);
+  else if (code == VH_E_CONFLICT && change->if_revision == CONFSTORE_ANY)
+    start_change (change);
   else if (code == VH_E_CONFLICT)
-    store_get (conf->store, HEAD_KEY, on_head_after_conflict, apply);
+    store_get (conf->store, HEAD_KEY, on_head_after_conflict, change);
   else
-    finish_apply (
-        apply, code == VH_E_STORE_LATE ? VH_E_STORE_LATE : VH_E_NOT_ACCEPTED,
+    finish_change (
+        change, code == VH_E_STORE_LATE ? VH_E_STORE_LATE : VH_E_NOT_ACCEPTED,
         code == VH_E_STORE_LATE ? revision : conf->revision);
 }
 
 /* Append to OUT the value of the history row of REVISION.  */
 static void
-write_delta_row (const apply_t *apply, uint64_t revision, str_t token,
+write_delta_row (const change_t *change, uint64_t revision, str_t token,
                  buf_t *out)
 {
   json_t *json = json_object ();
   buf_t delta = BUF_NULL;
 
-  conf_delta_make (buf_str (&apply->conf->text), buf_str (&apply->text),
+  conf_delta_make (buf_str (&change->conf->text), buf_str (&change->text),
                    &delta);
   json_object_set_new (json, "revision", json_integer ((json_int_t)revision));
-  json_put_str (json, "who", buf_str (&apply->who));
+  json_put_str (json, "who", buf_str (&change->who));
   json_object_set_new (
       json, "when_ms",
-      json_integer ((json_int_t)clock_realtime_ms (apply->conf->env.clock)));
+      json_integer ((json_int_t)clock_realtime_ms (change->conf->env.clock)));
   json_put_str (json, "token", token);
   json_put_str (json, "delta", buf_str (&delta));
   json_write (json, out);
@@ -508,10 +508,10 @@
 /* Write the change and advance the head in one transaction.  The active
    revision must be the one that the change is based on.  */
 static void
-commit_apply (apply_t *apply)
+commit_change (change_t *change)
 {
-  confstore_t *conf = apply->conf;
-  uint64_t revision = apply->base_revision + 1;
+  confstore_t *conf = change->conf;
+  uint64_t revision = change->base_revision + 1;
   char delta_key[KEY_SIZE];
   char text_key[KEY_SIZE];
   char text_to_delete_key[KEY_SIZE];
@@ -520,18 +520,18 @@
   buf_t token = BUF_NULL;
   buf_t row = BUF_NULL;
 
-  if (conf->revision != apply->base_revision)
+  if (conf->revision != change->base_revision)
     {
-      start_apply (apply);
+      start_change (change);
       return;
     }
   store_append_token (conf->store, &token);
-  write_delta_row (apply, revision, buf_str (&token), &row);
+  write_delta_row (change, revision, buf_str (&token), &row);
   snprintf (head_text, sizeof head_text, "%llu", (unsigned long long)revision);
   txn_write_t writes[5]
       = { { HEAD_KEY, str_from (head_text), false },
           { make_key (delta_key, "delta", revision), buf_str (&row), false },
-          { make_key (text_key, "text", revision), buf_str (&apply->text),
+          { make_key (text_key, "text", revision), buf_str (&change->text),
             false } };
   size_t count = 3;
   if (expired_text_revision (revision) > 0)
@@ -544,69 +544,69 @@
         = (txn_write_t){ make_key (checkpoint_key, "text",
                                    expired_checkpoint_revision (revision)),
                          STR_NULL, true };
-  const txn_condition_t condition = { HEAD_KEY, apply->head_row_version };
+  const txn_condition_t condition = { HEAD_KEY, change->head_row_version };
   const txn_t txn = { &condition, 1, writes, count, buf_str (&token) };
-  apply->sent_ms = now_ms (conf);
+  change->sent_ms = now_ms (conf);
   store_txn (conf->store, &txn, conf->options.apply_timeout_ms, on_committed,
-             apply);
+             change);
   buf_free (&row);
   buf_free (&token);
 }
 
 static void
-on_apply_head (void *arg, vh_code_t code, const row_t *row)
+on_change_head (void *arg, vh_code_t code, const row_t *row)
 {
-  apply_t *apply = arg;
-  confstore_t *conf = apply->conf;
-  bool is_any_revision = apply->if_revision == CONFSTORE_ANY;
+  change_t *change = arg;
+  confstore_t *conf = change->conf;
+  bool is_any_revision = change->if_revision == CONFSTORE_ANY;
 
-  if (!parse_head (code, row, &apply->base_revision))
-    finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
-  else if (!is_any_revision && apply->base_revision != apply->if_revision)
-    finish_apply (apply, VH_E_STALE_REVISION, apply->base_revision);
-  else if (apply->base_revision < conf->revision)
+  if (!parse_head (code, row, &change->base_revision))
+    finish_change (change, VH_E_NOT_ACCEPTED, conf->revision);
+  else if (!is_any_revision && change->base_revision != change->if_revision)
+    finish_change (change, VH_E_STALE_REVISION, change->base_revision);
+  else if (change->base_revision < conf->revision)
     /* The head was read before a newer change, or the store has lost rows.
        Accepting the change would reactivate a lower revision.  */
-    start_apply (apply);
+    start_change (change);
   else
     {
-      apply->head_row_version = row->version;
-      apply->awaits_text = apply->base_revision > conf->revision;
-      if (apply->awaits_text)
-        start_fetch (conf, apply->base_revision, apply->sent_ms);
+      change->head_row_version = row->version;
+      change->awaits_text = change->base_revision > conf->revision;
+      if (change->awaits_text)
+        start_fetch (conf, change->base_revision, change->sent_ms);
       else
-        commit_apply (apply);
+        commit_change (change);
     }
 }
 
 static void
-start_apply (apply_t *apply)
+start_change (change_t *change)
 {
-  confstore_t *conf = apply->conf;
+  confstore_t *conf = change->conf;
 
-  if (apply->attempts++ >= APPLY_ATTEMPTS_MAX)
+  if (change->attempts++ >= APPLY_ATTEMPTS_MAX)
     {
-      finish_apply (apply, VH_E_NOT_ACCEPTED, conf->revision);
+      finish_change (change, VH_E_NOT_ACCEPTED, conf->revision);
       return;
     }
-  apply->sent_ms = now_ms (conf);
-  store_get (conf->store, HEAD_KEY, on_apply_head, apply);
+  change->sent_ms = now_ms (conf);
+  store_get (conf->store, HEAD_KEY, on_change_head, change);
 }
 
 void
 confstore_apply (confstore_t *conf, str_t text, str_t who,
                  uint64_t if_revision, confstore_apply_cb_t cb, void *arg)
 {
-  apply_t *apply = mem_zalloc (sizeof *apply);
+  change_t *change = mem_zalloc (sizeof *change);
 
-  apply->conf = conf;
-  apply->if_revision = if_revision;
-  apply->cb = cb;
-  apply->arg = arg;
-  buf_append_str (&apply->text, text);
-  buf_append_str (&apply->who, who);
-  list_append (&conf->applies, &apply->link);
-  start_apply (apply);
+  change->conf = conf;
+  change->if_revision = if_revision;
+  change->cb = cb;
+  change->arg = arg;
+  buf_append_str (&change->text, text);
+  buf_append_str (&change->who, who);
+  list_append (&conf->pending_changes, &change->link);
+  start_change (change);
 }
 
 static void
--- a/packages/control/lease.c
+++ b/packages/control/lease.c
@@ -21,7 +21,7 @@
   buf_t holder;
   uv_timer_t timer;
   bool is_attempt_pending; /* A renewal or acquisition is in progress.  */
-  bool held;
+  bool is_held;
   uint64_t fence_version; /* Version of the fence row: the fencing token.  */
   uint64_t heartbeat_version; /* Last read version of the heartbeat row.  */
   uint64_t heartbeat_seen_ms; /* Time of the first read of that version.  */
@@ -33,9 +33,9 @@
 static void
 set_held (lease_t *lease, bool held)
 {
-  if (lease->held == held)
+  if (lease->is_held == held)
     return;
-  lease->held = held;
+  lease->is_held = held;
   log_info ("lease", "Lease %s. name=%.*s fence=%llu",
             held ? "acquired" : "lost", (int)lease->fence_key.len,
             lease->fence_key.ptr, (unsigned long long)lease->fence_version);
@@ -46,9 +46,9 @@
 bool
 lease_is_held (lease_t *lease)
 {
-  if (lease->held && clock_ms (lease->env.clock) >= lease->valid_until_ms)
+  if (lease->is_held && clock_ms (lease->env.clock) >= lease->valid_until_ms)
     set_held (lease, false);
-  return lease->held;
+  return lease->is_held;
 }
 
 txn_condition_t
@@ -175,11 +175,13 @@
 on_timer (uv_timer_t *timer)
 {
   lease_t *lease = timer->data;
-  uint64_t period_ms = lease->options.term_ms / HEARTBEATS_PER_TERM;
+  uint64_t heartbeat_interval_ms
+      = lease->options.term_ms / HEARTBEATS_PER_TERM;
 
   lease_poll (lease);
-  uv_timer_start (&lease->timer, on_timer,
-                  rng_jitter (store_rng (lease->store), period_ms) + 1, 0);
+  uv_timer_start (
+      &lease->timer, on_timer,
+      rng_jitter (store_rng (lease->store), heartbeat_interval_ms) + 1, 0);
 }
 
 lease_t *
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -61,7 +61,9 @@
   list_t link;
   ledger_t *ledger;
   buf_t day;
-  bool reads_large_rows; /* The small rows have been read.  */
+  /* Whether the large rows are being read, which come after the small
+     rows.  */
+  bool reads_large_rows;
   buf_t last_key;
   billset_t *bills;
   ledger_report_cb_t cb;
@@ -72,7 +74,7 @@
 {
   bool is_step_pending;
   uint64_t next_step_ms;
-  uint64_t day; /* Day to compact, in days before today.  */
+  uint64_t days_back; /* Day to compact, in days before today.  */
   buf_t last_key;
   size_t rows_to_remove; /* Rows that the pending transaction removes.  */
   int idle_steps;        /* Steps without work since the last merge.  */
@@ -88,7 +90,7 @@
   uint64_t sequence;
   uv_timer_t timer;
   list_t open_batches;   /* One batch for each day.  */
-  list_t sealed_batches; /* To be written, the oldest first.  */
+  list_t sealed_batches; /* Batches to be written, the oldest first.  */
   batch_t *in_flight[ROWS_PER_TXN];
   size_t in_flight_count;
   size_t pending_count;
@@ -142,7 +144,7 @@
 }
 
 static void
-seal (ledger_t *ledger, batch_t *batch)
+seal_batch (ledger_t *ledger, batch_t *batch)
 {
   buf_printf (&batch->key, "ledger/%s/%.*s/%.*s/%08llu", batch->day,
               STR_ARG (buf_str (&ledger->writer)),
@@ -258,7 +260,7 @@
       bool is_old = now - batch->created_ms >= ledger->options.flush_ms;
       if (billset_size (batch->bills) >= ledger->options.flush_bills
           || (is_old && is_store_keeping_up))
-        seal (ledger, batch);
+        seal_batch (ledger, batch);
     }
 }
 
@@ -402,7 +404,7 @@
       billset_add (batch->bills, &bills[i]);
       ledger->pending_count += billset_size (batch->bills) - size_before;
       if (billset_size (batch->bills) >= ledger->options.flush_bills)
-        seal (ledger, batch);
+        seal_batch (ledger, batch);
     }
   check_pending_limit (ledger);
   return VH_OK;
@@ -412,7 +414,7 @@
 ledger_flush (ledger_t *ledger)
 {
   LIST_EACH (at, &ledger->open_batches)
-    seal (ledger, CONTAINER_OF (at, batch_t, link));
+    seal_batch (ledger, CONTAINER_OF (at, batch_t, link));
 }
 
 void
@@ -706,7 +708,7 @@
 advance_day (compaction_t *compaction)
 {
   compaction->last_key.len = 0;
-  compaction->day = (compaction->day + 1) % COMPACT_DAYS;
+  compaction->days_back = (compaction->days_back + 1) % COMPACT_DAYS;
 }
 
 static void
@@ -757,7 +759,7 @@
     compaction->next_step_ms
         += ledger->options.compact_interval_ms * IDLE_INTERVAL_FACTOR;
   format_day (day, clock_realtime_ms (ledger->env.clock)
-                       - compaction->day * DAY_S * 1000ull);
+                       - compaction->days_back * DAY_S * 1000ull);
   buf_printf (&prefix, "%s%s/", SMALL_ROW_PREFIX.ptr, day);
   store_scan (ledger->store, buf_str (&prefix),
               buf_str (&compaction->last_key), COMPACT_PAGE_ROWS,
--- a/packages/control/roster.c
+++ b/packages/control/roster.c
@@ -40,8 +40,9 @@
   contact_t contact;
   uint64_t last_response_ms;
   bool is_draining;
-  bool is_in_full_list; /* Found in the list that is being applied.  */
-  size_t index;         /* Index in MEMBERS of the roster.  */
+  /* Whether the list that is being read contains the member.  */
+  bool is_in_full_list;
+  size_t index; /* Index in MEMBERS of the roster.  */
 } member_t;
 
 struct roster
@@ -58,7 +59,7 @@
   uint64_t list_sequence;
   member_t **members;
   size_t count;
-  size_t cap;
+  size_t capacity;
   map_t *by_name;
 };
 
@@ -167,9 +168,9 @@
 }
 
 /* Recompute the state of MEMBER, and notify the owner if the state changed or
-   if CHANGED says that the row changed.  Frees MEMBER if it is removable.  */
+   if ROW_CHANGED is true.  Frees MEMBER if it is removable.  */
 static void
-update_state (roster_t *roster, member_t *member, bool changed)
+update_state (roster_t *roster, member_t *member, bool row_changed)
 {
   roster_state_t state = member_state (member);
 
@@ -178,7 +179,7 @@
       remove_member (roster, member);
       return;
     }
-  if (state == member->entry.state && !changed)
+  if (state == member->entry.state && !row_changed)
     return;
   member->entry.state = state;
   notify (roster, ROSTER_CHANGED, member);
@@ -190,11 +191,11 @@
 {
   member_t *member = mem_zalloc (sizeof *member);
 
-  if (roster->count == roster->cap)
+  if (roster->count == roster->capacity)
     {
-      roster->cap = roster->cap > 0 ? roster->cap * 2 : 64;
-      roster->members
-          = mem_realloc (roster->members, roster->cap * sizeof (member_t *));
+      roster->capacity = roster->capacity > 0 ? roster->capacity * 2 : 64;
+      roster->members = mem_realloc (roster->members,
+                                     roster->capacity * sizeof (member_t *));
     }
   member->index = roster->count;
   roster->members[roster->count++] = member;
@@ -376,10 +377,10 @@
       add_member (roster, row, LIST_ABSENT, CONTACT_RESPONSIVE);
       return;
     }
-  bool changed = update_row (member, row);
+  bool row_changed = update_row (member, row);
   member->contact = CONTACT_RESPONSIVE;
   member->last_response_ms = now_ms (roster);
-  update_state (roster, member, changed);
+  update_state (roster, member, row_changed);
 }
 
 void
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -7,13 +7,11 @@
 
      list         observed               state
      live         responsive or unknown  up
-     live/leaving unresponsive           silent: no new work, still probed
-     leaving      responsive or unknown  draining
-     any          reports draining       draining
-     gone         responsive             draining, then removed
-     gone         otherwise              removed
-     not listed   responsive             up, then removed
-     not listed   otherwise              removed
+     live/leaving unresponsive           unresponsive: no new work, still
+   probed leaving      responsive or unknown  draining any          reports
+   draining       draining gone         responsive             draining, then
+   removed gone         otherwise              removed not listed   responsive
+   up, then removed not listed   otherwise              removed
 
    "Then removed" means once the instance has not responded for the TTL of
    unlisted instances.  If the list cannot be read, the last list remains in
--- a/tests/test_claims.c
+++ b/tests/test_claims.c
@@ -241,8 +241,8 @@
   fixture_t f;
   result_t results[IDS][ENTRIES];
   char id[32];
-  int claimed = 0;
-  int late = 0;
+  int claimed_count = 0;
+  int late_count = 0;
 
   setup (&f, (uint64_t)_i * 100 + 4);
   faulty_config_t *config = faulty_config (f.base.faulty);
@@ -265,7 +265,7 @@
     for (int entry = 0; entry < ENTRIES; entry++)
       {
         control_run_until (&f.base, &results[i][entry].is_done);
-        late += results[i][entry].code == VH_E_STORE_LATE;
+        late_count += results[i][entry].code == VH_E_STORE_LATE;
       }
   *config = (faulty_config_t){ 0 };
   wait_until_written (&f, 0);
@@ -277,14 +277,14 @@
       for (int entry = 0; entry < ENTRIES; entry++)
         holders += results[i][entry].code == VH_OK;
       ck_assert_int_le (holders, 1);
-      claimed += holders;
+      claimed_count += holders;
       snprintf (id, sizeof id, "id-%d", i);
       vh_code_t second_code = claim (&f, i % ENTRIES, id).code;
       ck_assert_msg (second_code == (holders == 1 ? VH_E_CLAIMED : VH_OK),
                      "id %d: %d holders, then %d", i, holders, second_code);
     }
   printf ("figures: seed %d: %d ids, %d licensed, %d answers late\n", _i, IDS,
-          claimed, late);
+          claimed_count, late_count);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_confstore.c
+++ b/tests/test_confstore.c
@@ -264,7 +264,7 @@
   *config = (faulty_config_t){ 0 };
   control_run_until_idle (&f.base);
   read_history (&f, 64, &history);
-  int accepted = 0;
+  int accepted_count = 0;
   for (int i = 0; i < ROUNDS; i++)
     {
       uint64_t revision = 0;
@@ -279,12 +279,12 @@
         ck_assert_uint_eq (revision, results[i].revision);
       else if (results[i].code != VH_E_STORE_LATE)
         ck_assert_uint_eq (revision, 0);
-      accepted += results[i].code == VH_OK;
+      accepted_count += results[i].code == VH_OK;
     }
   /* Usually about half are accepted; without any accepted change the test
      would check nothing.  */
-  ck_assert_int_gt (accepted, ROUNDS / 10);
-  printf ("figures: seed %d: %d of %d accepted\n", _i, accepted, ROUNDS);
+  ck_assert_int_gt (accepted_count, ROUNDS / 10);
+  printf ("figures: seed %d: %d of %d accepted\n", _i, accepted_count, ROUNDS);
   run_until_revision (&f, f.b, confstore_revision (f.a));
   teardown (&f);
 }
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -78,9 +78,9 @@
   result->is_done = true;
 }
 
-/* Write VALUE to a row under CONDITION; return the code.  */
+/* Write VALUE to a row on CONDITION and return the result.  */
 static vh_code_t
-write_under (fixture_t *f, txn_condition_t condition, str_t value)
+write_with_condition (fixture_t *f, txn_condition_t condition, str_t value)
 {
   const txn_write_t write = { STR ("work"), value, false };
   const txn_t txn = { &condition, 1, &write, 1, STR_NULL };
@@ -102,7 +102,8 @@
   ck_assert (!f.a_has_lost);
   ck_assert (!f.b_held);
   /* A renewal must not change the condition of a write in progress.  */
-  ck_assert_int_eq (write_under (&f, lease_condition (f.a), STR ("a")), VH_OK);
+  ck_assert_int_eq (
+      write_with_condition (&f, lease_condition (f.a), STR ("a")), VH_OK);
   teardown (&f);
 }
 END_TEST
@@ -139,8 +140,10 @@
   f.base.env.platform = f.base.memory;
   f.b = create_lease (&f, "b", b_changed);
   control_run_until (&f.base, &f.b_held);
-  ck_assert_int_eq (write_under (&f, lease_condition (f.b), STR ("b")), VH_OK);
-  ck_assert_int_eq (write_under (&f, old_condition, STR ("a")), VH_E_CONFLICT);
+  ck_assert_int_eq (
+      write_with_condition (&f, lease_condition (f.b), STR ("b")), VH_OK);
+  ck_assert_int_eq (write_with_condition (&f, old_condition, STR ("a")),
+                    VH_E_CONFLICT);
   ck_assert (!lease_is_held (f.a));
   ck_assert (f.a_has_lost);
   /* After the pause, the first holder must detect the new holder.  */
@@ -203,7 +206,8 @@
   faulty_release (faulty);
   control_run_until_idle (&f.base);
   ck_assert (!f.b_held);
-  ck_assert_int_eq (write_under (&f, lease_condition (f.a), STR ("a")), VH_OK);
+  ck_assert_int_eq (
+      write_with_condition (&f, lease_condition (f.a), STR ("a")), VH_OK);
   teardown (&f);
 }
 END_TEST
@@ -231,8 +235,10 @@
         clock_manual_advance_us (f.base.clock, TERM_MS * 1000);
       if (!lease_is_held (f.a) || !lease_is_held (f.b))
         continue;
-      vh_code_t a = write_under (&f, lease_condition (f.a), STR ("a"));
-      vh_code_t b = write_under (&f, lease_condition (f.b), STR ("b"));
+      vh_code_t a
+          = write_with_condition (&f, lease_condition (f.a), STR ("a"));
+      vh_code_t b
+          = write_with_condition (&f, lease_condition (f.b), STR ("b"));
       ck_assert_msg (a != VH_OK || b != VH_OK,
                      "both processes wrote under the lease, seed %d", _i);
     }
