--- a/packages/control/billset.c
+++ b/packages/control/billset.c
@@ -8,7 +8,7 @@
 
 struct billset
 {
-  bill_t *items; /* Each bill owns its strings.  */
+  ledger_bill_t *items; /* Each bill owns its strings.  */
   size_t count;
   size_t capacity;
   map_t *by_id; /* Maps request id to index + 1 in ITEMS.  */
@@ -30,7 +30,7 @@
 }
 
 static void
-bill_free (bill_t *bill)
+bill_free (ledger_bill_t *bill)
 {
   free ((char *)bill->request_id.ptr);
   free ((char *)bill->team.ptr);
@@ -38,10 +38,10 @@
   free ((char *)bill->version.ptr);
 }
 
-static bill_t
-bill_copy (const bill_t *bill)
+static ledger_bill_t
+bill_copy (const ledger_bill_t *bill)
 {
-  bill_t copy = *bill;
+  ledger_bill_t copy = *bill;
 
   copy.request_id = copy_str (bill->request_id);
   copy.team = copy_str (bill->team);
@@ -63,16 +63,16 @@
 }
 
 void
-billset_add (billset_t *set, const bill_t *bill)
+billset_add (billset_t *set, const ledger_bill_t *bill)
 {
   size_t index = (size_t)(uintptr_t)map_get (set->by_id, bill->request_id);
 
   if (index > 0)
     {
-      bill_t *held = &set->items[index - 1];
+      ledger_bill_t *held = &set->items[index - 1];
       if (bill->tokens <= held->tokens)
         return;
-      bill_t old = *held;
+      ledger_bill_t old = *held;
       *held = bill_copy (bill);
       bill_free (&old);
       return;
@@ -93,7 +93,7 @@
   return set->count;
 }
 
-const bill_t *
+const ledger_bill_t *
 billset_items (const billset_t *set)
 {
   return set->items;
@@ -106,7 +106,7 @@
 
   for (size_t i = 0; i < set->count; i++)
     {
-      const bill_t *bill = &set->items[i];
+      const ledger_bill_t *bill = &set->items[i];
       json_t *json = json_object ();
       json_put_str (json, "id", bill->request_id);
       json_put_str (json, "team", bill->team);
@@ -116,7 +116,7 @@
                            json_integer ((json_int_t)bill->tokens));
       json_object_set_new (json, "cost", json_real (bill->cost));
       json_object_set_new (json, "at_ms",
-                           json_integer ((json_int_t)bill->at_ms));
+                           json_integer ((json_int_t)bill->created_at_ms));
       json_array_append_new (list, json);
     }
   json_write (list, out);
@@ -141,14 +141,14 @@
     buf_t team = BUF_NULL;
     buf_t model = BUF_NULL;
     buf_t version = BUF_NULL;
-    const bill_t bill
+    const ledger_bill_t bill
         = { .request_id = json_get_str (json, "id", &id),
             .team = json_get_str (json, "team", &team),
             .model = json_get_str (json, "model", &model),
             .version = json_get_str (json, "version", &version),
             .tokens = json_get_u64 (json, "tokens"),
             .cost = json_number_value (json_object_get (json, "cost")),
-            .at_ms = json_get_u64 (json, "at_ms") };
+            .created_at_ms = json_get_u64 (json, "at_ms") };
     billset_add (set, &bill);
     buf_free (&id);
     buf_free (&team);
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -381,13 +381,13 @@
 }
 
 vh_code_t
-ledger_add (ledger_t *ledger, const bill_t *bill)
+ledger_add (ledger_t *ledger, const ledger_bill_t *bill)
 {
   return ledger_add_all (ledger, bill, 1);
 }
 
 vh_code_t
-ledger_add_all (ledger_t *ledger, const bill_t *bills, size_t count)
+ledger_add_all (ledger_t *ledger, const ledger_bill_t *bills, size_t count)
 {
   char day[DAY_TEXT_SIZE];
 
@@ -398,7 +398,7 @@
     }
   for (size_t i = 0; i < count; i++)
     {
-      format_day (day, bills[i].at_ms);
+      format_day (day, bills[i].created_at_ms);
       batch_t *batch = get_open_batch (ledger, day);
       size_t size_before = billset_size (batch->bills);
       billset_add (batch->bills, &bills[i]);
@@ -430,10 +430,10 @@
 }
 
 static void
-each_bill (const batch_t *batch, void (*each) (void *, const bill_t *),
+each_bill (const batch_t *batch, void (*each) (void *, const ledger_bill_t *),
            void *arg)
 {
-  const bill_t *bills = billset_items (batch->bills);
+  const ledger_bill_t *bills = billset_items (batch->bills);
 
   for (size_t i = 0; i < billset_size (batch->bills); i++)
     each (arg, &bills[i]);
@@ -441,7 +441,7 @@
 
 void
 ledger_foreach_pending (const ledger_t *ledger,
-                        void (*each) (void *arg, const bill_t *bill),
+                        void (*each) (void *arg, const ledger_bill_t *bill),
                         void *arg)
 {
   for (size_t i = 0; i < ledger->in_flight_count; i++)
@@ -475,7 +475,7 @@
 static size_t
 sum_bills (const billset_t *bills, ledger_report_line_t *lines)
 {
-  const bill_t *items = billset_items (bills);
+  const ledger_bill_t *items = billset_items (bills);
   size_t count = 0;
 
   for (size_t i = 0; i < billset_size (bills); i++)
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -35,8 +35,8 @@
   uint64_t tokens;
   double cost;
   /* Creation time of the bill, in ms since the epoch; never changed.  */
-  uint64_t at_ms;
-} bill_t;
+  uint64_t created_at_ms;
+} ledger_bill_t;
 
 typedef struct
 {
@@ -53,7 +53,7 @@
   uint64_t compact_interval_ms;
   /* Called when BILLS are in the store and copies in other processes may be
      discarded.  May be NULL.  */
-  void (*on_written) (void *owner, const bill_t *bills, size_t count);
+  void (*on_written) (void *owner, const ledger_bill_t *bills, size_t count);
   void *owner;
 } ledger_options_t;
 
@@ -64,11 +64,12 @@
 void ledger_destroy (ledger_t *ledger);
 /* Add a copy of BILL.  Return VH_OK, or VH_E_FULL if the limit of pending
    bills is reached.  */
-vh_code_t ledger_add (ledger_t *ledger, const bill_t *bill);
+vh_code_t ledger_add (ledger_t *ledger, const ledger_bill_t *bill);
 /* Add copies of BILLS, which a peer that failed or is stopping had not
    written.  Return VH_OK, or VH_E_FULL if the limit of pending bills would be
    exceeded; then none is added.  */
-vh_code_t ledger_add_all (ledger_t *ledger, const bill_t *bills, size_t count);
+vh_code_t ledger_add_all (ledger_t *ledger, const ledger_bill_t *bills,
+                          size_t count);
 /* Write all pending bills without waiting for full rows or the flush
    delay.  */
 void ledger_flush (ledger_t *ledger);
@@ -79,7 +80,8 @@
 size_t ledger_pending_count (const ledger_t *ledger);
 /* Call EACH for every pending bill.  */
 void ledger_foreach_pending (const ledger_t *ledger,
-                             void (*each) (void *arg, const bill_t *bill),
+                             void (*each) (void *arg,
+                                           const ledger_bill_t *bill),
                              void *arg);
 
 /* Counters since ledger_create.  */
--- a/packages/daemon/bills.c
+++ b/packages/daemon/bills.c
@@ -17,13 +17,14 @@
   str_t version;
   str_t model = str_cut (str_from (wire->target), '@', &version);
   str_t id = str_from (wire->bill_id);
-  const bill_t bill = { .request_id = id,
-                        .team = str_from (wire->team),
-                        .model = model,
-                        .version = version.ptr != NULL ? version : STR (""),
-                        .tokens = (uint64_t)wire->tokens_in + wire->tokens_out,
-                        .cost = wire->cost_micro / 1e6,
-                        .at_ms = wire->at_ms };
+  const ledger_bill_t bill
+      = { .request_id = id,
+          .team = str_from (wire->team),
+          .model = model,
+          .version = version.ptr != NULL ? version : STR (""),
+          .tokens = (uint64_t)wire->tokens_in + wire->tokens_out,
+          .cost = wire->cost_micro / 1e6,
+          .created_at_ms = wire->at_ms };
 
   if (ledger_add (process->ledger, &bill) != VH_OK)
     {
@@ -40,7 +41,7 @@
 /* Tell the sidecars that hold copies of BILLS that they may let go.  Bills of
    one row mostly have few homes, so each round takes those of one.  */
 static void
-on_written (void *owner, const bill_t *bills, size_t count)
+on_written (void *owner, const ledger_bill_t *bills, size_t count)
 {
   process_t *process = owner;
   str_t *ids = mem_alloc ((count + 1) * sizeof *ids);
@@ -106,7 +107,7 @@
 } gathered_t;
 
 static void
-gather (void *arg, const bill_t *bill)
+gather (void *arg, const ledger_bill_t *bill)
 {
   gathered_t *gathered = arg;
   buf_t target = BUF_NULL;
@@ -121,7 +122,7 @@
   wire->bill_id = str_dup (bill->request_id);
   wire->team = str_dup (bill->team);
   wire->target = target.ptr;
-  wire->at_ms = bill->at_ms;
+  wire->at_ms = bill->created_at_ms;
   wire->tokens_in = 0;
   wire->tokens_out = (u_int)bill->tokens;
   wire->cost_micro = (u_int)(bill->cost * 1e6 + 0.5);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -27,7 +27,7 @@
 } fixture_t;
 
 static void
-on_written (void *owner, const bill_t *bills, size_t count)
+on_written (void *owner, const ledger_bill_t *bills, size_t count)
 {
   (void)bills;
   ((fixture_t *)owner)->written += count;
@@ -76,14 +76,14 @@
   char id[32];
 
   snprintf (id, sizeof id, "request-%d", bill_number);
-  const bill_t bill
+  const ledger_bill_t bill
       = { .request_id = str_from (id),
           .team = bill_number % 2 == 0 ? STR ("coast") : STR ("hill"),
           .model = STR ("draft-small"),
           .version = STR ("draft-small@3"),
           .tokens = (uint64_t)bill_number,
           .cost = bill_number / 8.0,
-          .at_ms = day_ms };
+          .created_at_ms = day_ms };
   return ledger_add (f->ledgers[writer_index], &bill);
 }
 
@@ -175,9 +175,10 @@
 {
   fixture_t f;
   report_t report = { 0 };
-  const bill_t next_day_bill = { .request_id = STR ("midnight"),
-                                 .team = STR ("coast"),
-                                 .at_ms = day_ms + 24 * 3600 * 1000 };
+  const ledger_bill_t next_day_bill
+      = { .request_id = STR ("midnight"),
+          .team = STR ("coast"),
+          .created_at_ms = day_ms + 24 * 3600 * 1000 };
 
   setup (&f, 2);
   add_bill (&f, 0, 0);
@@ -226,7 +227,7 @@
 END_TEST
 
 static void
-collect_bill (void *arg, const bill_t *bill)
+collect_bill (void *arg, const ledger_bill_t *bill)
 {
   billset_add (arg, bill);
 }
