--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -337,8 +337,8 @@
     }
   if (op->is_callback_done)
     {
-      /* The caller was told that the request will not run under this claim,
-         so other processes must be able to claim the id.  */
+      /* The callback has reported that the request will not run under this
+         claim, so other processes must be able to claim the id.  */
       buf_t key = BUF_NULL;
       append_key (&key, op->claim_day, buf_str (&op->id));
       queue_state_update (claims, buf_str (&op->id), buf_str (&key), version,
--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -80,7 +80,8 @@
    process does not hold ID, or VH_E_FULL if the write queue is full.  */
 vh_code_t claims_record_outcome (claims_t *claims, str_t id, str_t outcome);
 /* Release the claim on ID, whose request was never dispatched, so that other
-   processes may claim ID.  Return values as of claims_record_outcome.  */
+   processes may claim ID.  The return values are those of
+   claims_record_outcome.  */
 vh_code_t claims_release (claims_t *claims, str_t id);
 /* Return the number of claims and outcomes that the store has not yet
    acknowledged.  */
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -76,7 +76,8 @@
   uint64_t next_step_ms;
   uint64_t days_back; /* Day to compact, in days before today.  */
   buf_t last_key;
-  size_t rows_to_remove; /* Rows that the pending transaction removes.  */
+  size_t rows_to_remove; /* Number of rows that the pending transaction
+                            removes.  */
   int idle_steps;        /* Steps without work since the last merge.  */
 } compaction_t;
 
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -87,13 +87,13 @@
 /* Counters since ledger_create.  */
 typedef struct
 {
-  uint64_t rows_written;
-  uint64_t txns_sent;      /* Transactions sent to write rows.  */
-  uint64_t bills_written;  /* Bills in the written rows.  */
-  uint64_t bills_rejected; /* Bills rejected at the limit of pending bills.  */
+  uint64_t rows_written;   /* Number of rows written, without compaction.  */
+  uint64_t txns_sent;      /* Number of transactions sent to write rows.  */
+  uint64_t bills_written;  /* Number of bills in the written rows.  */
+  uint64_t bills_rejected; /* Number of bills rejected at the limit.  */
   /* Number of times that the pending bills rose to 80% of the limit.  */
   uint64_t limit_warnings;
-  uint64_t rows_merged; /* Rows that compaction removed.  */
+  uint64_t rows_merged; /* Number of rows that compaction removed.  */
 } ledger_stats_t;
 
 ledger_stats_t ledger_stats (const ledger_t *ledger);
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -5,13 +5,16 @@
    are newer than the list.  The list contains the instances that this process
    has not contacted yet.  The state is derived from both:
 
-     list         observed               state
-     live         responsive or unknown  up
-     live/leaving unresponsive           unresponsive: no new work, still
-   probed leaving      responsive or unknown  draining any          reports
-   draining       draining gone         responsive             draining, then
-   removed gone         otherwise              removed not listed   responsive
-   up, then removed not listed   otherwise              removed
+     list        observed               state
+     live        responsive or unknown  up
+     live        unresponsive           unresponsive: probed, no new work
+     leaving     responsive or unknown  draining
+     leaving     unresponsive           unresponsive
+     any         reports draining       draining
+     gone        responsive             draining, then removed
+     gone        otherwise              removed
+     not listed  responsive             up, then removed
+     not listed  otherwise              removed
 
    "Then removed" means once the instance has not responded for the TTL of
    unlisted instances.  If the list cannot be read, the last list remains in
--- a/tests/test_confstore.c
+++ b/tests/test_confstore.c
@@ -416,8 +416,8 @@
   ck_assert_uint_eq (confstore_revision (f.b), 4);
   ck_assert (str_eq (confstore_text (f.b), confstore_text (f.a)));
   ck_assert (!confstore_write_update (f.a, 4, &update));
-  /* The update is received a second time, and without the revision that it
-     starts from.  */
+  /* The update is received a second time, and then by a process that lacks the
+     revision from which the update starts.  */
   ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   confstore_destroy (f.b);
   f.b = create_confstore (&f, false, false);
