--- a/packages/daemon/bills.c
+++ b/packages/daemon/bills.c
@@ -64,7 +64,7 @@
       if (home == NULL)
         break;
       if (!process->over && process->entry != NULL)
-        entry_bills_written (process->entry, str_from (home), ids, found);
+        entry_acknowledge_bills (process->entry, str_from (home), ids, found);
       free (home);
     }
   free (ids);
@@ -77,8 +77,8 @@
                               process->seed + 3000 };
   const ledger_options_t options
       = { .writer = process->settings->name,
-          .lease
-          = process->entry != NULL ? entry_lease (process->entry) : NULL,
+          .lease = process->entry != NULL ? entry_leader_lease (process->entry)
+                                          : NULL,
           .on_written = on_written,
           .owner = process };
 
@@ -170,8 +170,8 @@
     return;
   gathered_t *gathered = mem_zalloc (sizeof *gathered);
   ledger_foreach_pending (process->ledger, gather, gathered);
-  entry_bills_hand_over (process->entry, gathered->bills, gathered->count,
-                         ignore_copy, NULL);
+  entry_transfer_bills (process->entry, gathered->bills, gathered->count,
+                        ignore_copy, NULL);
   free_gathered (gathered);
   ledger_flush (process->ledger);
 }
@@ -211,8 +211,8 @@
   gathered_t *gathered = mem_zalloc (sizeof *gathered);
   ledger_foreach_pending (process->ledger, gather, gathered);
   process->handing_over
-      = entry_bills_hand_over (process->entry, gathered->bills,
-                               gathered->count, on_handed_over, process);
+      = entry_transfer_bills (process->entry, gathered->bills, gathered->count,
+                              on_handed_over, process);
   free_gathered (gathered);
   return false;
 }
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -108,7 +108,7 @@
 }
 
 lease_t *
-entry_lease (entry_t *entry)
+entry_leader_lease (entry_t *entry)
 {
   return entry->lead->lease;
 }
