--- a/packages/control/billset.c
+++ b/packages/control/billset.c
@@ -8,10 +8,10 @@
 
 struct billset
 {
-  bill_t *items; /* Each owns its strings.  */
+  ledger_bill_t *items; /* Each bill owns its strings.  */
   size_t count;
-  size_t cap;
-  map_t *by_id; /* Of the index plus one.  */
+  size_t capacity;
+  map_t *by_id; /* Maps request id to index + 1 in ITEMS.  */
 };
 
 billset_t *
@@ -24,13 +24,13 @@
 }
 
 static str_t
-own (str_t s)
+copy_str (str_t s)
 {
   return str_make (str_dup (s), s.len);
 }
 
 static void
-bill_free (bill_t *bill)
+bill_free (ledger_bill_t *bill)
 {
   free ((char *)bill->request_id.ptr);
   free ((char *)bill->team.ptr);
@@ -38,15 +38,15 @@
   free ((char *)bill->version.ptr);
 }
 
-static bill_t
-bill_copy (const bill_t *bill)
+static ledger_bill_t
+bill_copy (const ledger_bill_t *bill)
 {
-  bill_t copy = *bill;
+  ledger_bill_t copy = *bill;
 
-  copy.request_id = own (bill->request_id);
-  copy.team = own (bill->team);
-  copy.model = own (bill->model);
-  copy.version = own (bill->version);
+  copy.request_id = copy_str (bill->request_id);
+  copy.team = copy_str (bill->team);
+  copy.model = copy_str (bill->model);
+  copy.version = copy_str (bill->version);
   return copy;
 }
 
@@ -63,24 +63,25 @@
 }
 
 void
-billset_add (billset_t *set, const bill_t *bill)
+billset_add (billset_t *set, const ledger_bill_t *bill)
 {
   size_t index = (size_t)(uintptr_t)map_get (set->by_id, bill->request_id);
 
   if (index > 0)
     {
-      bill_t *held = &set->items[index - 1];
+      ledger_bill_t *held = &set->items[index - 1];
       if (bill->tokens <= held->tokens)
         return;
-      bill_t old = *held;
+      ledger_bill_t old = *held;
       *held = bill_copy (bill);
       bill_free (&old);
       return;
     }
-  if (set->count == set->cap)
+  if (set->count == set->capacity)
     {
-      set->cap = set->cap > 0 ? set->cap * 2 : 16;
-      set->items = mem_realloc (set->items, set->cap * sizeof *set->items);
+      set->capacity = set->capacity > 0 ? set->capacity * 2 : 16;
+      set->items
+          = mem_realloc (set->items, set->capacity * sizeof *set->items);
     }
   set->items[set->count++] = bill_copy (bill);
   map_put (set->by_id, bill->request_id, (void *)(uintptr_t)set->count);
@@ -92,7 +93,7 @@
   return set->count;
 }
 
-const bill_t *
+const ledger_bill_t *
 billset_items (const billset_t *set)
 {
   return set->items;
@@ -105,7 +106,7 @@
 
   for (size_t i = 0; i < set->count; i++)
     {
-      const bill_t *bill = &set->items[i];
+      const ledger_bill_t *bill = &set->items[i];
       json_t *json = json_object ();
       json_put_str (json, "id", bill->request_id);
       json_put_str (json, "team", bill->team);
@@ -115,7 +116,7 @@
                            json_integer ((json_int_t)bill->tokens));
       json_object_set_new (json, "cost", json_real (bill->cost));
       json_object_set_new (json, "at_ms",
-                           json_integer ((json_int_t)bill->at_ms));
+                           json_integer ((json_int_t)bill->created_at_ms));
       json_array_append_new (list, json);
     }
   json_write (list, out);
@@ -140,14 +141,14 @@
     buf_t team = BUF_NULL;
     buf_t model = BUF_NULL;
     buf_t version = BUF_NULL;
-    const bill_t bill
+    const ledger_bill_t bill
         = { .request_id = json_get_str (json, "id", &id),
             .team = json_get_str (json, "team", &team),
             .model = json_get_str (json, "model", &model),
             .version = json_get_str (json, "version", &version),
             .tokens = json_get_u64 (json, "tokens"),
             .cost = json_number_value (json_object_get (json, "cost")),
-            .at_ms = json_get_u64 (json, "at_ms") };
+            .created_at_ms = json_get_u64 (json, "at_ms") };
     billset_add (set, &bill);
     buf_free (&id);
     buf_free (&team);
--- a/packages/entry/leader.c
+++ b/packages/entry/leader.c
@@ -75,7 +75,7 @@
                          rng_u64 (&entry->rng) };
   leader->store = store_create (&leader->env);
   const lease_options_t options
-      = { .term_ms = LEASE_TERM_MS, .changed = on_lease, .owner = leader };
+      = { .term_ms = LEASE_TERM_MS, .on_change = on_lease, .owner = leader };
   snprintf (holder, sizeof holder, "%016llx",
             (unsigned long long)rpc_node_epoch (entry->node));
   leader->lease = lease_create (&leader->env, STR ("learn"), str_from (holder),
