--- a/packages/conf/arena.c
+++ b/packages/conf/arena.c
@@ -5,8 +5,8 @@
 
 enum
 {
-  ARENA_CHUNK = 4096 - 64,
-  ARENA_CHUNK_MAX = 256 * 1024
+  ARENA_CHUNK_BYTES_MIN = 4096 - 64,
+  ARENA_CHUNK_BYTES_MAX = 256 * 1024
 };
 
 struct arena_chunk
@@ -19,23 +19,24 @@
 arena_alloc (arena_t *arena, size_t size)
 {
   size_t align = _Alignof(max_align_t);
-  size_t need = (size + align - 1) / align * align;
+  size_t aligned_size = (size + align - 1) / align * align;
 
-  if (need > arena->size - arena->used)
+  if (aligned_size > arena->chunk_size - arena->chunk_used)
     {
-      size_t next = arena->size == 0 ? ARENA_CHUNK : arena->size * 2;
-      if (next > ARENA_CHUNK_MAX)
-        next = ARENA_CHUNK_MAX;
-      if (next < need)
-        next = need;
-      arena_chunk_t *chunk = mem_zalloc (sizeof *chunk + next);
+      size_t chunk_size = arena->chunk_size == 0 ? ARENA_CHUNK_BYTES_MIN
+                                                 : arena->chunk_size * 2;
+      if (chunk_size > ARENA_CHUNK_BYTES_MAX)
+        chunk_size = ARENA_CHUNK_BYTES_MAX;
+      if (chunk_size < aligned_size)
+        chunk_size = aligned_size;
+      arena_chunk_t *chunk = mem_zalloc (sizeof *chunk + chunk_size);
       chunk->next = arena->chunks;
       arena->chunks = chunk;
-      arena->used = 0;
-      arena->size = next;
+      arena->chunk_used = 0;
+      arena->chunk_size = chunk_size;
     }
-  void *ptr = arena->chunks->bytes + arena->used;
-  arena->used += need;
+  void *ptr = arena->chunks->bytes + arena->chunk_used;
+  arena->chunk_used += aligned_size;
   return ptr;
 }
 
--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -3,10 +3,11 @@
 
 #include <stdlib.h>
 
-/* Write a hint for NAME, which NAMES does not hold, and return it.  */
+/* Return a hint for an error about NAME, which NAMES does not contain: the
+   closest name, written to HINT, or FALLBACK.  */
 static const char *
-names_hint (const names_t *names, str_t name, const char *fallback,
-            buf_t *hint)
+name_table_hint (const name_table_t *names, str_t name, const char *fallback,
+                 buf_t *hint)
 {
   nearest_t nearest = nearest_make (name);
 
@@ -15,11 +16,11 @@
   return nearest_hint (&nearest, fallback, hint);
 }
 
-/* Give each version its model and each model its versions.  */
+/* Set the model of each version and the list of versions of each model.  */
 static void
-compiler_link_versions (compiler_t *compiler)
+builder_link_versions (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
   buf_t hint = BUF_NULL;
   str_t rest;
 
@@ -27,13 +28,14 @@
     {
       version_item_t *version = snapshot->versions.items[i];
       str_t name = str_cut (version->pub.name, '@', &rest);
-      model_item_t *model = names_get (&snapshot->models, name);
+      model_item_t *model = name_table_find (&snapshot->models, name);
       version->pub.model = model != NULL ? &model->pub : NULL;
       if (model == NULL)
         {
-          conf_errors_add (compiler->errors, version->line,
-                           names_hint (&snapshot->models, name,
-                                       "add a [model] of this name", &hint),
+          conf_errors_add (builder->errors, version->line,
+                           name_table_hint (&snapshot->models, name,
+                                            "add a [model] of this name",
+                                            &hint),
                            "version of unknown model `%.*s'", STR_ARG (name));
           continue;
         }
@@ -45,16 +47,16 @@
     {
       model_item_t *model = snapshot->models.items[i];
       model->pub.versions
-          = arena_alloc (&snapshot->keep, (model->pub.version_count + 1)
-                                              * sizeof (version_t *));
+          = arena_alloc (&snapshot->arena, (model->pub.version_count + 1)
+                                               * sizeof (version_t *));
     }
   for (size_t i = 0; i < snapshot->versions.count; i++)
     {
       version_item_t *version = snapshot->versions.items[i];
-      /* The item behind the public model, whose first member it is.  */
+      /* The public model is the first member of its item.  */
       model_item_t *model = (model_item_t *)version->pub.model;
       if (model != NULL)
-        ((const version_t **)model->pub.versions)[model->filled++]
+        ((const version_t **)model->pub.versions)[model->versions_filled++]
             = &version->pub;
     }
   buf_free (&hint);
@@ -66,10 +68,10 @@
   row[bit / WORD_BITS] |= (uint64_t)1 << (bit % WORD_BITS);
 }
 
-/* Set the bits of what GLOB, an item of PLAN's allow, matches.  Return
-   whether it matches anything.  */
+/* Allow PLAN all versions or services that match GLOB, a pattern of its key
+   `allow'.  Return whether there is any.  */
 static bool
-compiler_allow (snapshot_t *snapshot, const plan_t *plan, str_t glob)
+builder_allow_matches (snapshot_t *snapshot, const plan_t *plan, str_t glob)
 {
   static const str_t prefix = { "service:", 8 };
   bool found = false;
@@ -83,8 +85,8 @@
           if (!str_glob (glob, service->pub.name))
             continue;
           found = true;
-          bit_set (snapshot->allows_service
-                       + plan->index * snapshot->allows_service_row,
+          bit_set (snapshot->service_bits
+                       + plan->index * snapshot->service_row_words,
                    i);
         }
       return found;
@@ -96,54 +98,61 @@
         continue;
       found = true;
       if (version->pub.state != VERSION_WITHDRAWN)
-        bit_set (snapshot->allows + plan->index * snapshot->allows_row, i);
+        bit_set (snapshot->version_bits
+                     + plan->index * snapshot->version_row_words,
+                 i);
     }
   return found;
 }
 
-/* Write a hint for GLOB, which allows nothing, and return it.  */
+/* Return a hint, written to HINT or constant, for an error about the pattern
+   GLOB, which matches nothing.  */
 static const char *
-compiler_allow_hint (snapshot_t *snapshot, str_t glob, buf_t *hint)
+builder_allow_hint (snapshot_t *snapshot, str_t glob, buf_t *hint)
 {
   str_t version;
   str_t model = str_cut (glob, '@', &version);
 
   if (str_starts (glob, STR ("service:")))
-    return names_hint (&snapshot->services,
-                       str_make (glob.ptr + 8, glob.len - 8),
-                       "add a [service] of this name", hint);
-  if (version.ptr == NULL && names_get (&snapshot->models, model) != NULL)
+    return name_table_hint (&snapshot->services,
+                            str_make (glob.ptr + 8, glob.len - 8),
+                            "add a [service] of this name", hint);
+  if (version.ptr == NULL
+      && name_table_find (&snapshot->models, model) != NULL)
     {
       buf_printf (hint, "write `%.*s@*'", STR_ARG (model));
       return hint->ptr;
     }
-  if (version.ptr == NULL && names_get (&snapshot->services, model) != NULL)
+  if (version.ptr == NULL
+      && name_table_find (&snapshot->services, model) != NULL)
     {
       buf_printf (hint, "write `service:%.*s'", STR_ARG (model));
       return hint->ptr;
     }
-  if (names_get (&snapshot->models, model) == NULL)
-    return names_hint (&snapshot->models, model, "add a [model] of this name",
-                       hint);
-  return names_hint (&snapshot->versions, glob, "add a [version] of this name",
-                     hint);
+  if (name_table_find (&snapshot->models, model) == NULL)
+    return name_table_hint (&snapshot->models, model,
+                            "add a [model] of this name", hint);
+  return name_table_hint (&snapshot->versions, glob,
+                          "add a [version] of this name", hint);
 }
 
+/* Compute the permission bits of all plans.  */
 static void
-compiler_link_plans (compiler_t *compiler)
+builder_resolve_plans (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
   size_t plans = snapshot->plans.count;
 
-  snapshot->allows_row
+  snapshot->version_row_words
       = (snapshot->versions.count + WORD_BITS - 1) / WORD_BITS;
-  snapshot->allows_service_row
+  snapshot->service_row_words
       = (snapshot->services.count + WORD_BITS - 1) / WORD_BITS;
-  snapshot->allows = arena_alloc (
-      &snapshot->keep, plans * snapshot->allows_row * sizeof (uint64_t) + 1);
-  snapshot->allows_service = arena_alloc (
-      &snapshot->keep,
-      plans * snapshot->allows_service_row * sizeof (uint64_t) + 1);
+  snapshot->version_bits = arena_alloc (
+      &snapshot->arena,
+      plans * snapshot->version_row_words * sizeof (uint64_t) + 1);
+  snapshot->service_bits = arena_alloc (
+      &snapshot->arena,
+      plans * snapshot->service_row_words * sizeof (uint64_t) + 1);
   for (size_t i = 0; i < plans; i++)
     {
       const plan_item_t *plan = snapshot->plans.items[i];
@@ -151,39 +160,40 @@
         {
           str_t glob = plan->allow.items[k];
           buf_t hint = BUF_NULL;
-          if (!compiler_allow (snapshot, &plan->pub, glob))
-            conf_errors_add (compiler->errors, plan->allow.line,
-                             compiler_allow_hint (snapshot, glob, &hint),
-                             "plan `%.*s' allows `%.*s', which is no version "
-                             "or service",
-                             STR_ARG (plan->pub.name), STR_ARG (glob));
+          if (!builder_allow_matches (snapshot, &plan->pub, glob))
+            conf_errors_add (
+                builder->errors, plan->allow.line,
+                builder_allow_hint (snapshot, glob, &hint),
+                "plan `%.*s' allows `%.*s', which matches no version "
+                "or service",
+                STR_ARG (plan->pub.name), STR_ARG (glob));
           buf_free (&hint);
         }
     }
 }
 
-/* Enter the keys of TEAM.  */
+/* Add the keys of TEAM to the key table.  */
 static void
-compiler_add_keys (compiler_t *compiler, const team_item_t *team)
+builder_add_team_keys (snapshot_builder_t *builder, const team_item_t *team)
 {
   for (size_t i = 0; i < team->keys.count; i++)
     {
       uint8_t digest[DIGEST_BYTES];
       if (!str_unhex (team->keys.items[i], digest, sizeof digest))
         {
-          conf_errors_add (compiler->errors, team->keys.line,
+          conf_errors_add (builder->errors, team->keys.line,
                            "64 hexadecimal digits, as by `printf %s KEY | "
                            "sha256sum'",
                            "`key-sha256' cannot be `%.*s'",
                            STR_ARG (team->keys.items[i]));
           continue;
         }
-      key_slot_t *slot = snapshot_key_slot (compiler->snapshot, digest);
+      key_slot_t *slot = snapshot_find_key_slot (builder->snapshot, digest);
       if (slot->team != NULL)
         {
-          conf_errors_add (compiler->errors, team->keys.line,
+          conf_errors_add (builder->errors, team->keys.line,
                            "give each team keys of its own",
-                           "team `%.*s' has a key that team `%.*s' has",
+                           "team `%.*s' has the same key as team `%.*s'",
                            STR_ARG (team->pub.name),
                            STR_ARG (slot->team->name));
           continue;
@@ -193,69 +203,73 @@
     }
 }
 
+/* Set the plan of each team and build the key table.  */
 static void
-compiler_link_teams (compiler_t *compiler)
+builder_resolve_teams (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
   buf_t hint = BUF_NULL;
-  size_t keys = 0;
-  size_t slots = 8;
+  size_t key_count = 0;
+  size_t slot_count = 8;
 
   for (size_t i = 0; i < snapshot->teams.count; i++)
-    keys += ((team_item_t *)snapshot->teams.items[i])->keys.count;
-  /* At most half full, so that a probe meets few neighbours.  */
-  while (slots < keys * 2)
-    slots *= 2;
-  snapshot->key_mask = slots - 1;
-  snapshot->keys = mem_zalloc (slots * sizeof *snapshot->keys);
+    key_count += ((team_item_t *)snapshot->teams.items[i])->keys.count;
+  /* A load factor of at most 1/2 keeps the probe sequences short.  */
+  while (slot_count < key_count * 2)
+    slot_count *= 2;
+  snapshot->key_mask = slot_count - 1;
+  snapshot->keys = mem_zalloc (slot_count * sizeof *snapshot->keys);
   for (size_t i = 0; i < snapshot->teams.count; i++)
     {
       team_item_t *team = snapshot->teams.items[i];
       if (team->plan.text.len > 0)
         {
           const plan_item_t *plan
-              = names_get (&snapshot->plans, team->plan.text);
+              = name_table_find (&snapshot->plans, team->plan.text);
           if (plan == NULL)
-            conf_errors_add (compiler->errors, team->plan.line,
-                             names_hint (&snapshot->plans, team->plan.text,
-                                         "add a [plan] of this name", &hint),
-                             "team `%.*s' has the unknown plan `%.*s'",
-                             STR_ARG (team->pub.name),
-                             STR_ARG (team->plan.text));
+            conf_errors_add (
+                builder->errors, team->plan.line,
+                name_table_hint (&snapshot->plans, team->plan.text,
+                                 "add a [plan] of this name", &hint),
+                "team `%.*s' has the unknown plan `%.*s'",
+                STR_ARG (team->pub.name), STR_ARG (team->plan.text));
           else
             team->pub.plan = &plan->pub;
         }
-      compiler_add_keys (compiler, team);
+      builder_add_team_keys (builder, team);
     }
   buf_free (&hint);
 }
 
 static void
-compiler_link_rollouts (compiler_t *compiler)
+builder_resolve_rollouts (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
   buf_t hint = BUF_NULL;
 
   for (size_t i = 0; i < snapshot->rollouts.count; i++)
     {
       rollout_item_t *rollout = snapshot->rollouts.items[i];
-      rollout->pub.version = names_get (&snapshot->versions, rollout->name);
-      rollout->pub.over = names_get (&snapshot->versions, rollout->over.text);
+      rollout->pub.version
+          = name_table_find (&snapshot->versions, rollout->name);
+      rollout->pub.over
+          = name_table_find (&snapshot->versions, rollout->over.text);
       if (rollout->pub.version == NULL)
-        conf_errors_add (compiler->errors, rollout->line,
-                         names_hint (&snapshot->versions, rollout->name,
-                                     "add a [version] of this name", &hint),
-                         "roll-out of the unknown version `%.*s'",
-                         STR_ARG (rollout->name));
+        conf_errors_add (
+            builder->errors, rollout->line,
+            name_table_hint (&snapshot->versions, rollout->name,
+                             "add a [version] of this name", &hint),
+            "roll-out of the unknown version `%.*s'", STR_ARG (rollout->name));
       if (rollout->over.text.len > 0 && rollout->pub.over == NULL)
-        conf_errors_add (compiler->errors, rollout->over.line,
-                         names_hint (&snapshot->versions, rollout->over.text,
-                                     "add a [version] of this name", &hint),
-                         "roll-out over the unknown version `%.*s'",
-                         STR_ARG (rollout->over.text));
+        conf_errors_add (
+            builder->errors, rollout->over.line,
+            name_table_hint (&snapshot->versions, rollout->over.text,
+                             "add a [version] of this name", &hint),
+            "roll-out over the unknown version `%.*s'",
+            STR_ARG (rollout->over.text));
       if (rollout->pub.version != NULL
           && rollout->pub.version == rollout->pub.over)
-        conf_errors_add (compiler->errors, rollout->over.line,
+        conf_errors_add (builder->errors, rollout->over.line,
                          "name the version in service now",
                          "a version cannot be rolled out over itself");
     }
@@ -263,9 +277,9 @@
 }
 
 static void
-compiler_link_objectives (compiler_t *compiler)
+builder_resolve_objectives (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
   buf_t hint = BUF_NULL;
 
   for (size_t i = 0; i < snapshot->objectives.count; i++)
@@ -274,11 +288,12 @@
       if (objective->team.text.len == 0)
         continue;
       const team_item_t *team
-          = names_get (&snapshot->teams, objective->team.text);
+          = name_table_find (&snapshot->teams, objective->team.text);
       if (team == NULL)
-        conf_errors_add (compiler->errors, objective->team.line,
-                         names_hint (&snapshot->teams, objective->team.text,
-                                     "add a [team] of this name", &hint),
+        conf_errors_add (builder->errors, objective->team.line,
+                         name_table_hint (&snapshot->teams,
+                                          objective->team.text,
+                                          "add a [team] of this name", &hint),
                          "objective of the unknown team `%.*s'",
                          STR_ARG (objective->team.text));
       else
@@ -288,21 +303,21 @@
 }
 
 static void
-compiler_link_instances (compiler_t *compiler)
+builder_add_disabled_instances (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
 
-  for (size_t i = 0; i < compiler->instances_count; i++)
-    if (!compiler->instances[i]->in)
-      map_put (snapshot->instances_out, compiler->instances[i]->name,
+  for (size_t i = 0; i < builder->instance_count; i++)
+    if (!builder->instances[i]->is_enabled)
+      map_put (snapshot->disabled_instances, builder->instances[i]->name,
                snapshot);
 }
 
-/* Forget what lives in the scratch arena.  */
+/* Release the scratch arena and clear all pointers into it.  */
 static void
-compiler_drop_scratch (compiler_t *compiler)
+builder_clear_scratch_pointers (snapshot_builder_t *builder)
 {
-  snapshot_t *snapshot = compiler->snapshot;
+  snapshot_t *snapshot = builder->snapshot;
 
   for (size_t i = 0; i < snapshot->teams.count; i++)
     {
@@ -319,8 +334,8 @@
   for (size_t i = 0; i < snapshot->objectives.count; i++)
     ((objective_item_t *)snapshot->objectives.items[i])->team
         = (value_ref_t){ STR_NULL, 0 };
-  free (compiler->instances);
-  arena_free (&compiler->scratch);
+  free (builder->instances);
+  arena_free (&builder->scratch);
 }
 
 vh_code_t
@@ -328,29 +343,29 @@
                 conf_errors_t *errors)
 {
   snapshot_t *snapshot = mem_zalloc (sizeof *snapshot);
-  compiler_t compiler = { .snapshot = snapshot, .errors = errors };
+  snapshot_builder_t builder = { .snapshot = snapshot, .errors = errors };
   size_t before = errors->count;
 
   *out = NULL;
-  snapshot->references = 1;
+  snapshot->reference_count = 1;
   snapshot->revision = revision;
-  snapshot->instances_out = map_create ();
-  schema_run (&lists_schema, text, &compiler, &snapshot->keep,
-              &compiler.scratch, errors);
-  compiler_link_versions (&compiler);
-  compiler_link_plans (&compiler);
-  compiler_link_teams (&compiler);
-  compiler_link_rollouts (&compiler);
-  compiler_link_objectives (&compiler);
-  compiler_link_instances (&compiler);
-  compiler_drop_scratch (&compiler);
+  snapshot->disabled_instances = map_create ();
+  schema_parse (&snapshot_schema, text, &builder, &snapshot->arena,
+                &builder.scratch, errors);
+  builder_link_versions (&builder);
+  builder_resolve_plans (&builder);
+  builder_resolve_teams (&builder);
+  builder_resolve_rollouts (&builder);
+  builder_resolve_objectives (&builder);
+  builder_add_disabled_instances (&builder);
+  builder_clear_scratch_pointers (&builder);
   schema_sort_errors (errors);
   if (errors->count > before)
     {
       snapshot_unref (snapshot);
       return VH_E_BAD_CONFIG;
     }
-  snapshot->text = arena_str (&snapshot->keep, text);
+  snapshot->text = arena_str (&snapshot->arena, text);
   *out = snapshot;
   return VH_OK;
 }
--- a/packages/conf/delta.c
+++ b/packages/conf/delta.c
@@ -5,23 +5,25 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* The delta is text, so that `vanillahook history' can show it as it is:
+/* A delta is text, so that `vanillahook history' can print it without
+   conversion:
 
      delta 1 OLD-HASH NEW-HASH NEW-BYTES
-     =N          the next N lines stay
-     -LINE       this line goes
-     +LINE       this line comes
+     =N          the next N lines are unchanged
+     -LINE       this line is removed
+     +LINE       this line is added
 
-   A text is taken as lines with newlines between them, so that an ending
-   without a newline is kept too.  The hashes refuse a delta that was made
-   for another text.  */
+   Newlines separate lines and do not terminate them, so that a last line
+   without a newline is reproduced.  The hashes of both texts detect a delta
+   that was made for another text.  */
 
 enum
 {
-  /* Past this many edits the middle is replaced whole: the trace of the
-     shortest path takes memory by the square, 4 MiB here.  */
+  /* If more edits than this are needed, all lines from the first to the last
+     difference are replaced.  The trace of the shortest path needs memory
+     proportional to the square of the number of edits, 4 MiB for 1000.  */
   EDITS_MAX = 1000,
-  DELTA_SEED = 0
+  DELTA_HASH_SEED = 0
 };
 
 typedef struct
@@ -31,7 +33,7 @@
   size_t count;
 } lines_t;
 
-/* Split TEXT; it borrows its bytes.  */
+/* Split TEXT into lines, which point into TEXT.  */
 static lines_t
 lines_make (str_t text)
 {
@@ -46,7 +48,7 @@
   for (size_t i = 0; i < lines.count; i++)
     {
       lines.items[i] = str_cut (rest, '\n', &rest);
-      lines.hashes[i] = str_hash (lines.items[i], DELTA_SEED);
+      lines.hashes[i] = str_hash (lines.items[i], DELTA_HASH_SEED);
     }
   return lines;
 }
@@ -59,39 +61,42 @@
 }
 
 static bool
-lines_same (const lines_t *a, size_t i, const lines_t *b, size_t j)
+lines_equal (const lines_t *a, size_t i, const lines_t *b, size_t j)
 {
   return a->hashes[i] == b->hashes[j] && str_eq (a->items[i], b->items[j]);
 }
 
-/* What happens to each line: old lines that stay, new lines that come.  */
+/* An edit script: the old lines that are kept and the new lines that are
+   added.  */
 typedef struct
 {
   const lines_t *old_lines;
   const lines_t *new_lines;
-  bool *kept; /* For each old line.  */
-  bool *come; /* For each new line.  */
-} script_t;
+  bool *is_kept;  /* One entry for each old line.  */
+  bool *is_added; /* One entry for each new line.  */
+} edit_script_t;
 
-/* Mark the shortest edit of old lines [A, A_END) into new ones [B, B_END)
-   in SCRIPT (E. Myers, An O(ND) difference algorithm, 1986).  Return false
-   with nothing marked when it takes more than EDITS_MAX edits.  */
+/* Find the shortest edit script from old lines [A, A_END) to new lines
+   [B, B_END) and store it in SCRIPT (E. Myers, An O(ND) difference algorithm,
+   1986).  Return false with SCRIPT unchanged if the script has more than
+   EDITS_MAX edits.  */
 static bool
-script_shortest (script_t *script, size_t a, size_t a_end, size_t b,
-                 size_t b_end)
+edit_script_find_shortest (edit_script_t *script, size_t a, size_t a_end,
+                           size_t b, size_t b_end)
 {
   const int n = (int)(a_end - a);
   const int m = (int)(b_end - b);
-  int bound = n + m < EDITS_MAX ? n + m : EDITS_MAX;
-  /* Furthest x on each diagonal, and a copy of it before each edit.  */
-  int *furthest = mem_zalloc (((size_t)bound * 2 + 3) * sizeof (int));
-  int **trace = mem_zalloc (((size_t)bound + 1) * sizeof (int *));
-  int *v = furthest + bound + 1;
-  int found = -1;
+  int edits_max = n + m < EDITS_MAX ? n + m : EDITS_MAX;
+  /* The furthest x reached on each diagonal; TRACE has a copy for each number
+     of edits.  */
+  int *furthest = mem_zalloc (((size_t)edits_max * 2 + 3) * sizeof (int));
+  int **trace = mem_zalloc (((size_t)edits_max + 1) * sizeof (int *));
+  int *v = furthest + edits_max + 1;
+  int edit_count = -1;
   int x = 0;
   int y = 0;
 
-  for (int d = 0; d <= bound && found < 0; d++)
+  for (int d = 0; d <= edits_max && edit_count < 0; d++)
     {
       trace[d] = mem_alloc (((size_t)d * 2 + 1) * sizeof (int));
       for (int k = -d; k <= d; k += 2)
@@ -102,8 +107,8 @@
             x = 0;
           y = x - k;
           while (x < n && y < m
-                 && lines_same (script->old_lines, a + (size_t)x,
-                                script->new_lines, b + (size_t)y))
+                 && lines_equal (script->old_lines, a + (size_t)x,
+                                 script->new_lines, b + (size_t)y))
             {
               x++;
               y++;
@@ -111,16 +116,16 @@
           v[k] = x;
           if (x >= n && y >= m)
             {
-              found = d;
+              edit_count = d;
               break;
             }
         }
       memcpy (trace[d], v - d, ((size_t)d * 2 + 1) * sizeof (int));
     }
-  /* Walk back from the end; every diagonal step is a line that stays.  */
+  /* Follow the path from its end; each diagonal step is a kept line.  */
   x = n;
   y = m;
-  for (int d = found; d >= 0; d--)
+  for (int d = edit_count; d >= 0; d--)
     {
       int k = x - y;
       int start_x = 0;
@@ -128,16 +133,16 @@
       bool down = false;
       if (d > 0)
         {
-          const int *before = trace[d - 1] + (d - 1);
-          down = k == -d || (k != d && before[k - 1] < before[k + 1]);
+          const int *previous = trace[d - 1] + (d - 1);
+          down = k == -d || (k != d && previous[k - 1] < previous[k + 1]);
           int from = down ? k + 1 : k - 1;
-          start_x = down ? before[from] : before[from] + 1;
+          start_x = down ? previous[from] : previous[from] + 1;
           start_y = start_x - k;
         }
       for (; x > start_x; x--, y--)
         {
-          script->kept[a + (size_t)x - 1] = true;
-          script->come[b + (size_t)y - 1] = false;
+          script->is_kept[a + (size_t)x - 1] = true;
+          script->is_added[b + (size_t)y - 1] = false;
         }
       y = start_y;
       if (d > 0)
@@ -146,42 +151,42 @@
           y -= down;
         }
     }
-  for (int d = 0; d <= bound; d++)
+  for (int d = 0; d <= edits_max; d++)
     free (trace[d]);
   free (trace);
   free (furthest);
-  return found >= 0;
+  return edit_count >= 0;
 }
 
-/* Append the edits of SCRIPT to OUT.  */
+/* Append SCRIPT to OUT in the format of a delta, without the header.  */
 static void
-script_write (const script_t *script, buf_t *out)
+edit_script_write (const edit_script_t *script, buf_t *out)
 {
   size_t i = 0;
   size_t j = 0;
-  size_t same = 0;
+  size_t unchanged_count = 0;
 
   while (i < script->old_lines->count || j < script->new_lines->count)
     {
-      bool goes = i < script->old_lines->count && !script->kept[i];
-      bool comes = j < script->new_lines->count && script->come[j];
-      if (!goes && !comes)
+      bool is_removed = i < script->old_lines->count && !script->is_kept[i];
+      bool is_inserted = j < script->new_lines->count && script->is_added[j];
+      if (!is_removed && !is_inserted)
         {
-          same++;
+          unchanged_count++;
           i++;
           j++;
           continue;
         }
-      if (same > 0)
-        buf_printf (out, "=%zu\n", same);
-      same = 0;
-      buf_append_char (out, goes ? '-' : '+');
-      buf_append_str (out, goes ? script->old_lines->items[i++]
-                                : script->new_lines->items[j++]);
+      if (unchanged_count > 0)
+        buf_printf (out, "=%zu\n", unchanged_count);
+      unchanged_count = 0;
+      buf_append_char (out, is_removed ? '-' : '+');
+      buf_append_str (out, is_removed ? script->old_lines->items[i++]
+                                      : script->new_lines->items[j++]);
       buf_append_char (out, '\n');
     }
-  if (same > 0)
-    buf_printf (out, "=%zu\n", same);
+  if (unchanged_count > 0)
+    buf_printf (out, "=%zu\n", unchanged_count);
 }
 
 void
@@ -189,49 +194,50 @@
 {
   lines_t old_lines = lines_make (old_text);
   lines_t new_lines = lines_make (new_text);
-  script_t script = { &old_lines, &new_lines, NULL, NULL };
+  edit_script_t script = { &old_lines, &new_lines, NULL, NULL };
   size_t a = 0;
   size_t a_end = old_lines.count;
   size_t b_end = new_lines.count;
 
-  script.kept = mem_zalloc (old_lines.count);
-  script.come = mem_alloc (new_lines.count);
-  memset (script.come, true, new_lines.count);
-  while (a < a_end && a < b_end && lines_same (&old_lines, a, &new_lines, a))
+  script.is_kept = mem_zalloc (old_lines.count);
+  script.is_added = mem_alloc (new_lines.count);
+  memset (script.is_added, true, new_lines.count);
+  while (a < a_end && a < b_end && lines_equal (&old_lines, a, &new_lines, a))
     a++;
   while (a_end > a && b_end > a
-         && lines_same (&old_lines, a_end - 1, &new_lines, b_end - 1))
+         && lines_equal (&old_lines, a_end - 1, &new_lines, b_end - 1))
     {
       a_end--;
       b_end--;
     }
-  memset (script.kept, true, a);
-  memset (script.come, false, a);
-  memset (script.kept + a_end, true, old_lines.count - a_end);
-  memset (script.come + b_end, false, new_lines.count - b_end);
-  script_shortest (&script, a, a_end, a, b_end);
+  memset (script.is_kept, true, a);
+  memset (script.is_added, false, a);
+  memset (script.is_kept + a_end, true, old_lines.count - a_end);
+  memset (script.is_added + b_end, false, new_lines.count - b_end);
+  edit_script_find_shortest (&script, a, a_end, a, b_end);
   buf_printf (out, "delta 1 %016llx %016llx %zu\n",
-              (unsigned long long)str_hash (old_text, DELTA_SEED),
-              (unsigned long long)str_hash (new_text, DELTA_SEED),
+              (unsigned long long)str_hash (old_text, DELTA_HASH_SEED),
+              (unsigned long long)str_hash (new_text, DELTA_HASH_SEED),
               new_text.len);
-  script_write (&script, out);
-  free (script.kept);
-  free (script.come);
+  edit_script_write (&script, out);
+  free (script.is_kept);
+  free (script.is_added);
   lines_free (&old_lines);
   lines_free (&new_lines);
 }
 
-/* The head line of a delta.  */
+/* The first line of a delta.  */
 typedef struct
 {
   uint64_t old_hash;
   uint64_t new_hash;
   uint64_t new_len;
-} delta_head_t;
+} delta_header_t;
 
-/* Parse S, exactly 16 lower-case hexadecimal digits.  */
+/* Parse S into *HASH.  Return false unless S has exactly 16 lower-case
+   hexadecimal digits.  */
 static bool
-delta_hash (str_t s, uint64_t *hash)
+delta_parse_hash (str_t s, uint64_t *hash)
 {
   uint8_t bytes[8];
 
@@ -244,7 +250,7 @@
 }
 
 static bool
-delta_parse_head (str_t line, delta_head_t *head)
+delta_parse_header (str_t line, delta_header_t *header)
 {
   str_t rest;
 
@@ -253,43 +259,44 @@
   if (rest.ptr == NULL || !str_eq (str_cut (rest, ' ', &rest), STR ("1")))
     return false;
   if (rest.ptr == NULL
-      || !delta_hash (str_cut (rest, ' ', &rest), &head->old_hash))
+      || !delta_parse_hash (str_cut (rest, ' ', &rest), &header->old_hash))
     return false;
   if (rest.ptr == NULL
-      || !delta_hash (str_cut (rest, ' ', &rest), &head->new_hash))
+      || !delta_parse_hash (str_cut (rest, ' ', &rest), &header->new_hash))
     return false;
-  return rest.ptr != NULL && str_to_u64 (rest, &head->new_len)
-         && head->new_len <= READER_TEXT_MAX;
+  return rest.ptr != NULL && str_to_u64 (rest, &header->new_len)
+         && header->new_len <= CONF_TEXT_BYTES_MAX;
 }
 
-/* A text in the making: lines with newlines between them.  */
+/* Appends lines to OUT with newlines between them.  */
 typedef struct
 {
   buf_t *out;
-  size_t start; /* Where it starts in OUT.  */
-  size_t bound; /* Bytes it may have.  */
-  bool any;
-} joiner_t;
+  size_t text_start; /* Offset in OUT of the first line.  */
+  size_t bytes_max;  /* Largest total size of the lines and newlines.  */
+  bool has_lines;
+} line_joiner_t;
 
-/* Add LINE; return false when the text would be longer than it says.  */
+/* Append LINE.  Return false if the text would exceed its largest size.  */
 static bool
-joiner_add (joiner_t *joiner, str_t line)
+line_joiner_add (line_joiner_t *joiner, str_t line)
 {
-  size_t have = joiner->out->len - joiner->start;
+  size_t text_len = joiner->out->len - joiner->text_start;
 
-  if (line.len + joiner->any > joiner->bound - have)
+  if (line.len + joiner->has_lines > joiner->bytes_max - text_len)
     return false;
-  if (joiner->any)
+  if (joiner->has_lines)
     buf_append_char (joiner->out, '\n');
   buf_append_str (joiner->out, line);
-  joiner->any = true;
+  joiner->has_lines = true;
   return true;
 }
 
-/* Do one line of a delta: OP says what, with REST of the old text's lines
-   (ptr NULL past the last).  Return false when it does not fit.  */
+/* Apply OP, one line of a delta.  *REST is the old text that is not consumed
+   yet; its ptr is NULL after the last line.  Return false if OP is malformed
+   or does not match *REST.  */
 static bool
-delta_step (joiner_t *joiner, str_t op, str_t *rest)
+delta_apply_op (line_joiner_t *joiner, str_t op, str_t *rest)
 {
   str_t operand;
   uint64_t count;
@@ -304,14 +311,14 @@
         return false;
       for (; count > 0; count--)
         if (rest->ptr == NULL
-            || !joiner_add (joiner, str_cut (*rest, '\n', rest)))
+            || !line_joiner_add (joiner, str_cut (*rest, '\n', rest)))
           return false;
       return true;
     case '-':
       return rest->ptr != NULL
              && str_eq (str_cut (*rest, '\n', rest), operand);
     case '+':
-      return joiner_add (joiner, operand);
+      return line_joiner_add (joiner, operand);
     default:
       return false;
     }
@@ -321,28 +328,28 @@
 conf_delta_apply (str_t old_text, str_t delta, buf_t *out)
 {
   str_t rest = old_text.ptr != NULL ? old_text : STR ("");
-  joiner_t joiner = { out, out->len, 0, false };
-  delta_head_t head;
+  line_joiner_t joiner = { out, out->len, 0, false };
+  delta_header_t header;
   str_t ops;
   str_t text;
 
   if (delta.len == 0 || delta.ptr[delta.len - 1] != '\n')
     return VH_E_PROTOCOL;
   delta.len--;
-  if (!delta_parse_head (str_cut (delta, '\n', &ops), &head)
-      || head.old_hash != str_hash (old_text, DELTA_SEED))
+  if (!delta_parse_header (str_cut (delta, '\n', &ops), &header)
+      || header.old_hash != str_hash (old_text, DELTA_HASH_SEED))
     return VH_E_PROTOCOL;
-  joiner.bound = (size_t)head.new_len;
+  joiner.bytes_max = (size_t)header.new_len;
   while (ops.ptr != NULL)
-    if (!delta_step (&joiner, str_cut (ops, '\n', &ops), &rest))
-      goto refused;
-  text = str_make (out->ptr + joiner.start, out->len - joiner.start);
-  if (rest.ptr != NULL || text.len != head.new_len
-      || str_hash (text, DELTA_SEED) != head.new_hash)
-    goto refused;
+    if (!delta_apply_op (&joiner, str_cut (ops, '\n', &ops), &rest))
+      goto rejected;
+  text = str_make (out->ptr + joiner.text_start, out->len - joiner.text_start);
+  if (rest.ptr != NULL || text.len != header.new_len
+      || str_hash (text, DELTA_HASH_SEED) != header.new_hash)
+    goto rejected;
   return VH_OK;
 
-refused:
-  out->len = joiner.start;
+rejected:
+  out->len = joiner.text_start;
   return VH_E_PROTOCOL;
 }
--- a/packages/conf/edit.c
+++ b/packages/conf/edit.c
@@ -1,7 +1,7 @@
 #include "conf/reader.h"
 #include "conf/snapshot.h"
 
-/* Return the first line of *REST with its newline, and step past it.  */
+/* Remove the first line from *REST and return it with its newline.  */
 static str_t
 edit_next_line (str_t *rest)
 {
@@ -14,35 +14,35 @@
   return line;
 }
 
-/* Tell whether LINE is the header of SECTION.  */
+/* Return whether LINE is the header of SECTION.  */
 static bool
 edit_is_section (str_t line, str_t section)
 {
   str_t kind;
   str_t name;
   str_t wanted_name;
-  bool closed;
+  bool is_well_formed;
   str_t wanted_kind = str_cut (section, ' ', &wanted_name);
 
-  return reader_section (line, &kind, &name, &closed)
+  return reader_section (line, &kind, &name, &is_well_formed)
          && str_eq (kind, wanted_kind)
          && str_eq (name, str_trim (wanted_name));
 }
 
 static bool
-edit_any_section (str_t line)
+edit_is_any_section (str_t line)
 {
   str_t kind;
   str_t name;
-  bool closed;
+  bool is_well_formed;
 
-  return reader_section (line, &kind, &name, &closed);
+  return reader_section (line, &kind, &name, &is_well_formed);
 }
 
-/* Tell whether LINE gives KEY; *AT is then where its value starts and *END
-   where it ends, before blanks and a comment.  */
+/* Return whether LINE sets KEY.  If so, set *VALUE_START and *VALUE_END to the
+   range of the value, without trailing blanks and comment.  */
 static bool
-edit_is_key (str_t line, str_t key, size_t *at, size_t *end)
+edit_find_value (str_t line, str_t key, size_t *value_start, size_t *value_end)
 {
   size_t split = 0;
 
@@ -51,16 +51,21 @@
   if (split == line.len
       || !str_eq (str_trim (str_make (line.ptr, split)), key))
     return false;
-  *at = split + 1;
-  while (*at < line.len && (line.ptr[*at] == ' ' || line.ptr[*at] == '\t'))
-    ++*at;
-  *end = *at;
-  /* A comment starts with `;' after a blank, as inih has it.  */
-  while (*end < line.len
-         && !(line.ptr[*end] == ';' && *end > split + 1
-              && (line.ptr[*end - 1] == ' ' || line.ptr[*end - 1] == '\t')))
-    ++*end;
-  *end = *at + str_trim (str_make (line.ptr + *at, *end - *at)).len;
+  *value_start = split + 1;
+  while (*value_start < line.len
+         && (line.ptr[*value_start] == ' ' || line.ptr[*value_start] == '\t'))
+    ++*value_start;
+  *value_end = *value_start;
+  /* As in inih, a comment starts with `;' after a blank.  */
+  while (*value_end < line.len
+         && !(line.ptr[*value_end] == ';' && *value_end > split + 1
+              && (line.ptr[*value_end - 1] == ' '
+                  || line.ptr[*value_end - 1] == '\t')))
+    ++*value_end;
+  *value_end = *value_start
+               + str_trim (str_make (line.ptr + *value_start,
+                                     *value_end - *value_start))
+                     .len;
   return true;
 }
 
@@ -70,53 +75,54 @@
   buf_printf (out, "%.*s = %.*s\n", STR_ARG (key), STR_ARG (value));
 }
 
-/* End the last line of OUT when it is not ended.  */
+/* Append a newline to OUT if its last line has none.  */
 static void
-edit_end_line (buf_t *out)
+edit_terminate_line (buf_t *out)
 {
   if (out->len > 0 && out->ptr[out->len - 1] != '\n')
     buf_append_char (out, '\n');
 }
 
-/* Return the length of the part of BODY, a section's lines, that ends with
-   its last key: blank lines and comments after it belong to what follows.  */
+/* Return the length of BODY, the lines of a section, up to its last key.
+   Blank lines and comments after that key belong to the next section.  */
 static size_t
-edit_last_key (str_t body)
+edit_keys_len (str_t body)
 {
   str_t rest = body;
-  size_t end = 0;
+  size_t value_end = 0;
 
   while (rest.len > 0)
     {
       str_t line = str_trim (edit_next_line (&rest));
       if (line.len > 0 && line.ptr[0] != ';' && line.ptr[0] != '#')
-        end = body.len - rest.len;
+        value_end = body.len - rest.len;
     }
-  return end;
+  return value_end;
 }
 
-/* Copy BODY, the lines of the section after its header, with the edit.  */
+/* Copy BODY, the lines of the section after its header, to OUT with KEY set to
+   VALUE, or without KEY if VALUE is STR_NULL.  */
 static void
-edit_body (str_t body, str_t key, str_t value, buf_t *out)
+edit_section_body (str_t body, str_t key, str_t value, buf_t *out)
 {
-  size_t last = edit_last_key (body);
+  size_t keys_len = edit_keys_len (body);
   str_t rest = body;
   bool found = false;
-  size_t at;
-  size_t end;
+  size_t value_start;
+  size_t value_end;
 
   while (rest.len > 0)
     {
       size_t start = body.len - rest.len;
-      if (!found && value.ptr != NULL && start == last)
+      if (!found && value.ptr != NULL && start == keys_len)
         {
-          /* Not among the keys so far, and this is where they end.  */
-          edit_end_line (out);
+          /* After its last key, the section has no KEY: add it here.  */
+          edit_terminate_line (out);
           edit_write_key (out, key, value);
           found = true;
         }
       str_t line = edit_next_line (&rest);
-      if (found || !edit_is_key (line, key, &at, &end))
+      if (found || !edit_find_value (line, key, &value_start, &value_end))
         {
           buf_append_str (out, line);
           continue;
@@ -124,13 +130,13 @@
       found = true;
       if (value.ptr == NULL)
         continue;
-      buf_append (out, line.ptr, at);
+      buf_append (out, line.ptr, value_start);
       buf_append_str (out, value);
-      buf_append (out, line.ptr + end, line.len - end);
+      buf_append (out, line.ptr + value_end, line.len - value_end);
     }
   if (!found && value.ptr != NULL)
     {
-      edit_end_line (out);
+      edit_terminate_line (out);
       edit_write_key (out, key, value);
     }
 }
@@ -152,17 +158,17 @@
       size_t len = 0;
       while (rest.len > 0)
         {
-          str_t ahead = rest;
-          if (edit_any_section (edit_next_line (&ahead)))
+          str_t after_line = rest;
+          if (edit_is_any_section (edit_next_line (&after_line)))
             break;
-          rest = ahead;
+          rest = after_line;
           len = body.len - rest.len;
         }
-      edit_body (str_make (body.ptr, len), key, value, out);
+      edit_section_body (str_make (body.ptr, len), key, value, out);
     }
   if (found || value.ptr == NULL)
     return;
-  edit_end_line (out);
+  edit_terminate_line (out);
   if (text.len > 0)
     buf_append_char (out, '\n');
   buf_printf (out, "[%.*s]\n", STR_ARG (section));
--- a/packages/conf/errors.c
+++ b/packages/conf/errors.c
@@ -6,12 +6,12 @@
 
 enum
 {
-  /* A text that is not INI at all complains once a line; a reader needs no
-     more of it than this.  */
-  ERRORS_MAX = 200
+  /* A file that is not INI has an error in each line; 200 of them are enough
+     for its author.  */
+  CONF_ERRORS_MAX = 200
 };
 
-/* Append MESSAGE and HINT, both owned by ERRORS from here on.  */
+/* Append an error.  ERRORS takes ownership of MESSAGE and HINT.  */
 static void
 errors_push (conf_errors_t *errors, int line, char *message, char *hint)
 {
@@ -27,11 +27,12 @@
   buf_t message = BUF_NULL;
   va_list args;
 
-  if (errors->count == ERRORS_MAX)
+  if (errors->count == CONF_ERRORS_MAX)
     return;
-  if (errors->count == ERRORS_MAX - 1)
+  if (errors->count == CONF_ERRORS_MAX - 1)
     {
-      errors_push (errors, line, str_dup (STR ("more errors follow")), NULL);
+      errors_push (errors, line,
+                   str_dup (STR ("further errors are not shown")), NULL);
       return;
     }
   va_start (args, format);
--- a/packages/conf/file.c
+++ b/packages/conf/file.c
@@ -14,8 +14,9 @@
 
   if (file == NULL)
     return VH_E_IO;
-  /* One byte past the bound, so that the reader sees it is too large.  */
-  while (out->len <= READER_TEXT_MAX
+  /* Read at least one byte more than the maximum size, so that the parser
+     detects a file that is too large.  */
+  while (out->len <= CONF_TEXT_BYTES_MAX
          && (len = fread (bytes, 1, sizeof bytes, file)) > 0)
     buf_append (out, bytes, len);
   if (ferror (file))
--- a/packages/conf/lists.c
+++ b/packages/conf/lists.c
@@ -1,18 +1,18 @@
 #include "base/mem.h"
 #include "conf/snapshot_impl.h"
 
-static const char *const version_words[]
+static const char *const version_state_names[]
     = { "serving", "rolling-out", "withdrawn", NULL };
-static const char *const prefer_words[] = { "cost", "latency", NULL };
-static const char *const rollout_words[]
+static const char *const preference_names[] = { "cost", "latency", NULL };
+static const char *const rollout_state_names[]
     = { "running", "paused", "aborted", NULL };
-static const char *const out_in[] = { "out", "in", NULL };
-static const char *const no_yes[] = { "no", "yes", NULL };
+static const char *const out_in_names[] = { "out", "in", NULL };
+static const char *const no_yes_names[] = { "no", "yes", NULL };
 
 #define DAY_MS 86400000.0
 #define COST_MAX 1e9
 
-/* X (key, type, required, field, min, max, words), one line a key.  */
+/* X (key, type, is_required, field, min, max, value_names) for each key.  */
 #define TEAM_KEYS(X)                                                          \
   X ("plan", VALUE_REF, true, plan, 0, 0, NULL)                               \
   X ("key-sha256", VALUE_LIST, true, keys, 0, 0, NULL)                        \
@@ -21,7 +21,7 @@
 #define PLAN_KEYS(X)                                                          \
   X ("allow", VALUE_LIST, true, allow, 0, 0, NULL)                            \
   X ("quality-target", VALUE_DOUBLE, false, pub.quality_target, 0, 1, NULL)   \
-  X ("prefer", VALUE_WORD, false, pub.prefer, 0, 0, prefer_words)             \
+  X ("prefer", VALUE_ENUM, false, pub.prefer, 0, 0, preference_names)         \
   X ("deadline-ms", VALUE_U64, false, pub.deadline_ms, 1, DAY_MS, NULL)
 
 #define MODEL_KEYS(X)                                                         \
@@ -30,22 +30,23 @@
   X ("quality-prior", VALUE_DOUBLE, false, pub.quality_prior, 0, 1, NULL)
 
 #define VERSION_KEYS(X)                                                       \
-  X ("state", VALUE_WORD, false, pub.state, 0, 0, version_words)              \
+  X ("state", VALUE_ENUM, false, pub.state, 0, 0, version_state_names)        \
   X ("cost", VALUE_DOUBLE, false, pub.cost, 0, COST_MAX, NULL)
 
 #define SERVICE_KEYS(X)                                                       \
-  X ("idempotent", VALUE_FLAG, false, pub.idempotent, 0, 0, no_yes)           \
+  X ("idempotent", VALUE_BOOL, false, pub.idempotent, 0, 0, no_yes_names)     \
   X ("timeout-ms", VALUE_U64, false, pub.timeout_ms, 1, DAY_MS, NULL)
 
 #define ZONE_KEYS(X)                                                          \
-  X ("state", VALUE_FLAG, false, in, 0, 0, out_in)                            \
+  X ("state", VALUE_BOOL, false, is_enabled, 0, 0, out_in_names)              \
   X ("region", VALUE_NAME, false, region, 0, 0, NULL)
 
-#define INSTANCE_KEYS(X) X ("state", VALUE_FLAG, false, in, 0, 0, out_in)
+#define INSTANCE_KEYS(X)                                                      \
+  X ("state", VALUE_BOOL, false, is_enabled, 0, 0, out_in_names)
 
 #define ROLLOUT_KEYS(X)                                                       \
   X ("over", VALUE_REF, true, over, 0, 0, NULL)                               \
-  X ("state", VALUE_WORD, false, pub.state, 0, 0, rollout_words)              \
+  X ("state", VALUE_ENUM, false, pub.state, 0, 0, rollout_state_names)        \
   X ("share-max", VALUE_U32, false, pub.share_max, 1, 100, NULL)
 
 #define OBJECTIVE_KEYS(X)                                                     \
@@ -59,144 +60,146 @@
   X ("cost", VALUE_DOUBLE, false, pub.cost, 0, COST_MAX, NULL)
 
 static void *
-open_team (void *arg, str_t name, int line)
+begin_team (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  team_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  team_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.index = (uint32_t)snapshot->teams.count;
   item->pub.weight = 1;
-  names_add (&snapshot->teams, item);
+  name_table_add (&snapshot->teams, item);
   return item;
 }
 
 static void *
-open_plan (void *arg, str_t name, int line)
+begin_plan (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  plan_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  plan_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.index = (uint32_t)snapshot->plans.count;
-  names_add (&snapshot->plans, item);
+  name_table_add (&snapshot->plans, item);
   return item;
 }
 
 static void *
-open_model (void *arg, str_t name, int line)
+begin_model (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  model_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  model_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.index = (uint32_t)snapshot->models.count;
   item->pub.cost = 1;
-  /* Neither good nor bad until it is rated.  */
+  /* The middle of the scale, as long as the model has no ratings.  */
   item->pub.quality_prior = 0.5;
-  names_add (&snapshot->models, item);
+  name_table_add (&snapshot->models, item);
   return item;
 }
 
 static void *
-open_version (void *arg, str_t name, int line)
+begin_version (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  version_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  version_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   item->line = line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.index = (uint32_t)snapshot->versions.count;
   item->pub.cost = -1;
-  names_add (&snapshot->versions, item);
+  name_table_add (&snapshot->versions, item);
   return item;
 }
 
 static void *
-open_service (void *arg, str_t name, int line)
+begin_service (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  service_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  service_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.index = (uint32_t)snapshot->services.count;
-  names_add (&snapshot->services, item);
+  name_table_add (&snapshot->services, item);
   return item;
 }
 
 static void *
-open_zone (void *arg, str_t name, int line)
+begin_zone (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  zone_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  zone_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->name = arena_str (&snapshot->keep, name);
-  item->in = true;
-  names_add (&snapshot->zones, item);
+  item->name = arena_str (&snapshot->arena, name);
+  item->is_enabled = true;
+  name_table_add (&snapshot->zones, item);
   return item;
 }
 
 static void *
-open_instance (void *arg, str_t name, int line)
+begin_instance (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  instance_item_t *item = arena_alloc (&compiler->scratch, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  instance_item_t *item = arena_alloc (&builder->scratch, sizeof *item);
 
   (void)line;
-  item->name = arena_str (&compiler->scratch, name);
-  item->in = true;
-  if (compiler->instances_count == compiler->instances_cap)
+  item->name = arena_str (&builder->scratch, name);
+  item->is_enabled = true;
+  if (builder->instance_count == builder->instance_capacity)
     {
-      compiler->instances_cap = compiler->instances_cap * 2 + 8;
-      compiler->instances
-          = mem_realloc (compiler->instances,
-                         compiler->instances_cap * sizeof (instance_item_t *));
+      builder->instance_capacity = builder->instance_capacity * 2 + 8;
+      builder->instances
+          = mem_realloc (builder->instances, builder->instance_capacity
+                                                 * sizeof (instance_item_t *));
     }
-  compiler->instances[compiler->instances_count++] = item;
+  builder->instances[builder->instance_count++] = item;
   return item;
 }
 
 static void *
-open_rollout (void *arg, str_t name, int line)
+begin_rollout (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  rollout_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  rollout_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   item->line = line;
-  item->name = arena_str (&snapshot->keep, name);
+  item->name = arena_str (&snapshot->arena, name);
   item->pub.share_max = 100;
-  names_add (&snapshot->rollouts, item);
+  name_table_add (&snapshot->rollouts, item);
   return item;
 }
 
 static void *
-open_objective (void *arg, str_t name, int line)
+begin_objective (void *arg, str_t name, int line)
 {
-  compiler_t *compiler = arg;
-  snapshot_t *snapshot = compiler->snapshot;
-  objective_item_t *item = arena_alloc (&snapshot->keep, sizeof *item);
+  snapshot_builder_t *builder = arg;
+  snapshot_t *snapshot = builder->snapshot;
+  objective_item_t *item = arena_alloc (&snapshot->arena, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&snapshot->keep, name);
+  item->pub.name = arena_str (&snapshot->arena, name);
   item->pub.within = 0.95;
-  names_add (&snapshot->objectives, item);
+  name_table_add (&snapshot->objectives, item);
   return item;
 }
 
-#define KEY(holder, key, type, required, field, min, max, words)              \
-  { key, type, required, offsetof (holder, field), min, max, words },
+#define KEY(struct_type, key, type, is_required, field, min, max,             \
+            value_names)                                                      \
+  { key, type, is_required, offsetof (struct_type, field),                    \
+    min, max,  value_names },
 #define OF_TEAM(...) KEY (team_item_t, __VA_ARGS__)
 #define OF_PLAN(...) KEY (plan_item_t, __VA_ARGS__)
 #define OF_MODEL(...) KEY (model_item_t, __VA_ARGS__)
@@ -217,22 +220,23 @@
 static const schema_key_t rollout_keys[] = { ROLLOUT_KEYS (OF_ROLLOUT) };
 static const schema_key_t objective_keys[] = { OBJECTIVE_KEYS (OF_OBJECTIVE) };
 
-#define SECTION(kind, form, keys, open)                                       \
+#define SECTION(kind, form, keys, begin)                                      \
   {                                                                           \
-    kind, form, keys, sizeof (keys) / sizeof (keys)[0], open                  \
+    kind, form, keys, sizeof (keys) / sizeof (keys)[0], begin                 \
   }
 
-static const schema_section_t lists_sections[] = {
-  SECTION ("team", SECTION_NAMED, team_keys, open_team),
-  SECTION ("plan", SECTION_NAMED, plan_keys, open_plan),
-  SECTION ("model", SECTION_NAMED, model_keys, open_model),
-  SECTION ("version", SECTION_VERSION, version_keys, open_version),
-  SECTION ("service", SECTION_NAMED, service_keys, open_service),
-  SECTION ("availability-zone", SECTION_NAMED, zone_keys, open_zone),
-  SECTION ("instance", SECTION_NAMED, instance_keys, open_instance),
-  SECTION ("rollout", SECTION_VERSION, rollout_keys, open_rollout),
-  SECTION ("objective", SECTION_NAMED, objective_keys, open_objective),
+static const schema_section_t snapshot_sections[] = {
+  SECTION ("team", SECTION_NAMED, team_keys, begin_team),
+  SECTION ("plan", SECTION_NAMED, plan_keys, begin_plan),
+  SECTION ("model", SECTION_NAMED, model_keys, begin_model),
+  SECTION ("version", SECTION_VERSION, version_keys, begin_version),
+  SECTION ("service", SECTION_NAMED, service_keys, begin_service),
+  SECTION ("availability-zone", SECTION_NAMED, zone_keys, begin_zone),
+  SECTION ("instance", SECTION_NAMED, instance_keys, begin_instance),
+  SECTION ("rollout", SECTION_VERSION, rollout_keys, begin_rollout),
+  SECTION ("objective", SECTION_NAMED, objective_keys, begin_objective),
 };
 
-const schema_t lists_schema
-    = { lists_sections, sizeof lists_sections / sizeof lists_sections[0] };
+const schema_t snapshot_schema
+    = { snapshot_sections,
+        sizeof snapshot_sections / sizeof snapshot_sections[0] };
--- a/packages/conf/reader.h
+++ b/packages/conf/reader.h
@@ -1,6 +1,6 @@
-/* Reads INI text by inih and tells the line of each section and key, which
-   Debian's inih does not.  Section names may be of any length, which inih
-   alone would cut at 50 bytes.  */
+/* INI reader on top of inih.  It adds two things that inih as packaged by
+   Debian lacks: the line number of each section and key, and section names of
+   any length (inih truncates them at 50 bytes).  */
 
 #ifndef CONF_READER_H
 #define CONF_READER_H
@@ -9,25 +9,29 @@
 
 enum
 {
-  /* An operators' list of two years hence (11,000 instances, thousands of
-     teams) takes under 1 MiB.  */
-  READER_TEXT_MAX = 4 * 1024 * 1024
+  /* Largest text that is parsed.  A configuration with 11,000 instances and
+     thousands of teams, the expected size in two years, takes under 1 MiB.  */
+  CONF_TEXT_BYTES_MAX = 4 * 1024 * 1024
 };
 
-/* What the reader finds, in order; the strings live for the call only.  */
+/* Callbacks for the sections and keys of a text, in the order of the text.
+   Their strings are valid only during the call.  */
 typedef struct
 {
-  /* [KIND] or [KIND NAME]; NAME is empty in the first case.  */
+  /* Called for the header [KIND] with an empty NAME, or [KIND NAME].  */
   void (*section) (void *arg, str_t kind, str_t name, int line);
   void (*key) (void *arg, str_t key, str_t value, int line);
-} reader_events_t;
+} reader_callbacks_t;
 
-/* Read TEXT; lines that are not INI are added to ERRORS.  */
-void reader_run (str_t text, const reader_events_t *events, void *arg,
-                 conf_errors_t *errors);
+/* Parse TEXT and call CALLBACKS with ARG.  Lines that are not valid INI are
+   added to ERRORS and skipped.  */
+void reader_parse (str_t text, const reader_callbacks_t *callbacks, void *arg,
+                   conf_errors_t *errors);
 
-/* If LINE is a section header return true and its KIND and NAME; *CLOSED
-   tells whether it ends in `]' and at most a comment.  */
-bool reader_section (str_t line, str_t *kind, str_t *name, bool *closed);
+/* Return whether LINE starts a section header, and set *KIND and *NAME, which
+   point into LINE.  *IS_WELL_FORMED is set to whether the header has its `]'
+   and nothing but a comment after it.  */
+bool reader_section (str_t line, str_t *kind, str_t *name,
+                     bool *is_well_formed);
 
 #endif
--- a/packages/conf/schema.c
+++ b/packages/conf/schema.c
@@ -9,31 +9,35 @@
 
 enum
 {
-  /* Names travel in every SUBMIT and label every counter.  */
+  /* A name is sent in each SUBMIT message and is a label of each counter, so
+     its size is bounded.  */
   NAME_BYTES_MAX = 255,
-  /* Below this a shared secret can be guessed.  */
+  /* A shorter shared secret can be guessed.  */
   SECRET_BYTES_MIN = 16,
   DIGEST_DIGITS = 64,
-  SEEN_BITS = 64,
-  /* Longer words are no misspelling of a known one.  */
+  SECTION_KEYS_MAX = 64, /* Number of bits in checker_t.seen_keys.  */
+  /* A longer name is not a misspelling of a known one.  */
   NEAREST_BYTES_MAX = 64
 };
 
-/* A check of one text in progress.  */
+/* State of the check of one text.  */
 typedef struct
 {
   const schema_t *schema;
   void *arg;
-  arena_t *keep;
+  arena_t *result_arena;
   arena_t *scratch;
   conf_errors_t *errors;
-  map_t *lines; /* "kind name" to the line it was first seen in.  */
-  const schema_section_t *section;
-  void *target; /* NULL for a section that is not kept.  */
+  map_t *first_lines; /* Line number (int *) of the first header, by
+                         "KIND NAME".  */
+  const schema_section_t *section; /* The current section; NULL if it is
+                                      unknown.  */
+  void *values; /* Struct for the values of the current section; NULL if they
+                   are discarded.  */
   int section_line;
-  bool skipping; /* Inside an unknown section.  */
-  bool started;  /* Some section was seen.  */
-  uint64_t seen; /* Bit of each key of the section that was seen.  */
+  bool is_section_unknown; /* Whether the current section is unknown.  */
+  bool has_section;        /* Whether there was a header yet.  */
+  uint64_t seen_keys; /* Bit set of the keys that the current section has.  */
 } checker_t;
 
 bool
@@ -89,9 +93,10 @@
   return inet_pton (family, host, &parsed) == 1;
 }
 
-/* Return the Levenshtein distance of A and B, both of bounded length.  */
+/* Return the Levenshtein distance of A and B; B has at most NEAREST_BYTES_MAX
+   bytes.  */
 static size_t
-nearest_distance (str_t a, str_t b)
+levenshtein_distance (str_t a, str_t b)
 {
   size_t row[NEAREST_BYTES_MAX + 1];
 
@@ -103,36 +108,36 @@
       row[0] = i;
       for (size_t j = 1; j <= b.len; j++)
         {
-          size_t change = diagonal + (a.ptr[i - 1] != b.ptr[j - 1]);
-          size_t shift = (row[j] < row[j - 1] ? row[j] : row[j - 1]) + 1;
+          size_t replace_cost = diagonal + (a.ptr[i - 1] != b.ptr[j - 1]);
+          size_t gap_cost = (row[j] < row[j - 1] ? row[j] : row[j - 1]) + 1;
           diagonal = row[j];
-          row[j] = change < shift ? change : shift;
+          row[j] = replace_cost < gap_cost ? replace_cost : gap_cost;
         }
     }
   return row[b.len];
 }
 
 nearest_t
-nearest_make (str_t wanted)
+nearest_make (str_t word)
 {
-  return (nearest_t){ wanted, STR_NULL, SIZE_MAX };
+  return (nearest_t){ word, STR_NULL, SIZE_MAX };
 }
 
 void
 nearest_offer (nearest_t *nearest, str_t candidate)
 {
   size_t distance;
-  size_t bound = nearest->wanted.len / 3 > 2 ? nearest->wanted.len / 3 : 2;
+  size_t distance_max = nearest->word.len / 3 > 2 ? nearest->word.len / 3 : 2;
 
-  if (nearest->wanted.len > NEAREST_BYTES_MAX
+  if (nearest->word.len > NEAREST_BYTES_MAX
       || candidate.len > NEAREST_BYTES_MAX)
     return;
-  distance = nearest_distance (nearest->wanted, candidate);
-  /* All letters replaced is not a misspelling.  */
-  if (distance >= candidate.len || distance > bound
+  distance = levenshtein_distance (nearest->word, candidate);
+  /* A candidate that differs in all letters is not a misspelling.  */
+  if (distance >= candidate.len || distance > distance_max
       || distance >= nearest->distance)
     return;
-  nearest->best = candidate;
+  nearest->best_match = candidate;
   nearest->distance = distance;
 }
 
@@ -140,16 +145,17 @@
 nearest_hint (const nearest_t *nearest, const char *fallback, buf_t *buf)
 {
   buf->len = 0;
-  if (nearest->best.ptr == NULL)
+  if (nearest->best_match.ptr == NULL)
     return fallback;
-  buf_printf (buf, "did you mean `%.*s'?", STR_ARG (nearest->best));
+  buf_printf (buf, "did you mean `%.*s'?", STR_ARG (nearest->best_match));
   return buf->ptr;
 }
 
 void
 schema_sort_errors (conf_errors_t *errors)
 {
-  /* Insertion keeps the order within a line, and the count is bounded.  */
+  /* Insertion sort is stable, and fast enough for the bounded number of
+     errors.  */
   for (size_t i = 1; i < errors->count; i++)
     {
       conf_error_t error = errors->items[i];
@@ -160,7 +166,8 @@
     }
 }
 
-/* Complain about required keys that the section just ended lacks.  */
+/* Add an error for each required key that is missing in the section that has
+   ended.  */
 static void
 checker_end_section (checker_t *checker)
 {
@@ -169,13 +176,13 @@
   if (section == NULL)
     return;
   for (size_t i = 0; i < section->key_count; i++)
-    if (section->keys[i].required && (checker->seen >> i & 1) == 0)
+    if (section->keys[i].is_required && (checker->seen_keys >> i & 1) == 0)
       conf_errors_add (checker->errors, checker->section_line, NULL,
                        "[%s] lacks the key `%s'", section->kind,
                        section->keys[i].name);
 }
 
-/* Return the section of KIND, or NULL after a complaint.  */
+/* Return the section of KIND, or add an error and return NULL.  */
 static const schema_section_t *
 checker_find_section (checker_t *checker, str_t kind, int line)
 {
@@ -192,7 +199,8 @@
           return section;
         }
       nearest_offer (&nearest, str_from (section->kind));
-      buf_printf (&known, "%s%s", i == 0 ? "known are " : ", ", section->kind);
+      buf_printf (&known, "%s%s", i == 0 ? "known sections: " : ", ",
+                  section->kind);
     }
   conf_errors_add (checker->errors, line,
                    nearest_hint (&nearest, known.ptr, &hint),
@@ -202,63 +210,66 @@
   return NULL;
 }
 
-/* Tell whether NAME suits SECTION, after a complaint when not.  */
+/* Return whether NAME is valid for SECTION; add an error if not.  */
 static bool
-checker_name_fits (checker_t *checker, const schema_section_t *section,
-                   str_t name, int line)
+checker_check_section_name (checker_t *checker,
+                            const schema_section_t *section, str_t name,
+                            int line)
 {
   buf_t hint = BUF_NULL;
-  bool fits = false;
+  bool is_valid = false;
 
   switch (section->form)
     {
-    case SECTION_BARE:
-      fits = name.len == 0;
+    case SECTION_UNNAMED:
+      is_valid = name.len == 0;
       buf_printf (&hint, "write `[%s]'", section->kind);
       break;
     case SECTION_NAMED:
-      fits = schema_name_valid (name);
+      is_valid = schema_name_valid (name);
       buf_printf (&hint,
                   "write `[%s NAME]', the name of letters, digits, "
                   "`.', `_' and `-'",
                   section->kind);
       break;
     case SECTION_VERSION:
-      fits = schema_version_valid (name);
+      is_valid = schema_version_valid (name);
       buf_printf (&hint, "write `[%s MODEL@VERSION]'", section->kind);
       break;
     }
-  if (!fits)
+  if (!is_valid)
     conf_errors_add (checker->errors, line, hint.ptr,
                      name.len == 0 ? "[%s] lacks a name"
-                                   : "[%s] has a name that does not fit",
+                                   : "[%s] has an invalid name",
                      section->kind);
   buf_free (&hint);
-  return fits;
+  return is_valid;
 }
 
-/* Tell whether this is the first SECTION of NAME.  */
+/* Return whether this is the first SECTION with the name NAME; add an error if
+   not.  */
 static bool
-checker_is_first (checker_t *checker, const schema_section_t *section,
-                  str_t name, int line)
+checker_check_unique_section (checker_t *checker,
+                              const schema_section_t *section, str_t name,
+                              int line)
 {
   buf_t id = BUF_NULL;
 
   buf_printf (&id, "%s %.*s", section->kind, STR_ARG (name));
-  const int *first = map_get (checker->lines, buf_str (&id));
-  if (first != NULL)
+  const int *first_line = map_get (checker->first_lines, buf_str (&id));
+  if (first_line != NULL)
     conf_errors_add (checker->errors, line, "keep one of the two",
-                     "[%s%s%.*s] stands twice, first in line %d",
+                     "[%s%s%.*s] is defined twice, first in line %d",
                      section->kind, name.len > 0 ? " " : "", STR_ARG (name),
-                     *first);
+                     *first_line);
   else
     {
-      int *here = arena_alloc (checker->scratch, sizeof *here);
-      *here = line;
-      map_put (checker->lines, buf_str (&id), here);
+      int *line_copy = arena_alloc (checker->scratch, sizeof *line_copy);
+      *line_copy = line;
+      map_put (checker->first_lines, buf_str (&id), line_copy);
     }
   buf_free (&id);
-  return first == NULL;
+  return first_line == NULL;
 }
 
 static void
@@ -269,26 +280,28 @@
 
   checker_end_section (checker);
   section = checker_find_section (checker, kind, line);
-  checker->started = true;
+  checker->has_section = true;
   checker->section = section;
   checker->section_line = line;
-  checker->seen = 0;
-  checker->target = NULL;
-  checker->skipping = section == NULL;
-  assert (section == NULL || section->key_count <= SEEN_BITS);
-  if (section != NULL && checker_name_fits (checker, section, name, line)
-      && checker_is_first (checker, section, name, line))
-    checker->target = section->open (checker->arg, name, line);
+  checker->seen_keys = 0;
+  checker->values = NULL;
+  checker->is_section_unknown = section == NULL;
+  assert (section == NULL || section->key_count <= SECTION_KEYS_MAX);
+  if (section != NULL
+      && checker_check_section_name (checker, section, name, line)
+      && checker_check_unique_section (checker, section, name, line))
+    checker->values = section->begin (checker->arg, name, line);
 }
 
-/* Return the key NAME of the section at hand, or NULL after a complaint.  */
+/* Return the key NAME of the current section, or add an error and return
+   NULL.  */
 static const schema_key_t *
 checker_find_key (checker_t *checker, str_t name, int line)
 {
   const schema_section_t *section = checker->section;
   nearest_t nearest = nearest_make (name);
   buf_t hint = BUF_NULL;
-  buf_t other = BUF_NULL;
+  buf_t alternatives = BUF_NULL;
 
   for (size_t i = 0; i < section->key_count; i++)
     {
@@ -299,75 +312,77 @@
   for (size_t i = 0; i < checker->schema->section_count; i++)
     for (size_t k = 0; k < checker->schema->sections[i].key_count; k++)
       if (str_eq (name, str_from (checker->schema->sections[i].keys[k].name))
-          && other.len == 0)
-        buf_printf (&other, "it belongs in [%s]",
+          && alternatives.len == 0)
+        buf_printf (&alternatives, "it belongs in [%s]",
                     checker->schema->sections[i].kind);
-  if (other.len == 0)
+  if (alternatives.len == 0)
     {
-      buf_printf (&other, "known are ");
+      buf_printf (&alternatives, "known keys: ");
       for (size_t i = 0; i < section->key_count; i++)
-        buf_printf (&other, "%s%s", i == 0 ? "" : ", ", section->keys[i].name);
+        buf_printf (&alternatives, "%s%s", i == 0 ? "" : ", ",
+                    section->keys[i].name);
     }
   conf_errors_add (
-      checker->errors, line, nearest_hint (&nearest, other.ptr, &hint),
+      checker->errors, line, nearest_hint (&nearest, alternatives.ptr, &hint),
       "unknown key `%.*s' in [%s]", STR_ARG (name), section->kind);
   buf_free (&hint);
-  buf_free (&other);
+  buf_free (&alternatives);
   return NULL;
 }
 
-/* A value of any type, on its way to the field.  */
+/* A parsed value of any type, to be copied to its struct field.  */
 typedef union
 {
   str_t text;
   uint32_t u32;
   uint64_t u64;
   double number;
-  int word;
-  bool flag;
+  int enum_index;
+  bool boolean;
   value_ref_t ref;
   value_list_t list;
 } value_t;
 
-/* Complain that KEY's VALUE is not what it should be.  */
+/* Add an error for the invalid VALUE of KEY, with EXPECTED as the hint.  */
 static void
-checker_bad_value (checker_t *checker, const schema_key_t *key, str_t value,
-                   int line, const char *wanted)
+checker_report_bad_value (checker_t *checker, const schema_key_t *key,
+                          str_t value, int line, const char *expected)
 {
   if (key->type == VALUE_SECRET || key->type == VALUE_SECRETS)
-    conf_errors_add (checker->errors, line, wanted,
-                     "`%s' has a value that does not fit", key->name);
+    conf_errors_add (checker->errors, line, expected,
+                     "`%s' has an invalid value", key->name);
   else
-    conf_errors_add (checker->errors, line, wanted, "`%s' cannot be `%.*s'",
+    conf_errors_add (checker->errors, line, expected, "`%s' cannot be `%.*s'",
                      key->name, STR_ARG (value));
 }
 
-/* Parse a number of KEY's range.  */
+/* Parse TEXT as a number in KEY's range.  Return false after adding an
+   error.  */
 static bool
-checker_number (checker_t *checker, const schema_key_t *key, str_t text,
-                int line, value_t *value)
+checker_parse_number (checker_t *checker, const schema_key_t *key, str_t text,
+                      int line, value_t *value)
 {
   buf_t hint = BUF_NULL;
   uint64_t whole = 0;
   double number = 0;
-  bool fits;
+  bool is_valid;
 
   if (key->type == VALUE_DOUBLE)
     {
-      fits = str_to_double (text, &number);
+      is_valid = str_to_double (text, &number);
       buf_printf (&hint, "a number from %g to %g", key->min, key->max);
     }
   else
     {
-      fits = str_to_u64 (text, &whole);
+      is_valid = str_to_u64 (text, &whole);
       number = (double)whole;
       buf_printf (&hint, "a whole number from %.0f to %.0f", key->min,
                   key->max);
     }
-  /* A NaN fails both comparisons.  */
-  fits = fits && number >= key->min && number <= key->max;
-  if (!fits)
-    checker_bad_value (checker, key, text, line, hint.ptr);
+  /* Both comparisons are false for a NaN.  */
+  is_valid = is_valid && number >= key->min && number <= key->max;
+  if (!is_valid)
+    checker_report_bad_value (checker, key, text, line, hint.ptr);
   else if (key->type == VALUE_DOUBLE)
     value->number = number;
   else if (key->type == VALUE_U32)
@@ -375,39 +390,41 @@
   else
     value->u64 = whole;
   buf_free (&hint);
-  return fits;
+  return is_valid;
 }
 
-/* Parse one of KEY's words.  */
+/* Parse TEXT as one of KEY's value names.  Return false after adding an
+   error.  */
 static bool
-checker_word (checker_t *checker, const schema_key_t *key, str_t text,
-              int line, value_t *value)
+checker_parse_enum (checker_t *checker, const schema_key_t *key, str_t text,
+                    int line, value_t *value)
 {
   buf_t hint = BUF_NULL;
 
   buf_printf (&hint, "one of ");
-  for (int i = 0; key->words[i] != NULL; i++)
+  for (int i = 0; key->value_names[i] != NULL; i++)
     {
-      if (str_eq (text, str_from (key->words[i])))
+      if (str_eq (text, str_from (key->value_names[i])))
         {
-          if (key->type == VALUE_FLAG)
-            value->flag = i == 1;
+          if (key->type == VALUE_BOOL)
+            value->boolean = i == 1;
           else
-            value->word = i;
+            value->enum_index = i;
           buf_free (&hint);
           return true;
         }
-      buf_printf (&hint, "%s%s", i == 0 ? "" : ", ", key->words[i]);
+      buf_printf (&hint, "%s%s", i == 0 ? "" : ", ", key->value_names[i]);
     }
-  checker_bad_value (checker, key, text, line, hint.ptr);
+  checker_report_bad_value (checker, key, text, line, hint.ptr);
   buf_free (&hint);
   return false;
 }
 
-/* Parse a comma-separated list.  */
+/* Parse TEXT as a comma-separated list.  Return false after adding an
+   error.  */
 static bool
-checker_list (checker_t *checker, const schema_key_t *key, str_t text,
-              int line, value_t *value)
+checker_parse_list (checker_t *checker, const schema_key_t *key, str_t text,
+                    int line, value_t *value)
 {
   value_list_t list = { .line = line };
   str_t rest = arena_str (checker->scratch, text);
@@ -422,14 +439,14 @@
       str_t item = str_trim (str_cut (rest, ',', &rest));
       if (item.len == 0)
         {
-          checker_bad_value (checker, key, text, line,
-                             "write items with commas between them");
+          checker_report_bad_value (checker, key, text, line,
+                                    "separate the items by commas");
           return false;
         }
       if (key->type == VALUE_SECRETS && item.len < SECRET_BYTES_MIN)
         {
-          checker_bad_value (checker, key, text, line,
-                             "each secret needs 16 bytes or more");
+          checker_report_bad_value (checker, key, text, line,
+                                    "each secret needs 16 bytes or more");
           return false;
         }
       list.items[list.count++] = item;
@@ -438,64 +455,66 @@
   return true;
 }
 
-/* Parse TEXT as KEY's type into VALUE; return false after a complaint.  */
+/* Parse TEXT as KEY's type and set *VALUE.  Return false after adding an
+   error.  */
 static bool
-checker_parse (checker_t *checker, const schema_key_t *key, str_t text,
-               int line, value_t *value)
+checker_parse_value (checker_t *checker, const schema_key_t *key, str_t text,
+                     int line, value_t *value)
 {
-  const char *wanted = NULL;
+  const char *expected = NULL;
   uint8_t digest[DIGEST_DIGITS / 2];
 
   switch (key->type)
     {
-    case VALUE_TEXT:
-      wanted = text.len > 0 ? NULL : "give a value or remove the key";
+    case VALUE_STRING:
+      expected = text.len > 0 ? NULL : "give a value or remove the key";
       break;
     case VALUE_NAME:
-      wanted = schema_name_valid (text)
-                   ? NULL
-                   : "letters, digits, `.', `_' and `-' only";
+      expected = schema_name_valid (text)
+                     ? NULL
+                     : "letters, digits, `.', `_' and `-' only";
       break;
     case VALUE_SECRET:
-      wanted
-          = text.len >= SECRET_BYTES_MIN ? NULL : "it needs 16 bytes or more";
+      expected = text.len >= SECRET_BYTES_MIN
+                     ? NULL
+                     : "a secret needs 16 bytes or more";
       break;
     case VALUE_DIGEST:
-      wanted = str_unhex (text, digest, sizeof digest)
-                   ? NULL
-                   : "64 hexadecimal digits, as by `sha256sum'";
+      expected = str_unhex (text, digest, sizeof digest)
+                     ? NULL
+                     : "64 hexadecimal digits, as by `sha256sum'";
       break;
     case VALUE_ADDRESS:
-      wanted = schema_address_valid (text)
-                   ? NULL
-                   : "HOST:PORT by IP number, such as 127.0.0.1:8080";
+      expected = schema_address_valid (text)
+                     ? NULL
+                     : "HOST:PORT with an IP address, such as 127.0.0.1:8080";
       break;
     case VALUE_U32:
     case VALUE_U64:
     case VALUE_DOUBLE:
-      return checker_number (checker, key, text, line, value);
-    case VALUE_WORD:
-    case VALUE_FLAG:
-      return checker_word (checker, key, text, line, value);
+      return checker_parse_number (checker, key, text, line, value);
+    case VALUE_ENUM:
+    case VALUE_BOOL:
+      return checker_parse_enum (checker, key, text, line, value);
     case VALUE_LIST:
     case VALUE_SECRETS:
-      return checker_list (checker, key, text, line, value);
+      return checker_parse_list (checker, key, text, line, value);
     case VALUE_REF:
-      wanted = text.len > 0 ? NULL : "give a name or remove the key";
+      expected = text.len > 0 ? NULL : "give a name or remove the key";
       value->ref = (value_ref_t){ arena_str (checker->scratch, text), line };
       break;
     }
-  if (wanted != NULL)
+  if (expected != NULL)
     {
-      checker_bad_value (checker, key, text, line, wanted);
+      checker_report_bad_value (checker, key, text, line, expected);
       return false;
     }
   if (key->type != VALUE_REF)
-    value->text = arena_str (checker->keep, text);
+    value->text = arena_str (checker->result_arena, text);
   return true;
 }
 
-/* Return the size of the field that TYPE fills.  */
+/* Return the size of a struct field of TYPE.  */
 static size_t
 value_size (value_type_t type)
 {
@@ -507,9 +526,9 @@
       return sizeof (uint64_t);
     case VALUE_DOUBLE:
       return sizeof (double);
-    case VALUE_WORD:
+    case VALUE_ENUM:
       return sizeof (int);
-    case VALUE_FLAG:
+    case VALUE_BOOL:
       return sizeof (bool);
     case VALUE_REF:
       return sizeof (value_ref_t);
@@ -521,7 +540,8 @@
     }
 }
 
-_Static_assert(sizeof (role_t) == sizeof (int), "words fill enumerations");
+_Static_assert(sizeof (role_t) == sizeof (int),
+               "VALUE_ENUM stores an int in an enum field");
 
 static void
 checker_on_key (void *arg, str_t name, str_t text, int line)
@@ -530,46 +550,47 @@
   const schema_key_t *key;
   value_t value;
 
-  if (checker->skipping)
+  if (checker->is_section_unknown)
     return;
-  if (!checker->started)
+  if (!checker->has_section)
     {
       conf_errors_add (checker->errors, line, "start with a `[section]'",
-                       "the key `%.*s' stands in no section", STR_ARG (name));
+                       "the key `%.*s' is outside of any section",
+                       STR_ARG (name));
       return;
     }
   key = checker_find_key (checker, name, line);
   if (key == NULL)
     return;
   uint64_t bit = (uint64_t)1 << (key - checker->section->keys);
-  if ((checker->seen & bit) != 0)
+  if ((checker->seen_keys & bit) != 0)
     {
       conf_errors_add (checker->errors, line, "keep one of the two",
-                       "the key `%s' stands twice in [%s]", key->name,
+                       "the key `%s' is set twice in [%s]", key->name,
                        checker->section->kind);
       return;
     }
-  checker->seen |= bit;
-  if (checker_parse (checker, key, text, line, &value)
-      && checker->target != NULL)
-    memcpy ((char *)checker->target + key->offset, &value,
+  checker->seen_keys |= bit;
+  if (checker_parse_value (checker, key, text, line, &value)
+      && checker->values != NULL)
+    memcpy ((char *)checker->values + key->offset, &value,
             value_size (key->type));
 }
 
 void
-schema_run (const schema_t *schema, str_t text, void *arg, arena_t *keep,
-            arena_t *scratch, conf_errors_t *errors)
+schema_parse (const schema_t *schema, str_t text, void *arg,
+              arena_t *result_arena, arena_t *scratch, conf_errors_t *errors)
 {
-  static const reader_events_t events
+  static const reader_callbacks_t callbacks
       = { .section = checker_on_section, .key = checker_on_key };
   checker_t checker = { .schema = schema,
                         .arg = arg,
-                        .keep = keep,
+                        .result_arena = result_arena,
                         .scratch = scratch,
                         .errors = errors,
-                        .lines = map_create () };
+                        .first_lines = map_create () };
 
-  reader_run (text, &events, &checker, errors);
+  reader_parse (text, &callbacks, &checker, errors);
   checker_end_section (&checker);
-  map_destroy (checker.lines);
+  map_destroy (checker.first_lines);
 }
--- a/packages/conf/schema.h
+++ b/packages/conf/schema.h
@@ -1,5 +1,5 @@
-/* Typed INI: tables of sections and keys, made from X-macro lists, against
-   which a text is checked and its values stored in structs.  */
+/* Typed INI parser: tables of sections and keys, generated from X-macro lists,
+   against which a text is checked and its values are stored in structs.  */
 
 #ifndef CONF_SCHEMA_H
 #define CONF_SCHEMA_H
@@ -7,27 +7,29 @@
 #include "conf/arena.h"
 #include "conf/settings.h"
 
-/* Each type names the field that it fills.  */
+/* Types of values.  Each comment gives the C type of the struct field and the
+   accepted text.  */
 typedef enum
 {
-  VALUE_TEXT,    /* str_t */
-  VALUE_NAME,    /* str_t of letters, digits, `.', `_' and `-' */
-  VALUE_SECRET,  /* str_t; never quoted in a message */
-  VALUE_DIGEST,  /* str_t of 64 hexadecimal digits */
-  VALUE_ADDRESS, /* str_t, numeric HOST:PORT */
+  VALUE_STRING,  /* str_t, not empty.  */
+  VALUE_NAME,    /* str_t of letters, digits, `.', `_' and `-'.  */
+  VALUE_SECRET,  /* str_t; error messages never quote it.  */
+  VALUE_DIGEST,  /* str_t of 64 hexadecimal digits.  */
+  VALUE_ADDRESS, /* str_t HOST:PORT, where HOST is an IP address.  */
   VALUE_U32,     /* uint32_t */
   VALUE_U64,     /* uint64_t */
   VALUE_DOUBLE,  /* double */
-  VALUE_WORD,    /* An enumeration, in the order of the words.  */
-  VALUE_FLAG,    /* bool; the first word is false.  */
-  VALUE_REF,     /* value_ref_t, looked up later.  */
-  VALUE_LIST,    /* value_list_t, looked into later.  */
-  VALUE_SECRETS  /* value_list_t of VALUE_SECRET */
+  VALUE_ENUM,    /* An enum; its value is the index in value_names.  */
+  VALUE_BOOL,    /* bool; value_names has the names of false and of true.  */
+  VALUE_REF,     /* value_ref_t: name of another section.  */
+  VALUE_LIST,    /* value_list_t: comma-separated strings.  */
+  VALUE_SECRETS  /* value_list_t whose items are like VALUE_SECRET.  */
 } value_type_t;
 
+/* Name of another section, not yet resolved.  */
 typedef struct
 {
-  str_t text; /* Empty when the key is absent.  */
+  str_t text; /* Empty if the key is absent.  */
   int line;
 } value_ref_t;
 
@@ -35,25 +37,29 @@
 {
   str_t *items;
   size_t count;
-  int line; /* 0 when the key is absent.  */
+  int line; /* Line of the key; 0 if the key is absent.  */
 } value_list_t;
 
+/* A key of a section.  */
 typedef struct
 {
   const char *name;
   value_type_t type;
-  bool required;
-  size_t offset; /* Of the field in what the section's open returns.  */
-  double min;    /* For numbers.  */
-  double max;
-  const char *const *words; /* For words and flags; ends in NULL.  */
+  bool is_required;
+  size_t offset; /* Offset of the value in the struct that the section's
+                    begin callback returns.  */
+  double min;    /* Smallest value of a number.  */
+  double max;    /* Largest value of a number.  */
+  const char *const *value_names; /* Values of VALUE_ENUM and VALUE_BOOL,
+                                     terminated by NULL; else NULL.  */
 } schema_key_t;
 
+/* Form of a section header.  */
 typedef enum
 {
-  SECTION_BARE,   /* [process] */
-  SECTION_NAMED,  /* [team coast-office] */
-  SECTION_VERSION /* [version draft-small@3] */
+  SECTION_UNNAMED, /* [process] */
+  SECTION_NAMED,   /* [team coast-office] */
+  SECTION_VERSION  /* [version draft-small@3] */
 } section_form_t;
 
 typedef struct
@@ -62,9 +68,9 @@
   section_form_t form;
   const schema_key_t *keys;
   size_t key_count;
-  /* Return the struct that the section's values go to.  NAME lives for the
-     call only.  */
-  void *(*open) (void *arg, str_t name, int line);
+  /* Called at each valid header.  Return the struct in which the values of the
+     section are stored.  NAME is valid only during the call.  */
+  void *(*begin) (void *arg, str_t name, int line);
 } schema_section_t;
 
 typedef struct
@@ -73,34 +79,39 @@
   size_t section_count;
 } schema_t;
 
-/* Check TEXT against SCHEMA.  Strings go to KEEP, references and lists to
-   SCRATCH.  Complaints go to ERRORS.  */
-void schema_run (const schema_t *schema, str_t text, void *arg, arena_t *keep,
-                 arena_t *scratch, conf_errors_t *errors);
+/* Parse TEXT, check it against SCHEMA and store its values in the structs that
+   the begin callbacks return for ARG.  Strings are allocated in RESULT_ARENA,
+   references and lists in SCRATCH.  Errors are added to ERRORS.  */
+void schema_parse (const schema_t *schema, str_t text, void *arg,
+                   arena_t *result_arena, arena_t *scratch,
+                   conf_errors_t *errors);
 
-/* Tell whether S may be the name of something.  */
+/* Return whether S is a valid name of a section, such as a team or model.  */
 bool schema_name_valid (str_t s);
-/* Tell whether S is MODEL@VERSION.  */
+/* Return whether S is MODEL@VERSION with valid names.  */
 bool schema_version_valid (str_t s);
-/* Tell whether S is HOST:PORT with a numeric host.  */
+/* Return whether S is HOST:PORT where HOST is an IP address.  */
 bool schema_address_valid (str_t s);
 
-/* The nearest known word to one that is not, by edit distance.  */
+/* Search for the known name that is closest to an unknown one by Levenshtein
+   distance, for the hint of an error message.  */
 typedef struct
 {
-  str_t wanted;
-  str_t best;
-  size_t distance;
+  str_t word;       /* The unknown name.  */
+  str_t best_match; /* ptr is NULL if no candidate was close enough.  */
+  size_t distance;  /* Distance of BEST_MATCH from WORD.  */
 } nearest_t;
 
-nearest_t nearest_make (str_t wanted);
+/* Start a search for names close to WORD, which is borrowed.  */
+nearest_t nearest_make (str_t word);
+/* Compare CANDIDATE, which is borrowed, with the best match.  */
 void nearest_offer (nearest_t *nearest, str_t candidate);
-/* Write "did you mean `X'?" to BUF when something is near, else FALLBACK,
-   and return what stands there; FALLBACK may be NULL.  */
+/* Write "did you mean `X'?" to BUF and return it, or return FALLBACK, which
+   may be NULL, if no candidate was close enough.  */
 const char *nearest_hint (const nearest_t *nearest, const char *fallback,
                           buf_t *buf);
 
-/* Put ERRORS in the order of their lines.  */
+/* Sort ERRORS by line, stably.  */
 void schema_sort_errors (conf_errors_t *errors);
 
 #endif
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -6,55 +6,55 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-static const char *const role_words[]
+static const char *const role_names[]
     = { "entry", "sidecar", "standalone", "gateway", NULL };
-static const char *const platform_words[] = { "http", "memory", NULL };
-static const char *const kind_words[] = { "engine", "service", NULL };
-static const char *const no_yes[] = { "no", "yes", NULL };
-static const char *const level_words[]
+static const char *const platform_names[] = { "http", "memory", NULL };
+static const char *const upstream_kind_names[] = { "engine", "service", NULL };
+static const char *const no_yes_names[] = { "no", "yes", NULL };
+static const char *const log_level_names[]
     = { "err", "warning", "notice", "info", "debug", NULL };
-/* In the order of the FEATURE_ bits.  */
-static const char *const feature_words[]
+/* Indexed by the bit number of the FEATURE_ constant.  */
+static const char *const feature_names[]
     = { "load-report", "cache-events", "resume", "priority",
         "orders",      "fencing",      "kv",     NULL };
 
-/* Sizes are counted in these.  */
 static const uint64_t kib = 1024;
 static const uint64_t mib = 1048576;
 
 enum
 {
-  LEVEL_INFO = 3,
-  /* Not said in the text: the role decides.  */
+  LOG_LEVEL_INDEX_INFO = 3, /* Index of "info" in log_level_names.  */
+  /* The key is absent, and the role determines the platform.  */
   PLATFORM_UNSET = -1
 };
 
 #define HOUR_MS 3600000.0
 #define DAY_MS 86400000.0
 #define GIB 1073741824.0
-#define BIG 9007199254740992.0 /* 2^53, exact as a double.  */
+/* 2^53: a double represents all smaller integers exactly.  */
+#define EXACT_INTEGER_MAX 9007199254740992.0
 
-/* X (key, type, required, field, min, max, words), one line a key.  */
+/* X (key, type, is_required, field, min, max, value_names) for each key.  */
 #define PROCESS_KEYS(X)                                                       \
   X ("name", VALUE_NAME, true, pub.name, 0, 0, NULL)                          \
-  X ("role", VALUE_WORD, true, pub.role, 0, 0, role_words)                    \
+  X ("role", VALUE_ENUM, true, pub.role, 0, 0, role_names)                    \
   X ("availability-zone", VALUE_NAME, true, pub.zone, 0, 0, NULL)             \
   X ("region", VALUE_NAME, false, pub.region, 0, 0, NULL)                     \
   X ("admin", VALUE_ADDRESS, true, pub.admin, 0, 0, NULL)                     \
   X ("rpc", VALUE_ADDRESS, false, pub.rpc, 0, 0, NULL)                        \
-  X ("log-level", VALUE_WORD, false, log_level, 0, 0, level_words)            \
+  X ("log-level", VALUE_ENUM, false, log_level, 0, 0, log_level_names)        \
   X ("drain-grace-ms", VALUE_U64, false, pub.drain_grace_ms, 0, HOUR_MS,      \
      NULL)                                                                    \
   X ("drain-bound-ms", VALUE_U64, false, pub.drain_bound_ms, 1, DAY_MS, NULL) \
-  X ("seed", VALUE_U64, false, pub.seed, 0, BIG, NULL)                        \
+  X ("seed", VALUE_U64, false, pub.seed, 0, EXACT_INTEGER_MAX, NULL)          \
   X ("rpc-keys", VALUE_SECRETS, false, rpc_keys, 0, 0, NULL)                  \
   X ("operator-key-sha256", VALUE_DIGEST, false, pub.operator_key_sha256, 0,  \
      0, NULL)
 
 #define ENTRY_KEYS(X)                                                         \
   X ("listen", VALUE_ADDRESS, true, pub.listen, 0, 0, NULL)                   \
-  X ("tls-certificate", VALUE_TEXT, false, pub.tls_certificate, 0, 0, NULL)   \
-  X ("tls-key", VALUE_TEXT, false, pub.tls_key, 0, 0, NULL)                   \
+  X ("tls-certificate", VALUE_STRING, false, pub.tls_certificate, 0, 0, NULL) \
+  X ("tls-key", VALUE_STRING, false, pub.tls_key, 0, 0, NULL)                 \
   X ("body-limit", VALUE_U64, false, pub.body_limit, 1, GIB, NULL)            \
   X ("header-limit", VALUE_U64, false, pub.header_limit, 256, 1048576, NULL)  \
   X ("deadline-default-ms", VALUE_U64, false, pub.deadline_default_ms, 1,     \
@@ -63,7 +63,8 @@
      NULL)                                                                    \
   X ("subset", VALUE_U32, false, pub.subset, 1, 10000, NULL)                  \
   X ("session-key", VALUE_SECRET, false, pub.session_key, 0, 0, NULL)         \
-  X ("mint-idempotency-key", VALUE_FLAG, false, pub.mint_keys, 0, 0, no_yes)  \
+  X ("mint-idempotency-key", VALUE_BOOL, false, pub.mint_keys, 0, 0,          \
+     no_yes_names)                                                            \
   X ("connections-max", VALUE_U32, false, pub.connections_max, 1, 1000000,    \
      NULL)                                                                    \
   X ("outlier-share", VALUE_DOUBLE, false, pub.outlier_share, 0.01, 0.9,      \
@@ -93,11 +94,11 @@
   X ("poor-part", VALUE_DOUBLE, false, pub.poor_part, 0, 1, NULL)             \
   X ("opinion-width", VALUE_DOUBLE, false, pub.opinion_width, 0.1, 100, NULL)
 
-/* Those of [sidecar] and [upstream NAME] alike.  */
+/* Keys that [sidecar] and [upstream NAME] have in common.  */
 #define UPSTREAM_KEYS(X)                                                      \
   X ("listen", VALUE_ADDRESS, false, pub.listen, 0, 0, NULL)                  \
   X ("upstream", VALUE_ADDRESS, true, pub.upstream, 0, 0, NULL)               \
-  X ("kind", VALUE_FLAG, false, pub.is_service, 0, 0, kind_words)             \
+  X ("kind", VALUE_BOOL, false, pub.is_service, 0, 0, upstream_kind_names)    \
   X ("serves", VALUE_LIST, true, serves, 0, 0, NULL)                          \
   X ("features", VALUE_LIST, false, features, 0, 0, NULL)                     \
   X ("limit-start", VALUE_U32, false, pub.limit_start, 1, 100000, NULL)       \
@@ -119,16 +120,16 @@
   UPSTREAM_KEYS (X)
 
 #define PLATFORM_KEYS(X)                                                      \
-  X ("kind", VALUE_WORD, false, platform, 0, 0, platform_words)               \
+  X ("kind", VALUE_ENUM, false, platform, 0, 0, platform_names)               \
   X ("address", VALUE_ADDRESS, false, pub.platform_address, 0, 0, NULL)       \
   X ("timeout-ms", VALUE_U64, false, pub.platform_timeout_ms, 1, HOUR_MS, NULL)
 
 #define CONFIGURATION_KEYS(X)                                                 \
-  X ("file", VALUE_TEXT, false, pub.configuration_file, 0, 0, NULL)           \
+  X ("file", VALUE_STRING, false, pub.configuration_file, 0, 0, NULL)         \
   X ("poll-ms", VALUE_U64, false, pub.poll_ms, 10, HOUR_MS, NULL)
 
 #define PEER_KEYS(X)                                                          \
-  X ("role", VALUE_WORD, true, pub.role, 0, 0, role_words)                    \
+  X ("role", VALUE_ENUM, true, pub.role, 0, 0, role_names)                    \
   X ("availability-zone", VALUE_NAME, true, pub.zone, 0, 0, NULL)             \
   X ("address", VALUE_ADDRESS, true, pub.address, 0, 0, NULL)
 
@@ -145,11 +146,13 @@
   peer_settings_t pub;
 } peer_item_t;
 
-/* The settings and what only their parser needs.  */
+/* The settings, and data that only their parser needs.  */
 typedef struct
 {
-  settings_t pub; /* First, so that settings_destroy finds the rest.  */
-  arena_t keep;
+  /* The first member, because settings_destroy converts its address to that of
+     the parser_t.  */
+  settings_t pub;
+  arena_t arena;
   arena_t scratch;
   int log_level;
   int platform;
@@ -158,15 +161,18 @@
   size_t upstreams_count;
   peer_item_t **peers;
   size_t peers_count;
-  int entry_line; /* Of each section, 0 when absent.  */
+  /* Line of the first section of each kind; 0 if absent.  */
+  int entry_line;
   int gateway_line;
   int sidecar_line;
   int upstream_line;
   conf_errors_t *errors;
 } parser_t;
 
-#define KEY(holder, key, type, required, field, min, max, words)              \
-  { key, type, required, offsetof (holder, field), min, max, words },
+#define KEY(struct_type, key, type, is_required, field, min, max,             \
+            value_names)                                                      \
+  { key, type, is_required, offsetof (struct_type, field),                    \
+    min, max,  value_names },
 #define OF_PARSER(...) KEY (parser_t, __VA_ARGS__)
 #define OF_UPSTREAM(...) KEY (upstream_item_t, __VA_ARGS__)
 #define OF_PEER(...) KEY (peer_item_t, __VA_ARGS__)
@@ -182,7 +188,7 @@
 static const schema_key_t peer_keys[] = { PEER_KEYS (OF_PEER) };
 
 static void *
-open_self (void *arg, str_t name, int line)
+begin_process_section (void *arg, str_t name, int line)
 {
   (void)name;
   (void)line;
@@ -190,7 +196,7 @@
 }
 
 static void *
-open_entry (void *arg, str_t name, int line)
+begin_entry (void *arg, str_t name, int line)
 {
   parser_t *parser = arg;
 
@@ -200,7 +206,7 @@
 }
 
 static void *
-open_gateway (void *arg, str_t name, int line)
+begin_gateway (void *arg, str_t name, int line)
 {
   parser_t *parser = arg;
 
@@ -209,18 +215,20 @@
   return parser;
 }
 
-/* Return a new upstream with its defaults.  */
+/* Add an upstream with default values and return it.  */
 static upstream_item_t *
 parser_add_upstream (parser_t *parser, int line)
 {
   upstream_item_t *item = arena_alloc (&parser->scratch, sizeof *item);
 
   item->line = line;
-  /* A cold engine answers slowly; four at once show whether it holds.  */
+  /* An engine that has just started is slow; four concurrent requests are
+     enough to observe whether it can take more.  */
   item->pub.limit_start = 4;
   item->pub.limit_max = 64;
   item->pub.queue_max = 256;
-  /* Longer than any caller's resend after a lost connection.  */
+  /* Longer than the time until a client that lost its connection sends the
+     request again.  */
   item->pub.answer_keep_ms = 600000;
   item->pub.answer_bytes = 64 * mib;
   item->pub.upstream_timeout_ms = 30000;
@@ -232,7 +240,7 @@
 }
 
 static void *
-open_sidecar (void *arg, str_t name, int line)
+begin_sidecar (void *arg, str_t name, int line)
 {
   parser_t *parser = arg;
 
@@ -242,47 +250,49 @@
 }
 
 static void *
-open_upstream (void *arg, str_t name, int line)
+begin_upstream (void *arg, str_t name, int line)
 {
   parser_t *parser = arg;
   upstream_item_t *item = parser_add_upstream (parser, line);
 
   if (parser->upstream_line == 0)
     parser->upstream_line = line;
-  item->pub.instance = arena_str (&parser->keep, name);
-  /* In one process the port is of no interest; any will do.  */
+  item->pub.instance = arena_str (&parser->arena, name);
+  /* Only this process connects to the sidecar, so that any free port will
+     do.  */
   item->pub.listen = STR ("127.0.0.1:0");
   return item;
 }
 
 static void *
-open_peer (void *arg, str_t name, int line)
+begin_peer (void *arg, str_t name, int line)
 {
   parser_t *parser = arg;
   peer_item_t *item = arena_alloc (&parser->scratch, sizeof *item);
 
   (void)line;
-  item->pub.name = arena_str (&parser->keep, name);
+  item->pub.name = arena_str (&parser->arena, name);
   parser->peers = mem_realloc (parser->peers, (parser->peers_count + 1)
                                                   * sizeof (peer_item_t *));
   parser->peers[parser->peers_count++] = item;
   return item;
 }
 
-#define SECTION(kind, form, keys, open)                                       \
+#define SECTION(kind, form, keys, begin)                                      \
   {                                                                           \
-    kind, form, keys, sizeof (keys) / sizeof (keys)[0], open                  \
+    kind, form, keys, sizeof (keys) / sizeof (keys)[0], begin                 \
   }
 
 static const schema_section_t settings_sections[] = {
-  SECTION ("process", SECTION_BARE, process_keys, open_self),
-  SECTION ("entry", SECTION_BARE, entry_keys, open_entry),
-  SECTION ("gateway", SECTION_BARE, gateway_keys, open_gateway),
-  SECTION ("sidecar", SECTION_BARE, sidecar_keys, open_sidecar),
-  SECTION ("upstream", SECTION_NAMED, upstream_keys, open_upstream),
-  SECTION ("platform", SECTION_BARE, platform_keys, open_self),
-  SECTION ("configuration", SECTION_BARE, configuration_keys, open_self),
-  SECTION ("peer", SECTION_NAMED, peer_keys, open_peer),
+  SECTION ("process", SECTION_UNNAMED, process_keys, begin_process_section),
+  SECTION ("entry", SECTION_UNNAMED, entry_keys, begin_entry),
+  SECTION ("gateway", SECTION_UNNAMED, gateway_keys, begin_gateway),
+  SECTION ("sidecar", SECTION_UNNAMED, sidecar_keys, begin_sidecar),
+  SECTION ("upstream", SECTION_NAMED, upstream_keys, begin_upstream),
+  SECTION ("platform", SECTION_UNNAMED, platform_keys, begin_process_section),
+  SECTION ("configuration", SECTION_UNNAMED, configuration_keys,
+           begin_process_section),
+  SECTION ("peer", SECTION_NAMED, peer_keys, begin_peer),
 };
 
 static const schema_t settings_schema
@@ -290,13 +300,14 @@
         sizeof settings_sections / sizeof settings_sections[0] };
 
 static void
-parser_defaults (parser_t *parser)
+parser_set_defaults (parser_t *parser)
 {
   settings_t *pub = &parser->pub;
 
-  parser->log_level = LEVEL_INFO;
+  parser->log_level = LOG_LEVEL_INDEX_INFO;
   parser->platform = PLATFORM_UNSET;
-  /* Balancers check health every few seconds and want two failures.  */
+  /* External load balancers check health every few seconds and need two
+     failures to stop sending.  */
   pub->drain_grace_ms = 5000;
   pub->drain_bound_ms = 120000;
   pub->body_limit = 4 * mib;
@@ -308,7 +319,7 @@
   pub->platform_timeout_ms = 2000;
   pub->poll_ms = 1000;
   pub->kill_after_s = 10;
-  /* Revoked keys are to be unusable 5 s after the change.  */
+  /* A revoked key must stop working within 5 s of the change.  */
   pub->confirm_ms = 4500;
   pub->lapse_ms = 2000;
   pub->extra_ratio = 0.1;
@@ -316,9 +327,9 @@
   pub->extra_window_s = 10;
   pub->cold_factor = 1;
   pub->exposure_share = 0.1;
-  /* What the users pay for a good answer of three kinds, by rank: 0.45 to
-     0.56, 0.25 to 0.28 and 0.14 to 0.17 for 1,000 of its size; three tenths of
-     that when late, a twentieth when poor.  */
+  /* The users pay for a good response of rank 0, 1 and 2, respectively, 0.45
+     to 0.56, 0.25 to 0.28 and 0.14 to 0.17 for 1,000 units of size; three
+     tenths of that if it is late and a twentieth if it is poor.  */
   pub->answer_worth = 0.55;
   pub->rank_part = 0.5;
   pub->late_part = 0.3;
@@ -326,26 +337,28 @@
   pub->opinion_width = 5;
 }
 
-/* Complain that SECTION, in LINE unless 0, has no use in this role.  */
+/* Add an error if SECTION, which the role does not allow, is present.  LINE is
+   its line, or 0 if SECTION is absent.  */
 static void
-parser_forbid (parser_t *parser, int line, const char *section,
-               const char *hint)
+parser_reject_section (parser_t *parser, int line, const char *section,
+                       const char *hint)
 {
   if (line != 0)
     conf_errors_add (parser->errors, line, hint,
-                     "[%s] has no use in the role `%s'", section,
-                     role_words[parser->pub.role]);
+                     "[%s] is not allowed in the role `%s'", section,
+                     role_names[parser->pub.role]);
 }
 
-/* Complain when VALUE, of a key that this role needs, is empty.  */
+/* Add an error unless IS_PRESENT, for KEY of SECTION, which the role
+   requires.  */
 static void
-parser_need (parser_t *parser, bool present, const char *section,
-             const char *key)
+parser_require_key (parser_t *parser, bool is_present, const char *section,
+                    const char *key)
 {
-  if (!present)
+  if (!is_present)
     conf_errors_add (parser->errors, 0, NULL,
                      "the role `%s' needs the key `%s' in [%s]",
-                     role_words[parser->pub.role], key, section);
+                     role_names[parser->pub.role], key, section);
 }
 
 static void
@@ -355,7 +368,7 @@
 
   if (parser->entry_line == 0)
     {
-      parser_need (parser, false, "entry", "listen");
+      parser_require_key (parser, false, "entry", "listen");
       return;
     }
   if (pub->deadline_default_ms > pub->deadline_max_ms)
@@ -363,7 +376,7 @@
                      "`deadline-default-ms' is above `deadline-max-ms'");
   if ((pub->tls_certificate.len == 0) != (pub->tls_key.len == 0))
     conf_errors_add (parser->errors, parser->entry_line, NULL,
-                     "`tls-certificate' and `tls-key' need each other");
+                     "`tls-certificate' and `tls-key' must be set together");
 }
 
 static void
@@ -375,40 +388,44 @@
     {
     case ROLE_ENTRY:
       parser_check_entry (parser);
-      parser_need (parser, pub->rpc.len > 0, "process", "rpc");
-      parser_need (parser, parser->rpc_keys.count > 0, "process", "rpc-keys");
-      parser_need (parser, pub->session_key.len > 0, "entry", "session-key");
-      parser_forbid (parser, parser->sidecar_line, "sidecar",
-                     "a sidecar is a process of its own");
-      parser_forbid (parser, parser->upstream_line, "upstream",
-                     "an entry finds upstreams by the instance list");
+      parser_require_key (parser, pub->rpc.len > 0, "process", "rpc");
+      parser_require_key (parser, parser->rpc_keys.count > 0, "process",
+                          "rpc-keys");
+      parser_require_key (parser, pub->session_key.len > 0, "entry",
+                          "session-key");
+      parser_reject_section (parser, parser->sidecar_line, "sidecar",
+                             "a sidecar is a process of its own");
+      parser_reject_section (parser, parser->upstream_line, "upstream",
+                             "an entry finds upstreams by the instance list");
       break;
     case ROLE_SIDECAR:
       if (parser->sidecar_line == 0)
-        parser_need (parser, false, "sidecar", "instance");
+        parser_require_key (parser, false, "sidecar", "instance");
       else
-        parser_need (parser, parser->upstreams[0]->pub.listen.len > 0,
-                     "sidecar", "listen");
-      parser_need (parser, parser->rpc_keys.count > 0, "process", "rpc-keys");
-      parser_forbid (parser, parser->entry_line, "entry",
-                     "an entry is a process of its own");
-      parser_forbid (parser, parser->upstream_line, "upstream",
-                     "write `[sidecar]'");
+        parser_require_key (parser, parser->upstreams[0]->pub.listen.len > 0,
+                            "sidecar", "listen");
+      parser_require_key (parser, parser->rpc_keys.count > 0, "process",
+                          "rpc-keys");
+      parser_reject_section (parser, parser->entry_line, "entry",
+                             "an entry is a process of its own");
+      parser_reject_section (parser, parser->upstream_line, "upstream",
+                             "write `[sidecar]'");
       break;
     case ROLE_GATEWAY:
       if (parser->gateway_line == 0)
-        parser_need (parser, false, "gateway", "listen");
-      parser_forbid (parser, parser->entry_line, "entry",
-                     "a gateway's section is [gateway]");
-      parser_forbid (parser, parser->sidecar_line, "sidecar",
-                     "a gateway dials upstreams itself");
-      parser_forbid (parser, parser->upstream_line, "upstream",
-                     "a gateway finds upstreams in the platform's store");
+        parser_require_key (parser, false, "gateway", "listen");
+      parser_reject_section (parser, parser->entry_line, "entry",
+                             "a gateway's section is [gateway]");
+      parser_reject_section (parser, parser->sidecar_line, "sidecar",
+                             "a gateway connects to upstreams itself");
+      parser_reject_section (
+          parser, parser->upstream_line, "upstream",
+          "a gateway finds upstreams in the platform's store");
       break;
     case ROLE_STANDALONE:
       parser_check_entry (parser);
-      parser_forbid (parser, parser->sidecar_line, "sidecar",
-                     "write `[upstream NAME]'");
+      parser_reject_section (parser, parser->sidecar_line, "sidecar",
+                             "write `[upstream NAME]'");
       break;
     }
 }
@@ -425,24 +442,25 @@
               : PLATFORM_HTTP;
   pub->platform = (platform_kind_t)parser->platform;
   if (pub->platform == PLATFORM_HTTP)
-    parser_need (parser, pub->platform_address.len > 0, "platform", "address");
+    parser_require_key (parser, pub->platform_address.len > 0, "platform",
+                        "address");
   else if (pub->role != ROLE_STANDALONE)
     conf_errors_add (parser->errors, 0,
-                     "give `kind = http' and an address, or use the role "
+                     "set `kind = http' and `address', or use the role "
                      "`standalone'",
                      "the in-memory platform is not shared between processes");
 }
 
-/* Check what ITEM serves and take its features.  */
+/* Check the names that ITEM serves, and set its feature bits.  */
 static void
 parser_check_upstream (parser_t *parser, upstream_item_t *item)
 {
   for (size_t i = 0; i < item->serves.count; i++)
     {
       str_t name = item->serves.items[i];
-      bool fits = item->pub.is_service ? schema_name_valid (name)
-                                       : schema_version_valid (name);
-      if (!fits)
+      bool is_valid = item->pub.is_service ? schema_name_valid (name)
+                                           : schema_version_valid (name);
+      if (!is_valid)
         conf_errors_add (parser->errors, item->serves.line,
                          item->pub.is_service
                              ? "a service is named without a version"
@@ -455,19 +473,19 @@
       nearest_t nearest = nearest_make (name);
       buf_t hint = BUF_NULL;
       size_t bit = 0;
-      for (; feature_words[bit] != NULL; bit++)
+      for (; feature_names[bit] != NULL; bit++)
         {
-          if (str_eq (name, str_from (feature_words[bit])))
+          if (str_eq (name, str_from (feature_names[bit])))
             break;
-          nearest_offer (&nearest, str_from (feature_words[bit]));
+          nearest_offer (&nearest, str_from (feature_names[bit]));
         }
-      if (feature_words[bit] != NULL)
+      if (feature_names[bit] != NULL)
         item->pub.features |= 1u << bit;
       else
         conf_errors_add (
             parser->errors, item->features.line,
             nearest_hint (&nearest,
-                          "known are load-report, cache-events, resume, "
+                          "known features: load-report, cache-events, resume, "
                           "priority, orders, fencing, kv",
                           &hint),
             "unknown feature `%.*s'", STR_ARG (name));
@@ -478,40 +496,40 @@
                      "`limit-start' is above `limit-max'");
 }
 
-/* Copy LIST to KEEP; return its items.  */
+/* Copy the items of LIST to ARENA and return them.  */
 static str_t *
-list_keep (arena_t *keep, const value_list_t *list)
+list_copy (arena_t *arena, const value_list_t *list)
 {
-  str_t *items = arena_alloc (keep, (list->count + 1) * sizeof *items);
+  str_t *items = arena_alloc (arena, (list->count + 1) * sizeof *items);
 
   for (size_t i = 0; i < list->count; i++)
-    items[i] = arena_str (keep, list->items[i]);
+    items[i] = arena_str (arena, list->items[i]);
   return items;
 }
 
-/* Move the lists that grew to their final arrays.  */
+/* Copy all lists from the scratch arena to the result.  */
 static void
-parser_finish (parser_t *parser)
+parser_build_result (parser_t *parser)
 {
   settings_t *pub = &parser->pub;
-  arena_t *keep = &parser->keep;
+  arena_t *arena = &parser->arena;
 
-  pub->log_level = str_from (level_words[parser->log_level]);
-  pub->rpc_keys = list_keep (keep, &parser->rpc_keys);
+  pub->log_level = str_from (log_level_names[parser->log_level]);
+  pub->rpc_keys = list_copy (arena, &parser->rpc_keys);
   pub->rpc_keys_count = parser->rpc_keys.count;
   pub->upstreams_count = parser->upstreams_count;
-  pub->upstreams = arena_alloc (keep, (parser->upstreams_count + 1)
-                                          * sizeof *pub->upstreams);
+  pub->upstreams = arena_alloc (arena, (parser->upstreams_count + 1)
+                                           * sizeof *pub->upstreams);
   for (size_t i = 0; i < parser->upstreams_count; i++)
     {
       const upstream_item_t *item = parser->upstreams[i];
       pub->upstreams[i] = item->pub;
-      pub->upstreams[i].serves = list_keep (keep, &item->serves);
+      pub->upstreams[i].serves = list_copy (arena, &item->serves);
       pub->upstreams[i].serves_count = item->serves.count;
     }
   pub->peers_count = parser->peers_count;
   pub->peers
-      = arena_alloc (keep, (parser->peers_count + 1) * sizeof *pub->peers);
+      = arena_alloc (arena, (parser->peers_count + 1) * sizeof *pub->peers);
   for (size_t i = 0; i < parser->peers_count; i++)
     pub->peers[i] = parser->peers[i]->pub;
 }
@@ -520,22 +538,23 @@
 settings_parse (str_t text, settings_t **out, conf_errors_t *errors)
 {
   parser_t *parser = mem_zalloc (sizeof *parser);
-  size_t before = errors->count;
+  size_t error_count_before = errors->count;
 
   *out = NULL;
   parser->errors = errors;
-  parser_defaults (parser);
-  schema_run (&settings_schema, text, parser, &parser->keep, &parser->scratch,
-              errors);
+  parser_set_defaults (parser);
+  schema_parse (&settings_schema, text, parser, &parser->arena,
+                &parser->scratch, errors);
   for (size_t i = 0; i < parser->upstreams_count; i++)
     parser_check_upstream (parser, parser->upstreams[i]);
   if (parser->pub.drain_grace_ms > parser->pub.drain_bound_ms)
     conf_errors_add (errors, 0, NULL,
                      "`drain-grace-ms' is above `drain-bound-ms'");
-  /* Without a name there was no [process], so the role is not known.  */
+  /* Without a valid [process] section the role is unknown, and the checks that
+     depend on the role are left out.  */
   if (parser->pub.name.len == 0)
     conf_errors_add (errors, 0,
-                     "give it `name', `role', "
+                     "set `name', `role', "
                      "`availability-zone' and `admin'",
                      "[process] is missing or has no name");
   else
@@ -544,9 +563,9 @@
       parser_check_platform (parser);
     }
   schema_sort_errors (errors);
-  if (errors->count == before)
+  if (errors->count == error_count_before)
     {
-      parser_finish (parser);
+      parser_build_result (parser);
       *out = &parser->pub;
     }
   arena_free (&parser->scratch);
@@ -560,20 +579,20 @@
   return VH_E_BAD_SETTINGS;
 }
 
-/* Make *FILE, when relative, start at the folder of the settings file PATH,
-   so that a process finds its files from any working folder.  */
+/* If *FILE is a relative path, resolve it from the directory of the settings
+   file PATH, so that it does not depend on the working directory.  */
 static void
-parser_resolve (parser_t *parser, const char *path, str_t *file)
+parser_resolve_path (parser_t *parser, const char *path, str_t *file)
 {
   const char *slash = strrchr (path, '/');
-  buf_t joined = BUF_NULL;
+  buf_t resolved = BUF_NULL;
 
   if (file->len == 0 || file->ptr[0] == '/' || slash == NULL)
     return;
-  buf_append (&joined, path, (size_t)(slash - path) + 1);
-  buf_append_str (&joined, *file);
-  *file = arena_str (&parser->keep, buf_str (&joined));
-  buf_free (&joined);
+  buf_append (&resolved, path, (size_t)(slash - path) + 1);
+  buf_append_str (&resolved, *file);
+  *file = arena_str (&parser->arena, buf_str (&resolved));
+  buf_free (&resolved);
 }
 
 vh_code_t
@@ -591,9 +610,9 @@
   if (code == VH_OK)
     {
       parser_t *parser = (parser_t *)*out;
-      parser_resolve (parser, path, &(*out)->configuration_file);
-      parser_resolve (parser, path, &(*out)->tls_certificate);
-      parser_resolve (parser, path, &(*out)->tls_key);
+      parser_resolve_path (parser, path, &(*out)->configuration_file);
+      parser_resolve_path (parser, path, &(*out)->tls_certificate);
+      parser_resolve_path (parser, path, &(*out)->tls_key);
     }
   buf_free (&text);
   return code;
@@ -606,6 +625,6 @@
 
   if (settings == NULL)
     return;
-  arena_free (&parser->keep);
+  arena_free (&parser->arena);
   free (parser);
 }
--- a/packages/conf/settings.h
+++ b/packages/conf/settings.h
@@ -1,6 +1,6 @@
-/* Settings of one process, read once at start from an INI file.  Unknown
-   sections and keys, wrong types and missing values are errors with file,
-   line and a hint; nothing is half applied.  */
+/* Settings of one process, read once at its start from an INI file.  Unknown
+   sections and keys, wrong types and missing values are errors with file, line
+   and a hint; if there is any error, no setting is applied.  */
 
 #ifndef CONF_SETTINGS_H
 #define CONF_SETTINGS_H
@@ -8,12 +8,12 @@
 #include "base/code.h"
 #include "base/str.h"
 
-/* One complaint about a text.  */
+/* One error in a configuration text.  */
 typedef struct
 {
-  int line; /* From 1; 0 when it concerns the whole text.  */
+  int line; /* From 1; 0 if the error concerns the whole text.  */
   char *message;
-  char *hint; /* What to do about it; may be NULL.  */
+  char *hint; /* How to correct the error; may be NULL.  */
 } conf_error_t;
 
 typedef struct
@@ -22,69 +22,79 @@
   size_t count;
 } conf_errors_t;
 
-/* Append one complaint; MESSAGE as for printf, HINT may be NULL.  */
+/* Append an error.  FORMAT is as for printf; HINT is copied and may be NULL.
+   Past a maximum number of errors, further ones are dropped.  */
 void conf_errors_add (conf_errors_t *errors, int line, const char *hint,
                       const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
-/* Append "PROGRAM: FILE:LINE: message (hint)" lines to OUT, and a NUL past
-   its length.  */
+/* Append a line "PROGRAM: FILE:LINE: message (hint)" for each error to OUT,
+   and a NUL that the length of OUT excludes.  */
 void conf_errors_print (const conf_errors_t *errors, const char *program,
                         str_t file, buf_t *out);
+/* Release all errors and make ERRORS empty.  */
 void conf_errors_free (conf_errors_t *errors);
 
+/* Role of a process.  */
 typedef enum
 {
-  ROLE_ENTRY,
-  ROLE_SIDECAR,
-  ROLE_STANDALONE,
-  ROLE_GATEWAY /* Routes of the platform's configuration; dials upstreams.  */
+  ROLE_ENTRY,      /* Accepts requests and forwards them to sidecars.  */
+  ROLE_SIDECAR,    /* Forwards requests to one upstream instance.  */
+  ROLE_STANDALONE, /* Entry and sidecars in one process.  */
+  ROLE_GATEWAY     /* Routes by the platform's configuration and connects to
+                      upstreams without sidecars.  */
 } role_t;
 
+/* Implementation of the platform's store.  */
 typedef enum
 {
   PLATFORM_HTTP,
-  PLATFORM_MEMORY
+  PLATFORM_MEMORY /* Inside the process; not shared with other processes.  */
 } platform_kind_t;
 
-/* What an engine offers beyond POST /v1/chat/completions.  */
+/* Optional features of an engine besides POST /v1/chat/completions.  */
 typedef enum
 {
   FEATURE_LOAD_REPORT = 1 << 0,  /* GET /load */
   FEATURE_CACHE_EVENTS = 1 << 1, /* GET /cache-events */
-  FEATURE_RESUME = 1 << 2,       /* resume a stream at an offset */
-  FEATURE_PRIORITY = 1 << 3,     /* "priority" in the body */
+  FEATURE_RESUME = 1 << 2,       /* Resumes a stream at an offset.  */
+  FEATURE_PRIORITY = 1 << 3,     /* Accepts "priority" in the body.  */
   FEATURE_ORDERS = 1 << 4,       /* POST /orders */
-  FEATURE_FENCING = 1 << 5,      /* refuses an old fencing number itself */
-  FEATURE_KV = 1 << 6            /* KV cache export and import */
+  FEATURE_FENCING = 1 << 5,      /* Rejects outdated fencing tokens.  */
+  FEATURE_KV = 1 << 6            /* Exports and imports its KV cache.  */
 } feature_t;
 
-/* An upstream instance and the sidecar that is its only door.  */
+/* An upstream instance and the sidecar through which all of its requests
+   pass.  */
 typedef struct
 {
-  str_t instance; /* Name in the roster, such as runner-17.  */
-  str_t listen;   /* Where the sidecar takes RPC, HOST:PORT.  */
-  str_t upstream; /* Where the upstream listens, HOST:PORT.  */
+  str_t instance; /* Name in the instance list, such as runner-17.  */
+  str_t listen;   /* HOST:PORT on which the sidecar accepts RPC.  */
+  str_t upstream; /* HOST:PORT on which the upstream listens.  */
   bool is_service;
-  str_t *serves; /* MODEL@VERSION, or service names.  */
+  str_t *serves; /* MODEL@VERSION strings, or service names if IS_SERVICE.  */
   size_t serves_count;
-  unsigned features;            /* FEATURE_ bits.  */
-  uint32_t limit_start;         /* Concurrency just after a start.  */
-  uint32_t limit_max;           /* Concurrency never exceeded.  */
-  uint32_t queue_max;           /* Requests that may wait.  */
-  double limit_tolerance;       /* Of latency over the best; 0: default.  */
-  uint32_t queue_long_cost;     /* Jobs from this on are long; 0: default.  */
-  uint64_t answer_keep_ms;      /* How long a finished answer is kept.  */
-  uint64_t answer_bytes;        /* Bound on all answers kept.  */
-  uint64_t upstream_timeout_ms; /* Longest silence of the upstream.  */
+  unsigned features;        /* Bitwise OR of FEATURE_ constants.  */
+  uint32_t limit_start;     /* Concurrency limit at the start.  */
+  uint32_t limit_max;       /* Upper bound of the concurrency limit.  */
+  uint32_t queue_max;       /* Largest number of queued requests.  */
+  double limit_tolerance;   /* Ratio of latency to the lowest latency above
+                               which the concurrency limit is lowered; 0
+                               selects the default.  */
+  uint32_t queue_long_cost; /* Cost from which on a job counts as long; 0
+                               selects the default.  */
+  uint64_t answer_keep_ms;  /* Time for which a finished response is kept.  */
+  uint64_t answer_bytes;    /* Largest total size of the kept responses.  */
+  uint64_t upstream_timeout_ms; /* Time without data from the upstream after
+                                   which a request fails.  */
 } upstream_settings_t;
 
-/* A peer named in the settings, used until the instance list is known.  */
+/* A peer from the settings, used until the instance list has been read.  */
 typedef struct
 {
   str_t name;
   role_t role;
   str_t zone;
-  str_t address; /* RPC, HOST:PORT.  */
+  str_t address; /* HOST:PORT of its RPC listener.  */
 } peer_settings_t;
 
 typedef struct settings
@@ -94,52 +104,73 @@
   role_t role;
   str_t zone;
   str_t region;
-  str_t admin; /* Operators' port, HOST:PORT.  */
-  str_t rpc;   /* Where an entry takes RPC from its peers, HOST:PORT.  */
+  str_t admin; /* HOST:PORT of the admin listener, for operators.  */
+  str_t rpc;   /* HOST:PORT on which RPC from peers is accepted.  */
   str_t log_level;
-  uint64_t drain_grace_ms; /* Accept on while the balancer notices.  */
-  uint64_t drain_bound_ms; /* Longest planned stop.  */
-  uint64_t seed;           /* 0: from the system.  */
-  str_t *rpc_keys;         /* Shared secrets; the first one signs.  */
+  uint64_t drain_grace_ms; /* Time for which a stopping process still accepts
+                              requests, until external load balancers have
+                              seen that it is not ready.  */
+  uint64_t drain_bound_ms; /* Maximum duration of a planned stop.  */
+  uint64_t seed;           /* Seed of the random number generator; 0 takes one
+                              from the operating system.  */
+  str_t *rpc_keys;         /* Shared secrets that are accepted; the first one
+                              signs.  */
   size_t rpc_keys_count;
-  str_t operator_key_sha256; /* 64 hex digits; empty: loopback only.  */
+  str_t operator_key_sha256; /* 64 hexadecimal digits; if empty, operators'
+                                requests are accepted from loopback only.  */
   /* [entry] */
-  str_t listen;
+  str_t listen; /* HOST:PORT for client requests; also in [gateway].  */
   str_t tls_certificate;
   str_t tls_key;
-  uint64_t body_limit;
-  uint64_t header_limit;
+  uint64_t body_limit;   /* Largest request body, in bytes.  */
+  uint64_t header_limit; /* Largest request header, in bytes.  */
   uint64_t deadline_default_ms;
   uint64_t deadline_max_ms;
-  uint32_t subset;   /* Sidecars of one pool an entry connects to.  */
-  str_t session_key; /* Signs session tokens.  */
-  bool mint_keys;    /* Mint an Idempotency-Key where one is needed.  */
+  uint32_t subset;   /* Number of sidecars of one pool that an entry connects
+                        to.  */
+  str_t session_key; /* Secret that signs session tokens.  */
+  bool mint_keys;    /* Whether to generate an Idempotency-Key if a request
+                        needs one and has none.  */
   uint32_t connections_max;
-  /* 0 takes the default of the policy module.  */
-  double outlier_share; /* Of a pool that may be ejected at once.  */
-  double retry_share;   /* Retries earned by each request.  */
-  uint32_t retry_burst; /* Retries that a quiet pool may spend at once.  */
-  /* [gateway]; LISTEN is shared with [entry] */
-  str_t ready;         /* Asked by the balancer, HOST:PORT.  */
-  double kill_after_s; /* A stop is ended by force after this.  */
-  uint64_t revoke_ms;  /* A key that is taken away works no longer than this;
-                          0: not said.  */
-  uint64_t confirm_ms; /* Longest age of the configuration's keys.  */
-  uint64_t lapse_ms;   /* Use of registrations lapsed in an outage.  */
-  double extra_ratio;  /* Extra sends for each request.  */
-  double extra_slack;  /* Extra sends in a window besides.  */
+  /* The policy module's default replaces a 0 in the next three fields.  */
+  double outlier_share; /* Largest share of a pool that may be ejected at the
+                           same time.  */
+  double retry_share;   /* Retries added to the retry budget per request.  */
+  uint32_t retry_burst; /* Size of the retry budget after a time without
+                           requests.  */
+  /* [gateway] */
+  str_t ready;         /* HOST:PORT of the readiness check.  */
+  double kill_after_s; /* Time after the start of a planned stop at which the
+                          process is killed.  */
+  uint64_t revoke_ms;  /* Time after which a revoked client key must not work
+                          any more; 0: unset, confirm_ms applies.  */
+  uint64_t confirm_ms; /* Age of the last confirmation of the configuration
+                          above which client keys are refused.  */
+  uint64_t lapse_ms;   /* Time after an outage of the store in which
+                          registrations that expired during the outage remain
+                          usable.  */
+  double extra_ratio;  /* Extra sends (those after a request's first) that all
+                          gateways together may make per request.  */
+  double extra_slack;  /* Extra sends allowed in a window in addition, however
+                          few requests arrive.  */
   double extra_window_s;
-  double cold_factor;    /* Over a cold instance's rate ...  */
-  double cold_slack;     /* ... and more requests in a second.  */
-  double exposure_share; /* Part of its service's requests that a version
-                            under trial may get within its order's time.  */
-  double link_mbps;      /* Of this instance's own link; 0: not known.  */
-  double answer_worth; /* Of a good answer of rank 0, for 1,000 of its size. */
-  double rank_part;    /* Of that for each rank further.  */
-  double late_part;    /* Of its worth that a late answer has.  */
-  double poor_part;    /* ... that a poor one has.  */
-  double opinion_width; /* Noise of a model's opinion, in points.  */
-  /* [sidecar], or [upstream NAME] of a standalone */
+  double cold_factor;    /* All gateways together send a cold instance at most
+                            its rate * cold_factor + cold_slack requests a
+                            second.  */
+  double cold_slack;     /* Requests a second; see cold_factor.  */
+  double exposure_share; /* Largest share of a service's requests that a
+                            version in roll-out may get within the roll-out's
+                            time limit.  */
+  double link_mbps;      /* Network bandwidth of this instance; 0: unknown.  */
+  double answer_worth;   /* Value of a good response of rank 0 for 1,000 units
+                            of size, in the unit of the models' costs.  A token
+                            read is 1 unit, a generated token 10 units.  */
+  double rank_part; /* Factor applied to the value for each further rank.  */
+  double late_part; /* Share of its value that a late response has.  */
+  double poor_part; /* Share of its value that a poor response has.  */
+  double opinion_width; /* Standard deviation of the noise in a model's rating
+                           of a response, in points.  */
+  /* [sidecar], or [upstream NAME] if the role is standalone */
   upstream_settings_t *upstreams;
   size_t upstreams_count;
   /* [platform] */
@@ -147,25 +178,29 @@
   str_t platform_address; /* HOST:PORT */
   uint64_t platform_timeout_ms;
   /* [configuration] */
-  str_t configuration_file; /* First revision of a standalone.  */
-  uint64_t poll_ms;         /* Head polling period.  */
+  str_t configuration_file; /* File with the configuration to apply if the
+                               store has none; may be empty.  */
+  uint64_t poll_ms;         /* Interval at which the store is polled for a
+                               newer revision.  */
   /* [peer NAME] */
   peer_settings_t *peers;
   size_t peers_count;
 } settings_t;
 
-/* Parse TEXT.  Return VH_OK and *OUT, or VH_E_BAD_SETTINGS with ERRORS
-   filled and *OUT NULL.  */
+/* Parse TEXT.  Return VH_OK and set *OUT, which settings_destroy frees, or
+   return VH_E_BAD_SETTINGS, add to ERRORS and set *OUT to NULL.  */
 vh_code_t settings_parse (str_t text, settings_t **out, conf_errors_t *errors);
-/* Read and parse PATH; VH_E_IO when it cannot be read.  Relative file names
-   in it start at its own folder.  All strings are NUL-terminated past their
-   length.  */
+/* Like settings_parse for the file PATH; VH_E_IO if the file cannot be read.
+   Relative file names in the settings are resolved from the directory of PATH.
+   All strings are NUL-terminated; their length excludes the NUL.  */
 vh_code_t settings_load (const char *path, settings_t **out,
                          conf_errors_t *errors);
+/* Free SETTINGS, which may be NULL.  */
 void settings_destroy (settings_t *settings);
 
-/* Append the bytes of the file PATH to OUT, somewhat past the bound of a
-   configuration's size at most.  Return VH_E_IO when it cannot be read.  */
+/* Append the contents of the file PATH to OUT.  Reading stops soon after the
+   maximum size of a configuration, which the parser then rejects.  Return
+   VH_OK, or VH_E_IO if the file cannot be read.  */
 vh_code_t conf_read_file (const char *path, buf_t *out);
 
 #endif
--- a/packages/conf/snapshot.c
+++ b/packages/conf/snapshot.c
@@ -7,12 +7,13 @@
 #include <stdlib.h>
 
 void
-names_add (names_t *names, void *item)
+name_table_add (name_table_t *names, void *item)
 {
-  if (names->count == names->cap)
+  if (names->count == names->capacity)
     {
-      names->cap = names->cap * 2 + 8;
-      names->items = mem_realloc (names->items, names->cap * sizeof (void *));
+      names->capacity = names->capacity * 2 + 8;
+      names->items
+          = mem_realloc (names->items, names->capacity * sizeof (void *));
     }
   names->items[names->count++] = item;
   if (names->by_name == NULL)
@@ -21,26 +22,26 @@
 }
 
 void *
-names_get (const names_t *names, str_t name)
+name_table_find (const name_table_t *names, str_t name)
 {
   return names->by_name != NULL ? map_get (names->by_name, name) : NULL;
 }
 
 void *
-names_at (const names_t *names, size_t index)
+name_table_at (const name_table_t *names, size_t index)
 {
   return index < names->count ? names->items[index] : NULL;
 }
 
 static void
-names_free (names_t *names)
+name_table_free (name_table_t *names)
 {
   free (names->items);
   map_destroy (names->by_name);
 }
 
 key_slot_t *
-snapshot_key_slot (const snapshot_t *snapshot, const uint8_t *digest)
+snapshot_find_key_slot (const snapshot_t *snapshot, const uint8_t *digest)
 {
   uint64_t hash;
 
@@ -64,26 +65,26 @@
 snapshot_t *
 snapshot_ref (snapshot_t *snapshot)
 {
-  snapshot->references++;
+  snapshot->reference_count++;
   return snapshot;
 }
 
 void
 snapshot_unref (snapshot_t *snapshot)
 {
-  if (snapshot == NULL || --snapshot->references > 0)
+  if (snapshot == NULL || --snapshot->reference_count > 0)
     return;
-  names_free (&snapshot->teams);
-  names_free (&snapshot->plans);
-  names_free (&snapshot->models);
-  names_free (&snapshot->versions);
-  names_free (&snapshot->services);
-  names_free (&snapshot->zones);
-  names_free (&snapshot->rollouts);
-  names_free (&snapshot->objectives);
-  map_destroy (snapshot->instances_out);
+  name_table_free (&snapshot->teams);
+  name_table_free (&snapshot->plans);
+  name_table_free (&snapshot->models);
+  name_table_free (&snapshot->versions);
+  name_table_free (&snapshot->services);
+  name_table_free (&snapshot->zones);
+  name_table_free (&snapshot->rollouts);
+  name_table_free (&snapshot->objectives);
+  map_destroy (snapshot->disabled_instances);
   free (snapshot->keys);
-  arena_free (&snapshot->keep);
+  arena_free (&snapshot->arena);
   free (snapshot);
 }
 
@@ -102,41 +103,43 @@
 const team_t *
 snapshot_team_by_key (const snapshot_t *snapshot, const uint8_t *key_sha256)
 {
-  return snapshot_key_slot (snapshot, key_sha256)->team;
+  return snapshot_find_key_slot (snapshot, key_sha256)->team;
 }
 
 const team_t *
 snapshot_team (const snapshot_t *snapshot, str_t name)
 {
-  return names_get (&snapshot->teams, name);
+  return name_table_find (&snapshot->teams, name);
 }
 
 const model_t *
 snapshot_model (const snapshot_t *snapshot, str_t name)
 {
-  return names_get (&snapshot->models, name);
+  return name_table_find (&snapshot->models, name);
 }
 
 const version_t *
 snapshot_version (const snapshot_t *snapshot, str_t name)
 {
-  return names_get (&snapshot->versions, name);
+  return name_table_find (&snapshot->versions, name);
 }
 
 const service_t *
 snapshot_service (const snapshot_t *snapshot, str_t name)
 {
-  return names_get (&snapshot->services, name);
+  return name_table_find (&snapshot->services, name);
 }
 
 bool
 snapshot_allows (const snapshot_t *snapshot, const team_t *team,
                  const version_t *version)
 {
-  /* Both of this very snapshot: those of another have other indices.  */
+  /* Both must belong to this snapshot, because the indices of other snapshots
+     differ.  */
   assert (snapshot_team_at (snapshot, team->index) == team);
   assert (snapshot_version_at (snapshot, version->index) == version);
-  return bit_test (snapshot->allows + team->plan->index * snapshot->allows_row,
+  return bit_test (snapshot->version_bits
+                       + team->plan->index * snapshot->version_row_words,
                    version->index);
 }
 
@@ -146,53 +149,53 @@
 {
   assert (snapshot_team_at (snapshot, team->index) == team);
   assert (snapshot_service_at (snapshot, service->index) == service);
-  return bit_test (snapshot->allows_service
-                       + team->plan->index * snapshot->allows_service_row,
+  return bit_test (snapshot->service_bits
+                       + team->plan->index * snapshot->service_row_words,
                    service->index);
 }
 
 bool
 snapshot_zone_in (const snapshot_t *snapshot, str_t zone)
 {
-  const zone_item_t *item = names_get (&snapshot->zones, zone);
+  const zone_item_t *item = name_table_find (&snapshot->zones, zone);
 
-  return item == NULL || item->in;
+  return item == NULL || item->is_enabled;
 }
 
 bool
 snapshot_instance_in (const snapshot_t *snapshot, str_t instance)
 {
-  return map_get (snapshot->instances_out, instance) == NULL;
+  return map_get (snapshot->disabled_instances, instance) == NULL;
 }
 
 const team_t *
 snapshot_team_at (const snapshot_t *snapshot, size_t index)
 {
-  return names_at (&snapshot->teams, index);
+  return name_table_at (&snapshot->teams, index);
 }
 
 const model_t *
 snapshot_model_at (const snapshot_t *snapshot, size_t index)
 {
-  return names_at (&snapshot->models, index);
+  return name_table_at (&snapshot->models, index);
 }
 
 const version_t *
 snapshot_version_at (const snapshot_t *snapshot, size_t index)
 {
-  return names_at (&snapshot->versions, index);
+  return name_table_at (&snapshot->versions, index);
 }
 
 const service_t *
 snapshot_service_at (const snapshot_t *snapshot, size_t index)
 {
-  return names_at (&snapshot->services, index);
+  return name_table_at (&snapshot->services, index);
 }
 
 const rollout_t *
 snapshot_rollout_at (const snapshot_t *snapshot, size_t index)
 {
-  const rollout_item_t *item = names_at (&snapshot->rollouts, index);
+  const rollout_item_t *item = name_table_at (&snapshot->rollouts, index);
 
   return item != NULL ? &item->pub : NULL;
 }
@@ -200,13 +203,13 @@
 const objective_t *
 snapshot_objective_at (const snapshot_t *snapshot, size_t index)
 {
-  return names_at (&snapshot->objectives, index);
+  return name_table_at (&snapshot->objectives, index);
 }
 
 str_t
 snapshot_zone_at (const snapshot_t *snapshot, size_t index)
 {
-  const zone_item_t *item = names_at (&snapshot->zones, index);
+  const zone_item_t *item = name_table_at (&snapshot->zones, index);
 
   return item != NULL ? item->name : STR_NULL;
 }
@@ -214,7 +217,7 @@
 str_t
 snapshot_zone_region (const snapshot_t *snapshot, str_t zone)
 {
-  const zone_item_t *item = names_get (&snapshot->zones, zone);
+  const zone_item_t *item = name_table_find (&snapshot->zones, zone);
 
   return item != NULL ? item->region : STR_NULL;
 }
--- a/packages/conf/snapshot.h
+++ b/packages/conf/snapshot.h
@@ -1,6 +1,8 @@
-/* One revision of the operators' lists, compiled: immutable, reference
-   counted, with lookups that cost a hash or a bit test.  A snapshot is used
-   by the loop's own thread only.  */
+/* Compiled form of one revision of the configuration: the teams, plans,
+   models, versions, services, zones, instances, roll-outs and objectives that
+   operators define.  A snapshot is immutable and reference counted; a lookup
+   costs one hash or one bit test.  The reference count is not atomic, so only
+   the thread of the event loop may use a snapshot.  */
 
 #ifndef CONF_SNAPSHOT_H
 #define CONF_SNAPSHOT_H
@@ -39,9 +41,10 @@
 typedef struct
 {
   str_t name;
-  uint32_t index; /* Dense, in order of appearance.  */
+  uint32_t index; /* From 0 without gaps, in the order of the text.  */
   const plan_t *plan;
-  uint32_t weight; /* Share when the fleet is full; at least 1.  */
+  uint32_t weight; /* Weight of the team's share of capacity under overload; at
+                      least 1.  */
 } team_t;
 
 /* [plan NAME] */
@@ -49,9 +52,10 @@
 {
   str_t name;
   uint32_t index;
-  double quality_target; /* 0 to 1.  */
+  double quality_target; /* Rating that responses should reach, 0 to 1.  */
   prefer_t prefer;
-  uint64_t deadline_ms; /* Default for its teams; 0: the process's.  */
+  uint64_t deadline_ms; /* Default deadline of requests; 0: the default from
+                           the process's settings.  */
 };
 
 /* [model NAME] */
@@ -59,9 +63,10 @@
 {
   str_t name;
   uint32_t index;
-  str_t task;           /* Task class the cascade resolves.  */
-  double cost;          /* Price units for 1,000 tokens.  */
-  double quality_prior; /* Expected rating before evidence, 0 to 1.  */
+  str_t task;           /* Task class for which the model cascade may select
+                           this model.  */
+  double cost;          /* Price units per 1,000 tokens.  */
+  double quality_prior; /* Expected rating before any was observed, 0 to 1.  */
   const version_t *const *versions;
   size_t version_count;
 };
@@ -73,7 +78,7 @@
   uint32_t index;
   const model_t *model;
   version_state_t state;
-  double cost; /* The model's unless set.  */
+  double cost; /* Price units per 1,000 tokens; the model's if not set.  */
 };
 
 /* [service NAME] */
@@ -82,64 +87,76 @@
   str_t name;
   uint32_t index;
   bool idempotent;
-  uint64_t timeout_ms; /* 0: the request's deadline alone.  */
+  uint64_t timeout_ms; /* 0: only the request's deadline applies.  */
 } service_t;
 
 /* [rollout MODEL@VERSION] */
 typedef struct
 {
   const version_t *version;
-  const version_t *over;
+  const version_t *over; /* The version that is replaced.  */
   rollout_state_t state;
-  uint32_t share_max; /* Percent at which it counts as complete.  */
+  uint32_t share_max; /* Share of requests at which the roll-out is complete,
+                         in percent.  */
 } rollout_t;
 
-/* [objective NAME]: a service-level objective over a team or everyone.  */
+/* [objective NAME]: a service-level objective of one team or of all.  */
 typedef struct
 {
   str_t name;
-  str_t team;                 /* Empty: all.  */
-  double answered;            /* Share, such as 0.999; 0: none.  */
-  uint64_t first_token_ms;    /* 0: none.  */
-  uint64_t between_tokens_ms; /* 0: none.  */
-  double within;              /* Share that must meet the two above.  */
-  double quality;             /* Mean rating; 0: none.  */
-  double cost;                /* Price units a request; 0: none.  */
+  str_t team;                 /* Empty for all teams.  */
+  double answered;            /* Required share of answered requests, such as
+                                 0.999; 0: not set.  */
+  uint64_t first_token_ms;    /* Time to the first token; 0: not set.  */
+  uint64_t between_tokens_ms; /* Time between tokens; 0: not set.  */
+  double within;              /* Share of requests that must meet the two times
+                                 above.  */
+  double quality;             /* Required mean rating; 0: not set.  */
+  double cost;                /* Budget: mean price units per request; 0: not
+                                 set.  */
 } objective_t;
 
-/* Compile TEXT as revision REVISION.  Return VH_OK and *OUT with one
-   reference, or VH_E_BAD_CONFIG with ERRORS filled and *OUT NULL.  */
+/* Compile TEXT as revision REVISION.  Return VH_OK and set *OUT to a snapshot
+   with one reference, or return VH_E_BAD_CONFIG, add to ERRORS and set *OUT to
+   NULL.  */
 vh_code_t snapshot_parse (str_t text, uint64_t revision, snapshot_t **out,
                           conf_errors_t *errors);
+/* Add a reference and return SNAPSHOT.  */
 snapshot_t *snapshot_ref (snapshot_t *snapshot);
-/* Drop a reference; NULL is accepted.  */
+/* Release a reference, and free SNAPSHOT with the last one.  SNAPSHOT may be
+   NULL.  */
 void snapshot_unref (snapshot_t *snapshot);
 
 uint64_t snapshot_revision (const snapshot_t *snapshot);
-/* The text it was compiled from, byte for byte.  */
+/* Return the text from which SNAPSHOT was compiled, byte for byte.  */
 str_t snapshot_text (const snapshot_t *snapshot);
 
-/* Return the team whose key has SHA-256 digest KEY_SHA256 (32 bytes), or
-   NULL.  Digests are compared in constant time.  */
+/* Return the team that has a key with the SHA-256 digest KEY_SHA256 (32
+   bytes), or NULL.  Digests are compared in constant time.  */
 const team_t *snapshot_team_by_key (const snapshot_t *snapshot,
                                     const uint8_t *key_sha256);
+/* Return the team, model, version or service of this name, or NULL.  */
 const team_t *snapshot_team (const snapshot_t *snapshot, str_t name);
 const model_t *snapshot_model (const snapshot_t *snapshot, str_t name);
-/* NAME is MODEL@VERSION.  */
+/* NAME has the form MODEL@VERSION.  */
 const version_t *snapshot_version (const snapshot_t *snapshot, str_t name);
 const service_t *snapshot_service (const snapshot_t *snapshot, str_t name);
 
-/* Tell whether TEAM's plan allows VERSION and it is not withdrawn.  */
+/* Return whether TEAM's plan allows VERSION and VERSION is not withdrawn. TEAM
+   and VERSION must belong to SNAPSHOT.  */
 bool snapshot_allows (const snapshot_t *snapshot, const team_t *team,
                       const version_t *version);
+/* Return whether TEAM's plan allows SERVICE.  TEAM and SERVICE must belong to
+   SNAPSHOT.  */
 bool snapshot_allows_service (const snapshot_t *snapshot, const team_t *team,
                               const service_t *service);
 
-/* Zones and instances not named in the text are in.  */
+/* Return whether a zone or instance may receive requests: true unless the text
+   sets its state to `out'.  */
 bool snapshot_zone_in (const snapshot_t *snapshot, str_t zone);
 bool snapshot_instance_in (const snapshot_t *snapshot, str_t instance);
 
-/* Step through the lists: entry INDEX, or NULL past the end.  */
+/* Return entry INDEX in the order of the text, or NULL past the last one.  */
 const team_t *snapshot_team_at (const snapshot_t *snapshot, size_t index);
 const model_t *snapshot_model_at (const snapshot_t *snapshot, size_t index);
 const version_t *snapshot_version_at (const snapshot_t *snapshot,
@@ -150,20 +167,22 @@
                                       size_t index);
 const objective_t *snapshot_objective_at (const snapshot_t *snapshot,
                                           size_t index);
-/* Name of zone INDEX of the text, or STR_NULL past the end.  */
+/* Return the name of zone INDEX in the order of the text, or STR_NULL past the
+   last one.  */
 str_t snapshot_zone_at (const snapshot_t *snapshot, size_t index);
-/* Region of ZONE, empty when the text names none.  */
+/* Return the region of ZONE, or STR_NULL if the text sets none.  */
 str_t snapshot_zone_region (const snapshot_t *snapshot, str_t zone);
 
-/* Append to OUT the delta that turns OLD_TEXT into NEW_TEXT.  */
+/* Append to OUT a delta from OLD_TEXT to NEW_TEXT.  */
 void conf_delta_make (str_t old_text, str_t new_text, buf_t *out);
-/* Append to OUT the text that DELTA makes of OLD_TEXT.  Return VH_OK, or
-   VH_E_PROTOCOL when DELTA is malformed or does not fit OLD_TEXT.  */
+/* Apply DELTA to OLD_TEXT and append the new text to OUT.  Return VH_OK, or
+   VH_E_PROTOCOL with OUT unchanged if DELTA is malformed or was made for
+   another text.  */
 vh_code_t conf_delta_apply (str_t old_text, str_t delta, buf_t *out);
 
-/* Append to OUT a copy of TEXT in which KEY of [SECTION] reads VALUE; the
-   section or key is added at need, all else (comments too) stays.  A VALUE
-   of STR_NULL removes the key.  */
+/* Append to OUT a copy of TEXT in which KEY of [SECTION] has the value VALUE.
+   A missing section or key is added; all other bytes, comments included, are
+   unchanged.  STR_NULL as VALUE removes the key.  */
 void conf_edit (str_t text, str_t section, str_t key, str_t value, buf_t *out);
 
 #endif
--- a/packages/conf/snapshot_impl.h
+++ b/packages/conf/snapshot_impl.h
@@ -1,5 +1,4 @@
-/* What stands behind a snapshot: for the files of this package that make
-   one.  */
+/* Internals of a snapshot, for the files of this package that build one.  */
 
 #ifndef CONF_SNAPSHOT_IMPL_H
 #define CONF_SNAPSHOT_IMPL_H
@@ -14,24 +13,26 @@
   WORD_BITS = 64
 };
 
-/* Every struct below starts with its name, which names_t relies on.  */
+/* The values of one section each.  The first member of each struct is its name
+   or starts with its name, because name_table_t reads the name there.  The
+   references and lists are allocated in the builder's scratch arena.  */
 typedef struct
 {
   team_t pub;
   value_ref_t plan;
-  value_list_t keys;
+  value_list_t keys; /* Hexadecimal SHA-256 digests.  */
 } team_item_t;
 
 typedef struct
 {
   plan_t pub;
-  value_list_t allow;
+  value_list_t allow; /* Patterns of allowed versions and services.  */
 } plan_item_t;
 
 typedef struct
 {
   model_t pub;
-  size_t filled;
+  size_t versions_filled; /* Number of entries set in pub.versions.  */
 } model_item_t;
 
 typedef struct
@@ -49,13 +50,14 @@
 {
   str_t name;
   str_t region;
-  bool in;
+  bool is_enabled;
 } zone_item_t;
 
+/* Allocated in the builder's scratch arena.  */
 typedef struct
 {
   str_t name;
-  bool in;
+  bool is_enabled;
 } instance_item_t;
 
 typedef struct
@@ -72,68 +74,73 @@
   value_ref_t team;
 } objective_item_t;
 
-/* Items in order of appearance, and by name.  */
+/* Sections of one kind, in the order of the text and by name.  */
 typedef struct
 {
   void **items;
   size_t count;
-  size_t cap;
-  map_t *by_name; /* NULL where nobody looks by name.  */
-} names_t;
+  size_t capacity;
+  map_t *by_name; /* NULL as long as the table is empty.  */
+} name_table_t;
 
-/* A team's key.  Open addressing by the digest's first bytes, which are as
-   good as random.  */
+/* Slot of a hash table with open addressing from key digests to teams.  The
+   hash is the first bytes of the digest, which are uniformly distributed.  */
 typedef struct
 {
-  const team_t *team; /* NULL: free.  */
+  const team_t *team; /* NULL if the slot is free.  */
   uint8_t digest[DIGEST_BYTES];
 } key_slot_t;
 
 struct snapshot
 {
-  size_t references;
+  size_t reference_count;
   uint64_t revision;
   str_t text;
-  arena_t keep;
-  names_t teams;
-  names_t plans;
-  names_t models;
-  names_t versions;
-  names_t services;
-  names_t zones;
-  names_t rollouts;
-  names_t objectives;
-  map_t *instances_out;
+  arena_t arena;
+  name_table_t teams;
+  name_table_t plans;
+  name_table_t models;
+  name_table_t versions;
+  name_table_t services;
+  name_table_t zones;
+  name_table_t rollouts;
+  name_table_t objectives;
+  map_t *disabled_instances; /* Names of instances; values are unused.  */
   key_slot_t *keys;
-  size_t key_mask;
-  /* One row of bits a plan, one bit a version or service.  */
-  uint64_t *allows;
-  size_t allows_row;
-  uint64_t *allows_service;
-  size_t allows_service_row;
+  size_t key_mask; /* Number of key slots, a power of 2, minus 1.  */
+  /* Bit matrices of permissions: a row for each plan, a bit for each version
+     or service.  The row lengths are in 64-bit words.  */
+  uint64_t *version_bits;
+  size_t version_row_words;
+  uint64_t *service_bits;
+  size_t service_row_words;
 };
 
-/* A snapshot in the making and what only its parser needs.  */
+/* A snapshot under construction, and data that is released afterwards.  */
 typedef struct
 {
   snapshot_t *snapshot;
   arena_t scratch;
   instance_item_t **instances;
-  size_t instances_count;
-  size_t instances_cap;
+  size_t instance_count;
+  size_t instance_capacity;
   conf_errors_t *errors;
-} compiler_t;
-
-/* Sections and keys of the lists; its argument is a compiler_t.  */
-extern const schema_t lists_schema;
-
-/* Append ITEM, and enter its name.  */
-void names_add (names_t *names, void *item);
-void *names_get (const names_t *names, str_t name);
-void *names_at (const names_t *names, size_t index);
-
-/* Return where DIGEST stands in SNAPSHOT's keys, or the free slot for it.  */
-key_slot_t *snapshot_key_slot (const snapshot_t *snapshot,
-                               const uint8_t *digest);
+} snapshot_builder_t;
+
+/* Sections and keys of the configuration; the argument of its callbacks is a
+   snapshot_builder_t.  */
+extern const schema_t snapshot_schema;
+
+/* Append ITEM, which starts with its name (a str_t) and is borrowed.  */
+void name_table_add (name_table_t *names, void *item);
+/* Return the item of this name, or NULL.  */
+void *name_table_find (const name_table_t *names, str_t name);
+/* Return item INDEX, or NULL past the last one.  */
+void *name_table_at (const name_table_t *names, size_t index);
+
+/* Return the slot of SNAPSHOT's key table that holds DIGEST, or the free slot
+   in which DIGEST is to be stored.  */
+key_slot_t *snapshot_find_key_slot (const snapshot_t *snapshot,
+                                    const uint8_t *digest);
 
 #endif
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Tests of a process's settings.  */
+/* Tests of the parser of a process's settings.  */
 
 #include "conf/settings.h"
 
@@ -24,11 +24,11 @@
 
 enum
 {
-  /* The bound of a text, as the message has it.  */
-  TEXT_MAX = 4194304
+  /* CONF_TEXT_BYTES_MAX, which the error message quotes.  */
+  TEXT_BYTES_MAX = 4194304
 };
 
-/* Fail with all the complaints that ERRORS holds.  */
+/* Fail with all messages of ERRORS if there are any.  */
 static void
 check_no_errors (const conf_errors_t *errors)
 {
@@ -39,7 +39,7 @@
   buf_free (&text);
 }
 
-START_TEST (defaults_of_a_standalone)
+START_TEST (standalone_has_defaults)
 {
   settings_t *settings;
   conf_errors_t errors = { 0 };
@@ -125,7 +125,7 @@
 }
 END_TEST
 
-START_TEST (load_keys_of_an_entry)
+START_TEST (entry_stores_load_keys)
 {
   settings_t *settings;
   conf_errors_t errors = { 0 };
@@ -142,27 +142,28 @@
 }
 END_TEST
 
-/* LINE 0 concerns the whole text.  */
+/* A faulty text and the error that it must give.  */
 typedef struct
 {
   const char *text;
-  int line;
-  const char *message;
-  const char *hint; /* NULL: any.  */
+  int line;            /* 0 if the error concerns the whole text.  */
+  const char *message; /* A part of the message.  */
+  const char *hint;    /* A part of the hint; NULL accepts any.  */
 } error_case_t;
 
 static const error_case_t error_cases[] = {
   { "", 0, "[process] is missing", "role" },
   { STANDALONE "[entri]\nx = 1\n", 11, "unknown section `entri'", "`entry'" },
   { STANDALONE "[zebra]\nx = 1\n", 11, "unknown section `zebra'",
-    "known are process" },
-  { STANDALONE "[entry]\nlisten = 127.0.0.1:9\n", 11, "stands twice",
+    "known sections: process" },
+  { STANDALONE "[entry]\nlisten = 127.0.0.1:9\n", 11, "is defined twice",
     "keep one" },
-  { PROCESS "name = b\n" ENTRY, 6, "`name' stands twice", NULL },
+  { PROCESS "name = b\n" ENTRY, 6, "`name' is set twice", NULL },
   { PROCESS "nmae = b\n" ENTRY, 6, "unknown key `nmae'", "`name'" },
   { PROCESS "body-limit = 5\n" ENTRY, 6, "unknown key `body-limit'",
     "it belongs in [entry]" },
-  { PROCESS "xyzzy = 5\n" ENTRY, 6, "unknown key `xyzzy'", "known are name" },
+  { PROCESS "xyzzy = 5\n" ENTRY, 6, "unknown key `xyzzy'",
+    "known keys: name" },
   { PROCESS "seed = -1\n" ENTRY, 6, "`seed' cannot be `-1'",
     "a whole number" },
   { PROCESS "seed = 1.5\n" ENTRY, 6, "`seed' cannot be `1.5'", NULL },
@@ -174,12 +175,12 @@
     "letters, digits" },
   { PROCESS "region =\n" ENTRY, 6, "`region' cannot be `'", NULL },
   { PROCESS "rpc = localhost:80\n" ENTRY, 6, "`rpc' cannot be",
-    "HOST:PORT by IP number" },
+    "HOST:PORT with an IP address" },
   { PROCESS "rpc = 127.0.0.1\n" ENTRY, 6, "`rpc' cannot be", NULL },
   { PROCESS "rpc = 127.0.0.1:65536\n" ENTRY, 6, "`rpc' cannot be", NULL },
   { PROCESS "rpc = ::1:80\n" ENTRY, 6, "`rpc' cannot be", NULL },
   { PROCESS "rpc = 127.0.0.1:\n" ENTRY, 6, "`rpc' cannot be", NULL },
-  { PROCESS "rpc-keys = short\n" ENTRY, 6, "`rpc-keys' has a value",
+  { PROCESS "rpc-keys = short\n" ENTRY, 6, "`rpc-keys' has an invalid value",
     "16 bytes" },
   { PROCESS "operator-key-sha256 = abc\n" ENTRY, 6, "`operator-key-sha256'",
     "64 hexadecimal digits" },
@@ -192,12 +193,12 @@
   { PROCESS "[entry\nlisten = 127.0.0.1:2\n", 6, "header is malformed", NULL },
   { PROCESS "[entry] x\nlisten = 127.0.0.1:2\n", 6, "header is malformed",
     NULL },
-  { "name = a\n" STANDALONE, 1, "stands in no section", NULL },
+  { "name = a\n" STANDALONE, 1, "is outside of any section", NULL },
   { PROCESS ENTRY "[upstream]\nupstream = 127.0.0.1:3\nserves = m@1\n", 8,
     "[upstream] lacks a name", "[upstream NAME]" },
   { PROCESS ENTRY "[upstream a b]\nupstream = 127.0.0.1:3\nserves = m@1\n", 8,
-    "does not fit", NULL },
-  { PROCESS "[entry x]\nlisten = 127.0.0.1:2\n", 6, "does not fit",
+    "has an invalid name", NULL },
+  { PROCESS "[entry x]\nlisten = 127.0.0.1:2\n", 6, "has an invalid name",
     "write `[entry]'" },
   { PROCESS, 0, "needs the key `listen' in [entry]", NULL },
   { PROCESS "[entry]\n", 6, "[entry] lacks the key `listen'", NULL },
@@ -228,15 +229,15 @@
     "from 1 to" },
   { PROCESS ENTRY "deadline-default-ms = 9\ndeadline-max-ms = 8\n", 6,
     "`deadline-default-ms' is above", NULL },
-  { PROCESS ENTRY "tls-key = a.pem\n", 6, "need each other", NULL },
+  { PROCESS ENTRY "tls-key = a.pem\n", 6, "must be set together", NULL },
   { PROCESS ENTRY "mint-idempotency-key = true\n", 8,
     "`mint-idempotency-key' cannot be `true'", "one of no, yes" },
   { STANDALONE "[sidecar]\ninstance = a\nlisten = 127.0.0.1:4\n"
                "upstream = 127.0.0.1:3\nserves = m@1\n",
-    11, "[sidecar] has no use in the role `standalone'", "upstream NAME" },
+    11, "[sidecar] is not allowed in the role `standalone'", "upstream NAME" },
   { ENTRY_ROLE ENTRY, 0, "needs the key `session-key' in [entry]", NULL },
   { ENTRY_ROLE ENTRY "session-key = 0123456789abcdef\n" UPSTREAM, 13,
-    "[upstream] has no use in the role `entry'", NULL },
+    "[upstream] is not allowed in the role `entry'", NULL },
   { ENTRY_ROLE "kind = memory\n" ENTRY "session-key = 0123456789abcdef\n", 0,
     "in-memory platform is not shared", "standalone" },
   { "[process]\nname = a\nrole = sidecar\navailability-zone = z\n"
@@ -258,18 +259,18 @@
   { PROCESS "region = a\x01\n" ENTRY, 6, "byte 0x01 is not text", NULL },
 };
 
-/* Tell whether ERRORS holds the complaint of CASE.  */
+/* Return whether ERRORS contains the error of EXPECTED.  */
 static bool
-has_error (const conf_errors_t *errors, const error_case_t *wanted)
+has_expected_error (const conf_errors_t *errors, const error_case_t *expected)
 {
   for (size_t i = 0; i < errors->count; i++)
     {
       const conf_error_t *error = &errors->items[i];
-      if (error->line != wanted->line
-          || strstr (error->message, wanted->message) == NULL)
+      if (error->line != expected->line
+          || strstr (error->message, expected->message) == NULL)
         continue;
-      if (wanted->hint == NULL
-          || (error->hint != NULL && strstr (error->hint, wanted->hint)))
+      if (expected->hint == NULL
+          || (error->hint != NULL && strstr (error->hint, expected->hint)))
         return true;
     }
   return false;
@@ -277,27 +278,27 @@
 
 START_TEST (errors_name_line_and_hint)
 {
-  const error_case_t *wanted = &error_cases[_i];
+  const error_case_t *expected = &error_cases[_i];
   settings_t *settings;
   conf_errors_t errors = { 0 };
   buf_t text = BUF_NULL;
 
   ck_assert_int_eq (
-      settings_parse (str_from (wanted->text), &settings, &errors),
+      settings_parse (str_from (expected->text), &settings, &errors),
       VH_E_BAD_SETTINGS);
   ck_assert_ptr_null (settings);
   conf_errors_print (&errors, "vanillahookd", STR ("a.ini"), &text);
-  ck_assert_msg (has_error (&errors, wanted),
-                 "wanted line %d, %s (%s)\nhave\n%s", wanted->line,
-                 wanted->message, wanted->hint ? wanted->hint : "any",
+  ck_assert_msg (has_expected_error (&errors, expected),
+                 "expected line %d, %s (%s)\nerrors:\n%s", expected->line,
+                 expected->message, expected->hint ? expected->hint : "any",
                  text.ptr);
   buf_free (&text);
   conf_errors_free (&errors);
 }
 END_TEST
 
-/* Story: an operator mends a file line by line, starting the daemon each
-   time, because only the first mistake is shown.  */
+/* If only the first error of a file were reported, an operator would have to
+   start the daemon once for each error.  */
 START_TEST (all_errors_are_reported_in_order)
 {
   settings_t *settings;
@@ -317,15 +318,15 @@
                   &settings, &errors);
   ck_assert_ptr_null (settings);
   int lines[] = { 3, 4, 6, 7, 8, 9 };
-  size_t at = 0;
+  size_t found = 0;
   for (size_t i = 0; i < errors.count; i++)
     {
-      if (at < 6 && errors.items[i].line == lines[at])
-        at++;
+      if (found < 6 && errors.items[i].line == lines[found])
+        found++;
       ck_assert (i == 0 || errors.items[i - 1].line <= errors.items[i].line);
     }
   conf_errors_print (&errors, "vanillahookd", STR ("a.ini"), &text);
-  ck_assert_msg (at == 6, "%s", text.ptr);
+  ck_assert_msg (found == 6, "%s", text.ptr);
   ck_assert_msg (strstr (text.ptr, "vanillahookd: a.ini:3: `role' cannot be "
                                    "`clerk' (one of entry, sidecar, "
                                    "standalone, gateway)\n")
@@ -336,8 +337,8 @@
 }
 END_TEST
 
-/* Story: a daemon refuses its settings and logs why; the log goes to a
-   place many may read, with the shared key in it.  */
+/* The error messages of rejected settings are logged.  If a message quoted a
+   shared secret, everyone who can read the log would get it.  */
 START_TEST (secrets_are_never_quoted)
 {
   settings_t *settings;
@@ -386,7 +387,7 @@
 }
 END_TEST
 
-START_TEST (errors_are_bounded)
+START_TEST (error_count_is_bounded)
 {
   buf_t text = BUF_NULL;
   settings_t *settings;
@@ -398,7 +399,7 @@
   ck_assert_uint_ge (errors.count, 100);
   ck_assert_uint_le (errors.count, 1000);
   conf_errors_free (&errors);
-  while (text.len <= TEXT_MAX)
+  while (text.len <= TEXT_BYTES_MAX)
     buf_append_str (&text, STR ("; a comment that fills the file\n"));
   settings_parse (buf_str (&text), &settings, &errors);
   ck_assert_ptr_nonnull (strstr (errors.items[0].message, "more than"));
@@ -407,7 +408,7 @@
 }
 END_TEST
 
-START_TEST (examples_are_valid)
+START_TEST (example_files_are_valid)
 {
   static const char *const files[]
       = { "examples/standalone.ini", "examples/entry.ini",
@@ -427,7 +428,7 @@
 }
 END_TEST
 
-START_TEST (files_that_cannot_be_read)
+START_TEST (unreadable_files_are_errors)
 {
   settings_t *settings;
   conf_errors_t errors = { 0 };
@@ -447,17 +448,17 @@
   Suite *suite = suite_create ("settings");
   TCase *tcase = tcase_create ("settings");
 
-  tcase_add_test (tcase, defaults_of_a_standalone);
+  tcase_add_test (tcase, standalone_has_defaults);
   tcase_add_test (tcase, every_key_is_stored);
-  tcase_add_test (tcase, load_keys_of_an_entry);
+  tcase_add_test (tcase, entry_stores_load_keys);
   tcase_add_loop_test (tcase, errors_name_line_and_hint, 0,
                        sizeof error_cases / sizeof error_cases[0]);
   tcase_add_test (tcase, all_errors_are_reported_in_order);
   tcase_add_test (tcase, secrets_are_never_quoted);
   tcase_add_test (tcase, long_lines_keep_their_line_numbers);
-  tcase_add_test (tcase, errors_are_bounded);
-  tcase_add_test (tcase, examples_are_valid);
-  tcase_add_test (tcase, files_that_cannot_be_read);
+  tcase_add_test (tcase, error_count_is_bounded);
+  tcase_add_test (tcase, example_files_are_valid);
+  tcase_add_test (tcase, unreadable_files_are_errors);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -1,4 +1,4 @@
-/* Tests of the operators' lists.  */
+/* Tests of the compiled configuration.  */
 
 #include "base/rng.h"
 #include "conf/snapshot.h"
@@ -23,9 +23,9 @@
   "[service pay]\n"
 #define PLAN "[plan p]\nallow = draft@*, service:pay\n"
 #define TEAM "[team a]\nplan = p\nkey-sha256 = " DIGEST_A "\n"
-#define LISTS MODELS PLAN TEAM
+#define CONFIGURATION MODELS PLAN TEAM
 
-/* Fail with all the complaints that ERRORS holds.  */
+/* Fail with all messages of ERRORS if there are any.  */
 static void
 check_no_errors (const conf_errors_t *errors)
 {
@@ -47,9 +47,9 @@
   return snapshot;
 }
 
-/* Return the team whose key is KEY.  */
+/* Return the team that has the key KEY, or NULL.  */
 static const team_t *
-team_of_key (const snapshot_t *snapshot, str_t key)
+find_team_by_key (const snapshot_t *snapshot, str_t key)
 {
   uint8_t digest[SHA256_DIGEST_LENGTH];
 
@@ -74,31 +74,34 @@
   ck_assert (str_eq (snapshot_text (snapshot), buf_str (&text)));
   buf_free (&text);
 
-  const team_t *coast = team_of_key (snapshot, STR ("coast-office-demo-key"));
-  ck_assert_ptr_nonnull (coast);
-  ck_assert_ptr_eq (coast, snapshot_team (snapshot, STR ("coast-office")));
-  ck_assert_uint_eq (coast->weight, 4);
-  ck_assert (str_eq (coast->plan->name, STR ("grants")));
-  ck_assert_double_eq (coast->plan->quality_target, 0.9);
-  ck_assert_int_eq (coast->plan->prefer, PREFER_COST);
-  ck_assert_ptr_null (team_of_key (snapshot, STR ("no-such-key")));
+  const team_t *coast_team
+      = find_team_by_key (snapshot, STR ("coast-office-demo-key"));
+  ck_assert_ptr_nonnull (coast_team);
+  ck_assert_ptr_eq (coast_team,
+                    snapshot_team (snapshot, STR ("coast-office")));
+  ck_assert_uint_eq (coast_team->weight, 4);
+  ck_assert (str_eq (coast_team->plan->name, STR ("grants")));
+  ck_assert_double_eq (coast_team->plan->quality_target, 0.9);
+  ck_assert_int_eq (coast_team->plan->prefer, PREFER_COST);
+  ck_assert_ptr_null (find_team_by_key (snapshot, STR ("no-such-key")));
 
   ck_assert (allows (snapshot, "coast-office", "draft-small@3"));
   ck_assert (allows (snapshot, "coast-office", "draft-large@7"));
   ck_assert (allows (snapshot, "mosque-fund", "draft-small@4"));
   ck_assert (!allows (snapshot, "mosque-fund", "draft-large@7"));
-  const service_t *pay = snapshot_service (snapshot, STR ("disbursements"));
-  ck_assert (!pay->idempotent);
-  ck_assert_uint_eq (pay->timeout_ms, 20000);
-  ck_assert (snapshot_allows_service (snapshot, coast, pay));
+  const service_t *payment_service
+      = snapshot_service (snapshot, STR ("disbursements"));
+  ck_assert (!payment_service->idempotent);
+  ck_assert_uint_eq (payment_service->timeout_ms, 20000);
+  ck_assert (snapshot_allows_service (snapshot, coast_team, payment_service));
   ck_assert (!snapshot_allows_service (
-      snapshot, snapshot_team (snapshot, STR ("auditors")), pay));
+      snapshot, snapshot_team (snapshot, STR ("auditors")), payment_service));
 
-  const model_t *small = snapshot_model (snapshot, STR ("draft-small"));
-  ck_assert_uint_eq (small->version_count, 2);
-  ck_assert (str_eq (small->versions[1]->name, STR ("draft-small@4")));
-  ck_assert_int_eq (small->versions[1]->state, VERSION_ROLLING_OUT);
-  ck_assert_ptr_eq (small->versions[1]->model, small);
+  const model_t *small_model = snapshot_model (snapshot, STR ("draft-small"));
+  ck_assert_uint_eq (small_model->version_count, 2);
+  ck_assert (str_eq (small_model->versions[1]->name, STR ("draft-small@4")));
+  ck_assert_int_eq (small_model->versions[1]->state, VERSION_ROLLING_OUT);
+  ck_assert_ptr_eq (small_model->versions[1]->model, small_model);
   ck_assert_double_eq (
       snapshot_version (snapshot, STR ("draft-large@7"))->cost, 8.0);
 
@@ -125,7 +128,7 @@
 }
 END_TEST
 
-START_TEST (withdrawn_is_never_allowed)
+START_TEST (withdrawn_version_is_never_allowed)
 {
   snapshot_t *snapshot
       = parse (STR ("[model draft]\n[version draft@1]\nstate = withdrawn\n"
@@ -137,7 +140,7 @@
 }
 END_TEST
 
-START_TEST (zones_and_instances_default_to_in)
+START_TEST (zones_and_instances_are_enabled_by_default)
 {
   snapshot_t *snapshot
       = parse (STR ("[availability-zone x]\nstate = out\n"
@@ -154,8 +157,9 @@
 }
 END_TEST
 
-/* Story: a team's key is replaced without a moment in which neither works,
-   by listing the old and the new one for a while.  */
+/* To replace its key without an interruption, a team has the old and the new
+   key for some time.  If only one were accepted, the requests with the other
+   would be rejected.  */
 START_TEST (a_team_may_have_two_keys)
 {
   snapshot_t *snapshot
@@ -167,7 +171,7 @@
   ck_assert_ptr_nonnull (snapshot_team_by_key (snapshot, digest));
   memset (digest, 0xbb, sizeof digest);
   ck_assert_ptr_nonnull (snapshot_team_by_key (snapshot, digest));
-  /* Equal but for the last byte is not equal.  */
+  /* A digest that differs only in the last byte does not match.  */
   digest[SHA256_DIGEST_LENGTH - 1] = 0;
   ck_assert_ptr_null (snapshot_team_by_key (snapshot, digest));
   snapshot_unref (snapshot);
@@ -176,18 +180,19 @@
 
 START_TEST (comments_may_hold_any_script)
 {
-  snapshot_unref (parse (STR (LISTS "; café, مسجد, 雪, 🏔\n")));
+  snapshot_unref (
+      parse (STR (CONFIGURATION "; café, مسجد, 雪, 🏔\n")));
 }
 END_TEST
 
-START_TEST (references_keep_a_snapshot)
+START_TEST (reference_keeps_snapshot_alive)
 {
-  snapshot_t *snapshot = parse (STR (LISTS));
-  snapshot_t *again = snapshot_ref (snapshot);
+  snapshot_t *snapshot = parse (STR (CONFIGURATION));
+  snapshot_t *second_reference = snapshot_ref (snapshot);
 
   snapshot_unref (snapshot);
-  ck_assert (allows (again, "a", "draft@1"));
-  snapshot_unref (again);
+  ck_assert (allows (second_reference, "a", "draft@1"));
+  snapshot_unref (second_reference);
   snapshot_unref (NULL);
   snapshot = parse (STR (""));
   ck_assert_ptr_null (snapshot_team (snapshot, STR ("a")));
@@ -195,22 +200,25 @@
 }
 END_TEST
 
+/* A faulty text and the error that it must give.  */
 typedef struct
 {
   const char *text;
   int line;
-  const char *message;
-  const char *hint; /* NULL: any.  */
+  const char *message; /* A part of the message.  */
+  const char *hint;    /* A part of the hint; NULL accepts any.  */
 } error_case_t;
 
-/* LISTS has ten lines.  */
+/* CONFIGURATION has ten lines.  */
 static const error_case_t error_cases[] = {
-  { LISTS "[teem b]\n", 11, "unknown section `teem'", "`team'" },
-  { LISTS "[team a]\nplan = p\nkey-sha256 = " DIGEST_B "\n", 11,
-    "stands twice, first in line 8", NULL },
-  { LISTS "weigth = 2\n", 11, "unknown key `weigth'", "`weight'" },
-  { LISTS "weight = 0\n", 11, "`weight' cannot be `0'", "from 1 to 1000" },
-  { LISTS "weight = 1\nweight = 2\n", 12, "`weight' stands twice", NULL },
+  { CONFIGURATION "[teem b]\n", 11, "unknown section `teem'", "`team'" },
+  { CONFIGURATION "[team a]\nplan = p\nkey-sha256 = " DIGEST_B "\n", 11,
+    "is defined twice, first in line 8", NULL },
+  { CONFIGURATION "weigth = 2\n", 11, "unknown key `weigth'", "`weight'" },
+  { CONFIGURATION "weight = 0\n", 11, "`weight' cannot be `0'",
+    "from 1 to 1000" },
+  { CONFIGURATION "weight = 1\nweight = 2\n", 12, "`weight' is set twice",
+    NULL },
   { MODELS PLAN "[team a]\nplan = q\nkey-sha256 = " DIGEST_A "\n", 9,
     "unknown plan `q'", "add a [plan]" },
   { MODELS "[plan grants]\nallow = draft@*\n"
@@ -222,8 +230,8 @@
     NULL },
   { MODELS PLAN "[team a]\nplan = p\nkey-sha256 = secret\n", 10,
     "`key-sha256' cannot be", "64 hexadecimal" },
-  { LISTS "[team b]\nplan = p\nkey-sha256 = " DIGEST_A "\n", 13,
-    "team `b' has a key that team `a' has", NULL },
+  { CONFIGURATION "[team b]\nplan = p\nkey-sha256 = " DIGEST_A "\n", 13,
+    "team `b' has the same key as team `a'", NULL },
   { MODELS "[plan p]\nallow = darft@*\n", 7, "allows `darft@*'", "`draft'" },
   { MODELS "[plan p]\nallow = draft\n", 7, "allows `draft'",
     "write `draft@*'" },
@@ -235,57 +243,61 @@
   { MODELS "[plan p]\nallow = draft@1,\n", 7, "`allow' cannot be", "commas" },
   { MODELS "[plan p]\nquality-target = 0.9\n", 6, "lacks the key `allow'",
     NULL },
-  { LISTS "[plan q]\nallow = *\nquality-target = 1.1\n", 13,
+  { CONFIGURATION "[plan q]\nallow = *\nquality-target = 1.1\n", 13,
     "`quality-target' cannot be `1.1'", "from 0 to 1" },
-  { LISTS "[plan q]\nallow = *\nquality-target = nan\n", 13,
+  { CONFIGURATION "[plan q]\nallow = *\nquality-target = nan\n", 13,
     "`quality-target' cannot be", NULL },
-  { LISTS "[plan q]\nallow = *\nprefer = speed\n", 13,
+  { CONFIGURATION "[plan q]\nallow = *\nprefer = speed\n", 13,
     "`prefer' cannot be `speed'", "cost, latency" },
-  { LISTS "[version drafd@3]\n", 11, "unknown model `drafd'", "`draft'" },
-  { LISTS "[version draft]\n", 11, "does not fit", "MODEL@VERSION" },
-  { LISTS "[version draft@1@2]\n", 11, "does not fit", NULL },
-  { LISTS "[model a/b]\n", 11, "does not fit", "letters" },
-  { LISTS "[version draft@3]\nstate = gone\n", 12, "`state' cannot be `gone'",
-    "serving, rolling-out, withdrawn" },
-  { LISTS "[model m]\ncost = cheap\n", 12, "`cost' cannot be", "a number" },
-  { LISTS "[model m]\ncost = -1\n", 12, "`cost' cannot be", NULL },
-  { LISTS "[service s]\nidempotent = maybe\n", 12, "`idempotent' cannot be",
-    "one of no, yes" },
-  { LISTS "[rollout draft@3]\nover = draft@1\n", 11,
+  { CONFIGURATION "[version drafd@3]\n", 11, "unknown model `drafd'",
+    "`draft'" },
+  { CONFIGURATION "[version draft]\n", 11, "has an invalid name",
+    "MODEL@VERSION" },
+  { CONFIGURATION "[version draft@1@2]\n", 11, "has an invalid name", NULL },
+  { CONFIGURATION "[model a/b]\n", 11, "has an invalid name", "letters" },
+  { CONFIGURATION "[version draft@3]\nstate = gone\n", 12,
+    "`state' cannot be `gone'", "serving, rolling-out, withdrawn" },
+  { CONFIGURATION "[model m]\ncost = cheap\n", 12, "`cost' cannot be",
+    "a number" },
+  { CONFIGURATION "[model m]\ncost = -1\n", 12, "`cost' cannot be", NULL },
+  { CONFIGURATION "[service s]\nidempotent = maybe\n", 12,
+    "`idempotent' cannot be", "one of no, yes" },
+  { CONFIGURATION "[rollout draft@3]\nover = draft@1\n", 11,
     "unknown version `draft@3'", "draft@" },
-  { LISTS "[rollout draft@2]\nover = draft@9\n", 12,
+  { CONFIGURATION "[rollout draft@2]\nover = draft@9\n", 12,
     "unknown version `draft@9'", "draft@" },
-  { LISTS "[rollout draft@2]\nover = draft@2\n", 12, "over itself", NULL },
-  { LISTS "[rollout draft@2]\nshare-max = 50\n", 11, "lacks the key `over'",
+  { CONFIGURATION "[rollout draft@2]\nover = draft@2\n", 12, "over itself",
     NULL },
-  { LISTS "[rollout draft@2]\nover = draft@1\nshare-max = 101\n", 13,
+  { CONFIGURATION "[rollout draft@2]\nshare-max = 50\n", 11,
+    "lacks the key `over'", NULL },
+  { CONFIGURATION "[rollout draft@2]\nover = draft@1\nshare-max = 101\n", 13,
     "`share-max' cannot be", "from 1 to 100" },
-  { LISTS "[objective o]\nteam = b\n", 12, "unknown team `b'",
+  { CONFIGURATION "[objective o]\nteam = b\n", 12, "unknown team `b'",
     "add a [team]" },
-  { LISTS "[objective o]\nanswered = 99.9\n", 12, "`answered' cannot be",
-    "from 0 to 1" },
-  { LISTS "[availability-zone z]\nstate = down\n", 12, "`state' cannot be",
-    "out, in" },
-  { LISTS "; Caf\xe9\n", 11, "byte 0xe9 is not UTF-8", "UTF-8" },
-  { LISTS "; \xed\xa0\x80\n", 11, "not UTF-8", NULL },
-  { LISTS "; \xf0\x8f\xbf\xbf\n", 11, "not UTF-8", NULL },
-  { LISTS "; \xe2\x82", 11, "not UTF-8", NULL },
-  { LISTS "; a\x07\n", 11, "byte 0x07 is not text", NULL },
-  { LISTS "[instance]\n", 11, "[instance] lacks a name", NULL },
+  { CONFIGURATION "[objective o]\nanswered = 99.9\n", 12,
+    "`answered' cannot be", "from 0 to 1" },
+  { CONFIGURATION "[availability-zone z]\nstate = down\n", 12,
+    "`state' cannot be", "out, in" },
+  { CONFIGURATION "; Caf\xe9\n", 11, "byte 0xe9 is not UTF-8", "UTF-8" },
+  { CONFIGURATION "; \xed\xa0\x80\n", 11, "not UTF-8", NULL },
+  { CONFIGURATION "; \xf0\x8f\xbf\xbf\n", 11, "not UTF-8", NULL },
+  { CONFIGURATION "; \xe2\x82", 11, "not UTF-8", NULL },
+  { CONFIGURATION "; a\x07\n", 11, "byte 0x07 is not text", NULL },
+  { CONFIGURATION "[instance]\n", 11, "[instance] lacks a name", NULL },
 };
 
-/* Tell whether ERRORS holds the complaint of WANTED.  */
+/* Return whether ERRORS contains the error of EXPECTED.  */
 static bool
-has_error (const conf_errors_t *errors, const error_case_t *wanted)
+has_expected_error (const conf_errors_t *errors, const error_case_t *expected)
 {
   for (size_t i = 0; i < errors->count; i++)
     {
       const conf_error_t *error = &errors->items[i];
-      if (error->line != wanted->line
-          || strstr (error->message, wanted->message) == NULL)
+      if (error->line != expected->line
+          || strstr (error->message, expected->message) == NULL)
         continue;
-      if (wanted->hint == NULL
-          || (error->hint != NULL && strstr (error->hint, wanted->hint)))
+      if (expected->hint == NULL
+          || (error->hint != NULL && strstr (error->hint, expected->hint)))
         return true;
     }
   return false;
@@ -293,30 +305,31 @@
 
 START_TEST (errors_name_line_and_hint)
 {
-  const error_case_t *wanted = &error_cases[_i];
+  const error_case_t *expected = &error_cases[_i];
   snapshot_t *snapshot;
   conf_errors_t errors = { 0 };
   buf_t text = BUF_NULL;
 
   ck_assert_int_eq (
-      snapshot_parse (str_from (wanted->text), 1, &snapshot, &errors),
+      snapshot_parse (str_from (expected->text), 1, &snapshot, &errors),
       VH_E_BAD_CONFIG);
   ck_assert_ptr_null (snapshot);
   conf_errors_print (&errors, "vanillahook", STR ("a.ini"), &text);
-  ck_assert_msg (has_error (&errors, wanted),
-                 "wanted line %d, %s (%s)\nhave\n%s", wanted->line,
-                 wanted->message, wanted->hint ? wanted->hint : "any",
+  ck_assert_msg (has_expected_error (&errors, expected),
+                 "expected line %d, %s (%s)\nerrors:\n%s", expected->line,
+                 expected->message, expected->hint ? expected->hint : "any",
                  text.ptr);
   buf_free (&text);
   conf_errors_free (&errors);
 }
 END_TEST
 
-/* Change a few bytes of TEXT, mostly to ones that mean something.  */
+/* Apply one to eight random changes to TEXT.  Many replace a byte by one that
+   is significant in INI.  */
 static void
-damage (rng_t *rng, buf_t *text)
+damage_text (rng_t *rng, buf_t *text)
 {
-  static const char telling[] = "[]=;#:@*,. \n\r\t0aA-\"";
+  static const char significant[] = "[]=;#:@*,. \n\r\t0aA-\"";
 
   for (uint64_t n = 1 + rng_below (rng, 8); n > 0 && text->len > 0; n--)
     {
@@ -325,7 +338,7 @@
       switch (rng_below (rng, 4))
         {
         case 0:
-          text->ptr[at] = telling[rng_below (rng, sizeof telling - 1)];
+          text->ptr[at] = significant[rng_below (rng, sizeof significant - 1)];
           break;
         case 1:
           text->ptr[at] = (char)rng_below (rng, 256);
@@ -343,16 +356,16 @@
     }
 }
 
-/* Story: an operator applies a file that an editor or a copy cut short or
-   mangled.  It must be refused with a line, or be lists that stand by
-   themselves; the daemon must never fall over it.  */
+/* An editor or an interrupted copy can truncate or damage a file before an
+   operator applies it.  It must be rejected with an error or be valid as it
+   is, and the daemon must not crash.  */
 START_TEST (damaged_texts_never_crash)
 {
   static const char *const files[]
       = { "examples/lists.ini", "examples/standalone.ini",
           "examples/sidecar.ini" };
   rng_t rng = rng_make (3);
-  size_t refused = 0;
+  size_t rejected = 0;
 
   for (int round = 0; round < 6000; round++)
     {
@@ -362,25 +375,26 @@
       settings_t *settings = NULL;
       vh_code_t code;
       conf_read_file (files[round % 3], &text);
-      damage (&rng, &text);
-      /* Exact size on the heap, so that ASan sees a read past it.  */
-      char *exact = malloc (text.len + 1);
-      memcpy (exact, text.ptr, text.len);
-      str_t damaged = str_make (exact, text.len);
+      damage_text (&rng, &text);
+      /* A heap copy without spare bytes, so that AddressSanitizer detects a
+         read past the end.  */
+      char *heap_copy = malloc (text.len + 1);
+      memcpy (heap_copy, text.ptr, text.len);
+      str_t damaged = str_make (heap_copy, text.len);
       if (round % 3 == 0)
         code = snapshot_parse (damaged, 1, &snapshot, &errors);
       else
         code = settings_parse (damaged, &settings, &errors);
       ck_assert_int_eq (code == VH_OK, errors.count == 0);
       ck_assert_int_eq (code == VH_OK, snapshot != NULL || settings != NULL);
-      refused += code != VH_OK;
+      rejected += code != VH_OK;
       snapshot_unref (snapshot);
       settings_destroy (settings);
       conf_errors_free (&errors);
-      free (exact);
+      free (heap_copy);
       buf_free (&text);
     }
-  ck_assert_uint_gt (refused, 3000);
+  ck_assert_uint_gt (rejected, 3000);
 }
 END_TEST
 
@@ -391,11 +405,11 @@
   INSTANCES = 11000,
   PLANS = 50,
   LOOKUPS = 1000000,
-  HELD_MAX = 8388608
+  HELD_BYTES_MAX = 8388608
 };
 
 static double
-seconds (void)
+monotonic_s (void)
 {
   struct timespec now;
 
@@ -403,7 +417,7 @@
   return (double)now.tv_sec + (double)now.tv_nsec * 1e-9;
 }
 
-/* Return the bytes that are allocated now.  */
+/* Return the number of heap bytes in use.  */
 static size_t
 bytes_in_use (void)
 {
@@ -412,9 +426,9 @@
   return info.uordblks + info.hblkhd;
 }
 
-/* Write lists of the two-year size.  */
+/* Write a configuration of the size that is expected in two years.  */
 static void
-write_large (buf_t *text)
+write_largest_configuration (buf_t *text)
 {
   for (int i = 0; i < VERSIONS; i++)
     {
@@ -441,19 +455,19 @@
                 i % 100 == 0 ? "out" : "in");
 }
 
-START_TEST (two_year_size_is_quick_and_small)
+START_TEST (largest_configuration_is_fast_and_small)
 {
   buf_t text = BUF_NULL;
   conf_errors_t errors = { 0 };
   snapshot_t *snapshot;
   size_t allowed = 0;
 
-  write_large (&text);
+  write_largest_configuration (&text);
   size_t before = bytes_in_use ();
-  double start = seconds ();
+  double start = monotonic_s ();
   ck_assert_int_eq (snapshot_parse (buf_str (&text), 1, &snapshot, &errors),
                     VH_OK);
-  double parsed = seconds ();
+  double parsed = monotonic_s ();
   size_t bytes = bytes_in_use () - before;
   for (int i = 0; i < LOOKUPS; i++)
     {
@@ -462,20 +476,22 @@
           = snapshot_version_at (snapshot, (size_t)i % VERSIONS);
       allowed += snapshot_allows (snapshot, team, version);
     }
-  double looked = seconds ();
+  double lookups_done = monotonic_s ();
   ck_assert_uint_gt (allowed, 0);
-  ck_assert_ptr_eq (team_of_key (snapshot, STR ("key-4999")),
+  ck_assert_ptr_eq (find_team_by_key (snapshot, STR ("key-4999")),
                     snapshot_team (snapshot, STR ("team-4999")));
   ck_assert (!snapshot_instance_in (snapshot, STR ("runner-100")));
   ck_assert (snapshot_instance_in (snapshot, STR ("runner-101")));
   printf ("%d teams, %d versions, %d instances: text %zu bytes, parsed in "
-          "%.1f ms, %zu bytes held, %.1f ns a permission\n",
+          "%.1f ms, %zu bytes held, %.1f ns per permission check\n",
           TEAMS, VERSIONS, INSTANCES, text.len, (parsed - start) * 1e3, bytes,
-          (looked - parsed) * 1e9 / LOOKUPS);
-  /* Changes come a few a second at most; the sanitizers take some of it.  */
+          (lookups_done - parsed) * 1e9 / LOOKUPS);
+  /* At most a few changes a second are expected.  The bound leaves room for
+     the overhead of the sanitizers.  */
   ck_assert_double_lt (parsed - start, 2.0);
-  /* The text and what is compiled from it; budget of a process is 32 MB.  */
-  ck_assert_uint_lt (bytes, HELD_MAX);
+  /* The text and its compiled form; the memory budget of a process is 32 MB.
+   */
+  ck_assert_uint_lt (bytes, HELD_BYTES_MAX);
   snapshot_unref (snapshot);
   buf_free (&text);
 }
@@ -489,15 +505,15 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_test (tcase, example_compiles);
-  tcase_add_test (tcase, withdrawn_is_never_allowed);
-  tcase_add_test (tcase, zones_and_instances_default_to_in);
+  tcase_add_test (tcase, withdrawn_version_is_never_allowed);
+  tcase_add_test (tcase, zones_and_instances_are_enabled_by_default);
   tcase_add_test (tcase, a_team_may_have_two_keys);
   tcase_add_test (tcase, comments_may_hold_any_script);
-  tcase_add_test (tcase, references_keep_a_snapshot);
+  tcase_add_test (tcase, reference_keeps_snapshot_alive);
   tcase_add_loop_test (tcase, errors_name_line_and_hint, 0,
                        sizeof error_cases / sizeof error_cases[0]);
   tcase_add_test (tcase, damaged_texts_never_crash);
-  tcase_add_test (tcase, two_year_size_is_quick_and_small);
+  tcase_add_test (tcase, largest_configuration_is_fast_and_small);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
