--- a/tests/fuzz_conf.c
+++ b/tests/fuzz_conf.c
@@ -1,6 +1,7 @@
-/* Damaged settings, lists and deltas: a bounded run from fixed seeds.  Each
-   is refused with a complaint or taken, and never ends the process; the
-   sanitizers' run of the same sees what goes wrong inside.  */
+/* Fuzz tests of the parsers of settings, configurations and deltas, with a
+   fixed number of rounds and fixed seeds.  A damaged text must be rejected
+   with an error or accepted, and must not crash the process.  Builds with
+   sanitizers run the same tests to detect invalid memory accesses.  */
 
 #include "conf/settings.h"
 #include "conf/snapshot.h"
@@ -23,7 +24,7 @@
 }
 
 static void
-try_settings (str_t text)
+parse_settings (str_t text)
 {
   conf_errors_t errors = { 0 };
   settings_t *settings = NULL;
@@ -36,7 +37,7 @@
 }
 
 static void
-try_lists (str_t text)
+parse_configuration (str_t text)
 {
   conf_errors_t errors = { 0 };
   snapshot_t *snapshot = NULL;
@@ -54,45 +55,48 @@
 }
 
 static void
-run (const char *path, uint64_t seed, void (*attempt) (str_t text))
+fuzz_file (const char *path, uint64_t seed, void (*parse) (str_t text))
 {
   buf_t corpus = BUF_NULL;
   buf_t damaged = BUF_NULL;
   rng_t rng = rng_make (seed);
 
   read_corpus (path, &corpus);
-  attempt (buf_str (&corpus));
+  parse (buf_str (&corpus));
   for (int i = 0; i < ROUNDS; i++)
     {
       mutate (&rng, buf_str (&corpus), &damaged);
-      attempt (buf_str (&damaged));
+      parse (buf_str (&damaged));
     }
   buf_free (&corpus);
   buf_free (&damaged);
 }
 
-START_TEST (settings)
+START_TEST (damaged_settings_never_crash)
 {
-  run ("examples/entry.ini", 1, try_settings);
-  run ("examples/sidecar.ini", 2, try_settings);
-  run ("examples/standalone.ini", 3, try_settings);
+  fuzz_file ("examples/entry.ini", 1, parse_settings);
+  fuzz_file ("examples/sidecar.ini", 2, parse_settings);
+  fuzz_file ("examples/standalone.ini", 3, parse_settings);
 }
 END_TEST
 
-START_TEST (lists) { run ("examples/lists.ini", 4, try_lists); }
+START_TEST (damaged_configurations_never_crash)
+{
+  fuzz_file ("examples/lists.ini", 4, parse_configuration);
+}
 END_TEST
 
-/* A peer sends a damaged delta.  It is refused, or makes the very text that
-   its own hash tells.  */
-START_TEST (deltas)
+/* A peer may send a damaged delta.  It must be rejected or give the text whose
+   hash the delta contains.  */
+START_TEST (damaged_deltas_never_crash)
 {
   buf_t old_text = BUF_NULL;
   buf_t new_text = BUF_NULL;
   buf_t delta = BUF_NULL;
   buf_t damaged = BUF_NULL;
-  buf_t made = BUF_NULL;
+  buf_t result = BUF_NULL;
   rng_t rng = rng_make (5);
-  int refused = 0;
+  int rejected = 0;
 
   read_corpus ("examples/lists.ini", &old_text);
   conf_edit (buf_str (&old_text), STR ("team coast-office"), STR ("weight"),
@@ -101,25 +105,25 @@
   for (int i = 0; i < ROUNDS; i++)
     {
       mutate (&rng, buf_str (&delta), &damaged);
-      made.len = 0;
-      vh_code_t code
-          = conf_delta_apply (buf_str (&old_text), buf_str (&damaged), &made);
+      result.len = 0;
+      vh_code_t code = conf_delta_apply (buf_str (&old_text),
+                                         buf_str (&damaged), &result);
       if (code == VH_OK)
-        ck_assert (str_eq (buf_str (&made), buf_str (&new_text)));
-      refused += code != VH_OK;
+        ck_assert (str_eq (buf_str (&result), buf_str (&new_text)));
+      rejected += code != VH_OK;
     }
-  ck_assert_int_gt (refused, ROUNDS / 2);
+  ck_assert_int_gt (rejected, ROUNDS / 2);
   buf_free (&old_text);
   buf_free (&new_text);
   buf_free (&delta);
   buf_free (&damaged);
-  buf_free (&made);
+  buf_free (&result);
 }
 END_TEST
 
-/* An edit of a damaged text never ends the process, and what it makes is
-   refused or taken whole.  */
-START_TEST (edits)
+/* An edit of a damaged text must not crash the process, and its result must be
+   rejected with an error or accepted.  */
+START_TEST (edited_damaged_texts_never_crash)
 {
   buf_t corpus = BUF_NULL;
   buf_t damaged = BUF_NULL;
@@ -133,7 +137,7 @@
       out.len = 0;
       conf_edit (buf_str (&damaged), STR ("availability-zone nairobi-b"),
                  STR ("state"), STR ("out"), &out);
-      try_lists (buf_str (&out));
+      parse_configuration (buf_str (&out));
     }
   buf_free (&corpus);
   buf_free (&damaged);
@@ -148,10 +152,10 @@
   TCase *tcase = tcase_create ("fuzz_conf");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, settings);
-  tcase_add_test (tcase, lists);
-  tcase_add_test (tcase, deltas);
-  tcase_add_test (tcase, edits);
+  tcase_add_test (tcase, damaged_settings_never_crash);
+  tcase_add_test (tcase, damaged_configurations_never_crash);
+  tcase_add_test (tcase, damaged_deltas_never_crash);
+  tcase_add_test (tcase, edited_damaged_texts_never_crash);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/mutate.h
+++ b/tests/mutate.h
@@ -1,4 +1,4 @@
-/* Damage to a text as a fuzzer does it, from a seed.  */
+/* Random mutation of a text, for fuzz tests with a fixed seed.  */
 
 #ifndef TESTS_MUTATE_H
 #define TESTS_MUTATE_H
@@ -6,16 +6,17 @@
 #include "base/rng.h"
 #include "base/str.h"
 
-/* Put into OUT a copy of CORPUS with a few bytes changed, runs removed,
-   repeated or moved, or the end cut off.  */
+/* Set OUT to a copy of CORPUS with one to four random mutations: a byte is
+   replaced, a run of bytes is removed or copied to the end or the front, or
+   the end is cut off.  */
 static inline void
 mutate (rng_t *rng, str_t corpus, buf_t *out)
 {
-  uint64_t rounds = 1 + rng_below (rng, 4);
+  uint64_t edits_left = 1 + rng_below (rng, 4);
 
   out->len = 0;
   buf_append_str (out, corpus);
-  while (rounds-- > 0 && out->len > 0)
+  while (edits_left-- > 0 && out->len > 0)
     {
       size_t at = (size_t)rng_below (rng, out->len);
       size_t len = 1 + (size_t)rng_below (rng, 40);
@@ -33,14 +34,14 @@
           memmove (out->ptr + at, out->ptr + at + len, out->len - at - len);
           out->len -= len;
           break;
-        case 3: /* Repeat a run at the end.  */
+        case 3: /* Append a copy of a run.  */
           buf_reserve (out, len);
           buf_append (out, out->ptr + at, len);
           break;
         case 4:
           out->len = at;
           break;
-        default: /* Move a run to the front.  */
+        default: /* Copy a run over the front.  */
           memmove (out->ptr, out->ptr + at, len);
           break;
         }
--- a/tests/test_delta.c
+++ b/tests/test_delta.c
@@ -1,4 +1,4 @@
-/* Tests of the delta between revisions and of edits of their text.  */
+/* Tests of deltas between two texts and of edits of a single key.  */
 
 #include "base/rng.h"
 #include "conf/snapshot.h"
@@ -7,9 +7,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Append a random line, often one that stands elsewhere too.  */
+/* Append a random line out of a few, so that duplicates are frequent.  */
 static void
-add_random_line (rng_t *rng, buf_t *text)
+append_random_line (rng_t *rng, buf_t *text)
 {
   switch (rng_below (rng, 5))
     {
@@ -33,18 +33,19 @@
     buf_append_char (text, '\n');
 }
 
-/* Append TEXT with a few lines removed, added or changed.  */
+/* Append a copy of TEXT in which a line is added or removed with probability
+   1 / EDIT_INTERVAL each.  */
 static void
-edit_randomly (rng_t *rng, str_t text, uint64_t rate, buf_t *out)
+append_edited_text (rng_t *rng, str_t text, uint64_t edit_interval, buf_t *out)
 {
   str_t rest = text;
 
   while (rest.ptr != NULL)
     {
       str_t line = str_cut (rest, '\n', &rest);
-      if (rng_below (rng, rate) == 0)
-        add_random_line (rng, out);
-      if (rng_below (rng, rate) == 0)
+      if (rng_below (rng, edit_interval) == 0)
+        append_random_line (rng, out);
+      if (rng_below (rng, edit_interval) == 0)
         continue;
       buf_append_str (out, line);
       if (rest.ptr != NULL)
@@ -52,7 +53,7 @@
     }
 }
 
-START_TEST (apply_of_make_is_the_new_text)
+START_TEST (applied_delta_gives_the_new_text)
 {
   rng_t rng = rng_make (11);
 
@@ -61,34 +62,34 @@
       buf_t old_text = BUF_NULL;
       buf_t new_text = BUF_NULL;
       buf_t delta = BUF_NULL;
-      buf_t made = BUF_NULL;
+      buf_t applied = BUF_NULL;
       for (uint64_t n = rng_below (&rng, 60); n > 0; n--)
-        add_random_line (&rng, &old_text);
-      edit_randomly (&rng, buf_str (&old_text), 1 + rng_below (&rng, 30),
-                     &new_text);
-      buf_append_str (&made, STR ("before"));
+        append_random_line (&rng, &old_text);
+      append_edited_text (&rng, buf_str (&old_text), 1 + rng_below (&rng, 30),
+                          &new_text);
+      buf_append_str (&applied, STR ("before"));
       conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
       ck_assert_int_eq (
-          conf_delta_apply (buf_str (&old_text), buf_str (&delta), &made),
+          conf_delta_apply (buf_str (&old_text), buf_str (&delta), &applied),
           VH_OK);
-      ck_assert (
-          str_eq (str_make (made.ptr + 6, made.len - 6), buf_str (&new_text)));
+      ck_assert (str_eq (str_make (applied.ptr + 6, applied.len - 6),
+                         buf_str (&new_text)));
       if (!str_eq (buf_str (&old_text), buf_str (&new_text)))
         {
-          ck_assert_int_eq (
-              conf_delta_apply (buf_str (&new_text), buf_str (&delta), &made),
-              VH_E_PROTOCOL);
-          ck_assert_uint_eq (made.len, 6 + new_text.len);
+          ck_assert_int_eq (conf_delta_apply (buf_str (&new_text),
+                                              buf_str (&delta), &applied),
+                            VH_E_PROTOCOL);
+          ck_assert_uint_eq (applied.len, 6 + new_text.len);
         }
       buf_free (&old_text);
       buf_free (&new_text);
       buf_free (&delta);
-      buf_free (&made);
+      buf_free (&applied);
     }
 }
 END_TEST
 
-START_TEST (delta_shows_what_changed)
+START_TEST (delta_lists_changed_lines)
 {
   buf_t delta = BUF_NULL;
   const char *body;
@@ -102,12 +103,12 @@
 }
 END_TEST
 
-/* Story: a process pulls a delta from a peer whose message was damaged, or
-   made by a process that is out of its mind.  It must refuse it and ask
-   again, and neither crash nor take a wrong text as the revision.  */
-START_TEST (malformed_deltas_are_refused)
+/* A delta from a peer can be damaged in transit or be built by a faulty
+   process.  The receiver must reject it; it must not crash or accept a wrong
+   text as the new revision.  */
+START_TEST (malformed_deltas_are_rejected)
 {
-  static const char *const junk[] = {
+  static const char *const malformed[] = {
     "",
     "\n",
     "delta",
@@ -123,67 +124,70 @@
   str_t new_text = STR ("[a]\nx = 1\n\ny = 5\n[c]\n[b]\n");
   buf_t delta = BUF_NULL;
   rng_t rng = rng_make (5);
-  size_t refused = 0;
+  size_t rejected = 0;
 
-  for (size_t i = 0; i < sizeof junk / sizeof junk[0]; i++)
+  for (size_t i = 0; i < sizeof malformed / sizeof malformed[0]; i++)
     {
-      buf_t made = BUF_NULL;
-      ck_assert_int_eq (conf_delta_apply (old_text, str_from (junk[i]), &made),
-                        VH_E_PROTOCOL);
-      ck_assert_uint_eq (made.len, 0);
-      buf_free (&made);
+      buf_t applied = BUF_NULL;
+      ck_assert_int_eq (
+          conf_delta_apply (old_text, str_from (malformed[i]), &applied),
+          VH_E_PROTOCOL);
+      ck_assert_uint_eq (applied.len, 0);
+      buf_free (&applied);
     }
   conf_delta_make (old_text, new_text, &delta);
   for (int round = 0; round < 20000; round++)
     {
-      buf_t bad = BUF_NULL;
-      buf_t made = BUF_NULL;
-      buf_append_str (&bad, buf_str (&delta));
+      buf_t damaged = BUF_NULL;
+      buf_t applied = BUF_NULL;
+      buf_append_str (&damaged, buf_str (&delta));
       for (uint64_t n = 1 + rng_below (&rng, 3); n > 0; n--)
         {
-          size_t at = rng_below (&rng, bad.len);
+          size_t at = rng_below (&rng, damaged.len);
           switch (rng_below (&rng, 3))
             {
             case 0:
-              bad.ptr[at] = (char)rng_below (&rng, 256);
+              damaged.ptr[at] = (char)rng_below (&rng, 256);
               break;
             case 1:
-              bad.ptr[at] = "=+-\n 09"[rng_below (&rng, 7)];
+              damaged.ptr[at] = "=+-\n 09"[rng_below (&rng, 7)];
               break;
             default:
-              bad.len = at + 1;
+              damaged.len = at + 1;
               break;
             }
         }
-      /* Exact size on the heap, so that ASan sees a read past it.  */
-      char *exact = str_dup (buf_str (&bad));
-      vh_code_t code
-          = conf_delta_apply (old_text, str_make (exact, bad.len), &made);
-      /* What is accepted is the new text and nothing else.  */
+      /* A heap copy without spare bytes, so that AddressSanitizer detects a
+         read past the end.  */
+      char *heap_copy = str_dup (buf_str (&damaged));
+      vh_code_t code = conf_delta_apply (
+          old_text, str_make (heap_copy, damaged.len), &applied);
+      /* A delta that is accepted must give the new text.  */
       if (code == VH_OK)
-        ck_assert (str_eq (buf_str (&made), new_text));
+        ck_assert (str_eq (buf_str (&applied), new_text));
       else
         {
           ck_assert_int_eq (code, VH_E_PROTOCOL);
-          ck_assert_uint_eq (made.len, 0);
-          refused++;
+          ck_assert_uint_eq (applied.len, 0);
+          rejected++;
         }
-      free (exact);
-      buf_free (&bad);
-      buf_free (&made);
+      free (heap_copy);
+      buf_free (&damaged);
+      buf_free (&applied);
     }
-  ck_assert_uint_gt (refused, 19000);
+  ck_assert_uint_gt (rejected, 19000);
   buf_free (&delta);
 }
 END_TEST
 
-/* Random texts far apart, past the bound of the shortest path.  */
-START_TEST (large_changes_still_apply)
+/* Two texts with more differences than the search for the shortest edit script
+   handles; the delta must still be correct.  */
+START_TEST (large_changes_apply)
 {
   buf_t old_text = BUF_NULL;
   buf_t new_text = BUF_NULL;
   buf_t delta = BUF_NULL;
-  buf_t made = BUF_NULL;
+  buf_t applied = BUF_NULL;
 
   for (int i = 0; i < 11000; i++)
     {
@@ -193,26 +197,28 @@
     }
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   ck_assert_int_eq (
-      conf_delta_apply (buf_str (&old_text), buf_str (&delta), &made), VH_OK);
-  ck_assert (str_eq (buf_str (&made), buf_str (&new_text)));
-  /* A few edits far apart make a small delta of a large text.  */
+      conf_delta_apply (buf_str (&old_text), buf_str (&delta), &applied),
+      VH_OK);
+  ck_assert (str_eq (buf_str (&applied), buf_str (&new_text)));
+  /* Two edits far apart in a large text give a small delta.  */
   new_text.len = 0;
-  made.len = 0;
+  applied.len = 0;
   delta.len = 0;
   conf_edit (buf_str (&old_text), STR ("instance runner-5"), STR ("state"),
-             STR ("out"), &made);
-  conf_edit (buf_str (&made), STR ("instance runner-10995"), STR ("state"),
+             STR ("out"), &applied);
+  conf_edit (buf_str (&applied), STR ("instance runner-10995"), STR ("state"),
              STR ("out"), &new_text);
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   ck_assert_uint_lt (delta.len, 200);
-  made.len = 0;
+  applied.len = 0;
   ck_assert_int_eq (
-      conf_delta_apply (buf_str (&old_text), buf_str (&delta), &made), VH_OK);
-  ck_assert (str_eq (buf_str (&made), buf_str (&new_text)));
+      conf_delta_apply (buf_str (&old_text), buf_str (&delta), &applied),
+      VH_OK);
+  ck_assert (str_eq (buf_str (&applied), buf_str (&new_text)));
   buf_free (&old_text);
   buf_free (&new_text);
   buf_free (&delta);
-  buf_free (&made);
+  buf_free (&applied);
 }
 END_TEST
 
@@ -221,7 +227,7 @@
   const char *text;
   const char *section;
   const char *key;
-  const char *value; /* NULL removes.  */
+  const char *value; /* NULL removes the key.  */
   const char *result;
 } edit_cases[] = {
   { "[a x]\nk = 1\n", "a x", "k", "2", "[a x]\nk = 2\n" },
@@ -247,7 +253,7 @@
   { "[a]\nk = 1\n", "a", "k", "2", "[a]\nk = 2\n" },
 };
 
-START_TEST (edits_keep_all_else)
+START_TEST (edits_change_only_the_key)
 {
   buf_t out = BUF_NULL;
   const char *value = edit_cases[_i].value;
@@ -268,11 +274,11 @@
   TCase *tcase = tcase_create ("delta");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, apply_of_make_is_the_new_text);
-  tcase_add_test (tcase, delta_shows_what_changed);
-  tcase_add_test (tcase, malformed_deltas_are_refused);
-  tcase_add_test (tcase, large_changes_still_apply);
-  tcase_add_loop_test (tcase, edits_keep_all_else, 0,
+  tcase_add_test (tcase, applied_delta_gives_the_new_text);
+  tcase_add_test (tcase, delta_lists_changed_lines);
+  tcase_add_test (tcase, malformed_deltas_are_rejected);
+  tcase_add_test (tcase, large_changes_apply);
+  tcase_add_loop_test (tcase, edits_change_only_the_key, 0,
                        sizeof edit_cases / sizeof edit_cases[0]);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
