--- a/packages/conf/edit.c
+++ b/packages/conf/edit.c
@@ -24,7 +24,7 @@
   bool is_well_formed;
   str_t wanted_kind = str_cut (section, ' ', &wanted_name);
 
-  return reader_section (line, &kind, &name, &is_well_formed)
+  return reader_parse_section_header (line, &kind, &name, &is_well_formed)
          && str_eq (kind, wanted_kind)
          && str_eq (name, str_trim (wanted_name));
 }
@@ -36,7 +36,7 @@
   str_t name;
   bool is_well_formed;
 
-  return reader_section (line, &kind, &name, &is_well_formed);
+  return reader_parse_section_header (line, &kind, &name, &is_well_formed);
 }
 
 /* Return whether LINE sets KEY.  If so, set *VALUE_START and *VALUE_END to the
@@ -142,7 +142,7 @@
 }
 
 void
-conf_edit (str_t text, str_t section, str_t key, str_t value, buf_t *out)
+conf_set_key (str_t text, str_t section, str_t key, str_t value, buf_t *out)
 {
   str_t rest = text;
   bool found = false;
--- a/packages/conf/reader.c
+++ b/packages/conf/reader.c
@@ -17,7 +17,8 @@
 } reader_t;
 
 bool
-reader_section (str_t line, str_t *kind, str_t *name, bool *is_well_formed)
+reader_parse_section_header (str_t line, str_t *kind, str_t *name,
+                             bool *is_well_formed)
 {
   str_t rest;
   str_t content;
@@ -60,7 +61,7 @@
   bool is_well_formed;
 
   reader->line++;
-  if (reader_section (line, &kind, &name, &is_well_formed))
+  if (reader_parse_section_header (line, &kind, &name, &is_well_formed))
     {
       if (!is_well_formed)
         conf_errors_add (reader->errors, reader->line,
--- a/packages/conf/reader.h
+++ b/packages/conf/reader.h
@@ -31,7 +31,7 @@
 /* Return whether LINE starts a section header, and set *KIND and *NAME, which
    point into LINE.  *IS_WELL_FORMED is set to whether the header has its `]'
    and nothing but a comment after it.  */
-bool reader_section (str_t line, str_t *kind, str_t *name,
-                     bool *is_well_formed);
+bool reader_parse_section_header (str_t line, str_t *kind, str_t *name,
+                                  bool *is_well_formed);
 
 #endif
--- a/packages/conf/schema.c
+++ b/packages/conf/schema.c
@@ -41,7 +41,7 @@
 } checker_t;
 
 bool
-schema_name_valid (str_t s)
+schema_is_valid_name (str_t s)
 {
   if (s.len == 0 || s.len > NAME_BYTES_MAX)
     return false;
@@ -56,16 +56,16 @@
 }
 
 bool
-schema_version_valid (str_t s)
+schema_is_valid_version (str_t s)
 {
   str_t version;
   str_t model = str_cut (s, '@', &version);
 
-  return schema_name_valid (model) && schema_name_valid (version);
+  return schema_is_valid_name (model) && schema_is_valid_name (version);
 }
 
 bool
-schema_address_valid (str_t s)
+schema_is_valid_address (str_t s)
 {
   char host[INET6_ADDRSTRLEN];
   struct in6_addr parsed;
@@ -93,8 +93,8 @@
   return inet_pton (family, host, &parsed) == 1;
 }
 
-/* Return the Levenshtein distance of A and B; B has at most NEAREST_BYTES_MAX
-   bytes.  */
+/* Return the Levenshtein distance of A and B; B has at most
+   NEAREST_BYTES_MAX bytes.  */
 static size_t
 levenshtein_distance (str_t a, str_t b)
 {
@@ -117,14 +117,14 @@
   return row[b.len];
 }
 
-nearest_t
-nearest_make (str_t word)
+closest_match_t
+closest_match_make (str_t word)
 {
-  return (nearest_t){ word, STR_NULL, SIZE_MAX };
+  return (closest_match_t){ word, STR_NULL, SIZE_MAX };
 }
 
 void
-nearest_offer (nearest_t *nearest, str_t candidate)
+closest_match_add_candidate (closest_match_t *nearest, str_t candidate)
 {
   size_t distance;
   size_t distance_max = nearest->word.len / 3 > 2 ? nearest->word.len / 3 : 2;
@@ -142,7 +142,8 @@
 }
 
 const char *
-nearest_hint (const nearest_t *nearest, const char *fallback, buf_t *buf)
+closest_match_hint (const closest_match_t *nearest, const char *fallback,
+                    buf_t *buf)
 {
   buf->len = 0;
   if (nearest->best_match.ptr == NULL)
@@ -186,7 +187,7 @@
 static const schema_section_t *
 checker_find_section (checker_t *checker, str_t kind, int line)
 {
-  nearest_t nearest = nearest_make (kind);
+  closest_match_t nearest = closest_match_make (kind);
   buf_t hint = BUF_NULL;
   buf_t known = BUF_NULL;
 
@@ -198,12 +199,12 @@
           buf_free (&known);
           return section;
         }
-      nearest_offer (&nearest, str_from (section->kind));
+      closest_match_add_candidate (&nearest, str_from (section->kind));
       buf_printf (&known, "%s%s", i == 0 ? "known sections: " : ", ",
                   section->kind);
     }
   conf_errors_add (checker->errors, line,
-                   nearest_hint (&nearest, known.ptr, &hint),
+                   closest_match_hint (&nearest, known.ptr, &hint),
                    "unknown section `%.*s'", STR_ARG (kind));
   buf_free (&hint);
   buf_free (&known);
@@ -226,14 +227,14 @@
       buf_printf (&hint, "write `[%s]'", section->kind);
       break;
     case SECTION_NAMED:
-      is_valid = schema_name_valid (name);
+      is_valid = schema_is_valid_name (name);
       buf_printf (&hint,
                   "write `[%s NAME]', the name of letters, digits, "
                   "`.', `_' and `-'",
                   section->kind);
       break;
     case SECTION_VERSION:
-      is_valid = schema_version_valid (name);
+      is_valid = schema_is_valid_version (name);
       buf_printf (&hint, "write `[%s MODEL@VERSION]'", section->kind);
       break;
     }
@@ -299,7 +300,7 @@
 checker_find_key (checker_t *checker, str_t name, int line)
 {
   const schema_section_t *section = checker->section;
-  nearest_t nearest = nearest_make (name);
+  closest_match_t nearest = closest_match_make (name);
   buf_t hint = BUF_NULL;
   buf_t alternatives = BUF_NULL;
 
@@ -307,7 +308,7 @@
     {
       if (str_eq (name, str_from (section->keys[i].name)))
         return &section->keys[i];
-      nearest_offer (&nearest, str_from (section->keys[i].name));
+      closest_match_add_candidate (&nearest, str_from (section->keys[i].name));
     }
   for (size_t i = 0; i < checker->schema->section_count; i++)
     for (size_t k = 0; k < checker->schema->sections[i].key_count; k++)
@@ -322,9 +323,10 @@
         buf_printf (&alternatives, "%s%s", i == 0 ? "" : ", ",
                     section->keys[i].name);
     }
-  conf_errors_add (
-      checker->errors, line, nearest_hint (&nearest, alternatives.ptr, &hint),
-      "unknown key `%.*s' in [%s]", STR_ARG (name), section->kind);
+  conf_errors_add (checker->errors, line,
+                   closest_match_hint (&nearest, alternatives.ptr, &hint),
+                   "unknown key `%.*s' in [%s]", STR_ARG (name),
+                   section->kind);
   buf_free (&hint);
   buf_free (&alternatives);
   return NULL;
@@ -470,7 +472,7 @@
       expected = text.len > 0 ? NULL : "give a value or remove the key";
       break;
     case VALUE_NAME:
-      expected = schema_name_valid (text)
+      expected = schema_is_valid_name (text)
                      ? NULL
                      : "letters, digits, `.', `_' and `-' only";
       break;
@@ -485,7 +487,7 @@
                      : "64 hexadecimal digits, as by `sha256sum'";
       break;
     case VALUE_ADDRESS:
-      expected = schema_address_valid (text)
+      expected = schema_is_valid_address (text)
                      ? NULL
                      : "HOST:PORT with an IP address, such as 127.0.0.1:8080";
       break;
--- a/packages/conf/schema.h
+++ b/packages/conf/schema.h
@@ -87,11 +87,11 @@
                    conf_errors_t *errors);
 
 /* Return whether S is a valid name of a section, such as a team or model.  */
-bool schema_name_valid (str_t s);
+bool schema_is_valid_name (str_t s);
 /* Return whether S is MODEL@VERSION with valid names.  */
-bool schema_version_valid (str_t s);
+bool schema_is_valid_version (str_t s);
 /* Return whether S is HOST:PORT where HOST is an IP address.  */
-bool schema_address_valid (str_t s);
+bool schema_is_valid_address (str_t s);
 
 /* Search for the known name that is closest to an unknown one by Levenshtein
    distance, for the hint of an error message.  */
@@ -100,16 +100,16 @@
   str_t word;       /* The unknown name.  */
   str_t best_match; /* ptr is NULL if no candidate was close enough.  */
   size_t distance;  /* Distance of BEST_MATCH from WORD.  */
-} nearest_t;
+} closest_match_t;
 
 /* Start a search for names close to WORD, which is borrowed.  */
-nearest_t nearest_make (str_t word);
+closest_match_t closest_match_make (str_t word);
 /* Compare CANDIDATE, which is borrowed, with the best match.  */
-void nearest_offer (nearest_t *nearest, str_t candidate);
+void closest_match_add_candidate (closest_match_t *nearest, str_t candidate);
 /* Write "did you mean `X'?" to BUF and return it, or return FALLBACK, which
    may be NULL, if no candidate was close enough.  */
-const char *nearest_hint (const nearest_t *nearest, const char *fallback,
-                          buf_t *buf);
+const char *closest_match_hint (const closest_match_t *nearest,
+                                const char *fallback, buf_t *buf);
 
 /* Sort ERRORS by line, stably.  */
 void schema_sort_errors (conf_errors_t *errors);
--- a/packages/conf/snapshot.c
+++ b/packages/conf/snapshot.c
@@ -101,38 +101,39 @@
 }
 
 const team_t *
-snapshot_team_by_key (const snapshot_t *snapshot, const uint8_t *key_sha256)
+snapshot_find_team_by_key (const snapshot_t *snapshot,
+                           const uint8_t *key_sha256)
 {
   return snapshot_find_key_slot (snapshot, key_sha256)->team;
 }
 
 const team_t *
-snapshot_team (const snapshot_t *snapshot, str_t name)
+snapshot_find_team (const snapshot_t *snapshot, str_t name)
 {
   return name_table_find (&snapshot->teams, name);
 }
 
 const model_t *
-snapshot_model (const snapshot_t *snapshot, str_t name)
+snapshot_find_model (const snapshot_t *snapshot, str_t name)
 {
   return name_table_find (&snapshot->models, name);
 }
 
 const version_t *
-snapshot_version (const snapshot_t *snapshot, str_t name)
+snapshot_find_version (const snapshot_t *snapshot, str_t name)
 {
   return name_table_find (&snapshot->versions, name);
 }
 
 const service_t *
-snapshot_service (const snapshot_t *snapshot, str_t name)
+snapshot_find_service (const snapshot_t *snapshot, str_t name)
 {
   return name_table_find (&snapshot->services, name);
 }
 
 bool
-snapshot_allows (const snapshot_t *snapshot, const team_t *team,
-                 const version_t *version)
+snapshot_allows_version (const snapshot_t *snapshot, const team_t *team,
+                         const version_t *version)
 {
   /* Both must belong to this snapshot, because the indices of other snapshots
      differ.  */
@@ -155,7 +156,7 @@
 }
 
 bool
-snapshot_zone_in (const snapshot_t *snapshot, str_t zone)
+snapshot_is_zone_enabled (const snapshot_t *snapshot, str_t zone)
 {
   const zone_item_t *item = name_table_find (&snapshot->zones, zone);
 
@@ -163,7 +164,7 @@
 }
 
 bool
-snapshot_instance_in (const snapshot_t *snapshot, str_t instance)
+snapshot_is_instance_enabled (const snapshot_t *snapshot, str_t instance)
 {
   return map_get (snapshot->disabled_instances, instance) == NULL;
 }
--- a/packages/conf/snapshot.h
+++ b/packages/conf/snapshot.h
@@ -133,19 +133,21 @@
 
 /* Return the team that has a key with the SHA-256 digest KEY_SHA256 (32
    bytes), or NULL.  Digests are compared in constant time.  */
-const team_t *snapshot_team_by_key (const snapshot_t *snapshot,
-                                    const uint8_t *key_sha256);
+const team_t *snapshot_find_team_by_key (const snapshot_t *snapshot,
+                                         const uint8_t *key_sha256);
 /* Return the team, model, version or service of this name, or NULL.  */
-const team_t *snapshot_team (const snapshot_t *snapshot, str_t name);
-const model_t *snapshot_model (const snapshot_t *snapshot, str_t name);
+const team_t *snapshot_find_team (const snapshot_t *snapshot, str_t name);
+const model_t *snapshot_find_model (const snapshot_t *snapshot, str_t name);
 /* NAME has the form MODEL@VERSION.  */
-const version_t *snapshot_version (const snapshot_t *snapshot, str_t name);
-const service_t *snapshot_service (const snapshot_t *snapshot, str_t name);
+const version_t *snapshot_find_version (const snapshot_t *snapshot,
+                                        str_t name);
+const service_t *snapshot_find_service (const snapshot_t *snapshot,
+                                        str_t name);
 
 /* Return whether TEAM's plan allows VERSION and VERSION is not withdrawn. TEAM
    and VERSION must belong to SNAPSHOT.  */
-bool snapshot_allows (const snapshot_t *snapshot, const team_t *team,
-                      const version_t *version);
+bool snapshot_allows_version (const snapshot_t *snapshot, const team_t *team,
+                              const version_t *version);
 /* Return whether TEAM's plan allows SERVICE.  TEAM and SERVICE must belong to
    SNAPSHOT.  */
 bool snapshot_allows_service (const snapshot_t *snapshot, const team_t *team,
@@ -153,8 +155,8 @@
 
 /* Return whether a zone or instance may receive requests: true unless the text
    sets its state to `out'.  */
-bool snapshot_zone_in (const snapshot_t *snapshot, str_t zone);
-bool snapshot_instance_in (const snapshot_t *snapshot, str_t instance);
+bool snapshot_is_zone_enabled (const snapshot_t *snapshot, str_t zone);
+bool snapshot_is_instance_enabled (const snapshot_t *snapshot, str_t instance);
 
 /* Return entry INDEX in the order of the text, or NULL past the last one.  */
 const team_t *snapshot_team_at (const snapshot_t *snapshot, size_t index);
@@ -183,6 +185,7 @@
 /* Append to OUT a copy of TEXT in which KEY of [SECTION] has the value VALUE.
    A missing section or key is added; all other bytes, comments included, are
    unchanged.  STR_NULL as VALUE removes the key.  */
-void conf_edit (str_t text, str_t section, str_t key, str_t value, buf_t *out);
+void conf_set_key (str_t text, str_t section, str_t key, str_t value,
+                   buf_t *out);
 
 #endif
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -292,7 +292,8 @@
        i++)
     buf_printf (out, "%s{\"name\":\"%.*s\",\"state\":\"%s\"}",
                 i > 0 ? "," : "", STR_ARG (zone),
-                snapshot_zone_in (entry->snapshot, zone) ? "in" : "out");
+                snapshot_is_zone_enabled (entry->snapshot, zone) ? "in"
+                                                                 : "out");
   buf_printf (out, "]");
 }
 
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -206,10 +206,10 @@
                     member->draining || member->leaving);
   balance_set_mark (entry->balance, member->id, BALANCE_UNREACHABLE,
                     member->down);
-  balance_set_mark (
-      entry->balance, member->id, BALANCE_DISABLED,
-      snapshot != NULL
-          && !snapshot_instance_in (snapshot, str_from (member->name)));
+  balance_set_mark (entry->balance, member->id, BALANCE_DISABLED,
+                    snapshot != NULL
+                        && !snapshot_is_instance_enabled (
+                            snapshot, str_from (member->name)));
 }
 
 /* What a sidecar says it serves goes before the platform's list, which lags
@@ -423,8 +423,9 @@
 
   for (size_t i = 0;
        (zone = snapshot_zone_at (entry->snapshot, i)).ptr != NULL; i++)
-    balance_set_zone_enabled (entry->balance, zone,
-                              snapshot_zone_in (entry->snapshot, zone));
+    balance_set_zone_enabled (
+        entry->balance, zone,
+        snapshot_is_zone_enabled (entry->snapshot, zone));
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -134,8 +134,8 @@
       if (is_old && request->session_version == NULL
           && configured->state == ROLLOUT_RUNNING
           && rollout_is_assigned (rollout->run, str_hash (key, 5))
-          && snapshot_allows (request->snapshot, request->team,
-                              configured->version))
+          && snapshot_allows_version (request->snapshot, request->team,
+                                      configured->version))
         {
           request->arm = ROLLOUT_NEW;
           chosen = configured->version;
@@ -167,7 +167,7 @@
   for (size_t i = 0;
        last != NULL && (now = snapshot_version_at (next, i)) != NULL; i++)
     {
-      const version_t *was = snapshot_version (last, now->name);
+      const version_t *was = snapshot_find_version (last, now->name);
       if (was != NULL && was->state == VERSION_WITHDRAWN
           && now->state != VERSION_WITHDRAWN)
         degradation_clear_alarm (entry->watch, now->name,
--- a/tests/fuzz_conf.c
+++ b/tests/fuzz_conf.c
@@ -99,8 +99,8 @@
   int rejected = 0;
 
   read_corpus ("examples/lists.ini", &old_text);
-  conf_edit (buf_str (&old_text), STR ("team coast-office"), STR ("weight"),
-             STR ("9"), &new_text);
+  conf_set_key (buf_str (&old_text), STR ("team coast-office"), STR ("weight"),
+                STR ("9"), &new_text);
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   for (int i = 0; i < ROUNDS; i++)
     {
@@ -135,8 +135,8 @@
     {
       mutate (&rng, buf_str (&corpus), &damaged);
       out.len = 0;
-      conf_edit (buf_str (&damaged), STR ("availability-zone nairobi-b"),
-                 STR ("state"), STR ("out"), &out);
+      conf_set_key (buf_str (&damaged), STR ("availability-zone nairobi-b"),
+                    STR ("state"), STR ("out"), &out);
       parse_configuration (buf_str (&out));
     }
   buf_free (&corpus);
--- a/tests/test_delta.c
+++ b/tests/test_delta.c
@@ -204,10 +204,10 @@
   new_text.len = 0;
   applied.len = 0;
   delta.len = 0;
-  conf_edit (buf_str (&old_text), STR ("instance runner-5"), STR ("state"),
-             STR ("out"), &applied);
-  conf_edit (buf_str (&applied), STR ("instance runner-10995"), STR ("state"),
-             STR ("out"), &new_text);
+  conf_set_key (buf_str (&old_text), STR ("instance runner-5"), STR ("state"),
+                STR ("out"), &applied);
+  conf_set_key (buf_str (&applied), STR ("instance runner-10995"),
+                STR ("state"), STR ("out"), &new_text);
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   ck_assert_uint_lt (delta.len, 200);
   applied.len = 0;
@@ -258,9 +258,10 @@
   buf_t out = BUF_NULL;
   const char *value = edit_cases[_i].value;
 
-  conf_edit (str_from (edit_cases[_i].text), str_from (edit_cases[_i].section),
-             str_from (edit_cases[_i].key),
-             value != NULL ? str_from (value) : STR_NULL, &out);
+  conf_set_key (str_from (edit_cases[_i].text),
+                str_from (edit_cases[_i].section),
+                str_from (edit_cases[_i].key),
+                value != NULL ? str_from (value) : STR_NULL, &out);
   buf_append_char (&out, '\0');
   ck_assert_str_eq (out.ptr, edit_cases[_i].result);
   buf_free (&out);
