--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -252,7 +252,7 @@
       rollout_item_t *rollout = snapshot->rollouts.items[i];
       rollout->pub.version
           = name_table_find (&snapshot->versions, rollout->name);
-      rollout->pub.over
+      rollout->pub.replaced_version
           = name_table_find (&snapshot->versions, rollout->over.text);
       if (rollout->pub.version == NULL)
         conf_errors_add (
@@ -260,7 +260,7 @@
             name_table_hint (&snapshot->versions, rollout->name,
                              "add a [version] of this name", &hint),
             "roll-out of the unknown version `%.*s'", STR_ARG (rollout->name));
-      if (rollout->over.text.len > 0 && rollout->pub.over == NULL)
+      if (rollout->over.text.len > 0 && rollout->pub.replaced_version == NULL)
         conf_errors_add (
             builder->errors, rollout->over.line,
             name_table_hint (&snapshot->versions, rollout->over.text,
@@ -268,7 +268,7 @@
             "roll-out over the unknown version `%.*s'",
             STR_ARG (rollout->over.text));
       if (rollout->pub.version != NULL
-          && rollout->pub.version == rollout->pub.over)
+          && rollout->pub.version == rollout->pub.replaced_version)
         conf_errors_add (builder->errors, rollout->over.line,
                          "name the version in service now",
                          "a version cannot be rolled out over itself");
--- a/packages/conf/lists.c
+++ b/packages/conf/lists.c
@@ -47,7 +47,7 @@
 #define ROLLOUT_KEYS(X)                                                       \
   X ("over", VALUE_REF, true, over, 0, 0, NULL)                               \
   X ("state", VALUE_ENUM, false, pub.state, 0, 0, rollout_state_names)        \
-  X ("share-max", VALUE_U32, false, pub.share_max, 1, 100, NULL)
+  X ("share-max", VALUE_U32, false, pub.share_max_percent, 1, 100, NULL)
 
 #define OBJECTIVE_KEYS(X)                                                     \
   X ("team", VALUE_REF, false, team, 0, 0, NULL)                              \
@@ -177,7 +177,7 @@
 
   item->line = line;
   item->name = arena_str (&snapshot->arena, name);
-  item->pub.share_max = 100;
+  item->pub.share_max_percent = 100;
   name_table_add (&snapshot->rollouts, item);
   return item;
 }
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -40,12 +40,13 @@
   X ("role", VALUE_ENUM, true, pub.role, 0, 0, role_names)                    \
   X ("availability-zone", VALUE_NAME, true, pub.zone, 0, 0, NULL)             \
   X ("region", VALUE_NAME, false, pub.region, 0, 0, NULL)                     \
-  X ("admin", VALUE_ADDRESS, true, pub.admin, 0, 0, NULL)                     \
-  X ("rpc", VALUE_ADDRESS, false, pub.rpc, 0, 0, NULL)                        \
+  X ("admin", VALUE_ADDRESS, true, pub.admin_listen, 0, 0, NULL)              \
+  X ("rpc", VALUE_ADDRESS, false, pub.rpc_listen, 0, 0, NULL)                 \
   X ("log-level", VALUE_ENUM, false, log_level, 0, 0, log_level_names)        \
   X ("drain-grace-ms", VALUE_U64, false, pub.drain_grace_ms, 0, HOUR_MS,      \
      NULL)                                                                    \
-  X ("drain-bound-ms", VALUE_U64, false, pub.drain_bound_ms, 1, DAY_MS, NULL) \
+  X ("drain-bound-ms", VALUE_U64, false, pub.drain_timeout_ms, 1, DAY_MS,     \
+     NULL)                                                                    \
   X ("seed", VALUE_U64, false, pub.seed, 0, EXACT_INTEGER_MAX, NULL)          \
   X ("rpc-keys", VALUE_SECRETS, false, rpc_keys, 0, 0, NULL)                  \
   X ("operator-key-sha256", VALUE_DIGEST, false, pub.operator_key_sha256, 0,  \
@@ -61,38 +62,45 @@
      DAY_MS, NULL)                                                            \
   X ("deadline-max-ms", VALUE_U64, false, pub.deadline_max_ms, 1, DAY_MS,     \
      NULL)                                                                    \
-  X ("subset", VALUE_U32, false, pub.subset, 1, 10000, NULL)                  \
+  X ("subset", VALUE_U32, false, pub.subset_size, 1, 10000, NULL)             \
   X ("session-key", VALUE_SECRET, false, pub.session_key, 0, 0, NULL)         \
-  X ("mint-idempotency-key", VALUE_BOOL, false, pub.mint_keys, 0, 0,          \
-     no_yes_names)                                                            \
+  X ("mint-idempotency-key", VALUE_BOOL, false,                               \
+     pub.generate_idempotency_keys, 0, 0, no_yes_names)                       \
   X ("connections-max", VALUE_U32, false, pub.connections_max, 1, 1000000,    \
      NULL)                                                                    \
-  X ("outlier-share", VALUE_DOUBLE, false, pub.outlier_share, 0.01, 0.9,      \
+  X ("outlier-share", VALUE_DOUBLE, false, pub.ejected_share_max, 0.01, 0.9,  \
+     NULL)                                                                    \
+  X ("retry-share", VALUE_DOUBLE, false, pub.retry_budget_ratio, 0.001, 1,    \
      NULL)                                                                    \
-  X ("retry-share", VALUE_DOUBLE, false, pub.retry_share, 0.001, 1, NULL)     \
   X ("retry-burst", VALUE_U32, false, pub.retry_burst, 1, 10000, NULL)
 
 #define GATEWAY_KEYS(X)                                                       \
   X ("listen", VALUE_ADDRESS, true, pub.listen, 0, 0, NULL)                   \
-  X ("ready", VALUE_ADDRESS, true, pub.ready, 0, 0, NULL)                     \
+  X ("ready", VALUE_ADDRESS, true, pub.ready_listen, 0, 0, NULL)              \
   X ("kill-after-s", VALUE_DOUBLE, false, pub.kill_after_s, 2, 3600, NULL)    \
-  X ("revoke-ms", VALUE_U64, false, pub.revoke_ms, 100, DAY_MS, NULL)         \
-  X ("confirm-ms", VALUE_U64, false, pub.confirm_ms, 100, DAY_MS, NULL)       \
-  X ("lapse-ms", VALUE_U64, false, pub.lapse_ms, 0, DAY_MS, NULL)             \
-  X ("extra-ratio", VALUE_DOUBLE, false, pub.extra_ratio, 0, 10, NULL)        \
-  X ("extra-slack", VALUE_DOUBLE, false, pub.extra_slack, 0, 100000, NULL)    \
-  X ("extra-window-s", VALUE_DOUBLE, false, pub.extra_window_s, 1, 3600,      \
+  X ("revoke-ms", VALUE_U64, false, pub.key_revocation_max_ms, 100, DAY_MS,   \
+     NULL)                                                                    \
+  X ("confirm-ms", VALUE_U64, false, pub.config_max_age_ms, 100, DAY_MS,      \
+     NULL)                                                                    \
+  X ("lapse-ms", VALUE_U64, false, pub.registration_grace_ms, 0, DAY_MS,      \
+     NULL)                                                                    \
+  X ("extra-ratio", VALUE_DOUBLE, false, pub.extra_send_ratio, 0, 10, NULL)   \
+  X ("extra-slack", VALUE_DOUBLE, false, pub.extra_send_fixed_budget, 0,      \
+     100000, NULL)                                                            \
+  X ("extra-window-s", VALUE_DOUBLE, false, pub.extra_send_window_s, 1, 3600, \
      NULL)                                                                    \
   X ("cold-factor", VALUE_DOUBLE, false, pub.cold_factor, 0.1, 100, NULL)     \
   X ("cold-slack", VALUE_DOUBLE, false, pub.cold_slack, 0, 100000, NULL)      \
-  X ("exposure-share", VALUE_DOUBLE, false, pub.exposure_share, 0.001, 1,     \
+  X ("exposure-share", VALUE_DOUBLE, false, pub.rollout_share_max, 0.001, 1,  \
      NULL)                                                                    \
   X ("link-mbps", VALUE_DOUBLE, false, pub.link_mbps, 0, 10000000, NULL)      \
-  X ("answer-worth", VALUE_DOUBLE, false, pub.answer_worth, 0, 1000000, NULL) \
-  X ("rank-part", VALUE_DOUBLE, false, pub.rank_part, 0, 1, NULL)             \
-  X ("late-part", VALUE_DOUBLE, false, pub.late_part, 0, 1, NULL)             \
-  X ("poor-part", VALUE_DOUBLE, false, pub.poor_part, 0, 1, NULL)             \
-  X ("opinion-width", VALUE_DOUBLE, false, pub.opinion_width, 0.1, 100, NULL)
+  X ("answer-worth", VALUE_DOUBLE, false, pub.good_answer_value, 0, 1000000,  \
+     NULL)                                                                    \
+  X ("rank-part", VALUE_DOUBLE, false, pub.value_factor_per_rank, 0, 1, NULL) \
+  X ("late-part", VALUE_DOUBLE, false, pub.late_value_share, 0, 1, NULL)      \
+  X ("poor-part", VALUE_DOUBLE, false, pub.poor_value_share, 0, 1, NULL)      \
+  X ("opinion-width", VALUE_DOUBLE, false, pub.rating_noise_points, 0.1, 100, \
+     NULL)
 
 /* Keys that [sidecar] and [upstream NAME] have in common.  */
 #define UPSTREAM_KEYS(X)                                                      \
@@ -101,17 +109,17 @@
   X ("kind", VALUE_BOOL, false, pub.is_service, 0, 0, upstream_kind_names)    \
   X ("serves", VALUE_LIST, true, serves, 0, 0, NULL)                          \
   X ("features", VALUE_LIST, false, features, 0, 0, NULL)                     \
-  X ("limit-start", VALUE_U32, false, pub.limit_start, 1, 100000, NULL)       \
+  X ("limit-start", VALUE_U32, false, pub.limit_initial, 1, 100000, NULL)     \
   X ("limit-max", VALUE_U32, false, pub.limit_max, 1, 100000, NULL)           \
   X ("limit-tolerance", VALUE_DOUBLE, false, pub.limit_tolerance, 1.01, 100,  \
      NULL)                                                                    \
   X ("queue-max", VALUE_U32, false, pub.queue_max, 0, 1000000, NULL)          \
-  X ("queue-long-cost", VALUE_U32, false, pub.queue_long_cost, 2, 1000000000, \
-     NULL)                                                                    \
-  X ("answer-keep-ms", VALUE_U64, false, pub.answer_keep_ms, 1000, DAY_MS,    \
-     NULL)                                                                    \
-  X ("answer-bytes", VALUE_U64, false, pub.answer_bytes, 65536, 64 * GIB,     \
-     NULL)                                                                    \
+  X ("queue-long-cost", VALUE_U32, false, pub.queue_long_cost_min, 2,         \
+     1000000000, NULL)                                                        \
+  X ("answer-keep-ms", VALUE_U64, false, pub.response_retention_ms, 1000,     \
+     DAY_MS, NULL)                                                            \
+  X ("answer-bytes", VALUE_U64, false, pub.retained_bytes_max, 65536,         \
+     64 * GIB, NULL)                                                          \
   X ("upstream-timeout-ms", VALUE_U64, false, pub.upstream_timeout_ms, 1,     \
      DAY_MS, NULL)
 
@@ -224,13 +232,13 @@
   item->line = line;
   /* An engine that has just started is slow; four concurrent requests are
      enough to observe whether it can take more.  */
-  item->pub.limit_start = 4;
+  item->pub.limit_initial = 4;
   item->pub.limit_max = 64;
   item->pub.queue_max = 256;
   /* Longer than the time until a client that lost its connection sends the
      request again.  */
-  item->pub.answer_keep_ms = 600000;
-  item->pub.answer_bytes = 64 * mib;
+  item->pub.response_retention_ms = 600000;
+  item->pub.retained_bytes_max = 64 * mib;
   item->pub.upstream_timeout_ms = 30000;
   parser->upstreams
       = mem_realloc (parser->upstreams, (parser->upstreams_count + 1)
@@ -309,32 +317,32 @@
   /* External load balancers check health every few seconds and need two
      failures to stop sending.  */
   pub->drain_grace_ms = 5000;
-  pub->drain_bound_ms = 120000;
+  pub->drain_timeout_ms = 120000;
   pub->body_limit = 4 * mib;
   pub->header_limit = 16 * kib;
   pub->deadline_default_ms = 120000;
   pub->deadline_max_ms = 600000;
-  pub->subset = 20;
+  pub->subset_size = 20;
   pub->connections_max = 10000;
   pub->platform_timeout_ms = 2000;
   pub->poll_ms = 1000;
   pub->kill_after_s = 10;
   /* A revoked key must stop working within 5 s of the change.  */
-  pub->confirm_ms = 4500;
-  pub->lapse_ms = 2000;
-  pub->extra_ratio = 0.1;
-  pub->extra_slack = 10;
-  pub->extra_window_s = 10;
+  pub->config_max_age_ms = 4500;
+  pub->registration_grace_ms = 2000;
+  pub->extra_send_ratio = 0.1;
+  pub->extra_send_fixed_budget = 10;
+  pub->extra_send_window_s = 10;
   pub->cold_factor = 1;
-  pub->exposure_share = 0.1;
+  pub->rollout_share_max = 0.1;
   /* The users pay for a good response of rank 0, 1 and 2, respectively, 0.45
      to 0.56, 0.25 to 0.28 and 0.14 to 0.17 for 1,000 units of size; three
      tenths of that if it is late and a twentieth if it is poor.  */
-  pub->answer_worth = 0.55;
-  pub->rank_part = 0.5;
-  pub->late_part = 0.3;
-  pub->poor_part = 0.05;
-  pub->opinion_width = 5;
+  pub->good_answer_value = 0.55;
+  pub->value_factor_per_rank = 0.5;
+  pub->late_value_share = 0.3;
+  pub->poor_value_share = 0.05;
+  pub->rating_noise_points = 5;
 }
 
 /* Add an error if SECTION, which the role does not allow, is present.  LINE is
@@ -388,7 +396,7 @@
     {
     case ROLE_ENTRY:
       parser_check_entry (parser);
-      parser_require_key (parser, pub->rpc.len > 0, "process", "rpc");
+      parser_require_key (parser, pub->rpc_listen.len > 0, "process", "rpc");
       parser_require_key (parser, parser->rpc_keys.count > 0, "process",
                           "rpc-keys");
       parser_require_key (parser, pub->session_key.len > 0, "entry",
@@ -493,7 +501,7 @@
             "unknown feature `%.*s'", STR_ARG (name));
       buf_free (&hint);
     }
-  if (item->pub.limit_start > item->pub.limit_max)
+  if (item->pub.limit_initial > item->pub.limit_max)
     conf_errors_add (parser->errors, item->line, NULL,
                      "`limit-start' is above `limit-max'");
 }
@@ -526,8 +534,8 @@
     {
       const upstream_item_t *item = parser->upstreams[i];
       pub->upstreams[i] = item->pub;
-      pub->upstreams[i].serves = list_copy (arena, &item->serves);
-      pub->upstreams[i].serves_count = item->serves.count;
+      pub->upstreams[i].served_names = list_copy (arena, &item->serves);
+      pub->upstreams[i].served_name_count = item->serves.count;
     }
   pub->peers_count = parser->peers_count;
   pub->peers
@@ -549,7 +557,7 @@
                 &parser->scratch, errors);
   for (size_t i = 0; i < parser->upstreams_count; i++)
     parser_check_upstream (parser, parser->upstreams[i]);
-  if (parser->pub.drain_grace_ms > parser->pub.drain_bound_ms)
+  if (parser->pub.drain_grace_ms > parser->pub.drain_timeout_ms)
     conf_errors_add (errors, 0, NULL,
                      "`drain-grace-ms' is above `drain-bound-ms'");
   /* Without a valid [process] section the role is unknown, and the checks that
--- a/packages/conf/settings.h
+++ b/packages/conf/settings.h
@@ -71,21 +71,24 @@
   str_t listen;   /* HOST:PORT on which the sidecar accepts RPC.  */
   str_t upstream; /* HOST:PORT on which the upstream listens.  */
   bool is_service;
-  str_t *serves; /* MODEL@VERSION strings, or service names if IS_SERVICE.  */
-  size_t serves_count;
-  unsigned features;        /* Bitwise OR of FEATURE_ constants.  */
-  uint32_t limit_start;     /* Concurrency limit at the start.  */
-  uint32_t limit_max;       /* Upper bound of the concurrency limit.  */
-  uint32_t queue_max;       /* Largest number of queued requests.  */
-  double limit_tolerance;   /* Ratio of latency to the lowest latency above
-                               which the concurrency limit is lowered; 0
-                               selects the default.  */
-  uint32_t queue_long_cost; /* Cost from which on a job counts as long; 0
-                               selects the default.  */
-  uint64_t answer_keep_ms;  /* Time for which a finished response is kept.  */
-  uint64_t answer_bytes;    /* Largest total size of the kept responses.  */
-  uint64_t upstream_timeout_ms; /* Time without data from the upstream after
-                                   which a request fails.  */
+  /* MODEL@VERSION strings, or service names if IS_SERVICE.  */
+  str_t *served_names;
+  size_t served_name_count;
+  unsigned features;      /* Bitwise OR of FEATURE_ constants.  */
+  uint32_t limit_initial; /* Concurrency limit at the start.  */
+  uint32_t limit_max;     /* Upper bound of the concurrency limit.  */
+  uint32_t queue_max;     /* Largest number of queued requests.  */
+  /* Ratio of latency to the lowest latency above which the concurrency limit
+     is lowered; 0 selects the default.  */
+  double limit_tolerance;
+  /* Cost from which on a job counts as long; 0 selects the default.  */
+  uint32_t queue_long_cost_min;
+  /* Time for which a finished response is kept.  */
+  uint64_t response_retention_ms;
+  /* Largest total size of the kept responses.  */
+  uint64_t retained_bytes_max;
+  /* Time without data from the upstream after which a request fails.  */
+  uint64_t upstream_timeout_ms;
 } upstream_settings_t;
 
 /* A peer from the settings, used until the instance list has been read.  */
@@ -104,20 +107,21 @@
   role_t role;
   str_t zone;
   str_t region;
-  str_t admin; /* HOST:PORT of the admin listener, for operators.  */
-  str_t rpc;   /* HOST:PORT on which RPC from peers is accepted.  */
+  str_t admin_listen; /* HOST:PORT of the admin listener, for operators.  */
+  str_t rpc_listen;   /* HOST:PORT on which RPC from peers is accepted.  */
   str_t log_level;
-  uint64_t drain_grace_ms; /* Time for which a stopping process still accepts
-                              requests, until external load balancers have
-                              seen that it is not ready.  */
-  uint64_t drain_bound_ms; /* Maximum duration of a planned stop.  */
-  uint64_t seed;           /* Seed of the random number generator; 0 takes one
-                              from the operating system.  */
-  str_t *rpc_keys;         /* Shared secrets that are accepted; the first one
-                              signs.  */
+  /* Time for which a stopping process still accepts requests, until external
+     load balancers have seen that it is not ready.  */
+  uint64_t drain_grace_ms;
+  uint64_t drain_timeout_ms; /* Maximum duration of a planned stop.  */
+  /* Seed of the random number generator; 0 takes one from the operating
+     system.  */
+  uint64_t seed;
+  str_t *rpc_keys; /* Accepted shared secrets; the first one signs.  */
   size_t rpc_keys_count;
-  str_t operator_key_sha256; /* 64 hexadecimal digits; if empty, operators'
-                                requests are accepted from loopback only.  */
+  /* 64 hexadecimal digits; if empty, operators' requests are accepted from
+     loopback only.  */
+  str_t operator_key_sha256;
   /* [entry] */
   str_t listen; /* HOST:PORT for client requests; also in [gateway].  */
   str_t tls_certificate;
@@ -126,50 +130,60 @@
   uint64_t header_limit; /* Largest request header, in bytes.  */
   uint64_t deadline_default_ms;
   uint64_t deadline_max_ms;
-  uint32_t subset;   /* Number of sidecars of one pool that an entry connects
-                        to.  */
+  /* Number of sidecars of one pool that an entry connects to.  */
+  uint32_t subset_size;
   str_t session_key; /* Secret that signs session tokens.  */
-  bool mint_keys;    /* Whether to generate an Idempotency-Key if a request
-                        needs one and has none.  */
+  /* Whether to generate an Idempotency-Key if a request needs one and has
+     none.  */
+  bool generate_idempotency_keys;
   uint32_t connections_max;
-  /* The policy module's default replaces a 0 in the next three fields.  */
-  double outlier_share; /* Largest share of a pool that may be ejected at the
-                           same time.  */
-  double retry_share;   /* Retries added to the retry budget per request.  */
-  uint32_t retry_burst; /* Size of the retry budget after a time without
-                           requests.  */
+  /* Largest share of a pool that may be ejected at the same time; 0 selects
+     the default of the outlier detector.  */
+  double ejected_share_max;
+  /* Retries added to the retry budget per request; 0 selects the default of
+     the retry policy.  */
+  double retry_budget_ratio;
+  /* Size of the retry budget after a time without requests; 0 selects the
+     default of the retry policy.  */
+  uint32_t retry_burst;
   /* [gateway] */
-  str_t ready;         /* HOST:PORT of the readiness check.  */
-  double kill_after_s; /* Time after the start of a planned stop at which the
-                          process is killed.  */
-  uint64_t revoke_ms;  /* Time after which a revoked client key must not work
-                          any more; 0: unset, confirm_ms applies.  */
-  uint64_t confirm_ms; /* Age of the last confirmation of the configuration
-                          above which client keys are refused.  */
-  uint64_t lapse_ms;   /* Time after an outage of the store in which
-                          registrations that expired during the outage remain
-                          usable.  */
-  double extra_ratio;  /* Extra sends (those after a request's first) that all
-                          gateways together may make per request.  */
-  double extra_slack;  /* Extra sends allowed in a window in addition, however
-                          few requests arrive.  */
-  double extra_window_s;
-  double cold_factor;    /* All gateways together send a cold instance at most
-                            its rate * cold_factor + cold_slack requests a
-                            second.  */
-  double cold_slack;     /* Requests a second; see cold_factor.  */
-  double exposure_share; /* Largest share of a service's requests that a
-                            version in roll-out may get within the roll-out's
-                            time limit.  */
-  double link_mbps;      /* Network bandwidth of this instance; 0: unknown.  */
-  double answer_worth;   /* Value of a good response of rank 0 for 1,000 units
-                            of size, in the unit of the models' costs.  A token
-                            read is 1 unit, a generated token 10 units.  */
-  double rank_part; /* Factor applied to the value for each further rank.  */
-  double late_part; /* Share of its value that a late response has.  */
-  double poor_part; /* Share of its value that a poor response has.  */
-  double opinion_width; /* Standard deviation of the noise in a model's rating
-                           of a response, in points.  */
+  str_t ready_listen; /* HOST:PORT of the readiness check.  */
+  /* Time after the start of a planned stop at which the process is killed.  */
+  double kill_after_s;
+  /* Time after which a revoked client key must not work any more; 0: unset,
+     config_max_age_ms applies.  */
+  uint64_t key_revocation_max_ms;
+  /* Age of the last confirmation of the configuration above which client keys
+     are refused.  */
+  uint64_t config_max_age_ms;
+  /* Time after an outage of the store in which registrations that expired
+     during the outage remain usable.  */
+  uint64_t registration_grace_ms;
+  /* Extra sends (all sends of a request after its first) that all gateways
+     together may make per request.  */
+  double extra_send_ratio;
+  /* Extra sends allowed in a window in addition, however few requests
+     arrive.  */
+  double extra_send_fixed_budget;
+  double extra_send_window_s;
+  /* All gateways together send a cold instance, one that is still warming up,
+     at most rate * cold_factor + cold_slack requests a second.  */
+  double cold_factor;
+  double cold_slack;
+  /* Largest share of a service's requests that a version in roll-out may get
+     within the roll-out's time limit.  */
+  double rollout_share_max;
+  double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
+  /* Value of a good response of rank 0 for 1,000 units of size, in the unit of
+     the models' costs.  A token read is 1 unit, a generated one 10 units.  */
+  double good_answer_value;
+  /* Factor applied to the value for each further rank.  */
+  double value_factor_per_rank;
+  double late_value_share; /* Share of its value that a late response has.  */
+  double poor_value_share; /* Share of its value that a poor response has.  */
+  /* Standard deviation of the noise in a model's rating of a response, in
+     points.  */
+  double rating_noise_points;
   /* [sidecar], or [upstream NAME] if the role is standalone */
   upstream_settings_t *upstreams;
   size_t upstreams_count;
@@ -178,10 +192,11 @@
   str_t platform_address; /* HOST:PORT */
   uint64_t platform_timeout_ms;
   /* [configuration] */
-  str_t configuration_file; /* File with the configuration to apply if the
-                               store has none; may be empty.  */
-  uint64_t poll_ms;         /* Interval at which the store is polled for a
-                               newer revision.  */
+  /* File with the configuration to apply if the store has none; may be
+     empty.  */
+  str_t configuration_file;
+  /* Interval at which the store is polled for a newer revision.  */
+  uint64_t poll_ms;
   /* [peer NAME] */
   peer_settings_t *peers;
   size_t peers_count;
--- a/packages/conf/snapshot.h
+++ b/packages/conf/snapshot.h
@@ -94,10 +94,10 @@
 typedef struct
 {
   const version_t *version;
-  const version_t *over; /* The version that is replaced.  */
+  const version_t *replaced_version;
   rollout_state_t state;
-  uint32_t share_max; /* Share of requests at which the roll-out is complete,
-                         in percent.  */
+  /* Share of requests at which the roll-out is complete.  */
+  uint32_t share_max_percent;
 } rollout_t;
 
 /* [objective NAME]: a service-level objective of one team or of all.  */
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -484,11 +484,11 @@
 {
   const httpd_options_t options = { .body_limit = BODY_LIMIT };
   vh_code_t code
-      = httpd_create (process->loop, process->settings->admin, &options,
+      = httpd_create (process->loop, process->settings->admin_listen, &options,
                       on_request, process, &process->admin);
 
   if (code != VH_OK)
     log_err ("process", "Cannot listen for operators. address=%.*s",
-             STR_ARG (process->settings->admin));
+             STR_ARG (process->settings->admin_listen));
   return code;
 }
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -79,30 +79,30 @@
     .name = settings->name,
     .zone = settings->zone,
     .listen = settings->listen,
-    .ready_listen = settings->ready,
-    .admin_listen = settings->admin,
-    .rpc_listen = settings->rpc,
+    .ready_listen = settings->ready_listen,
+    .admin_listen = settings->admin_listen,
+    .rpc_listen = settings->rpc_listen,
     .rpc_keys = settings->rpc_keys,
     .rpc_key_count = settings->rpc_keys_count,
     .link_mbps = settings->link_mbps,
     .seed = make_seed (settings),
     .drain_timeout_ms = kill_ms - KILL_MARGIN_MS,
     .config_max_age_ms
-    = settings->revoke_ms > 0
-          ? settings->revoke_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
-          : settings->confirm_ms,
-    .registration_grace_ms = settings->lapse_ms,
-    .retry_ratio = settings->extra_ratio,
-    .retry_fixed_budget = settings->extra_slack,
-    .retry_window_ms = (uint64_t)(settings->extra_window_s * MS_PER_S),
+    = settings->key_revocation_max_ms > 0
+          ? settings->key_revocation_max_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
+          : settings->config_max_age_ms,
+    .registration_grace_ms = settings->registration_grace_ms,
+    .retry_ratio = settings->extra_send_ratio,
+    .retry_fixed_budget = settings->extra_send_fixed_budget,
+    .retry_window_ms = (uint64_t)(settings->extra_send_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
-    .rollout_share_max = settings->exposure_share,
-    .escalation = { .worth = settings->answer_worth,
-                    .rank_part = settings->rank_part,
-                    .late_part = settings->late_part,
-                    .poor_part = settings->poor_part,
-                    .opinion_width = settings->opinion_width },
+    .rollout_share_max = settings->rollout_share_max,
+    .escalation = { .worth = settings->good_answer_value,
+                    .rank_part = settings->value_factor_per_rank,
+                    .late_part = settings->late_value_share,
+                    .poor_part = settings->poor_value_share,
+                    .opinion_width = settings->rating_noise_points },
   };
 
   options.drain_grace_ms = options.drain_timeout_ms / 2 < GRACE_MS
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -509,7 +509,7 @@
   process->started_ms = clock_ms (process->clock);
   process->drain
       = drain_create ((uint32_t)settings->drain_grace_ms,
-                      (uint32_t)settings->drain_bound_ms, process->clock);
+                      (uint32_t)settings->drain_timeout_ms, process->clock);
   process->platform = make_platform (process);
   if (process->platform == NULL)
     {
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -119,10 +119,10 @@
                STR_ARG (settings->listen));
       return code;
     }
-  if (settings->rpc.len == 0)
+  if (settings->rpc_listen.len == 0)
     return VH_OK;
-  return rpc_server_create (entry->node, settings->rpc, fleet_serve, entry,
-                            &entry->server);
+  return rpc_server_create (entry->node, settings->rpc_listen, fleet_serve,
+                            entry, &entry->server);
 }
 
 vh_code_t
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -217,7 +217,7 @@
                         || str_eq (str_from (request->method), STR ("GET"))
                         || str_eq (str_from (request->method), STR ("HEAD"));
   if (!request->idempotent && !request->key_given
-      && !request->entry->settings->mint_keys)
+      && !request->entry->settings->generate_idempotency_keys)
     return answer_refuse (request, VH_E_NEED_KEY);
   if (request->service->timeout_ms > 0)
     {
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -35,8 +35,9 @@
 pool_t *
 fleet_pool (entry_t *entry, str_t target)
 {
-  const retry_config_t retries = { .share = entry->settings->retry_share,
-                                   .burst = entry->settings->retry_burst };
+  const retry_config_t retries
+      = { .share = entry->settings->retry_budget_ratio,
+          .burst = entry->settings->retry_burst };
   pool_t *pool = map_get (entry->pools, target);
 
   if (pool != NULL)
@@ -47,7 +48,7 @@
   pool->retry = retry_create (&retries, &entry->rng);
   pool->admission = admission_create (entry->clock, &entry->rng);
   pool->outlier
-      = outlier_create (entry->settings->outlier_share, entry->clock);
+      = outlier_create (entry->settings->ejected_share_max, entry->clock);
   pool->outlier_members = map_create ();
   map_put (entry->pools, target, pool);
   return pool;
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -125,7 +125,7 @@
       learn_rollout_t *rollout = running (entry, configured);
       if (rollout == NULL)
         continue;
-      bool is_old = configured->over == chosen;
+      bool is_old = configured->replaced_version == chosen;
       bool is_new = configured->version == chosen;
       if (!is_old && !is_new)
         continue;
@@ -613,7 +613,7 @@
           "%s{\"version\":\"%.*s\",\"over\":\"%.*s\",\"state\":"
           "\"%s\",\"share\":%g,\"shown\":%llu,\"reason\":\"",
           first ? "" : ",", STR_ARG (configured->version->name),
-          STR_ARG (configured->over->name),
+          STR_ARG (configured->replaced_version->name),
           rollout != NULL ? rollout_phase_name (rollout_phase (rollout->run))
                           : "unknown",
           rollout != NULL ? 100.0 * rollout_share (rollout->run) : 0.0,
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -26,8 +26,8 @@
       || !snapshot_is_zone_enabled (snapshot, sidecar->options.settings->zone)
       || !snapshot_is_instance_enabled (snapshot, sidecar->upstream->instance))
     return VH_E_GATE;
-  for (size_t i = 0; i < sidecar->upstream->serves_count; i++)
-    served = served || str_eq (sidecar->upstream->serves[i], target);
+  for (size_t i = 0; i < sidecar->upstream->served_name_count; i++)
+    served = served || str_eq (sidecar->upstream->served_names[i], target);
   const team_t *team = snapshot_find_team (snapshot, team_name);
   if (!served || team == NULL)
     return VH_E_GATE;
@@ -387,7 +387,8 @@
             const wire_ping_args_t *args)
 {
   const upstream_settings_t *upstream = sidecar->upstream;
-  char **serves = mem_zalloc ((upstream->serves_count + 1) * sizeof *serves);
+  char **serves
+      = mem_zalloc ((upstream->served_name_count + 1) * sizeof *serves);
   char *instance = str_dup (upstream->instance);
   char *zone = str_dup (sidecar->options.settings->zone);
   size_t suspects = sidecar->suspect_count < SUSPECTS_KEPT
@@ -401,13 +402,13 @@
           .features = upstream->features,
           .started_ms = sidecar->started_ms,
           .orphans = (u_int)held_orphans (sidecar->held),
-          .serves = { (u_int)upstream->serves_count, serves },
+          .serves = { (u_int)upstream->served_name_count, serves },
           .suspects = { (u_int)suspects, sidecar->suspects } };
 
-  for (size_t i = 0; i < upstream->serves_count; i++)
-    serves[i] = str_dup (upstream->serves[i]);
+  for (size_t i = 0; i < upstream->served_name_count; i++)
+    serves[i] = str_dup (upstream->served_names[i]);
   rpc_reply (request, &result);
-  for (size_t i = 0; i < upstream->serves_count; i++)
+  for (size_t i = 0; i < upstream->served_name_count; i++)
     free (serves[i]);
   free (serves);
   free (instance);
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -107,11 +107,11 @@
 {
   sidecar_t *sidecar = mem_zalloc (sizeof *sidecar);
   const upstream_settings_t *upstream = options->upstream;
-  const limit_config_t limit = { .start = upstream->limit_start,
+  const limit_config_t limit = { .start = upstream->limit_initial,
                                  .max = upstream->limit_max,
                                  .tolerance = upstream->limit_tolerance };
   const queue_config_t queue = { .max_waiters = upstream->queue_max,
-                                 .long_cost = upstream->queue_long_cost };
+                                 .long_cost = upstream->queue_long_cost_min };
   vh_code_t code;
 
   *out = NULL;
@@ -131,10 +131,10 @@
       return VH_E_IO;
     }
   sidecar->attempts = attempts_create (options->clock,
-                                       upstream->answer_keep_ms > 0
-                                           ? upstream->answer_keep_ms
+                                       upstream->response_retention_ms > 0
+                                           ? upstream->response_retention_ms
                                            : (uint64_t)KEEP_DEFAULT_MS,
-                                       upstream->answer_bytes);
+                                       upstream->retained_bytes_max);
   sidecar->limit = limit_create (&limit, options->clock);
   sidecar->queue = queue_create (&queue, options->clock);
   sidecar->held = held_create (options->clock);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -52,8 +52,8 @@
   ck_assert_uint_eq (settings->poll_ms, 1000);
   ck_assert_uint_eq (settings->upstreams_count, 1);
   ck_assert (str_eq (settings->upstreams[0].instance, STR ("u")));
-  ck_assert_uint_eq (settings->upstreams[0].serves_count, 2);
-  ck_assert (str_eq (settings->upstreams[0].serves[1], STR ("m@2")));
+  ck_assert_uint_eq (settings->upstreams[0].served_name_count, 2);
+  ck_assert (str_eq (settings->upstreams[0].served_names[1], STR ("m@2")));
   ck_assert (!settings->upstreams[0].is_service);
   ck_assert (str_eq (settings->upstreams[0].listen, STR ("127.0.0.1:0")));
   settings_destroy (settings);
@@ -91,10 +91,10 @@
   ck_assert_int_eq (settings->role, ROLE_SIDECAR);
   ck_assert (str_eq (settings->zone, STR ("z-1")));
   ck_assert (str_eq (settings->region, STR ("r")));
-  ck_assert (str_eq (settings->rpc, STR ("[::1]:2")));
+  ck_assert (str_eq (settings->rpc_listen, STR ("[::1]:2")));
   ck_assert (str_eq (settings->log_level, STR ("debug")));
   ck_assert_uint_eq (settings->drain_grace_ms, 3);
-  ck_assert_uint_eq (settings->drain_bound_ms, 4);
+  ck_assert_uint_eq (settings->drain_timeout_ms, 4);
   ck_assert_uint_eq (settings->seed, 5);
   ck_assert_uint_eq (settings->rpc_keys_count, 2);
   ck_assert (str_eq (settings->rpc_keys[1], STR ("fedcba9876543210")));
@@ -105,13 +105,13 @@
   ck_assert (str_eq (upstream->listen, STR ("127.0.0.1:6")));
   ck_assert (upstream->is_service);
   ck_assert_uint_eq (upstream->features, FEATURE_LOAD_REPORT | FEATURE_KV);
-  ck_assert_uint_eq (upstream->limit_start, 8);
+  ck_assert_uint_eq (upstream->limit_initial, 8);
   ck_assert_uint_eq (upstream->limit_max, 9);
   ck_assert_uint_eq (upstream->queue_max, 10);
   ck_assert_double_eq (upstream->limit_tolerance, 1.5);
-  ck_assert_uint_eq (upstream->queue_long_cost, 500);
-  ck_assert_uint_eq (upstream->answer_keep_ms, 1100);
-  ck_assert_uint_eq (upstream->answer_bytes, 65536);
+  ck_assert_uint_eq (upstream->queue_long_cost_min, 500);
+  ck_assert_uint_eq (upstream->response_retention_ms, 1100);
+  ck_assert_uint_eq (upstream->retained_bytes_max, 65536);
   ck_assert_uint_eq (upstream->upstream_timeout_ms, 13);
   ck_assert_int_eq (settings->platform, PLATFORM_HTTP);
   ck_assert (str_eq (settings->platform_address, STR ("127.0.0.1:14")));
@@ -135,8 +135,8 @@
                                      "retry-burst = 7\n" UPSTREAM),
                   &settings, &errors);
   check_no_errors (&errors);
-  ck_assert_double_eq (settings->outlier_share, 0.5);
-  ck_assert_double_eq (settings->retry_share, 0.2);
+  ck_assert_double_eq (settings->ejected_share_max, 0.5);
+  ck_assert_double_eq (settings->retry_budget_ratio, 0.2);
   ck_assert_uint_eq (settings->retry_burst, 7);
   settings_destroy (settings);
 }
@@ -375,7 +375,7 @@
     buf_printf (&text, ", m@%d", i);
   settings_parse (buf_str (&text), &settings, &errors);
   check_no_errors (&errors);
-  ck_assert_uint_eq (settings->upstreams[0].serves_count, 3000);
+  ck_assert_uint_eq (settings->upstreams[0].served_name_count, 3000);
   ck_assert_uint_eq (settings->upstreams[0].instance.len, 120);
   settings_destroy (settings);
   buf_append_str (&text, STR ("\nbad = 1"));
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -110,9 +110,9 @@
 
   const rollout_t *rollout = snapshot_rollout_at (snapshot, 0);
   ck_assert (str_eq (rollout->version->name, STR ("draft-small@4")));
-  ck_assert (str_eq (rollout->over->name, STR ("draft-small@3")));
+  ck_assert (str_eq (rollout->replaced_version->name, STR ("draft-small@3")));
   ck_assert_int_eq (rollout->state, ROLLOUT_PAUSED);
-  ck_assert_uint_eq (rollout->share_max, 100);
+  ck_assert_uint_eq (rollout->share_max_percent, 100);
   ck_assert_ptr_null (snapshot_rollout_at (snapshot, 1));
 
   ck_assert_uint_eq (snapshot_objective_at (snapshot, 0)->first_token_ms,
