--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -9,11 +9,11 @@
 name_table_hint (const name_table_t *names, str_t name, const char *fallback,
                  buf_t *hint)
 {
-  closest_match_t nearest = closest_match_make (name);
+  closest_match_t match = closest_match_make (name);
 
   for (size_t i = 0; i < names->count; i++)
-    closest_match_add_candidate (&nearest, *(const str_t *)names->items[i]);
-  return closest_match_hint (&nearest, fallback, hint);
+    closest_match_add_candidate (&match, *(const str_t *)names->items[i]);
+  return closest_match_hint (&match, fallback, hint);
 }
 
 /* Set the model of each version and the list of versions of each model.  */
--- a/packages/conf/edit.c
+++ b/packages/conf/edit.c
@@ -44,21 +44,22 @@
 static bool
 edit_find_value (str_t line, str_t key, size_t *value_start, size_t *value_end)
 {
-  size_t split = 0;
+  size_t separator = 0;
 
-  while (split < line.len && line.ptr[split] != '=' && line.ptr[split] != ':')
-    split++;
-  if (split == line.len
-      || !str_eq (str_trim (str_make (line.ptr, split)), key))
+  while (separator < line.len && line.ptr[separator] != '='
+         && line.ptr[separator] != ':')
+    separator++;
+  if (separator == line.len
+      || !str_eq (str_trim (str_make (line.ptr, separator)), key))
     return false;
-  *value_start = split + 1;
+  *value_start = separator + 1;
   while (*value_start < line.len
          && (line.ptr[*value_start] == ' ' || line.ptr[*value_start] == '\t'))
     ++*value_start;
   *value_end = *value_start;
   /* As in inih, a comment starts with `;' after a blank.  */
   while (*value_end < line.len
-         && !(line.ptr[*value_end] == ';' && *value_end > split + 1
+         && !(line.ptr[*value_end] == ';' && *value_end > separator + 1
               && (line.ptr[*value_end - 1] == ' '
                   || line.ptr[*value_end - 1] == '\t')))
     ++*value_end;
--- a/packages/conf/schema.c
+++ b/packages/conf/schema.c
@@ -17,7 +17,7 @@
   DIGEST_DIGITS = 64,
   SECTION_KEYS_MAX = 64, /* Number of bits in checker_t.seen_keys.  */
   /* A longer name is not a misspelling of a known one.  */
-  NEAREST_BYTES_MAX = 64
+  CLOSEST_MATCH_BYTES_MAX = 64
 };
 
 /* State of the check of one text.  */
@@ -98,7 +98,7 @@
 static size_t
 levenshtein_distance (str_t a, str_t b)
 {
-  size_t row[NEAREST_BYTES_MAX + 1];
+  size_t row[CLOSEST_MATCH_BYTES_MAX + 1];
 
   for (size_t j = 0; j <= b.len; j++)
     row[j] = j;
@@ -124,31 +124,31 @@
 }
 
 void
-closest_match_add_candidate (closest_match_t *nearest, str_t candidate)
+closest_match_add_candidate (closest_match_t *match, str_t candidate)
 {
   size_t distance;
-  size_t distance_max = nearest->word.len / 3 > 2 ? nearest->word.len / 3 : 2;
+  size_t distance_max = match->word.len / 3 > 2 ? match->word.len / 3 : 2;
 
-  if (nearest->word.len > NEAREST_BYTES_MAX
-      || candidate.len > NEAREST_BYTES_MAX)
+  if (match->word.len > CLOSEST_MATCH_BYTES_MAX
+      || candidate.len > CLOSEST_MATCH_BYTES_MAX)
     return;
-  distance = levenshtein_distance (nearest->word, candidate);
+  distance = levenshtein_distance (match->word, candidate);
   /* A candidate that differs in all letters is not a misspelling.  */
   if (distance >= candidate.len || distance > distance_max
-      || distance >= nearest->distance)
+      || distance >= match->distance)
     return;
-  nearest->best_match = candidate;
-  nearest->distance = distance;
+  match->best_match = candidate;
+  match->distance = distance;
 }
 
 const char *
-closest_match_hint (const closest_match_t *nearest, const char *fallback,
+closest_match_hint (const closest_match_t *match, const char *fallback,
                     buf_t *buf)
 {
   buf->len = 0;
-  if (nearest->best_match.ptr == NULL)
+  if (match->best_match.ptr == NULL)
     return fallback;
-  buf_printf (buf, "did you mean `%.*s'?", STR_ARG (nearest->best_match));
+  buf_printf (buf, "did you mean `%.*s'?", STR_ARG (match->best_match));
   return buf->ptr;
 }
 
@@ -187,7 +187,7 @@
 static const schema_section_t *
 checker_find_section (checker_t *checker, str_t kind, int line)
 {
-  closest_match_t nearest = closest_match_make (kind);
+  closest_match_t match = closest_match_make (kind);
   buf_t hint = BUF_NULL;
   buf_t known = BUF_NULL;
 
@@ -199,12 +199,12 @@
           buf_free (&known);
           return section;
         }
-      closest_match_add_candidate (&nearest, str_from (section->kind));
+      closest_match_add_candidate (&match, str_from (section->kind));
       buf_printf (&known, "%s%s", i == 0 ? "known sections: " : ", ",
                   section->kind);
     }
   conf_errors_add (checker->errors, line,
-                   closest_match_hint (&nearest, known.ptr, &hint),
+                   closest_match_hint (&match, known.ptr, &hint),
                    "unknown section `%.*s'", STR_ARG (kind));
   buf_free (&hint);
   buf_free (&known);
@@ -300,7 +300,7 @@
 checker_find_key (checker_t *checker, str_t name, int line)
 {
   const schema_section_t *section = checker->section;
-  closest_match_t nearest = closest_match_make (name);
+  closest_match_t match = closest_match_make (name);
   buf_t hint = BUF_NULL;
   buf_t alternatives = BUF_NULL;
 
@@ -308,7 +308,7 @@
     {
       if (str_eq (name, str_from (section->keys[i].name)))
         return &section->keys[i];
-      closest_match_add_candidate (&nearest, str_from (section->keys[i].name));
+      closest_match_add_candidate (&match, str_from (section->keys[i].name));
     }
   for (size_t i = 0; i < checker->schema->section_count; i++)
     for (size_t k = 0; k < checker->schema->sections[i].key_count; k++)
@@ -324,7 +324,7 @@
                     section->keys[i].name);
     }
   conf_errors_add (checker->errors, line,
-                   closest_match_hint (&nearest, alternatives.ptr, &hint),
+                   closest_match_hint (&match, alternatives.ptr, &hint),
                    "unknown key `%.*s' in [%s]", STR_ARG (name),
                    section->kind);
   buf_free (&hint);
--- a/packages/conf/schema.h
+++ b/packages/conf/schema.h
@@ -105,10 +105,10 @@
 /* Start a search for names close to WORD, which is borrowed.  */
 closest_match_t closest_match_make (str_t word);
 /* Compare CANDIDATE, which is borrowed, with the best match.  */
-void closest_match_add_candidate (closest_match_t *nearest, str_t candidate);
+void closest_match_add_candidate (closest_match_t *match, str_t candidate);
 /* Write "did you mean `X'?" to BUF and return it, or return FALLBACK, which
    may be NULL, if no candidate was close enough.  */
-const char *closest_match_hint (const closest_match_t *nearest,
+const char *closest_match_hint (const closest_match_t *match,
                                 const char *fallback, buf_t *buf);
 
 /* Sort ERRORS by line, stably.  */
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -478,15 +478,14 @@
   for (size_t i = 0; i < item->features.count; i++)
     {
       str_t name = item->features.items[i];
-      closest_match_t nearest = closest_match_make (name);
+      closest_match_t match = closest_match_make (name);
       buf_t hint = BUF_NULL;
       size_t bit = 0;
       for (; feature_names[bit] != NULL; bit++)
         {
           if (str_eq (name, str_from (feature_names[bit])))
             break;
-          closest_match_add_candidate (&nearest,
-                                       str_from (feature_names[bit]));
+          closest_match_add_candidate (&match, str_from (feature_names[bit]));
         }
       if (feature_names[bit] != NULL)
         item->pub.features |= 1u << bit;
@@ -494,7 +493,7 @@
         conf_errors_add (
             parser->errors, item->features.line,
             closest_match_hint (
-                &nearest,
+                &match,
                 "known features: load-report, cache-events, resume, "
                 "priority, orders, fencing, kv",
                 &hint),
--- a/packages/conf/settings.h
+++ b/packages/conf/settings.h
@@ -174,10 +174,11 @@
      within the roll-out's time limit.  */
   double rollout_share_max;
   double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
-  /* Value of a good response of rank 0 for 1,000 units of size, in the unit of
-     the models' costs.  A token read is 1 unit, a generated one 10 units.  */
+  /* Value of a good response to a request of rank 0, the highest, for 1,000
+     units of size, in the unit of the models' costs.  A token read is 1 unit
+     of size, a generated token 10 units.  */
   double good_answer_value;
-  /* Factor applied to the value for each further rank.  */
+  /* Factor applied to the value for each rank below the highest.  */
   double value_factor_per_rank;
   double late_value_share; /* Share of its value that a late response has.  */
   double poor_value_share; /* Share of its value that a poor response has.  */
