--- a/packages/conf/snapshot.c
+++ b/packages/conf/snapshot.c
@@ -132,8 +132,8 @@
 }
 
 bool
-snapshot_allows_version (const snapshot_t *snapshot, const team_t *team,
-                         const version_t *version)
+snapshot_allows (const snapshot_t *snapshot, const team_t *team,
+                 const version_t *version)
 {
   /* Both must belong to this snapshot, because the indices of other snapshots
      differ.  */
--- a/packages/conf/snapshot.h
+++ b/packages/conf/snapshot.h
@@ -146,8 +146,8 @@
 
 /* Return whether TEAM's plan allows VERSION and VERSION is not withdrawn. TEAM
    and VERSION must belong to SNAPSHOT.  */
-bool snapshot_allows_version (const snapshot_t *snapshot, const team_t *team,
-                              const version_t *version);
+bool snapshot_allows (const snapshot_t *snapshot, const team_t *team,
+                      const version_t *version);
 /* Return whether TEAM's plan allows SERVICE.  TEAM and SERVICE must belong to
    SNAPSHOT.  */
 bool snapshot_allows_service (const snapshot_t *snapshot, const team_t *team,
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -21,7 +21,7 @@
 add_candidate (request_t *request, const version_t *version)
 {
   if (request->candidate_count < CANDIDATES_MAX
-      && snapshot_allows_version (request->snapshot, request->team, version))
+      && snapshot_allows (request->snapshot, request->team, version))
     request->candidates[request->candidate_count++] = version;
 }
 
@@ -151,7 +151,7 @@
     version = NULL;
   /* Withdrawn wins over kept: the session moves, once, and is told.  */
   if (version == NULL
-      || !snapshot_allows_version (request->snapshot, request->team, version)
+      || !snapshot_allows (request->snapshot, request->team, version)
       || learn_taken_back (request->entry, version))
     request->session_moved = true;
   request->session_version = request->session_moved ? NULL : version;
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -332,7 +332,7 @@
   buf_printf (&body, "{\"object\":\"list\",\"data\":[");
   for (size_t i = 0; (version = snapshot_version_at (snapshot, i)) != NULL;
        i++)
-    if (snapshot_allows_version (snapshot, request->team, version))
+    if (snapshot_allows (snapshot, request->team, version))
       append_model (&body, version->name, version->model, &first);
   buf_printf (&body, "]}\n");
   httpd_reply_json (request->http, 200, buf_str (&body));
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -134,8 +134,8 @@
       if (is_old && request->session_version == NULL
           && configured->state == ROLLOUT_RUNNING
           && rollout_is_assigned (rollout->run, str_hash (key, 5))
-          && snapshot_allows_version (request->snapshot, request->team,
-                                      configured->version))
+          && snapshot_allows (request->snapshot, request->team,
+                              configured->version))
         {
           request->arm = ROLLOUT_NEW;
           chosen = configured->version;
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -40,7 +40,7 @@
                  : VH_E_GATE;
     }
   const version_t *version = snapshot_find_version (snapshot, target);
-  if (version == NULL || !snapshot_allows_version (snapshot, team, version))
+  if (version == NULL || !snapshot_allows (snapshot, team, version))
     return VH_E_GATE;
   return VH_OK;
 }
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -60,7 +60,7 @@
 static bool
 allows (const snapshot_t *snapshot, const char *team, const char *version)
 {
-  return snapshot_allows_version (
+  return snapshot_allows (
       snapshot, snapshot_find_team (snapshot, str_from (team)),
       snapshot_find_version (snapshot, str_from (version)));
 }
@@ -477,7 +477,7 @@
       const team_t *team = snapshot_team_at (snapshot, (size_t)i % TEAMS);
       const version_t *version
           = snapshot_version_at (snapshot, (size_t)i % VERSIONS);
-      allowed += snapshot_allows_version (snapshot, team, version);
+      allowed += snapshot_allows (snapshot, team, version);
     }
   double lookups_done = monotonic_s ();
   ck_assert_uint_gt (allowed, 0);
