--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -100,7 +100,7 @@
   if (at->counted || at->joined)
     return;
   at->counted = true;
-  admission_result (request->pool->admission, request->cost, true);
+  admission_record_result (request->pool->admission, request->cost, true);
 }
 
 static uint64_t
@@ -221,7 +221,7 @@
   if (started)
     count_taken (request);
   else if (code == VH_E_FULL || code == VH_E_DEADLINE)
-    admission_result (request->pool->admission, request->cost, false);
+    admission_record_result (request->pool->admission, request->cost, false);
   if (answer->retry_after_ms > request->retry_after_ms)
     request->retry_after_ms = answer->retry_after_ms;
   /* The sidecar was restarted.  What only ever went to its new life has not
@@ -819,7 +819,7 @@
 filter_step_t
 dispatch_start (request_t *request)
 {
-  retry_request (request->pool->retry);
+  retry_add_request (request->pool->retry);
   try_next (request);
   return FILTER_WAIT;
 }
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -127,7 +127,7 @@
   if (ok)
     {
       learn_latency (pool, latency_us);
-      retry_observe (pool->retry, latency_us);
+      retry_record_latency (pool->retry, latency_us);
     }
   apply_ejections (entry, pool);
 }
@@ -135,7 +135,7 @@
 /* Connections.  */
 
 static void
-tell (member_t *member, sight_t sight)
+tell (member_t *member, instance_event_t sight)
 {
   const entry_t *entry = member->entry;
 
@@ -151,7 +151,7 @@
 
   member->down = state != RPC_UP;
   if (member->down)
-    tell (member, SIGHT_SILENT);
+    tell (member, INSTANCE_EVENT_UNREACHABLE);
   else
     /* A request may have come before the first ping; what the process serves
        and can do is only in its pong.  */
@@ -319,7 +319,7 @@
 }
 
 void
-entry_member_remove (entry_t *entry, str_t name)
+entry_remove_instance (entry_t *entry, str_t name)
 {
   member_t *member = map_get (entry->members, name);
 
@@ -328,7 +328,7 @@
 }
 
 void
-entry_member_put (entry_t *entry, const instance_row_t *row)
+entry_put_instance (entry_t *entry, const instance_row_t *row)
 {
   member_t *member = map_get (entry->members, row->name);
 
@@ -384,18 +384,19 @@
   member->confirmed_ms = context->confirmed_ms;
   member->load = context->load;
   if (member->epoch != 0 && member->epoch != context->epoch)
-    tell (member, SIGHT_RESTARTED);
+    tell (member, INSTANCE_EVENT_RESTARTED);
   member->epoch = context->epoch;
   uint64_t now_ms = clock_ms (entry->clock);
   if (now_ms - member->told_ms >= HEARD_EVERY_MS)
     {
       member->told_ms = now_ms;
-      tell (member, SIGHT_HEARD);
+      tell (member, INSTANCE_EVENT_ALIVE);
     }
   if (member->draining != (bool)context->draining)
     {
       member->draining = context->draining;
-      tell (member, member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
+      tell (member, member->draining ? INSTANCE_EVENT_DRAINING_STARTED
+                                     : INSTANCE_EVENT_DRAINING_ENDED);
       if (member->id != 0)
         balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
                           member->draining || member->leaving);
@@ -543,19 +544,19 @@
     {
       pool_t *pool = value;
       apply_ejections (entry, pool);
-      admission_pressure (pool->admission,
-                          balance_pressure (entry->balance, pool->id));
+      admission_set_pressure (pool->admission,
+                              balance_pressure (entry->balance, pool->id));
     }
 }
 
 size_t
-entry_peers (const entry_t *entry)
+entry_count_known_entries (const entry_t *entry)
 {
   return count_entries (entry) + 1;
 }
 
 size_t
-entry_rank (const entry_t *entry)
+entry_zone_rank (const entry_t *entry)
 {
   uint64_t mine = duty_rank (entry, entry->settings->name);
   size_t rank = 0;
--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -16,7 +16,7 @@
 {
   unsigned refs;
   uint64_t revision;
-  caller_limits_t limits;
+  client_limits_t limits;
   map_t *services;
   map_t *routes; /* By HOST NUL PREFIX.  */
   map_t *teams;
@@ -151,7 +151,7 @@
 }
 
 void
-catalog_set_limits (catalog_t *catalog, const caller_limits_t *limits)
+catalog_set_limits (catalog_t *catalog, const client_limits_t *limits)
 {
   catalog->limits = *limits;
 }
@@ -162,20 +162,20 @@
   return catalog->revision;
 }
 
-const caller_limits_t *
+const client_limits_t *
 catalog_limits (const catalog_t *catalog)
 {
   return &catalog->limits;
 }
 
 const service_t *
-catalog_service (const catalog_t *catalog, str_t name)
+catalog_find_service (const catalog_t *catalog, str_t name)
 {
   return map_get (catalog->services, name);
 }
 
 const route_t *
-catalog_route (const catalog_t *catalog, str_t host, str_t path)
+catalog_match_route (const catalog_t *catalog, str_t host, str_t path)
 {
   const route_t *route = NULL;
   buf_t key = BUF_NULL;
@@ -205,7 +205,7 @@
 }
 
 const team_t *
-catalog_team (const catalog_t *catalog, str_t key)
+catalog_find_team (const catalog_t *catalog, str_t key)
 {
   return map_get (catalog->keys, key);
 }
--- a/packages/gateway/duties.c
+++ b/packages/gateway/duties.c
@@ -41,10 +41,10 @@
 {
   gateway_state_t *belief;
   rows_t *rows;
-  share_t *share;
+  peer_rows_t *share;
   loader_t *loader;
-  follow_t *instances;
-  follow_t *own;
+  table_sync_t *instances;
+  table_sync_t *own;
   uv_timer_t tick;
   uint64_t ticks;
   bool own_read; /* The shared rows were read once.  */
@@ -63,12 +63,12 @@
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   gateway_state_t *belief = duties->belief;
   uint64_t read_ms = gateway_config_load_ms (belief);
 
   /* While a later one waits the keys go on ageing.  */
-  if (!loader_busy (duties->loader))
+  if (!loader_is_busy (duties->loader))
     belief->config_load_started_ms = 0;
   if (code != VH_OK)
     {
@@ -95,7 +95,7 @@
 /* Read the configuration in ROW.  What is in force until then is as old as the
    last confirmation before this one.  */
 static void
-take_catalog (duties_t *duties, const rows_row_t *row)
+take_catalog (store_sync_t *duties, const rows_row_t *row)
 {
   gateway_state_t *belief = duties->belief;
 
@@ -103,13 +103,13 @@
              field_number (FIELD_BYTES, row->value.len));
   if (belief->config_load_started_ms == 0)
     belief->config_load_started_ms = clock_boot_ms (belief->clock);
-  loader_take (duties->loader, row->value, belief->catalog == NULL);
+  loader_submit (duties->loader, row->value, belief->catalog == NULL);
 }
 
 static void
 on_order_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   gateway_state_t *belief = duties->belief;
   str_t name;
 
@@ -119,7 +119,7 @@
       take_catalog (duties, row);
       break;
     case OPERATOR_ROW_ROLLOUT:
-      rollouts_order (duties->rollouts, row);
+      rollouts_apply_order (duties->rollouts, row);
       break;
     case OPERATOR_ROW_ZONE_EXCLUSION:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
@@ -133,7 +133,7 @@
 static void
 on_order_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   str_t name;
 
   if (duties->belief->dialect->operator_row_kind (key, &name)
@@ -148,7 +148,7 @@
 static void
 on_instance_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   gateway_state_t *belief = duties->belief;
   upstream_info_t info;
   void *holder = NULL;
@@ -174,7 +174,7 @@
 static void
 on_instance_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   gateway_state_t *belief = duties->belief;
   uint64_t now_ms = clock_ms (belief->clock);
   uint64_t keep_ms = 0;
@@ -190,7 +190,7 @@
 
 /* Requests may be served once all tables were read.  */
 static void
-set_prepared (duties_t *duties)
+set_prepared (store_sync_t *duties)
 {
   if (duties->own_read && duties->instances_read)
     duties->belief->is_initialized = true;
@@ -199,7 +199,7 @@
 static void
 on_instances_caught_up (void *arg, bool full)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
 
   (void)full;
   duties->instances_read = true;
@@ -211,7 +211,7 @@
    after the orders, when their call hung on a connection that was cut: counted
    from there, an instance that had left 13 s before got a request.  */
 static void
-note_reach (duties_t *duties, bool down)
+note_reach (store_sync_t *duties, bool down)
 {
   if (!down && duties->away)
     duties->returned_ms = clock_ms (duties->belief->clock);
@@ -228,7 +228,7 @@
 
 /* Take in an entry that listed itself: ZONE ADDRESS LINK.  */
 static void
-take_entry (share_t *share, str_t name, str_t text)
+take_entry (peer_rows_t *share, str_t name, str_t text)
 {
   str_t rest;
   str_t zone = str_cut (text, ' ', &rest);
@@ -240,20 +240,20 @@
   if (rest.ptr != NULL && !str_to_u64 (rest, &link_mbps))
     log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, name),
                field_number (FIELD_CODE, VH_E_BAD_FIELD));
-  share_put (share, name, zone, address, (uint32_t)link_mbps);
+  peer_rows_add_gateway (share, name, zone, address, (uint32_t)link_mbps);
 }
 
 static void
 on_own_put (void *arg, const rows_row_t *row)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   str_t rest;
   str_t kind = row_key_prefix (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
-    rollouts_row (duties->rollouts, rest, row);
+    rollouts_apply_state_row (duties->rollouts, rest, row);
   else if (str_eq (kind, STR ("evidence")))
-    rollouts_evidence (duties->rollouts, row->key, false, row->value);
+    rollouts_apply_evidence (duties->rollouts, row->key, false, row->value);
   else if (str_eq (kind, STR ("entry")) && rest.len > 0)
     {
       str_t more;
@@ -267,20 +267,20 @@
 static void
 on_own_removed (void *arg, str_t key)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   str_t rest;
 
   if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
       allotment_remove (duties->belief->allotment, rest);
       if (duties->share != NULL)
-        share_remove (duties->share, rest);
+        peer_rows_remove_gateway (duties->share, rest);
     }
 }
 
 /* Divide what all entries may use among those that there are now.  */
 static void
-divide_shares (duties_t *duties)
+divide_shares (store_sync_t *duties)
 {
   gateway_state_t *belief = duties->belief;
   size_t cursor = 0;
@@ -301,7 +301,7 @@
 static void
 on_own_caught_up (void *arg, bool full)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
 
   (void)full;
   duties->own_read = true;
@@ -315,7 +315,7 @@
 static void
 on_node_written (void *arg, vh_code_t code, const rows_result_t *result)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
 
   (void)result;
   duties->node_pending = false;
@@ -328,7 +328,7 @@
 
 /* Tell the others that there is one more to share with, or one less.  */
 static void
-write_node (duties_t *duties, bool leaves)
+write_node (store_sync_t *duties, bool leaves)
 {
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
@@ -338,13 +338,14 @@
   buf_printf (&value, "%.*s %.*s %u", STR_ARG (duties->belief->options.zone),
               STR_ARG (duties->belief->options.rpc_listen),
               (unsigned)duties->belief->options.link_mbps);
-  rows_write_t write = { .table = ROWS_OWN,
+  rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value),
                          .remove = leaves };
   duties->node_pending = true;
-  duties->rows->ops->commit (duties->rows, &write, 1, DUTIES_COMMIT_MS,
-                             on_node_written, duties);
+  duties->rows->ops->commit (duties->rows, &write, 1,
+                             STORE_SYNC_COMMIT_TIMEOUT_MS, on_node_written,
+                             duties);
   buf_free (&key);
   buf_free (&value);
 }
@@ -352,7 +353,7 @@
 static void
 on_tick (uv_timer_t *timer)
 {
-  duties_t *duties = timer->data;
+  store_sync_t *duties = timer->data;
   gateway_state_t *belief = duties->belief;
   bool is_second = ++duties->ticks % TICKS_PER_S == 0;
 
@@ -373,58 +374,59 @@
 static void
 on_orders_caught_up (void *arg, bool full)
 {
-  static const follow_options_t instances = { .table = ROWS_INSTANCES,
-                                              .name = "instances",
-                                              .gap_ms = INSTANCES_GAP_MS,
-                                              .wait_ms = INSTANCES_WAIT_MS,
-                                              .retry_last_ms = RETRY_LAST_MS,
-                                              .slack_ms = INSTANCES_SLACK_MS };
-  static const follow_events_t events
+  static const table_sync_options_t instances
+      = { .table = ROWS_INSTANCES,
+          .name = "instances",
+          .gap_ms = INSTANCES_GAP_MS,
+          .wait_ms = INSTANCES_WAIT_MS,
+          .retry_last_ms = RETRY_LAST_MS,
+          .slack_ms = INSTANCES_SLACK_MS };
+  static const table_sync_events_t events
       = { on_instance_put, on_instance_removed, on_instances_caught_up,
           on_instances_reach };
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
   gateway_state_t *belief = duties->belief;
 
   (void)full;
   if (duties->instances == NULL)
-    duties->instances
-        = follow_create (belief->loop, belief->clock, duties->rows,
-                         rng_u64 (&belief->rng), &instances, &events, duties);
+    duties->instances = table_sync_create (
+        belief->loop, belief->clock, duties->rows, rng_u64 (&belief->rng),
+        &instances, &events, duties);
 }
 
 /* The store is back: the other tables are read at once.  */
 static void
 on_orders_reach (void *arg, bool down)
 {
-  duties_t *duties = arg;
+  store_sync_t *duties = arg;
 
   note_reach (duties, down);
   if (down)
     return;
-  follow_retry (duties->own);
+  table_sync_retry_now (duties->own);
   if (duties->instances != NULL)
-    follow_retry (duties->instances);
+    table_sync_retry_now (duties->instances);
 }
 
-duties_t *
-duties_create (gateway_state_t *belief, rows_t *rows, share_t *share)
+store_sync_t *
+store_sync_create (gateway_state_t *belief, rows_t *rows, peer_rows_t *share)
 {
-  static const follow_options_t orders = { .table = ROWS_ORDERS,
-                                           .name = "orders",
-                                           .wait_ms = ORDERS_WAIT_MS,
-                                           .slack_ms = ORDERS_SLACK_MS };
-  static const follow_events_t order_events
+  static const table_sync_options_t orders = { .table = ROWS_ORDERS,
+                                               .name = "orders",
+                                               .wait_ms = ORDERS_WAIT_MS,
+                                               .slack_ms = ORDERS_SLACK_MS };
+  static const table_sync_events_t order_events
       = { on_order_put, on_order_removed, on_orders_caught_up,
           on_orders_reach };
-  static const follow_options_t own = { .table = ROWS_OWN,
-                                        .name = "own",
-                                        .wait_ms = OWN_WAIT_MS,
-                                        .retry_last_ms = RETRY_LAST_MS,
-                                        .slack_ms = OWN_SLACK_MS,
-                                        .gap_ms = OWN_GAP_MS };
-  static const follow_events_t own_events
+  static const table_sync_options_t own = { .table = ROWS_SHARED,
+                                            .name = "own",
+                                            .wait_ms = OWN_WAIT_MS,
+                                            .retry_last_ms = RETRY_LAST_MS,
+                                            .slack_ms = OWN_SLACK_MS,
+                                            .gap_ms = OWN_GAP_MS };
+  static const table_sync_events_t own_events
       = { on_own_put, on_own_removed, on_own_caught_up, NULL };
-  duties_t *duties = mem_zalloc (sizeof *duties);
+  store_sync_t *duties = mem_zalloc (sizeof *duties);
 
   duties->belief = belief;
   duties->rows = rows;
@@ -432,13 +434,13 @@
   duties->rollouts = rollouts_create (belief, rows, share);
   duties->loader = loader_create (belief->loop, belief->dialect->read_catalog,
                                   on_catalog, duties);
-  belief->operator_rows
-      = follow_create (belief->loop, belief->clock, rows,
-                       rng_u64 (&belief->rng), &orders, &order_events, duties);
+  belief->operator_rows = table_sync_create (belief->loop, belief->clock, rows,
+                                             rng_u64 (&belief->rng), &orders,
+                                             &order_events, duties);
   /* With the orders, as it tells who reads them for this entry.  */
   duties->own
-      = follow_create (belief->loop, belief->clock, rows,
-                       rng_u64 (&belief->rng), &own, &own_events, duties);
+      = table_sync_create (belief->loop, belief->clock, rows,
+                           rng_u64 (&belief->rng), &own, &own_events, duties);
   uv_timer_init (belief->loop, &duties->tick);
   duties->tick.data = duties;
   uv_timer_start (&duties->tick, on_tick,
@@ -447,10 +449,10 @@
 }
 
 void
-duties_stop (duties_t *duties)
+store_sync_stop (store_sync_t *duties)
 {
   if (duties->share != NULL)
-    share_leave (duties->share);
+    peer_rows_stop_serving (duties->share);
   if (duties->node_written)
     write_node (duties, true);
 }
@@ -462,15 +464,15 @@
 }
 
 void
-duties_destroy (duties_t *duties)
+store_sync_destroy (store_sync_t *duties)
 {
   if (duties == NULL)
     return;
-  follow_destroy (duties->belief->operator_rows);
+  table_sync_destroy (duties->belief->operator_rows);
   duties->belief->operator_rows = NULL;
   loader_destroy (duties->loader);
-  follow_destroy (duties->instances);
-  follow_destroy (duties->own);
+  table_sync_destroy (duties->instances);
+  table_sync_destroy (duties->own);
   rollouts_destroy (duties->rollouts);
   duties->rows->ops->forget (duties->rows, duties);
   uv_close ((uv_handle_t *)&duties->tick, on_tick_closed);
--- a/packages/gateway/follow.c
+++ b/packages/gateway/follow.c
@@ -20,8 +20,8 @@
 {
   clock_iface_t *clock;
   rows_t *rows;
-  follow_options_t options;
-  follow_events_t events;
+  table_sync_options_t options;
+  table_sync_events_t events;
   void *arg;
   rng_t rng;
   uv_timer_t timer;
@@ -42,7 +42,7 @@
   uint64_t retry_ms;
 };
 
-static void step (follow_t *follow);
+static void step (table_sync_t *follow);
 
 static void
 on_timer (uv_timer_t *timer)
@@ -51,13 +51,13 @@
 }
 
 static void
-step_after (follow_t *follow, uint64_t wait_ms)
+step_after (table_sync_t *follow, uint64_t wait_ms)
 {
   uv_timer_start (&follow->timer, on_timer, wait_ms, 0);
 }
 
 static void
-set_down (follow_t *follow, bool down, vh_code_t code)
+set_down (table_sync_t *follow, bool down, vh_code_t code)
 {
   if (follow->down == down)
     return;
@@ -74,7 +74,7 @@
 }
 
 static void
-fail (follow_t *follow, vh_code_t code)
+fail (table_sync_t *follow, vh_code_t code)
 {
   if (code == VH_E_NOT_FOUND)
     {
@@ -95,7 +95,7 @@
 }
 
 static void
-put (follow_t *follow, const rows_row_t *row)
+put (table_sync_t *follow, const rows_row_t *row)
 {
   map_put (follow->known, row->key, (void *)follow->pass);
   follow->events.put (follow->arg, row);
@@ -103,7 +103,7 @@
 
 /* Tell of the rows that the read just over did not see.  */
 static void
-sweep (follow_t *follow)
+sweep (table_sync_t *follow)
 {
   buf_t gone = BUF_NULL;
   size_t cursor = 0;
@@ -127,15 +127,15 @@
 }
 
 static void
-confirm (follow_t *follow, const rows_result_t *result, uint64_t sent_ms)
+confirm (table_sync_t *follow, const rows_result_t *result, uint64_t sent_ms)
 {
   uint64_t now_ms = clock_boot_ms (follow->clock);
 
   if (result->direct)
-    store_clock_sample (&follow->store_clock, result->said_ms, sent_ms,
-                        now_ms);
+    store_clock_add_sample (&follow->store_clock, result->said_ms, sent_ms,
+                            now_ms);
   uint64_t said_ms
-      = store_clock_local (&follow->store_clock, result->said_ms, now_ms);
+      = store_clock_to_local (&follow->store_clock, result->said_ms, now_ms);
   follow->confirmed = true;
   follow->confirmed_ms
       = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
@@ -148,7 +148,7 @@
 }
 
 static void
-take_read (follow_t *follow, const rows_result_t *result)
+take_read (table_sync_t *follow, const rows_result_t *result)
 {
   if (follow->next.len == 0)
     {
@@ -176,7 +176,7 @@
 }
 
 static void
-take_watch (follow_t *follow, const rows_result_t *result)
+take_watch (table_sync_t *follow, const rows_result_t *result)
 {
   for (size_t i = 0; i < result->count; i++)
     {
@@ -197,7 +197,7 @@
 static void
 on_result (void *arg, vh_code_t code, const rows_result_t *result)
 {
-  follow_t *follow = arg;
+  table_sync_t *follow = arg;
 
   if (code != VH_OK)
     {
@@ -212,7 +212,7 @@
                  field_number (FIELD_ORDER, result->version),
                  field_number (FIELD_SEEN, follow->version));
       follow->next.len = 0;
-      step_after (follow, rng_jitter (&follow->rng, FOLLOW_RETRY_LAST_MS));
+      step_after (follow, rng_jitter (&follow->rng, TABLE_SYNC_RETRY_MAX_MS));
       return;
     }
   /* Before the rows: what an outage means for them must be known.  */
@@ -224,7 +224,7 @@
 }
 
 static void
-step (follow_t *follow)
+step (table_sync_t *follow)
 {
   follow->sent_ms = clock_boot_ms (follow->clock);
   if (follow->reading)
@@ -242,18 +242,18 @@
     }
 }
 
-follow_t *
-follow_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
-               uint64_t seed, const follow_options_t *options,
-               const follow_events_t *events, void *arg)
+table_sync_t *
+table_sync_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
+                   uint64_t seed, const table_sync_options_t *options,
+                   const table_sync_events_t *events, void *arg)
 {
-  follow_t *follow = mem_zalloc (sizeof *follow);
+  table_sync_t *follow = mem_zalloc (sizeof *follow);
 
   follow->clock = clock;
   follow->rows = rows;
   follow->options = *options;
   if (follow->options.retry_last_ms == 0)
-    follow->options.retry_last_ms = FOLLOW_RETRY_LAST_MS;
+    follow->options.retry_last_ms = TABLE_SYNC_RETRY_MAX_MS;
   follow->events = *events;
   follow->arg = arg;
   follow->rng = rng_make (seed);
@@ -267,7 +267,7 @@
 }
 
 void
-follow_retry (follow_t *follow)
+table_sync_retry_now (table_sync_t *follow)
 {
   if (!follow->down)
     return;
@@ -281,7 +281,7 @@
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  follow_t *follow = handle->data;
+  table_sync_t *follow = handle->data;
 
   map_destroy (follow->known);
   buf_free (&follow->next);
@@ -289,7 +289,7 @@
 }
 
 void
-follow_destroy (follow_t *follow)
+table_sync_destroy (table_sync_t *follow)
 {
   if (follow == NULL)
     return;
@@ -298,7 +298,7 @@
 }
 
 uint64_t
-follow_age_ms (const follow_t *follow)
+table_sync_age_ms (const table_sync_t *follow)
 {
   return !follow->confirmed
              ? UINT64_MAX
@@ -306,13 +306,13 @@
 }
 
 bool
-follow_down (const follow_t *follow)
+table_sync_is_down (const table_sync_t *follow)
 {
   return follow->down;
 }
 
 uint64_t
-follow_store_ms (const follow_t *follow)
+table_sync_store_now_ms (const table_sync_t *follow)
 {
   return follow->store_ms == 0
              ? 0
--- a/packages/gateway/follow.h
+++ b/packages/gateway/follow.h
@@ -12,8 +12,8 @@
    the table as of then or later.  An answer whose store version lies behind
    one already seen is stale: it is neither applied nor a confirmation.  */
 
-#ifndef GATEWAY_FOLLOW_H
-#define GATEWAY_FOLLOW_H
+#ifndef GATEWAY_TABLESYNC_H
+#define GATEWAY_TABLESYNC_H
 
 #include "base/clock.h"
 #include "base/rng.h"
@@ -21,13 +21,13 @@
 
 #include <uv.h>
 
-typedef struct follow follow_t;
+typedef struct follow table_sync_t;
 
 enum
 {
   /* Slow enough that a store that is down is not pressed: calls are priced,
      refused ones too.  */
-  FOLLOW_RETRY_LAST_MS = 800
+  TABLE_SYNC_RETRY_MAX_MS = 800
 };
 
 typedef struct
@@ -38,9 +38,9 @@
   uint64_t slack_ms; /* Silence beyond that ends the call.  */
   uint64_t gap_ms;   /* Between calls; news come together.  0: at once.  */
   /* Longest pause between calls while the store does not answer; 0: that of
-     FOLLOW_RETRY_LAST_MS.  */
+     TABLE_SYNC_RETRY_MAX_MS.  */
   uint64_t retry_last_ms;
-} follow_options_t;
+} table_sync_options_t;
 
 typedef struct
 {
@@ -52,22 +52,23 @@
   void (*caught_up) (void *arg, bool full);
   /* The store was lost (DOWN) or is back.  */
   void (*reach) (void *arg, bool down);
-} follow_events_t;
+} table_sync_events_t;
 
-follow_t *follow_create (uv_loop_t *loop, clock_iface_t *clock, rows_t *rows,
-                         uint64_t seed, const follow_options_t *options,
-                         const follow_events_t *events, void *arg);
+table_sync_t *table_sync_create (uv_loop_t *loop, clock_iface_t *clock,
+                                 rows_t *rows, uint64_t seed,
+                                 const table_sync_options_t *options,
+                                 const table_sync_events_t *events, void *arg);
 /* NULL is accepted.  */
-void follow_destroy (follow_t *follow);
+void table_sync_destroy (table_sync_t *follow);
 /* The store answers others: do not wait longer before the next call.  */
-void follow_retry (follow_t *follow);
+void table_sync_retry_now (table_sync_t *follow);
 
 /* Milliseconds since the last confirmation, by a clock that counts while the
    machine is suspended; UINT64_MAX before the first.  */
-uint64_t follow_age_ms (const follow_t *follow);
+uint64_t table_sync_age_ms (const table_sync_t *follow);
 /* Tell whether calls fail now.  */
-bool follow_down (const follow_t *follow);
+bool table_sync_is_down (const table_sync_t *follow);
 /* The store's steady clock, estimated; 0 before the first answer.  */
-uint64_t follow_store_ms (const follow_t *follow);
+uint64_t table_sync_store_now_ms (const table_sync_t *follow);
 
 #endif
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -30,8 +30,9 @@
   httpd_t *caller_server;
   httpd_t *ready_server;
   httpd_t *admin_server;
-  share_t *share; /* NULL if each gateway process reads the store itself.  */
-  duties_t *duties;
+  peer_rows_t
+      *share; /* NULL if each gateway process reads the store itself.  */
+  store_sync_t *duties;
   uv_timer_t drain_timer;
   bool is_stopped;
   size_t aborted_count;
@@ -86,7 +87,7 @@
      force is outdated from the time at which the newer one arrived.  */
   if (gateway_config_load_ms (state) > max_age_ms / 2)
     return false;
-  return follow_age_ms (state->operator_rows) <= max_age_ms;
+  return table_sync_age_ms (state->operator_rows) <= max_age_ms;
 }
 
 static void
@@ -138,7 +139,7 @@
 set_gauges (gateway_t *gateway)
 {
   gateway_state_t *state = &gateway->state;
-  uint64_t age_ms = follow_age_ms (state->operator_rows);
+  uint64_t age_ms = table_sync_age_ms (state->operator_rows);
   size_t cursor = 0;
   str_t service;
   void *value;
@@ -189,9 +190,10 @@
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
-      set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
-                 "Share of the requests for the ordered version.",
-                 trial_share (value, follow_store_ms (state->operator_rows)));
+      set_gauge (
+          gateway, "vanillahook_gateway_rollout_share", labels.ptr,
+          "Share of the requests for the ordered version.",
+          trial_share (value, table_sync_store_now_ms (state->operator_rows)));
       buf_free (&labels);
     }
 }
@@ -275,7 +277,7 @@
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
   gateway_state_t *state = &gateway->state;
-  const share_options_t options
+  const peer_rows_options_t options
       = { .name = state->options.name,
           .zone = state->options.zone,
           .listen = state->options.rpc_listen,
@@ -286,10 +288,10 @@
   if (options.listen.len == 0)
     return VH_OK;
   vh_code_t code
-      = share_create (state->loop, state->clock, rng_u64 (&state->rng), *rows,
-                      &options, &gateway->share);
+      = peer_rows_create (state->loop, state->clock, rng_u64 (&state->rng),
+                          *rows, &options, &gateway->share);
   if (code == VH_OK)
-    *rows = share_rows (gateway->share);
+    *rows = peer_rows_iface (gateway->share);
   return code;
 }
 
@@ -341,8 +343,8 @@
   httpd_destroy (gateway->ready_server);
   httpd_destroy (gateway->admin_server);
   billing_destroy (gateway->state.billing);
-  duties_destroy (gateway->duties);
-  share_destroy (gateway->share);
+  store_sync_destroy (gateway->duties);
+  peer_rows_destroy (gateway->share);
   prober_destroy (gateway->state.prober);
   free_state (&gateway->state);
   uv_close ((uv_handle_t *)&gateway->drain_timer, on_drain_timer_closed);
@@ -384,7 +386,7 @@
   if (state->stopping_ms != 0)
     return;
   state->stopping_ms = clock_ms (state->clock);
-  duties_stop (gateway->duties);
+  store_sync_stop (gateway->duties);
   log_event (EVENT_STOP,
              field_number (FIELD_IN_FLIGHT,
                            httpd_in_flight (gateway->caller_server)));
@@ -456,7 +458,7 @@
   vh_code_t code = listen_all (gateway);
   if (code == VH_OK)
     code = start_sharing (gateway, &rows);
-  gateway->duties = duties_create (state, rows, gateway->share);
+  gateway->duties = store_sync_create (state, rows, gateway->share);
   state->billing = billing_create (loop, rows, state->options.name,
                                    rng_u64 (&state->rng));
   if (code != VH_OK)
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -56,12 +56,12 @@
   map_t *trials;                   /* Map of service name to trial_t.  */
   map_t *allowances;               /* Map of service name to send_budget_t.  */
   map_t *escalations;              /* Map of service name to escalation_t.  */
-  allotment_t *allotment;  /* Gateway processes among which fleet-wide limits
-                          are  divided.  */
-  uint32_t gateway_count;  /* Number of gateway processes that share the retry
-                        budgets.  */
-  follow_t *operator_rows; /* Follower of the table that operators write, which
-                             contains the configuration.  */
+  allotment_t *allotment; /* Gateway processes among which fleet-wide limits
+                         are  divided.  */
+  uint32_t gateway_count; /* Number of gateway processes that share the retry
+                       budgets.  */
+  table_sync_t *operator_rows; /* Follower of the table that operators write,
+                             which contains the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   request_metrics_t *request_metrics;
@@ -84,7 +84,7 @@
 {
   /* Timeout of a write to the store.  A write that times out may still have
      been applied.  */
-  DUTIES_COMMIT_MS = 2000
+  STORE_SYNC_COMMIT_TIMEOUT_MS = 2000
 };
 
 /* Return the part of row key KEY before its first slash.  *REST is the part
@@ -101,14 +101,15 @@
 
 /* Background tasks: follow the tables of the store and coordinate with the
    other gateway processes.  */
-typedef struct duties duties_t;
+typedef struct duties store_sync_t;
 
 /* SHARE may be NULL.  */
-duties_t *duties_create (gateway_state_t *state, rows_t *rows, share_t *share);
+store_sync_t *store_sync_create (gateway_state_t *state, rows_t *rows,
+                                 peer_rows_t *share);
 /* Begin the planned stop: withdraw this process from those among which limits
    are divided.  */
-void duties_stop (duties_t *duties);
-void duties_destroy (duties_t *duties);
+void store_sync_stop (store_sync_t *duties);
+void store_sync_destroy (store_sync_t *duties);
 
 /* Return the retry budget of SERVICE, created on first use.  */
 send_budget_t *gateway_service_allowance (gateway_state_t *state,
--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -13,7 +13,7 @@
 struct loader
 {
   uv_loop_t *loop;
-  loader_read_t read;
+  loader_parse_t read;
   loader_cb_t cb;
   void *arg;
   bool destroyed; /* While a text was being read.  */
@@ -94,11 +94,11 @@
 }
 
 void
-loader_take (loader_t *loader, str_t text, bool first)
+loader_submit (loader_t *loader, str_t text, bool first)
 {
   catalog_t *catalog = NULL;
 
-  if (!loader->is_reading && (first || text.len < LOADER_LONG))
+  if (!loader->is_reading && (first || text.len < LOADER_ASYNC_BYTES_MIN))
     {
       vh_code_t code = loader->read (text, NULL, &catalog);
       loader->cb (loader->arg, code, catalog, text.len);
@@ -111,13 +111,13 @@
 }
 
 bool
-loader_busy (const loader_t *loader)
+loader_is_busy (const loader_t *loader)
 {
   return loader->is_reading || loader->next.len > 0;
 }
 
 loader_t *
-loader_create (uv_loop_t *loop, loader_read_t read, loader_cb_t cb, void *arg)
+loader_create (uv_loop_t *loop, loader_parse_t read, loader_cb_t cb, void *arg)
 {
   loader_t *loader = mem_zalloc (sizeof *loader);
 
--- a/packages/gateway/loader.h
+++ b/packages/gateway/loader.h
@@ -23,27 +23,27 @@
 {
   /* Shorter texts are read on the loop: a tenth of a core reads one in less
      than 40 ms.  */
-  LOADER_LONG = 32768
+  LOADER_ASYNC_BYTES_MIN = 32768
 };
 
 typedef struct loader loader_t;
 
 /* Read TEXT into *OUT, on any thread, with a PAUSE now and then unless it is
    NULL.  */
-typedef vh_code_t (*loader_read_t) (str_t text, void (*pause) (void),
-                                    catalog_t **out);
+typedef vh_code_t (*loader_parse_t) (str_t text, void (*pause) (void),
+                                     catalog_t **out);
 /* A text of LEN bytes was read into CATALOG, which the callee owns, or could
    not be for CODE.  */
 typedef void (*loader_cb_t) (void *arg, vh_code_t code, catalog_t *catalog,
                              size_t len);
 
-loader_t *loader_create (uv_loop_t *loop, loader_read_t read, loader_cb_t cb,
+loader_t *loader_create (uv_loop_t *loop, loader_parse_t read, loader_cb_t cb,
                          void *arg);
 /* No callback comes after this; NULL is accepted.  */
 void loader_destroy (loader_t *loader);
 /* Read TEXT, which is copied: at once where it is short or FIRST.  */
-void loader_take (loader_t *loader, str_t text, bool first);
+void loader_submit (loader_t *loader, str_t text, bool first);
 /* Tell whether a text is still to be read, also when a callback asks.  */
-bool loader_busy (const loader_t *loader);
+bool loader_is_busy (const loader_t *loader);
 
 #endif
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -87,9 +87,10 @@
   trial_t *trial = running_trial (relay);
 
   if (trial != NULL)
-    trial_observe_timing (trial, relay_trial_arm (relay), route_hash (relay),
-                          timing, relay->upstream_request_count, duration_ms,
-                          follow_store_ms (relay->state->operator_rows));
+    trial_observe_timing (
+        trial, relay_trial_arm (relay), route_hash (relay), timing,
+        relay->upstream_request_count, duration_ms,
+        table_sync_store_now_ms (relay->state->operator_rows));
 }
 
 void
@@ -144,7 +145,7 @@
 {
   gateway_state_t *state = relay->state;
   const log_event_info_t *info = log_event_info (event);
-  uint64_t age_ms = follow_age_ms (state->operator_rows);
+  uint64_t age_ms = table_sync_age_ms (state->operator_rows);
   str_t route
       = relay->attrs.route != NULL ? relay->attrs.route->name : STR ("-");
   str_t team = relay->attrs.team != NULL ? relay->attrs.team->name : STR ("-");
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -281,7 +281,7 @@
     }
   update_upstream_load (relay, head);
   if (relay->attrs.route->model_count > 0 && !relay->response_started)
-    escalation_heard (
+    escalation_record_wait (
         gateway_service_escalation (relay->state, relay->attrs.service->name),
         relay_service_model_index (relay, relay->model_index),
         relay->attrs.prompt_tokens, relay->last_activity_ms - relay->sent_ms,
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -49,7 +49,8 @@
 new_version_instance_count (const relay_t *relay, const trial_t *trial)
 {
   const gateway_state_t *state = relay->state;
-  double share = trial_share (trial, follow_store_ms (state->operator_rows));
+  double share
+      = trial_share (trial, table_sync_store_now_ms (state->operator_rows));
   size_t old_instances = pool_count_instances (
       state->pool, relay->attrs.service->name, VERSION_ARM_OLD,
       trial_version (trial), SIZE_MAX);
@@ -81,7 +82,7 @@
       break;
     case TRIAL_RUNNING:
       if (trial_choose_arm (trial, relay->attrs.session_hash,
-                            follow_store_ms (state->operator_rows),
+                            table_sync_store_now_ms (state->operator_rows),
                             &relay->trial_sends)
               == TRIAL_NEW
           && has_instance_of_version (relay, criteria->version))
@@ -162,24 +163,24 @@
       = gateway_service_escalation (relay->state, attrs->service->name);
   size_t model = relay_service_model_index (relay, relay->model_index);
   uint32_t confidence_points = confidence < 100 ? (uint32_t)confidence : 100;
-  escalation_choice_t choices[SERVICE_MODELS_MAX];
+  escalation_candidate_t choices[SERVICE_MODELS_MAX];
   size_t count = 0;
 
   if (relay->model_index == 0)
     relay->first_confidence = confidence_points;
   else
-    escalation_compared (escalation, model, relay->first_confidence,
-                         confidence_points);
+    escalation_record_confidences (escalation, model, relay->first_confidence,
+                                   confidence_points);
   for (size_t i = relay->model_index + 1;
        i < route->model_count && count < SERVICE_MODELS_MAX; i++)
     {
       size_t larger_model = relay_service_model_index (relay, i);
       choices[count++]
-          = (escalation_choice_t){ .model = larger_model,
-                                   .cost = model_cost (relay, larger_model),
-                                   .beside = load_for_model (relay, i) };
+          = (escalation_candidate_t){ .model = larger_model,
+                                      .cost = model_cost (relay, larger_model),
+                                      .beside = load_for_model (relay, i) };
     }
-  const escalation_case_t request
+  const escalation_request_t request
       = { .model = model,
           .cost = model_cost (relay, model),
           .read = attrs->prompt_tokens,
--- a/packages/gateway/request_attrs.c
+++ b/packages/gateway/request_attrs.c
@@ -26,8 +26,8 @@
     return VH_E_STORE_DOWN;
   attrs->catalog = state->catalog;
   catalog_ref (attrs->catalog);
-  attrs->route = catalog_route (attrs->catalog, httpd_authority (req),
-                                httpd_path (req));
+  attrs->route = catalog_match_route (attrs->catalog, httpd_authority (req),
+                                      httpd_path (req));
   if (attrs->route == NULL)
     return gateway_has_fresh_config (state) ? VH_E_NO_ROUTE : VH_E_STORE_DOWN;
   if (!attrs->route->is_public && catalog_has_teams (attrs->catalog))
@@ -38,7 +38,7 @@
         return VH_E_STORE_DOWN;
       if (!str_starts (bearer, STR ("Bearer ")))
         return VH_E_NO_AUTH;
-      attrs->team = catalog_team (
+      attrs->team = catalog_find_team (
           attrs->catalog,
           str_trim (str_make (bearer.ptr + 7, bearer.len - 7)));
       if (attrs->team == NULL)
@@ -64,10 +64,9 @@
       while (offset >= route->splits[index].weight)
         offset -= route->splits[index++].weight;
     }
-  attrs->service
-      = route->split_count > 0
-            ? catalog_service (attrs->catalog, route->splits[index].service)
-            : NULL;
+  attrs->service = route->split_count > 0 ? catalog_find_service (
+                       attrs->catalog, route->splits[index].service)
+                                          : NULL;
 }
 
 /* Parse the request headers.  Return VH_OK or VH_E_BAD_HEADER.  */
@@ -114,7 +113,7 @@
     }
   attrs->is_repeatable
       = attrs->route->kind == ROUTE_IDEMPOTENT
-        || (attrs->route->kind == ROUTE_STREAM && attrs->route->resumable);
+        || (attrs->route->kind == ROUTE_STREAM && attrs->route->is_resumable);
   return VH_OK;
 }
 
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -22,7 +22,7 @@
 {
   gateway_state_t *belief;
   rows_t *rows;
-  share_t *share;
+  peer_rows_t *share;
   bool commit_pending; /* Of a shared row.  */
   uint64_t want_ms;    /* Since when a row is to be written; 0: none is.  */
   map_t *shared;       /* Service to shared_row_t.  */
@@ -84,7 +84,8 @@
 }
 
 void
-rollouts_row (rollouts_t *rollouts, str_t service, const rows_row_t *row)
+rollouts_apply_state_row (rollouts_t *rollouts, str_t service,
+                          const rows_row_t *row)
 {
   shared_row_t *shared = map_get (rollouts->shared, service);
 
@@ -110,7 +111,7 @@
 }
 
 void
-rollouts_order (rollouts_t *rollouts, const rows_row_t *row)
+rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row)
 {
   gateway_state_t *belief = rollouts->belief;
   rollout_spec_t order;
@@ -137,7 +138,8 @@
       trial
           = trial_create (order.service, order.version, row->version,
                           order.within_ms, belief->options.rollout_share_max);
-      trial_set_order_seen_ms (trial, follow_store_ms (belief->operator_rows));
+      trial_set_order_seen_ms (
+          trial, table_sync_store_now_ms (belief->operator_rows));
       map_put (belief->trials, order.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
                  field_text (FIELD_VERSION, order.version),
@@ -149,7 +151,8 @@
 }
 
 void
-rollouts_evidence (rollouts_t *rollouts, str_t key, bool told, str_t text)
+rollouts_apply_evidence (rollouts_t *rollouts, str_t key, bool told,
+                         str_t text)
 {
   str_t rest;
   str_t entry;
@@ -167,7 +170,7 @@
 static void
 on_news (void *arg, str_t key, str_t value)
 {
-  rollouts_evidence (arg, key, true, value);
+  rollouts_apply_evidence (arg, key, true, value);
 }
 
 static void
@@ -185,7 +188,7 @@
 static bool
 is_judge (const rollouts_t *rollouts)
 {
-  return rollouts->share == NULL || share_reads (rollouts->share);
+  return rollouts->share == NULL || peer_rows_is_reader (rollouts->share);
 }
 
 /* Tell whether this entry is to write a roll-out's row now.  All entries come
@@ -227,7 +230,7 @@
   pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
   rollouts->belief->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
-  writes[0].table = ROWS_OWN;
+  writes[0].table = ROWS_SHARED;
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
   writes[0].conditional = true;
@@ -236,7 +239,8 @@
   writes[1].key = buf_str (&status_key);
   writes[1].value = buf_str (&status);
   rollouts->commit_pending = true;
-  rollouts->rows->ops->commit (rollouts->rows, writes, 2, DUTIES_COMMIT_MS,
+  rollouts->rows->ops->commit (rollouts->rows, writes, 2,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS,
                                on_rollout_written, rollouts);
   buf_free (&key);
   buf_free (&value);
@@ -264,7 +268,7 @@
 
 /* What the entry that reads for this one is told of the roll-outs.  */
 static size_t
-list_news (void *arg, bool tells, share_item_t *items, size_t most)
+list_news (void *arg, bool tells, peer_rows_item_t *items, size_t most)
 {
   rollouts_t *rollouts = arg;
   size_t count = 0;
@@ -295,10 +299,11 @@
 
   append_evidence_key (rollouts, service, &key);
   trial_write (trial, true, &value);
-  rows_write_t write = { .table = ROWS_OWN,
+  rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value) };
-  rollouts->rows->ops->commit (rollouts->rows, &write, 1, DUTIES_COMMIT_MS,
+  rollouts->rows->ops->commit (rollouts->rows, &write, 1,
+                               STORE_SYNC_COMMIT_TIMEOUT_MS,
                                on_evidence_written, rollouts);
   buf_free (&key);
   buf_free (&value);
@@ -308,8 +313,8 @@
 static void
 judge_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->operator_rows);
-  bool alone = follow_down (rollouts->belief->operator_rows);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->operator_rows);
+  bool alone = table_sync_is_down (rollouts->belief->operator_rows);
   buf_t why = BUF_NULL;
 
   /* One that cannot reach the store still judges what it saw.  */
@@ -343,7 +348,7 @@
 step_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
             bool is_second)
 {
-  uint64_t now_ms = follow_store_ms (rollouts->belief->operator_rows);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->operator_rows);
 
   if (trial_start_ms (trial) == 0)
     {
@@ -383,9 +388,9 @@
 }
 
 rollouts_t *
-rollouts_create (gateway_state_t *belief, rows_t *rows, share_t *share)
+rollouts_create (gateway_state_t *belief, rows_t *rows, peer_rows_t *share)
 {
-  static const share_news_t news = { list_news, on_news };
+  static const peer_rows_piggyback_t news = { list_news, on_news };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
 
   rollouts->belief = belief;
@@ -393,7 +398,7 @@
   rollouts->share = share;
   rollouts->shared = map_create ();
   if (share != NULL)
-    share_set_news (share, &news, rollouts);
+    peer_rows_set_piggyback (share, &news, rollouts);
   return rollouts;
 }
 
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -145,8 +145,8 @@
 }
 
 void
-rowcache_take (rowcache_t *cache, const rowcache_answer_t *answer,
-               const rows_result_t *result)
+rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *answer,
+                       const rows_result_t *result)
 {
   if (answer->is_read && answer->is_first_page)
     {
@@ -174,13 +174,13 @@
 }
 
 void
-rowcache_lost (rowcache_t *cache)
+rowcache_set_down (rowcache_t *cache)
 {
   cache->down = true;
 }
 
 void
-rowcache_forget (rowcache_t *cache)
+rowcache_set_incomplete (rowcache_t *cache)
 {
   cache->complete = false;
 }
@@ -198,13 +198,13 @@
 }
 
 bool
-rowcache_reaches (const rowcache_t *cache, uint64_t after)
+rowcache_has_history (const rowcache_t *cache, uint64_t after)
 {
   return after >= cache->floor;
 }
 
 bool
-rowcache_has_news (const rowcache_t *cache, uint64_t after)
+rowcache_has_changes (const rowcache_t *cache, uint64_t after)
 {
   size_t cursor = 0;
   str_t key;
@@ -319,8 +319,8 @@
 }
 
 void
-rowcache_tell (rowcache_t *cache, uint64_t after, bool whole,
-               wire_rows_res_t *result)
+rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool whole,
+                     wire_rows_res_t *result)
 {
   uint64_t boot_ms = clock_boot_ms (cache->clock);
   const packed_t *packed = kept_answer (cache, after, whole);
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -20,33 +20,33 @@
   bool is_read; /* Of rows, not of changes.  */
   bool is_first_page;
   uint64_t asked_ms; /* When it was asked for, by boot time.  */
-} rowcache_answer_t;
+} rowcache_call_t;
 
 rowcache_t *rowcache_create (clock_iface_t *clock);
 /* NULL is accepted.  */
 void rowcache_destroy (rowcache_t *cache);
 
 /* Take in RESULT.  Changes older than what is known are left out.  */
-void rowcache_take (rowcache_t *cache, const rowcache_answer_t *answer,
-                    const rows_result_t *result);
+void rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *answer,
+                            const rows_result_t *result);
 /* The store did not answer.  */
-void rowcache_lost (rowcache_t *cache);
+void rowcache_set_down (rowcache_t *cache);
 /* The history that the table was followed by is gone.  */
-void rowcache_forget (rowcache_t *cache);
+void rowcache_set_incomplete (rowcache_t *cache);
 
 /* Tell whether the store did not answer the last call.  */
 bool rowcache_is_down (const rowcache_t *cache);
 /* Tell whether the whole table is known.  */
 bool rowcache_is_complete (const rowcache_t *cache);
 /* Tell whether removals after version AFTER are known.  */
-bool rowcache_reaches (const rowcache_t *cache, uint64_t after);
-bool rowcache_has_news (const rowcache_t *cache, uint64_t after);
+bool rowcache_has_history (const rowcache_t *cache, uint64_t after);
+bool rowcache_has_changes (const rowcache_t *cache, uint64_t after);
 
 /* Fill RESULT with the rows after AFTER, or with all live ones when WHOLE;
    many of them are packed together.  Its rows, but not what they point at, are
    the caller's to free; what is packed is borrowed until the next call.  */
-void rowcache_tell (rowcache_t *cache, uint64_t after, bool whole,
-                    struct wire_rows_res_t *result);
+void rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool whole,
+                          struct wire_rows_res_t *result);
 
 /* The rows that were PACKED out of PLAIN_LEN bytes, to be released by
    xdr_free. Return VH_E_PROTOCOL with none when they cannot be read.  */
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -21,7 +21,7 @@
   ROWS_ORDERS,    /* Configuration and operators' orders; read only.  */
   ROWS_INSTANCES, /* Where upstreams register; read only.  */
   ROWS_STATUS,    /* What operators read of us.  */
-  ROWS_OWN,       /* What entries tell each other.  */
+  ROWS_SHARED,    /* What entries tell each other.  */
   ROWS_BILLS      /* Batches of bills; written only.  */
 } rows_table_t;
 
--- a/packages/gateway/share.c
+++ b/packages/gateway/share.c
@@ -12,7 +12,7 @@
 
 enum
 {
-  TABLES = ROWS_OWN + 1,
+  TABLES = ROWS_SHARED + 1,
   TICK_MS = 100,
   /* A reader waits so long for news for an asker: short against the age that
      a confirmation may have.  */
@@ -42,7 +42,7 @@
 typedef struct
 {
   list_t link;
-  share_t *share;
+  peer_rows_t *share;
   rows_table_t table;
   bool is_read;
   bool first_page;
@@ -85,7 +85,7 @@
   rpc_server_t *server;
   fanout_t *readers;
   map_t *entries;
-  share_news_t news;
+  peer_rows_piggyback_t news;
   void *news_arg;
   rowcache_t *caches[TABLES];
   list_t pending;
@@ -95,12 +95,12 @@
 };
 
 static uint64_t
-boot_ms (const share_t *share)
+boot_ms (const peer_rows_t *share)
 {
   return clock_boot_ms (share->clock);
 }
 
-static void answer_waiters (share_t *share, rows_table_t table);
+static void answer_waiters (peer_rows_t *share, rows_table_t table);
 
 /* Take in an answer to PENDING, by the store or by a reader, which was asked
    at ASKED_MS.  */
@@ -108,19 +108,19 @@
 take_result (const pending_t *pending, uint64_t asked_ms,
              const rows_result_t *result)
 {
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
   rowcache_t *cache = share->caches[pending->table];
-  const rowcache_answer_t answer = { .is_read = pending->is_read,
-                                     .is_first_page = pending->first_page,
-                                     .asked_ms = asked_ms };
+  const rowcache_call_t answer = { .is_read = pending->is_read,
+                                   .is_first_page = pending->first_page,
+                                   .asked_ms = asked_ms };
 
-  rowcache_take (cache, &answer, result);
+  rowcache_apply_answer (cache, &answer, result);
   if (rowcache_is_complete (cache))
     answer_waiters (share, pending->table);
 }
 
 bool
-share_reads (share_t *share)
+peer_rows_is_reader (peer_rows_t *share)
 {
   void *owner;
 
@@ -133,12 +133,12 @@
 
 /* Answer REQUEST with the rows after AFTER, or with all live ones.  */
 static void
-reply_rows (share_t *share, rpc_request_t *request, rows_table_t table,
+reply_rows (peer_rows_t *share, rpc_request_t *request, rows_table_t table,
             uint64_t after, bool whole)
 {
   wire_rows_res_t result;
 
-  rowcache_tell (share->caches[table], after, whole, &result);
+  rowcache_fill_reply (share->caches[table], after, whole, &result);
   rpc_reply (request, &result);
   free (result.rows.rows_val);
 }
@@ -152,14 +152,14 @@
 }
 
 static void
-waiter_end (share_t *share, waiter_t *waiter)
+waiter_end (peer_rows_t *share, waiter_t *waiter)
 {
   const rowcache_t *cache = share->caches[waiter->table];
 
   list_remove (&waiter->link);
   if (rowcache_is_down (cache) || share->leaving)
     reply_code (waiter->request, VH_E_STORE_DOWN);
-  else if (!rowcache_reaches (cache, waiter->after))
+  else if (!rowcache_has_history (cache, waiter->after))
     reply_code (waiter->request, VH_E_NOT_FOUND);
   else
     reply_rows (share, waiter->request, waiter->table, waiter->after, false);
@@ -167,13 +167,13 @@
 }
 
 static void
-answer_waiters (share_t *share, rows_table_t table)
+answer_waiters (peer_rows_t *share, rows_table_t table)
 {
   LIST_EACH (at, &share->waiters)
     {
       waiter_t *waiter = CONTAINER_OF (at, waiter_t, link);
       if (waiter->table == table
-          && rowcache_has_news (share->caches[table], waiter->after))
+          && rowcache_has_changes (share->caches[table], waiter->after))
         waiter_end (share, waiter);
     }
 }
@@ -182,7 +182,7 @@
    What is told comes from the store by two hands at most: beliefs must not age
    on the way.  */
 static bool
-may_tell (share_t *share, bool tells)
+may_tell (peer_rows_t *share, bool tells)
 {
   void *owner;
 
@@ -204,7 +204,7 @@
 
 /* Pass on what ASK brought besides.  */
 static void
-take_news (const share_t *share, const wire_rows_args_t *ask)
+take_news (const peer_rows_t *share, const wire_rows_args_t *ask)
 {
   for (u_int i = 0; i < ask->news.news_len && share->news.take != NULL; i++)
     {
@@ -218,7 +218,7 @@
 static void
 on_request (void *arg, rpc_request_t *request, uint32_t proc, void *args)
 {
-  share_t *share = arg;
+  peer_rows_t *share = arg;
   const wire_rows_args_t *ask = args;
 
   if (proc != WIRE_ROWS || ask->table >= TABLES)
@@ -234,9 +234,9 @@
     reply_code (request, VH_E_STORE_DOWN);
   else if (ask->whole)
     reply_rows (share, request, ask->table, 0, true);
-  else if (!rowcache_reaches (cache, ask->after))
+  else if (!rowcache_has_history (cache, ask->after))
     reply_code (request, VH_E_NOT_FOUND);
-  else if (ask->wait_ms == 0 || rowcache_has_news (cache, ask->after))
+  else if (ask->wait_ms == 0 || rowcache_has_changes (cache, ask->after))
     reply_rows (share, request, ask->table, ask->after, false);
   else
     {
@@ -249,12 +249,12 @@
     }
 }
 
-static void ask_late_answers (share_t *share, uint64_t now_ms);
+static void ask_late_answers (peer_rows_t *share, uint64_t now_ms);
 
 static void
 on_tick (uv_timer_t *timer)
 {
-  share_t *share = timer->data;
+  peer_rows_t *share = timer->data;
   uint64_t now_ms = clock_ms (share->clock);
 
   ask_late_answers (share, now_ms);
@@ -297,7 +297,7 @@
 static void
 reader_failed (const pending_t *pending, vh_code_t code, bool silent)
 {
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
 
   log_event (
       EVENT_READER, field_text (FIELD_READER, str_from (pending->reader)),
@@ -310,17 +310,17 @@
 on_stored (void *arg, vh_code_t code, const rows_result_t *result)
 {
   pending_t *pending = arg;
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
   rowcache_t *cache = share->caches[pending->table];
 
   pending->store = STORE_ANSWERED;
   if (code == VH_OK)
     take_result (pending, pending->stored_ms, result);
   else if (code == VH_E_NOT_FOUND)
-    rowcache_forget (cache);
+    rowcache_set_incomplete (cache);
   else
     {
-      rowcache_lost (cache);
+      rowcache_set_down (cache);
       fanout_store_call_ended (share->readers, false);
       if (pending->call != NULL)
         return;
@@ -336,7 +336,7 @@
 static void
 ask_store (pending_t *pending, str_t from)
 {
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
   uint64_t wait_ms = pending->wait_ms;
 
   pending->store = STORE_ASKED;
@@ -430,7 +430,7 @@
 static void
 ask_further (pending_t *pending)
 {
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
   entry_t *next = fanout_next_source (share->readers);
 
   if (next != NULL && pending->asked < ASKED_MAX
@@ -444,7 +444,7 @@
       ask_store (pending, STR (""));
       return;
     }
-  rowcache_lost (share->caches[pending->table]);
+  rowcache_set_down (share->caches[pending->table]);
   pending_end (pending, VH_E_STORE_DOWN, NULL);
 }
 
@@ -479,7 +479,7 @@
 
 /* Ask the store too for what readers should have answered.  */
 static void
-ask_late_answers (share_t *share, uint64_t now_ms)
+ask_late_answers (peer_rows_t *share, uint64_t now_ms)
 {
   LIST_EACH (at, &share->pending)
     {
@@ -495,10 +495,10 @@
 ask_reader (pending_t *pending, entry_t *entry, bool tells)
 {
   static const rpc_peer_events_t none = { NULL, NULL };
-  share_t *share = pending->share;
+  peer_rows_t *share = pending->share;
   uint64_t most_ms = tells ? TELLER_WAIT_MS : ASK_WAIT_MS;
   uint64_t wait_ms = pending->wait_ms < most_ms ? pending->wait_ms : most_ms;
-  share_item_t items[WIRE_NEWS_MAX] = { 0 };
+  peer_rows_item_t items[WIRE_NEWS_MAX] = { 0 };
   wire_news_t news[WIRE_NEWS_MAX];
   size_t count = 0;
 
@@ -510,7 +510,7 @@
       ask_store (pending, STR (""));
       return;
     }
-  if (pending->table == ROWS_OWN && share->news.list != NULL)
+  if (pending->table == ROWS_SHARED && share->news.list != NULL)
     count = share->news.list (share->news_arg, tells, items, WIRE_NEWS_MAX);
   for (size_t i = 0; i < count; i++)
     {
@@ -555,7 +555,7 @@
 }
 
 static pending_t *
-pending_create (share_t *share, rows_table_t table, uint64_t timeout_ms,
+pending_create (peer_rows_t *share, rows_table_t table, uint64_t timeout_ms,
                 rows_cb_t cb, void *arg)
 {
   pending_t *pending = mem_zalloc (sizeof *pending);
@@ -574,7 +574,7 @@
 share_read (rows_t *rows, rows_table_t table, str_t from, uint64_t timeout_ms,
             rows_cb_t cb, void *arg)
 {
-  share_t *share = (share_t *)rows;
+  peer_rows_t *share = (peer_rows_t *)rows;
   pending_t *pending = pending_create (share, table, timeout_ms, cb, arg);
 
   pending->is_read = true;
@@ -586,7 +586,7 @@
 share_watch (rows_t *rows, rows_table_t table, uint64_t after,
              uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *share = (share_t *)rows;
+  peer_rows_t *share = (peer_rows_t *)rows;
   pending_t *pending = pending_create (share, table, timeout_ms, cb, arg);
 
   pending->after = after;
@@ -598,7 +598,7 @@
 share_commit (rows_t *rows, const rows_write_t *writes, size_t count,
               uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
-  share_t *share = (share_t *)rows;
+  peer_rows_t *share = (peer_rows_t *)rows;
 
   share->store->ops->commit (share->store, writes, count, timeout_ms, cb, arg);
 }
@@ -606,7 +606,7 @@
 static void
 share_forget (rows_t *rows, const void *arg)
 {
-  share_t *share = (share_t *)rows;
+  peer_rows_t *share = (peer_rows_t *)rows;
 
   LIST_EACH (at, &share->pending)
     {
@@ -636,7 +636,7 @@
 }
 
 void
-share_remove (share_t *share, str_t name)
+peer_rows_remove_gateway (peer_rows_t *share, str_t name)
 {
   entry_t *entry = map_remove (share->entries, name);
 
@@ -646,8 +646,8 @@
 }
 
 void
-share_put (share_t *share, str_t name, str_t zone, str_t address,
-           uint32_t link_mbps)
+peer_rows_add_gateway (peer_rows_t *share, str_t name, str_t zone,
+                       str_t address, uint32_t link_mbps)
 {
   entry_t *entry = map_get (share->entries, name);
 
@@ -655,7 +655,7 @@
     return;
   if (entry != NULL && str_eq (str_from (entry->address), address))
     return;
-  share_remove (share, name);
+  peer_rows_remove_gateway (share, name);
   entry = mem_zalloc (sizeof *entry);
   entry->name = str_dup (name);
   entry->address = str_dup (address);
@@ -664,27 +664,28 @@
 }
 
 void
-share_leave (share_t *share)
+peer_rows_stop_serving (peer_rows_t *share)
 {
   share->leaving = true;
   fanout_stop_serving (share->readers);
 }
 
 void
-share_set_news (share_t *share, const share_news_t *news, void *arg)
+peer_rows_set_piggyback (peer_rows_t *share, const peer_rows_piggyback_t *news,
+                         void *arg)
 {
   share->news = *news;
   share->news_arg = arg;
 }
 
 rows_t *
-share_rows (share_t *share)
+peer_rows_iface (peer_rows_t *share)
 {
   return &share->base;
 }
 
 uint16_t
-share_port (const share_t *share)
+peer_rows_port (const peer_rows_t *share)
 {
   return rpc_server_port (share->server);
 }
@@ -706,13 +707,14 @@
 }
 
 vh_code_t
-share_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
-              rows_t *store, const share_options_t *options, share_t **out)
+peer_rows_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
+                  rows_t *store, const peer_rows_options_t *options,
+                  peer_rows_t **out)
 {
   static const rows_ops_t ops
       = { share_read, share_watch, share_commit, share_forget, share_release };
   static const rpc_hooks_t hooks = { on_outgoing, on_incoming };
-  share_t *share = mem_zalloc (sizeof *share);
+  peer_rows_t *share = mem_zalloc (sizeof *share);
 
   share->base.ops = &ops;
   share->clock = clock;
@@ -743,7 +745,7 @@
 }
 
 void
-share_destroy (share_t *share)
+peer_rows_destroy (peer_rows_t *share)
 {
   size_t cursor = 0;
   str_t key;
--- a/packages/gateway/share.h
+++ b/packages/gateway/share.h
@@ -20,15 +20,15 @@
    An answer bears the age of the store's confirmation at the reader; the asker
    counts it from when it asked.  So no belief looks younger than it is.  */
 
-#ifndef GATEWAY_SHARE_H
-#define GATEWAY_SHARE_H
+#ifndef GATEWAY_PEERROWS_H
+#define GATEWAY_PEERROWS_H
 
 #include "base/clock.h"
 #include "gateway/rows.h"
 
 #include <uv.h>
 
-typedef struct share share_t;
+typedef struct share peer_rows_t;
 
 typedef struct
 {
@@ -38,46 +38,48 @@
   const str_t *keys;
   size_t key_count;
   uint32_t link_mbps; /* Of this instance; 0: not known.  */
-} share_options_t;
+} peer_rows_options_t;
 
 /* Something for the entry that reads for this one.  */
 typedef struct
 {
   buf_t key;
   buf_t value;
-} share_item_t;
+} peer_rows_item_t;
 
 typedef struct
 {
   /* Fill up to MOST ITEMS, which the caller frees; return how many.  TELLS:
      with what others told this entry.  */
-  size_t (*list) (void *arg, bool tells, share_item_t *items, size_t most);
+  size_t (*list) (void *arg, bool tells, peer_rows_item_t *items, size_t most);
   /* Another entry told KEY.  */
   void (*take) (void *arg, str_t key, str_t value);
-} share_news_t;
+} peer_rows_piggyback_t;
 
 /* STORE outlives the share; strings are copied.  Return VH_OK and *OUT, or
    VH_E_IO when it cannot listen.  */
-vh_code_t share_create (uv_loop_t *loop, clock_iface_t *clock, uint64_t seed,
-                        rows_t *store, const share_options_t *options,
-                        share_t **out);
+vh_code_t peer_rows_create (uv_loop_t *loop, clock_iface_t *clock,
+                            uint64_t seed, rows_t *store,
+                            const peer_rows_options_t *options,
+                            peer_rows_t **out);
 /* NULL is accepted.  */
-void share_destroy (share_t *share);
+void peer_rows_destroy (peer_rows_t *share);
 
 /* The rows as this entry is to ask for them; it lives as long as SHARE.  */
-rows_t *share_rows (share_t *share);
-uint16_t share_port (const share_t *share);
+rows_t *peer_rows_iface (peer_rows_t *share);
+uint16_t peer_rows_port (const peer_rows_t *share);
 
 /* An entry is listed, or no longer.  LINK_MBPS 0: not known.  */
-void share_put (share_t *share, str_t name, str_t zone, str_t address,
-                uint32_t link_mbps);
-void share_remove (share_t *share, str_t name);
-/* What goes along with the calls for table ROWS_OWN.  */
-void share_set_news (share_t *share, const share_news_t *news, void *arg);
+void peer_rows_add_gateway (peer_rows_t *share, str_t name, str_t zone,
+                            str_t address, uint32_t link_mbps);
+void peer_rows_remove_gateway (peer_rows_t *share, str_t name);
+/* What goes along with the calls for table ROWS_SHARED.  */
+void peer_rows_set_piggyback (peer_rows_t *share,
+                              const peer_rows_piggyback_t *news, void *arg);
 /* Read for nobody from now on: a planned stop has begun.  */
-void share_leave (share_t *share);
+void peer_rows_stop_serving (peer_rows_t *share);
 /* Tell whether this entry asks the store itself, and so has what all others
    tell.  */
-bool share_reads (share_t *share);
+bool peer_rows_is_reader (peer_rows_t *share);
 
 #endif
--- a/packages/gateway/storeclock.c
+++ b/packages/gateway/storeclock.c
@@ -12,8 +12,8 @@
 }
 
 void
-store_clock_sample (store_clock_t *clock, uint64_t store_ms, uint64_t sent_ms,
-                    uint64_t got_ms)
+store_clock_add_sample (store_clock_t *clock, uint64_t store_ms,
+                        uint64_t sent_ms, uint64_t got_ms)
 {
   int64_t most = (int64_t)store_ms - (int64_t)sent_ms;
   int64_t least = (int64_t)store_ms - (int64_t)got_ms;
@@ -28,8 +28,8 @@
 }
 
 uint64_t
-store_clock_local (const store_clock_t *clock, uint64_t store_ms,
-                   uint64_t now_ms)
+store_clock_to_local (const store_clock_t *clock, uint64_t store_ms,
+                      uint64_t now_ms)
 {
   int64_t local = (int64_t)store_ms - ahead_at (clock, now_ms);
 
--- a/packages/gateway/storeclock.h
+++ b/packages/gateway/storeclock.h
@@ -33,11 +33,11 @@
 /* The store itself answered with its clock at STORE_MS to a call that was sent
    at SENT_MS; the answer came at GOT_MS.  A store's clock that jumped is
    learned anew.  */
-void store_clock_sample (store_clock_t *clock, uint64_t store_ms,
-                         uint64_t sent_ms, uint64_t got_ms);
+void store_clock_add_sample (store_clock_t *clock, uint64_t store_ms,
+                             uint64_t sent_ms, uint64_t got_ms);
 /* The latest moment by our clock that is no later than the store's STORE_MS;
    0 when nothing is known.  NOW_MS is ours.  */
-uint64_t store_clock_local (const store_clock_t *clock, uint64_t store_ms,
-                            uint64_t now_ms);
+uint64_t store_clock_to_local (const store_clock_t *clock, uint64_t store_ms,
+                               uint64_t now_ms);
 
 #endif
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -183,8 +183,9 @@
   attempt->code = code;
   if (code == VH_E_FULL || code == VH_E_DEADLINE)
     attempt->retry_after_ms
-        = (uint32_t)(queue_wait_us (sidecar->queue, str_from (attempt->team),
-                                    attempt->cost)
+        = (uint32_t)(queue_estimate_wait_us (sidecar->queue,
+                                             str_from (attempt->team),
+                                             attempt->cost)
                      / 1000);
   attempts_end (sidecar->attempts, attempt);
   counter_add (sidecar->counters.refused, 1);
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -22,11 +22,12 @@
   load->in_flight
       = limit_in_flight (sidecar->limit) + queue_load (sidecar->queue);
   load->limit = limit_slots (sidecar->limit);
-  load->queued = queue_waiting (sidecar->queue);
-  load->wait_ms = (u_int)(queue_wait_us (sidecar->queue, STR (""), 1) / 1000);
+  load->queued = queue_waiting_count (sidecar->queue);
+  load->wait_ms
+      = (u_int)(queue_estimate_wait_us (sidecar->queue, STR (""), 1) / 1000);
   load->latency_us = (u_int)sidecar->first_byte_us;
   load->deaths = sidecar->deaths;
-  load->warming = limit_warming (sidecar->limit);
+  load->warming = limit_is_warming_up (sidecar->limit);
 }
 
 static void
@@ -192,7 +193,7 @@
 size_t
 sidecar_in_hand (const sidecar_t *sidecar)
 {
-  return sidecar->running + queue_waiting (sidecar->queue)
+  return sidecar->running + queue_waiting_count (sidecar->queue)
          + attempts_undelivered (sidecar->attempts) + held_left (sidecar);
 }
 
@@ -308,8 +309,8 @@
               (unsigned long long)sidecar_revision (sidecar),
               sidecar->draining ? "true" : "false",
               limit_in_flight (sidecar->limit), limit_slots (sidecar->limit),
-              queue_waiting (sidecar->queue),
-              limit_warming (sidecar->limit) ? "true" : "false",
+              queue_waiting_count (sidecar->queue),
+              limit_is_warming_up (sidecar->limit) ? "true" : "false",
               sidecar->deaths, attempts_count (sidecar->attempts),
               (unsigned long long)attempts_bytes (sidecar->attempts),
               held_count (sidecar->held));
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -100,8 +100,8 @@
   if (took_us < OBSERVE_US || attempt->events == attempt->events_seen)
     return;
   if (attempt->life == sidecar->deaths)
-    limit_observe (sidecar->limit, took_us,
-                   attempt->events - attempt->events_seen);
+    limit_report_progress (sidecar->limit, took_us,
+                           attempt->events - attempt->events_seen);
   attempt->observed_us = now_us;
   attempt->events_seen = attempt->events;
 }
@@ -220,7 +220,7 @@
             {
               sidecar->deaths++;
               counter_add (sidecar->counters.deaths, 1);
-              limit_restart (sidecar->limit);
+              limit_reset (sidecar->limit);
             }
         }
       end_attempt (sidecar, attempt, VH_E_UPSTREAM_CUT);
@@ -347,7 +347,7 @@
   else
     {
       if (attempt->life == sidecar->deaths)
-        limit_forget (sidecar->limit);
+        limit_release_without_sample (sidecar->limit);
       queue_cancel (sidecar->queue, &attempt->waiter);
     }
   leave_upstream (sidecar, attempt);
@@ -430,7 +430,7 @@
 {
   queue_waiter_t *waiter;
 
-  while ((waiter = queue_lapsed (sidecar->queue)) != NULL)
+  while ((waiter = queue_pop_expired (sidecar->queue)) != NULL)
     sidecar_refuse (sidecar, CONTAINER_OF (waiter, attempt_t, waiter),
                     VH_E_DEADLINE);
 }
@@ -446,7 +446,7 @@
 static void
 set_lapse_timer (sidecar_t *sidecar)
 {
-  uint64_t next_us = queue_next_lapse_us (sidecar->queue);
+  uint64_t next_us = queue_next_expiry_us (sidecar->queue);
   uint64_t now_us = clock_us (sidecar->clock);
 
   if (next_us == QUEUE_NO_DEADLINE)
@@ -468,13 +468,13 @@
       queue_waiter_t *waiter = queue_pop (sidecar->queue);
       if (waiter == NULL)
         {
-          limit_forget (sidecar->limit);
+          limit_release_without_sample (sidecar->limit);
           return;
         }
       attempt_t *attempt = CONTAINER_OF (waiter, attempt_t, waiter);
       if (!may_share (sidecar, attempt))
         {
-          limit_forget (sidecar->limit);
+          limit_release_without_sample (sidecar->limit);
           queue_cancel (sidecar->queue, waiter);
           sidecar_refuse (sidecar, attempt, VH_E_FULL);
           continue;
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -50,7 +50,7 @@
   uint64_t extra_ms;
   bool down;
   bool refuses_writes;
-  bool held[ROWS_OWN + 1];
+  bool held[ROWS_SHARED + 1];
   size_t calls;
   list_t pending;
 };
@@ -205,7 +205,7 @@
              uint64_t timeout_ms, rows_cb_t cb, void *arg)
 {
   fake_rows_t *fake = (fake_rows_t *)rows;
-  fake_call_t *call = call_add (fake, CALL_COMMIT, ROWS_OWN, 0, 1, cb, arg);
+  fake_call_t *call = call_add (fake, CALL_COMMIT, ROWS_SHARED, 0, 1, cb, arg);
 
   (void)timeout_ms;
   if (fake->refuses_writes)
@@ -299,13 +299,13 @@
 }
 
 void
-fake_rows_refuse_writes (fake_rows_t *fake, bool refuses)
+fake_rows_set_refusing_writes (fake_rows_t *fake, bool refuses)
 {
   fake->refuses_writes = refuses;
 }
 
 void
-fake_rows_down (fake_rows_t *fake, bool down)
+fake_rows_set_down (fake_rows_t *fake, bool down)
 {
   fake->down = down;
   LIST_EACH (at, &fake->pending)
@@ -314,17 +314,17 @@
 }
 
 void
-fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool hold)
+fake_rows_set_stalled (fake_rows_t *fake, rows_table_t table, bool hold)
 {
   fake->held[table] = hold;
   wake (fake, table);
 }
 
 void
-fake_rows_stale (fake_rows_t *fake, uint64_t version)
+fake_rows_set_stale_version (fake_rows_t *fake, uint64_t version)
 {
   fake->stale = version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     wake (fake, table);
 }
 
@@ -335,24 +335,24 @@
 }
 
 void
-fake_rows_forget (fake_rows_t *fake)
+fake_rows_drop_history (fake_rows_t *fake)
 {
   fake->version++;
   fake->forgotten = fake->version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     wake (fake, table);
 }
 
 void
-fake_rows_advance (fake_rows_t *fake, uint64_t ms)
+fake_rows_advance_clock (fake_rows_t *fake, uint64_t ms)
 {
   fake->extra_ms += ms;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_OWN; table++)
+  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
     wake (fake, table);
 }
 
 size_t
-fake_rows_calls (const fake_rows_t *fake)
+fake_rows_call_count (const fake_rows_t *fake)
 {
   return fake->calls;
 }
--- a/tests/fake_rows.h
+++ b/tests/fake_rows.h
@@ -19,21 +19,21 @@
 const char *fake_rows_get (const fake_rows_t *fake, rows_table_t table,
                            const char *key);
 /* From now on all calls fail, or are answered again.  */
-void fake_rows_down (fake_rows_t *fake, bool down);
+void fake_rows_set_down (fake_rows_t *fake, bool down);
 /* From now on writes are refused, or taken again.  */
-void fake_rows_refuse_writes (fake_rows_t *fake, bool refuses);
+void fake_rows_set_refusing_writes (fake_rows_t *fake, bool refuses);
 /* Calls on TABLE are not answered, as on a connection that is cut, or are
    again.  */
-void fake_rows_hold (fake_rows_t *fake, rows_table_t table, bool hold);
+void fake_rows_set_stalled (fake_rows_t *fake, rows_table_t table, bool hold);
 /* Reads and watches are answered as of version VERSION (0: of now).  */
-void fake_rows_stale (fake_rows_t *fake, uint64_t version);
+void fake_rows_set_stale_version (fake_rows_t *fake, uint64_t version);
 uint64_t fake_rows_version (const fake_rows_t *fake);
 /* The history up to now is gone: watches end with VH_E_NOT_FOUND.  */
-void fake_rows_forget (fake_rows_t *fake);
+void fake_rows_drop_history (fake_rows_t *fake);
 /* The store's clock moves on by MS.  */
-void fake_rows_advance (fake_rows_t *fake, uint64_t ms);
+void fake_rows_advance_clock (fake_rows_t *fake, uint64_t ms);
 /* The store's clock.  */
 uint64_t fake_rows_now_ms (const fake_rows_t *fake);
-size_t fake_rows_calls (const fake_rows_t *fake);
+size_t fake_rows_call_count (const fake_rows_t *fake);
 
 #endif
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -207,7 +207,7 @@
     { .name = { "book", 4 },
       .host = { "desk.example", 12 },
       .prefix = { "/book/", 6 },
-      .kind = ROUTE_ONCE,
+      .kind = ROUTE_AT_MOST_ONCE,
       .timeout_ms = 600,
       .objective_ms = 300,
       .attempts_max = 1,
@@ -221,7 +221,7 @@
       .objective_ms = 600,
       .pause_ms = 500,
       .attempts_max = 3,
-      .resumable = true,
+      .is_resumable = true,
       .splits = { { { "llm", 3 }, 1 } },
       .split_count = 1,
       .models = { { "small", 5 }, { "large", 5 } },
@@ -244,7 +244,7 @@
   (void)pause;
   /* The loader calls this function on a separate thread for rows of this
      size.  */
-  if (value.len >= LOADER_LONG)
+  if (value.len >= LOADER_ASYNC_BYTES_MIN)
     uv_sleep (GATEWAY_FIXTURE_PARSE_MS);
 
   if (!str_to_u64 (str_cut (value, ' ', &key), &revision))
@@ -385,7 +385,7 @@
   uv_loop_init (&f->loop);
   loop_wait_init (&f->wait, &f->loop, WAIT_TIMEOUT_MS);
   f->rows = fake_rows_create (&f->loop);
-  fake_rows_down (f->rows, true);
+  fake_rows_set_down (f->rows, true);
   fake_rows_put (f->rows, ROWS_ORDERS, "catalog", "1 key-1");
   for (size_t i = 0; i < count; i++)
     {
@@ -405,7 +405,7 @@
 gateway_fixture_setup (gateway_fixture_t *f, size_t count)
 {
   gateway_fixture_setup_without_store (f, count);
-  fake_rows_down (f->rows, false);
+  fake_rows_set_down (f->rows, false);
   gateway_fixture_wait (f, gateway_fixture_ready_status (f) == 200);
 }
 
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -26,8 +26,8 @@
 
 enum
 {
-  /* Time to parse a configuration of LOADER_LONG bytes or more.  It exceeds
-     half of the age of a confirmation at which keys are refused.  */
+  /* Time to parse a configuration of LOADER_ASYNC_BYTES_MIN bytes or more.  It
+     exceeds half of the age of a confirmation at which keys are refused.  */
   GATEWAY_FIXTURE_PARSE_MS = 2600
 };
 
@@ -45,7 +45,7 @@
    engine `llm', all of which answer normally, and wait until it is ready.  */
 void gateway_fixture_setup (gateway_fixture_t *f, size_t count);
 /* Start a gateway with the same upstreams while the store is unavailable,
-   until fake_rows_down (f->rows, false).  */
+   until fake_rows_set_down (f->rows, false).  */
 void gateway_fixture_setup_without_store (gateway_fixture_t *f, size_t count);
 void gateway_fixture_teardown (gateway_fixture_t *f);
 /* Run the loop until COND holds.  Fail the test after ten seconds.  */
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -38,8 +38,8 @@
     ck_assert_int_eq (catalog_add_route (catalog, &routes[i]), VH_OK);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      const route_t *found = catalog_route (catalog, str_from (cases[i].host),
-                                            str_from (cases[i].path));
+      const route_t *found = catalog_match_route (
+          catalog, str_from (cases[i].host), str_from (cases[i].path));
       if (cases[i].name == NULL)
         ck_assert_msg (found == NULL, "case %zu", i);
       else
@@ -62,8 +62,9 @@
   ck_assert_int_eq (catalog_add_team (catalog, &coast, keys, 2), VH_OK);
   ck_assert_int_eq (catalog_add_team (catalog, &hills, keys + 1, 1),
                     VH_E_BAD_CONFIG);
-  ck_assert (str_eq (catalog_team (catalog, STR ("k2"))->name, STR ("coast")));
-  ck_assert_ptr_null (catalog_team (catalog, STR ("k")));
+  ck_assert (
+      str_eq (catalog_find_team (catalog, STR ("k2"))->name, STR ("coast")));
+  ck_assert_ptr_null (catalog_find_team (catalog, STR ("k")));
   catalog_unref (catalog);
 }
 END_TEST
@@ -78,7 +79,7 @@
   ck_assert_int_eq (catalog_add_route (catalog, &route), VH_E_BAD_CONFIG);
   ck_assert_int_eq (catalog_add_service (catalog, &service), VH_OK);
   ck_assert_int_eq (catalog_add_service (catalog, &service), VH_E_BAD_CONFIG);
-  ck_assert_ptr_nonnull (catalog_service (catalog, STR ("app")));
+  ck_assert_ptr_nonnull (catalog_find_service (catalog, STR ("app")));
   catalog_unref (catalog);
 }
 END_TEST
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -29,7 +29,7 @@
       VH_OK);
   ck_assert_uint_eq (catalog_revision (catalog), 7);
   const route_t *route
-      = catalog_route (catalog, STR ("h.example"), STR ("/a/1"));
+      = catalog_match_route (catalog, STR ("h.example"), STR ("/a/1"));
   ck_assert_int_eq (route->kind, ROUTE_STREAM);
   ck_assert_uint_eq (route->timeout_ms, 25000);
   ck_assert_uint_eq (route->objective_ms, 3000);
@@ -39,18 +39,18 @@
   ck_assert (str_eq (route->models[1], STR ("l")));
   ck_assert_uint_eq (route->split_count, 2);
   ck_assert_uint_eq (route->splits[0].weight, 90);
-  ck_assert (route->resumable && !route->is_public);
-  route = catalog_route (catalog, STR ("h.example"), STR ("/b/"));
-  ck_assert_int_eq (route->kind, ROUTE_ONCE);
+  ck_assert (route->is_resumable && !route->is_public);
+  route = catalog_match_route (catalog, STR ("h.example"), STR ("/b/"));
+  ck_assert_int_eq (route->kind, ROUTE_AT_MOST_ONCE);
   ck_assert (route->is_public);
   ck_assert (str_eq (route->splits[0].service, STR ("y")));
-  const service_t *service = catalog_service (catalog, STR ("x"));
+  const service_t *service = catalog_find_service (catalog, STR ("x"));
   ck_assert (service->is_engine);
   ck_assert_double_eq (service->cold_per_s, 14);
   ck_assert_double_eq (service->models[0].cost, 0.014);
-  ck_assert (!catalog_service (catalog, STR ("y"))->is_engine);
+  ck_assert (!catalog_find_service (catalog, STR ("y"))->is_engine);
   ck_assert_uint_eq (catalog_limits (catalog)->idle_ms, 15000);
-  const team_t *team = catalog_team (catalog, STR ("k2"));
+  const team_t *team = catalog_find_team (catalog, STR ("k2"));
   ck_assert (str_eq (team->name, STR ("t")));
   ck_assert_uint_eq (team->priority, 2);
   catalog_unref (catalog);
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -440,7 +440,7 @@
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_wait (&f, uv_now (&f.loop) - start_ms >= 100);
   ck_assert_int_eq (caller_status (&caller), 0);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, caller.closed);
   ck_assert_int_eq (caller_status (&caller), 200);
   caller_free (&f, &caller);
@@ -579,8 +579,8 @@
   uint64_t count_before = fake_rows_version (f.rows);
   fake_rows_put (f.rows, ROWS_ORDERS, "catalog", "2 key-2");
   run_loop_for (&f, 100);
-  fake_rows_stale (f.rows, count_before);
-  fake_rows_forget (f.rows);
+  fake_rows_set_stale_version (f.rows, count_before);
+  fake_rows_drop_history (f.rows);
   run_loop_for (&f, 300);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 401);
@@ -599,7 +599,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   run_loop_for (&f, 1000);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -613,7 +613,7 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   caller_free (&f, &caller);
   ck_assert_int_eq (gateway_fixture_ready_status (&f), 503);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready_status (&f) == 200);
   gateway_fixture_teardown (&f);
 }
@@ -628,13 +628,13 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   run_loop_for (&f, 4000);
-  size_t count_before = fake_rows_calls (f.rows);
+  size_t count_before = fake_rows_call_count (f.rows);
   run_loop_for (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.rows) - count_before, 11);
+  ck_assert_uint_le (fake_rows_call_count (f.rows) - count_before, 11);
   gateway_fixture_register (&f, 0, "v1", "draining");
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready_status (&f) == 200);
   run_loop_for (&f, 200);
   for (int i = 0; i < 4; i++)
@@ -658,7 +658,7 @@
   gateway_fixture_setup (&f, 3);
   gateway_fixture_register (&f, 0, "v1", "draining");
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-1");
-  fake_rows_forget (f.rows);
+  fake_rows_drop_history (f.rows);
   run_loop_for (&f, 300);
   for (int i = 0; i < 6; i++)
     {
@@ -678,7 +678,7 @@
 START_TEST (loading_configuration_ages_keys)
 {
   static const char head[] = "2 key-2 ";
-  static char text[LOADER_LONG + 32];
+  static char text[LOADER_ASYNC_BYTES_MIN + 32];
   gateway_fixture_t f;
   caller_t caller;
 
@@ -711,10 +711,10 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   run_loop_for (&f, 300);
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-0");
-  fake_rows_down (f.rows, false);
+  fake_rows_set_down (f.rows, false);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_wait (&f, gateway_fixture_ready_status (&f) == 200);
   run_loop_for (&f, 900 - (uv_now (&f.loop) - start_ms));
@@ -741,14 +741,14 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_down (f.rows, true);
+  fake_rows_set_down (f.rows, true);
   run_loop_for (&f, 300);
   fake_rows_remove (f.rows, ROWS_INSTANCES, "app-0");
-  fake_rows_hold (f.rows, ROWS_INSTANCES, true);
-  fake_rows_down (f.rows, false);
+  fake_rows_set_stalled (f.rows, ROWS_INSTANCES, true);
+  fake_rows_set_down (f.rows, false);
   gateway_fixture_wait (&f, gateway_fixture_ready_status (&f) == 200);
   run_loop_for (&f, 1500);
-  fake_rows_hold (f.rows, ROWS_INSTANCES, false);
+  fake_rows_set_stalled (f.rows, ROWS_INSTANCES, false);
   run_loop_for (&f, 1000);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
@@ -859,7 +859,7 @@
       gateway_fixture_request (f, &caller, "POST", "/chat/", headers, "{}");
       failed_request_count += caller_status (&caller) != 200;
       caller_free (f, &caller);
-      fake_rows_advance (f->rows, 15);
+      fake_rows_advance_clock (f->rows, 15);
       /* At most 50 requests a second: one upstream can take 63, and further
          requests are refused.  */
       run_loop_for (f, 20);
@@ -906,15 +906,15 @@
   gateway_fixture_setup (&f, 2);
   run_loop_for (&f, 500);
   uint64_t ordered_ms = fake_rows_now_ms (f.rows);
-  fake_rows_refuse_writes (f.rows, true);
+  fake_rows_set_refusing_writes (f.rows, true);
   fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, WRITE_DELAY_MS);
-  ck_assert_ptr_null (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm"));
-  fake_rows_refuse_writes (f.rows, false);
+  ck_assert_ptr_null (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm"));
+  fake_rows_set_refusing_writes (f.rows, false);
   for (int i = 0; i < 50; i++)
-    if (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm") == NULL)
+    if (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm") == NULL)
       run_loop_for (&f, 100);
-  str_t text = str_from (fake_rows_get (f.rows, ROWS_OWN, "rollout/llm"));
+  str_t text = str_from (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm"));
   ck_assert (str_to_u64 (str_cut (text, ' ', &rest), &rollout_id));
   ck_assert (str_to_u64 (str_cut (rest, ' ', &rest), &start_ms));
   ck_assert_uint_ge (start_ms + 50, ordered_ms);
--- a/tests/test_loader.c
+++ b/tests/test_loader.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  LONG = LOADER_LONG + 1,
+  LONG = LOADER_ASYNC_BYTES_MIN + 1,
   WORK_MS = 150
 };
 
@@ -53,7 +53,7 @@
     f->failed++;
   else
     f->revisions[f->count++] = catalog_revision (catalog);
-  f->busy_at = loader_busy (f->loader);
+  f->busy_at = loader_is_busy (f->loader);
   catalog_unref (catalog);
 }
 
@@ -94,7 +94,7 @@
   char *text = calloc (1, len);
 
   memset (text, revision, len);
-  loader_take (f->loader, str_make (text, len), first);
+  loader_submit (f->loader, str_make (text, len), first);
   free (text);
 }
 
@@ -107,7 +107,7 @@
 
   setup (&f);
   take (&f, '1', LONG, false);
-  ck_assert (loader_busy (f.loader));
+  ck_assert (loader_is_busy (f.loader));
   ck_assert_uint_eq (f.count, 0);
   take (&f, '2', LONG, false);
   take (&f, '3', 10, false);
@@ -120,7 +120,7 @@
   ck_assert (!f.busy_at);
   ck_assert_uint_eq (f.revisions[0], 1);
   ck_assert_uint_eq (f.revisions[1], 3);
-  ck_assert (!loader_busy (f.loader));
+  ck_assert (!loader_is_busy (f.loader));
   ck_assert_uint_lt (f.worst_ms, WORK_MS / 2);
   teardown (&f);
 }
--- a/tests/test_rowcache.c
+++ b/tests/test_rowcache.c
@@ -24,7 +24,7 @@
 static void
 take (fixture_t *f, size_t count, uint64_t version, bool is_read)
 {
-  const rowcache_answer_t answer
+  const rowcache_call_t answer
       = { .is_read = is_read, .is_first_page = is_read };
   rows_result_t result
       = { .rows = f->rows, .count = count, .version = version };
@@ -41,7 +41,7 @@
                                  .value = str_from (f->values[i]),
                                  .version = version };
     }
-  rowcache_take (f->cache, &answer, &result);
+  rowcache_apply_answer (f->cache, &answer, &result);
 }
 
 static void
@@ -68,7 +68,7 @@
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
+  rowcache_fill_reply (f.cache, 0, true, &told);
   ck_assert_uint_eq (told.rows.rows_len, 0);
   ck_assert_uint_gt (told.plain_len, ROWS * 100);
   ck_assert_uint_lt (told.packed.packed_len, told.plain_len / 5);
@@ -112,13 +112,13 @@
   };
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
+  rowcache_fill_reply (f.cache, 0, true, &told);
   free (told.rows.rows_val);
   take (&f, 20, 6, false);
   for (size_t i = 0; i < sizeof asks / sizeof asks[0]; i++)
     {
       u_int count;
-      rowcache_tell (f.cache, asks[i].after, asks[i].whole, &told);
+      rowcache_fill_reply (f.cache, asks[i].after, asks[i].whole, &told);
       ck_assert_uint_eq (told.newest, asks[i].newest);
       count = told.rows.rows_len;
       free (told.rows.rows_val);
@@ -134,7 +134,7 @@
       ck_assert_uint_eq (count, asks[i].count);
     }
   clock_manual_advance_us (f.clock, 1000000);
-  rowcache_tell (f.cache, 0, true, &told);
+  rowcache_fill_reply (f.cache, 0, true, &told);
   ck_assert_uint_eq (told.newest, 6);
   teardown (&f);
 }
@@ -152,7 +152,7 @@
   static char value[VALUE_BYTES + 1];
   static char keys[LARGE_ROWS][32];
   static rows_row_t rows[LARGE_ROWS];
-  const rowcache_answer_t answer = { .is_read = true, .is_first_page = true };
+  const rowcache_call_t answer = { .is_read = true, .is_first_page = true };
   const rows_result_t result
       = { .rows = rows, .count = LARGE_ROWS, .version = 5 };
   clock_iface_t *clock = clock_manual_create (0);
@@ -167,8 +167,8 @@
                               .value = str_from (value),
                               .version = 5 };
     }
-  rowcache_take (cache, &answer, &result);
-  rowcache_tell (cache, 0, true, &told);
+  rowcache_apply_answer (cache, &answer, &result);
+  rowcache_fill_reply (cache, 0, true, &told);
   ck_assert_uint_eq (told.plain_len, 0);
   ck_assert_uint_eq (told.rows.rows_len, LARGE_ROWS);
   free (told.rows.rows_val);
@@ -185,7 +185,7 @@
   wire_row_list_t list;
 
   setup (&f);
-  rowcache_tell (f.cache, 0, true, &told);
+  rowcache_fill_reply (f.cache, 0, true, &told);
   str_t packed = str_make (told.packed.packed_val, told.packed.packed_len);
   ck_assert_int_eq (rowcache_unpack (packed, told.plain_len + 1, &list),
                     VH_E_PROTOCOL);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -35,7 +35,7 @@
   size_t calls;
   narrow_link_t *link;
   rows_t *rows;
-  follow_t *follow;
+  table_sync_t *follow;
   /* What was told.  */
   size_t value_len;
   bool is_done;
@@ -218,7 +218,7 @@
 static void
 teardown (fixture_t *f)
 {
-  follow_destroy (f->follow);
+  table_sync_destroy (f->follow);
   f->rows->ops->destroy (f->rows);
   narrow_link_destroy (f->link);
   LIST_EACH (at, &f->conns)
@@ -254,14 +254,14 @@
 static void
 follow (fixture_t *f)
 {
-  static const follow_options_t options = {
+  static const table_sync_options_t options = {
     .table = ROWS_ORDERS, .name = "orders", .wait_ms = 1500, .slack_ms = 500
   };
-  static const follow_events_t events
+  static const table_sync_events_t events
       = { on_put, on_removed, on_caught_up, NULL };
 
-  f->follow = follow_create (&f->loop, clock_system (), f->rows, 1, &options,
-                             &events, f);
+  f->follow = table_sync_create (&f->loop, clock_system (), f->rows, 1,
+                                 &options, &events, f);
 }
 
 static void
@@ -290,7 +290,7 @@
   uint64_t start_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 4000);
-  WAIT_FOR (&f, follow_age_ms (f.follow) < 2000);
+  WAIT_FOR (&f, table_sync_age_ms (f.follow) < 2000);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -20,8 +20,8 @@
 
 typedef struct
 {
-  share_t *share;
-  follow_t *follow;
+  peer_rows_t *share;
+  table_sync_t *follow;
   char value[64]; /* Of row `a', as this entry knows it.  */
   size_t value_len;
   size_t puts;
@@ -76,26 +76,26 @@
 static void
 member_start (fixture_t *f, int index)
 {
-  static const follow_options_t options = {
+  static const table_sync_options_t options = {
     .table = ROWS_ORDERS, .name = "orders", .wait_ms = 1500, .slack_ms = 500
   };
-  static const follow_events_t events
+  static const table_sync_events_t events
       = { on_put, on_removed, on_caught_up, NULL };
   member_t *member = &f->members[index];
   char name[16];
 
   snprintf (name, sizeof name, "entry-%d", index);
-  const share_options_t share = { .name = str_from (name),
-                                  .zone = str_from (f->zones[index]),
-                                  .listen = STR ("127.0.0.1:0"),
-                                  .link_mbps = f->links[index] };
+  const peer_rows_options_t share = { .name = str_from (name),
+                                      .zone = str_from (f->zones[index]),
+                                      .listen = STR ("127.0.0.1:0"),
+                                      .link_mbps = f->links[index] };
   ck_assert_int_eq (
-      share_create (&f->loop, clock_system (), (uint64_t)index + 1,
-                    fake_rows_iface (f->store), &share, &member->share),
+      peer_rows_create (&f->loop, clock_system (), (uint64_t)index + 1,
+                        fake_rows_iface (f->store), &share, &member->share),
       VH_OK);
-  member->follow
-      = follow_create (&f->loop, clock_system (), share_rows (member->share),
-                       1, &options, &events, member);
+  member->follow = table_sync_create (&f->loop, clock_system (),
+                                      peer_rows_iface (member->share), 1,
+                                      &options, &events, member);
 }
 
 static void
@@ -107,7 +107,7 @@
 
   for (int i = 0; i < ENTRIES; i++)
     {
-      ports[i] = share_port (f->members[i].share);
+      ports[i] = peer_rows_port (f->members[i].share);
       if (f->link_bytes_per_s == 0)
         continue;
       f->narrow[i]
@@ -119,8 +119,9 @@
       {
         snprintf (name, sizeof name, "entry-%d", j);
         snprintf (address, sizeof address, "127.0.0.1:%u", ports[j]);
-        share_put (f->members[i].share, str_from (name),
-                   str_from (f->zones[j]), str_from (address), f->links[j]);
+        peer_rows_add_gateway (f->members[i].share, str_from (name),
+                               str_from (f->zones[j]), str_from (address),
+                               f->links[j]);
       }
 }
 
@@ -159,8 +160,8 @@
 static void
 member_stop (member_t *member)
 {
-  follow_destroy (member->follow);
-  share_destroy (member->share);
+  table_sync_destroy (member->follow);
+  peer_rows_destroy (member->share);
   member->follow = NULL;
   member->share = NULL;
 }
@@ -188,7 +189,8 @@
   int count = 0;
 
   for (int i = 0; i < ENTRIES; i++)
-    count += f->members[i].share != NULL && share_reads (f->members[i].share);
+    count += f->members[i].share != NULL
+             && peer_rows_is_reader (f->members[i].share);
   return count;
 }
 
@@ -198,7 +200,8 @@
 {
   WAIT_FOR (f, count_readers (f) == 1);
   for (int i = 0; i < ENTRIES; i++)
-    if (f->members[i].share != NULL && share_reads (f->members[i].share))
+    if (f->members[i].share != NULL
+        && peer_rows_is_reader (f->members[i].share))
       return i;
   return -1;
 }
@@ -212,9 +215,9 @@
   setup (&f);
   the_reader (&f);
   pass (&f, 2000);
-  size_t before = fake_rows_calls (f.store);
+  size_t before = fake_rows_call_count (f.store);
   pass (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 5);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - before, 5);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < ENTRIES; i++)
@@ -238,9 +241,9 @@
   setup_zones (&f, zones);
   int lost = the_reader (&f);
   pass (&f, 2000);
-  size_t before = fake_rows_calls (f.store);
+  size_t before = fake_rows_call_count (f.store);
   pass (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 5);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - before, 5);
   member_stop (&f.members[lost]);
   WAIT_FOR (&f, count_readers (&f) == ENTRIES - 1);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
@@ -311,7 +314,7 @@
   start_all (&f);
   the_reader (&f);
   pass (&f, 1000);
-  size_t before = fake_rows_calls (f.store);
+  size_t before = fake_rows_call_count (f.store);
   fake_rows_put (f.store, ROWS_ORDERS, "a", text);
   for (int i = 0; i < ENTRIES; i++)
     {
@@ -319,7 +322,7 @@
       ck_assert_int_eq (count_readers (&f), 1);
     }
   /* Those of the reader alone.  */
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 8);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - before, 8);
   teardown (&f);
 }
 END_TEST
@@ -344,7 +347,7 @@
   narrow_link_stop_after (f.narrow[busy], 0);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   WAIT_FOR (&f, strcmp (f.members[busy].value, "two") == 0);
-  fake_rows_hold (f.store, ROWS_ORDERS, true);
+  fake_rows_set_stalled (f.store, ROWS_ORDERS, true);
   pass (&f, BUSY_MS);
   narrow_link_stop_after (f.narrow[busy], SIZE_MAX);
   uint64_t start_ms = uv_now (&f.loop);
@@ -352,7 +355,7 @@
     WAIT_FOR (&f, strcmp (f.members[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   ck_assert_int_eq (count_readers (&f), 1);
-  fake_rows_hold (f.store, ROWS_ORDERS, false);
+  fake_rows_set_stalled (f.store, ROWS_ORDERS, false);
   teardown (&f);
 }
 END_TEST
@@ -378,7 +381,7 @@
       pass (&f, 100);
       for (int i = 0; i < ENTRIES; i++)
         if (i != lost)
-          ck_assert_uint_lt (follow_age_ms (f.members[i].follow), 4000);
+          ck_assert_uint_lt (table_sync_age_ms (f.members[i].follow), 4000);
     }
   teardown (&f);
 }
@@ -393,19 +396,19 @@
   setup (&f);
   pass (&f, 2000);
   for (int i = 0; i < ENTRIES; i++)
-    ck_assert_uint_lt (follow_age_ms (f.members[i].follow), 3500);
-  fake_rows_down (f.store, true);
+    ck_assert_uint_lt (table_sync_age_ms (f.members[i].follow), 3500);
+  fake_rows_set_down (f.store, true);
   uint64_t down_ms = uv_now (&f.loop);
   for (int ms = 0; ms < 3000; ms += 200)
     {
       pass (&f, 200);
       for (int i = 0; i < ENTRIES; i++)
-        ck_assert_uint_ge (follow_age_ms (f.members[i].follow) + 30,
+        ck_assert_uint_ge (table_sync_age_ms (f.members[i].follow) + 30,
                            uv_now (&f.loop) - down_ms);
     }
-  fake_rows_down (f.store, false);
+  fake_rows_set_down (f.store, false);
   for (int i = 0; i < ENTRIES; i++)
-    WAIT_FOR (&f, follow_age_ms (f.members[i].follow) < 2000);
+    WAIT_FOR (&f, table_sync_age_ms (f.members[i].follow) < 2000);
   teardown (&f);
 }
 END_TEST
@@ -418,7 +421,7 @@
   setup (&f);
   pass (&f, 500);
   int left = the_reader (&f);
-  share_leave (f.members[left].share);
+  peer_rows_stop_serving (f.members[left].share);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < ENTRIES; i++)
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -34,15 +34,15 @@
 typedef struct
 {
   gate_t gate;
-  share_t *share;
-  follow_t *follow;
+  peer_rows_t *share;
+  table_sync_t *follow;
   char name[16];
   char value[16]; /* Of row `a', as this entry knows it.  */
   uint32_t told;  /* Sum that it tells its reader, see list_news.  */
   uint32_t heard[ENTRIES];
   uint64_t heard_ms[ENTRIES];
   uv_loop_t *loop;
-  follow_t *own; /* Its calls carry the news.  */
+  table_sync_t *own; /* Its calls carry the news.  */
 } member_t;
 
 typedef struct
@@ -131,7 +131,7 @@
 }
 
 static size_t
-list_news (void *arg, bool tells, share_item_t *items, size_t most)
+list_news (void *arg, bool tells, peer_rows_item_t *items, size_t most)
 {
   const member_t *member = arg;
 
@@ -162,7 +162,7 @@
   static const char *const zones[ZONES] = { "a", "b", "c", "d" };
   static const rows_ops_t gate
       = { gate_read, gate_watch, NULL, gate_forget, NULL };
-  static const share_news_t news = { list_news, take_news };
+  static const peer_rows_piggyback_t news = { list_news, take_news };
   member_t *member = &f->members[index];
 
   member->gate = (gate_t){ .base.ops = &gate,
@@ -171,17 +171,17 @@
   member->told = 1;
   member->loop = &f->loop;
   snprintf (member->name, sizeof member->name, "entry-%d", index);
-  const share_options_t share
+  const peer_rows_options_t share
       = { .name = str_from (member->name),
           .zone = str_from (zones[index % ZONES]),
           .listen = STR ("127.0.0.1:0"),
           /* The first of each zone, and of all, is known.  */
           .link_mbps = (uint32_t)(ENTRIES - index) * 10 };
-  ck_assert_int_eq (share_create (&f->loop, clock_system (),
-                                  (uint64_t)index + 1, &member->gate.base,
-                                  &share, &member->share),
+  ck_assert_int_eq (peer_rows_create (&f->loop, clock_system (),
+                                      (uint64_t)index + 1, &member->gate.base,
+                                      &share, &member->share),
                     VH_OK);
-  share_set_news (member->share, &news, member);
+  peer_rows_set_piggyback (member->share, &news, member);
 }
 
 static void
@@ -194,7 +194,7 @@
   loop_wait_init (&f->wait, &f->loop, LIMIT_MS);
   f->store = fake_rows_create (&f->loop);
   f->dark = fake_rows_create (&f->loop);
-  fake_rows_down (f->dark, true);
+  fake_rows_set_down (f->dark, true);
   fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
   for (int i = 0; i < ENTRIES; i++)
     member_start (f, i);
@@ -203,30 +203,31 @@
       {
         char address[32];
         snprintf (address, sizeof address, "127.0.0.1:%u",
-                  share_port (f->members[j].share));
-        share_put (f->members[i].share, str_from (f->members[j].name),
-                   str_from (zones[j % ZONES]), str_from (address),
-                   (uint32_t)(ENTRIES - j) * 10);
+                  peer_rows_port (f->members[j].share));
+        peer_rows_add_gateway (f->members[i].share,
+                               str_from (f->members[j].name),
+                               str_from (zones[j % ZONES]), str_from (address),
+                               (uint32_t)(ENTRIES - j) * 10);
       }
   for (int i = 0; i < ENTRIES; i++)
     {
-      static const follow_options_t orders = { .table = ROWS_ORDERS,
-                                               .name = "orders",
-                                               .wait_ms = 1500,
-                                               .slack_ms = 500 };
-      static const follow_options_t own = {
-        .table = ROWS_OWN, .name = "own", .wait_ms = 8000, .slack_ms = 1000
+      static const table_sync_options_t orders = { .table = ROWS_ORDERS,
+                                                   .name = "orders",
+                                                   .wait_ms = 1500,
+                                                   .slack_ms = 500 };
+      static const table_sync_options_t own = {
+        .table = ROWS_SHARED, .name = "own", .wait_ms = 8000, .slack_ms = 1000
       };
-      static const follow_events_t events
+      static const table_sync_events_t events
           = { on_put, on_removed, on_caught_up, NULL };
-      static const follow_events_t no_events
+      static const table_sync_events_t no_events
           = { on_other_put, on_removed, on_caught_up, NULL };
       member_t *member = &f->members[i];
-      rows_t *rows = share_rows (member->share);
-      member->follow = follow_create (&f->loop, clock_system (), rows, 1,
-                                      &orders, &events, member);
-      member->own = follow_create (&f->loop, clock_system (), rows, 2, &own,
-                                   &no_events, member);
+      rows_t *rows = peer_rows_iface (member->share);
+      member->follow = table_sync_create (&f->loop, clock_system (), rows, 1,
+                                          &orders, &events, member);
+      member->own = table_sync_create (&f->loop, clock_system (), rows, 2,
+                                       &own, &no_events, member);
     }
   for (int i = 0; i < ENTRIES; i++)
     LOOP_WAIT (&f->wait, strcmp (f->members[i].value, "one") == 0);
@@ -236,9 +237,9 @@
 static void
 member_stop (member_t *member)
 {
-  follow_destroy (member->follow);
-  follow_destroy (member->own);
-  share_destroy (member->share);
+  table_sync_destroy (member->follow);
+  table_sync_destroy (member->own);
+  peer_rows_destroy (member->share);
   member->follow = NULL;
   member->share = NULL;
 }
@@ -284,7 +285,8 @@
       loop_wait_pass (&f->wait, 100);
       for (int i = 0; i < ENTRIES; i++)
         if (f->members[i].share != NULL)
-          ck_assert_uint_lt (follow_age_ms (f->members[i].follow), TRUST_MS);
+          ck_assert_uint_lt (table_sync_age_ms (f->members[i].follow),
+                             TRUST_MS);
     }
 }
 
@@ -294,9 +296,9 @@
   fixture_t f;
 
   setup (&f);
-  size_t before = fake_rows_calls (f.store);
+  size_t before = fake_rows_call_count (f.store);
   pass_trusted (&f, 3000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, 6);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - before, 6);
   ck_assert_uint_lt (spread (&f, "two"), 500);
   teardown (&f);
 }
@@ -313,11 +315,11 @@
   fixture_t f;
 
   setup (&f);
-  fake_rows_down (f.store, true);
-  size_t before = fake_rows_calls (f.store);
+  fake_rows_set_down (f.store, true);
+  size_t before = fake_rows_call_count (f.store);
   loop_wait_pass (&f.wait, OUTAGE_S * 1000);
-  ck_assert_uint_le (fake_rows_calls (f.store) - before, OUTAGE_S * 30);
-  fake_rows_down (f.store, false);
+  ck_assert_uint_le (fake_rows_call_count (f.store) - before, OUTAGE_S * 30);
+  fake_rows_set_down (f.store, false);
   ck_assert_uint_lt (spread (&f, "two"), 1500);
   teardown (&f);
 }
@@ -329,7 +331,7 @@
   fixture_t f;
 
   setup (&f);
-  ck_assert (share_reads (f.members[0].share));
+  ck_assert (peer_rows_is_reader (f.members[0].share));
   member_stop (&f.members[0]);
   ck_assert_uint_lt (spread (&f, "two"), 3000);
   pass_trusted (&f, 3000);
@@ -377,7 +379,8 @@
   uint32_t sum = 0;
 
   for (int i = 0; i < ENTRIES; i++)
-    if (f->members[i].share != NULL && share_reads (f->members[i].share))
+    if (f->members[i].share != NULL
+        && peer_rows_is_reader (f->members[i].share))
       sum += sum_of (&f->members[i]);
   return sum;
 }
--- a/tests/test_storeclock.c
+++ b/tests/test_storeclock.c
@@ -15,10 +15,10 @@
 {
   store_clock_t clock = { 0 };
 
-  ck_assert_uint_eq (store_clock_local (&clock, AHEAD_MS + 1000, 2000), 0);
-  store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-  store_clock_sample (&clock, AHEAD_MS + 2502, 1500, 2504);
-  uint64_t local = store_clock_local (&clock, AHEAD_MS + 2502, 2504);
+  ck_assert_uint_eq (store_clock_to_local (&clock, AHEAD_MS + 1000, 2000), 0);
+  store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+  store_clock_add_sample (&clock, AHEAD_MS + 2502, 1500, 2504);
+  uint64_t local = store_clock_to_local (&clock, AHEAD_MS + 2502, 2504);
   ck_assert_uint_ge (local, 2498);
   ck_assert_uint_le (local, 2502);
 }
@@ -30,13 +30,15 @@
 {
   store_clock_t clock = { 0 };
 
-  store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-  store_clock_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
-  ck_assert_uint_le (store_clock_local (&clock, AHEAD_MS + 5002, 8000), 5002);
+  store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+  store_clock_add_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
+  ck_assert_uint_le (store_clock_to_local (&clock, AHEAD_MS + 5002, 8000),
+                     5002);
   /* Also when it is the first that is known.  */
   store_clock_t other = { 0 };
-  store_clock_sample (&other, AHEAD_MS + 5002, 5000, 8000);
-  ck_assert_uint_le (store_clock_local (&other, AHEAD_MS + 5002, 8000), 5002);
+  store_clock_add_sample (&other, AHEAD_MS + 5002, 5000, 8000);
+  ck_assert_uint_le (store_clock_to_local (&other, AHEAD_MS + 5002, 8000),
+                     5002);
 }
 END_TEST
 
@@ -50,9 +52,9 @@
     {
       store_clock_t clock = { 0 };
       uint64_t store_ms = (uint64_t)(AHEAD_MS + 2100 + jumps[i]);
-      store_clock_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
-      store_clock_sample (&clock, store_ms, 2000, 2200);
-      ck_assert_uint_eq (store_clock_local (&clock, store_ms, 2200), 2000);
+      store_clock_add_sample (&clock, AHEAD_MS + 1002, 1000, 1004);
+      store_clock_add_sample (&clock, store_ms, 2000, 2200);
+      ck_assert_uint_eq (store_clock_to_local (&clock, store_ms, 2200), 2000);
     }
 }
 END_TEST
@@ -64,9 +66,9 @@
   store_clock_t clock = { 0 };
   uint64_t hour_ms = 3600000;
 
-  store_clock_sample (&clock, AHEAD_MS + 1000, 1000, 1002);
-  uint64_t local
-      = store_clock_local (&clock, AHEAD_MS + 1000 + hour_ms, 1002 + hour_ms);
+  store_clock_add_sample (&clock, AHEAD_MS + 1000, 1000, 1002);
+  uint64_t local = store_clock_to_local (&clock, AHEAD_MS + 1000 + hour_ms,
+                                         1002 + hour_ms);
   ck_assert_uint_le (local, 1000 + hour_ms - 1000);
 }
 END_TEST
