--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -125,10 +125,10 @@
                STR_ARG (settings->listen));
       return code;
     }
-  if (settings->rpc.len == 0)
+  if (settings->rpc_listen.len == 0)
     return VH_OK;
-  return rpc_server_create (entry->node, settings->rpc, peering_serve, entry,
-                            &entry->server);
+  return rpc_server_create (entry->node, settings->rpc_listen, peering_serve,
+                            entry, &entry->server);
 }
 
 vh_code_t
