--- a/packages/wire/addr.c
+++ b/packages/wire/addr.c
@@ -4,9 +4,10 @@
 #include <netinet/in.h>
 #include <stdio.h>
 
-/* Split TEXT into host and port at the last colon, brackets removed.  */
+/* Split TEXT at the last colon into HOST, without brackets, and *PORT.  Return
+   false when either part is missing or not valid.  */
 static bool
-split (str_t text, char *host, size_t host_size, uint16_t *port)
+split_host_port (str_t text, char *host, size_t host_size, uint16_t *port)
 {
   size_t colon = text.len;
   uint64_t number;
@@ -36,7 +37,7 @@
   char host[INET6_ADDRSTRLEN];
   uint16_t port;
 
-  if (!split (text, host, sizeof host, &port))
+  if (!split_host_port (text, host, sizeof host, &port))
     return false;
   memset (addr, 0, sizeof *addr);
   if (inet_pton (AF_INET, host, &v4->sin_addr) == 1)
@@ -69,7 +70,7 @@
       || uv_listen ((uv_stream_t *)listener, backlog, cb) != 0
       || uv_tcp_getsockname (listener, (struct sockaddr *)&addr, &bound) != 0)
     return false;
-  /* The port stands at the same place in both address families.  */
+  /* sin_port and sin6_port have the same offset.  */
   *port = ntohs (((struct sockaddr_in *)&addr)->sin_port);
   return true;
 }
--- a/packages/wire/addr.h
+++ b/packages/wire/addr.h
@@ -1,4 +1,4 @@
-/* Numeric socket addresses.  */
+/* Parsing of numeric socket addresses and listening on them.  */
 
 #ifndef WIRE_ADDR_H
 #define WIRE_ADDR_H
@@ -8,12 +8,14 @@
 #include <sys/socket.h>
 #include <uv.h>
 
-/* Parse HOST:PORT or [HOST]:PORT, numeric, into ADDR.  Return false when it
-   is neither.  */
+/* Parse TEXT, a numeric HOST:PORT or [HOST]:PORT, into ADDR and set *LEN to
+   the length of the socket address.  Return false when TEXT has neither
+   form.  */
 bool addr_parse (str_t text, struct sockaddr_storage *addr, socklen_t *len);
 
-/* Bind LISTENER to ADDRESS, listen with CB and set *PORT.  Return false when
-   ADDRESS cannot be had.  */
+/* Bind LISTENER to ADDRESS, listen with CB as the connection callback and set
+   *PORT to the bound port.  Return false when ADDRESS is not valid or cannot
+   be bound.  */
 bool addr_listen (uv_tcp_t *listener, str_t address, int backlog,
                   uv_connection_cb cb, uint16_t *port);
 
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -10,10 +10,10 @@
 
 enum
 {
-  /* Bounds of an answer's head; servers send some dozen headers.  */
+  /* Limits of a response's head; servers send a few dozen headers.  */
   HEAD_BYTES_MAX = 65536,
   HEADERS_MAX = 100,
-  READ_BYTES = 65536
+  READ_BUFFER_BYTES = 65536
 };
 
 typedef enum
@@ -21,35 +21,37 @@
   BODY_NONE,
   BODY_LENGTH,
   BODY_CHUNKED,
-  BODY_TO_END /* Of the connection.  */
-} body_kind_t;
+  BODY_UNTIL_CLOSE /* The end of the connection ends the body.  */
+} body_framing_t;
 
 struct call
 {
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
-  bound_t connecting;
+  bound_t connect_timeout;
   unsigned open_handles;
   call_events_t events;
   void *arg;
   buf_t request;
-  buf_t input; /* Until the head is whole.  */
+  buf_t input; /* Received bytes of an incomplete response head.  */
   bool connected;
-  bool has_head;
+  bool has_response_head;
   bool no_body;
   bool paused;
-  bool closed; /* No further events.  */
-  body_kind_t body;
-  uint64_t left; /* Of BODY_LENGTH.  */
+  bool closed; /* No further events are delivered.  */
+  body_framing_t body_framing;
+  /* Bytes of the body not received yet; used with BODY_LENGTH only.  */
+  uint64_t body_bytes_left;
   struct phr_chunked_decoder decoder;
 };
 
-/* All calls of a process read on its one loop thread, one at a time.  */
-static char read_bytes[READ_BYTES];
+/* Read buffer of all exchanges of the process: they read on its only loop
+   thread, one at a time.  */
+static char read_buffer[READ_BUFFER_BYTES];
 
 static void
-on_part_closed (void *arg)
+on_handle_released (void *arg)
 {
   call_t *call = arg;
 
@@ -61,9 +63,9 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_tcp_closed (uv_handle_t *handle)
 {
-  on_part_closed (handle->data);
+  on_handle_released (handle->data);
 }
 
 void
@@ -72,8 +74,8 @@
   if (call->closed)
     return;
   call->closed = true;
-  bound_close (&call->connecting, on_part_closed);
-  uv_close ((uv_handle_t *)&call->tcp, on_closed);
+  bound_close (&call->connect_timeout, on_handle_released);
+  uv_close ((uv_handle_t *)&call->tcp, on_tcp_closed);
 }
 
 static void
@@ -100,10 +102,10 @@
   return STR_NULL;
 }
 
-/* Tell how the body of HEAD is framed.  Return false when the head says two
-   things at once, as an answer that was spoiled on its way may.  */
+/* Determine from HEAD how the body is framed.  Return false when the headers
+   contradict each other, as in a response that was corrupted in transit.  */
 static bool
-choose_body (call_t *call, const call_head_t *head)
+set_body_framing (call_t *call, const call_head_t *head)
 {
   str_t length = STR_NULL;
 
@@ -119,65 +121,65 @@
     }
   str_t coding = call_header (head, STR ("transfer-encoding"));
   if (call->no_body || head->status == 204 || head->status == 304)
-    call->body = BODY_NONE;
+    call->body_framing = BODY_NONE;
   else if (coding.ptr != NULL)
     {
       if (length.ptr != NULL || !str_eq_nocase (coding, STR ("chunked")))
         return false;
-      call->body = BODY_CHUNKED;
+      call->body_framing = BODY_CHUNKED;
       call->decoder.consume_trailer = 1;
     }
   else if (length.ptr != NULL)
     {
-      call->body = BODY_LENGTH;
-      if (!str_to_u64 (length, &call->left))
+      call->body_framing = BODY_LENGTH;
+      if (!str_to_u64 (length, &call->body_bytes_left))
         return false;
     }
   else
-    call->body = BODY_TO_END;
+    call->body_framing = BODY_UNTIL_CLOSE;
   return true;
 }
 
-/* Take in LEN bytes of the body; BYTES is overwritten.  */
+/* Process LEN received bytes of the body.  BYTES is overwritten.  */
 static void
-take_body (call_t *call, char *bytes, size_t len)
+process_body (call_t *call, char *bytes, size_t len)
 {
-  bool whole = false;
-  ssize_t rest = 0;
+  bool is_complete = false;
+  ssize_t trailing_len = 0;
 
-  switch (call->body)
+  switch (call->body_framing)
     {
     case BODY_NONE:
-      whole = true;
+      is_complete = true;
       len = 0;
       break;
     case BODY_LENGTH:
-      if (len > call->left)
-        len = (size_t)call->left;
-      call->left -= len;
-      whole = call->left == 0;
+      if (len > call->body_bytes_left)
+        len = (size_t)call->body_bytes_left;
+      call->body_bytes_left -= len;
+      is_complete = call->body_bytes_left == 0;
       break;
     case BODY_CHUNKED:
-      rest = phr_decode_chunked (&call->decoder, bytes, &len);
-      whole = rest >= 0;
+      trailing_len = phr_decode_chunked (&call->decoder, bytes, &len);
+      is_complete = trailing_len >= 0;
       break;
-    case BODY_TO_END:
+    case BODY_UNTIL_CLOSE:
       break;
     }
-  if (len > 0 && rest != -1)
+  if (len > 0 && trailing_len != -1)
     call->events.body (call->arg, str_make (bytes, len));
   if (call->closed)
     return;
-  if (rest == -1)
+  if (trailing_len == -1)
     finish (call, VH_E_PROTOCOL);
-  else if (whole)
+  else if (is_complete)
     finish (call, VH_OK);
 }
 
-/* Read a head out of the input.  Return its length, 0 when it is not whole
-   or the call is over.  */
+/* Parse the response head in the input.  Return its length, or 0 when the head
+   is incomplete or the exchange has ended.  */
 static size_t
-take_head (call_t *call)
+process_head (call_t *call)
 {
   struct phr_header parsed[HEADERS_MAX];
   httpc_header_t headers[HEADERS_MAX];
@@ -203,16 +205,16 @@
     }
   if (head.status >= 100 && head.status < 200 && head.status != 101)
     {
-      /* An interim answer; the real one follows.  */
+      /* An interim response (1xx); the final one follows.  */
       buf_consume (&call->input, (size_t)len);
-      return take_head (call);
+      return process_head (call);
     }
-  if (!choose_body (call, &head))
+  if (!set_body_framing (call, &head))
     {
       finish (call, VH_E_PROTOCOL);
       return 0;
     }
-  call->has_head = true;
+  call->has_response_head = true;
   call->events.head (call->arg, &head);
   return call->closed ? 0 : (size_t)len;
 }
@@ -222,13 +224,13 @@
 {
   (void)handle;
   (void)suggested;
-  *buf = uv_buf_init (read_bytes, sizeof read_bytes);
+  *buf = uv_buf_init (read_buffer, sizeof read_buffer);
 }
 
-/* Tell whether the connection was reset behind its end.  A reset that comes
-   before the end was read shows as an end like any other, and the socket
-   keeps the error: without this look the beginning of an answer that has no
-   length would pass for the whole.  */
+/* Return whether the connection was reset although the read reported its end.
+   A reset that arrives before the end is read is reported as a normal end, and
+   only the socket's pending error shows the reset.  Without this check the
+   first part of a response without a length is taken for a complete one.  */
 static bool
 was_reset (const call_t *call)
 {
@@ -243,33 +245,34 @@
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+on_read (uv_stream_t *stream, ssize_t read_len, const uv_buf_t *buf)
 {
   call_t *call = stream->data;
 
-  if (got == 0)
+  if (read_len == 0)
     return;
-  if (got < 0)
+  if (read_len < 0)
     {
-      /* Only a proper end of the connection ends an answer that has no
-         length; a reset leaves it incomplete.  */
-      bool whole = got == UV_EOF && call->has_head && call->body == BODY_TO_END
-                   && !was_reset (call);
-      finish (call, whole ? VH_OK : VH_E_UPSTREAM_CUT);
+      /* A response without a length is complete only when the connection
+         was closed normally; after a reset it is incomplete.  */
+      bool is_complete = read_len == UV_EOF && call->has_response_head
+                         && call->body_framing == BODY_UNTIL_CLOSE
+                         && !was_reset (call);
+      finish (call, is_complete ? VH_OK : VH_E_UPSTREAM_CUT);
       return;
     }
-  if (call->has_head)
+  if (call->has_response_head)
     {
-      take_body (call, buf->base, (size_t)got);
+      process_body (call, buf->base, (size_t)read_len);
       return;
     }
-  buf_append (&call->input, buf->base, (size_t)got);
-  size_t len = take_head (call);
+  buf_append (&call->input, buf->base, (size_t)read_len);
+  size_t len = process_head (call);
   if (len == 0)
     return;
-  /* Also without bytes: a body of length 0 is whole.  */
-  if (call->body != BODY_TO_END || call->input.len > len)
-    take_body (call, call->input.ptr + len, call->input.len - len);
+  /* Needed without further bytes too: a body of length 0 is complete.  */
+  if (call->body_framing != BODY_UNTIL_CLOSE || call->input.len > len)
+    process_body (call, call->input.ptr + len, call->input.len - len);
 }
 
 static void
@@ -278,8 +281,9 @@
   call_t *call = write->data;
 
   (void)status;
-  /* A failed write ends with the read that tells the same; a runner that
-     answers early may close its side before it has read all.  */
+  /* A failed write is not reported here: the read fails too and ends the
+     exchange.  A server that responds early may close the connection before it
+     has read the whole request.  */
   buf_free (&call->request);
 }
 
@@ -295,7 +299,7 @@
       finish (call, VH_E_CONNECT);
       return;
     }
-  bound_stop (&call->connecting);
+  bound_stop (&call->connect_timeout);
   call->connected = true;
   uv_tcp_nodelay (&call->tcp, 1);
   if (!call->paused)
@@ -333,16 +337,17 @@
   call->request = *request;
   *request = BUF_NULL;
   uv_tcp_init (loop, &call->tcp);
-  bound_init (&call->connecting, loop, on_connect_timeout, call);
+  bound_init (&call->connect_timeout, loop, on_connect_timeout, call);
   call->tcp.data = call;
   call->connect.data = call;
   call->open_handles = 2;
-  bound_start (&call->connecting, connect_ms);
+  bound_start (&call->connect_timeout, connect_ms);
   int status = uv_tcp_connect (&call->connect, &call->tcp,
                                (struct sockaddr *)&addr, on_connected);
-  /* Told on a later turn, as every event: by the bound that is there.  */
+  /* All events are delivered on a later turn of the loop; the connect timeout
+     reports this failure.  */
   if (status != 0)
-    bound_start (&call->connecting, 0);
+    bound_start (&call->connect_timeout, 0);
   return call;
 }
 
--- a/packages/wire/call.h
+++ b/packages/wire/call.h
@@ -1,13 +1,15 @@
-/* One HTTP/1.1 call on a connection of its own.
+/* One HTTP/1.1 request and its response on a connection of their own.
 
-   A kept connection may have been closed, silenced or written to by the
-   server while it was idle: a request written to it is then lost without any
-   way to tell whether it ran, and bytes left over from an earlier answer can
-   be taken for its own.  A connection for each call has none of these states;
-   it costs one round trip and three system calls.
+   The server may have closed an idle connection, stopped answering on it or
+   written to it.  A request sent on such a connection is lost, without any way
+   to know whether the server executed it, and bytes left from an earlier
+   response can be mistaken for the response.  A new connection for each
+   request excludes all of this; it costs one round trip and three system
+   calls.
 
-   Unlike httpc, a call tells an answer without a length that ended from one
-   that was reset, and whether any byte of the request left this process.  */
+   Unlike httpc, this client distinguishes a response without a length that
+   ended from one that was reset, and reports whether any byte of the request
+   left this process.  */
 
 #ifndef WIRE_CALL_H
 #define WIRE_CALL_H
@@ -22,16 +24,17 @@
 
 typedef struct
 {
-  int status;
+  int status; /* HTTP status code.  */
   const httpc_header_t *headers;
   size_t header_count;
 } call_head_t;
 
-/* Events of one call, in order: at most one head, any number of body pieces,
-   one end, after which the call is gone.  What is borrowed lives for the
-   callback.  END with VH_OK means that the answer was whole; VH_E_CONNECT that
-   no byte of the request left this process; VH_E_UPSTREAM_CUT that the
-   connection ended early; VH_E_PROTOCOL that the server sent no HTTP.  */
+/* Events of one exchange, in this order: at most one HEAD, any number of BODY,
+   one END.  The exchange is released after END.  Borrowed arguments are valid
+   until the callback returns.  END receives VH_OK for a complete response,
+   VH_E_CONNECT when no byte of the request left this process,
+   VH_E_UPSTREAM_CUT when the connection ended early and VH_E_PROTOCOL when the
+   server's response is not valid HTTP.  */
 typedef struct
 {
   void (*head) (void *arg, const call_head_t *head);
@@ -39,23 +42,25 @@
   void (*end) (void *arg, vh_code_t code);
 } call_events_t;
 
-/* Send REQUEST, a whole HTTP/1.1 request that the call takes over, to ADDRESS
-   (HOST:PORT, numeric).  A connection that is not there within CONNECT_MS ends
-   with VH_E_CONNECT.  NO_BODY says that the answer has none (HEAD).  Events
-   come on later turns.  Return NULL when ADDRESS is not valid; REQUEST is
-   released then too.  */
+/* Send REQUEST, a complete HTTP/1.1 request whose buffer is taken over, to
+   ADDRESS (HOST:PORT, numeric).  The exchange ends with VH_E_CONNECT when the
+   connection is not established within CONNECT_MS.  NO_BODY states that the
+   response has no body (HEAD).  No event is delivered before this function
+   returns.  Return NULL and release REQUEST when ADDRESS is not valid.  */
 call_t *call_start (uv_loop_t *loop, str_t address, buf_t *request,
                     uint64_t connect_ms, bool no_body,
                     const call_events_t *events, void *arg);
-/* Close the connection; no further events.  Also inside an event.  */
+/* Close the connection and deliver no further events.  May be called from an
+   event callback.  */
 void call_cancel (call_t *call);
-/* Tell whether any byte of the request may have reached the server.  */
+/* Return whether the server may have received any byte of the request.  */
 bool call_sent (const call_t *call);
-/* Stop and go on reading, so that a slow reader holds back the server.  */
+/* Stop and restart reading, so that a slow reader slows the server down.  */
 void call_pause (call_t *call);
 void call_resume (call_t *call);
 
-/* Return the value of header NAME (any case) of HEAD, or STR_NULL.  */
+/* Return the value of the header NAME (in any letter case) of HEAD, or
+   STR_NULL when HEAD has no such header.  */
 str_t call_header (const call_head_t *head, str_t name);
 
 #endif
--- a/packages/wire/httpc.c
+++ b/packages/wire/httpc.c
@@ -9,11 +9,11 @@
 enum
 {
   DEFAULT_TIMEOUT_MS = 30000,
-  /* h2o's own timer must never come first: it cannot be held while a slow
-     reader pauses the call.  */
-  IO_TIMEOUT_MS = 24 * 3600 * 1000,
-  IDLE_KEEP_MS = 10000,
-  LINGER_TURNS = 2,
+  /* h2o's own timeout, which must never expire before the call's: it cannot
+     be stopped while a slow reader has paused the call.  */
+  H2O_IO_TIMEOUT_MS = 24 * 3600 * 1000,
+  IDLE_CONNECTION_TIMEOUT_MS = 10000,
+  FREE_DELAY_TICKS = 2,
   HEADERS_MAX = 100
 };
 
@@ -24,8 +24,8 @@
   h2o_socketpool_t pool;
   h2o_timeout_t io_timeout;
   h2o_http1client_ctx_t ctx;
-  uv_timer_t linger; /* Runs between destroy and the last free.  */
-  unsigned lingered;
+  uv_timer_t free_timer; /* Delays the free after httpc_destroy.  */
+  unsigned free_timer_ticks;
 };
 
 typedef enum
@@ -33,7 +33,7 @@
   CALL_CONNECTING,
   CALL_WAITING_HEAD,
   CALL_READING,
-  CALL_OVER
+  CALL_RELEASED
 } call_state_t;
 
 struct httpc_call
@@ -41,24 +41,27 @@
   httpc_t *client;
   h2o_http1client_t *http;
   call_state_t state;
-  bool head_method;
-  bool chunked;     /* The answer comes in chunks.  */
-  bool in_callback; /* h2o is on the stack: it must do the closing.  */
-  bool cancelled;
-  bool deferred; /* Over: the timer only reports RESULT.  */
+  bool is_head_request;
+  bool chunked; /* The response uses chunked transfer coding.  */
+  /* h2o is the caller of the current event callback and must close the
+     connection itself.  */
+  bool in_callback;
+  bool events_ended;      /* Cancelled, or DONE was delivered.  */
+  bool is_result_pending; /* The timer only reports RESULT.  */
   vh_code_t result;
-  buf_t out;
-  h2o_iovec_t out_vec;
-  h2o_socket_cb paused_cb;
+  buf_t request_bytes;
+  h2o_iovec_t request_vec;
+  h2o_socket_cb paused_read_cb;
   uint64_t timeout_ms;
   uv_timer_t timer;
   const httpc_events_t *events;
   void *arg;
-  void (*on_cancel) (void *arg); /* Frees ARG of a fetch; may be NULL.  */
+  /* Frees ARG when the call is cancelled; NULL: ARG needs no free.  */
+  void (*on_cancel) (void *arg);
 };
 
 httpc_t *
-httpc_create (uv_loop_t *loop, str_t address, size_t keep)
+httpc_create (uv_loop_t *loop, str_t address, size_t max_idle)
 {
   struct sockaddr_storage addr;
   socklen_t len;
@@ -69,16 +72,16 @@
   client->loop = loop;
   client->address = str_dup (address);
   h2o_socketpool_init_by_address (&client->pool, (struct sockaddr *)&addr, len,
-                                  0, keep);
-  h2o_socketpool_set_timeout (&client->pool, loop, IDLE_KEEP_MS);
-  h2o_timeout_init (loop, &client->io_timeout, IO_TIMEOUT_MS);
+                                  0, max_idle);
+  h2o_socketpool_set_timeout (&client->pool, loop, IDLE_CONNECTION_TIMEOUT_MS);
+  h2o_timeout_init (loop, &client->io_timeout, H2O_IO_TIMEOUT_MS);
   client->ctx.loop = loop;
   client->ctx.io_timeout = &client->io_timeout;
   return client;
 }
 
 static void
-on_linger_closed (uv_handle_t *handle)
+on_free_timer_closed (uv_handle_t *handle)
 {
   httpc_t *client = handle->data;
 
@@ -86,17 +89,19 @@
   free (client);
 }
 
-/* Destroying from a close callback puts h2o's handles on the next turn's
-   closing list, whose timers come before it; libuv walks that list from the
-   newest, so a free on that turn would pull away the handles behind it.  The
-   second time the list is done.  */
+/* Free the client on the second tick of the timer.  When httpc_destroy is
+   called from a close callback, libuv puts h2o's handles on the closing list
+   of the next turn of the loop.  The timers of that turn run before the list
+   is processed, and the list is processed from the newest handle on, so that a
+   free on that turn would release handles that are still on the list.  On the
+   second tick the list has been processed.  */
 static void
-on_linger (uv_timer_t *timer)
+on_free_timer (uv_timer_t *timer)
 {
   httpc_t *client = timer->data;
 
-  if (++client->lingered == LINGER_TURNS)
-    uv_close ((uv_handle_t *)timer, on_linger_closed);
+  if (++client->free_timer_ticks == FREE_DELAY_TICKS)
+    uv_close ((uv_handle_t *)timer, on_free_timer_closed);
 }
 
 void
@@ -106,12 +111,13 @@
     return;
   h2o_socketpool_dispose (&client->pool);
   h2o_timeout_dispose (client->loop, &client->io_timeout);
-  /* h2o closes its timers' handles without a callback, which libuv does at
-     the end of this turn at the latest: freeing them now would corrupt the
-     loop, so the last free waits for a timer of a later turn.  */
-  uv_timer_init (client->loop, &client->linger);
-  client->linger.data = client;
-  uv_timer_start (&client->linger, on_linger, 1, 1);
+  /* h2o closes the handles of its timers without a callback, and libuv needs
+     their memory until the end of this turn of the loop at the latest.
+     Freeing the memory now would corrupt the loop, so a timer frees it on a
+     later turn.  */
+  uv_timer_init (client->loop, &client->free_timer);
+  client->free_timer.data = client;
+  uv_timer_start (&client->free_timer, on_free_timer, 1, 1);
 }
 
 static void
@@ -119,33 +125,34 @@
 {
   httpc_call_t *call = handle->data;
 
-  buf_free (&call->out);
+  buf_free (&call->request_bytes);
   free (call);
 }
 
-/* Let go of CALL; its memory goes once libuv has closed the timer.  */
+/* Release CALL.  Its memory is freed when libuv has closed the timer.  */
 static void
 release_call (httpc_call_t *call)
 {
-  if (call->state == CALL_OVER)
+  if (call->state == CALL_RELEASED)
     return;
-  call->state = CALL_OVER;
+  call->state = CALL_RELEASED;
   uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
 }
 
-/* Report CODE as the end of CALL and let go of it.  */
+/* Report CODE as the result of CALL, unless CALL was cancelled, and release
+   CALL.  */
 static void
 finish (httpc_call_t *call, vh_code_t code)
 {
   void (*done) (void *, vh_code_t) = call->events->done;
   void *arg = call->arg;
 
-  if (call->cancelled || call->state == CALL_OVER)
+  if (call->events_ended || call->state == CALL_RELEASED)
     {
       release_call (call);
       return;
     }
-  call->cancelled = true;
+  call->events_ended = true;
   done (arg, code);
   release_call (call);
 }
@@ -156,7 +163,7 @@
   httpc_call_t *call = timer->data;
   vh_code_t code = call->result;
 
-  if (!call->deferred)
+  if (!call->is_result_pending)
     {
       bool connected = call->state != CALL_CONNECTING;
       code = connected ? VH_E_TIMEOUT : VH_E_CONNECT;
@@ -171,20 +178,20 @@
   uv_timer_start (&call->timer, on_timer, call->timeout_ms, 0);
 }
 
-/* Report CODE on the next turn, outside h2o's callbacks.  */
+/* Report CODE on the next turn of the loop, outside h2o's callbacks.  */
 static void
 finish_later (httpc_call_t *call, vh_code_t code)
 {
-  call->deferred = true;
+  call->is_result_pending = true;
   call->result = code;
   call->http = NULL;
   uv_timer_start (&call->timer, on_timer, 0, 0);
 }
 
-/* Hand over what has arrived.  Return false when the call was cancelled
-   meanwhile.  */
+/* Pass the received bytes to the CHUNK callback.  Return false when the
+   callback cancelled the call.  */
 static bool
-pass_chunk (httpc_call_t *call, h2o_http1client_t *http)
+deliver_chunk (httpc_call_t *call, h2o_http1client_t *http)
 {
   h2o_buffer_t *input = http->sock->input;
 
@@ -195,16 +202,17 @@
       call->in_callback = false;
       h2o_buffer_consume (&http->sock->input, http->sock->input->size);
     }
-  return !call->cancelled;
+  return !call->events_ended;
 }
 
-/* Tell whether the end of the answer, which h2o reports, was a proper one.
-   h2o takes a connection that ends between two chunks for the end of the
-   answer, as browsers do; half an answer would pass for a whole one.  The
-   last chunk is told apart by the bytes that were read with it.  */
+/* Return whether the end of the response that h2o reports in ERRSTR is the end
+   of a complete response.  Like browsers, h2o accepts a connection that closes
+   between two chunks as the end of the response, so that a partial response
+   would be taken for a complete one.  The real last chunk is recognized by the
+   bytes that were read along with the end.  */
 static bool
-is_whole (const httpc_call_t *call, const h2o_http1client_t *http,
-          const char *errstr)
+is_complete_response (const httpc_call_t *call, const h2o_http1client_t *http,
+                      const char *errstr)
 {
   return errstr == h2o_http1client_error_is_eos
          && (!call->chunked || http->sock->bytes_read > 0);
@@ -214,11 +222,11 @@
 on_body (h2o_http1client_t *http, const char *errstr)
 {
   httpc_call_t *call = http->data;
-  bool whole = is_whole (call, http, errstr);
+  bool is_complete = is_complete_response (call, http, errstr);
 
-  if (call->paused_cb == NULL)
+  if (call->paused_read_cb == NULL)
     restart_timer (call);
-  if (!pass_chunk (call, http))
+  if (!deliver_chunk (call, http))
     {
       if (errstr != NULL)
         call->http = NULL;
@@ -227,13 +235,15 @@
     }
   if (errstr == NULL)
     return 0;
-  finish_later (call, whole ? VH_OK : VH_E_UPSTREAM_CUT);
+  finish_later (call, is_complete ? VH_OK : VH_E_UPSTREAM_CUT);
   return 0;
 }
 
-/* Hand over the head.  Return -1 when the call was cancelled meanwhile.  */
+/* Pass the response head to the HEAD callback.  Return -1 when the callback
+   cancelled the call.  */
 static int
-pass_head (httpc_call_t *call, int status, h2o_header_t *headers, size_t count)
+deliver_head (httpc_call_t *call, int status, h2o_header_t *headers,
+              size_t count)
 {
   httpc_header_t list[HEADERS_MAX];
 
@@ -250,7 +260,7 @@
   if (call->events->head != NULL)
     call->events->head (call->arg, status, list, count);
   call->in_callback = false;
-  return call->cancelled ? -1 : 0;
+  return call->events_ended ? -1 : 0;
 }
 
 static h2o_http1client_body_cb
@@ -271,9 +281,9 @@
     }
   call->state = CALL_READING;
   restart_timer (call);
-  if (pass_head (call, status, headers, num_headers) != 0)
+  if (deliver_head (call, status, headers, num_headers) != 0)
     {
-      /* Returning NULL makes h2o close the connection.  */
+      /* The NULL result makes h2o close the connection.  */
       call->http = NULL;
       release_call (call);
       return NULL;
@@ -298,26 +308,29 @@
       return NULL;
     }
   call->state = CALL_WAITING_HEAD;
-  call->out_vec = h2o_iovec_init (call->out.ptr, call->out.len);
-  *reqbufs = &call->out_vec;
+  call->request_vec
+      = h2o_iovec_init (call->request_bytes.ptr, call->request_bytes.len);
+  *reqbufs = &call->request_vec;
   *reqbufcnt = 1;
-  *method_is_head = call->head_method;
+  *method_is_head = call->is_head_request;
   return on_head;
 }
 
-/* Append the wire form of REQUEST.  */
+/* Append REQUEST in HTTP/1.1 format to REQUEST_TEXT.  */
 static void
-write_request (buf_t *out, const char *host, const httpc_request_t *request)
+format_request (buf_t *request_text, const char *host,
+                const httpc_request_t *request)
 {
-  buf_printf (out, "%.*s %.*s HTTP/1.1\r\nhost: %s\r\n",
+  buf_printf (request_text, "%.*s %.*s HTTP/1.1\r\nhost: %s\r\n",
               STR_ARG (request->method), STR_ARG (request->path), host);
   for (size_t i = 0; i < request->header_count; i++)
-    buf_printf (out, "%.*s: %.*s\r\n", STR_ARG (request->headers[i].name),
+    buf_printf (request_text, "%.*s: %.*s\r\n",
+                STR_ARG (request->headers[i].name),
                 STR_ARG (request->headers[i].value));
   if (request->body.len > 0 || !str_eq (request->method, STR ("GET")))
-    buf_printf (out, "content-length: %zu\r\n", request->body.len);
-  buf_append (out, "\r\n", 2);
-  buf_append_str (out, request->body);
+    buf_printf (request_text, "content-length: %zu\r\n", request->body.len);
+  buf_append (request_text, "\r\n", 2);
+  buf_append_str (request_text, request->body);
 }
 
 httpc_call_t *
@@ -329,18 +342,19 @@
   call->client = client;
   call->events = events;
   call->arg = arg;
-  call->head_method = str_eq (request->method, STR ("HEAD"));
+  call->is_head_request = str_eq (request->method, STR ("HEAD"));
   call->timeout_ms
       = request->timeout_ms > 0 ? request->timeout_ms : DEFAULT_TIMEOUT_MS;
-  write_request (&call->out, client->address, request);
+  format_request (&call->request_bytes, client->address, request);
   uv_timer_init (client->loop, &call->timer);
   call->timer.data = call;
   restart_timer (call);
   h2o_http1client_t *http = NULL;
   h2o_http1client_connect_with_pool (&http, call, &client->ctx, &client->pool,
                                      on_connect);
-  /* The connection may have failed inside the call.  */
-  if (!call->deferred)
+  /* The connection may have failed before the function returned, in which
+     case the call has no h2o client.  */
+  if (!call->is_result_pending)
     call->http = http;
   return call;
 }
@@ -348,9 +362,9 @@
 void
 httpc_cancel (httpc_call_t *call)
 {
-  if (call == NULL || call->cancelled)
+  if (call == NULL || call->events_ended)
     return;
-  call->cancelled = true;
+  call->events_ended = true;
   if (call->on_cancel != NULL)
     call->on_cancel (call->arg);
   if (call->in_callback)
@@ -365,10 +379,10 @@
 {
   h2o_socket_t *sock = call->http != NULL ? call->http->sock : NULL;
 
-  if (call->state != CALL_READING || call->paused_cb != NULL || sock == NULL
-      || sock->_cb.read == NULL)
+  if (call->state != CALL_READING || call->paused_read_cb != NULL
+      || sock == NULL || sock->_cb.read == NULL)
     return;
-  call->paused_cb = sock->_cb.read;
+  call->paused_read_cb = sock->_cb.read;
   h2o_socket_read_stop (sock);
   uv_timer_stop (&call->timer);
 }
@@ -376,11 +390,11 @@
 void
 httpc_resume (httpc_call_t *call)
 {
-  h2o_socket_cb cb = call->paused_cb;
+  h2o_socket_cb cb = call->paused_read_cb;
 
   if (cb == NULL)
     return;
-  call->paused_cb = NULL;
+  call->paused_read_cb = NULL;
   if (call->http == NULL)
     return;
   h2o_socket_read_start (call->http->sock, cb);
@@ -395,60 +409,61 @@
   bool too_large;
   httpc_whole_cb_t cb;
   void *arg;
-} whole_t;
+} fetch_t;
 
 static void
-whole_free (void *arg)
+fetch_free (void *arg)
 {
-  whole_t *whole = arg;
+  fetch_t *fetch = arg;
 
-  buf_free (&whole->body);
-  free (whole);
+  buf_free (&fetch->body);
+  free (fetch);
 }
 
 static void
-whole_head (void *arg, int status, const httpc_header_t *headers, size_t count)
+fetch_on_head (void *arg, int status, const httpc_header_t *headers,
+               size_t count)
 {
   (void)headers;
   (void)count;
-  ((whole_t *)arg)->status = status;
+  ((fetch_t *)arg)->status = status;
 }
 
 static void
-whole_chunk (void *arg, str_t bytes)
+fetch_on_chunk (void *arg, str_t bytes)
 {
-  whole_t *whole = arg;
+  fetch_t *fetch = arg;
 
-  if (whole->body.len + bytes.len > whole->limit)
-    whole->too_large = true;
+  if (fetch->body.len + bytes.len > fetch->limit)
+    fetch->too_large = true;
   else
-    buf_append_str (&whole->body, bytes);
+    buf_append_str (&fetch->body, bytes);
 }
 
 static void
-whole_done (void *arg, vh_code_t code)
+fetch_on_done (void *arg, vh_code_t code)
 {
-  whole_t *whole = arg;
+  fetch_t *fetch = arg;
 
-  if (code == VH_OK && whole->too_large)
+  if (code == VH_OK && fetch->too_large)
     code = VH_E_TOO_LARGE;
-  whole->cb (whole->arg, code, whole->status, buf_str (&whole->body));
-  whole_free (whole);
+  fetch->cb (fetch->arg, code, fetch->status, buf_str (&fetch->body));
+  fetch_free (fetch);
 }
 
-static const httpc_events_t whole_events
-    = { whole_head, whole_chunk, whole_done };
+static const httpc_events_t fetch_events
+    = { fetch_on_head, fetch_on_chunk, fetch_on_done };
 
 httpc_call_t *
 httpc_fetch (httpc_t *client, const httpc_request_t *request, size_t limit,
              httpc_whole_cb_t cb, void *arg)
 {
-  whole_t *whole = mem_zalloc (sizeof *whole);
+  fetch_t *fetch = mem_zalloc (sizeof *fetch);
 
-  whole->limit = limit;
-  whole->cb = cb;
-  whole->arg = arg;
-  httpc_call_t *call = httpc_start (client, request, &whole_events, whole);
-  call->on_cancel = whole_free;
+  fetch->limit = limit;
+  fetch->cb = cb;
+  fetch->arg = arg;
+  httpc_call_t *call = httpc_start (client, request, &fetch_events, fetch);
+  call->on_cancel = fetch_free;
   return call;
 }
--- a/packages/wire/httpc.h
+++ b/packages/wire/httpc.h
@@ -1,5 +1,5 @@
-/* HTTP/1.1 client of one server, on h2o's client and connection pool.  Used
-   towards upstreams, the platform and the operators' port.  */
+/* HTTP/1.1 client of one server, based on h2o's client and connection pool.
+   Used for requests to upstreams, the platform and the operators' port.  */
 
 #ifndef WIRE_HTTPC_H
 #define WIRE_HTTPC_H
@@ -25,14 +25,15 @@
   const httpc_header_t *headers;
   size_t header_count;
   str_t body;
-  uint64_t timeout_ms; /* Longest silence of the server, 0: 30 s.  */
+  /* Longest time without a byte from the server, in ms; 0: 30 s.  */
+  uint64_t timeout_ms;
 } httpc_request_t;
 
-/* Events of one call, in order: at most one head, any number of chunks, one
-   done, after which the call is gone.  HEADERS live for the callback.  DONE
-   with VH_OK means that the body was whole; VH_E_CONNECT that no byte of the
-   request left this process; VH_E_UPSTREAM_CUT and VH_E_TIMEOUT that the
-   server may have run it.  */
+/* Events of one call, in this order: at most one HEAD, any number of CHUNK,
+   one DONE.  The call is released after DONE.  HEADERS are valid until the
+   callback returns.  DONE receives VH_OK for a complete body, VH_E_CONNECT
+   when no byte of the request left this process, and VH_E_UPSTREAM_CUT or
+   VH_E_TIMEOUT when the server may have executed the request.  */
 typedef struct
 {
   void (*head) (void *arg, int status, const httpc_header_t *headers,
@@ -41,23 +42,28 @@
   void (*done) (void *arg, vh_code_t code);
 } httpc_events_t;
 
-/* Return a client of ADDRESS (HOST:PORT, numeric), or NULL when it is not
-   valid.  KEEP bounds its idle connections.  */
-httpc_t *httpc_create (uv_loop_t *loop, str_t address, size_t keep);
-/* Release CLIENT when its calls are over; cancel them first.  */
+/* Return a client of the server at ADDRESS (HOST:PORT, numeric), or NULL when
+   ADDRESS is not valid.  At most MAX_IDLE idle connections are kept open.  */
+httpc_t *httpc_create (uv_loop_t *loop, str_t address, size_t max_idle);
+/* Release CLIENT.  All of its calls must have finished or been cancelled.  */
 void httpc_destroy (httpc_t *client);
-/* Start a call.  The request is copied.  Events come on later turns.  */
+/* Start a call.  REQUEST is copied.  No event is delivered before this
+   function returns.  */
 httpc_call_t *httpc_start (httpc_t *client, const httpc_request_t *request,
                            const httpc_events_t *events, void *arg);
-/* End CALL without further events.  */
+/* End CALL and deliver no further events.  */
 void httpc_cancel (httpc_call_t *call);
-/* Stop and go on reading, so that a slow reader holds back the server.  */
+/* Stop and restart reading, so that a slow reader slows the server down.  */
 void httpc_pause (httpc_call_t *call);
 void httpc_resume (httpc_call_t *call);
 
-/* A call whose whole body, up to LIMIT bytes, is gathered first.  */
+/* Receives the result of httpc_fetch.  CODE is as in httpc_events_t, or
+   VH_E_TOO_LARGE when the body is larger than the limit.  BODY is valid until
+   the callback returns.  */
 typedef void (*httpc_whole_cb_t) (void *arg, vh_code_t code, int status,
                                   str_t body);
+/* Start a call whose body, of up to LIMIT bytes, is collected and passed to CB
+   at once.  */
 httpc_call_t *httpc_fetch (httpc_t *client, const httpc_request_t *request,
                            size_t limit, httpc_whole_cb_t cb, void *arg);
 
--- a/packages/wire/httpd.c
+++ b/packages/wire/httpd.c
@@ -15,13 +15,16 @@
 enum
 {
   LISTEN_BACKLOG = 1024,
-  LINGER_TURNS = 2,
+  FREE_DELAY_TICKS = 2,
   DEFAULT_READ_TIMEOUT_MS = 10000,
-  /* How often sockets of requests in hand are looked at for a peer that
-     left: h2o does not read while it waits for an answer.  */
-  DEPARTURE_CHECK_MS = 100,
-  TLS_CHECK_TICKS = 20, /* Departure checks between looks at the files.  */
-  ENTITY_SLACK = 1 << 20
+  /* Interval of the check whether the clients of unfinished requests have
+     disconnected, in ms: h2o does not read while it waits for a response.  */
+  DISCONNECT_CHECK_INTERVAL_MS = 100,
+  /* Disconnect checks per check of the certificate files.  */
+  TLS_CHECK_TICKS = 20,
+  /* How far h2o's limit of a request body is above ours, in bytes: a body
+     between the two limits is received and refused with our own response.  */
+  H2O_BODY_LIMIT_MARGIN_BYTES = 1 << 20
 };
 
 struct httpd
@@ -37,19 +40,21 @@
   void *arg;
   size_t body_limit;
   uint32_t connections_max;
-  size_t connections;
-  list_t conns;    /* Every connection, by link.  */
-  list_t requests; /* In hand, by link.  */
+  size_t connection_count;
+  list_t connections; /* Open connections, by link.  */
+  list_t requests;    /* Requests not released yet, by link.  */
   size_t in_flight;
-  size_t unwritten;      /* Length of REQUESTS.  */
-  char *tls_certificate; /* NULL: no TLS.  */
+  size_t unwritten;      /* Number of elements of REQUESTS.  */
+  char *tls_certificate; /* Path of the PEM file; NULL: no TLS.  */
   char *tls_key;
-  struct timespec tls_changed; /* The later change of the two files.  */
-  uint64_t ticks;              /* Of DEPARTURES.  */
-  uv_timer_t departures;
-  uv_timer_t linger; /* Carries the end of the server to a later turn.  */
-  unsigned lingered;
-  unsigned open_handles; /* Of ours, not yet closed by libuv.  */
+  /* Modification time of the certificate or key file in use, whichever is
+     later.  */
+  struct timespec tls_modified;
+  uint64_t check_count; /* Expirations of CHECK_TIMER.  */
+  uv_timer_t check_timer;
+  uv_timer_t free_timer; /* Delays the free of the server.  */
+  unsigned free_timer_ticks;
+  unsigned open_handles; /* Handles that libuv has not closed yet.  */
   bool destroyed;
 };
 
@@ -59,45 +64,48 @@
   list_t link;
   httpd_t *server;
   h2o_socket_t *sock;
-  h2o_socket_cb read;   /* H2o's own, until the first request is whole.  */
-  uint64_t accepted_ms; /* By the loop's clock.  */
-  bool told;            /* The peer was sent an error by us.  */
+  /* h2o's read callback, which on_first_read calls.  NULL: TLS connection.  */
+  h2o_socket_cb h2o_read;
+  uint64_t accepted_ms; /* Time of the accept by the loop's clock, in ms.  */
+  bool error_sent; /* reject_incomplete_request sent an error response.  */
 } connection_t;
 
 typedef struct
 {
   h2o_handler_t super;
   httpd_t *server;
-} glue_t;
+} request_handler_t;
 
-/* Lives in the request's pool; its disposal says that h2o let go.  */
+/* Allocated in the memory pool of the h2o request.  The disposal of the pool
+   reports that h2o has released the request.  */
 typedef struct
 {
-  httpd_req_t *owner;
-} anchor_t;
+  httpd_req_t *req; /* NULL once REQ is released.  */
+} disposal_guard_t;
 
 struct httpd_req
 {
-  h2o_generator_t generator; /* First: h2o hands it back.  */
+  /* Must be first: h2o passes a pointer to the generator to the callbacks.  */
+  h2o_generator_t generator;
   list_t link;
   httpd_t *server;
-  h2o_req_t *h2o; /* NULL once h2o let go.  */
-  anchor_t *anchor;
-  buf_t pending;   /* Not yet given to h2o.  */
-  buf_t in_flight; /* Given to h2o, not yet taken by the socket.  */
-  bool sending;
+  h2o_req_t *h2o; /* NULL once h2o has released the request.  */
+  disposal_guard_t *guard;
+  buf_t pending;   /* Bytes not passed to h2o yet.  */
+  buf_t writing;   /* Bytes passed to h2o that the socket has not accepted.  */
+  bool is_writing; /* h2o is writing WRITING.  */
   bool started;
-  bool last;
-  bool aborted;  /* Cut while h2o was writing.  */
-  bool finished; /* The last byte was given to h2o, or it was cut.  */
-  void (*drained) (void *arg);
-  void (*stopped) (void *arg);
+  bool is_last;  /* PENDING ends the response.  */
+  bool aborted;  /* Aborted while h2o was writing.  */
+  bool finished; /* The last byte was passed to h2o, or REQ was aborted.  */
+  void (*on_drained) (void *arg);
+  void (*on_disconnect) (void *arg);
   void *arg;
 };
 
-/* Count REQ as answered, once.  */
+/* Mark REQ as finished.  Further calls have no effect.  */
 static void
-settle (httpd_req_t *req)
+mark_finished (httpd_req_t *req)
 {
   if (req->finished)
     return;
@@ -108,37 +116,38 @@
 static void
 release_req (httpd_req_t *req)
 {
-  settle (req);
+  mark_finished (req);
   list_remove (&req->link);
   req->server->unwritten--;
-  if (req->anchor != NULL)
-    req->anchor->owner = NULL;
+  if (req->guard != NULL)
+    req->guard->req = NULL;
   buf_free (&req->pending);
-  buf_free (&req->in_flight);
+  buf_free (&req->writing);
   free (req);
 }
 
-/* H2O let go of the request before its answer was whole.  */
+/* Release REQ after h2o has released its request, and report the disconnected
+   client if the response was not complete.  */
 static void
-on_peer_gone (httpd_req_t *req)
+on_request_disposed (httpd_req_t *req)
 {
-  void (*stopped) (void *) = req->finished ? NULL : req->stopped;
+  void (*on_disconnect) (void *) = req->finished ? NULL : req->on_disconnect;
   void *arg = req->arg;
 
   req->h2o = NULL;
-  req->anchor = NULL;
+  req->guard = NULL;
   release_req (req);
-  if (stopped != NULL)
-    stopped (arg);
+  if (on_disconnect != NULL)
+    on_disconnect (arg);
 }
 
 static void
-on_anchor_disposed (void *ptr)
+on_guard_disposed (void *ptr)
 {
-  anchor_t *anchor = ptr;
+  disposal_guard_t *guard = ptr;
 
-  if (anchor->owner != NULL)
-    on_peer_gone (anchor->owner);
+  if (guard->req != NULL)
+    on_request_disposed (guard->req);
 }
 
 static void
@@ -147,27 +156,27 @@
   httpd_req_t *req = (httpd_req_t *)generator;
 
   (void)h2o;
-  if (req->anchor != NULL)
-    req->anchor->owner = NULL;
-  on_peer_gone (req);
+  if (req->guard != NULL)
+    req->guard->req = NULL;
+  on_request_disposed (req);
 }
 
-/* Give h2o what is pending, if it can take it.  */
+/* Pass the pending bytes to h2o unless h2o is still writing.  */
 static void
-push (httpd_req_t *req)
+send_pending (httpd_req_t *req)
 {
-  if (req->sending || (req->pending.len == 0 && !req->last))
+  if (req->is_writing || (req->pending.len == 0 && !req->is_last))
     return;
-  buf_t spare = req->in_flight;
-  req->in_flight = req->pending;
+  buf_t spare = req->writing;
+  req->writing = req->pending;
   req->pending = spare;
   req->pending.len = 0;
-  req->sending = true;
-  if (req->last)
-    settle (req);
-  h2o_iovec_t vec = h2o_iovec_init (req->in_flight.ptr, req->in_flight.len);
+  req->is_writing = true;
+  if (req->is_last)
+    mark_finished (req);
+  h2o_iovec_t vec = h2o_iovec_init (req->writing.ptr, req->writing.len);
   h2o_send (req->h2o, &vec, vec.len > 0 ? 1 : 0,
-            req->last ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
+            req->is_last ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
 static void
@@ -176,30 +185,30 @@
   httpd_req_t *req = (httpd_req_t *)generator;
 
   (void)h2o;
-  req->sending = false;
+  req->is_writing = false;
   if (req->aborted)
     h2o_send (req->h2o, NULL, 0, H2O_SEND_STATE_ERROR);
   if (req->finished)
     return;
-  if (req->pending.len > 0 || req->last)
-    push (req);
-  else if (req->drained != NULL)
-    req->drained (req->arg);
+  if (req->pending.len > 0 || req->is_last)
+    send_pending (req);
+  else if (req->on_drained != NULL)
+    req->on_drained (req->arg);
 }
 
 static int
 on_request (h2o_handler_t *self, h2o_req_t *h2o)
 {
-  httpd_t *server = ((glue_t *)self)->server;
+  httpd_t *server = ((request_handler_t *)self)->server;
   httpd_req_t *req = mem_zalloc (sizeof *req);
 
   req->generator.proceed = on_generator_proceed;
   req->generator.stop = on_generator_stop;
   req->server = server;
   req->h2o = h2o;
-  req->anchor = h2o_mem_alloc_shared (&h2o->pool, sizeof *req->anchor,
-                                      on_anchor_disposed);
-  req->anchor->owner = req;
+  req->guard = h2o_mem_alloc_shared (&h2o->pool, sizeof *req->guard,
+                                     on_guard_disposed);
+  req->guard->req = req;
   list_append (&server->requests, &req->link);
   server->in_flight++;
   server->unwritten++;
@@ -217,9 +226,9 @@
   return 0;
 }
 
-/* Tell whether the peer of REQ closed or reset its connection.  */
+/* Return whether the client of REQ has closed or reset its connection.  */
 static bool
-peer_left (const httpd_req_t *req)
+has_client_disconnected (const httpd_req_t *req)
 {
   h2o_conn_t *conn = req->h2o->conn;
   char byte;
@@ -229,28 +238,29 @@
   h2o_socket_t *sock = conn->callbacks->get_socket (conn);
   if (sock == NULL || h2o_socket_is_reading (sock))
     return false;
-  ssize_t got
+  ssize_t peeked
       = recv (h2o_socket_get_fd (sock), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR);
+  return peeked == 0 || (peeked < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-/* Cut the answer of REQ and tell its owner.  */
+/* Abort the response of REQ and call its on_disconnect callback.  */
 static void
-cut (httpd_req_t *req)
+abort_response (httpd_req_t *req)
 {
-  void (*stopped) (void *) = req->stopped;
+  void (*on_disconnect) (void *) = req->on_disconnect;
   void *arg = req->arg;
 
   if (req->finished)
     return;
   httpd_abort (req);
-  if (stopped != NULL)
-    stopped (arg);
+  if (on_disconnect != NULL)
+    on_disconnect (arg);
 }
 
-/* Load the certificate.  Return NULL when it cannot be used.  */
+/* Return a TLS context with the certificate and key of the PEM files, or NULL
+   when they cannot be used.  */
 static SSL_CTX *
-tls_create (const char *certificate, const char *key)
+create_tls_context (const char *certificate, const char *key)
 {
   SSL_CTX *tls = SSL_CTX_new (TLS_server_method ());
 
@@ -268,9 +278,10 @@
   return tls;
 }
 
-/* Return the later change of the two files; zero when one is missing.  */
+/* Return the modification time of the certificate or key file, whichever is
+   later, or zero when a file is missing.  */
 static struct timespec
-tls_change (const httpd_t *server)
+latest_tls_modification (const httpd_t *server)
 {
   struct stat certificate, key;
   struct timespec none = { 0, 0 };
@@ -285,46 +296,48 @@
   return key_is_later ? key.st_mtim : certificate.st_mtim;
 }
 
-/* Take a renewed certificate into use for new connections.  Halfway through a
-   renewal the files do not match: the old one stays until they do.  */
+/* Load a changed certificate and use it for new connections.  While the files
+   are being replaced the certificate and the key do not match; the old
+   certificate stays in use until they do.  */
 static void
-tls_renew (httpd_t *server)
+reload_certificate (httpd_t *server)
 {
-  struct timespec change = tls_change (server);
+  struct timespec modified = latest_tls_modification (server);
 
-  if (change.tv_sec == server->tls_changed.tv_sec
-      && change.tv_nsec == server->tls_changed.tv_nsec)
+  if (modified.tv_sec == server->tls_modified.tv_sec
+      && modified.tv_nsec == server->tls_modified.tv_nsec)
     return;
-  SSL_CTX *fresh = tls_create (server->tls_certificate, server->tls_key);
-  if (fresh == NULL)
+  SSL_CTX *new_context
+      = create_tls_context (server->tls_certificate, server->tls_key);
+  if (new_context == NULL)
     return;
-  server->tls_changed = change;
+  server->tls_modified = modified;
   SSL_CTX_free (server->accept_ctx.ssl_ctx);
-  server->accept_ctx.ssl_ctx = fresh;
-  log_notice ("http", "A renewed certificate is in use. file=%s",
+  server->accept_ctx.ssl_ctx = new_context;
+  log_notice ("http", "New connections use the renewed certificate. file=%s",
               server->tls_certificate);
 }
 
-static void tell_late (httpd_t *server);
+static void reject_late_requests (httpd_t *server);
 
 static void
-on_departures (uv_timer_t *timer)
+on_check_timer (uv_timer_t *timer)
 {
   httpd_t *server = timer->data;
 
   if (server->tls_certificate != NULL
-      && ++server->ticks % TLS_CHECK_TICKS == 0)
-    tls_renew (server);
-  tell_late (server);
+      && ++server->check_count % TLS_CHECK_TICKS == 0)
+    reload_certificate (server);
+  reject_late_requests (server);
   LIST_EACH (at, &server->requests)
     {
       httpd_req_t *req = CONTAINER_OF (at, httpd_req_t, link);
-      if (req->stopped != NULL && peer_left (req))
-        cut (req);
+      if (req->on_disconnect != NULL && has_client_disconnected (req))
+        abort_response (req);
     }
 }
 
-static void release_if_over (httpd_t *server);
+static void release_if_closed (httpd_t *server);
 
 static void
 on_handle_closed (uv_handle_t *handle)
@@ -332,34 +345,37 @@
   httpd_t *server = handle->data;
 
   server->open_handles--;
-  release_if_over (server);
+  release_if_closed (server);
 }
 
 static void
-on_linger_closed (uv_handle_t *handle)
+on_free_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
 
-/* Destroying from a close callback puts h2o's handles on the next turn's
-   closing list, whose timers come before it; libuv walks that list from the
-   newest, so a free on that turn would pull away the handles behind it.  The
-   second time the list is done.  */
+/* Free the server on the second tick of the timer.  When the server is
+   released from a close callback, libuv puts h2o's handles on the closing list
+   of the next turn of the loop.  The timers of that turn run before the list
+   is processed, and the list is processed from the newest handle on, so that a
+   free on that turn would release handles that are still on the list.  On the
+   second tick the list has been processed.  */
 static void
-on_linger (uv_timer_t *timer)
+on_free_timer (uv_timer_t *timer)
 {
   httpd_t *server = timer->data;
 
-  if (++server->lingered == LINGER_TURNS)
-    uv_close ((uv_handle_t *)timer, on_linger_closed);
+  if (++server->free_timer_ticks == FREE_DELAY_TICKS)
+    uv_close ((uv_handle_t *)timer, on_free_timer_closed);
 }
 
-/* Release SERVER once its handles and connections are gone.  */
+/* Release SERVER if it is destroyed and its handles and connections are
+   closed.  */
 static void
-release_if_over (httpd_t *server)
+release_if_closed (httpd_t *server)
 {
   if (!server->destroyed || server->open_handles > 0
-      || server->connections > 0)
+      || server->connection_count > 0)
     return;
   if (server->accept_ctx.ssl_ctx != NULL)
     SSL_CTX_free (server->accept_ctx.ssl_ctx);
@@ -367,11 +383,12 @@
   free (server->tls_certificate);
   free (server->tls_key);
   h2o_config_dispose (&server->config);
-  /* h2o closes its timers without a callback, at the end of this turn at the
-     latest: the last free waits for a timer of a later turn.  */
-  uv_timer_init (server->loop, &server->linger);
-  server->linger.data = server;
-  uv_timer_start (&server->linger, on_linger, 1, 1);
+  /* h2o closes its timers without a callback, and libuv needs their memory
+     until the end of this turn of the loop at the latest, so a timer frees the
+     memory on a later turn.  */
+  uv_timer_init (server->loop, &server->free_timer);
+  server->free_timer.data = server;
+  uv_timer_start (&server->free_timer, on_free_timer, 1, 1);
 }
 
 static void
@@ -382,36 +399,38 @@
 
   list_remove (&conn->link);
   free (conn);
-  server->connections--;
-  if (server->destroyed && server->connections == 0)
+  server->connection_count--;
+  if (server->destroyed && server->connection_count == 0)
     {
-      /* h2o is still on the stack with this connection.  */
+      /* h2o called this function and still uses the connection: the server is
+         released on a later turn of the loop.  */
       server->open_handles++;
-      uv_timer_init (server->loop, &server->linger);
-      server->linger.data = server;
-      uv_close ((uv_handle_t *)&server->linger, on_handle_closed);
+      uv_timer_init (server->loop, &server->free_timer);
+      server->free_timer.data = server;
+      uv_close ((uv_handle_t *)&server->free_timer, on_handle_closed);
     }
 }
 
 static void
-free_stream (uv_handle_t *handle)
+free_tcp_handle (uv_handle_t *handle)
 {
   free (handle);
 }
 
-/* Tell the peer of CONN, whose first request never became whole, that it was
-   not run.  h2o closes such a connection without a word, and the caller could
-   not tell it from an answer that was lost.  */
+/* Send the client of CONN, whose first request was not received completely, an
+   error response stating that the request was not executed.  h2o closes such a
+   connection without a response, which the client could not distinguish from a
+   lost response.  */
 static void
-tell_half (connection_t *conn)
+reject_incomplete_request (connection_t *conn)
 {
   const code_info_t *info = code_info (VH_E_BAD_REQUEST);
   buf_t body = BUF_NULL;
   buf_t answer = BUF_NULL;
 
-  if (conn->told)
+  if (conn->error_sent)
     return;
-  conn->told = true;
+  conn->error_sent = true;
   code_write_error (VH_E_BAD_REQUEST, "not-run", &body);
   buf_append_char (&body, '\n');
   buf_printf (&answer,
@@ -427,9 +446,10 @@
   buf_free (&answer);
 }
 
-/* Tell whether INPUT's first line, if it is whole, is none of HTTP.  */
+/* Return whether INPUT starts with a complete line that is not an HTTP request
+   line.  */
 static bool
-is_garbage (str_t input)
+is_not_http (str_t input)
 {
   const char *end = memchr (input.ptr, '\n', input.len);
 
@@ -437,41 +457,43 @@
          && memmem (input.ptr, (size_t)(end - input.ptr), " HTTP/", 6) == NULL;
 }
 
-/* Stands before h2o's reader until the first request has come whole.
-   XXX: a later request on the same connection, or one over TLS, that never
-   becomes whole still ends without a word.  */
+/* Read callback of a connection until its first request is complete; calls
+   h2o's read callback.
+   XXX: the connection is still closed without a response when a later request
+   on the same connection, or a request over TLS, is not received
+   completely.  */
 static void
 on_first_read (h2o_socket_t *sock, const char *err)
 {
   connection_t *conn = sock->on_close.data;
-  h2o_socket_cb read = conn->read;
+  h2o_socket_cb h2o_read = conn->h2o_read;
 
-  /* To h2o garbage is reported as the connection's end: it would add an error
-     of its own.  */
+  /* Input that is not HTTP is reported to h2o as a closed connection: h2o
+     would send an error response of its own as well.  */
   if (err == NULL
-      && is_garbage (str_make (sock->input->bytes, sock->input->size)))
+      && is_not_http (str_make (sock->input->bytes, sock->input->size)))
     err = h2o_socket_error_closed;
   if (err != NULL && sock->input->size > 0)
-    tell_half (conn);
-  read (sock, err);
+    reject_incomplete_request (conn);
+  h2o_read (sock, err);
 }
 
-/* Tell the peers whose first request did not become whole in time, just
-   before h2o closes their connections.  */
+/* Send an error response on connections whose first request is not complete in
+   time, shortly before h2o closes these connections.  */
 static void
-tell_late (httpd_t *server)
+reject_late_requests (httpd_t *server)
 {
   uint64_t limit_ms
-      = server->config.http1.req_timeout - 2 * DEPARTURE_CHECK_MS;
+      = server->config.http1.req_timeout - 2 * DISCONNECT_CHECK_INTERVAL_MS;
   uint64_t now_ms = uv_now (server->loop);
 
-  LIST_EACH (at, &server->conns)
+  LIST_EACH (at, &server->connections)
     {
       connection_t *conn = CONTAINER_OF (at, connection_t, link);
-      if (conn->read != NULL && conn->sock->_cb.read == on_first_read
+      if (conn->h2o_read != NULL && conn->sock->_cb.read == on_first_read
           && conn->sock->input->size > 0
           && now_ms - conn->accepted_ms >= limit_ms)
-        tell_half (conn);
+        reject_incomplete_request (conn);
     }
 }
 
@@ -486,26 +508,26 @@
   uv_tcp_init (server->loop, stream);
   if (uv_accept (listener, (uv_stream_t *)stream) != 0
       || (server->connections_max > 0
-          && server->connections >= server->connections_max))
+          && server->connection_count >= server->connections_max))
     {
-      uv_close ((uv_handle_t *)stream, free_stream);
+      uv_close ((uv_handle_t *)stream, free_tcp_handle);
       return;
     }
   uv_tcp_nodelay (stream, 1);
   h2o_socket_t *sock
-      = h2o_uv_socket_create ((uv_stream_t *)stream, free_stream);
+      = h2o_uv_socket_create ((uv_stream_t *)stream, free_tcp_handle);
   connection_t *conn = mem_zalloc (sizeof *conn);
   conn->server = server;
   conn->sock = sock;
-  list_append (&server->conns, &conn->link);
+  list_append (&server->connections, &conn->link);
   sock->on_close.cb = on_connection_closed;
   sock->on_close.data = conn;
-  server->connections++;
+  server->connection_count++;
   conn->accepted_ms = uv_now (server->loop);
   h2o_accept (&server->accept_ctx, sock);
   if (server->accept_ctx.ssl_ctx == NULL)
     {
-      conn->read = sock->_cb.read;
+      conn->h2o_read = sock->_cb.read;
       sock->_cb.read = on_first_read;
     }
 }
@@ -515,7 +537,8 @@
 {
   h2o_config_init (&server->config);
   server->config.server_name = h2o_iovec_init (H2O_STRLIT ("vanillahook"));
-  server->config.max_request_entity_size = options->body_limit + ENTITY_SLACK;
+  server->config.max_request_entity_size
+      = options->body_limit + H2O_BODY_LIMIT_MARGIN_BYTES;
   server->config.http1.req_timeout = options->read_timeout_ms > 0
                                          ? options->read_timeout_ms
                                          : DEFAULT_READ_TIMEOUT_MS;
@@ -523,9 +546,10 @@
   h2o_hostconf_t *host = h2o_config_register_host (
       &server->config, h2o_iovec_init (H2O_STRLIT ("default")), 65535);
   h2o_pathconf_t *path = h2o_config_register_path (host, "/", 0);
-  glue_t *glue = (glue_t *)h2o_create_handler (path, sizeof *glue);
-  glue->super.on_req = on_request;
-  glue->server = server;
+  request_handler_t *handler
+      = (request_handler_t *)h2o_create_handler (path, sizeof *handler);
+  handler->super.on_req = on_request;
+  handler->server = server;
   h2o_context_init (&server->ctx, server->loop, &server->config);
   server->accept_ctx.ctx = &server->ctx;
   server->accept_ctx.hosts = server->config.hosts;
@@ -543,32 +567,33 @@
   server->arg = arg;
   server->body_limit = options->body_limit;
   server->connections_max = options->connections_max;
-  list_init (&server->conns);
+  list_init (&server->connections);
   list_init (&server->requests);
   configure (server, options);
   if (options->tls_certificate != NULL)
     {
       server->accept_ctx.ssl_ctx
-          = tls_create (options->tls_certificate, options->tls_key);
+          = create_tls_context (options->tls_certificate, options->tls_key);
       if (server->accept_ctx.ssl_ctx == NULL)
         {
-          log_err ("http", "The certificate or key cannot be used. file=%s",
+          log_err ("http",
+                   "Cannot load the TLS certificate or its key. file=%s",
                    options->tls_certificate);
           free (server);
           return VH_E_IO;
         }
       server->tls_certificate = str_dup (str_from (options->tls_certificate));
       server->tls_key = str_dup (str_from (options->tls_key));
-      server->tls_changed = tls_change (server);
+      server->tls_modified = latest_tls_modification (server);
     }
   uv_tcp_init (loop, &server->listener);
-  uv_timer_init (loop, &server->departures);
+  uv_timer_init (loop, &server->check_timer);
   server->listener.data = server;
-  server->departures.data = server;
+  server->check_timer.data = server;
   server->open_handles = 2;
-  uv_timer_start (&server->departures, on_departures, DEPARTURE_CHECK_MS,
-                  DEPARTURE_CHECK_MS);
-  uv_unref ((uv_handle_t *)&server->departures);
+  uv_timer_start (&server->check_timer, on_check_timer,
+                  DISCONNECT_CHECK_INTERVAL_MS, DISCONNECT_CHECK_INTERVAL_MS);
+  uv_unref ((uv_handle_t *)&server->check_timer);
   if (!addr_listen (&server->listener, address, LISTEN_BACKLOG, on_accept,
                     &server->port))
     {
@@ -583,9 +608,9 @@
 void
 httpd_drain (httpd_t *server)
 {
-  /* XXX: HTTP/2 connections get no GOAWAY: h2o's own shutdown call links a
-     timer that h2o_context_dispose then trips over.  They end with the
-     server.  */
+  /* XXX: HTTP/2 connections are sent no GOAWAY and stay open until the server
+     is destroyed.  h2o's own shutdown function registers a timer with which
+     h2o_context_dispose then fails.  */
   server->ctx.shutdown_requested = 1;
 }
 
@@ -608,12 +633,13 @@
   if (!uv_is_closing ((uv_handle_t *)&server->listener))
     uv_close ((uv_handle_t *)&server->listener, on_handle_closed);
   server->listening = false;
-  uv_close ((uv_handle_t *)&server->departures, on_handle_closed);
-  /* h2o keeps an idle connection until its peer or a timer ends it; the shut
-     socket makes h2o close it on the next turn.  */
+  uv_close ((uv_handle_t *)&server->check_timer, on_handle_closed);
+  /* h2o keeps an idle connection open until its client or a timeout closes it.
+     Shutting the socket down makes h2o close the connection on the next turn
+     of the loop.  */
   LIST_EACH (at, &server->requests)
-    cut (CONTAINER_OF (at, httpd_req_t, link));
-  LIST_EACH (at, &server->conns)
+    abort_response (CONTAINER_OF (at, httpd_req_t, link));
+  LIST_EACH (at, &server->connections)
     shutdown (h2o_socket_get_fd (CONTAINER_OF (at, connection_t, link)->sock),
               SHUT_RDWR);
 }
@@ -639,11 +665,11 @@
 size_t
 httpd_connections (const httpd_t *server)
 {
-  return server->connections;
+  return server->connection_count;
 }
 
 static str_t
-from_vec (h2o_iovec_t vec)
+vec_to_str (h2o_iovec_t vec)
 {
   return str_make (vec.base, vec.len);
 }
@@ -651,19 +677,19 @@
 str_t
 httpd_method (const httpd_req_t *req)
 {
-  return from_vec (req->h2o->input.method);
+  return vec_to_str (req->h2o->input.method);
 }
 
 str_t
 httpd_authority (const httpd_req_t *req)
 {
-  return from_vec (req->h2o->input.authority);
+  return vec_to_str (req->h2o->input.authority);
 }
 
 str_t
 httpd_path (const httpd_req_t *req)
 {
-  str_t path = from_vec (req->h2o->input.path);
+  str_t path = vec_to_str (req->h2o->input.path);
 
   if (req->h2o->input.query_at != SIZE_MAX)
     path.len = req->h2o->input.query_at;
@@ -703,8 +729,8 @@
   const h2o_headers_t *headers = &req->h2o->headers;
 
   for (size_t i = 0; i < headers->size; i++)
-    if (str_eq_nocase (from_vec (*headers->entries[i].name), name))
-      return from_vec (headers->entries[i].value);
+    if (str_eq_nocase (vec_to_str (*headers->entries[i].name), name))
+      return vec_to_str (headers->entries[i].value);
   return STR_NULL;
 }
 
@@ -713,15 +739,15 @@
 {
   if (index >= req->h2o->headers.size)
     return false;
-  header->name = from_vec (*req->h2o->headers.entries[index].name);
-  header->value = from_vec (req->h2o->headers.entries[index].value);
+  header->name = vec_to_str (*req->h2o->headers.entries[index].name);
+  header->value = vec_to_str (req->h2o->headers.entries[index].value);
   return true;
 }
 
 str_t
 httpd_body (const httpd_req_t *req)
 {
-  return from_vec (req->h2o->entity);
+  return vec_to_str (req->h2o->entity);
 }
 
 bool
@@ -751,11 +777,11 @@
   return strncmp (host, "127.", 4) == 0 || strcmp (host, "::1") == 0;
 }
 
-/* Put HEADERS into the answer.  h2o keeps pointers, so names and values are
-   copied into the request's pool.  */
+/* Set the status and headers of the response.  h2o stores pointers only, so
+   names and values are copied into the request's memory pool.  */
 static void
-set_head (httpd_req_t *req, int status, const httpc_header_t *headers,
-          size_t header_count)
+set_response_head (httpd_req_t *req, int status, const httpc_header_t *headers,
+                   size_t header_count)
 {
   h2o_req_t *h2o = req->h2o;
 
@@ -776,17 +802,17 @@
 httpd_start (httpd_req_t *req, int status, const httpc_header_t *headers,
              size_t header_count)
 {
-  set_head (req, status, headers, header_count);
+  set_response_head (req, status, headers, header_count);
   req->started = true;
   h2o_start_response (req->h2o, &req->generator);
 }
 
 void
-httpd_send (httpd_req_t *req, str_t bytes, bool last)
+httpd_send (httpd_req_t *req, str_t bytes, bool is_last)
 {
   buf_append_str (&req->pending, bytes);
-  req->last = req->last || last;
-  push (req);
+  req->is_last = req->is_last || is_last;
+  send_pending (req);
 }
 
 void
@@ -818,30 +844,32 @@
 {
   h2o_req_t *h2o = req->h2o;
 
-  req->stopped = NULL;
-  settle (req);
+  req->on_disconnect = NULL;
+  mark_finished (req);
   h2o->http1_is_persistent = 0;
   if (!req->started)
     {
-      /* With nothing sent yet h2o does not close on an error state; a whole
-         empty answer on a connection that ends with it does.  */
-      set_head (req, 502, NULL, 0);
+      /* Before the first byte of a response h2o does not close the connection
+         on an error state.  A complete empty response on a connection that is
+         not persistent closes it.  */
+      set_response_head (req, 502, NULL, 0);
       h2o->res.content_length = 0;
       req->started = true;
       h2o_start_response (h2o, &req->generator);
       h2o_send (h2o, NULL, 0, H2O_SEND_STATE_FINAL);
       return;
     }
-  /* Shut the socket first: h2o marks a broken chunked answer by bytes that
-     are no chunk, and a peer may take these for part of an answer.  What it
-     writes after the shutdown fails, and it ends the connection.  */
+  /* Shut the socket down first: h2o marks an aborted chunked response with
+     bytes that are not a valid chunk, and a client may take these for a part
+     of the response.  After the shutdown h2o's write fails, and h2o closes the
+     connection.  */
   h2o_conn_t *conn = h2o->conn;
   h2o_socket_t *sock = conn->callbacks->get_socket != NULL
                            ? conn->callbacks->get_socket (conn)
                            : NULL;
   if (sock != NULL)
     shutdown (h2o_socket_get_fd (sock), SHUT_RDWR);
-  if (req->sending)
+  if (req->is_writing)
     {
       req->aborted = true;
       return;
@@ -852,14 +880,14 @@
 size_t
 httpd_buffered (const httpd_req_t *req)
 {
-  return req->pending.len + (req->sending ? req->in_flight.len : 0);
+  return req->pending.len + (req->is_writing ? req->writing.len : 0);
 }
 
 void
-httpd_watch (httpd_req_t *req, void (*drained) (void *arg),
-             void (*stopped) (void *arg), void *arg)
+httpd_watch (httpd_req_t *req, void (*on_drained) (void *arg),
+             void (*on_disconnect) (void *arg), void *arg)
 {
-  req->drained = drained;
-  req->stopped = stopped;
+  req->on_drained = on_drained;
+  req->on_disconnect = on_disconnect;
   req->arg = arg;
 }
--- a/packages/wire/httpd.h
+++ b/packages/wire/httpd.h
@@ -1,6 +1,8 @@
-/* HTTP server on h2o over libuv: one handler for all paths, answers whole or
-   streamed with back-pressure, and notice of a caller that went away.
-   Serves callers, the operators' port and the tests' stand-ins.  */
+/* HTTP server based on h2o and libuv.  One handler receives the requests of
+   all paths and sends a complete response or streams one with back-pressure.
+   The server reports when a client disconnects before its response is
+   complete.  Used for callers, the operators' port and the servers that tests
+   use in place of real ones.  */
 
 #ifndef WIRE_HTTPD_H
 #define WIRE_HTTPD_H
@@ -14,82 +16,103 @@
 typedef struct httpd httpd_t;
 typedef struct httpd_req httpd_req_t;
 
-/* Called once a request and its body have been read whole.  The request
-   stays valid until its answer's last byte is handed over or STOP is called,
-   whichever is first.  */
+/* Called when a request and its body have been received completely.  REQ stays
+   valid until the last byte of its response is passed to httpd_send or
+   httpd_reply, or until the ON_DISCONNECT callback of httpd_watch is called,
+   whichever comes first.  */
 typedef void (*httpd_handler_t) (void *arg, httpd_req_t *req);
 
 typedef struct
 {
-  size_t body_limit;        /* Bytes; a larger body is answered with 413.  */
-  uint64_t read_timeout_ms; /* Longest time to send a request's head.  */
-  uint32_t connections_max; /* More are closed at once; 0: no bound.  */
-  const char *tls_certificate; /* PEM files; NULL: no TLS.  */
+  size_t body_limit; /* In bytes; a larger body gets a 413 response.  */
+  /* Longest time that a client may take to send a request's head, in ms;
+     0: 10 s.  */
+  uint64_t read_timeout_ms;
+  /* Largest number of open connections; further ones are closed on accept.
+     0: no limit.  */
+  uint32_t connections_max;
+  /* Paths of the PEM files; NULL: no TLS.  */
+  const char *tls_certificate;
   const char *tls_key;
 } httpd_options_t;
 
-/* Listen on ADDRESS (HOST:PORT, numeric; port 0 picks one).  Return VH_OK
-   and *OUT, or VH_E_IO.  */
+/* Listen on ADDRESS (HOST:PORT, numeric; port 0 selects a free port).  Return
+   VH_OK and the server in *OUT, or VH_E_IO when the address cannot be bound or
+   the certificate or key cannot be used.  */
 vh_code_t httpd_create (uv_loop_t *loop, str_t address,
                         const httpd_options_t *options,
                         httpd_handler_t handler, void *arg, httpd_t **out);
-/* From now on end each HTTP/1 connection with its current answer, so that
-   keep-alive callers move to another process.  */
+/* From now on close each HTTP/1 connection after its current response, so that
+   keep-alive clients reconnect to another process.  */
 void httpd_drain (httpd_t *server);
-/* Stop listening; connections go on until idle.  */
+/* Close the listening socket; open connections continue until they are
+   idle.  */
 void httpd_stop_listening (httpd_t *server);
-/* Close idle connections and release SERVER when the last one is gone.  */
+/* Abort the responses in progress, close all connections and release SERVER
+   once the last connection is closed.  */
 void httpd_destroy (httpd_t *server);
+/* Return the port on which SERVER listens.  */
 uint16_t httpd_port (const httpd_t *server);
-/* Requests handed to the handler and not yet answered whole.  */
+/* Return the number of requests passed to the handler whose response the
+   handler has not completed.  */
 size_t httpd_in_flight (const httpd_t *server);
-/* Requests whose answer has not left this process whole, or that are not
-   answered yet.  */
+/* Return the number of requests whose response is not completed, or has not
+   been written to the socket completely.  */
 size_t httpd_unwritten (const httpd_t *server);
+/* Return the number of open connections.  */
 size_t httpd_connections (const httpd_t *server);
 
 str_t httpd_method (const httpd_req_t *req);
-/* The Host header.  */
+/* Return the value of the Host header.  */
 str_t httpd_authority (const httpd_req_t *req);
-/* The path without the query.  */
+/* Return the path without the query.  */
 str_t httpd_path (const httpd_req_t *req);
-/* What follows '?', or STR_NULL.  */
+/* Return the part of the path after `?', or STR_NULL when there is none.  */
 str_t httpd_query (const httpd_req_t *req);
-/* Value of parameter NAME of the query, not decoded, or STR_NULL.  */
+/* Return the value of the query parameter NAME, not percent-decoded, or
+   STR_NULL when the query has no such parameter.  */
 str_t httpd_query_get (const httpd_req_t *req, str_t name);
-/* Value of header NAME (lower case), or STR_NULL.  */
+/* Return the value of the header NAME (lower case), or STR_NULL when the
+   request has no such header.  */
 str_t httpd_header (const httpd_req_t *req, str_t name);
-/* Header INDEX; false past the end.  */
+/* Set *HEADER to the header with the index INDEX.  Return false when INDEX is
+   past the last header.  */
 bool httpd_header_at (const httpd_req_t *req, size_t index,
                       httpc_header_t *header);
 str_t httpd_body (const httpd_req_t *req);
-/* Numeric address of the peer, in BUF; false when unknown.  */
+/* Write the numeric address of the client to BUF, which must have room for
+   NI_MAXHOST bytes.  Return false when the address is not known.  */
 bool httpd_peer (const httpd_req_t *req, char *buf, size_t size);
-/* Tell whether the peer's address is a loopback one.  */
+/* Return whether the client has a loopback address.  */
 bool httpd_peer_is_loopback (const httpd_req_t *req);
 
-/* Answer whole: STATUS, HEADERS and BODY, all copied.  */
+/* Send a complete response of STATUS, HEADERS and BODY, all of which are
+   copied.  */
 void httpd_reply (httpd_req_t *req, int status, const httpc_header_t *headers,
                   size_t header_count, str_t body);
-/* End the connection of REQ with its answer.  */
+/* Close the connection of REQ after its response.  */
 void httpd_close_after (httpd_req_t *req);
-/* Answer with BODY as application/json.  */
+/* Send a complete response with BODY as application/json.  */
 void httpd_reply_json (httpd_req_t *req, int status, str_t body);
 
-/* Streamed answer: start, then send until LAST.  What cannot be written yet
-   is buffered; the caller keeps the buffer small with the drained call.  */
+/* Start a streamed response.  The body follows with httpd_send.  */
 void httpd_start (httpd_req_t *req, int status, const httpc_header_t *headers,
                   size_t header_count);
+/* Send BYTES of a streamed response; LAST ends the response.  Bytes that the
+   socket does not accept yet are buffered without a limit: the caller bounds
+   the buffer by sending more from the ON_DRAINED callback of httpd_watch.  */
 void httpd_send (httpd_req_t *req, str_t bytes, bool last);
-/* End a started answer without its proper end, so that the peer sees it was
-   cut.  */
+/* Close the connection before the end of the response, so that the client
+   recognizes the response as incomplete.  */
 void httpd_abort (httpd_req_t *req);
-/* Bytes handed over and not yet taken by the socket.  */
+/* Return the number of bytes passed to httpd_send that the socket has not
+   accepted yet.  */
 size_t httpd_buffered (const httpd_req_t *req);
 
-/* DRAINED: the buffer ran empty.  STOPPED: the peer went away; REQ is gone
-   after it.  Either may be NULL.  */
-void httpd_watch (httpd_req_t *req, void (*drained) (void *arg),
-                  void (*stopped) (void *arg), void *arg);
+/* Set the callbacks of REQ.  ON_DRAINED is called when the send buffer becomes
+   empty.  ON_DISCONNECT is called when the client has disconnected; REQ must
+   not be used from then on.  Either may be NULL.  */
+void httpd_watch (httpd_req_t *req, void (*on_drained) (void *arg),
+                  void (*on_disconnect) (void *arg), void *arg);
 
 #endif
--- a/packages/wire/picohttp.h
+++ b/packages/wire/picohttp.h
@@ -1,6 +1,7 @@
-/* The HTTP/1 parser inside h2o's library.  Debian's package exports these
-   functions but does not ship their header, so the declarations stand here,
-   as of the version that scripts/install-deps names.  */
+/* Declarations of the HTTP/1 parser (picohttpparser) in h2o's library.
+   Debian's package exports these functions but does not contain their header,
+   so they are declared here as in the version that scripts/install-deps
+   installs.  */
 
 #ifndef WIRE_PICOHTTP_H
 #define WIRE_PICOHTTP_H
@@ -24,16 +25,17 @@
   char state_;
 };
 
-/* Return the length of the head, -2 when it is not whole, -1 when it is not
-   HTTP.  */
+/* Parse the head of an HTTP response at the start of BUF.  Return its length,
+   -2 when BUF holds only part of a head, or -1 when BUF is not valid HTTP.  */
 int phr_parse_response (const char *buf, size_t len, int *minor_version,
                         int *status, const char **msg, size_t *msg_len,
                         struct phr_header *headers, size_t *num_headers,
                         size_t last_len);
 
-/* Decode BUF in place; *LEN becomes the number of decoded bytes.  Return -2
-   when the body is not whole, -1 when it is not chunked data, else the bytes
-   left past its end.  */
+/* Decode chunked data in BUF in place and set *LEN to the number of decoded
+   bytes.  Return -2 when the last chunk has not been received, -1 when BUF is
+   not valid chunked data, otherwise the number of bytes after the last
+   chunk.  */
 ssize_t phr_decode_chunked (struct phr_chunked_decoder *decoder, char *buf,
                             size_t *len);
 
--- a/packages/wire/rpc.h
+++ b/packages/wire/rpc.h
@@ -1,14 +1,17 @@
 /* ONC RPC between vanillahook's processes, over TCP on a libuv loop.
 
-   Answers: a connection that goes silent for good while new ones work, and
-   replies that come late, twice or crossed.  Each call keeps its encoded
-   record until its reply; when a heartbeat has no answer within a bound, all
-   calls in flight move to a fresh connection and the old one is dropped.
-   Replies are matched by transaction id, and one that nothing waits for is
-   dropped.  Every procedure is therefore safe to send again.
-
-   A node is what the connections of one process share: loop, clock, keys and
-   the context that rides on every message.  */
+   Handles a connection that stops carrying data without an error while new
+   connections work, and replies that arrive late, twice or out of order.
+   Without this, calls on such a connection wait until they time out, and a
+   reply can be taken for that of another call.  Each call keeps its encoded
+   record until its reply arrives.  When a ping is not answered in time, all
+   calls in flight are sent again on a new connection and the old connection is
+   closed.  Replies are matched by transaction id, and a reply that matches no
+   call is discarded.  Every procedure must therefore be safe to receive
+   twice.
+
+   A node holds what all connections of one process share: the event loop, the
+   clock, the keys and the context that is part of every message.  */
 
 #ifndef WIRE_RPC_H
 #define WIRE_RPC_H
@@ -21,8 +24,8 @@
 
 #include <uv.h>
 
-/* X (procedure, argument type, result type, what may be larger than a link
-   passes within a timeout).  */
+/* X (procedure, argument type, result type, rpc_transfer_size_t: whether the
+   call or the reply may take longer to transfer than the call's timeout).  */
 #define RPC_PROCS(X)                                                          \
   X (WIRE_PING, wire_ping_args_t, wire_ping_res_t, RPC_SMALL)                 \
   X (WIRE_SUBMIT, wire_submit_args_t, wire_answer_t, RPC_SMALL)               \
@@ -47,12 +50,14 @@
 typedef struct rpc_node rpc_node_t;
 typedef struct rpc_server rpc_server_t;
 typedef struct rpc_peer rpc_peer_t;
-typedef struct rpc_call rpc_call_t;       /* Made by this process.  */
-typedef struct rpc_request rpc_request_t; /* Taken from a peer.  */
-
-/* OUTGOING fills the context of a message about to leave (name and mac are
-   the node's; text it points at must outlive the call).  INCOMING sees the
-   context of each valid message; PEER is NULL for a call from a peer.  */
+typedef struct rpc_call rpc_call_t;       /* Call sent by this process.  */
+typedef struct rpc_request rpc_request_t; /* Call received from a peer.  */
+
+/* OUTGOING fills in the context of a message that is about to be sent, except
+   name, epoch and mac, which the node sets.  Text that the context points to
+   must stay valid until the message is encoded.  INCOMING receives the context
+   of each valid message; PEER is the peer that sent a reply, or NULL for a
+   received call.  */
 typedef struct
 {
   void (*outgoing) (void *arg, wire_context_t *context);
@@ -60,7 +65,7 @@
                     const wire_context_t *context);
 } rpc_hooks_t;
 
-/* X (counter of a node, help).  */
+/* X (counter of a node, help text of its metric).  */
 #define RPC_STATS(X)                                                          \
   X (bytes_out, "Bytes sent to other processes")                              \
   X (bytes_in, "Bytes received from other processes")                         \
@@ -78,47 +83,52 @@
 #undef X
 } rpc_stats_t;
 
-/* KEYS are shared secrets: the first signs, all are accepted; with none,
-   messages are not signed.  NAME is copied.  */
+/* Return a node named NAME, which is copied.  KEYS are shared secrets: the
+   first one signs sent messages, and received messages may be signed with any
+   of them.  Without keys messages are not signed.  */
 rpc_node_t *rpc_node_create (uv_loop_t *loop, clock_iface_t *clock, rng_t rng,
                              str_t name, const str_t *keys, size_t key_count,
                              const rpc_hooks_t *hooks, void *arg);
-/* Release NODE after its servers and peers.  NULL is accepted.  */
+/* Release NODE.  Its servers and peers must have been destroyed.  NULL is
+   accepted.  */
 void rpc_node_destroy (rpc_node_t *node);
 const rpc_stats_t *rpc_node_stats (const rpc_node_t *node);
-/* Drawn when the node was made; never 0.  */
+/* Return a random number that identifies this start of the process; never
+   0.  */
 uint64_t rpc_node_epoch (const rpc_node_t *node);
-/* Idle connections are pinged this often; set from the number of peers so
-   that control traffic stays within its budget.  */
+/* Set the interval of the pings on idle connections, in ms (1000 by default).
+   Set from the number of peers, so that control traffic stays within its
+   budget.  */
 void rpc_node_set_idle_ping_ms (rpc_node_t *node, uint64_t idle_ms);
 
-/* HANDLER must see to one rpc_reply or rpc_drop for each request, at once or
-   later. ARGS live until it returns.  */
+/* Receives each request.  The handler must call rpc_reply or rpc_drop exactly
+   once for REQUEST, before it returns or later.  ARGS are valid until it
+   returns.  */
 typedef void (*rpc_handler_t) (void *arg, rpc_request_t *request,
                                uint32_t proc, void *args);
-/* Listen on ADDRESS (HOST:PORT, numeric; port 0 picks one).  Return VH_OK or
-   VH_E_IO.  */
+/* Listen on ADDRESS (HOST:PORT, numeric; port 0 selects a free port).  Return
+   VH_OK and the server in *OUT, or VH_E_IO when the address cannot be
+   bound.  */
 vh_code_t rpc_server_create (rpc_node_t *node, str_t address,
                              rpc_handler_t handler, void *arg,
                              rpc_server_t **out);
 uint16_t rpc_server_port (const rpc_server_t *server);
-/* Stop listening and drop the connections; requests in hand are answered to
-   nobody.  */
+/* Stop listening and close the connections.  Replies to requests that are
+   still being handled are discarded.  */
 void rpc_server_destroy (rpc_server_t *server);
-/* Answer REQUEST with RESULT (of the procedure's result type) and let go of
-   it.  Nothing is sent when its connection is gone.  */
+/* Reply to REQUEST with RESULT (of the procedure's result type) and release
+   REQUEST.  No reply is sent when the connection has been closed.  */
 void rpc_reply (rpc_request_t *request, void *result);
 
-/* Let go of REQUEST without an answer: it is none that is served here.  */
+/* Release REQUEST, which this process does not serve, without a reply.  */
 void rpc_drop (rpc_request_t *request);
 
-/* UP, DOWN (connecting failed or the connection ended), or SILENT (several
-   fresh connections in a row had no answer).  */
+/* State of a peer as its last connections show it.  */
 typedef enum
 {
-  RPC_DOWN,
+  RPC_DOWN, /* Not connected yet, connecting failed, or connection lost.  */
   RPC_UP,
-  RPC_SILENT
+  RPC_SILENT /* Several new connections in a row got no reply.  */
 } rpc_state_t;
 
 typedef struct
@@ -127,44 +137,50 @@
   void (*pong) (void *arg, const wire_ping_res_t *pong);
 } rpc_peer_events_t;
 
-/* Return a peer at ADDRESS, which connects when first called, or NULL when
-   ADDRESS is not valid.  */
+/* Return a peer at ADDRESS (HOST:PORT, numeric), or NULL when ADDRESS is not
+   valid.  The connection is opened by the first call.  */
 rpc_peer_t *rpc_peer_create (rpc_node_t *node, str_t address,
                              const rpc_peer_events_t *events, void *arg);
-/* Drop the connection; calls in flight end with VH_E_CANCELLED before this
-   returns.  NULL is accepted.  */
+/* Close the connection and release PEER.  Calls in flight end with
+   VH_E_CANCELLED before this function returns.  NULL is accepted.  */
 void rpc_peer_destroy (rpc_peer_t *peer);
 rpc_state_t rpc_peer_state (const rpc_peer_t *peer);
 void *rpc_peer_arg (const rpc_peer_t *peer);
-/* Epoch of the process last heard, 0 before.  */
+/* Return the epoch of the process that sent the last reply, or 0 before the
+   first reply.  */
 uint64_t rpc_peer_epoch (const rpc_peer_t *peer);
-/* Milliseconds (monotonic) when the peer was last heard, 0 before.  */
+/* Return the monotonic time of the last reply, in ms, or 0 before the first
+   reply.  */
 uint64_t rpc_peer_heard_ms (const rpc_peer_t *peer);
-/* Ping now, connecting at need.  */
+/* Send a ping now, and connect first if PEER is not connected.  */
 void rpc_peer_ping (rpc_peer_t *peer);
 
-/* VH_OK with RESULT (borrowed), VH_E_CONNECT when no byte of the call left
-   this process, VH_E_CLOSED or VH_E_TIMEOUT when the peer may have it,
-   VH_E_PROTOCOL when it was refused as malformed.  SENT counts the
-   connections that it was written to.  */
+/* Receives the outcome of a call.  CODE is VH_OK with RESULT, which is valid
+   until the callback returns; VH_E_CONNECT when no byte of the call left this
+   process; VH_E_CLOSED or VH_E_TIMEOUT when the peer may have received the
+   call; VH_E_CANCELLED when the peer was destroyed; VH_E_PROTOCOL when the
+   peer rejected the call as malformed.  SENT is the number of connections on
+   which the call was sent.  */
 typedef void (*rpc_cb_t) (void *arg, vh_code_t code, void *result,
                           unsigned sent);
-/* Call PROC with ARGS; CB comes on a later turn, exactly once unless the
-   call is cancelled.  A large call or reply is waited for beyond TIMEOUT_MS
-   while the connection carries it: whoever begins it anew may never have it
-   whole.  */
+/* Call PROC with ARGS.  CB is called exactly once, on a later turn of the
+   loop, unless the call is cancelled.  A large call or reply may take longer
+   than TIMEOUT_MS as long as the connection transfers data: a transfer that
+   is started again after each timeout may never complete.  */
 rpc_call_t *rpc_peer_call (rpc_peer_t *peer, uint32_t proc, void *args,
                            uint64_t timeout_ms, rpc_cb_t cb, void *arg);
-/* Tell whether CALL is one of those that may be large, and its connection
-   carries it or its reply now, or what stands before them.  */
+/* Return whether CALL is of a procedure whose calls or replies may be large
+   and its connection is transferring data in that direction.  */
 bool rpc_is_carried (const rpc_call_t *call);
-/* Call PROC and drop whatever comes of it.  */
+/* Call PROC and ignore the outcome.  */
 void rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args);
-/* Forget CALL: its reply, if any, is dropped.  NULL is accepted.  */
+/* Cancel CALL without calling its callback; a later reply is discarded.  NULL
+   is accepted.  */
 void rpc_cancel (rpc_call_t *call);
 
-/* Decode one record as a call or a reply and throw it away: the entry point
-   of the fuzz test.  Return VH_OK when it was well formed.  */
+/* Decode RECORD as a call or a reply and discard the result.  This is the
+   entry point of the fuzz test.  Return VH_OK when RECORD is well formed,
+   otherwise VH_E_PROTOCOL.  */
 vh_code_t rpc_decode_probe (rpc_node_t *node, str_t record);
 
 #endif
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -14,12 +14,12 @@
   RPC_CALL = 0,
   RPC_REPLY = 1,
   RPC_ACCEPTED = 0,
-  /* Authentication flavor of the context; from the range that the protocol
-     leaves to its users.  */
-  RPC_FLAVOR = 0x20564801,
+  /* Authentication flavor of the context, from the range that ONC RPC reserves
+     for its users.  */
+  RPC_CONTEXT_FLAVOR = 0x20564801,
   RPC_AUTH_MAX = 400,
-  SCRATCH_FIRST = 64 << 10,
-  OUTPUT_KEPT = 2 << 10,
+  SCRATCH_INITIAL_BYTES = 64 << 10,
+  OUTPUT_BUFFER_KEPT_BYTES = 2 << 10,
   DIGEST_LEN = 32
 };
 
@@ -38,13 +38,13 @@
   return &procs[proc];
 }
 
-/* A keyed MAC context, set up once and duplicated for each message.  */
+/* Keyed MAC context, initialized once and duplicated for each message.  */
 struct rpc_mac
 {
   EVP_MAC_CTX *ctx;
 };
 
-/* Set up MAC for KEY.  Return false when the library refuses.  */
+/* Initialize MAC with KEY.  Return false when OpenSSL reports an error.  */
 static bool
 mac_init (struct rpc_mac *mac, str_t key)
 {
@@ -64,7 +64,7 @@
                 == 1;
 }
 
-/* Compute the MAC of BYTES into OUT (WIRE_MAC_LEN bytes).  */
+/* Write the MAC of BYTES, truncated to WIRE_MAC_LEN bytes, to OUT.  */
 static void
 mac_compute (const struct rpc_mac *mac, const char *bytes, size_t len,
              char *out)
@@ -110,7 +110,7 @@
 {
   enum
   {
-    IDLE_PING_MS = 1000
+    DEFAULT_IDLE_PING_MS = 1000
   };
   rpc_node_t *node = mem_zalloc (sizeof *node);
 
@@ -122,24 +122,25 @@
   node->next_xid = (uint32_t)rng_u64 (&node->rng);
   node->hooks = *hooks;
   node->arg = arg;
-  node->idle_ping_ms = IDLE_PING_MS;
-  node->scratch_cap = SCRATCH_FIRST;
+  node->idle_ping_ms = DEFAULT_IDLE_PING_MS;
+  node->scratch_cap = SCRATCH_INITIAL_BYTES;
   node->scratch = mem_alloc (node->scratch_cap);
   node->macs = mem_zalloc ((key_count + 1) * sizeof *node->macs);
   for (size_t i = 0; i < key_count; i++)
     if (mac_init (&node->macs[node->mac_count], keys[i]))
       node->mac_count++;
   list_init (&node->peers);
-  list_init (&node->dirty);
+  list_init (&node->unflushed);
   uv_prepare_init (loop, &node->flusher);
-  uv_timer_init (loop, &node->sweep);
+  uv_timer_init (loop, &node->sweep_timer);
   node->flusher.data = node;
-  node->sweep.data = node;
+  node->sweep_timer.data = node;
   node->open_handles = 2;
   uv_prepare_start (&node->flusher, flush_streams);
-  uv_timer_start (&node->sweep, on_sweep, RPC_SWEEP_MS, RPC_SWEEP_MS);
+  uv_timer_start (&node->sweep_timer, on_sweep, RPC_SWEEP_INTERVAL_MS,
+                  RPC_SWEEP_INTERVAL_MS);
   uv_unref ((uv_handle_t *)&node->flusher);
-  uv_unref ((uv_handle_t *)&node->sweep);
+  uv_unref ((uv_handle_t *)&node->sweep_timer);
   return node;
 }
 
@@ -148,15 +149,15 @@
 {
   if (node == NULL)
     return;
-  rpc_peers_purge (node);
+  rpc_peers_free_destroyed (node);
   uv_close ((uv_handle_t *)&node->flusher, on_handle_closed);
-  uv_close ((uv_handle_t *)&node->sweep, on_handle_closed);
+  uv_close ((uv_handle_t *)&node->sweep_timer, on_handle_closed);
 }
 
 void
-rpc_node_sweep_soon (rpc_node_t *node)
+rpc_node_schedule_sweep (rpc_node_t *node)
 {
-  uv_timer_start (&node->sweep, on_sweep, 0, RPC_SWEEP_MS);
+  uv_timer_start (&node->sweep_timer, on_sweep, 0, RPC_SWEEP_INTERVAL_MS);
 }
 
 const rpc_stats_t *
@@ -177,13 +178,13 @@
   node->idle_ping_ms = idle_ms;
 }
 
-/* Put the sender's context as an opaque_auth; set *MAC_AT to the place of
-   its mac.  Return false when there is no room.  */
+/* Encode the context of NODE as an opaque_auth and set *MAC_OFFSET to the
+   offset of its MAC.  Return false when the buffer of XDR is too small.  */
 static bool
-put_context (rpc_node_t *node, XDR *xdr, u_int *mac_at)
+encode_context (rpc_node_t *node, XDR *xdr, u_int *mac_offset)
 {
   wire_context_t context;
-  u_int flavor = RPC_FLAVOR;
+  u_int flavor = RPC_CONTEXT_FLAVOR;
   u_int len = 0;
 
   memset (&context, 0, sizeof context);
@@ -192,17 +193,17 @@
   context.epoch = node->epoch;
   if (!xdr_u_int (xdr, &flavor))
     return false;
-  u_int len_at = xdr_getpos (xdr);
+  u_int len_offset = xdr_getpos (xdr);
   if (!xdr_u_int (xdr, &len))
     return false;
-  u_int begin = xdr_getpos (xdr);
+  u_int context_begin = xdr_getpos (xdr);
   if (!xdr_wire_context_t (xdr, &context))
     return false;
-  u_int end = xdr_getpos (xdr);
-  len = end - begin;
-  *mac_at = end - WIRE_MAC_LEN;
-  return xdr_setpos (xdr, len_at) && xdr_u_int (xdr, &len)
-         && xdr_setpos (xdr, end);
+  u_int context_end = xdr_getpos (xdr);
+  len = context_end - context_begin;
+  *mac_offset = context_end - WIRE_MAC_LEN;
+  return xdr_setpos (xdr, len_offset) && xdr_u_int (xdr, &len)
+         && xdr_setpos (xdr, context_end);
 }
 
 typedef struct
@@ -212,12 +213,13 @@
   uint32_t proc;
   xdrproc_t body;
   void *value;
-} outgoing_t;
+} message_t;
 
-/* Encode MESSAGE at the start of XDR.  Return false when there is no room.  */
+/* Encode MESSAGE at the start of XDR and set *MAC_OFFSET to the offset of its
+   MAC.  Return false when the buffer of XDR is too small.  */
 static bool
-put_message (rpc_node_t *node, XDR *xdr, const outgoing_t *message,
-             u_int *mac_at)
+encode_message (rpc_node_t *node, XDR *xdr, const message_t *message,
+                u_int *mac_offset)
 {
   u_int call_head[]
       = { message->xid,        RPC_CALL,       RPC_VERSION_NUMBER,
@@ -232,7 +234,7 @@
   for (size_t i = 0; i < count; i++)
     if (!xdr_u_int (xdr, &head[i]))
       return false;
-  if (!put_context (node, xdr, mac_at))
+  if (!encode_context (node, xdr, mac_offset))
     return false;
   if (is_call && !(xdr_u_int (xdr, &none[0]) && xdr_u_int (xdr, &none[1])))
     return false;
@@ -241,26 +243,28 @@
   return message->body (xdr, message->value);
 }
 
-/* Encode MESSAGE with its mark into the scratch, growing it at need.  */
+/* Encode MESSAGE with its record mark into the scratch buffer of NODE, which
+   grows as needed.  Return as rpc_encode_call does.  */
 static size_t
-encode (rpc_node_t *node, const outgoing_t *message)
+encode_record (rpc_node_t *node, const message_t *message)
 {
   for (;;)
     {
       XDR xdr;
-      u_int mac_at = 0;
-      char *bytes = node->scratch + RPC_MARK_LEN;
+      u_int mac_offset = 0;
+      char *bytes = node->scratch + RPC_RECORD_MARK_LEN;
 
-      xdrmem_create (&xdr, bytes, (u_int)(node->scratch_cap - RPC_MARK_LEN),
+      xdrmem_create (&xdr, bytes,
+                     (u_int)(node->scratch_cap - RPC_RECORD_MARK_LEN),
                      XDR_ENCODE);
-      if (put_message (node, &xdr, message, &mac_at))
+      if (encode_message (node, &xdr, message, &mac_offset))
         {
           size_t len = xdr_getpos (&xdr);
           uint32_t mark = htonl ((uint32_t)len | 0x80000000u);
           memcpy (node->scratch, &mark, sizeof mark);
           if (node->mac_count > 0)
-            mac_compute (&node->macs[0], bytes, len, bytes + mac_at);
-          return len + RPC_MARK_LEN;
+            mac_compute (&node->macs[0], bytes, len, bytes + mac_offset);
+          return len + RPC_RECORD_MARK_LEN;
         }
       if (node->scratch_cap >= RPC_RECORD_MAX)
         return 0;
@@ -272,32 +276,33 @@
 size_t
 rpc_encode_call (rpc_node_t *node, uint32_t xid, uint32_t proc, void *args)
 {
-  const outgoing_t message
+  const message_t message
       = { xid, RPC_CALL, proc, rpc_proc_info (proc)->args, args };
 
-  return encode (node, &message);
+  return encode_record (node, &message);
 }
 
 size_t
 rpc_encode_reply (rpc_node_t *node, uint32_t xid, uint32_t proc, void *result)
 {
-  const outgoing_t message
+  const message_t message
       = { xid, RPC_REPLY, proc, rpc_proc_info (proc)->result, result };
 
-  return encode (node, &message);
+  return encode_record (node, &message);
 }
 
-/* Tell whether the mac at MAC_AT of RECORD was made with a known key.  */
+/* Return whether the MAC at MAC_OFFSET of RECORD was computed with a known
+   key, or NODE has no keys.  The MAC in RECORD is overwritten with zeros.  */
 static bool
-verify (rpc_node_t *node, char *record, size_t len, size_t mac_at)
+verify_mac (rpc_node_t *node, char *record, size_t len, size_t mac_offset)
 {
   char claimed[WIRE_MAC_LEN];
   char computed[WIRE_MAC_LEN];
 
   if (node->mac_count == 0)
     return true;
-  memcpy (claimed, record + mac_at, sizeof claimed);
-  memset (record + mac_at, 0, sizeof claimed);
+  memcpy (claimed, record + mac_offset, sizeof claimed);
+  memset (record + mac_offset, 0, sizeof claimed);
   for (size_t i = 0; i < node->mac_count; i++)
     {
       mac_compute (&node->macs[i], record, len, computed);
@@ -307,25 +312,26 @@
   return false;
 }
 
-/* Take the context at XDR.  Return false when it is malformed.  */
+/* Decode the context at XDR.  Return false when the context is malformed.  */
 static bool
-get_context (XDR *xdr, wire_context_t *context, size_t *mac_at)
+decode_context (XDR *xdr, wire_context_t *context, size_t *mac_offset)
 {
   u_int flavor, len;
 
   if (!xdr_u_int (xdr, &flavor) || !xdr_u_int (xdr, &len)
-      || flavor != RPC_FLAVOR || len > RPC_AUTH_MAX)
+      || flavor != RPC_CONTEXT_FLAVOR || len > RPC_AUTH_MAX)
     return false;
-  u_int begin = xdr_getpos (xdr);
-  if (!xdr_wire_context_t (xdr, context) || xdr_getpos (xdr) - begin != len)
+  u_int context_begin = xdr_getpos (xdr);
+  if (!xdr_wire_context_t (xdr, context)
+      || xdr_getpos (xdr) - context_begin != len)
     return false;
-  *mac_at = xdr_getpos (xdr) - WIRE_MAC_LEN;
+  *mac_offset = xdr_getpos (xdr) - WIRE_MAC_LEN;
   return true;
 }
 
-/* Take the head of a call after its type.  */
+/* Decode the part of a call's head after the message type.  */
 static bool
-get_call_head (XDR *xdr, rpc_head_t *head, size_t *mac_at)
+decode_call_head (XDR *xdr, rpc_head_t *head, size_t *mac_offset)
 {
   u_int version, program, program_version, proc, flavor, len;
 
@@ -335,18 +341,19 @@
       || program_version != VANILLAHOOK_V1)
     return false;
   head->proc = proc;
-  return get_context (xdr, &head->context, mac_at) && xdr_u_int (xdr, &flavor)
-         && xdr_u_int (xdr, &len) && flavor == AUTH_NONE && len == 0;
+  return decode_context (xdr, &head->context, mac_offset)
+         && xdr_u_int (xdr, &flavor) && xdr_u_int (xdr, &len)
+         && flavor == AUTH_NONE && len == 0;
 }
 
-/* Take the head of a reply after its type.  */
+/* Decode the part of a reply's head after the message type.  */
 static bool
-get_reply_head (XDR *xdr, rpc_head_t *head, size_t *mac_at)
+decode_reply_head (XDR *xdr, rpc_head_t *head, size_t *mac_offset)
 {
   u_int reply_stat, accept_stat;
 
   if (!xdr_u_int (xdr, &reply_stat) || reply_stat != RPC_ACCEPTED
-      || !get_context (xdr, &head->context, mac_at)
+      || !decode_context (xdr, &head->context, mac_offset)
       || !xdr_u_int (xdr, &accept_stat))
     return false;
   head->accept_stat = accept_stat;
@@ -357,7 +364,7 @@
 rpc_decode_head (rpc_node_t *node, char *record, size_t len, rpc_head_t *head)
 {
   u_int xid, type;
-  size_t mac_at = 0;
+  size_t mac_offset = 0;
 
   memset (head, 0, sizeof *head);
   xdrmem_create (&head->xdr, record, (u_int)len, XDR_DECODE);
@@ -366,9 +373,9 @@
     goto malformed;
   head->xid = xid;
   head->is_reply = type == RPC_REPLY;
-  if (!(head->is_reply ? get_reply_head (&head->xdr, head, &mac_at)
-                       : get_call_head (&head->xdr, head, &mac_at))
-      || !verify (node, record, len, mac_at))
+  if (!(head->is_reply ? decode_reply_head (&head->xdr, head, &mac_offset)
+                       : decode_call_head (&head->xdr, head, &mac_offset))
+      || !verify_mac (node, record, len, mac_offset))
     goto malformed;
   return true;
 
@@ -411,7 +418,7 @@
   return code;
 }
 
-/* Streams.  */
+/* Connections that carry records.  */
 
 static void
 on_stream_closed (uv_handle_t *handle)
@@ -420,7 +427,7 @@
 
   buf_free (&stream->in);
   buf_free (&stream->out);
-  stream->release (stream);
+  stream->on_release (stream);
 }
 
 void
@@ -429,7 +436,7 @@
   if (stream->closing)
     return;
   stream->closing = true;
-  list_remove (&stream->dirty);
+  list_remove (&stream->unflushed);
   uv_close ((uv_handle_t *)&stream->tcp, on_stream_closed);
 }
 
@@ -439,14 +446,14 @@
   if (stream->closing)
     return;
   rpc_stream_close (stream);
-  stream->ended (stream);
+  stream->on_ended (stream);
 }
 
 void
 rpc_stream_init (rpc_stream_t *stream, rpc_node_t *node)
 {
   stream->node = node;
-  list_init (&stream->dirty);
+  list_init (&stream->unflushed);
   uv_tcp_init (node->loop, &stream->tcp);
   stream->tcp.data = stream;
 }
@@ -457,67 +464,69 @@
   rpc_stream_t *stream = handle->data;
 
   (void)suggested;
-  buf_reserve (&stream->in, RPC_READ_CHUNK);
+  buf_reserve (&stream->in, RPC_READ_CHUNK_BYTES);
   out->base = stream->in.ptr + stream->in.len;
   out->len = stream->in.cap - stream->in.len;
 }
 
-/* Cut whole records off the input.  Return false when the stream must end.  */
+/* Process the complete records of the input.  Return false when the stream
+   must be closed.  */
 static bool
-cut_records (rpc_stream_t *stream)
+process_records (rpc_stream_t *stream)
 {
-  while (stream->in.len - stream->in_at >= RPC_MARK_LEN)
+  while (stream->in.len - stream->in_processed >= RPC_RECORD_MARK_LEN)
     {
       uint32_t mark;
-      char *at = stream->in.ptr + stream->in_at;
+      char *record_start = stream->in.ptr + stream->in_processed;
 
-      memcpy (&mark, at, sizeof mark);
+      memcpy (&mark, record_start, sizeof mark);
       mark = ntohl (mark);
       size_t len = mark & 0x7fffffffu;
-      /* Our encoder never splits a record; a peer that does is not ours.  The
-         length is checked before room is made for it.  */
+      /* Our encoder never splits a record into fragments, so a sender that
+         does is not one of our processes.  The length is checked before memory
+         is allocated for the record.  */
       if ((mark & 0x80000000u) == 0 || len > RPC_RECORD_MAX)
         {
           stream->node->stats.refused++;
           return false;
         }
-      if (stream->in.len - stream->in_at < RPC_MARK_LEN + len)
+      if (stream->in.len - stream->in_processed < RPC_RECORD_MARK_LEN + len)
         {
-          buf_reserve (&stream->in, RPC_MARK_LEN + len);
+          buf_reserve (&stream->in, RPC_RECORD_MARK_LEN + len);
           break;
         }
-      stream->in_at += RPC_MARK_LEN + len;
-      if (!stream->record (stream, at + RPC_MARK_LEN, len))
+      stream->in_processed += RPC_RECORD_MARK_LEN + len;
+      if (!stream->on_record (stream, record_start + RPC_RECORD_MARK_LEN, len))
         return false;
       if (stream->closing)
         return true;
     }
-  buf_consume (&stream->in, stream->in_at);
-  stream->in_at = 0;
-  /* An entry keeps thousands of connections that are mostly idle: a read
-     buffer each would be most of its memory.  */
+  buf_consume (&stream->in, stream->in_processed);
+  stream->in_processed = 0;
+  /* An entry has thousands of connections, most of them idle; read buffers
+     kept for all of them would be most of its memory.  */
   if (stream->in.len == 0)
     buf_free (&stream->in);
   return true;
 }
 
 static void
-on_read (uv_stream_t *tcp, ssize_t got, const uv_buf_t *buf)
+on_read (uv_stream_t *tcp, ssize_t read_len, const uv_buf_t *buf)
 {
   rpc_stream_t *stream = tcp->data;
 
   (void)buf;
-  if (got == 0)
+  if (read_len == 0)
     return;
-  if (got < 0)
+  if (read_len < 0)
     {
       end_stream (stream);
       return;
     }
-  stream->in.len += (size_t)got;
-  stream->node->stats.bytes_in += (uint64_t)got;
+  stream->in.len += (size_t)read_len;
+  stream->node->stats.bytes_in += (uint64_t)read_len;
   stream->received_ms = clock_ms (stream->node->clock);
-  if (!cut_records (stream))
+  if (!process_records (stream))
     end_stream (stream);
 }
 
@@ -535,25 +544,26 @@
   if (stream->closing)
     return;
   buf_append (&stream->out, record, len);
-  stream->queued += len;
+  stream->queued_total += len;
   stream->node->stats.bytes_out += len;
-  if (list_empty (&stream->dirty))
-    list_append (&stream->node->dirty, &stream->dirty);
+  if (list_empty (&stream->unflushed))
+    list_append (&stream->node->unflushed, &stream->unflushed);
 }
 
 size_t
 rpc_stream_unsent (const rpc_stream_t *stream)
 {
   uv_os_fd_t fd;
-  int in_kernel = 0;
+  int unacknowledged = 0;
 
-  /* Without the kernel's word a transfer may pass for over.  */
+  /* When the kernel does not report its unacknowledged bytes, a transfer may
+     be considered complete too early.  */
   if (uv_fileno ((const uv_handle_t *)&stream->tcp, &fd) != 0
-      || ioctl (fd, SIOCOUTQ, &in_kernel) != 0 || in_kernel < 0)
-    in_kernel = 0;
+      || ioctl (fd, SIOCOUTQ, &unacknowledged) != 0 || unacknowledged < 0)
+    unacknowledged = 0;
   return stream->out.len
          + uv_stream_get_write_queue_size ((const uv_stream_t *)&stream->tcp)
-         + (size_t)in_kernel;
+         + (size_t)unacknowledged;
 }
 
 typedef struct
@@ -561,12 +571,12 @@
   uv_write_t req;
   rpc_stream_t *stream;
   char bytes[];
-} write_t;
+} pending_write_t;
 
 static void
 on_written (uv_write_t *req, int status)
 {
-  write_t *write = CONTAINER_OF (req, write_t, req);
+  pending_write_t *write = CONTAINER_OF (req, pending_write_t, req);
   rpc_stream_t *stream = write->stream;
 
   free (write);
@@ -574,18 +584,19 @@
     end_stream (stream);
 }
 
-/* Write what is queued: at once as far as the socket takes it, the rest
-   through libuv, which takes nothing at once while an earlier rest waits.  */
+/* Write the queued bytes of STREAM: directly as far as the socket accepts
+   them, and the rest through libuv.  libuv accepts nothing directly while an
+   earlier rest is waiting, so the order is kept.  */
 static void
 flush_stream (rpc_stream_t *stream)
 {
   uv_buf_t all = uv_buf_init (stream->out.ptr, (unsigned)stream->out.len);
-  int wrote = uv_try_write ((uv_stream_t *)&stream->tcp, &all, 1);
-  size_t done = wrote > 0 ? (size_t)wrote : 0;
+  int written = uv_try_write ((uv_stream_t *)&stream->tcp, &all, 1);
+  size_t done = written > 0 ? (size_t)written : 0;
   size_t left = stream->out.len - done;
   if (left > 0)
     {
-      write_t *write = mem_alloc (sizeof *write + left);
+      pending_write_t *write = mem_alloc (sizeof *write + left);
       write->stream = stream;
       memcpy (write->bytes, stream->out.ptr + done, left);
       uv_buf_t buf = uv_buf_init (write->bytes, (unsigned)left);
@@ -602,11 +613,12 @@
   stream->out.len = 0;
 }
 
-/* As for the read buffers; small ones stay, for the next message.  */
+/* Free a large output buffer, as read buffers are freed, to save the memory of
+   idle connections.  A small one is kept for the next message.  */
 static void
-shrink_output (rpc_stream_t *stream)
+free_large_output (rpc_stream_t *stream)
 {
-  if (stream->out.cap > OUTPUT_KEPT)
+  if (stream->out.cap > OUTPUT_BUFFER_KEPT_BYTES)
     buf_free (&stream->out);
 }
 
@@ -615,12 +627,12 @@
 {
   rpc_node_t *node = flusher->data;
 
-  while (!list_empty (&node->dirty))
+  while (!list_empty (&node->unflushed))
     {
       rpc_stream_t *stream
-          = CONTAINER_OF (node->dirty.next, rpc_stream_t, dirty);
-      list_remove (&stream->dirty);
+          = CONTAINER_OF (node->unflushed.next, rpc_stream_t, unflushed);
+      list_remove (&stream->unflushed);
       flush_stream (stream);
-      shrink_output (stream);
+      free_large_output (stream);
     }
 }
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -7,58 +7,64 @@
 
 enum
 {
-  /* A connection with calls in flight is pinged when nothing came for this
-     long, and left when the ping had no answer for as long again twice over:
-     1.25 s in all, under the 2 s that a caller may wait for a move.  A loop
-     stalled for less than SILENCE_MS loses nothing by a needless move.  */
-  BUSY_PING_MS = 400,
-  SILENCE_MS = 800,
+  /* A connection with calls in flight is pinged when nothing was received for
+     BUSY_CONNECTION_PING_AFTER_MS, and replaced when the ping was not answered
+     for another SILENCE_TIMEOUT_MS, twice as long.  With the sweep interval
+     this takes 1.25 s, less than the 2 s within which a call must be sent on a
+     new connection.  Stalls of the loop shorter than SILENCE_TIMEOUT_MS do not
+     cause a needless replacement.  */
+  BUSY_CONNECTION_PING_AFTER_MS = 400,
+  SILENCE_TIMEOUT_MS = 800,
   CONNECT_TIMEOUT_MS = 800,
-  /* Fresh connections in a row without any answer before the peer itself is
-     taken for silent (paused, or cut off) and its calls are given back.  */
-  SILENT_MOVES_MAX = 2,
-  BACKOFF_FIRST_MS = 100,
+  /* Number of successive connections without a reply after which the peer is
+     considered unresponsive (paused or unreachable) and its calls fail.  */
+  SILENT_CONNECTIONS_MAX = 2,
+  BACKOFF_INITIAL_MS = 100,
   BACKOFF_MAX_MS = 3000,
-  CALL_TABLE_FIRST = 16
+  CALL_TABLE_INITIAL_SIZE = 16
 };
 
-typedef struct link link_t;
+typedef struct peer_connection peer_connection_t;
 
 struct rpc_peer
 {
   rpc_node_t *node;
-  list_t in_node;
+  list_t node_link;
   char *address;
   struct sockaddr_storage addr;
-  link_t *current; /* Connecting or up; NULL: none.  */
+  peer_connection_t *connection; /* Connecting or connected; NULL: none.  */
   rpc_state_t state;
   const rpc_peer_events_t *events;
   void *arg;
-  list_t calls;       /* In flight, oldest first.  */
-  rpc_call_t **table; /* By transaction id.  */
-  size_t table_size;  /* A power of two.  */
+  list_t calls;       /* Calls in flight, oldest first.  */
+  rpc_call_t **table; /* Hash table of CALLS by transaction id.  */
+  size_t table_size;  /* Number of buckets, a power of two.  */
   size_t call_count;
-  uint64_t epoch;
-  uint64_t heard_ms;
-  uint64_t ping_sent_ms; /* 0: none without answer.  */
+  uint64_t epoch;         /* Epoch in the last reply; 0: no reply yet.  */
+  uint64_t last_reply_ms; /* Time of the last reply, in ms; 0: none yet.  */
+  /* Time when the oldest unanswered ping was sent, in ms; 0: no such ping.  */
+  uint64_t ping_sent_ms;
   uint32_t ping_sequence;
-  unsigned silent_moves;
+  /* Successive connections without a reply.  */
+  unsigned silent_connections;
   uint64_t backoff_ms;
-  uint64_t retry_at_ms;
+  uint64_t retry_at_ms; /* Earliest time of the next connection attempt.  */
   bool destroyed;
 };
 
 /* One connection to a peer.  */
-struct link
+struct peer_connection
 {
-  rpc_stream_t stream; /* First.  */
-  rpc_peer_t *peer;    /* NULL once left.  */
+  rpc_stream_t stream; /* Must be first.  */
+  rpc_peer_t *peer;    /* NULL once the peer has abandoned the connection.  */
   uv_connect_t connect;
   uint64_t started_ms;
-  bool up;
-  size_t taken;      /* Of the bytes queued, by the other side's kernel.  */
-  uint64_t taken_ms; /* When that was last seen to grow.  */
-  bool ping_behind;  /* The ping was sent behind bytes not taken then.  */
+  bool is_connected;
+  /* Number of queued bytes that the remote kernel has acknowledged.  */
+  size_t acknowledged;
+  uint64_t acknowledged_ms; /* Time when ACKNOWLEDGED last grew, in ms.  */
+  /* Unacknowledged bytes were queued before the last ping.  */
+  bool is_ping_delayed;
 };
 
 struct rpc_call
@@ -71,13 +77,13 @@
   char *record;
   size_t len;
   uint64_t deadline_ms;
-  unsigned sent;
-  bool failed_at_once; /* Report VH_E_CONNECT on the next sweep.  */
+  unsigned send_count; /* Number of connections on which the call was sent.  */
+  bool fails_on_sweep; /* The next sweep reports VH_E_CONNECT.  */
   rpc_cb_t cb;
   void *arg;
 };
 
-/* Call table.  */
+/* Hash table of calls.  */
 
 static rpc_call_t **
 table_slot (rpc_peer_t *peer, uint32_t xid)
@@ -92,7 +98,8 @@
 static void
 table_grow (rpc_peer_t *peer)
 {
-  size_t size = peer->table_size > 0 ? 2 * peer->table_size : CALL_TABLE_FIRST;
+  size_t size
+      = peer->table_size > 0 ? 2 * peer->table_size : CALL_TABLE_INITIAL_SIZE;
 
   free (peer->table);
   peer->table = mem_zalloc (size * sizeof *peer->table);
@@ -123,10 +130,10 @@
 {
   rpc_cb_t cb = call->cb;
   void *arg = call->arg;
-  unsigned sent = call->sent;
+  unsigned send_count = call->send_count;
 
   release_call (call);
-  cb (arg, code, result, sent);
+  cb (arg, code, result, send_count);
 }
 
 void
@@ -136,8 +143,8 @@
     release_call (call);
 }
 
-/* Take the calls out of PEER and end each: the callbacks may make new ones
-   meanwhile.  */
+/* End the calls of PEER that are in flight now.  Calls that the callbacks
+   start meanwhile are not ended.  */
 static void
 fail_calls (rpc_peer_t *peer)
 {
@@ -146,7 +153,8 @@
   while (count-- > 0 && !list_empty (&peer->calls))
     {
       rpc_call_t *call = CONTAINER_OF (peer->calls.next, rpc_call_t, link);
-      finish_call (call, call->sent > 0 ? VH_E_CLOSED : VH_E_CONNECT, NULL);
+      finish_call (call, call->send_count > 0 ? VH_E_CLOSED : VH_E_CONNECT,
+                   NULL);
     }
 }
 
@@ -162,14 +170,14 @@
 
 /* Connections.  */
 
-static void start_link (rpc_peer_t *peer);
+static void start_connection (rpc_peer_t *peer);
 
 static void
-leave_link (rpc_peer_t *peer)
+abandon_connection (rpc_peer_t *peer)
 {
-  link_t *old = peer->current;
+  peer_connection_t *old = peer->connection;
 
-  peer->current = NULL;
+  peer->connection = NULL;
   peer->ping_sent_ms = 0;
   if (old == NULL)
     return;
@@ -178,13 +186,13 @@
 }
 
 static void
-connect_failed (rpc_peer_t *peer)
+handle_connect_failure (rpc_peer_t *peer)
 {
   rpc_node_t *node = peer->node;
 
-  leave_link (peer);
+  abandon_connection (peer);
   peer->backoff_ms
-      = peer->backoff_ms == 0 ? BACKOFF_FIRST_MS : peer->backoff_ms * 2;
+      = peer->backoff_ms == 0 ? BACKOFF_INITIAL_MS : peer->backoff_ms * 2;
   if (peer->backoff_ms > BACKOFF_MAX_MS)
     peer->backoff_ms = BACKOFF_MAX_MS;
   peer->retry_at_ms
@@ -193,22 +201,23 @@
   fail_calls (peer);
 }
 
-/* The connection ended or went silent: go on with a fresh one, or give up on
-   a peer that answers on none.  */
+/* Replace a connection that was closed or (WAS_SILENT) stopped responding, and
+   send its calls on the new connection.  After SILENT_CONNECTIONS_MAX
+   successive connections without a reply, end the calls instead.  */
 static void
-move_calls (rpc_peer_t *peer, bool was_silent)
+replace_connection (rpc_peer_t *peer, bool was_silent)
 {
-  leave_link (peer);
-  if (was_silent && ++peer->silent_moves >= SILENT_MOVES_MAX)
+  abandon_connection (peer);
+  if (was_silent && ++peer->silent_connections >= SILENT_CONNECTIONS_MAX)
     {
-      peer->silent_moves = 0;
-      peer->retry_at_ms = clock_ms (peer->node->clock) + BACKOFF_FIRST_MS;
+      peer->silent_connections = 0;
+      peer->retry_at_ms = clock_ms (peer->node->clock) + BACKOFF_INITIAL_MS;
       set_state (peer, RPC_SILENT);
       fail_calls (peer);
       return;
     }
   if (peer->call_count > 0)
-    start_link (peer);
+    start_connection (peer);
   else
     set_state (peer, was_silent ? RPC_SILENT : RPC_DOWN);
 }
@@ -216,21 +225,21 @@
 static void
 send_call (rpc_peer_t *peer, rpc_call_t *call)
 {
-  call->sent++;
-  if (call->sent > 1)
+  call->send_count++;
+  if (call->send_count > 1)
     peer->node->stats.moved++;
   if (call->proc != WIRE_SUBMIT && call->proc != WIRE_FETCH)
     peer->node->stats.control_bytes_out += call->len;
-  rpc_stream_send (&peer->current->stream, call->record, call->len);
+  rpc_stream_send (&peer->connection->stream, call->record, call->len);
 }
 
 static void
 on_stream_ended (rpc_stream_t *stream)
 {
-  link_t *link = (link_t *)stream;
+  peer_connection_t *connection = (peer_connection_t *)stream;
 
-  if (link->peer != NULL)
-    move_calls (link->peer, false);
+  if (connection->peer != NULL)
+    replace_connection (connection->peer, false);
 }
 
 static void
@@ -240,23 +249,24 @@
 }
 
 static void
-take_pong (rpc_peer_t *peer, const wire_ping_res_t *pong)
+report_pong (rpc_peer_t *peer, const wire_ping_res_t *pong)
 {
   if (peer->events->pong != NULL)
     peer->events->pong (peer->arg, pong);
 }
 
 static void
-on_pong (void *arg, vh_code_t code, void *result, unsigned sent)
+on_pong (void *arg, vh_code_t code, void *result, unsigned send_count)
 {
-  (void)sent;
+  (void)send_count;
   if (code == VH_OK)
-    take_pong (arg, result);
+    report_pong (arg, result);
 }
 
-/* Decode the result of CALL and report it.  Return false when malformed.  */
+/* Decode the result of CALL and end CALL with it.  Return false when the
+   result is malformed.  */
 static bool
-deliver (rpc_call_t *call, rpc_head_t *head)
+deliver_reply (rpc_call_t *call, rpc_head_t *head)
 {
   const rpc_proc_info_t *info = rpc_proc_info (call->proc);
 
@@ -277,71 +287,73 @@
 static bool
 on_record (rpc_stream_t *stream, char *bytes, size_t len)
 {
-  link_t *link = (link_t *)stream;
-  rpc_peer_t *peer = link->peer;
+  peer_connection_t *connection = (peer_connection_t *)stream;
+  rpc_peer_t *peer = connection->peer;
   rpc_node_t *node = stream->node;
   rpc_head_t head;
 
   if (peer == NULL || !rpc_decode_head (node, bytes, len, &head))
     return false;
-  bool good = head.is_reply;
-  if (good)
+  bool is_valid = head.is_reply;
+  if (is_valid)
     {
       peer->ping_sent_ms = 0;
-      peer->silent_moves = 0;
-      peer->heard_ms = clock_ms (node->clock);
+      peer->silent_connections = 0;
+      peer->last_reply_ms = clock_ms (node->clock);
       peer->epoch = head.context.epoch;
       set_state (peer, RPC_UP);
       node->hooks.incoming (node->arg, peer, &head.context);
       rpc_call_t *call
           = peer->call_count > 0 ? *table_slot (peer, head.xid) : NULL;
-      /* A reply that nothing waits for is late, or the second one of a call
-         that moved; the first was as good.  */
+      /* A reply that matches no call is late, or is the second reply to a call
+         that was sent on two connections, which is equal to the first.  */
       if (call == NULL)
         node->stats.late++;
       else
-        good = deliver (call, &head);
+        is_valid = deliver_reply (call, &head);
     }
   rpc_head_free (&head);
-  return good;
+  return is_valid;
 }
 
 static void
 on_connected (uv_connect_t *connect, int status)
 {
-  link_t *link = CONTAINER_OF (connect, link_t, connect);
-  rpc_peer_t *peer = link->peer;
+  peer_connection_t *connection
+      = CONTAINER_OF (connect, peer_connection_t, connect);
+  rpc_peer_t *peer = connection->peer;
 
-  if (peer == NULL || link->stream.closing)
+  if (peer == NULL || connection->stream.closing)
     return;
   if (status != 0)
     {
-      connect_failed (peer);
+      handle_connect_failure (peer);
       return;
     }
-  link->up = true;
+  connection->is_connected = true;
   peer->backoff_ms = 0;
-  rpc_stream_start (&link->stream);
+  rpc_stream_start (&connection->stream);
   LIST_EACH (at, &peer->calls)
     send_call (peer, CONTAINER_OF (at, rpc_call_t, link));
 }
 
 static void
-start_link (rpc_peer_t *peer)
-{
-  link_t *link = mem_zalloc (sizeof *link);
-
-  link->peer = peer;
-  link->started_ms = clock_ms (peer->node->clock);
-  link->stream.record = on_record;
-  link->stream.ended = on_stream_ended;
-  link->stream.release = on_stream_release;
-  rpc_stream_init (&link->stream, peer->node);
-  peer->current = link;
-  if (uv_tcp_connect (&link->connect, &link->stream.tcp,
+start_connection (rpc_peer_t *peer)
+{
+  peer_connection_t *connection = mem_zalloc (sizeof *connection);
+
+  connection->peer = peer;
+  connection->started_ms = clock_ms (peer->node->clock);
+  connection->stream.on_record = on_record;
+  connection->stream.on_ended = on_stream_ended;
+  connection->stream.on_release = on_stream_release;
+  rpc_stream_init (&connection->stream, peer->node);
+  peer->connection = connection;
+  if (uv_tcp_connect (&connection->connect, &connection->stream.tcp,
                       (struct sockaddr *)&peer->addr, on_connected)
       != 0)
-    link->started_ms = 0; /* The next sweep takes it for timed out.  */
+    /* The next sweep treats the connection as timed out.  */
+    connection->started_ms = 0;
 }
 
 rpc_peer_t *
@@ -361,7 +373,7 @@
   peer->arg = arg;
   list_init (&peer->calls);
   table_grow (peer);
-  list_append (&node->peers, &peer->in_node);
+  list_append (&node->peers, &peer->node_link);
   return peer;
 }
 
@@ -370,10 +382,10 @@
 {
   if (peer == NULL || peer->destroyed)
     return;
-  /* The memory goes at the next sweep: this may be called from a callback of
-     the peer itself, or of its neighbour in a sweep.  */
+  /* The memory is freed by the next sweep: the caller may be a callback of
+     this peer, or of another peer during a sweep.  */
   peer->destroyed = true;
-  leave_link (peer);
+  abandon_connection (peer);
   while (!list_empty (&peer->calls))
     finish_call (CONTAINER_OF (peer->calls.next, rpc_call_t, link),
                  VH_E_CANCELLED, NULL);
@@ -400,7 +412,7 @@
 uint64_t
 rpc_peer_heard_ms (const rpc_peer_t *peer)
 {
-  return peer->heard_ms;
+  return peer->last_reply_ms;
 }
 
 rpc_call_t *
@@ -418,7 +430,7 @@
   call->cb = cb;
   call->arg = arg;
   call->len = rpc_encode_call (node, call->xid, proc, args);
-  call->failed_at_once = call->len == 0;
+  call->fails_on_sweep = call->len == 0;
   call->record = str_dup (str_make (node->scratch, call->len));
   if (peer->call_count >= peer->table_size)
     table_grow (peer);
@@ -426,54 +438,57 @@
   *table_slot (peer, call->xid) = call;
   peer->call_count++;
   node->stats.calls++;
-  if (peer->current != NULL && peer->current->up)
+  if (peer->connection != NULL && peer->connection->is_connected)
     send_call (peer, call);
-  else if (peer->current == NULL && now_ms < peer->retry_at_ms)
-    call->failed_at_once = true;
-  else if (peer->current == NULL)
-    start_link (peer);
-  if (call->failed_at_once)
-    rpc_node_sweep_soon (node);
+  else if (peer->connection == NULL && now_ms < peer->retry_at_ms)
+    call->fails_on_sweep = true;
+  else if (peer->connection == NULL)
+    start_connection (peer);
+  if (call->fails_on_sweep)
+    rpc_node_schedule_sweep (node);
   return call;
 }
 
 static void
-ignore_result (void *arg, vh_code_t code, void *result, unsigned sent)
+ignore_outcome (void *arg, vh_code_t code, void *result, unsigned send_count)
 {
   (void)arg;
   (void)code;
   (void)result;
-  (void)sent;
+  (void)send_count;
 }
 
 void
 rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args)
 {
-  rpc_peer_call (peer, proc, args, 4 * SILENCE_MS, ignore_result, NULL);
+  rpc_peer_call (peer, proc, args, 4 * SILENCE_TIMEOUT_MS, ignore_outcome,
+                 NULL);
 }
 
-/* See what was taken from LINK.  Return how many bytes were not.  */
+/* Record how many bytes of CONNECTION are acknowledged.  Return the number of
+   unacknowledged bytes.  */
 static size_t
-look_at_output (link_t *link, uint64_t now_ms)
+update_acknowledged (peer_connection_t *connection, uint64_t now_ms)
 {
-  size_t unsent = rpc_stream_unsent (&link->stream);
-  size_t queued = link->stream.queued;
-  size_t taken = queued > unsent ? queued - unsent : 0;
+  size_t unsent = rpc_stream_unsent (&connection->stream);
+  size_t queued = connection->stream.queued_total;
+  size_t acknowledged = queued > unsent ? queued - unsent : 0;
 
-  if (taken > link->taken)
+  if (acknowledged > connection->acknowledged)
     {
-      link->taken = taken;
-      link->taken_ms = now_ms;
+      connection->acknowledged = acknowledged;
+      connection->acknowledged_ms = now_ms;
     }
   return unsent;
 }
 
-/* Tell whether bytes were taken from LINK of late.  */
+/* Return whether bytes of CONNECTION were acknowledged within the last
+   SILENCE_TIMEOUT_MS.  */
 static bool
-is_taking (link_t *link, uint64_t now_ms)
+is_output_progressing (peer_connection_t *connection, uint64_t now_ms)
 {
-  look_at_output (link, now_ms);
-  return now_ms - link->taken_ms < SILENCE_MS;
+  update_acknowledged (connection, now_ms);
+  return now_ms - connection->acknowledged_ms < SILENCE_TIMEOUT_MS;
 }
 
 void
@@ -485,43 +500,51 @@
   if (peer->ping_sent_ms == 0)
     {
       peer->ping_sent_ms = now_ms;
-      if (peer->current != NULL)
-        peer->current->ping_behind
-            = look_at_output (peer->current, now_ms) > 0;
+      if (peer->connection != NULL)
+        peer->connection->is_ping_delayed
+            = update_acknowledged (peer->connection, now_ms) > 0;
     }
-  rpc_peer_call (peer, WIRE_PING, &args, 4 * SILENCE_MS, on_pong, peer);
+  rpc_peer_call (peer, WIRE_PING, &args, 4 * SILENCE_TIMEOUT_MS, on_pong,
+                 peer);
 }
 
-/* Heartbeats and sweeps.  */
+/* Pings and timeouts.  */
 
 static void
-check_link (rpc_peer_t *peer, uint64_t now_ms)
+check_connection (rpc_peer_t *peer, uint64_t now_ms)
 {
-  link_t *link = peer->current;
+  peer_connection_t *connection = peer->connection;
   rpc_node_t *node = peer->node;
 
-  if (!link->up)
+  if (!connection->is_connected)
     {
-      if (now_ms - link->started_ms >= CONNECT_TIMEOUT_MS)
-        connect_failed (peer);
+      if (now_ms - connection->started_ms >= CONNECT_TIMEOUT_MS)
+        handle_connect_failure (peer);
       return;
     }
-  /* Some middle box may have lost track of this connection: bytes vanish
-     both ways and no error ever comes, while a new connection works.  Only
-     the missing answer shows it, and of a ping behind a large call not before
-     the link has stopped taking that.  */
-  if (peer->ping_sent_ms != 0 && now_ms - peer->ping_sent_ms >= SILENCE_MS
-      && now_ms - link->stream.received_ms >= SILENCE_MS
-      && !(link->ping_behind && is_taking (link, now_ms)))
+  /* A middlebox may have lost its state of this connection: bytes of both
+     directions are dropped without an error, while a new connection works.
+     Only the missing reply to a ping shows this.  A ping that was sent after a
+     large call counts as unanswered only when the remote kernel no longer
+     acknowledges bytes of that call.  */
+  if (peer->ping_sent_ms != 0
+      && now_ms - peer->ping_sent_ms >= SILENCE_TIMEOUT_MS
+      && now_ms - connection->stream.received_ms >= SILENCE_TIMEOUT_MS
+      && !(connection->is_ping_delayed
+           && is_output_progressing (connection, now_ms)))
     {
       node->stats.silent++;
-      log_notice ("rpc", "Connection is silent, moving. peer=%s calls=%zu",
-                  peer->address, peer->call_count);
-      move_calls (peer, true);
+      log_notice (
+          "rpc",
+          "A connection no longer responds and is closed. peer=%s calls=%zu",
+          peer->address, peer->call_count);
+      replace_connection (peer, true);
       return;
     }
-  uint64_t quiet_ms = peer->call_count > 0 ? BUSY_PING_MS : node->idle_ping_ms;
-  if (peer->ping_sent_ms == 0 && now_ms - link->stream.received_ms >= quiet_ms)
+  uint64_t ping_after_ms = peer->call_count > 0 ? BUSY_CONNECTION_PING_AFTER_MS
+                                                : node->idle_ping_ms;
+  if (peer->ping_sent_ms == 0
+      && now_ms - connection->stream.received_ms >= ping_after_ms)
     rpc_peer_ping (peer);
 }
 
@@ -529,34 +552,36 @@
 rpc_is_carried (const rpc_call_t *call)
 {
   uint64_t now_ms = clock_ms (call->peer->node->clock);
-  link_t *link = call->peer->current;
+  peer_connection_t *connection = call->peer->connection;
 
-  if (link == NULL || !link->up)
+  if (connection == NULL || !connection->is_connected)
     return false;
-  switch (rpc_proc_info (call->proc)->size)
+  switch (rpc_proc_info (call->proc)->transfer_size)
     {
     case RPC_SMALL:
       break;
     case RPC_LARGE_CALL:
-      return is_taking (link, now_ms);
+      return is_output_progressing (connection, now_ms);
     case RPC_LARGE_REPLY:
-      return link->stream.in.len > 0
-             && now_ms - link->stream.received_ms < SILENCE_MS;
+      return connection->stream.in.len > 0
+             && now_ms - connection->stream.received_ms < SILENCE_TIMEOUT_MS;
     }
   return false;
 }
 
-/* End the first call that is due.  Return false when none is.  */
+/* End the first call that has failed or timed out.  Return false when there is
+   no such call.  */
 static bool
 end_due_call (rpc_peer_t *peer, uint64_t now_ms)
 {
   LIST_EACH (at, &peer->calls)
     {
       rpc_call_t *call = CONTAINER_OF (at, rpc_call_t, link);
-      if (!call->failed_at_once
+      if (!call->fails_on_sweep
           && (now_ms < call->deadline_ms || rpc_is_carried (call)))
         continue;
-      finish_call (call, call->sent > 0 ? VH_E_TIMEOUT : VH_E_CONNECT, NULL);
+      finish_call (call, call->send_count > 0 ? VH_E_TIMEOUT : VH_E_CONNECT,
+                   NULL);
       return true;
     }
   return false;
@@ -565,8 +590,8 @@
 static void
 check_calls (rpc_peer_t *peer, uint64_t now_ms)
 {
-  /* A callback may make a call that fails at once again: it waits for the
-     next sweep, or this loop might never end.  */
+  /* A callback may start a call that fails immediately again.  Such a call
+     waits for the next sweep; otherwise this loop might never end.  */
   for (size_t due = peer->call_count; due > 0; due--)
     if (!end_due_call (peer, now_ms))
       return;
@@ -575,18 +600,18 @@
 static void
 free_peer (rpc_peer_t *peer)
 {
-  list_remove (&peer->in_node);
+  list_remove (&peer->node_link);
   free (peer->table);
   free (peer->address);
   free (peer);
 }
 
 void
-rpc_peers_purge (rpc_node_t *node)
+rpc_peers_free_destroyed (rpc_node_t *node)
 {
   LIST_EACH (at, &node->peers)
     {
-      rpc_peer_t *peer = CONTAINER_OF (at, rpc_peer_t, in_node);
+      rpc_peer_t *peer = CONTAINER_OF (at, rpc_peer_t, node_link);
       if (peer->destroyed)
         free_peer (peer);
     }
@@ -597,14 +622,14 @@
 {
   uint64_t now_ms = clock_ms (node->clock);
 
-  rpc_peers_purge (node);
+  rpc_peers_free_destroyed (node);
   for (list_t *at = node->peers.next; at != &node->peers; at = at->next)
     {
-      rpc_peer_t *peer = CONTAINER_OF (at, rpc_peer_t, in_node);
+      rpc_peer_t *peer = CONTAINER_OF (at, rpc_peer_t, node_link);
       if (peer->destroyed)
         continue;
-      if (peer->current != NULL)
-        check_link (peer, now_ms);
+      if (peer->connection != NULL)
+        check_connection (peer, now_ms);
       else if (peer->state == RPC_UP)
         set_state (peer, RPC_DOWN);
       check_calls (peer, now_ms);
--- a/packages/wire/rpcserver.c
+++ b/packages/wire/rpcserver.c
@@ -8,8 +8,8 @@
 enum
 {
   SERVER_BACKLOG = 512,
-  /* A connection that brought nothing for this long is dropped: its peer is
-     gone without a word, or calls on another connection by now.  */
+  /* A connection without received bytes for this long is closed: its peer has
+     failed without closing the connection, or uses another one now.  */
   SERVER_IDLE_MS = 120000,
   SERVER_IDLE_CHECK_MS = 10000
 };
@@ -25,22 +25,22 @@
   rpc_handler_t handler;
   void *arg;
   list_t connections;
-  unsigned refs; /* Open handles and connections.  */
+  unsigned refs; /* Number of open handles and connections.  */
   bool destroyed;
 };
 
 struct connection
 {
-  rpc_stream_t stream; /* First.  */
+  rpc_stream_t stream; /* Must be first.  */
   rpc_server_t *server;
   list_t link;
-  list_t requests; /* In hand.  */
+  list_t requests; /* Requests without a reply yet.  */
 };
 
 struct rpc_request
 {
   list_t link;
-  connection_t *connection; /* NULL once it is gone.  */
+  connection_t *connection; /* NULL once the connection is closed.  */
   uint32_t xid;
   uint32_t proc;
 };
@@ -53,7 +53,7 @@
 }
 
 static void
-forget_requests (connection_t *connection)
+detach_requests (connection_t *connection)
 {
   LIST_EACH (at, &connection->requests)
     {
@@ -67,7 +67,7 @@
 {
   connection_t *connection = (connection_t *)stream;
 
-  forget_requests (connection);
+  detach_requests (connection);
   list_remove (&connection->link);
 }
 
@@ -80,8 +80,8 @@
   free (connection);
 }
 
-/* Decode the arguments and hand them to the handler.  Return false when they
-   are malformed.  */
+/* Decode the arguments of a call and pass the call to the handler.  Return
+   false when the arguments are malformed.  */
 static bool
 dispatch (connection_t *connection, rpc_head_t *head)
 {
@@ -115,16 +115,16 @@
 
   if (!rpc_decode_head (node, bytes, len, &head))
     return false;
-  bool good = !head.is_reply;
-  if (good)
+  bool is_valid = !head.is_reply;
+  if (is_valid)
     {
       node->hooks.incoming (node->arg, NULL, &head.context);
-      good = dispatch (connection, &head);
+      is_valid = dispatch (connection, &head);
     }
-  if (!good)
+  if (!is_valid)
     node->stats.refused++;
   rpc_head_free (&head);
-  return good;
+  return is_valid;
 }
 
 static void
@@ -136,9 +136,9 @@
     return;
   connection_t *connection = mem_zalloc (sizeof *connection);
   connection->server = server;
-  connection->stream.record = on_record;
-  connection->stream.ended = on_stream_ended;
-  connection->stream.release = on_stream_release;
+  connection->stream.on_record = on_record;
+  connection->stream.on_ended = on_stream_ended;
+  connection->stream.on_release = on_stream_release;
   list_init (&connection->requests);
   list_append (&server->connections, &connection->link);
   server->refs++;
@@ -196,7 +196,8 @@
   if (!addr_listen (&server->listener, address, SERVER_BACKLOG, on_accept,
                     &server->port))
     {
-      log_err ("rpc", "Cannot listen. address=%.*s", STR_ARG (address));
+      log_err ("rpc", "Cannot listen on the RPC address. address=%.*s",
+               STR_ARG (address));
       rpc_server_destroy (server);
       return VH_E_IO;
     }
