--- a/packages/wire/proto/wire.x
+++ b/packages/wire/proto/wire.x
@@ -1,9 +1,10 @@
 /* Messages between vanillahook's processes, ONC RPC version 2 over TCP.
 
-   Every call carries a wire_context_t in its credential and every reply one in
-   its verifier, so that load, revision and draining travel with traffic.
-   Every procedure may be sent again: calls are moved to a fresh connection
-   when the old one goes silent.  */
+   Every call carries a wire_context_t in its credential, and every reply
+   carries one in its verifier, so that load, configuration revision and
+   draining state are sent along with the traffic.  Every procedure must be
+   safe to receive twice: calls are sent again on a new connection when the
+   old connection stops responding.  */
 
 const WIRE_NAME_MAX = 256;
 const WIRE_ID_MAX = 512;
@@ -21,26 +22,31 @@
 typedef string wire_name_t<WIRE_NAME_MAX>;
 typedef string wire_id_t<WIRE_ID_MAX>;
 
-/* What an upstream carries, as its sidecar sees it.  */
+/* Load of an upstream as its sidecar measures it.  */
 struct wire_load_t
 {
-  unsigned int in_flight;    /* Running, and what would wait before one more. */
+  /* Running requests, and queued requests that run before a new one.  */
+  unsigned int in_flight;
   unsigned int limit;
   unsigned int queued;
-  unsigned int wait_ms;      /* A request arriving now would wait.  */
-  unsigned int latency_us;   /* Mean of recent answers' first byte.  */
-  unsigned int deaths;       /* Of the upstream, since this process began. */
-  bool warming;              /* Held low by its limit: slow is expected.  */
+  unsigned int wait_ms;      /* Expected wait of a new request in the queue. */
+  unsigned int latency_us;   /* Mean time to first byte of recent responses. */
+  /* Number of crashes of the upstream since the sending process started.  */
+  unsigned int deaths;
+  /* The upstream's limit is low while it warms up: it is expected to be
+     slow.  */
+  bool warming;
 };
 
 struct wire_context_t
 {
-  wire_name_t name;             /* The sending process.  */
-  unsigned hyper epoch;       /* Drawn when the process began.  */
-  unsigned hyper revision;    /* Configuration in force there.  */
-  unsigned int confirmed_ms;  /* Age of that revision's confirmation.  */
+  wire_name_t name;             /* Name of the sending process.  */
+  unsigned hyper epoch;       /* Random number of this process start.  */
+  /* Revision of the configuration that the sender uses.  */
+  unsigned hyper revision;
+  unsigned int confirmed_ms;  /* Time since REVISION was confirmed, in ms.  */
   bool draining;
-  wire_load_t load;             /* Zero from an entry.  */
+  wire_load_t load;             /* All zero from an entry.  */
   opaque mac[WIRE_MAC_LEN];
 };
 
@@ -50,8 +56,8 @@
   string value<WIRE_HEADER_MAX>;
 };
 
-/* The request with DIGEST and REQUEST (hash of team and request id) was in
-   flight when an upstream died.  */
+/* Request that was in flight when an upstream crashed.  REQUEST is the hash of
+   the team and the request id.  */
 struct wire_suspect_t
 {
   unsigned hyper digest;
@@ -67,13 +73,13 @@
 struct wire_ping_res_t
 {
   unsigned int sequence;
-  wire_name_t instance;        /* Empty from an entry.  */
+  wire_name_t instance;        /* Empty in the reply of an entry.  */
   wire_name_t zone;
   bool is_service;
   unsigned int features;      /* FEATURE_ bits of conf/settings.h.  */
   wire_name_t serves<WIRE_SERVES_MAX>;
-  unsigned hyper started_ms;  /* Real time.  */
-  unsigned int orphans;       /* Bills whose entry is gone.  */
+  unsigned hyper started_ms;  /* Wall-clock time of the process start.  */
+  unsigned int orphans;       /* Number of bills whose entry has stopped.  */
   wire_suspect_t suspects<WIRE_SUSPECTS_MAX>;
 };
 
@@ -90,21 +96,22 @@
   wire_id_t request_id;
   wire_name_t team;
   wire_name_t target;           /* MODEL@VERSION, or a service's name.  */
-  unsigned hyper epoch;       /* Of the sidecar; 0: any.  */
-  unsigned hyper digest;      /* Of method, path and body.  */
-  unsigned int deadline_ms;   /* Left; 0: none.  */
-  unsigned int cost;          /* Estimated tokens.  */
-  unsigned int weight;        /* Of the team.  */
+  unsigned hyper epoch;       /* Epoch of the addressed sidecar; 0: any.  */
+  unsigned hyper digest;      /* Hash of method, path and body.  */
+  unsigned int deadline_ms;   /* Time left until the deadline; 0: none.  */
+  unsigned int cost;          /* Estimated number of tokens.  */
+  unsigned int weight;        /* Scheduling weight of the team.  */
   wire_priority_t priority;
   bool idempotent;
   bool key_given;             /* The caller may send the id again.  */
-  bool is_suspect;            /* Was in flight at an upstream's death.  */
+  bool is_suspect;            /* Was in flight when an upstream crashed.  */
   bool stream;
   string method<32>;
   string path<WIRE_HEADER_MAX>;
   wire_header_t headers<WIRE_HEADERS_MAX>;
   opaque body<WIRE_BODY_MAX>;
-  unsigned int wait_ms;       /* The first FETCH rides along.  */
+  /* Arguments of the first FETCH, which SUBMIT includes.  */
+  unsigned int wait_ms;
   unsigned int max_bytes;
 };
 
@@ -124,29 +131,31 @@
   WIRE_DONE = 2
 };
 
-/* Answer bytes from OFFSET on.  CODE other than 0 ends the attempt: STARTED
-   tells whether the upstream may have run it.  */
+/* Bytes of the upstream's response from OFFSET on.  CODE other than 0 ends the
+   attempt; STARTED is then true if the upstream may have executed the
+   request.  */
 struct wire_answer_t
 {
   int code;
   bool started;
   wire_state_t state;
-  int status;                 /* HTTP; 0 until the head is known.  */
-  wire_header_t headers<WIRE_HEADERS_MAX>; /* With the bytes of offset 0.  */
+  int status;                 /* HTTP status; 0 before the head arrives. */
+  /* Response headers; sent only when OFFSET is 0.  */
+  wire_header_t headers<WIRE_HEADERS_MAX>;
   unsigned hyper offset;
   opaque bytes<WIRE_BODY_MAX>;
-  bool end;
-  unsigned hyper total;       /* With END.  */
-  unsigned hyper digest;      /* Of the whole answer, with END.  */
-  unsigned int tokens_in;     /* With END, when the engine tells.  */
+  bool end;                   /* BYTES ends the response.  */
+  unsigned hyper total;       /* Length of the response; set with END.  */
+  unsigned hyper digest;      /* Hash of the response; set with END.  */
+  unsigned int tokens_in;     /* Set with END if the engine reports it.  */
   unsigned int tokens_out;
   unsigned int retry_after_ms;
-  unsigned hyper ended_ms;    /* With END: real time of the end.  */
-  unsigned hyper death;       /* The upstream died of or with it; 0: no.  */
+  unsigned hyper ended_ms;    /* Wall-clock time of the end; set with END. */
+  unsigned hyper death;       /* Upstream crash during the attempt; 0: none. */
 };
 
-/* EPOCH of the sidecar that the attempt was sent to, as in SUBMIT: after a
-   restart it knows nothing of what ran before.  */
+/* EPOCH is that of the sidecar to which the attempt was sent, as in SUBMIT:
+   a restarted sidecar has no record of earlier attempts.  */
 struct wire_attempt_args_t
 {
   wire_id_t attempt;
@@ -158,7 +167,7 @@
   int code;
 };
 
-/* What became of a request id at this sidecar.  */
+/* Asks a sidecar for the attempt that it has for a request id.  */
 struct wire_recall_args_t
 {
   wire_name_t team;
@@ -167,12 +176,12 @@
 
 struct wire_recall_res_t
 {
-  int code;                   /* 0, or no such request.  */
-  wire_id_t attempt;            /* To FETCH.  */
+  int code;                   /* 0, or the code for an unknown request.  */
+  wire_id_t attempt;            /* Attempt whose response FETCH returns.  */
   unsigned hyper digest;
 };
 
-/* UPDATE is what confstore_delta_from makes.  */
+/* UPDATE is the output of confstore_delta_from.  */
 struct wire_config_push_args_t
 {
   opaque update<WIRE_TEXT_MAX>;
@@ -180,42 +189,43 @@
 
 struct wire_config_pull_args_t
 {
-  unsigned hyper have;
+  unsigned hyper have;        /* Revision that the caller has.  */
 };
 
-/* Empty when nothing is lacking.  */
+/* UPDATE is empty when the caller has the newest revision.  */
 struct wire_config_pull_res_t
 {
   opaque update<WIRE_TEXT_MAX>;
 };
 
-/* BILL_ID is the team and the request id.  AT_MS is made once, where the
-   attempt ended: the ledger files a bill under its day.  */
+/* BILL_ID consists of the team and the request id.  AT_MS is set only once, by
+   the process where the attempt ended, because the ledger files a bill under
+   the day of AT_MS.  */
 struct wire_bill_t
 {
   wire_id_t bill_id;
   wire_name_t team;
   wire_name_t target;
-  unsigned hyper at_ms;       /* Real time.  */
+  unsigned hyper at_ms;       /* Wall-clock time.  */
   unsigned int tokens_in;
   unsigned int tokens_out;
-  unsigned int cost_micro;    /* Price units in millionths.  */
+  unsigned int cost_micro;    /* Cost in millionths of a price unit.  */
 };
 
-/* Take over these bills: their entry stops.  */
+/* Bills that the receiver takes over because their entry is stopping.  */
 struct wire_bills_hold_args_t
 {
   wire_bill_t bills<WIRE_BILLS_MAX>;
 };
 
-/* These bills are in the ledger; copies may go.  */
+/* Bills that have been written to the ledger; their copies may be deleted.  */
 struct wire_bills_drop_args_t
 {
   wire_id_t bill_ids<WIRE_BILLS_MAX>;
 };
 
-/* Give the caller the bills whose entry is gone; copies stay until it says
-   that they are written.  */
+/* Asks for at most MOST bills whose entry has stopped.  The receiver keeps its
+   copies until WIRE_BILLS_DROP reports that the bills are written.  */
 struct wire_bills_take_args_t
 {
   unsigned int most;
@@ -226,7 +236,7 @@
   wire_bill_t bills<WIRE_BILLS_MAX>;
 };
 
-/* Opaque evidence rows, merged by the receiver.  */
+/* Encoded evidence rows, which the receiver merges with its own.  */
 struct wire_evidence_args_t
 {
   opaque rows<WIRE_TEXT_MAX>;
@@ -237,7 +247,7 @@
   opaque rows<WIRE_TEXT_MAX>;
 };
 
-/* An order to the engine under a fencing number.  */
+/* Order to the engine with a fencing token, FENCE.  */
 struct wire_order_args_t
 {
   wire_name_t kind;
@@ -245,27 +255,29 @@
   unsigned hyper fence;
 };
 
-/* A JSON object for operators.  */
+/* Status report for operators, a JSON object.  */
 struct wire_status_res_t
 {
   opaque json<WIRE_TEXT_MAX>;
 };
 
-/* What the asker would else write to the store for the asked to read.  */
+/* Row that the caller sends to the receiver directly, which the caller would
+   otherwise write to the store for the receiver to read.  */
 struct wire_news_t
 {
   wire_name_t key;
   opaque value<WIRE_TEXT_MAX>;
 };
 
-/* Rows of a table of the platform's store, as the asked process knows them.  */
+/* Asks for the rows of a table of the platform's store that the receiver has
+   cached.  */
 struct wire_rows_args_t
 {
-  unsigned int table;      /* Rows_table_t of gateway/rows.h.  */
-  unsigned hyper after;    /* Store version that the asker knows.  */
-  unsigned int wait_ms;    /* Longest wait for news.  */
-  bool whole;              /* All live rows, whatever AFTER is.  */
-  bool tells;              /* The asker tells others what it is told.  */
+  unsigned int table;      /* A rows_table_t of gateway/rows.h.  */
+  unsigned hyper after;    /* Newest store version that the caller has.  */
+  unsigned int wait_ms;    /* Longest wait for a newer version.  */
+  bool whole;              /* Return all rows not deleted, ignore AFTER. */
+  bool tells;              /* The caller serves the rows to others.  */
   wire_news_t news<WIRE_NEWS_MAX>;
 };
 
@@ -273,7 +285,8 @@
 {
   wire_name_t key;
   opaque value<WIRE_BODY_MAX>;
-  unsigned int plain_len;  /* 0: VALUE is plain; else its length once inflated.  */
+  /* Length of VALUE after decompression; 0: VALUE is not compressed.  */
+  unsigned int plain_len;
   unsigned hyper row_version;
   bool deleted;
 };
@@ -285,15 +298,16 @@
 
 struct wire_rows_res_t
 {
-  int code;                /* Vh_code_t; rows are valid for VH_OK alone.  */
-  unsigned hyper newest;   /* Version of the store that is known.  */
-  unsigned hyper now_ms;   /* The store's clock.  */
-  unsigned int age_ms;     /* Since the store confirmed NEWEST.  */
-  unsigned hyper said_ms;  /* The store's clock when it did.  */
+  int code;                /* A vh_code_t; ROWS are valid only with VH_OK. */
+  unsigned hyper newest;   /* Newest store version known to the receiver.  */
+  unsigned hyper now_ms;   /* Current time of the store's clock.  */
+  unsigned int age_ms;     /* Time since the store confirmed NEWEST.  */
+  unsigned hyper said_ms;  /* Store's clock when it confirmed NEWEST.  */
   wire_row_t rows<WIRE_ROWS_MAX>;
-  /* In their place a wire_row_list_t, deflated, of PLAIN_LEN bytes.  */
+  /* Compressed wire_row_list_t that replaces ROWS; PLAIN_LEN is its length
+     after decompression.  */
   opaque packed<WIRE_BODY_MAX>;
-  unsigned int plain_len;  /* 0: not packed.  */
+  unsigned int plain_len;  /* 0: ROWS are not compressed.  */
 };
 
 program VANILLAHOOK_PROGRAM
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,4 +1,4 @@
-/* Listeners of tests on loopback.  */
+/* Listening sockets on loopback for tests.  */
 
 #ifndef TESTS_LOOPBACK_H
 #define TESTS_LOOPBACK_H
@@ -6,7 +6,8 @@
 #include <check.h>
 #include <uv.h>
 
-/* Bind LISTENER to a free port and return that.  DATA is the handle's.  */
+/* Initialize LISTENER, set its data pointer to DATA, bind LISTENER to a free
+   port and return the port.  */
 static inline uint16_t
 loopback_bind (uv_loop_t *loop, uv_tcp_t *listener, void *data)
 {
@@ -21,7 +22,7 @@
   return ntohs (addr.sin_port);
 }
 
-/* The same, and take connections by CB.  */
+/* As loopback_bind, and listen with CB as the connection callback.  */
 static inline uint16_t
 loopback_listen (uv_loop_t *loop, uv_tcp_t *listener, void *data,
                  uv_connection_cb cb)
--- a/tests/narrow_link.h
+++ b/tests/narrow_link.h
@@ -1,7 +1,8 @@
-/* A link between callers and a server on loopback that passes bytes at a
-   bounded rate each way, which its connections share alike, or stops passing
-   those of the server without a word.  Bytes that it has not taken wait at
-   their sender.  */
+/* Proxy between clients and a server on loopback that simulates a slow network
+   link.  It forwards bytes at a limited rate in each direction, which its
+   connections share equally, and can stop forwarding the server's bytes while
+   the connections stay open.  Bytes that it has not read yet fill the sender's
+   socket buffer.  */
 
 #ifndef TESTS_NARROW_LINK_H
 #define TESTS_NARROW_LINK_H
@@ -12,17 +13,19 @@
 
 typedef struct narrow_link narrow_link_t;
 
-/* A link to PORT that passes BYTES_PER_S.  */
+/* Return a link to the server at PORT that forwards BYTES_PER_S in each
+   direction.  */
 narrow_link_t *narrow_link_create (uv_loop_t *loop, uint16_t port,
                                    size_t bytes_per_s);
-/* The memory goes on a later turn.  */
+/* Close the connections of LINK and release LINK on a later turn of the
+   loop.  */
 void narrow_link_destroy (narrow_link_t *link);
-/* Where callers connect.  */
+/* Return the port to which clients connect.  */
 uint16_t narrow_link_port (const narrow_link_t *link);
-/* Pass on BYTES more of what servers send, then nothing; the connections stay
+/* Forward BYTES more of the server's bytes and then none; the connections stay
    open.  */
 void narrow_link_stop_after (narrow_link_t *link, size_t bytes);
-/* Bytes of servers that were passed on.  */
+/* Return the number of the server's bytes that were forwarded.  */
 size_t narrow_link_passed (const narrow_link_t *link);
 
 #endif
--- a/tests/rawhttp.c
+++ b/tests/rawhttp.c
@@ -11,9 +11,9 @@
 
 enum
 {
-  PIECE = 16384,
+  READ_BYTES = 16384,
   JSON_WAIT_MS = 5000,
-  CRLF = 2
+  CRLF_LEN = 2
 };
 
 rawhttp_t
@@ -63,20 +63,21 @@
   return http;
 }
 
-/* Read once, waiting until END_MS at the longest.  */
+/* Read once, waiting until END_MS at most.  */
 static void
-fill (rawhttp_t *http, uint64_t end_ms)
+read_once (rawhttp_t *http, uint64_t end_ms)
 {
   struct pollfd wait = { .fd = http->fd, .events = POLLIN };
-  uint64_t now = harness_now_ms ();
+  uint64_t now_ms = harness_now_ms ();
 
-  if (http->ended || now >= end_ms
-      || poll (&wait, 1, (int)(end_ms - now)) <= 0)
+  if (http->ended || now_ms >= end_ms
+      || poll (&wait, 1, (int)(end_ms - now_ms)) <= 0)
     return;
-  buf_reserve (&http->raw, PIECE);
-  ssize_t got = recv (http->fd, http->raw.ptr + http->raw.len, PIECE, 0);
-  if (got > 0)
-    http->raw.len += (size_t)got;
+  buf_reserve (&http->raw, READ_BYTES);
+  ssize_t received
+      = recv (http->fd, http->raw.ptr + http->raw.len, READ_BYTES, 0);
+  if (received > 0)
+    http->raw.len += (size_t)received;
   else
     http->ended = true;
 }
@@ -89,30 +90,31 @@
   while (rest.ptr != NULL)
     {
       str_t value;
-      str_t line = str_cut (rest, '\n', &rest);
-      if (str_eq_nocase (str_trim (str_cut (line, ':', &value)),
+      str_t header = str_cut (rest, '\n', &rest);
+      if (str_eq_nocase (str_trim (str_cut (header, ':', &value)),
                          str_from (name)))
         return str_trim (value);
     }
   return STR_NULL;
 }
 
-/* Return where TEXT begins in BUF, or NULL.  */
+/* Return the first occurrence of TEXT in BUF, or NULL.  */
 static const char *
-find (const buf_t *buf, str_t text)
+find_text (const buf_t *buf, str_t text)
 {
   return buf->len > 0 ? memmem (buf->ptr, buf->len, text.ptr, text.len) : NULL;
 }
 
-/* Take the head off what was received, once it is whole.  */
+/* Parse the head and remove it from the received bytes, if the head is
+   complete.  Return whether a head has been parsed.  */
 static bool
-take_head (rawhttp_t *http)
+parse_head (rawhttp_t *http)
 {
-  const char *end = find (&http->raw, STR ("\r\n\r\n"));
+  const char *end = find_text (&http->raw, STR ("\r\n\r\n"));
 
   if (http->status != 0 || end == NULL)
     return http->status != 0;
-  size_t len = (size_t)(end - http->raw.ptr) + 2 * CRLF;
+  size_t len = (size_t)(end - http->raw.ptr) + 2 * CRLF_LEN;
   buf_append (&http->head, http->raw.ptr, len);
   buf_consume (&http->raw, len);
   str_t code;
@@ -125,24 +127,24 @@
                                  STR ("chunked"));
   http->length = UINT64_MAX;
   str_to_u64 (rawhttp_header (http, "content-length"), &http->length);
-  /* An interim answer is not the one that was asked for.  */
+  /* Skip an interim response (1xx); the final one follows.  */
   if (http->status / 100 == 1)
     {
       http->status = 0;
       http->head.len = 0;
-      return take_head (http);
+      return parse_head (http);
     }
   return true;
 }
 
 static void
-take_chunks (rawhttp_t *http)
+decode_chunks (rawhttp_t *http)
 {
   while (!http->whole)
     {
-      if (http->chunk_left > CRLF)
+      if (http->chunk_left > CRLF_LEN)
         {
-          size_t len = http->chunk_left - CRLF;
+          size_t len = http->chunk_left - CRLF_LEN;
           if (len > http->raw.len)
             len = http->raw.len;
           if (len == 0)
@@ -156,24 +158,24 @@
         return;
       buf_consume (&http->raw, http->chunk_left);
       http->chunk_left = 0;
-      const char *end = find (&http->raw, STR ("\r\n"));
+      const char *end = find_text (&http->raw, STR ("\r\n"));
       if (end == NULL)
         return;
-      size_t line = (size_t)(end - http->raw.ptr) + CRLF;
-      http->chunk_left = strtoull (http->raw.ptr, NULL, 16) + CRLF;
-      http->whole = http->chunk_left == CRLF;
-      buf_consume (&http->raw, line);
+      size_t line_len = (size_t)(end - http->raw.ptr) + CRLF_LEN;
+      http->chunk_left = strtoull (http->raw.ptr, NULL, 16) + CRLF_LEN;
+      http->whole = http->chunk_left == CRLF_LEN;
+      buf_consume (&http->raw, line_len);
     }
 }
 
 static void
-take_body (rawhttp_t *http)
+decode_body (rawhttp_t *http)
 {
-  if (!take_head (http))
+  if (!parse_head (http))
     return;
   if (http->chunked)
     {
-      take_chunks (http);
+      decode_chunks (http);
       return;
     }
   buf_append_str (&http->body, buf_str (&http->raw));
@@ -185,24 +187,24 @@
 bool
 rawhttp_read_head (rawhttp_t *http, uint64_t wait_ms)
 {
-  uint64_t end = harness_now_ms () + wait_ms;
+  uint64_t end_ms = harness_now_ms () + wait_ms;
 
-  while (!take_head (http) && !http->ended && harness_now_ms () < end)
-    fill (http, end);
+  while (!parse_head (http) && !http->ended && harness_now_ms () < end_ms)
+    read_once (http, end_ms);
   return http->status != 0;
 }
 
 bool
 rawhttp_read_body (rawhttp_t *http, size_t len, uint64_t wait_ms)
 {
-  uint64_t end = harness_now_ms () + wait_ms;
+  uint64_t end_ms = harness_now_ms () + wait_ms;
 
-  take_body (http);
+  decode_body (http);
   while (http->body.len < len && !http->whole && !http->ended
-         && harness_now_ms () < end)
+         && harness_now_ms () < end_ms)
     {
-      fill (http, end);
-      take_body (http);
+      read_once (http, end_ms);
+      decode_body (http);
     }
   return http->body.len >= len;
 }
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -1,5 +1,5 @@
-/* One call on a connection of its own, against servers that answer by script:
-   which answers are whole, which are cut, which are none.  */
+/* Tests of the client with one connection per request, against servers that
+   send fixed responses: complete, truncated and invalid ones.  */
 
 #include "loopback.h"
 #include "suite.h"
@@ -15,11 +15,11 @@
   uv_tcp_t conn;
   uv_write_t write;
   uv_timer_t timer;
-  const char *answer;
+  const char *response;
   bool reset;
   bool accepted;
-  /* What the call told.  */
-  int heads;
+  /* Events of the client.  */
+  int head_count;
   int status;
   buf_t body;
   vh_code_t code;
@@ -32,7 +32,7 @@
 {
   fixture_t *f = arg;
 
-  f->heads++;
+  f->head_count++;
   f->status = head->status;
 }
 
@@ -53,7 +53,7 @@
 }
 
 static void
-on_close_time (uv_timer_t *timer)
+on_close_timer (uv_timer_t *timer)
 {
   fixture_t *f = timer->data;
 
@@ -73,18 +73,19 @@
   *buf = uv_buf_init (bytes, sizeof bytes);
 }
 
-/* The request is there: answer, and end the connection a moment later.  */
+/* Send the response when the request arrives, and close the connection 20 ms
+   later.  */
 static void
-on_request (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+on_request (uv_stream_t *stream, ssize_t read_len, const uv_buf_t *buf)
 {
   fixture_t *f = stream->data;
-  uv_buf_t answer = uv_buf_init ((char *)f->answer, strlen (f->answer));
+  uv_buf_t response = uv_buf_init ((char *)f->response, strlen (f->response));
 
   (void)buf;
   uv_read_stop (stream);
-  ck_assert_int_gt (got, 0);
-  uv_write (&f->write, stream, &answer, 1, NULL);
-  uv_timer_start (&f->timer, on_close_time, 20, 0);
+  ck_assert_int_gt (read_len, 0);
+  uv_write (&f->write, stream, &response, 1, NULL);
+  uv_timer_start (&f->timer, on_close_timer, 20, 0);
 }
 
 static void
@@ -101,21 +102,21 @@
 }
 
 static void
-play (fixture_t *f, const char *answer, bool reset)
+run_exchange (fixture_t *f, const char *response, bool reset)
 {
   static const call_events_t events = { on_head, on_body, on_end };
   char address[32];
   buf_t request = BUF_NULL;
 
   memset (f, 0, sizeof *f);
-  f->answer = answer;
+  f->response = response;
   f->reset = reset;
   uv_loop_init (&f->loop);
   uv_timer_init (&f->loop, &f->timer);
   f->timer.data = f;
   snprintf (address, sizeof address, "127.0.0.1:%u",
             loopback_bind (&f->loop, &f->listener, f));
-  if (answer != NULL)
+  if (response != NULL)
     uv_listen ((uv_stream_t *)&f->listener, 8, on_accept);
   buf_append_str (&request, STR ("GET / HTTP/1.1\r\nhost: a\r\n\r\n"));
   call_t *call = call_start (&f->loop, str_from (address), &request, 500,
@@ -131,11 +132,11 @@
   ck_assert_int_eq (uv_loop_close (&f->loop), 0);
 }
 
-START_TEST (answers_are_told_apart)
+START_TEST (incomplete_responses_are_reported)
 {
   static const struct
   {
-    const char *answer;
+    const char *response;
     bool reset;
     vh_code_t code;
     const char *body;
@@ -156,11 +157,12 @@
       false, VH_E_UPSTREAM_CUT, "ok" },
     { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false,
       VH_E_PROTOCOL, "" },
-    /* Without a length the end of the connection ends the answer, unless it
-       was reset.  */
+    /* A response without a length ends with the connection, unless the
+       connection was reset.  */
     { "HTTP/1.1 200 OK\r\n\r\nok", false, VH_OK, "ok" },
     { "HTTP/1.1 200 OK\r\n\r\nok", true, VH_E_UPSTREAM_CUT, "ok" },
-    /* Two framings: one who believes the other one sees another answer.  */
+    /* Contradictory framing: a client that trusts the other header reads a
+       different response.  */
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
       false, VH_E_PROTOCOL, "" },
     { "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
@@ -175,22 +177,23 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      play (&f, cases[i].answer, cases[i].reset);
+      run_exchange (&f, cases[i].response, cases[i].reset);
       ck_assert_msg (f.code == cases[i].code, "case %zu: code %d", i, f.code);
       ck_assert_msg (str_eq (buf_str (&f.body), str_from (cases[i].body)),
                      "case %zu", i);
-      ck_assert_int_le (f.heads, 1);
+      ck_assert_int_le (f.head_count, 1);
       buf_free (&f.body);
     }
 }
 END_TEST
 
-/* Nobody listens: no byte of the request left, and the call says so.  */
-START_TEST (an_unreachable_server_got_nothing)
+/* No server listens on the port: the client must report that no byte of the
+   request was sent.  */
+START_TEST (unreachable_server_is_reported)
 {
   fixture_t f;
 
-  play (&f, NULL, false);
+  run_exchange (&f, NULL, false);
   ck_assert_int_eq (f.code, VH_E_CONNECT);
 }
 END_TEST
@@ -202,8 +205,8 @@
   Suite *suite = suite_create ("call");
   TCase *tcase = tcase_create ("call");
 
-  tcase_add_test (tcase, answers_are_told_apart);
-  tcase_add_test (tcase, an_unreachable_server_got_nothing);
+  tcase_add_test (tcase, incomplete_responses_are_reported);
+  tcase_add_test (tcase, unreachable_server_is_reported);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -12,7 +12,7 @@
 
 enum
 {
-  BIG = 3 * 1024 * 1024
+  LARGE_BODY_BYTES = 3 * 1024 * 1024
 };
 
 typedef struct
@@ -27,29 +27,29 @@
   size_t body_len;
   uint64_t body_hash;
   bool done;
-  bool server_stopped;
-  int chunks;
+  bool client_disconnected;
+  int chunk_count;
 } fixture_t;
 
 static void
-on_stopped (void *arg)
+on_disconnect (void *arg)
 {
   fixture_t *f = arg;
 
-  f->server_stopped = true;
+  f->client_disconnected = true;
   f->held = NULL;
 }
 
 static void
-send_big (httpd_req_t *req)
+send_large_body (httpd_req_t *req)
 {
-  char *bytes = mem_alloc (BIG);
+  char *bytes = mem_alloc (LARGE_BODY_BYTES);
   const httpc_header_t header = { STR ("x-test"), STR ("yes") };
 
-  memset (bytes, 'b', BIG);
+  memset (bytes, 'b', LARGE_BODY_BYTES);
   httpd_start (req, 200, &header, 1);
-  httpd_send (req, str_make (bytes, BIG / 2), false);
-  httpd_send (req, str_make (bytes, BIG / 2), true);
+  httpd_send (req, str_make (bytes, LARGE_BODY_BYTES / 2), false);
+  httpd_send (req, str_make (bytes, LARGE_BODY_BYTES / 2), true);
   free (bytes);
 }
 
@@ -64,7 +64,7 @@
   else if (str_eq (path, STR ("/query")))
     httpd_reply (req, 200, NULL, 0, httpd_query_get (req, STR ("b")));
   else if (str_eq (path, STR ("/big")))
-    send_big (req);
+    send_large_body (req);
   else if (str_eq (path, STR ("/cut")))
     {
       httpd_start (req, 200, NULL, 0);
@@ -85,7 +85,7 @@
   else
     {
       f->held = req;
-      httpd_watch (req, NULL, on_stopped, f);
+      httpd_watch (req, NULL, on_disconnect, f);
     }
 }
 
@@ -102,7 +102,7 @@
 {
   fixture_t *f = arg;
 
-  f->chunks++;
+  f->chunk_count++;
   f->body_len += bytes.len;
   f->body_hash = str_hash (bytes, f->body_hash);
   if (f->held != NULL)
@@ -168,7 +168,7 @@
   ck_assert_int_eq (uv_loop_close (&f->loop), 0);
 }
 
-START_TEST (echo_query_and_big)
+START_TEST (echo_query_and_large_body)
 {
   fixture_t f;
 
@@ -184,7 +184,7 @@
   fetch (&f, STR ("GET"), STR ("/big"), STR_NULL);
   run_until (&f, &f.done);
   ck_assert_int_eq (f.code, VH_OK);
-  ck_assert_uint_eq (f.body_len, BIG);
+  ck_assert_uint_eq (f.body_len, LARGE_BODY_BYTES);
   teardown (&f);
 }
 END_TEST
@@ -203,9 +203,9 @@
 }
 END_TEST
 
-/* A caller must not take half an answer for a whole one: the server begins a
-   chunked answer and its connection ends before the last chunk.  */
-START_TEST (cut_answer_is_seen)
+/* The server starts a chunked response and its connection closes before the
+   last chunk.  The client must not report the partial response as complete. */
+START_TEST (truncated_response_is_reported)
 {
   fixture_t f;
 
@@ -217,10 +217,10 @@
 }
 END_TEST
 
-/* The same where the connection ends just after a whole chunk, in the same
-   packets: an upstream that dies between two events of a stream.  h2o's
-   client calls that a proper end.  */
-START_TEST (answer_cut_between_chunks_is_seen)
+/* The connection closes directly after a complete chunk, in the same packets,
+   as with an upstream that crashes between two events of a stream.  h2o's
+   client reports this as a normal end; ours must not.  */
+START_TEST (truncation_between_chunks_is_reported)
 {
   fixture_t f;
 
@@ -232,10 +232,8 @@
 }
 END_TEST
 
-/* A caller gives up while its answer is still being made.  The server, which
-   does not read meanwhile, must notice and stop the work.  */
-/* The server cuts an answer whose head it has not written yet.  */
-START_TEST (answer_cut_before_its_head_is_seen)
+/* The server aborts a response before it has written the head.  */
+START_TEST (abort_before_head_is_reported)
 {
   fixture_t f;
 
@@ -250,7 +248,9 @@
 }
 END_TEST
 
-START_TEST (departure_is_noticed)
+/* A client disconnects before its response is complete.  The server, which
+   does not read meanwhile, must detect this so that the handler can stop.  */
+START_TEST (client_disconnect_is_detected)
 {
   fixture_t f;
 
@@ -259,7 +259,7 @@
   while (f.held == NULL)
     uv_run (&f.loop, UV_RUN_ONCE);
   httpc_cancel (f.call);
-  run_until (&f, &f.server_stopped);
+  run_until (&f, &f.client_disconnected);
   ck_assert_uint_eq (httpd_in_flight (f.server), 0);
   teardown (&f);
 }
@@ -279,99 +279,99 @@
 }
 END_TEST
 
-START_TEST (refused_connection_is_told_apart)
+START_TEST (refused_connection_is_reported)
 {
   fixture_t f;
   const httpc_request_t request
       = { .method = STR ("GET"), .path = STR ("/"), .timeout_ms = 500 };
 
   setup (&f);
-  httpc_t *nobody = httpc_create (&f.loop, STR ("127.0.0.1:1"), 1);
-  httpc_start (nobody, &request, &events, &f);
+  httpc_t *unreachable = httpc_create (&f.loop, STR ("127.0.0.1:1"), 1);
+  httpc_start (unreachable, &request, &events, &f);
   run_until (&f, &f.done);
   ck_assert_int_eq (f.code, VH_E_CONNECT);
-  httpc_destroy (nobody);
+  httpc_destroy (unreachable);
   teardown (&f);
 }
 END_TEST
 
-/* Callers that leave in the middle of a stream.  */
+/* Clients that disconnect during a streamed response.  */
 
 enum
 {
-  LEAVERS = 400,
-  DRIPS_MAX = 256
+  CLIENT_COUNT = 400,
+  STREAMS_MAX = 256
 };
 
-typedef struct drips drips_t;
+typedef struct stream_test stream_test_t;
 
 typedef struct
 {
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
-  drips_t *all;
+  stream_test_t *test;
   size_t reads_left;
   bool reset;
-} leaver_t;
+} stream_client_t;
 
-struct drips
+struct stream_test
 {
   uv_loop_t loop;
   httpd_t *server;
   uv_timer_t timer;
-  httpd_req_t *held[DRIPS_MAX];
-  size_t held_count;
-  size_t stopped;
-  size_t started;
-  size_t closed;
+  httpd_req_t *open_streams[STREAMS_MAX];
+  size_t open_count;
+  size_t disconnect_count;
+  size_t started_count;
+  size_t closed_count;
   uint64_t seed;
 };
 
 typedef struct
 {
-  drips_t *all;
+  stream_test_t *test;
   httpd_req_t *req;
-} drip_t;
+} stream_t;
 
 static void
-on_drip_stopped (void *arg)
+on_stream_disconnect (void *arg)
 {
-  drip_t *drip = arg;
-  drips_t *all = drip->all;
+  stream_t *stream = arg;
+  stream_test_t *test = stream->test;
 
-  all->stopped++;
-  for (size_t i = 0; i < all->held_count; i++)
-    if (all->held[i] == drip->req)
-      all->held[i--] = all->held[--all->held_count];
-  free (drip);
+  test->disconnect_count++;
+  for (size_t i = 0; i < test->open_count; i++)
+    if (test->open_streams[i] == stream->req)
+      test->open_streams[i--] = test->open_streams[--test->open_count];
+  free (stream);
 }
 
 static void
-hold_drip (void *arg, httpd_req_t *req)
+start_stream (void *arg, httpd_req_t *req)
 {
-  drips_t *all = arg;
-  drip_t *drip = mem_zalloc (sizeof *drip);
+  stream_test_t *test = arg;
+  stream_t *stream = mem_zalloc (sizeof *stream);
 
-  drip->all = all;
-  drip->req = req;
-  all->held[all->held_count++] = req;
-  httpd_watch (req, NULL, on_drip_stopped, drip);
+  stream->test = test;
+  stream->req = req;
+  test->open_streams[test->open_count++] = req;
+  httpd_watch (req, NULL, on_stream_disconnect, stream);
   httpd_start (req, 200, NULL, 0);
   httpd_send (req, STR ("first"), false);
 }
 
 static void
-on_leaver_closed (uv_handle_t *handle)
+on_client_closed (uv_handle_t *handle)
 {
-  leaver_t *leaver = handle->data;
+  stream_client_t *client = handle->data;
 
-  leaver->all->closed++;
-  free (leaver);
+  client->test->closed_count++;
+  free (client);
 }
 
 static void
-on_leaver_alloc (uv_handle_t *handle, size_t size, uv_buf_t *buf)
+on_client_alloc (uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
   static char bytes[4096];
 
@@ -381,111 +381,112 @@
 }
 
 static void
-leave (leaver_t *leaver)
+disconnect (stream_client_t *client)
 {
-  if (uv_is_closing ((uv_handle_t *)&leaver->tcp))
+  if (uv_is_closing ((uv_handle_t *)&client->tcp))
     return;
-  if (leaver->reset)
-    uv_tcp_close_reset (&leaver->tcp, on_leaver_closed);
+  if (client->reset)
+    uv_tcp_close_reset (&client->tcp, on_client_closed);
   else
-    uv_close ((uv_handle_t *)&leaver->tcp, on_leaver_closed);
+    uv_close ((uv_handle_t *)&client->tcp, on_client_closed);
 }
 
 static void
-on_leaver_read (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+on_client_read (uv_stream_t *stream, ssize_t read_len, const uv_buf_t *buf)
 {
-  leaver_t *leaver = stream->data;
+  stream_client_t *client = stream->data;
 
   (void)buf;
-  if (got < 0 || leaver->reads_left-- == 0)
-    leave (leaver);
+  if (read_len < 0 || client->reads_left-- == 0)
+    disconnect (client);
 }
 
 static void
-on_leaver_connected (uv_connect_t *connect, int status)
+on_client_connected (uv_connect_t *connect, int status)
 {
   static char text[] = "GET /drip HTTP/1.1\r\nhost: a\r\n\r\n";
-  leaver_t *leaver = connect->data;
+  stream_client_t *client = connect->data;
   uv_buf_t buf = uv_buf_init (text, sizeof text - 1);
 
   ck_assert_int_eq (status, 0);
-  uv_write (&leaver->write, (uv_stream_t *)&leaver->tcp, &buf, 1, NULL);
-  uv_read_start ((uv_stream_t *)&leaver->tcp, on_leaver_alloc, on_leaver_read);
+  uv_write (&client->write, (uv_stream_t *)&client->tcp, &buf, 1, NULL);
+  uv_read_start ((uv_stream_t *)&client->tcp, on_client_alloc, on_client_read);
 }
 
 static void
-start_leaver (drips_t *all)
+start_client (stream_test_t *test)
 {
   struct sockaddr_in addr;
-  leaver_t *leaver = mem_zalloc (sizeof *leaver);
-
-  uv_ip4_addr ("127.0.0.1", httpd_port (all->server), &addr);
-  leaver->all = all;
-  all->seed = all->seed * 6364136223846793005u + 1442695040888963407u;
-  leaver->reads_left = (all->seed >> 33) % 8;
-  leaver->reset = (all->seed >> 40) % 2 == 0;
-  uv_tcp_init (&all->loop, &leaver->tcp);
-  leaver->tcp.data = leaver;
-  leaver->connect.data = leaver;
-  uv_tcp_connect (&leaver->connect, &leaver->tcp, (struct sockaddr *)&addr,
-                  on_leaver_connected);
-  all->started++;
+  stream_client_t *client = mem_zalloc (sizeof *client);
+
+  uv_ip4_addr ("127.0.0.1", httpd_port (test->server), &addr);
+  client->test = test;
+  test->seed = test->seed * 6364136223846793005u + 1442695040888963407u;
+  client->reads_left = (test->seed >> 33) % 8;
+  client->reset = (test->seed >> 40) % 2 == 0;
+  uv_tcp_init (&test->loop, &client->tcp);
+  client->tcp.data = client;
+  client->connect.data = client;
+  uv_tcp_connect (&client->connect, &client->tcp, (struct sockaddr *)&addr,
+                  on_client_connected);
+  test->started_count++;
 }
 
 static void
-on_drip_timer (uv_timer_t *timer)
+on_stream_timer (uv_timer_t *timer)
 {
-  drips_t *all = timer->data;
+  stream_test_t *test = timer->data;
 
-  for (size_t i = 0; i < all->held_count; i++)
-    httpd_send (all->held[i], STR ("drip"), false);
-  for (int i = 0; i < 4 && all->started < LEAVERS; i++)
-    start_leaver (all);
+  for (size_t i = 0; i < test->open_count; i++)
+    httpd_send (test->open_streams[i], STR ("drip"), false);
+  for (int i = 0; i < 4 && test->started_count < CLIENT_COUNT; i++)
+    start_client (test);
 }
 
-/* Callers leave in the middle of their streams, some with a reset, while more
-   of the stream is on its way to them: before its first piece, between two, in
-   the middle of a write.  Each departure is told once, and the process, which
-   used to end on an assertion when a write failed beside the cut, lives.  */
-START_TEST (callers_leave_in_mid_stream)
+/* Clients disconnect during a streamed response, some with a reset: before the
+   first piece, between two pieces or during a write.  Each disconnect must be
+   reported once.  Guards against an assertion failure of the process when a
+   write failed while the response was being aborted.  */
+START_TEST (clients_disconnect_during_stream)
 {
   const httpd_options_t options = { .body_limit = 1024 };
-  drips_t all = { .seed = 7 };
+  stream_test_t test = { .seed = 7 };
 
-  uv_loop_init (&all.loop);
-  ck_assert_int_eq (httpd_create (&all.loop, STR ("127.0.0.1:0"), &options,
-                                  hold_drip, &all, &all.server),
+  uv_loop_init (&test.loop);
+  ck_assert_int_eq (httpd_create (&test.loop, STR ("127.0.0.1:0"), &options,
+                                  start_stream, &test, &test.server),
                     VH_OK);
-  uv_timer_init (&all.loop, &all.timer);
-  all.timer.data = &all;
-  uv_timer_start (&all.timer, on_drip_timer, 1, 2);
-  while (all.closed < LEAVERS || all.held_count > 0)
-    uv_run (&all.loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (all.stopped, LEAVERS);
-  uv_close ((uv_handle_t *)&all.timer, NULL);
-  httpd_destroy (all.server);
-  uv_run (&all.loop, UV_RUN_DEFAULT);
-  ck_assert_int_eq (uv_loop_close (&all.loop), 0);
+  uv_timer_init (&test.loop, &test.timer);
+  test.timer.data = &test;
+  uv_timer_start (&test.timer, on_stream_timer, 1, 2);
+  while (test.closed_count < CLIENT_COUNT || test.open_count > 0)
+    uv_run (&test.loop, UV_RUN_ONCE);
+  ck_assert_uint_eq (test.disconnect_count, CLIENT_COUNT);
+  uv_close ((uv_handle_t *)&test.timer, NULL);
+  httpd_destroy (test.server);
+  uv_run (&test.loop, UV_RUN_DEFAULT);
+  ck_assert_int_eq (uv_loop_close (&test.loop), 0);
 }
 END_TEST
 
 int
 main (void)
 {
-  /* libuv writes to sockets whose peer is gone; the daemons ignore it too.  */
+  /* libuv writes to sockets whose peer has disconnected; the daemons ignore
+     SIGPIPE too.  */
   signal (SIGPIPE, SIG_IGN);
   Suite *suite = suite_create ("http");
   TCase *tcase = tcase_create ("http");
 
-  tcase_add_test (tcase, echo_query_and_big);
+  tcase_add_test (tcase, echo_query_and_large_body);
   tcase_add_test (tcase, oversized_body_is_refused);
-  tcase_add_test (tcase, cut_answer_is_seen);
-  tcase_add_test (tcase, answer_cut_between_chunks_is_seen);
-  tcase_add_test (tcase, answer_cut_before_its_head_is_seen);
-  tcase_add_test (tcase, departure_is_noticed);
-  tcase_add_test (tcase, callers_leave_in_mid_stream);
+  tcase_add_test (tcase, truncated_response_is_reported);
+  tcase_add_test (tcase, truncation_between_chunks_is_reported);
+  tcase_add_test (tcase, abort_before_head_is_reported);
+  tcase_add_test (tcase, client_disconnect_is_detected);
+  tcase_add_test (tcase, clients_disconnect_during_stream);
   tcase_add_test (tcase, silent_server_times_out);
-  tcase_add_test (tcase, refused_connection_is_told_apart);
+  tcase_add_test (tcase, refused_connection_is_reported);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -19,26 +19,27 @@
   rpc_node_t *node;
   rpc_server_t *server;
   rpc_peer_t *peer;
-  narrow_link_t *link; /* Before the server; NULL: none.  */
-  int swallow;         /* Requests still to be left without reply.  */
+  narrow_link_t *link; /* Link in front of the server; NULL: none.  */
+  int unanswered_left; /* Number of further requests that get no reply.  */
   int handled;
   rpc_request_t *held[64];
   int held_count;
   bool hold;
-  int done;
+  int done_count;
   vh_code_t codes[512];
   int echoed[512];
-  unsigned sent[512];
-  uint64_t seen_revision;
-  char *large;      /* Told to WIRE_CONFIG_PULL.  */
-  size_t large_len; /* The same; of the last WIRE_CONFIG_PUSH.  */
+  unsigned send_counts[512];
+  uint64_t received_revision;
+  char *update; /* Reply to WIRE_CONFIG_PULL.  */
+  /* Length of UPDATE, or of the last WIRE_CONFIG_PUSH.  */
+  size_t update_len;
 } fixture_t;
 
 typedef struct
 {
   fixture_t *f;
   int index;
-} tag_t;
+} call_tag_t;
 
 static void
 outgoing (void *arg, wire_context_t *context)
@@ -51,7 +52,7 @@
 incoming (void *arg, rpc_peer_t *peer, const wire_context_t *context)
 {
   (void)peer;
-  ((fixture_t *)arg)->seen_revision = context->revision;
+  ((fixture_t *)arg)->received_revision = context->revision;
 }
 
 static const rpc_hooks_t hooks = { outgoing, incoming };
@@ -63,9 +64,9 @@
   fixture_t *f = arg;
 
   f->handled++;
-  if (f->swallow > 0)
+  if (f->unanswered_left > 0)
     {
-      f->swallow--;
+      f->unanswered_left--;
       f->held[f->held_count++] = request;
       return;
     }
@@ -78,16 +79,16 @@
     }
   if (proc == WIRE_CONFIG_PULL)
     {
-      wire_config_pull_res_t pulled
-          = { .update = { (u_int)f->large_len, f->large } };
-      rpc_reply (request, &pulled);
+      wire_config_pull_res_t pull_result
+          = { .update = { (u_int)f->update_len, f->update } };
+      rpc_reply (request, &pull_result);
       return;
     }
   if (proc == WIRE_CONFIG_PUSH)
     {
-      wire_code_res_t taken = { VH_OK };
-      f->large_len = ((wire_config_push_args_t *)args)->update.update_len;
-      rpc_reply (request, &taken);
+      wire_code_res_t push_result = { VH_OK };
+      f->update_len = ((wire_config_push_args_t *)args)->update.update_len;
+      rpc_reply (request, &push_result);
       return;
     }
   wire_fetch_args_t *fetch = args;
@@ -99,9 +100,9 @@
   rpc_reply (request, &answer);
 }
 
-/* Let the peer be the one at PORT.  */
+/* Create the peer, with the server at PORT.  */
 static void
-connect_to (fixture_t *f, uint16_t port)
+create_peer (fixture_t *f, uint16_t port)
 {
   char address[32];
 
@@ -125,17 +126,17 @@
 setup (fixture_t *f, const str_t *keys, size_t key_count)
 {
   setup_server (f, keys, key_count);
-  connect_to (f, rpc_server_port (f->server));
+  create_peer (f, rpc_server_port (f->server));
 }
 
-/* A server behind a link that passes BYTES_PER_S.  */
+/* Create a server behind a link that forwards BYTES_PER_S.  */
 static void
-setup_narrow (fixture_t *f, size_t bytes_per_s)
+setup_slow_link (fixture_t *f, size_t bytes_per_s)
 {
   setup_server (f, NULL, 0);
   f->link = narrow_link_create (&f->loop, rpc_server_port (f->server),
                                 bytes_per_s);
-  connect_to (f, narrow_link_port (f->link));
+  create_peer (f, narrow_link_port (f->link));
 }
 
 static void
@@ -165,11 +166,11 @@
 static void
 on_answer (void *arg, vh_code_t code, void *result, unsigned sent)
 {
-  tag_t *tag = arg;
+  call_tag_t *tag = arg;
   fixture_t *f = tag->f;
 
   f->codes[tag->index] = code;
-  f->sent[tag->index] = sent;
+  f->send_counts[tag->index] = sent;
   if (code == VH_OK)
     {
       wire_answer_t *answer = result;
@@ -179,25 +180,25 @@
       ck_assert_int_eq (atoi (text), (int)answer->offset);
       f->echoed[tag->index] = (int)answer->offset;
     }
-  f->done++;
+  f->done_count++;
   free (tag);
 }
 
 static rpc_call_t *
 fetch (fixture_t *f, int index, uint64_t timeout_ms)
 {
-  tag_t *tag = mem_alloc (sizeof *tag);
+  call_tag_t *tag = mem_alloc (sizeof *tag);
   char attempt[16];
   wire_fetch_args_t args = { .attempt = attempt, .offset = (uint64_t)index };
 
   snprintf (attempt, sizeof attempt, "%d", index);
-  *tag = (tag_t){ f, index };
+  *tag = (call_tag_t){ f, index };
   return rpc_peer_call (f->peer, WIRE_FETCH, &args, timeout_ms, on_answer,
                         tag);
 }
 
 static void
-on_limit (uv_timer_t *timer)
+on_run_limit (uv_timer_t *timer)
 {
   *(bool *)timer->data = true;
 }
@@ -206,19 +207,19 @@
 run_until_done (fixture_t *f, int done)
 {
   uv_timer_t timer;
-  bool late = false;
+  bool is_late = false;
 
   uv_timer_init (&f->loop, &timer);
-  timer.data = &late;
-  uv_timer_start (&timer, on_limit, RUN_LIMIT_MS, 0);
-  while (f->done < done && !late)
+  timer.data = &is_late;
+  uv_timer_start (&timer, on_run_limit, RUN_LIMIT_MS, 0);
+  while (f->done_count < done && !is_late)
     uv_run (&f->loop, UV_RUN_ONCE);
-  ck_assert_msg (!late, "%d of %d done", f->done, done);
+  ck_assert_msg (!is_late, "%d of %d done", f->done_count, done);
   uv_close ((uv_handle_t *)&timer, NULL);
   uv_run (&f->loop, UV_RUN_NOWAIT);
 }
 
-START_TEST (many_calls_in_flight)
+START_TEST (concurrent_calls_get_their_replies)
 {
   fixture_t f;
   const str_t key = STR ("secret");
@@ -226,36 +227,36 @@
   setup (&f, &key, 1);
   for (int i = 0; i < 500; i++)
     fetch (&f, i, 5000);
-  ck_assert_int_eq (f.done, 0);
+  ck_assert_int_eq (f.done_count, 0);
   run_until_done (&f, 500);
   for (int i = 0; i < 500; i++)
     {
       ck_assert_int_eq (f.codes[i], VH_OK);
       ck_assert_int_eq (f.echoed[i], i);
     }
-  ck_assert_uint_eq (f.seen_revision, 42);
+  ck_assert_uint_eq (f.received_revision, 42);
   teardown (&f);
 }
 END_TEST
 
-/* Callers wait on a connection that something between the two ends has lost
-   track of: nothing comes back, no error either.  The calls must move to a
-   fresh connection and be answered in under two seconds.  */
-START_TEST (silent_connection_is_left)
+/* A middlebox loses its state of a connection: neither a reply nor an error
+   arrives.  The calls must be sent again on a new connection and be answered
+   in under two seconds.  */
+START_TEST (calls_leave_unresponsive_connection)
 {
   fixture_t f;
   uint64_t begin_ms = clock_ms (clock_system ());
 
   setup (&f, NULL, 0);
-  /* The call and the ping that asks after it.  */
-  f.swallow = 2;
+  /* The call, and the ping that checks the connection.  */
+  f.unanswered_left = 2;
   fetch (&f, 1, 8000);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[1], VH_OK);
-  ck_assert_uint_eq (f.sent[1], 2);
+  ck_assert_uint_eq (f.send_counts[1], 2);
   ck_assert_uint_eq (rpc_node_stats (f.node)->silent, 1);
   ck_assert_uint_lt (clock_ms (clock_system ()) - begin_ms, 2000);
-  /* The replies of the connection that was left come to nothing.  */
+  /* Replies on the abandoned connection must have no effect.  */
   release_held (&f);
   fetch (&f, 2, 8000);
   run_until_done (&f, 2);
@@ -264,14 +265,15 @@
 }
 END_TEST
 
-/* A paused peer takes connections (its kernel does) and answers on none: its
-   calls must be given back in a bounded time as perhaps received.  */
-START_TEST (paused_peer_gives_calls_back)
+/* The kernel of a paused peer accepts connections, but the peer replies on
+   none of them.  Its calls must end in a bounded time, with a code that says
+   that the peer may have received them.  */
+START_TEST (calls_to_paused_peer_end)
 {
   fixture_t f;
 
   setup (&f, NULL, 0);
-  f.swallow = 60;
+  f.unanswered_left = 60;
   fetch (&f, 1, 9000);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[1], VH_E_CLOSED);
@@ -280,35 +282,35 @@
 }
 END_TEST
 
-START_TEST (refused_connection_was_not_sent)
+START_TEST (refused_connection_reports_call_unsent)
 {
   fixture_t f;
 
   setup (&f, NULL, 0);
-  rpc_peer_t *real = f.peer;
+  rpc_peer_t *reachable = f.peer;
   f.peer = rpc_peer_create (f.node, STR ("127.0.0.1:1"), &no_events, &f);
   fetch (&f, 1, 2000);
   fetch (&f, 2, 2000);
   run_until_done (&f, 2);
   ck_assert_int_eq (f.codes[1], VH_E_CONNECT);
   ck_assert_int_eq (f.codes[2], VH_E_CONNECT);
-  ck_assert_uint_eq (f.sent[1], 0);
-  /* Within the back-off the next call fails without a try.  */
+  ck_assert_uint_eq (f.send_counts[1], 0);
+  /* During the back-off a call fails without a connection attempt.  */
   fetch (&f, 3, 2000);
   run_until_done (&f, 3);
   ck_assert_int_eq (f.codes[3], VH_E_CONNECT);
   rpc_peer_destroy (f.peer);
-  f.peer = real;
+  f.peer = reachable;
   teardown (&f);
 }
 END_TEST
 
-START_TEST (timeout_and_late_reply)
+START_TEST (late_reply_is_discarded)
 {
   fixture_t f;
 
   setup (&f, NULL, 0);
-  f.swallow = 1;
+  f.unanswered_left = 1;
   fetch (&f, 1, 100);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[1], VH_E_TIMEOUT);
@@ -324,7 +326,7 @@
 static void
 on_pulled (void *arg, vh_code_t code, void *result, unsigned sent)
 {
-  tag_t *tag = arg;
+  call_tag_t *tag = arg;
   fixture_t *f = tag->f;
 
   (void)sent;
@@ -332,13 +334,13 @@
   if (code == VH_OK)
     f->echoed[tag->index]
         = (int)((wire_config_pull_res_t *)result)->update.update_len;
-  f->done++;
+  f->done_count++;
 }
 
-/* A reply of any size was given up when it took the link longer than the
-   timeout, and asked for again from its beginning.  A reply that stops midway
-   is given up.  */
-START_TEST (large_reply_is_waited_for_while_it_comes)
+/* Guards against a timeout of a large reply that is still arriving: the caller
+   then requested the reply again from the start.  A reply that stops arriving
+   must still time out.  */
+START_TEST (large_reply_may_exceed_timeout)
 {
   enum
   {
@@ -350,23 +352,23 @@
   wire_config_pull_args_t args = { .have = 0 };
   fixture_t f;
 
-  setup_narrow (&f, BYTES_PER_S);
-  f.large = large;
-  f.large_len = BYTES;
-  tag_t whole = { &f, 0 };
+  setup_slow_link (&f, BYTES_PER_S);
+  f.update = large;
+  f.update_len = BYTES;
+  call_tag_t complete = { &f, 0 };
   rpc_peer_call (f.peer, WIRE_CONFIG_PULL, &args, TIMEOUT_MS, on_pulled,
-                 &whole);
+                 &complete);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[0], VH_OK);
   ck_assert_int_eq (f.echoed[0], BYTES);
   narrow_link_stop_after (f.link, BYTES / 3);
   uint64_t begin_ms = clock_ms (clock_system ());
-  tag_t broken = { &f, 1 };
+  call_tag_t stalled = { &f, 1 };
   rpc_peer_call (f.peer, WIRE_CONFIG_PULL, &args, TIMEOUT_MS, on_pulled,
-                 &broken);
+                 &stalled);
   run_until_done (&f, 2);
   ck_assert_int_ne (f.codes[1], VH_OK);
-  /* A third of the reply, and a silence.  */
+  /* Time for a third of the reply and for the timeout without data.  */
   ck_assert_uint_lt (clock_ms (clock_system ()) - begin_ms, 1500);
   teardown (&f);
 }
@@ -375,18 +377,18 @@
 static void
 on_pushed (void *arg, vh_code_t code, void *result, unsigned sent)
 {
-  tag_t *tag = arg;
+  call_tag_t *tag = arg;
 
   (void)result;
   tag->f->codes[tag->index] = code;
-  tag->f->sent[tag->index] = sent;
-  tag->f->done++;
+  tag->f->send_counts[tag->index] = sent;
+  tag->f->done_count++;
 }
 
-/* While a large call was on its way the ping behind it had no answer, so that
-   the connection passed for silent and the call began anew on another one, for
-   ever.  */
-START_TEST (large_call_is_sent_whole_over_a_narrow_link)
+/* Guards against an endless resend of a large call on a slow link: the ping
+   queued after the call was not answered in time, so the connection was
+   considered unresponsive and the call was started again on a new one.  */
+START_TEST (large_call_on_slow_link_is_sent_once)
 {
   enum
   {
@@ -397,25 +399,25 @@
   wire_config_push_args_t args = { .update = { BYTES, large } };
   fixture_t f;
 
-  setup_narrow (&f, BYTES_PER_S);
-  tag_t tag = { &f, 0 };
+  setup_slow_link (&f, BYTES_PER_S);
+  call_tag_t tag = { &f, 0 };
   rpc_peer_call (f.peer, WIRE_CONFIG_PUSH, &args, 5000, on_pushed, &tag);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[0], VH_OK);
-  ck_assert_uint_eq (f.sent[0], 1);
-  ck_assert_uint_eq (f.large_len, BYTES);
+  ck_assert_uint_eq (f.send_counts[0], 1);
+  ck_assert_uint_eq (f.update_len, BYTES);
   teardown (&f);
 }
 END_TEST
 
-START_TEST (cancelled_call_is_forgotten)
+START_TEST (cancelled_call_gets_no_reply)
 {
   fixture_t f;
   char attempt[] = "1";
 
   setup (&f, NULL, 0);
   wire_fetch_args_t args = { .attempt = attempt, .offset = 1 };
-  tag_t tag = { &f, 1 };
+  call_tag_t tag = { &f, 1 };
   rpc_call_t *call
       = rpc_peer_call (f.peer, WIRE_FETCH, &args, 2000, on_answer, &tag);
   rpc_cancel (call);
@@ -427,8 +429,9 @@
 }
 END_TEST
 
-/* Somebody without the key connects and calls.  Nothing may be handled.  */
-START_TEST (wrong_key_is_refused)
+/* A client without the key connects and sends a call.  The server must not
+   handle the call.  */
+START_TEST (call_with_wrong_key_is_refused)
 {
   fixture_t f;
   const str_t keys[] = { STR ("old"), STR ("new") };
@@ -436,7 +439,7 @@
   char address[32];
 
   setup (&f, keys, 2);
-  rpc_node_t *stranger
+  rpc_node_t *unauthorized
       = rpc_node_create (&f.loop, clock_system (), rng_make (6),
                          STR ("stranger"), &wrong, 1, &hooks, &f);
   rpc_node_t *rotated
@@ -444,29 +447,29 @@
                          STR ("rotated"), &keys[1], 1, &hooks, &f);
   snprintf (address, sizeof address, "127.0.0.1:%u",
             rpc_server_port (f.server));
-  rpc_peer_t *own = f.peer;
-  f.peer = rpc_peer_create (stranger, str_from (address), &no_events, &f);
+  rpc_peer_t *authorized = f.peer;
+  f.peer = rpc_peer_create (unauthorized, str_from (address), &no_events, &f);
   fetch (&f, 1, 300);
   run_until_done (&f, 1);
   ck_assert_int_ne (f.codes[1], VH_OK);
   ck_assert_int_eq (f.handled, 0);
   rpc_peer_destroy (f.peer);
-  /* A peer that signs with the second key is taken, but it does not know
-     the first one, with which the reply is signed: rotate by adding the new
-     key everywhere before signing with it.  */
+  /* The server accepts a call signed with the second key, but signs its reply
+     with the first key, which this peer does not have.  A new key must
+     therefore be added to all processes before a process signs with it.  */
   f.peer = rpc_peer_create (rotated, str_from (address), &no_events, &f);
   fetch (&f, 2, 300);
   run_until_done (&f, 2);
   ck_assert_int_ge (f.handled, 1);
   rpc_peer_destroy (f.peer);
-  f.peer = own;
-  rpc_node_destroy (stranger);
+  f.peer = authorized;
+  rpc_node_destroy (unauthorized);
   rpc_node_destroy (rotated);
   teardown (&f);
 }
 END_TEST
 
-/* Random damage to well-formed records must be refused without a crash.  */
+/* The decoder must refuse randomly damaged records without a crash.  */
 START_TEST (damaged_records_are_refused)
 {
   enum
@@ -484,7 +487,7 @@
       size_t len = rng_below (&rng, LEN);
       for (size_t j = 0; j < len; j++)
         bytes[j] = rng_below (&rng, 3) == 0 ? (char)rng_u64 (&rng) : 0;
-      /* Mostly a valid head of a call.  */
+      /* The head of most of the records is that of a valid call.  */
       static const unsigned char head[]
           = { 0, 0,    0,    9,    0,    0,    0, 0, 0, 0, 0,
               2, 0x20, 0x56, 0x48, 0x01, 0,    0, 0, 1, 0, 0,
@@ -507,15 +510,15 @@
   TCase *tcase = tcase_create ("rpc");
 
   tcase_set_timeout (tcase, 20);
-  tcase_add_test (tcase, many_calls_in_flight);
-  tcase_add_test (tcase, silent_connection_is_left);
-  tcase_add_test (tcase, paused_peer_gives_calls_back);
-  tcase_add_test (tcase, refused_connection_was_not_sent);
-  tcase_add_test (tcase, timeout_and_late_reply);
-  tcase_add_test (tcase, large_reply_is_waited_for_while_it_comes);
-  tcase_add_test (tcase, large_call_is_sent_whole_over_a_narrow_link);
-  tcase_add_test (tcase, cancelled_call_is_forgotten);
-  tcase_add_test (tcase, wrong_key_is_refused);
+  tcase_add_test (tcase, concurrent_calls_get_their_replies);
+  tcase_add_test (tcase, calls_leave_unresponsive_connection);
+  tcase_add_test (tcase, calls_to_paused_peer_end);
+  tcase_add_test (tcase, refused_connection_reports_call_unsent);
+  tcase_add_test (tcase, late_reply_is_discarded);
+  tcase_add_test (tcase, large_reply_may_exceed_timeout);
+  tcase_add_test (tcase, large_call_on_slow_link_is_sent_once);
+  tcase_add_test (tcase, cancelled_call_gets_no_reply);
+  tcase_add_test (tcase, call_with_wrong_key_is_refused);
   tcase_add_test (tcase, damaged_records_are_refused);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
--- a/tests/test_tls.c
+++ b/tests/test_tls.c
@@ -1,4 +1,4 @@
-/* Tests of TLS at the entry, with a real process and a plain OpenSSL
+/* Tests of TLS at the entry, with a real vanillahookd process and an OpenSSL
    client.  */
 
 #include "harness.h"
@@ -38,9 +38,10 @@
   harness = NULL;
 }
 
-/* Write the text that WRITE puts into a memory BIO as file NAME.  */
+/* Write the contents of the memory BIO to the file NAME, release BIO and
+   return the path of the file.  */
 static const char *
-keep (const char *name, BIO *bio)
+write_bio (const char *name, BIO *bio)
 {
   char *text;
   long len = BIO_get_mem_data (bio, &text);
@@ -51,7 +52,8 @@
   return path;
 }
 
-/* Make a self-signed certificate for NAME in cert.pem and key.pem.  */
+/* Create a self-signed certificate for NAME in cert.pem and key.pem, and set
+ *CERT_PATH and *KEY_PATH.  */
 static void
 make_certificate (const char *name, const char **cert_path,
                   const char **key_path)
@@ -72,23 +74,24 @@
   X509_sign (cert, key, EVP_sha256 ());
   PEM_write_bio_X509 (cert_bio, cert);
   PEM_write_bio_PrivateKey (key_bio, key, NULL, NULL, 0, NULL, NULL);
-  *key_path = keep ("key.pem", key_bio);
-  *cert_path = keep ("cert.pem", cert_bio);
+  *key_path = write_bio ("key.pem", key_bio);
+  *cert_path = write_bio ("cert.pem", cert_bio);
   X509_free (cert);
   EVP_PKEY_free (key);
 }
 
-/* Connect to PORT, ask for the models and write the name on the server's
-   certificate into NAME.  Return the length of the answer, 0 for none.  */
+/* Connect to PORT, request the list of models and write the common name of the
+   server's certificate to NAME.  Return the number of bytes of the response
+   that were read, or 0 when there was none.  */
 static int
-ask (uint16_t port, char *name, size_t size)
+request_models (uint16_t port, char *name, size_t size)
 {
   char address[64];
   char answer[512];
   SSL_CTX *ctx = SSL_CTX_new (TLS_client_method ());
   BIO *bio = BIO_new_ssl_connect (ctx);
   SSL *ssl = NULL;
-  int got = 0;
+  int read_len = 0;
 
   snprintf (address, sizeof address, "%s:%u", harness_host (harness), port);
   name[0] = '\0';
@@ -102,17 +105,17 @@
       X509_free (cert);
       BIO_puts (bio, "GET /v1/models HTTP/1.1\r\nhost: x\r\n"
                      "connection: close\r\n\r\n");
-      got = BIO_read (bio, answer, sizeof answer);
+      read_len = BIO_read (bio, answer, sizeof answer);
     }
   BIO_free_all (bio);
   SSL_CTX_free (ctx);
-  return got > 0 ? got : 0;
+  return read_len > 0 ? read_len : 0;
 }
 
-/* A certificate is about to run out and the operators put a new one in its
-   place.  Callers must get the new one with new connections while the process
-   goes on, and half of a renewal must not break anything.  */
-START_TEST (renewed_certificate_is_taken)
+/* Operators replace a certificate that is about to expire.  New connections
+   must get the new certificate without a restart of the process, and every
+   request must be answered while the two files are being replaced.  */
+START_TEST (renewed_certificate_is_loaded)
 {
   uint16_t port = harness_port (harness);
   uint16_t admin = harness_port (harness);
@@ -134,13 +137,14 @@
   buf_free (&text);
   proc_t *daemon = harness_start (harness, "standalone", "bin/vanillahookd",
                                   "--settings", settings, NULL);
-  while (ask (port, name, sizeof name) == 0 && harness_now_ms () < end_ms)
+  while (request_models (port, name, sizeof name) == 0
+         && harness_now_ms () < end_ms)
     harness_sleep_ms (STEP_MS);
   ck_assert_str_eq (name, "one");
   make_certificate ("two", &cert, &key);
   while (strcmp (name, "two") != 0 && harness_now_ms () < end_ms)
     {
-      ck_assert_int_gt (ask (port, name, sizeof name), 0);
+      ck_assert_int_gt (request_models (port, name, sizeof name), 0);
       harness_sleep_ms (STEP_MS);
     }
   ck_assert_str_eq (name, "two");
@@ -157,7 +161,7 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_checked_fixture (tcase, setup, teardown);
-  tcase_add_test (tcase, renewed_certificate_is_taken);
+  tcase_add_test (tcase, renewed_certificate_is_loaded);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
