--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -485,7 +485,7 @@
   if (!may_fetch (request))
     return;
   if (request->released && request->http != NULL
-      && httpd_buffered (request->http) > AHEAD_MAX)
+      && httpd_buffered_bytes (request->http) > AHEAD_MAX)
     return;
   send_fetch (request, FETCH_BYTES,
               left < FETCH_WAIT_MS ? left : (uint64_t)FETCH_WAIT_MS);
@@ -836,7 +836,7 @@
   rpc_cancel (at->call);
   at->call = NULL;
   settle (request, true);
-  rpc_peer_fire (at->member->peer, WIRE_CANCEL, &args);
+  rpc_peer_notify (at->member->peer, WIRE_CANCEL, &args);
 }
 
 void
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -144,7 +144,7 @@
 }
 
 static void
-on_peer_state (void *arg, rpc_state_t state)
+on_peer_state (void *arg, rpc_peer_state_t state)
 {
   member_t *member = arg;
 
@@ -159,9 +159,9 @@
     balance_set_mark (member->entry->balance, member->id, BALANCE_UNREACHABLE,
                       member->down);
   log_info ("entry", "Connection is %s. instance=%s",
-            state == RPC_UP       ? "up"
-            : state == RPC_SILENT ? "silent"
-                                  : "down",
+            state == RPC_UP             ? "up"
+            : state == RPC_UNRESPONSIVE ? "silent"
+                                        : "down",
             member->name);
 }
 
@@ -608,7 +608,7 @@
 member_status (const member_t *member, uint64_t now_ms, buf_t *out)
 {
   balance_info_t info = { 0 };
-  uint64_t heard_ms = rpc_peer_heard_ms (member->peer);
+  uint64_t heard_ms = rpc_peer_last_reply_ms (member->peer);
 
   if (member->id != 0)
     balance_info (member->entry->balance, member->id, &info);
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -31,7 +31,7 @@
   uv_write_t write;
   bound_t connect_timeout;
   unsigned open_handles;
-  call_events_t events;
+  http_exchange_events_t events;
   void *arg;
   buf_t request;
   buf_t input; /* Received bytes of an incomplete response head.  */
@@ -69,7 +69,7 @@
 }
 
 void
-call_cancel (call_t *call)
+http_exchange_cancel (call_t *call)
 {
   if (call->closed)
     return;
@@ -83,18 +83,18 @@
 {
   if (call->closed)
     return;
-  call_cancel (call);
+  http_exchange_cancel (call);
   call->events.end (call->arg, code);
 }
 
 bool
-call_sent (const call_t *call)
+http_exchange_was_sent (const call_t *call)
 {
   return call->connected;
 }
 
 str_t
-call_header (const call_head_t *head, str_t name)
+http_exchange_header (const http_exchange_head_t *head, str_t name)
 {
   for (size_t i = 0; i < head->header_count; i++)
     if (str_eq_nocase (head->headers[i].name, name))
@@ -105,7 +105,7 @@
 /* Determine from HEAD how the body is framed.  Return false when the headers
    contradict each other, as in a response that was corrupted in transit.  */
 static bool
-set_body_framing (call_t *call, const call_head_t *head)
+set_body_framing (call_t *call, const http_exchange_head_t *head)
 {
   str_t length = STR_NULL;
 
@@ -119,7 +119,7 @@
           length = header->value;
         }
     }
-  str_t coding = call_header (head, STR ("transfer-encoding"));
+  str_t coding = http_exchange_header (head, STR ("transfer-encoding"));
   if (call->no_body || head->status == 204 || head->status == 304)
     call->body_framing = BODY_NONE;
   else if (coding.ptr != NULL)
@@ -183,7 +183,7 @@
 {
   struct phr_header parsed[HEADERS_MAX];
   httpc_header_t headers[HEADERS_MAX];
-  call_head_t head = { 0, headers, HEADERS_MAX };
+  http_exchange_head_t head = { 0, headers, HEADERS_MAX };
   const char *reason;
   size_t reason_len;
   int minor;
@@ -318,9 +318,9 @@
 }
 
 call_t *
-call_start (uv_loop_t *loop, str_t address, buf_t *request,
-            uint64_t connect_ms, bool no_body, const call_events_t *events,
-            void *arg)
+http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
+                     uint64_t connect_ms, bool no_body,
+                     const http_exchange_events_t *events, void *arg)
 {
   struct sockaddr_storage addr;
   socklen_t addr_len;
@@ -352,7 +352,7 @@
 }
 
 void
-call_pause (call_t *call)
+http_exchange_pause (call_t *call)
 {
   call->paused = true;
   if (call->connected && !call->closed)
@@ -360,7 +360,7 @@
 }
 
 void
-call_resume (call_t *call)
+http_exchange_resume (call_t *call)
 {
   call->paused = false;
   if (call->connected && !call->closed)
--- a/packages/wire/call.h
+++ b/packages/wire/call.h
@@ -27,7 +27,7 @@
   int status; /* HTTP status code.  */
   const httpc_header_t *headers;
   size_t header_count;
-} call_head_t;
+} http_exchange_head_t;
 
 /* Events of one exchange, in this order: at most one HEAD, any number of BODY,
    one END.  The exchange is released after END.  Borrowed arguments are valid
@@ -37,30 +37,30 @@
    server's response is not valid HTTP.  */
 typedef struct
 {
-  void (*head) (void *arg, const call_head_t *head);
+  void (*head) (void *arg, const http_exchange_head_t *head);
   void (*body) (void *arg, str_t bytes);
   void (*end) (void *arg, vh_code_t code);
-} call_events_t;
+} http_exchange_events_t;
 
 /* Send REQUEST, a complete HTTP/1.1 request whose buffer is taken over, to
    ADDRESS (HOST:PORT, numeric).  The exchange ends with VH_E_CONNECT when the
    connection is not established within CONNECT_MS.  NO_BODY states that the
    response has no body (HEAD).  No event is delivered before this function
    returns.  Return NULL and release REQUEST when ADDRESS is not valid.  */
-call_t *call_start (uv_loop_t *loop, str_t address, buf_t *request,
-                    uint64_t connect_ms, bool no_body,
-                    const call_events_t *events, void *arg);
+call_t *http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
+                             uint64_t connect_ms, bool no_body,
+                             const http_exchange_events_t *events, void *arg);
 /* Close the connection and deliver no further events.  May be called from an
    event callback.  */
-void call_cancel (call_t *call);
+void http_exchange_cancel (call_t *call);
 /* Return whether the server may have received any byte of the request.  */
-bool call_sent (const call_t *call);
+bool http_exchange_was_sent (const call_t *call);
 /* Stop and restart reading, so that a slow reader slows the server down.  */
-void call_pause (call_t *call);
-void call_resume (call_t *call);
+void http_exchange_pause (call_t *call);
+void http_exchange_resume (call_t *call);
 
 /* Return the value of the header NAME (in any letter case) of HEAD, or
    STR_NULL when HEAD has no such header.  */
-str_t call_header (const call_head_t *head, str_t name);
+str_t http_exchange_header (const http_exchange_head_t *head, str_t name);
 
 #endif
--- a/packages/wire/deflate.h
+++ b/packages/wire/deflate.h
@@ -10,7 +10,7 @@
 {
   /* Smallest text worth compressing, in bytes.  Compression saves less on a
      shorter text than sending the packet costs.  */
-  DEFLATE_LEAST = 4096
+  DEFLATE_MIN_BYTES = 4096
 };
 
 /* Append PLAIN, compressed with zlib, to OUT.  Return false and append nothing
--- a/packages/wire/httpc.h
+++ b/packages/wire/httpc.h
@@ -60,11 +60,11 @@
 /* Receives the result of httpc_fetch.  CODE is as in httpc_events_t, or
    VH_E_TOO_LARGE when the body is larger than the limit.  BODY is valid until
    the callback returns.  */
-typedef void (*httpc_whole_cb_t) (void *arg, vh_code_t code, int status,
+typedef void (*httpc_fetch_cb_t) (void *arg, vh_code_t code, int status,
                                   str_t body);
 /* Start a call whose body, of up to LIMIT bytes, is collected and passed to CB
    at once.  */
 httpc_call_t *httpc_fetch (httpc_t *client, const httpc_request_t *request,
-                           size_t limit, httpc_whole_cb_t cb, void *arg);
+                           size_t limit, httpc_fetch_cb_t cb, void *arg);
 
 #endif
--- a/packages/wire/httpd.h
+++ b/packages/wire/httpd.h
@@ -18,8 +18,8 @@
 
 /* Called when a request and its body have been received completely.  REQ stays
    valid until the last byte of its response is passed to httpd_send or
-   httpd_reply, or until the ON_DISCONNECT callback of httpd_watch is called,
-   whichever comes first.  */
+   httpd_reply, or until the ON_DISCONNECT callback of httpd_set_callbacks is
+   called, whichever comes first.  */
 typedef void (*httpd_handler_t) (void *arg, httpd_req_t *req);
 
 typedef struct
@@ -58,7 +58,7 @@
 size_t httpd_in_flight (const httpd_t *server);
 /* Return the number of requests whose response is not completed, or has not
    been written to the socket completely.  */
-size_t httpd_unwritten (const httpd_t *server);
+size_t httpd_unwritten_responses (const httpd_t *server);
 /* Return the number of open connections.  */
 size_t httpd_connections (const httpd_t *server);
 
@@ -71,7 +71,7 @@
 str_t httpd_query (const httpd_req_t *req);
 /* Return the value of the query parameter NAME, not percent-decoded, or
    STR_NULL when the query has no such parameter.  */
-str_t httpd_query_get (const httpd_req_t *req, str_t name);
+str_t httpd_query_param (const httpd_req_t *req, str_t name);
 /* Return the value of the header NAME (lower case), or STR_NULL when the
    request has no such header.  */
 str_t httpd_header (const httpd_req_t *req, str_t name);
@@ -82,7 +82,7 @@
 str_t httpd_body (const httpd_req_t *req);
 /* Write the numeric address of the client to BUF, which must have room for
    NI_MAXHOST bytes.  Return false when the address is not known.  */
-bool httpd_peer (const httpd_req_t *req, char *buf, size_t size);
+bool httpd_peer_address (const httpd_req_t *req, char *buf, size_t size);
 /* Return whether the client has a loopback address.  */
 bool httpd_peer_is_loopback (const httpd_req_t *req);
 
@@ -91,28 +91,29 @@
 void httpd_reply (httpd_req_t *req, int status, const httpc_header_t *headers,
                   size_t header_count, str_t body);
 /* Close the connection of REQ after its response.  */
-void httpd_close_after (httpd_req_t *req);
+void httpd_disable_keep_alive (httpd_req_t *req);
 /* Send a complete response with BODY as application/json.  */
 void httpd_reply_json (httpd_req_t *req, int status, str_t body);
 
 /* Start a streamed response.  The body follows with httpd_send.  */
-void httpd_start (httpd_req_t *req, int status, const httpc_header_t *headers,
-                  size_t header_count);
+void httpd_start_response (httpd_req_t *req, int status,
+                           const httpc_header_t *headers, size_t header_count);
 /* Send BYTES of a streamed response; LAST ends the response.  Bytes that the
    socket does not accept yet are buffered without a limit: the caller bounds
-   the buffer by sending more from the ON_DRAINED callback of httpd_watch.  */
+   the buffer by sending more from the ON_DRAINED callback of
+   httpd_set_callbacks.  */
 void httpd_send (httpd_req_t *req, str_t bytes, bool last);
 /* Close the connection before the end of the response, so that the client
    recognizes the response as incomplete.  */
 void httpd_abort (httpd_req_t *req);
 /* Return the number of bytes passed to httpd_send that the socket has not
    accepted yet.  */
-size_t httpd_buffered (const httpd_req_t *req);
+size_t httpd_buffered_bytes (const httpd_req_t *req);
 
 /* Set the callbacks of REQ.  ON_DRAINED is called when the send buffer becomes
    empty.  ON_DISCONNECT is called when the client has disconnected; REQ must
    not be used from then on.  Either may be NULL.  */
-void httpd_watch (httpd_req_t *req, void (*on_drained) (void *arg),
-                  void (*on_disconnect) (void *arg), void *arg);
+void httpd_set_callbacks (httpd_req_t *req, void (*on_drained) (void *arg),
+                          void (*on_disconnect) (void *arg), void *arg);
 
 #endif
--- a/packages/wire/rpc.h
+++ b/packages/wire/rpc.h
@@ -128,12 +128,12 @@
 {
   RPC_DOWN, /* Not connected yet, connecting failed, or connection lost.  */
   RPC_UP,
-  RPC_SILENT /* Several new connections in a row got no reply.  */
-} rpc_state_t;
+  RPC_UNRESPONSIVE /* Several new connections in a row got no reply.  */
+} rpc_peer_state_t;
 
 typedef struct
 {
-  void (*state) (void *arg, rpc_state_t state);
+  void (*state) (void *arg, rpc_peer_state_t state);
   void (*pong) (void *arg, const wire_ping_res_t *pong);
 } rpc_peer_events_t;
 
@@ -144,14 +144,14 @@
 /* Close the connection and release PEER.  Calls in flight end with
    VH_E_CANCELLED before this function returns.  NULL is accepted.  */
 void rpc_peer_destroy (rpc_peer_t *peer);
-rpc_state_t rpc_peer_state (const rpc_peer_t *peer);
+rpc_peer_state_t rpc_peer_state (const rpc_peer_t *peer);
 void *rpc_peer_arg (const rpc_peer_t *peer);
 /* Return the epoch of the process that sent the last reply, or 0 before the
    first reply.  */
 uint64_t rpc_peer_epoch (const rpc_peer_t *peer);
 /* Return the monotonic time of the last reply, in ms, or 0 before the first
    reply.  */
-uint64_t rpc_peer_heard_ms (const rpc_peer_t *peer);
+uint64_t rpc_peer_last_reply_ms (const rpc_peer_t *peer);
 /* Send a ping now, and connect first if PEER is not connected.  */
 void rpc_peer_ping (rpc_peer_t *peer);
 
@@ -171,9 +171,9 @@
                            uint64_t timeout_ms, rpc_cb_t cb, void *arg);
 /* Return whether CALL is of a procedure whose calls or replies may be large
    and its connection is transferring data in that direction.  */
-bool rpc_is_carried (const rpc_call_t *call);
+bool rpc_call_is_transferring (const rpc_call_t *call);
 /* Call PROC and ignore the outcome.  */
-void rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args);
+void rpc_peer_notify (rpc_peer_t *peer, uint32_t proc, void *args);
 /* Cancel CALL without calling its callback; a later reply is discarded.  NULL
    is accepted.  */
 void rpc_cancel (rpc_call_t *call);
@@ -181,6 +181,6 @@
 /* Decode RECORD as a call or a reply and discard the result.  This is the
    entry point of the fuzz test.  Return VH_OK when RECORD is well formed,
    otherwise VH_E_PROTOCOL.  */
-vh_code_t rpc_decode_probe (rpc_node_t *node, str_t record);
+vh_code_t rpc_decode_and_discard (rpc_node_t *node, str_t record);
 
 #endif
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -33,7 +33,7 @@
   char *address;
   struct sockaddr_storage addr;
   peer_connection_t *connection; /* Connecting or connected; NULL: none.  */
-  rpc_state_t state;
+  rpc_peer_state_t state;
   const rpc_peer_events_t *events;
   void *arg;
   list_t calls;       /* Calls in flight, oldest first.  */
@@ -159,7 +159,7 @@
 }
 
 static void
-set_state (rpc_peer_t *peer, rpc_state_t state)
+set_state (rpc_peer_t *peer, rpc_peer_state_t state)
 {
   if (peer->state == state)
     return;
@@ -212,14 +212,14 @@
     {
       peer->silent_connections = 0;
       peer->retry_at_ms = clock_ms (peer->node->clock) + BACKOFF_INITIAL_MS;
-      set_state (peer, RPC_SILENT);
+      set_state (peer, RPC_UNRESPONSIVE);
       fail_calls (peer);
       return;
     }
   if (peer->call_count > 0)
     start_connection (peer);
   else
-    set_state (peer, was_silent ? RPC_SILENT : RPC_DOWN);
+    set_state (peer, was_silent ? RPC_UNRESPONSIVE : RPC_DOWN);
 }
 
 static void
@@ -391,7 +391,7 @@
                  VH_E_CANCELLED, NULL);
 }
 
-rpc_state_t
+rpc_peer_state_t
 rpc_peer_state (const rpc_peer_t *peer)
 {
   return peer->state;
@@ -410,7 +410,7 @@
 }
 
 uint64_t
-rpc_peer_heard_ms (const rpc_peer_t *peer)
+rpc_peer_last_reply_ms (const rpc_peer_t *peer)
 {
   return peer->last_reply_ms;
 }
@@ -459,7 +459,7 @@
 }
 
 void
-rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args)
+rpc_peer_notify (rpc_peer_t *peer, uint32_t proc, void *args)
 {
   rpc_peer_call (peer, proc, args, 4 * SILENCE_TIMEOUT_MS, ignore_outcome,
                  NULL);
@@ -549,7 +549,7 @@
 }
 
 bool
-rpc_is_carried (const rpc_call_t *call)
+rpc_call_is_transferring (const rpc_call_t *call)
 {
   uint64_t now_ms = clock_ms (call->peer->node->clock);
   peer_connection_t *connection = call->peer->connection;
@@ -578,7 +578,7 @@
     {
       rpc_call_t *call = CONTAINER_OF (at, rpc_call_t, link);
       if (!call->fails_on_sweep
-          && (now_ms < call->deadline_ms || rpc_is_carried (call)))
+          && (now_ms < call->deadline_ms || rpc_call_is_transferring (call)))
         continue;
       finish_call (call, call->send_count > 0 ? VH_E_TIMEOUT : VH_E_CONNECT,
                    NULL);
--- a/tests/narrow_link.h
+++ b/tests/narrow_link.h
@@ -24,8 +24,8 @@
 uint16_t narrow_link_port (const narrow_link_t *link);
 /* Forward BYTES more of the server's bytes and then none; the connections stay
    open.  */
-void narrow_link_stop_after (narrow_link_t *link, size_t bytes);
+void narrow_link_stall_after (narrow_link_t *link, size_t bytes);
 /* Return the number of the server's bytes that were forwarded.  */
-size_t narrow_link_passed (const narrow_link_t *link);
+size_t narrow_link_forwarded_bytes (const narrow_link_t *link);
 
 #endif
