--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -53,7 +53,7 @@
                                 deadline.  */
 
   /* State of the current send.  */
-  call_t *call;
+  http_exchange_t *call;
   upstream_t *upstream;
   relay_phase_t phase;
   uint64_t sent_ms; /* Reset when a timeout is postponed because no
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -24,7 +24,7 @@
   BODY_UNTIL_CLOSE /* The end of the connection ends the body.  */
 } body_framing_t;
 
-struct call
+struct http_exchange
 {
   uv_tcp_t tcp;
   uv_connect_t connect;
@@ -53,13 +53,13 @@
 static void
 on_handle_released (void *arg)
 {
-  call_t *call = arg;
+  http_exchange_t *exchange = arg;
 
-  if (--call->open_handles > 0)
+  if (--exchange->open_handles > 0)
     return;
-  buf_free (&call->request);
-  buf_free (&call->input);
-  free (call);
+  buf_free (&exchange->request);
+  buf_free (&exchange->input);
+  free (exchange);
 }
 
 static void
@@ -69,28 +69,28 @@
 }
 
 void
-http_exchange_cancel (call_t *call)
+http_exchange_cancel (http_exchange_t *exchange)
 {
-  if (call->closed)
+  if (exchange->closed)
     return;
-  call->closed = true;
-  bound_close (&call->connect_timeout, on_handle_released);
-  uv_close ((uv_handle_t *)&call->tcp, on_tcp_closed);
+  exchange->closed = true;
+  bound_close (&exchange->connect_timeout, on_handle_released);
+  uv_close ((uv_handle_t *)&exchange->tcp, on_tcp_closed);
 }
 
 static void
-finish (call_t *call, vh_code_t code)
+finish (http_exchange_t *exchange, vh_code_t code)
 {
-  if (call->closed)
+  if (exchange->closed)
     return;
-  http_exchange_cancel (call);
-  call->events.end (call->arg, code);
+  http_exchange_cancel (exchange);
+  exchange->events.end (exchange->arg, code);
 }
 
 bool
-http_exchange_was_sent (const call_t *call)
+http_exchange_was_sent (const http_exchange_t *exchange)
 {
-  return call->connected;
+  return exchange->connected;
 }
 
 str_t
@@ -105,7 +105,7 @@
 /* Determine from HEAD how the body is framed.  Return false when the headers
    contradict each other, as in a response that was corrupted in transit.  */
 static bool
-set_body_framing (call_t *call, const http_exchange_head_t *head)
+set_body_framing (http_exchange_t *exchange, const http_exchange_head_t *head)
 {
   str_t length = STR_NULL;
 
@@ -120,66 +120,66 @@
         }
     }
   str_t coding = http_exchange_header (head, STR ("transfer-encoding"));
-  if (call->no_body || head->status == 204 || head->status == 304)
-    call->body_framing = BODY_NONE;
+  if (exchange->no_body || head->status == 204 || head->status == 304)
+    exchange->body_framing = BODY_NONE;
   else if (coding.ptr != NULL)
     {
       if (length.ptr != NULL || !str_eq_nocase (coding, STR ("chunked")))
         return false;
-      call->body_framing = BODY_CHUNKED;
-      call->decoder.consume_trailer = 1;
+      exchange->body_framing = BODY_CHUNKED;
+      exchange->decoder.consume_trailer = 1;
     }
   else if (length.ptr != NULL)
     {
-      call->body_framing = BODY_LENGTH;
-      if (!str_to_u64 (length, &call->body_bytes_left))
+      exchange->body_framing = BODY_LENGTH;
+      if (!str_to_u64 (length, &exchange->body_bytes_left))
         return false;
     }
   else
-    call->body_framing = BODY_UNTIL_CLOSE;
+    exchange->body_framing = BODY_UNTIL_CLOSE;
   return true;
 }
 
 /* Process LEN received bytes of the body.  BYTES is overwritten.  */
 static void
-process_body (call_t *call, char *bytes, size_t len)
+process_body (http_exchange_t *exchange, char *bytes, size_t len)
 {
   bool is_complete = false;
   ssize_t trailing_len = 0;
 
-  switch (call->body_framing)
+  switch (exchange->body_framing)
     {
     case BODY_NONE:
       is_complete = true;
       len = 0;
       break;
     case BODY_LENGTH:
-      if (len > call->body_bytes_left)
-        len = (size_t)call->body_bytes_left;
-      call->body_bytes_left -= len;
-      is_complete = call->body_bytes_left == 0;
+      if (len > exchange->body_bytes_left)
+        len = (size_t)exchange->body_bytes_left;
+      exchange->body_bytes_left -= len;
+      is_complete = exchange->body_bytes_left == 0;
       break;
     case BODY_CHUNKED:
-      trailing_len = phr_decode_chunked (&call->decoder, bytes, &len);
+      trailing_len = phr_decode_chunked (&exchange->decoder, bytes, &len);
       is_complete = trailing_len >= 0;
       break;
     case BODY_UNTIL_CLOSE:
       break;
     }
   if (len > 0 && trailing_len != -1)
-    call->events.body (call->arg, str_make (bytes, len));
-  if (call->closed)
+    exchange->events.body (exchange->arg, str_make (bytes, len));
+  if (exchange->closed)
     return;
   if (trailing_len == -1)
-    finish (call, VH_E_PROTOCOL);
+    finish (exchange, VH_E_PROTOCOL);
   else if (is_complete)
-    finish (call, VH_OK);
+    finish (exchange, VH_OK);
 }
 
 /* Parse the response head in the input.  Return its length, or 0 when the head
    is incomplete or the exchange has ended.  */
 static size_t
-process_head (call_t *call)
+process_head (http_exchange_t *exchange)
 {
   struct phr_header parsed[HEADERS_MAX];
   httpc_header_t headers[HEADERS_MAX];
@@ -187,13 +187,13 @@
   const char *reason;
   size_t reason_len;
   int minor;
-  int len = phr_parse_response (call->input.ptr, call->input.len, &minor,
-                                &head.status, &reason, &reason_len, parsed,
-                                &head.header_count, 0);
+  int len = phr_parse_response (exchange->input.ptr, exchange->input.len,
+                                &minor, &head.status, &reason, &reason_len,
+                                parsed, &head.header_count, 0);
 
-  if (len == -1 || (len == -2 && call->input.len > HEAD_BYTES_MAX))
+  if (len == -1 || (len == -2 && exchange->input.len > HEAD_BYTES_MAX))
     {
-      finish (call, VH_E_PROTOCOL);
+      finish (exchange, VH_E_PROTOCOL);
       return 0;
     }
   if (len == -2)
@@ -206,17 +206,17 @@
   if (head.status >= 100 && head.status < 200 && head.status != 101)
     {
       /* An interim response (1xx); the final one follows.  */
-      buf_consume (&call->input, (size_t)len);
-      return process_head (call);
+      buf_consume (&exchange->input, (size_t)len);
+      return process_head (exchange);
     }
-  if (!set_body_framing (call, &head))
+  if (!set_body_framing (exchange, &head))
     {
-      finish (call, VH_E_PROTOCOL);
+      finish (exchange, VH_E_PROTOCOL);
       return 0;
     }
-  call->has_response_head = true;
-  call->events.head (call->arg, &head);
-  return call->closed ? 0 : (size_t)len;
+  exchange->has_response_head = true;
+  exchange->events.head (exchange->arg, &head);
+  return exchange->closed ? 0 : (size_t)len;
 }
 
 static void
@@ -232,13 +232,13 @@
    only the socket's pending error shows the reset.  Without this check the
    first part of a response without a length is taken for a complete one.  */
 static bool
-was_reset (const call_t *call)
+was_reset (const http_exchange_t *exchange)
 {
   uv_os_fd_t fd;
   int error = 0;
   socklen_t len = sizeof error;
 
-  if (uv_fileno ((const uv_handle_t *)&call->tcp, &fd) != 0
+  if (uv_fileno ((const uv_handle_t *)&exchange->tcp, &fd) != 0
       || getsockopt (fd, SOL_SOCKET, SO_ERROR, &error, &len) != 0)
     return true;
   return error != 0;
@@ -247,7 +247,7 @@
 static void
 on_read (uv_stream_t *stream, ssize_t read_len, const uv_buf_t *buf)
 {
-  call_t *call = stream->data;
+  http_exchange_t *exchange = stream->data;
 
   if (read_len == 0)
     return;
@@ -255,60 +255,63 @@
     {
       /* A response without a length is complete only when the connection
          was closed normally; after a reset it is incomplete.  */
-      bool is_complete = read_len == UV_EOF && call->has_response_head
-                         && call->body_framing == BODY_UNTIL_CLOSE
-                         && !was_reset (call);
-      finish (call, is_complete ? VH_OK : VH_E_UPSTREAM_CUT);
+      bool is_complete = read_len == UV_EOF && exchange->has_response_head
+                         && exchange->body_framing == BODY_UNTIL_CLOSE
+                         && !was_reset (exchange);
+      finish (exchange, is_complete ? VH_OK : VH_E_UPSTREAM_CUT);
       return;
     }
-  if (call->has_response_head)
+  if (exchange->has_response_head)
     {
-      process_body (call, buf->base, (size_t)read_len);
+      process_body (exchange, buf->base, (size_t)read_len);
       return;
     }
-  buf_append (&call->input, buf->base, (size_t)read_len);
-  size_t len = process_head (call);
+  buf_append (&exchange->input, buf->base, (size_t)read_len);
+  size_t len = process_head (exchange);
   if (len == 0)
     return;
   /* Needed without further bytes too: a body of length 0 is complete.  */
-  if (call->body_framing != BODY_UNTIL_CLOSE || call->input.len > len)
-    process_body (call, call->input.ptr + len, call->input.len - len);
+  if (exchange->body_framing != BODY_UNTIL_CLOSE || exchange->input.len > len)
+    process_body (exchange, exchange->input.ptr + len,
+                  exchange->input.len - len);
 }
 
 static void
 on_written (uv_write_t *write, int status)
 {
-  call_t *call = write->data;
+  http_exchange_t *exchange = write->data;
 
   (void)status;
   /* A failed write is not reported here: the read fails too and ends the
      exchange.  A server that responds early may close the connection before it
      has read the whole request.  */
-  buf_free (&call->request);
+  buf_free (&exchange->request);
 }
 
 static void
 on_connected (uv_connect_t *connect, int status)
 {
-  call_t *call = connect->data;
+  http_exchange_t *exchange = connect->data;
 
-  if (call->closed)
+  if (exchange->closed)
     return;
   if (status != 0)
     {
-      finish (call, VH_E_CONNECT);
+      finish (exchange, VH_E_CONNECT);
       return;
     }
-  bound_stop (&call->connect_timeout);
-  call->connected = true;
-  uv_tcp_nodelay (&call->tcp, 1);
-  if (!call->paused)
-    uv_read_start ((uv_stream_t *)&call->tcp, on_alloc, on_read);
-  uv_buf_t buf = uv_buf_init (call->request.ptr, (unsigned)call->request.len);
-  call->write.data = call;
-  if (uv_write (&call->write, (uv_stream_t *)&call->tcp, &buf, 1, on_written)
+  bound_stop (&exchange->connect_timeout);
+  exchange->connected = true;
+  uv_tcp_nodelay (&exchange->tcp, 1);
+  if (!exchange->paused)
+    uv_read_start ((uv_stream_t *)&exchange->tcp, on_alloc, on_read);
+  uv_buf_t buf
+      = uv_buf_init (exchange->request.ptr, (unsigned)exchange->request.len);
+  exchange->write.data = exchange;
+  if (uv_write (&exchange->write, (uv_stream_t *)&exchange->tcp, &buf, 1,
+                on_written)
       != 0)
-    finish (call, VH_E_UPSTREAM_CUT);
+    finish (exchange, VH_E_UPSTREAM_CUT);
 }
 
 static void
@@ -317,7 +320,7 @@
   finish (arg, VH_E_CONNECT);
 }
 
-call_t *
+http_exchange_t *
 http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
                      uint64_t connect_ms, bool no_body,
                      const http_exchange_events_t *events, void *arg)
@@ -330,39 +333,39 @@
       buf_free (request);
       return NULL;
     }
-  call_t *call = mem_zalloc (sizeof *call);
-  call->events = *events;
-  call->arg = arg;
-  call->no_body = no_body;
-  call->request = *request;
+  http_exchange_t *exchange = mem_zalloc (sizeof *exchange);
+  exchange->events = *events;
+  exchange->arg = arg;
+  exchange->no_body = no_body;
+  exchange->request = *request;
   *request = BUF_NULL;
-  uv_tcp_init (loop, &call->tcp);
-  bound_init (&call->connect_timeout, loop, on_connect_timeout, call);
-  call->tcp.data = call;
-  call->connect.data = call;
-  call->open_handles = 2;
-  bound_start (&call->connect_timeout, connect_ms);
-  int status = uv_tcp_connect (&call->connect, &call->tcp,
+  uv_tcp_init (loop, &exchange->tcp);
+  bound_init (&exchange->connect_timeout, loop, on_connect_timeout, exchange);
+  exchange->tcp.data = exchange;
+  exchange->connect.data = exchange;
+  exchange->open_handles = 2;
+  bound_start (&exchange->connect_timeout, connect_ms);
+  int status = uv_tcp_connect (&exchange->connect, &exchange->tcp,
                                (struct sockaddr *)&addr, on_connected);
   /* All events are delivered on a later turn of the loop; the connect timeout
      reports this failure.  */
   if (status != 0)
-    bound_start (&call->connect_timeout, 0);
-  return call;
+    bound_start (&exchange->connect_timeout, 0);
+  return exchange;
 }
 
 void
-http_exchange_pause (call_t *call)
+http_exchange_pause (http_exchange_t *exchange)
 {
-  call->paused = true;
-  if (call->connected && !call->closed)
-    uv_read_stop ((uv_stream_t *)&call->tcp);
+  exchange->paused = true;
+  if (exchange->connected && !exchange->closed)
+    uv_read_stop ((uv_stream_t *)&exchange->tcp);
 }
 
 void
-http_exchange_resume (call_t *call)
+http_exchange_resume (http_exchange_t *exchange)
 {
-  call->paused = false;
-  if (call->connected && !call->closed)
-    uv_read_start ((uv_stream_t *)&call->tcp, on_alloc, on_read);
+  exchange->paused = false;
+  if (exchange->connected && !exchange->closed)
+    uv_read_start ((uv_stream_t *)&exchange->tcp, on_alloc, on_read);
 }
--- a/packages/wire/call.h
+++ b/packages/wire/call.h
@@ -20,7 +20,7 @@
 
 #include <uv.h>
 
-typedef struct call call_t;
+typedef struct http_exchange http_exchange_t;
 
 typedef struct
 {
@@ -47,17 +47,19 @@
    connection is not established within CONNECT_MS.  NO_BODY states that the
    response has no body (HEAD).  No event is delivered before this function
    returns.  Return NULL and release REQUEST when ADDRESS is not valid.  */
-call_t *http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
-                             uint64_t connect_ms, bool no_body,
-                             const http_exchange_events_t *events, void *arg);
+http_exchange_t *http_exchange_start (uv_loop_t *loop, str_t address,
+                                      buf_t *request, uint64_t connect_ms,
+                                      bool no_body,
+                                      const http_exchange_events_t *events,
+                                      void *arg);
 /* Close the connection and deliver no further events.  May be called from an
    event callback.  */
-void http_exchange_cancel (call_t *call);
+void http_exchange_cancel (http_exchange_t *exchange);
 /* Return whether the server may have received any byte of the request.  */
-bool http_exchange_was_sent (const call_t *call);
+bool http_exchange_was_sent (const http_exchange_t *exchange);
 /* Stop and restart reading, so that a slow reader slows the server down.  */
-void http_exchange_pause (call_t *call);
-void http_exchange_resume (call_t *call);
+void http_exchange_pause (http_exchange_t *exchange);
+void http_exchange_resume (http_exchange_t *exchange);
 
 /* Return the value of the header NAME (in any letter case) of HEAD, or
    STR_NULL when HEAD has no such header.  */
--- a/tests/rawhttp.c
+++ b/tests/rawhttp.c
@@ -30,7 +30,7 @@
     {
       close (http.fd);
       http.fd = -1;
-      http.ended = true;
+      http.has_ended = true;
     }
   return http;
 }
@@ -70,7 +70,7 @@
   struct pollfd wait = { .fd = http->fd, .events = POLLIN };
   uint64_t now_ms = harness_now_ms ();
 
-  if (http->ended || now_ms >= end_ms
+  if (http->has_ended || now_ms >= end_ms
       || poll (&wait, 1, (int)(end_ms - now_ms)) <= 0)
     return;
   buf_reserve (&http->raw, READ_BYTES);
@@ -79,7 +79,7 @@
   if (received > 0)
     http->raw.len += (size_t)received;
   else
-    http->ended = true;
+    http->has_ended = true;
 }
 
 str_t
@@ -140,7 +140,7 @@
 static void
 decode_chunks (rawhttp_t *http)
 {
-  while (!http->whole)
+  while (!http->is_complete)
     {
       if (http->chunk_left > CRLF_LEN)
         {
@@ -163,7 +163,7 @@
         return;
       size_t line_len = (size_t)(end - http->raw.ptr) + CRLF_LEN;
       http->chunk_left = strtoull (http->raw.ptr, NULL, 16) + CRLF_LEN;
-      http->whole = http->chunk_left == CRLF_LEN;
+      http->is_complete = http->chunk_left == CRLF_LEN;
       buf_consume (&http->raw, line_len);
     }
 }
@@ -180,8 +180,8 @@
     }
   buf_append_str (&http->body, buf_str (&http->raw));
   http->raw.len = 0;
-  http->whole = http->body.len >= http->length
-                || (http->length == UINT64_MAX && http->ended);
+  http->is_complete = http->body.len >= http->length
+                      || (http->length == UINT64_MAX && http->has_ended);
 }
 
 bool
@@ -189,7 +189,7 @@
 {
   uint64_t end_ms = harness_now_ms () + wait_ms;
 
-  while (!parse_head (http) && !http->ended && harness_now_ms () < end_ms)
+  while (!parse_head (http) && !http->has_ended && harness_now_ms () < end_ms)
     read_once (http, end_ms);
   return http->status != 0;
 }
@@ -200,7 +200,7 @@
   uint64_t end_ms = harness_now_ms () + wait_ms;
 
   decode_body (http);
-  while (http->body.len < len && !http->whole && !http->ended
+  while (http->body.len < len && !http->is_complete && !http->has_ended
          && harness_now_ms () < end_ms)
     {
       read_once (http, end_ms);
@@ -213,7 +213,7 @@
 rawhttp_read_all (rawhttp_t *http, uint64_t wait_ms)
 {
   rawhttp_read_body (http, SIZE_MAX, wait_ms);
-  return http->whole;
+  return http->is_complete;
 }
 
 void
@@ -248,9 +248,9 @@
   rawhttp_t http = rawhttp_call (host, port, body != NULL ? "POST" : "GET",
                                  path, "content-type: application/json\r\n",
                                  str_from (body), JSON_WAIT_MS);
-  json_t *root = http.whole ? json_loadb (http.body.ptr, http.body.len,
-                                          JSON_DECODE_ANY, NULL)
-                            : NULL;
+  json_t *root = http.is_complete ? json_loadb (http.body.ptr, http.body.len,
+                                                JSON_DECODE_ANY, NULL)
+                                  : NULL;
 
   rawhttp_close (&http);
   return root;
--- a/tests/rawhttp.h
+++ b/tests/rawhttp.h
@@ -14,9 +14,9 @@
   int status; /* HTTP status; 0 before the head is received.  */
   buf_t raw;  /* Bytes received and not decoded yet.  */
   buf_t head;
-  buf_t body; /* Bytes of the body decoded so far.  */
-  bool whole; /* The complete response was received.  */
-  bool ended; /* The connection was closed or refused.  */
+  buf_t body;       /* Bytes of the body decoded so far.  */
+  bool is_complete; /* The complete response was received.  */
+  bool has_ended;   /* The connection was closed or refused.  */
   bool chunked;
   /* Content-Length, or UINT64_MAX when the response has none.  */
   uint64_t length;
@@ -48,7 +48,7 @@
 /* Close the connection and release the buffers.  */
 void rawhttp_close (rawhttp_t *http);
 
-/* Send a request, read the whole response and close the connection.  The
+/* Send a request, read the complete response and close the connection.  The
    status is 0 when there was no response.  The caller releases the buffers
    with rawhttp_close.  */
 rawhttp_t rawhttp_call (const char *host, uint16_t port, const char *method,
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -119,8 +119,8 @@
   if (response != NULL)
     uv_listen ((uv_stream_t *)&f->listener, 8, on_accept);
   buf_append_str (&request, STR ("GET / HTTP/1.1\r\nhost: a\r\n\r\n"));
-  call_t *call = http_exchange_start (&f->loop, str_from (address), &request,
-                                      500, false, &events, f);
+  http_exchange_t *call = http_exchange_start (
+      &f->loop, str_from (address), &request, 500, false, &events, f);
   ck_assert_ptr_nonnull (call);
   while (!f->done)
     uv_run (&f->loop, UV_RUN_ONCE);
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -92,7 +92,7 @@
          "--token-ms=0");
   rawhttp_t one = call (port, CHAT, ASK ("true", ""));
   rawhttp_t two = call (twin, CHAT, ASK ("true", ""));
-  ck_assert (one.whole && two.whole);
+  ck_assert (one.is_complete && two.is_complete);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&two.body)));
   ck_assert_ptr_nonnull (
       memmem (one.body.ptr, one.body.len, "quality=0.", 10));
@@ -289,7 +289,7 @@
       size_t had = old.body.len + 4096;
       bool flows = rawhttp_read_body (&old, had, 500);
       ck_assert (flows == (i == 1));
-      ck_assert (!old.ended);
+      ck_assert (!old.has_ended);
       rawhttp_t fresh = call (port, CHAT,
                               "{\"model\":\"draft\",\"messages\":"
                               "[]}");
@@ -312,12 +312,12 @@
   ck_assert (rawhttp_read_body (&http, 1, WAIT_MS));
   control (controls, "/fault", "{\"reset\":true}");
   ck_assert (!rawhttp_read_all (&http, WAIT_MS));
-  ck_assert (http.ended);
+  ck_assert (http.has_ended);
   rawhttp_close (&http);
   control (controls, "/fault", "{\"cut_after\":400}");
   http = start_long (port);
   ck_assert (!rawhttp_read_all (&http, WAIT_MS));
-  ck_assert (http.ended && http.body.len > 0);
+  ck_assert (http.has_ended && http.body.len > 0);
   rawhttp_close (&http);
   control (controls, "/fault", "{\"cut_after\":0,\"refuse\":true}");
   http = call (port, CHAT, "{\"model\":\"draft\",\"messages\":[]}");
