--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -18,7 +18,7 @@
 #include "base/eventlog.h"
 #include "gateway/sse_filter.h"
 #include "gateway/request_attrsint.h"
-#include "wire/call.h"
+#include "wire/http_exchange.h"
 
 enum
 {
--- a/packages/wire/call.c
+++ b/packages/wire/http_exchange.c
@@ -1,4 +1,4 @@
-#include "wire/call.h"
+#include "wire/http_exchange.h"
 
 #include "base/bound.h"
 #include "base/mem.h"
--- a/packages/wire/call.h
+++ b/packages/wire/http_exchange.h
@@ -11,8 +11,8 @@
    ended from one that was reset, and reports whether any byte of the request
    left this process.  */
 
-#ifndef WIRE_CALL_H
-#define WIRE_CALL_H
+#ifndef WIRE_HTTP_EXCHANGE_H
+#define WIRE_HTTP_EXCHANGE_H
 
 #include "base/code.h"
 #include "base/str.h"
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -3,7 +3,7 @@
 
 #include "loopback.h"
 #include "suite.h"
-#include "wire/call.h"
+#include "wire/http_exchange.h"
 
 #include <signal.h>
 #include <stdio.h>
