--- a/packages/wire/http_exchange.h
+++ b/packages/wire/http_exchange.h
@@ -1,6 +1,6 @@
 /* One HTTP/1.1 request and its response on a connection of their own.
 
-   The server may have closed an idle connection, stopped answering on it or
+   The server may have closed an idle connection, stopped responding on it or
    written to it.  A request sent on such a connection is lost, without any way
    to know whether the server executed it, and bytes left from an earlier
    response can be mistaken for the response.  A new connection for each
--- a/packages/wire/httpc.c
+++ b/packages/wire/httpc.c
@@ -352,8 +352,7 @@
   h2o_http1client_t *http = NULL;
   h2o_http1client_connect_with_pool (&http, call, &client->ctx, &client->pool,
                                      on_connect);
-  /* The connection may have failed before the function returned, in which
-     case the call has no h2o client.  */
+  /* When connecting has failed already, the call has no h2o client.  */
   if (!call->is_result_pending)
     call->http = http;
   return call;
--- a/packages/wire/httpd.c
+++ b/packages/wire/httpd.c
@@ -426,24 +426,24 @@
 {
   const code_info_t *info = code_info (VH_E_BAD_REQUEST);
   buf_t body = BUF_NULL;
-  buf_t answer = BUF_NULL;
+  buf_t response = BUF_NULL;
 
   if (conn->error_sent)
     return;
   conn->error_sent = true;
   code_write_error (VH_E_BAD_REQUEST, "not-run", &body);
   buf_append_char (&body, '\n');
-  buf_printf (&answer,
+  buf_printf (&response,
               "HTTP/1.1 %d Bad Request\r\nconnection: close\r\n"
               "content-type: application/json\r\n"
               "vanillahook-outcome: not-run\r\ncontent-length: %zu\r\n\r\n",
               info->http_status, body.len);
-  buf_append_str (&answer, buf_str (&body));
-  ssize_t sent = send (h2o_socket_get_fd (conn->sock), answer.ptr, answer.len,
-                       MSG_DONTWAIT | MSG_NOSIGNAL);
+  buf_append_str (&response, buf_str (&body));
+  ssize_t sent = send (h2o_socket_get_fd (conn->sock), response.ptr,
+                       response.len, MSG_DONTWAIT | MSG_NOSIGNAL);
   (void)sent;
   buf_free (&body);
-  buf_free (&answer);
+  buf_free (&response);
 }
 
 /* Return whether INPUT starts with a complete line that is not an HTTP request
--- a/packages/wire/proto/wire.x
+++ b/packages/wire/proto/wire.x
@@ -56,8 +56,9 @@
   string value<WIRE_HEADER_MAX>;
 };
 
-/* Request that was in flight when an upstream crashed.  REQUEST is the hash of
-   the team and the request id.  */
+/* Request that was in flight when an upstream crashed.  DIGEST is the hash of
+   the request's contents, REQUEST the hash of its team and request id, and
+   DEATH the number of the crash.  */
 struct wire_suspect_t
 {
   unsigned hyper digest;
@@ -110,7 +111,7 @@
   string path<WIRE_HEADER_MAX>;
   wire_header_t headers<WIRE_HEADERS_MAX>;
   opaque body<WIRE_BODY_MAX>;
-  /* Arguments of the first FETCH, which SUBMIT includes.  */
+  /* WIRE_SUBMIT includes the first WIRE_FETCH, with these arguments.  */
   unsigned int wait_ms;
   unsigned int max_bytes;
 };
@@ -151,7 +152,9 @@
   unsigned int tokens_out;
   unsigned int retry_after_ms;
   unsigned hyper ended_ms;    /* Wall-clock time of the end; set with END. */
-  unsigned hyper death;       /* Upstream crash during the attempt; 0: none. */
+  /* Number of the upstream crash that the attempt caused or was in flight at;
+     0: none.  */
+  unsigned hyper death;
 };
 
 /* EPOCH is that of the sidecar to which the attempt was sent, as in SUBMIT:
@@ -167,7 +170,7 @@
   int code;
 };
 
-/* Asks a sidecar for the attempt that it has for a request id.  */
+/* Request to a sidecar for its attempt with a request id.  */
 struct wire_recall_args_t
 {
   wire_name_t team;
@@ -224,7 +227,7 @@
   wire_id_t bill_ids<WIRE_BILLS_MAX>;
 };
 
-/* Asks for at most MOST bills whose entry has stopped.  The receiver keeps its
+/* Request for up to MOST bills whose entry has stopped.  The receiver keeps its
    copies until WIRE_BILLS_DROP reports that the bills are written.  */
 struct wire_bills_take_args_t
 {
@@ -269,8 +272,8 @@
   opaque value<WIRE_TEXT_MAX>;
 };
 
-/* Asks for the rows of a table of the platform's store that the receiver has
-   cached.  */
+/* Request for the rows of a table of the platform's store that the receiver
+   has cached.  */
 struct wire_rows_args_t
 {
   unsigned int table;      /* A rows_table_t of gateway/rows.h.  */
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -593,13 +593,13 @@
   uv_buf_t all = uv_buf_init (stream->out.ptr, (unsigned)stream->out.len);
   int written = uv_try_write ((uv_stream_t *)&stream->tcp, &all, 1);
   size_t done = written > 0 ? (size_t)written : 0;
-  size_t left = stream->out.len - done;
-  if (left > 0)
+  size_t unwritten_len = stream->out.len - done;
+  if (unwritten_len > 0)
     {
-      pending_write_t *write = mem_alloc (sizeof *write + left);
+      pending_write_t *write = mem_alloc (sizeof *write + unwritten_len);
       write->stream = stream;
-      memcpy (write->bytes, stream->out.ptr + done, left);
-      uv_buf_t buf = uv_buf_init (write->bytes, (unsigned)left);
+      memcpy (write->bytes, stream->out.ptr + done, unwritten_len);
+      uv_buf_t buf = uv_buf_init (write->bytes, (unsigned)unwritten_len);
       if (uv_write (&write->req, (uv_stream_t *)&stream->tcp, &buf, 1,
                     on_written)
           != 0)
--- a/packages/wire/rpcint.h
+++ b/packages/wire/rpcint.h
@@ -44,7 +44,7 @@
   rng_t rng;
   char *name;
   uint64_t epoch;
-  struct rpc_mac *macs; /* One for each key.  */
+  struct rpc_mac *macs; /* MAC contexts, one for each key.  */
   size_t mac_count;
   rpc_hooks_t hooks;
   void *arg;
--- a/tests/test_tls.c
+++ b/tests/test_tls.c
@@ -87,7 +87,7 @@
 request_models (uint16_t port, char *name, size_t size)
 {
   char address[64];
-  char answer[512];
+  char response[512];
   SSL_CTX *ctx = SSL_CTX_new (TLS_client_method ());
   BIO *bio = BIO_new_ssl_connect (ctx);
   SSL *ssl = NULL;
@@ -105,7 +105,7 @@
       X509_free (cert);
       BIO_puts (bio, "GET /v1/models HTTP/1.1\r\nhost: x\r\n"
                      "connection: close\r\n\r\n");
-      read_len = BIO_read (bio, answer, sizeof answer);
+      read_len = BIO_read (bio, response, sizeof response);
     }
   BIO_free_all (bio);
   SSL_CTX_free (ctx);
