--- a/packages/wire/rpc.h
+++ b/packages/wire/rpc.h
@@ -128,7 +128,7 @@
 {
   RPC_DOWN, /* Not connected yet, connecting failed, or connection lost.  */
   RPC_UP,
-  RPC_UNRESPONSIVE /* Several new connections in a row got no reply.  */
+  RPC_UNRESPONSIVE /* Connections are accepted but get no reply.  */
 } rpc_peer_state_t;
 
 typedef struct
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -266,7 +266,7 @@
             mac_compute (&node->macs[0], bytes, len, bytes + mac_offset);
           return len + RPC_RECORD_MARK_LEN;
         }
-      if (node->scratch_cap >= RPC_RECORD_MAX)
+      if (node->scratch_cap >= RPC_RECORD_MAX_BYTES)
         return 0;
       node->scratch_cap *= 2;
       node->scratch = mem_realloc (node->scratch, node->scratch_cap);
@@ -485,7 +485,7 @@
       /* Our encoder never splits a record into fragments, so a sender that
          does is not one of our processes.  The length is checked before memory
          is allocated for the record.  */
-      if ((mark & 0x80000000u) == 0 || len > RPC_RECORD_MAX)
+      if ((mark & 0x80000000u) == 0 || len > RPC_RECORD_MAX_BYTES)
         {
           stream->node->stats.refused++;
           return false;
--- a/packages/wire/rpcint.h
+++ b/packages/wire/rpcint.h
@@ -10,7 +10,7 @@
 {
   RPC_SWEEP_INTERVAL_MS = 50,
   /* Largest record, in bytes; a larger one closes the connection.  */
-  RPC_RECORD_MAX = 8 << 20,
+  RPC_RECORD_MAX_BYTES = 8 << 20,
   RPC_RECORD_MARK_LEN = 4,
   RPC_READ_CHUNK_BYTES = 64 << 10
 };
@@ -99,7 +99,7 @@
 
 /* Encode a call or a reply, with its record mark, into the scratch buffer of
    NODE.  Return its length in bytes, or 0 when the scratch buffer cannot grow
-   any more (RPC_RECORD_MAX).  */
+   any more (RPC_RECORD_MAX_BYTES).  */
 size_t rpc_encode_call (rpc_node_t *node, uint32_t xid, uint32_t proc,
                         void *args);
 size_t rpc_encode_reply (rpc_node_t *node, uint32_t xid, uint32_t proc,
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -203,7 +203,8 @@
 
 /* Replace a connection that was closed or (WAS_SILENT) stopped responding, and
    send its calls on the new connection.  After SILENT_CONNECTIONS_MAX
-   successive connections without a reply, end the calls instead.  */
+   successive connections without a reply, end the calls instead.  Without
+   calls in flight, only close the connection.  */
 static void
 replace_connection (rpc_peer_t *peer, bool was_silent)
 {
