--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -93,7 +93,7 @@
   rpc_stats_t sum = { 0 };
 
   if (process->entry != NULL)
-    add_rpc_stats (&sum, entry_node (process->entry));
+    add_rpc_stats (&sum, entry_rpc_node (process->entry));
   for (size_t i = 0; i < process->sidecar_count; i++)
     add_rpc_stats (&sum, sidecar_node (process->sidecars[i]));
 #define X(name, help)                                                         \
@@ -262,8 +262,8 @@
 }
 
 static void
-on_history (void *arg, vh_code_t code, const confstore_entry_t *entries,
-            size_t count)
+on_history (void *arg, vh_code_t code,
+            const confstore_history_entry_t *entries, size_t count)
 {
   httpd_req_t *req = end_wait (arg);
   buf_t body = BUF_NULL;
@@ -331,7 +331,7 @@
       confirmed_ms_ago (process));
   buf_append_char (&body, ',');
   if (process->entry != NULL)
-    entry_status (process->entry, &body);
+    entry_write_status (process->entry, &body);
   else
     buf_printf (&body, "\"zones\":[],\"peers\":[],\"rollouts\":[],"
                        "\"decisions\":[]");
@@ -355,7 +355,7 @@
 } bill_report_t;
 
 static void
-on_bill_report (void *arg, vh_code_t code, const ledger_line_t *lines,
+on_bill_report (void *arg, vh_code_t code, const ledger_report_line_t *lines,
                 size_t count)
 {
   bill_report_t *report = arg;
@@ -417,17 +417,17 @@
     {
       const httpc_header_t type
           = { STR ("content-type"), STR ("text/html; charset=utf-8") };
-      entry_burn (process->entry, BURN_HTML, &body);
+      entry_write_burn_report (process->entry, BURN_FORMAT_HTML, &body);
       httpd_reply (req, 200, &type, 1, buf_str (&body));
     }
   else if (str_eq (format, STR ("text")))
     {
-      entry_burn (process->entry, BURN_TEXT, &body);
+      entry_write_burn_report (process->entry, BURN_FORMAT_TEXT, &body);
       reply_text (req, 200, buf_str (&body));
     }
   else
     {
-      entry_burn (process->entry, BURN_JSON, &body);
+      entry_write_burn_report (process->entry, BURN_FORMAT_JSON, &body);
       httpd_reply_json (req, 200, buf_str (&body));
     }
   buf_free (&body);
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -717,8 +717,8 @@
       const member_t *member = value;
       if (!member->is_entry
           && member_serves (member, str_from (request->pool->name))
-          && snapshot_instance_in (snapshot, str_from (member->name))
-          && snapshot_zone_in (snapshot, str_from (member->zone)))
+          && snapshot_is_instance_enabled (snapshot, str_from (member->name))
+          && snapshot_is_zone_enabled (snapshot, str_from (member->zone)))
         return true;
     }
   return false;
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -167,7 +167,7 @@
   for (size_t i = 0;
        last != NULL && (now = snapshot_version_at (next, i)) != NULL; i++)
     {
-      const version_t *was = snapshot_version (last, now->name);
+      const version_t *was = snapshot_find_version (last, now->name);
       if (was != NULL && was->state == VERSION_WITHDRAWN
           && now->state != VERSION_WITHDRAWN)
         degradation_clear_alarm (entry->watch, now->name,
--- a/packages/sidecar/sidecar.h
+++ b/packages/sidecar/sidecar.h
@@ -16,7 +16,7 @@
 
 typedef struct sidecar sidecar_t;
 
-/* What the process around the sidecar does for it; see entry_host_t.  */
+/* What the process around the sidecar does for it; see entry_callbacks_t.  */
 typedef struct
 {
   vh_code_t (*learn) (void *arg, str_t update);
--- a/packages/wire/proto/wire.x
+++ b/packages/wire/proto/wire.x
@@ -184,7 +184,7 @@
   unsigned hyper digest;
 };
 
-/* UPDATE is the output of confstore_delta_from.  */
+/* UPDATE is the output of confstore_write_update.  */
 struct wire_config_push_args_t
 {
   opaque update<WIRE_TEXT_MAX>;
