--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -18,7 +18,7 @@
 #include "base/eventlog.h"
 #include "gateway/sse_filter.h"
 #include "gateway/request_attrsint.h"
-#include "wire/call.h"
+#include "wire/http_exchange.h"
 
 enum
 {
@@ -53,7 +53,7 @@
                                 deadline.  */
 
   /* State of the current send.  */
-  call_t *call;
+  http_exchange_t *call;
   upstream_t *upstream;
   relay_phase_t phase;
   uint64_t sent_ms; /* Reset when a timeout is postponed because no
--- /dev/null
+++ b/packages/wire/http_exchange.h
@@ -0,0 +1,68 @@
+/* One HTTP/1.1 request and its response on a connection of their own.
+
+   The server may have closed an idle connection, stopped responding on it or
+   written to it.  A request sent on such a connection is lost, without any way
+   to know whether the server executed it, and bytes left from an earlier
+   response can be mistaken for the response.  A new connection for each
+   request excludes all of this; it costs one round trip and three system
+   calls.
+
+   Unlike httpc, this client distinguishes a response without a length that
+   ended from one that was reset, and reports whether any byte of the request
+   left this process.  */
+
+#ifndef WIRE_HTTP_EXCHANGE_H
+#define WIRE_HTTP_EXCHANGE_H
+
+#include "base/code.h"
+#include "base/str.h"
+#include "wire/httpc.h"
+
+#include <uv.h>
+
+typedef struct http_exchange http_exchange_t;
+
+typedef struct
+{
+  int status; /* HTTP status code.  */
+  const httpc_header_t *headers;
+  size_t header_count;
+} http_exchange_head_t;
+
+/* Events of one exchange, in this order: at most one HEAD, any number of BODY,
+   one END.  The exchange is released after END.  Borrowed arguments are valid
+   until the callback returns.  END receives VH_OK for a complete response,
+   VH_E_CONNECT when no byte of the request left this process,
+   VH_E_UPSTREAM_CUT when the connection ended early and VH_E_PROTOCOL when the
+   server's response is not valid HTTP.  */
+typedef struct
+{
+  void (*head) (void *arg, const http_exchange_head_t *head);
+  void (*body) (void *arg, str_t bytes);
+  void (*end) (void *arg, vh_code_t code);
+} http_exchange_events_t;
+
+/* Send REQUEST, a complete HTTP/1.1 request whose buffer is taken over, to
+   ADDRESS (HOST:PORT, numeric).  The exchange ends with VH_E_CONNECT when the
+   connection is not established within CONNECT_MS.  NO_BODY states that the
+   response has no body (HEAD).  No event is delivered before this function
+   returns.  Return NULL and release REQUEST when ADDRESS is not valid.  */
+http_exchange_t *http_exchange_start (uv_loop_t *loop, str_t address,
+                                      buf_t *request, uint64_t connect_ms,
+                                      bool no_body,
+                                      const http_exchange_events_t *events,
+                                      void *arg);
+/* Close the connection and deliver no further events.  May be called from an
+   event callback.  */
+void http_exchange_cancel (http_exchange_t *exchange);
+/* Return whether the server may have received any byte of the request.  */
+bool http_exchange_was_sent (const http_exchange_t *exchange);
+/* Stop and restart reading, so that a slow reader slows the server down.  */
+void http_exchange_pause (http_exchange_t *exchange);
+void http_exchange_resume (http_exchange_t *exchange);
+
+/* Return the value of the header NAME (in any letter case) of HEAD, or
+   STR_NULL when HEAD has no such header.  */
+str_t http_exchange_header (const http_exchange_head_t *head, str_t name);
+
+#endif
