--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -415,14 +415,14 @@
                        "POST", CHAT, AUTH, str_from (body));
   if (!rawhttp_read_body (&http, 1000, CALL_MS) || !silence_busy (bench))
     fail (bench, name, "no stream to silence");
-  while (!http.whole && !http.ended && longest_ms < LIMIT_MS)
+  while (!http.is_complete && !http.has_ended && longest_ms < LIMIT_MS)
     {
       uint64_t start_ms = harness_now_ms ();
       rawhttp_read_body (&http, http.body.len + 1, LIMIT_MS);
       uint64_t wait_ms = harness_now_ms () - start_ms;
       longest_ms = wait_ms > longest_ms ? wait_ms : longest_ms;
     }
-  if (!http.whole)
+  if (!http.is_complete)
     fail (bench, name, "the stream was cut");
   rawhttp_close (&http);
   print_row (bench, name, LIMIT_MS / 1000.0, (double)longest_ms / 1000, "s");
