--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -7,9 +7,9 @@
 
 enum
 {
-  /* An entry that is silent for so long is passed over for the next.  */
-  SILENCE_MS = 5000,
-  ANSWER_BYTES_MAX = 64 * 1048576,
+  /* Time without a reply after which the next entry is tried.  */
+  RESPONSE_TIMEOUT_MS = 5000,
+  RESPONSE_BYTES_MAX = 64 * 1048576,
   STATUS_OK = 200,
   STATUS_UNAUTHORIZED = 401,
   STATUS_FORBIDDEN = 403,
@@ -22,18 +22,18 @@
   uv_loop_t loop;
   const cli_t *cli;
   httpc_t *http[ENTRIES_MAX];
-  int at; /* The entry that answered last.  */
+  int last_entry; /* Index of the entry that replied last.  */
   buf_t authorization;
-  bool takes_text; /* The answer need not be JSON.  */
+  bool accepts_non_json; /* Whether a body that is not JSON is accepted.  */
 };
 
-/* One call in flight.  */
+/* A request whose response is awaited.  */
 typedef struct
 {
   reply_t *reply;
   vh_code_t code;
-  bool done;
-} call_t;
+  bool is_done;
+} pending_request_t;
 
 client_t *
 client_create (const cli_t *cli)
@@ -65,30 +65,31 @@
 }
 
 str_t
-client_entry (const client_t *client)
+client_last_entry (const client_t *client)
 {
-  return client->cli->entries[client->at];
+  return client->cli->entries[client->last_entry];
 }
 
 static void
-on_answer (void *arg, vh_code_t code, int status, str_t body)
+on_response (void *arg, vh_code_t code, int status, str_t body)
 {
-  call_t *call = arg;
+  pending_request_t *pending = arg;
 
-  call->code = code;
-  call->done = true;
+  pending->code = code;
+  pending->is_done = true;
   if (code != VH_OK)
     return;
-  call->reply->status = status;
-  buf_append_str (&call->reply->text, body);
+  pending->reply->status = status;
+  buf_append_str (&pending->reply->text, body);
 }
 
-/* Ask entry INDEX and wait.  Return what became of the call.  */
+/* Send REQUEST to entry number INDEX and run the loop until it has finished.
+   Return VH_OK if a response with any status arrived, or the failure.  */
 static vh_code_t
-client_ask (client_t *client, int index, const httpc_request_t *request,
-            reply_t *reply)
+client_send (client_t *client, int index, const httpc_request_t *request,
+             reply_t *reply)
 {
-  call_t call = { .reply = reply };
+  pending_request_t pending = { .reply = reply };
 
   if (client->http[index] == NULL)
     client->http[index]
@@ -97,15 +98,15 @@
     return VH_E_CONNECT;
   reply->status = 0;
   reply->text.len = 0;
-  httpc_fetch (client->http[index], request, ANSWER_BYTES_MAX, on_answer,
-               &call);
-  while (!call.done && uv_run (&client->loop, UV_RUN_ONCE) != 0)
+  httpc_fetch (client->http[index], request, RESPONSE_BYTES_MAX, on_response,
+               &pending);
+  while (!pending.is_done && uv_run (&client->loop, UV_RUN_ONCE) != 0)
     continue;
-  return call.done ? call.code : VH_E_CLOSED;
+  return pending.is_done ? pending.code : VH_E_CLOSED;
 }
 
-/* Tell whether REPLY comes from an entry that is stopping; another entry
-   can do what was asked.  */
+/* Return whether REPLY comes from an entry that is draining; another entry
+   may still accept the request.  */
 static bool
 reply_is_draining (const reply_t *reply)
 {
@@ -115,81 +116,86 @@
 }
 
 static void
-complain_unreachable (const client_t *client, vh_code_t code, bool unclear)
+print_unreachable (const client_t *client, vh_code_t code,
+                   bool outcome_unknown)
 {
-  buf_t names = BUF_NULL;
+  buf_t addresses = BUF_NULL;
 
   for (int i = 0; i < client->cli->entry_count; i++)
-    buf_printf (&names, "%s%.*s", i == 0 ? "" : ", ",
+    buf_printf (&addresses, "%s%.*s", i == 0 ? "" : ", ",
                 STR_ARG (client->cli->entries[i]));
-  cli_complain ("no entry answers at %s: %s (%s)", names.ptr,
-                code == VH_E_CONNECT   ? "the connection could not be made"
-                : code == VH_E_TIMEOUT ? "no reply in time"
-                                       : "the connection ended early",
-                unclear ? "the change may have been made; see `vanillahook "
-                          "history' before trying again"
-                        : "name another by --entry or VANILLAHOOK_ENTRY");
-  buf_free (&names);
+  cli_print_error ("no entry answers at %s: %s (%s)", addresses.ptr,
+                   code == VH_E_CONNECT   ? "the connection could not be made"
+                   : code == VH_E_TIMEOUT ? "no reply in time"
+                                          : "the connection ended early",
+                   outcome_unknown
+                       ? "the change may have been made; see `vanillahook "
+                         "history' before trying again"
+                       : "name another entry by --entry or VANILLAHOOK_ENTRY");
+  buf_free (&addresses);
 }
 
-/* Turn REPLY to an exit code, with a complaint where the header says so.  */
-static cli_exit_t
-client_judge (const client_t *client, const reply_t *reply, bool posting)
+/* Return the exit code for REPLY.  Print an error unless the code is CLI_OK or
+   the status is 409 or 422 to a POST.  */
+static cli_exit_code_t
+client_classify_reply (const client_t *client, const reply_t *reply,
+                       bool is_post)
 {
   const json_t *error = json_object_get (reply->json, "error");
   str_t message = json_str (error, "message");
-  str_t entry = client_entry (client);
+  str_t entry = client_last_entry (client);
 
   switch (reply->status)
     {
     case STATUS_OK:
-      if (reply->json != NULL || client->takes_text)
-        return CLI_DONE;
-      cli_complain ("%.*s: the answer is not JSON; is it the operators' port "
-                    "of an entry?",
-                    STR_ARG (entry));
+      if (reply->json != NULL || client->accepts_non_json)
+        return CLI_OK;
+      cli_print_error (
+          "%.*s: the answer is not JSON; is it the operators' port "
+          "of an entry?",
+          STR_ARG (entry));
       return CLI_UNREACHABLE;
     case STATUS_UNAUTHORIZED:
     case STATUS_FORBIDDEN:
-      cli_complain ("%.*s: %s (give it by --key-file or VANILLAHOOK_KEY)",
-                    STR_ARG (entry),
-                    client->cli->key == NULL
-                        ? "the operators' key is needed"
-                        : "the operators' key is not the right one");
-      return CLI_KEY;
+      cli_print_error ("%.*s: %s (give it by --key-file or VANILLAHOOK_KEY)",
+                       STR_ARG (entry),
+                       client->cli->key == NULL
+                           ? "the operators' key is needed"
+                           : "the operators' key is not the right one");
+      return CLI_BAD_KEY;
     case STATUS_CONFLICT:
-      if (posting)
-        return CLI_RACE;
+      if (is_post)
+        return CLI_REVISION_CONFLICT;
       break;
     case STATUS_UNPROCESSABLE:
-      if (posting)
+      if (is_post)
         return CLI_REFUSED;
       break;
     default:
       break;
     }
   if (message.len == 0)
-    cli_complain ("%.*s: HTTP status %d; is it the operators' port of an "
-                  "entry?",
-                  STR_ARG (entry), reply->status);
+    cli_print_error ("%.*s: HTTP status %d; is it the operators' port of an "
+                     "entry?",
+                     STR_ARG (entry), reply->status);
   else
-    cli_complain ("%.*s: refused with code %llu: %.*s (see `vanillahook "
-                  "codes')",
-                  STR_ARG (entry),
-                  (unsigned long long)json_u64 (error, "code"),
-                  STR_ARG (message));
+    cli_print_error ("%.*s: refused with code %llu: %.*s (see `vanillahook "
+                     "codes')",
+                     STR_ARG (entry),
+                     (unsigned long long)json_u64 (error, "code"),
+                     STR_ARG (message));
   return CLI_REFUSED;
 }
 
-static cli_exit_t
+static cli_exit_code_t
 client_call (client_t *client, str_t method, const char *path, str_t body,
              reply_t *reply)
 {
   httpc_header_t headers[2];
   size_t header_count = 0;
   int entries = client->cli->entry_count;
-  int first = client->at;
-  bool posting = str_eq (method, STR ("POST"));
+  int first_index = client->last_entry;
+  bool is_post = str_eq (method, STR ("POST"));
   vh_code_t code = VH_E_CONNECT;
 
   if (client->authorization.len > 0)
@@ -204,47 +210,49 @@
                               .headers = headers,
                               .header_count = header_count,
                               .body = body,
-                              .timeout_ms = SILENCE_MS };
+                              .timeout_ms = RESPONSE_TIMEOUT_MS };
   *reply = (reply_t){ 0 };
   for (int i = 0; i < entries; i++)
     {
-      int index = (first + i) % entries;
-      code = client_ask (client, index, &request, reply);
+      int index = (first_index + i) % entries;
+      code = client_send (client, index, &request, reply);
       if (code != VH_OK)
         {
-          /* Lost after it was sent: the entry may have done it.  */
-          reply->unclear = reply->unclear || code != VH_E_CONNECT;
+          /* If the connection failed after the request was sent, the entry may
+             have executed the request.  */
+          reply->outcome_unknown
+              = reply->outcome_unknown || code != VH_E_CONNECT;
           continue;
         }
       json_decref (reply->json);
       reply->json = json_loadb (reply->text.ptr != NULL ? reply->text.ptr : "",
                                 reply->text.len, JSON_REJECT_DUPLICATES, NULL);
-      client->at = index;
+      client->last_entry = index;
       if (!reply_is_draining (reply) || i == entries - 1)
-        return client_judge (client, reply, posting);
+        return client_classify_reply (client, reply, is_post);
     }
   if (reply->status != 0)
-    return client_judge (client, reply, posting);
-  complain_unreachable (client, code, posting && reply->unclear);
+    return client_classify_reply (client, reply, is_post);
+  print_unreachable (client, code, is_post && reply->outcome_unknown);
   return CLI_UNREACHABLE;
 }
 
-cli_exit_t
+cli_exit_code_t
 client_get (client_t *client, const char *path, reply_t *reply)
 {
   return client_call (client, STR ("GET"), path, STR_NULL, reply);
 }
 
-cli_exit_t
+cli_exit_code_t
 client_get_text (client_t *client, const char *path, reply_t *reply)
 {
-  client->takes_text = true;
-  cli_exit_t code = client_get (client, path, reply);
-  client->takes_text = false;
+  client->accepts_non_json = true;
+  cli_exit_code_t code = client_get (client, path, reply);
+  client->accepts_non_json = false;
   return code;
 }
 
-cli_exit_t
+cli_exit_code_t
 client_post (client_t *client, const char *path, str_t body, reply_t *reply)
 {
   return client_call (client, STR ("POST"), path, body, reply);
--- a/packages/cli/client.h
+++ b/packages/cli/client.h
@@ -1,4 +1,4 @@
-/* Asks entries on their operators' port, one call at a time.  */
+/* Sends requests to the operators' port of the entries, one at a time.  */
 
 #ifndef CLI_CLIENT_H
 #define CLI_CLIENT_H
@@ -9,38 +9,44 @@
 
 typedef struct client client_t;
 
-/* What an entry answered.  */
+/* Reply of an entry to one request.  */
 typedef struct
 {
-  int status;   /* HTTP status; 0: no entry answered.  */
-  bool unclear; /* Some entry may have done it without saying so.  */
+  int status; /* HTTP status; 0 if no entry replied.  */
+  /* Whether an entry may have executed the request although its reply was
+     lost.  */
+  bool outcome_unknown;
   buf_t text;
-  json_t *json; /* NULL: the answer is not JSON.  */
+  json_t *json; /* Parsed `text'; NULL if it is not JSON.  */
 } reply_t;
 
+/* Return a client of the entries named by CLI, which must outlive the
+   client.  */
 client_t *client_create (const cli_t *cli);
-/* NULL is accepted.  */
+/* Release CLIENT, which may be NULL.  */
 void client_destroy (client_t *client);
 
-/* Ask each entry in turn until one answers, starting with the one that
-   answered last.  Return CLI_DONE with a 200 in REPLY, or the exit code
-   after a complaint; a 409 and a 422 to a POST are left to the caller, with
-   CLI_RACE and CLI_REFUSED and no complaint.  REPLY is released by reply_free
-   in every case.  */
-cli_exit_t client_get (client_t *client, const char *path, reply_t *reply);
-/* The same where the answer need not be JSON.  */
-cli_exit_t client_get_text (client_t *client, const char *path,
+/* Send the request to each entry in turn until one replies, starting with the
+   entry that replied last.  Return CLI_OK if the status is 200, or another
+   exit code after printing an error.  For a POST, status 409 returns
+   CLI_REVISION_CONFLICT and status 422 CLI_REFUSED without an error message;
+   the caller prints one.  Release REPLY with reply_free in every case.  */
+cli_exit_code_t client_get (client_t *client, const char *path,
                             reply_t *reply);
-cli_exit_t client_post (client_t *client, const char *path, str_t body,
-                        reply_t *reply);
+/* Like client_get, but the body need not be JSON.  */
+cli_exit_code_t client_get_text (client_t *client, const char *path,
+                                 reply_t *reply);
+cli_exit_code_t client_post (client_t *client, const char *path, str_t body,
+                             reply_t *reply);
 void reply_free (reply_t *reply);
-/* Print REPLY as the entry wrote it.  */
+/* Print the body of REPLY, without blanks at its ends, and a newline.  */
 void reply_print (const reply_t *reply);
 
-/* The entry that answered last.  */
-str_t client_entry (const client_t *client);
+/* Return the address of the entry that replied last.  */
+str_t client_last_entry (const client_t *client);
 
-/* Members of JSON objects, with a value when they are absent.  */
+/* Return member KEY of the JSON object OBJECT; STR_NULL or 0 if the member is
+   absent or has another type.  */
 str_t json_str (const json_t *object, const char *key);
 uint64_t json_u64 (const json_t *object, const char *key);
 double json_double (const json_t *object, const char *key);
--- a/packages/cli/explain.c
+++ b/packages/cli/explain.c
@@ -1,4 +1,5 @@
-/* A request's story out of the log lines of any processes.  */
+/* Explains the course of one request from the log lines of the processes that
+   handled it.  */
 
 #include "base/eventlog.h"
 #include "base/mem.h"
@@ -12,9 +13,9 @@
 {
   LINE_BYTES_MAX = 8192,
   FIELDS_MAX = 48,
-  /* Changes of belief are told from so long before the first line of the
-     request to its last.  */
-  BEFORE_MS = 10000,
+  /* Lines about state changes, such as health, are included from this time
+     before the request's first line until its last line.  */
+  CONTEXT_BEFORE_MS = 10000,
   MS_PER_S = 1000
 };
 
@@ -22,38 +23,40 @@
 {
   str_t key;
   str_t value;
-} pair_t;
+} log_pair_t;
 
-/* One line that concerns the request or what its entry believed.  */
+/* A parsed log line about the request or about a state change.  */
 typedef struct
 {
   char *text;
-  pair_t pairs[FIELDS_MAX];
+  log_pair_t pairs[FIELDS_MAX];
   size_t pair_count;
   const log_event_info_t *info;
-  uint64_t at_ms;
-  size_t order; /* As read; of lines of one moment the earlier is first.  */
-} entry_t;
+  uint64_t time_ms;
+  /* Position in the input; orders lines of equal time.  */
+  size_t input_position;
+} log_record_t;
 
 typedef struct
 {
-  entry_t *items;
+  log_record_t *items;
   size_t count;
-  size_t read;
-} entries_t;
+  size_t line_count;
+} log_records_t;
 
 static str_t
-entry_get (const entry_t *entry, const char *key)
+record_get (const log_record_t *record, const char *key)
 {
-  for (size_t i = 0; i < entry->pair_count; i++)
-    if (str_eq (entry->pairs[i].key, str_from (key)))
-      return entry->pairs[i].value;
+  for (size_t i = 0; i < record->pair_count; i++)
+    if (str_eq (record->pairs[i].key, str_from (key)))
+      return record->pairs[i].value;
   return STR_NULL;
 }
 
-/* Cut one KEY=VALUE off *REST; the value may be quoted.  */
+/* Parse the next KEY=VALUE of *REST into PAIR and advance *REST; the value may
+   be quoted.  Return false at the end or on a syntax error.  */
 static bool
-next_pair (str_t *rest, pair_t *pair)
+next_pair (str_t *rest, log_pair_t *pair)
 {
   *rest = str_trim (*rest);
   if (rest->len == 0)
@@ -82,157 +85,162 @@
 static const log_event_info_t *
 find_event (str_t name)
 {
-  str_t own;
-  str_t part = str_cut (name, '.', &own);
+  str_t event_name;
+  str_t part = str_cut (name, '.', &event_name);
 
   for (int i = 0; i < LOG_EVENT_COUNT; i++)
     {
       const log_event_info_t *info = log_event_info ((log_event_t)i);
       if (str_eq (part, str_from (info->part))
-          && str_eq (own, str_from (info->name)))
+          && str_eq (event_name, str_from (info->name)))
         return info;
     }
   return NULL;
 }
 
-/* Read the seconds of TEXT as milliseconds.  */
+/* Return the time TEXT, in seconds, in milliseconds; 0 if invalid.  */
 static uint64_t
-read_time (str_t text)
+parse_time_ms (str_t text)
 {
   double seconds;
 
   return str_to_double (text, &seconds) ? (uint64_t)(seconds * MS_PER_S) : 0;
 }
 
-/* Take LINE apart.  Return false when it is no line of the log.  */
+/* Parse LINE into RECORD, which then owns a copy of the text.  Return false if
+   LINE is not a log line with a known event.  */
 static bool
-entry_parse (entry_t *entry, const char *line)
+record_parse (log_record_t *record, const char *line)
 {
   const char *start = strstr (line, "event=");
   str_t rest;
 
   if (start == NULL)
     return false;
-  entry->text = str_dup (str_trim (str_from (start)));
-  rest = str_from (entry->text);
-  entry->pair_count = 0;
-  while (entry->pair_count < FIELDS_MAX
-         && next_pair (&rest, &entry->pairs[entry->pair_count]))
-    entry->pair_count++;
-  entry->info = find_event (entry_get (entry, "event"));
-  entry->at_ms = read_time (entry_get (entry, "at"));
-  if (entry->info != NULL)
+  record->text = str_dup (str_trim (str_from (start)));
+  rest = str_from (record->text);
+  record->pair_count = 0;
+  while (record->pair_count < FIELDS_MAX
+         && next_pair (&rest, &record->pairs[record->pair_count]))
+    record->pair_count++;
+  record->info = find_event (record_get (record, "event"));
+  record->time_ms = parse_time_ms (record_get (record, "at"));
+  if (record->info != NULL)
     return true;
-  free (entry->text);
+  free (record->text);
   return false;
 }
 
-/* Keep the lines of FILE that name the request ID or tell of a change.  */
+/* Append the lines of FILE that name the request ID, and those that name no
+   request.  */
 static void
-read_file (entries_t *entries, FILE *file, str_t id)
+read_file (log_records_t *records, FILE *file, str_t id)
 {
   char line[LINE_BYTES_MAX];
 
   while (fgets (line, sizeof line, file) != NULL)
     {
-      entry_t entry = { .order = entries->read++ };
-      if (!entry_parse (&entry, line))
+      log_record_t record = { .input_position = records->line_count++ };
+      if (!record_parse (&record, line))
         continue;
-      bool own = str_eq (entry_get (&entry, "id"), id);
-      if (!own && (entry_get (&entry, "id").ptr != NULL))
+      bool names_request = str_eq (record_get (&record, "id"), id);
+      if (!names_request && (record_get (&record, "id").ptr != NULL))
         {
-          free (entry.text);
+          free (record.text);
           continue;
         }
-      entries->items = mem_realloc (
-          entries->items, (entries->count + 1) * sizeof *entries->items);
-      entries->items[entries->count++] = entry;
+      records->items = mem_realloc (
+          records->items, (records->count + 1) * sizeof *records->items);
+      records->items[records->count++] = record;
     }
 }
 
 static int
-compare_entries (const void *a, const void *b)
+compare_records (const void *a, const void *b)
 {
-  const entry_t *one = a;
-  const entry_t *other = b;
-
-  if (one->at_ms != other->at_ms)
-    return one->at_ms < other->at_ms ? -1 : 1;
-  return one->order < other->order ? -1 : one->order > other->order;
+  const log_record_t *left = a;
+  const log_record_t *right = b;
+
+  if (left->time_ms != right->time_ms)
+    return left->time_ms < right->time_ms ? -1 : 1;
+  return left->input_position < right->input_position
+             ? -1
+             : left->input_position > right->input_position;
 }
 
-/* Tell whether a line of the request names UPSTREAM.  */
+/* Return whether a line of the request names UPSTREAM.  */
 static bool
-is_used (const entries_t *entries, str_t upstream)
+is_upstream_used (const log_records_t *records, str_t upstream)
 {
-  for (size_t i = 0; i < entries->count; i++)
-    if (entry_get (&entries->items[i], "id").ptr != NULL
-        && str_eq (entry_get (&entries->items[i], "upstream"), upstream))
+  for (size_t i = 0; i < records->count; i++)
+    if (record_get (&records->items[i], "id").ptr != NULL
+        && str_eq (record_get (&records->items[i], "upstream"), upstream))
       return true;
   return false;
 }
 
-/* What must hold for a line without the request's id to belong to its story:
-   it is of an entry that handled it, shortly before or meanwhile, and not of
-   an instance that had no part in it.  */
+/* Return whether a line without a request ID is relevant to the request: a
+   process that handled the request logged it shortly before or during the
+   request, and it does not concern an upstream that the request did not
+   use.  */
 static bool
-belongs (const entries_t *entries, const entry_t *entry, uint64_t first_ms,
-         uint64_t last_ms)
+is_relevant (const log_records_t *records, const log_record_t *record,
+             uint64_t first_ms, uint64_t last_ms)
 {
-  str_t by = entry_get (entry, "by");
-
-  str_t upstream = entry_get (entry, "upstream");
+  str_t process_name = record_get (record, "by");
+  str_t upstream = record_get (record, "upstream");
 
-  if (entry->at_ms + BEFORE_MS < first_ms || entry->at_ms > last_ms
-      || strcmp (entry->info->part, "log") == 0)
+  if (record->time_ms + CONTEXT_BEFORE_MS < first_ms
+      || record->time_ms > last_ms || strcmp (record->info->part, "log") == 0)
     return false;
-  if (upstream.ptr != NULL && !is_used (entries, upstream))
+  if (upstream.ptr != NULL && !is_upstream_used (records, upstream))
     return false;
-  for (size_t i = 0; i < entries->count; i++)
-    if (entry_get (&entries->items[i], "id").ptr != NULL
-        && str_eq (entry_get (&entries->items[i], "by"), by))
+  for (size_t i = 0; i < records->count; i++)
+    if (record_get (&records->items[i], "id").ptr != NULL
+        && str_eq (record_get (&records->items[i], "by"), process_name))
       return true;
   return false;
 }
 
 static void
-print_entry (const entry_t *entry, uint64_t first_ms)
+print_record (const log_record_t *record, uint64_t first_ms)
 {
-  long long offset_ms = (long long)entry->at_ms - (long long)first_ms;
+  long long offset_ms = (long long)record->time_ms - (long long)first_ms;
 
   printf ("%+9lld ms  %-16.*s %s:", offset_ms,
-          STR_ARG (entry_get (entry, "by")), entry->info->sentence);
-  for (size_t i = 0; i < entry->pair_count; i++)
+          STR_ARG (record_get (record, "by")), record->info->sentence);
+  for (size_t i = 0; i < record->pair_count; i++)
     {
-      str_t key = entry->pairs[i].key;
+      str_t key = record->pairs[i].key;
       if (!str_eq (key, STR ("event")) && !str_eq (key, STR ("at"))
           && !str_eq (key, STR ("by")) && !str_eq (key, STR ("id")))
-        printf (" %.*s=%.*s", STR_ARG (key), STR_ARG (entry->pairs[i].value));
+        printf (" %.*s=%.*s", STR_ARG (key), STR_ARG (record->pairs[i].value));
     }
   putchar ('\n');
 }
 
 static bool
-is_end (const entry_t *entry)
+is_final_event (const log_record_t *record)
 {
-  static const char *const ends[]
+  static const char *const final_events[]
       = { "answered", "failure-passed", "refused", "failed", "cut", "left" };
 
-  for (size_t i = 0; i < sizeof ends / sizeof ends[0]; i++)
-    if (strcmp (entry->info->part, "request") == 0
-        && strcmp (entry->info->name, ends[i]) == 0)
+  for (size_t i = 0; i < sizeof final_events / sizeof final_events[0]; i++)
+    if (strcmp (record->info->part, "request") == 0
+        && strcmp (record->info->name, final_events[i]) == 0)
       return true;
   return false;
 }
 
-/* Print the cause that the last line of the request names.  */
+/* Print the cause that END, the final event of the request, names.  END is
+   NULL if the log ends before the request.  */
 static void
-print_cause (const entry_t *end, bool json)
+print_cause (const log_record_t *end, bool json)
 {
-  str_t reason = end != NULL ? entry_get (end, "reason") : STR ("");
+  str_t reason = end != NULL ? record_get (end, "reason") : STR ("");
   const char *cause = log_cause (reason);
-  const char *how = end != NULL ? end->info->sentence
-                                : "The lines end before the request does";
+  const char *outcome = end != NULL ? end->info->sentence
+                                    : "The lines end before the request does";
 
   if (cause == NULL)
     cause = end != NULL && strcmp (end->info->name, "answered") == 0
@@ -240,82 +248,84 @@
                 : "No cause is named.";
   if (json)
     {
-      json_t *root = json_pack ("{s:s, s:s%, s:s}", "end", how, "reason",
+      json_t *root = json_pack ("{s:s, s:s%, s:s}", "end", outcome, "reason",
                                 reason.ptr, reason.len, "cause", cause);
       json_dumpf (root, stdout, JSON_COMPACT);
       putchar ('\n');
       json_decref (root);
       return;
     }
-  printf ("Cause: %s", how);
+  printf ("Cause: %s", outcome);
   if (reason.len > 0 && !str_eq (reason, STR ("-")))
     printf (" (%.*s)", STR_ARG (reason));
   printf (".  %s\n", cause);
 }
 
-/* Tell the story in ENTRIES.  Return false when they hold none.  */
+/* Print the lines and the cause of the request.  Return false if no line of
+   RECORDS names the request.  */
 static bool
-tell (const entries_t *entries, bool json)
+print_explanation (const log_records_t *records, bool json)
 {
-  const entry_t *first = NULL;
-  const entry_t *last = NULL;
-  const entry_t *end = NULL;
+  const log_record_t *first = NULL;
+  const log_record_t *last = NULL;
+  const log_record_t *end = NULL;
 
-  for (size_t i = 0; i < entries->count; i++)
+  for (size_t i = 0; i < records->count; i++)
     {
-      const entry_t *entry = &entries->items[i];
-      if (entry_get (entry, "id").ptr == NULL)
+      const log_record_t *record = &records->items[i];
+      if (record_get (record, "id").ptr == NULL)
         continue;
-      first = first != NULL ? first : entry;
-      last = entry;
-      if (is_end (entry))
-        end = entry;
+      first = first != NULL ? first : record;
+      last = record;
+      if (is_final_event (record))
+        end = record;
     }
   if (first == NULL)
     return false;
-  for (size_t i = 0; i < entries->count && !json; i++)
+  for (size_t i = 0; i < records->count && !json; i++)
     {
-      const entry_t *entry = &entries->items[i];
-      if (entry_get (entry, "id").ptr != NULL
-          || belongs (entries, entry, first->at_ms, last->at_ms))
-        print_entry (entry, first->at_ms);
+      const log_record_t *record = &records->items[i];
+      if (record_get (record, "id").ptr != NULL
+          || is_relevant (records, record, first->time_ms, last->time_ms))
+        print_record (record, first->time_ms);
     }
   print_cause (end, json);
   return true;
 }
 
-cli_exit_t
+cli_exit_code_t
 run_explain (cli_t *cli)
 {
-  entries_t entries = { 0 };
-  cli_exit_t code = CLI_DONE;
+  log_records_t records = { 0 };
+  cli_exit_code_t code = CLI_OK;
 
   if (cli->operand_count == 1)
-    read_file (&entries, stdin, str_from (cli->operands[0]));
+    read_file (&records, stdin, str_from (cli->operands[0]));
   for (int i = 1; i < cli->operand_count; i++)
     {
       FILE *file = fopen (cli->operands[i], "r");
       if (file == NULL)
         {
-          cli_complain ("%s: cannot be read", cli->operands[i]);
-          code = CLI_USAGE;
+          cli_print_error ("%s: the log file cannot be read",
+                           cli->operands[i]);
+          code = CLI_USAGE_ERROR;
           goto done;
         }
-      read_file (&entries, file, str_from (cli->operands[0]));
+      read_file (&records, file, str_from (cli->operands[0]));
       fclose (file);
     }
-  if (entries.count > 0)
-    qsort (entries.items, entries.count, sizeof *entries.items,
-           compare_entries);
-  if (!tell (&entries, cli->given[OPTION_JSON]))
+  if (records.count > 0)
+    qsort (records.items, records.count, sizeof *records.items,
+           compare_records);
+  if (!print_explanation (&records, cli->has_option[OPTION_JSON]))
     {
-      cli_complain ("no line names the request %s", cli->operands[0]);
+      cli_print_error ("no line names the request %s", cli->operands[0]);
       code = CLI_REFUSED;
     }
 done:
-  for (size_t i = 0; i < entries.count; i++)
-    free (entries.items[i].text);
-  free (entries.items);
+  for (size_t i = 0; i < records.count; i++)
+    free (records.items[i].text);
+  free (records.items);
   return code;
 }
 
@@ -348,13 +358,13 @@
 #undef X
 }
 
-cli_exit_t
+cli_exit_code_t
 run_events (cli_t *cli)
 {
-  if (cli->given[OPTION_MARKDOWN])
+  if (cli->has_option[OPTION_MARKDOWN])
     {
       print_events_markdown ();
-      return CLI_DONE;
+      return CLI_OK;
     }
   for (int i = 0; i < LOG_EVENT_COUNT; i++)
     {
@@ -362,5 +372,5 @@
       printf ("%d  %s.%-16s %s\n", (int)info->level, info->part, info->name,
               info->sentence);
     }
-  return CLI_DONE;
+  return CLI_OK;
 }
--- a/packages/cli/local.c
+++ b/packages/cli/local.c
@@ -3,7 +3,7 @@
 
 #include <stdio.h>
 
-/* Print the errors of a file as JSON.  */
+/* Print the validation result of a file as JSON.  */
 static void
 print_errors_json (const conf_errors_t *errors)
 {
@@ -44,12 +44,12 @@
           path, teams, models, versions, services);
 }
 
-cli_exit_t
+cli_exit_code_t
 run_check (cli_t *cli)
 {
   const char *path = cli->operands[0];
   buf_t text = BUF_NULL;
-  buf_t printed = BUF_NULL;
+  buf_t message = BUF_NULL;
   conf_errors_t errors = { 0 };
   snapshot_t *snapshot = NULL;
 
@@ -58,19 +58,19 @@
                      "the file cannot be read");
   else
     snapshot_parse (buf_str (&text), 0, &snapshot, &errors);
-  if (cli->given[OPTION_JSON])
+  if (cli->has_option[OPTION_JSON])
     print_errors_json (&errors);
   else if (snapshot != NULL)
     print_summary (path, snapshot);
   else
     {
-      conf_errors_print (&errors, "vanillahook", str_from (path), &printed);
-      fputs (printed.ptr, stderr);
+      conf_errors_print (&errors, "vanillahook", str_from (path), &message);
+      fputs (message.ptr, stderr);
     }
-  cli_exit_t code = snapshot != NULL ? CLI_DONE : CLI_USAGE;
+  cli_exit_code_t code = snapshot != NULL ? CLI_OK : CLI_USAGE_ERROR;
   conf_errors_free (&errors);
   snapshot_unref (snapshot);
-  buf_free (&printed);
+  buf_free (&message);
   buf_free (&text);
   return code;
 }
@@ -109,30 +109,30 @@
   json_decref (list);
 }
 
-cli_exit_t
+cli_exit_code_t
 run_codes (cli_t *cli)
 {
-  if (cli->given[OPTION_MARKDOWN])
+  if (cli->has_option[OPTION_MARKDOWN])
     print_codes_markdown ();
-  else if (cli->given[OPTION_JSON])
+  else if (cli->has_option[OPTION_JSON])
     print_codes_json ();
   else
     for (size_t i = 0; code_at (i) != NULL; i++)
       printf ("%3d  %-24s HTTP %d  %s\n", code_at (i)->code, code_at (i)->type,
               code_at (i)->http_status, code_at (i)->sentence);
-  return CLI_DONE;
+  return CLI_OK;
 }
 
-/* Print the options of VERB with blanks between them.  */
+/* Print the options of VERB, each with a blank before it.  */
 static void
-print_options (const verb_t *verb)
+print_option_names (const verb_t *verb)
 {
   for (int i = 0; i < OPTION_COUNT; i++)
     if ((verb->options >> i & 1) != 0)
       printf (" --%s", option_name ((option_t)i));
 }
 
-cli_exit_t
+cli_exit_code_t
 run_completion (cli_t *cli)
 {
   (void)cli;
@@ -153,7 +153,7 @@
     {
       const verb_t *verb = verb_at (i);
       printf ("    %s) actions='%s' options='", verb->name, verb->actions);
-      print_options (verb);
+      print_option_names (verb);
       printf ("'%s ;;\n",
               strcmp (verb->operands, "FILE") == 0 ? " files=yes" : "");
     }
@@ -173,5 +173,5 @@
         "  esac\n"
         "}\n"
         "complete -F _vanillahook vanillahook");
-  return CLI_DONE;
+  return CLI_OK;
 }
--- a/packages/cli/options.c
+++ b/packages/cli/options.c
@@ -8,12 +8,12 @@
 
 enum
 {
-  WAIT_DEFAULT_MS = 30000,
-  WAIT_MAX_MS = 3600000,
-  HISTORY_DEFAULT = 10,
-  HISTORY_MAX = 1000,
+  WAIT_TIMEOUT_DEFAULT_MS = 30000,
+  WAIT_TIMEOUT_MAX_MS = 3600000,
+  HISTORY_LIMIT_DEFAULT = 10,
+  HISTORY_LIMIT_MAX = 1000,
   KEY_BYTES_MAX = 4096,
-  ERRORS_MAX = 4
+  PARSE_ERRORS_MAX = 4
 };
 
 static const char *const option_names[] = {
@@ -22,13 +22,13 @@
 #undef X
 };
 
-static const char *const option_values[] = {
+static const char *const option_value_names[] = {
 #define X(symbol, name, value, help) value,
   CLI_OPTIONS (X)
 #undef X
 };
 
-static const char *const option_helps[] = {
+static const char *const option_help_texts[] = {
 #define X(symbol, name, value, help) help,
   CLI_OPTIONS (X)
 #undef X
@@ -40,10 +40,10 @@
   return option_names[option];
 }
 
-/* Argtable's table of one verb.  */
+/* Argtable parser for the options and operands of one verb.  */
 typedef struct
 {
-  void *table[OPTION_COUNT + 2];
+  void *table[OPTION_COUNT + 2]; /* Options, operands, end marker.  */
   int count;
   option_t options[OPTION_COUNT];
   int option_count;
@@ -51,7 +51,7 @@
   struct arg_end *end;
 } parser_t;
 
-/* Make the parser of VERB; release by parser_free.  */
+/* Set up the parser of VERB; release it with parser_free.  */
 static void
 parser_init (parser_t *parser, const verb_t *verb)
 {
@@ -61,17 +61,17 @@
       if ((verb->options >> i & 1) == 0)
         continue;
       parser->options[parser->option_count++] = (option_t)i;
-      if (option_values[i] == NULL)
+      if (option_value_names[i] == NULL)
         parser->table[parser->count++]
-            = arg_lit0 (NULL, option_names[i], option_helps[i]);
+            = arg_lit0 (NULL, option_names[i], option_help_texts[i]);
       else
-        parser->table[parser->count++]
-            = arg_strn (NULL, option_names[i], option_values[i], 0,
-                        i == OPTION_ENTRY ? ENTRIES_MAX : 1, option_helps[i]);
+        parser->table[parser->count++] = arg_strn (
+            NULL, option_names[i], option_value_names[i], 0,
+            i == OPTION_ENTRY ? ENTRIES_MAX : 1, option_help_texts[i]);
     }
   parser->operands = arg_strn (NULL, NULL, "", 0, OPERANDS_MAX, NULL);
   parser->table[parser->count++] = parser->operands;
-  parser->end = arg_end (ERRORS_MAX);
+  parser->end = arg_end (PARSE_ERRORS_MAX);
   parser->table[parser->count++] = parser->end;
   if (arg_nullcheck (parser->table) != 0)
     abort ();
@@ -84,7 +84,7 @@
 }
 
 void
-options_help (const verb_t *verb)
+options_print_help (const verb_t *verb)
 {
   printf ("Usage: vanillahook %s%s%s [OPTION...]\n\n%s\n\nOptions:\n",
           verb->name, verb->operands[0] != '\0' ? " " : "", verb->operands,
@@ -95,16 +95,16 @@
       if ((verb->options >> i & 1) == 0)
         continue;
       snprintf (name, sizeof name, "--%s%s%s", option_names[i],
-                option_values[i] != NULL ? "=" : "",
-                option_values[i] != NULL ? option_values[i] : "");
-      printf ("  %-22s %s\n", name, option_helps[i]);
+                option_value_names[i] != NULL ? "=" : "",
+                option_value_names[i] != NULL ? option_value_names[i] : "");
+      printf ("  %-22s %s\n", name, option_help_texts[i]);
     }
   printf ("\nExample:\n  %s\n", verb->example);
 }
 
-/* Complain about the first mistake that argtable found.  */
+/* Print the first error that argtable found.  */
 static void
-complain_first (const parser_t *parser, const verb_t *verb)
+print_first_error (const parser_t *parser, const verb_t *verb)
 {
   char *text = NULL;
   size_t size = 0;
@@ -119,7 +119,7 @@
   free (text);
 }
 
-/* Tell whether NAME is one of VERB's actions.  */
+/* Return whether NAME is one of the actions of VERB.  */
 static bool
 is_action (const verb_t *verb, const char *name)
 {
@@ -139,50 +139,53 @@
   if (cli->operand_count < verb->operand_min
       || cli->operand_count > verb->operand_max)
     {
-      cli_complain ("%s operands; write `vanillahook %s%s%s' (see "
-                    "`vanillahook %s --help')",
-                    cli->operand_count < verb->operand_min ? "too few"
-                                                           : "too many",
-                    verb->name, verb->operands[0] != '\0' ? " " : "",
-                    verb->operands, verb->name);
+      cli_print_error ("%s operands; write `vanillahook %s%s%s' (see "
+                       "`vanillahook %s --help')",
+                       cli->operand_count < verb->operand_min ? "too few"
+                                                              : "too many",
+                       verb->name, verb->operands[0] != '\0' ? " " : "",
+                       verb->operands, verb->name);
       return false;
     }
   if (verb->actions[0] != '\0' && !is_action (verb, cli->operands[0]))
     {
-      cli_complain ("`%s %s' is not known; write `vanillahook %s %s'",
-                    verb->name, cli->operands[0], verb->name, verb->operands);
+      cli_print_error ("`%s %s' is not known; write `vanillahook %s %s'",
+                       verb->name, cli->operands[0], verb->name,
+                       verb->operands);
       return false;
     }
   for (int i = 0; i < cli->operand_count; i++)
     if (cli->operands[i][0] == '\0')
       {
-        cli_complain ("an operand is empty; write `vanillahook %s %s'",
-                      verb->name, verb->operands);
+        cli_print_error ("an operand is empty; write `vanillahook %s %s'",
+                         verb->name, verb->operands);
         return false;
       }
   return true;
 }
 
-/* Add ADDRESS, which lives as long as the program.  */
+/* Add ADDRESS, which must outlive CLI, to the entries.  Return false after
+   printing an error.  */
 static bool
 add_entry (cli_t *cli, str_t address)
 {
   if (!schema_is_valid_address (address))
     {
-      cli_complain ("the entry `%.*s' is not HOST:PORT by IP number",
-                    STR_ARG (address));
+      cli_print_error ("the entry `%.*s' is not HOST:PORT by IP number",
+                       STR_ARG (address));
       return false;
     }
   if (cli->entry_count == ENTRIES_MAX)
     {
-      cli_complain ("more than %d entries are given", ENTRIES_MAX);
+      cli_print_error ("more than %d entries are given", ENTRIES_MAX);
       return false;
     }
   cli->entries[cli->entry_count++] = address;
   return true;
 }
 
-/* Take the entries from the environment, or the default one.  */
+/* Add the entries of VANILLAHOOK_ENTRY, or the default entry if the variable
+   is unset or empty.  Return false after printing an error.  */
 static bool
 add_default_entries (cli_t *cli)
 {
@@ -197,9 +200,10 @@
   return true;
 }
 
-/* Take the operators' key: the first line of FILE.  */
+/* Read the operators' key from the first line of the file PATH.  Return false
+   after printing an error.  */
 static bool
-read_key (cli_t *cli, const char *path)
+read_key_file (cli_t *cli, const char *path)
 {
   char line[KEY_BYTES_MAX];
   FILE *file = fopen (path, "re");
@@ -210,7 +214,7 @@
   str_t key = read ? str_trim (str_from (line)) : STR_NULL;
   if (key.len == 0)
     {
-      cli_complain ("%s: the key file cannot be read or is empty", path);
+      cli_print_error ("%s: the key file cannot be read or is empty", path);
       return false;
     }
   cli->key = str_dup (key);
@@ -218,47 +222,52 @@
   return true;
 }
 
+/* Load the operators' key from --key-file or VANILLAHOOK_KEY, if either is
+   present.  Return false after printing an error.  */
 static bool
-take_key (cli_t *cli)
+load_key (cli_t *cli)
 {
   const char *environment = getenv ("VANILLAHOOK_KEY");
 
-  if (cli->given[OPTION_KEY_FILE])
-    return read_key (cli, cli->values[OPTION_KEY_FILE]);
+  if (cli->has_option[OPTION_KEY_FILE])
+    return read_key_file (cli, cli->values[OPTION_KEY_FILE]);
   if (environment != NULL && environment[0] != '\0')
     cli->key = str_dup (str_from (environment));
   return true;
 }
 
-/* Parse OPTION as a number up to MAX into *VALUE when it was given.  */
+/* Parse the value of OPTION, if present, as a number up to MAX into *VALUE.
+   Return false after printing an error.  */
 static bool
-take_number (const cli_t *cli, option_t option, uint64_t max, uint64_t *value)
+parse_number_option (const cli_t *cli, option_t option, uint64_t max,
+                     uint64_t *value)
 {
-  if (!cli->given[option])
+  if (!cli->has_option[option])
     return true;
   if (str_to_u64 (str_from (cli->values[option]), value) && *value <= max)
     return true;
-  cli_complain ("--%s cannot be `%s' (a whole number up to %llu)",
-                option_names[option], cli->values[option],
-                (unsigned long long)max);
+  cli_print_error ("--%s cannot be `%s' (a whole number up to %llu)",
+                   option_names[option], cli->values[option],
+                   (unsigned long long)max);
   return false;
 }
 
-/* Copy what argtable parsed.  The strings are those of argv.  */
+/* Copy the parsed options and operands to CLI.  The strings still point into
+   argv.  */
 static bool
-take_values (cli_t *cli, const parser_t *parser)
+copy_values (cli_t *cli, const parser_t *parser)
 {
   for (int i = 0; i < parser->option_count; i++)
     {
       option_t option = parser->options[i];
-      if (option_values[option] == NULL)
+      if (option_value_names[option] == NULL)
         {
           const struct arg_lit *flag = parser->table[i];
-          cli->given[option] = flag->count > 0;
+          cli->has_option[option] = flag->count > 0;
           continue;
         }
       const struct arg_str *value = parser->table[i];
-      cli->given[option] = value->count > 0;
+      cli->has_option[option] = value->count > 0;
       if (value->count > 0)
         cli->values[option] = value->sval[0];
       for (int k = 0; option == OPTION_ENTRY && k < value->count; k++)
@@ -272,38 +281,42 @@
 }
 
 bool
-options_parse (cli_t *cli, int argc, char **argv, cli_exit_t *code)
+options_parse (cli_t *cli, int argc, char **argv, cli_exit_code_t *code)
 {
   parser_t parser;
-  bool ok = false;
+  bool is_valid = false;
 
-  *code = CLI_USAGE;
-  cli->timeout_ms = WAIT_DEFAULT_MS;
-  cli->limit = HISTORY_DEFAULT;
+  *code = CLI_USAGE_ERROR;
+  cli->timeout_ms = WAIT_TIMEOUT_DEFAULT_MS;
+  cli->limit = HISTORY_LIMIT_DEFAULT;
   parser_init (&parser, cli->verb);
   int errors = arg_parse (argc, argv, parser.table);
-  if (!take_values (cli, &parser))
+  if (!copy_values (cli, &parser))
     goto free_parser;
-  if (cli->given[OPTION_HELP])
+  if (cli->has_option[OPTION_HELP])
     {
-      options_help (cli->verb);
-      *code = CLI_DONE;
+      options_print_help (cli->verb);
+      *code = CLI_OK;
       goto free_parser;
     }
   if (errors > 0)
     {
-      complain_first (&parser, cli->verb);
+      print_first_error (&parser, cli->verb);
       goto free_parser;
     }
   if (!check_operands (cli))
     goto free_parser;
-  ok = take_number (cli, OPTION_IF_REVISION, UINT64_MAX, &cli->if_revision)
-       && take_number (cli, OPTION_TIMEOUT_MS, WAIT_MAX_MS, &cli->timeout_ms)
-       && take_number (cli, OPTION_LIMIT, HISTORY_MAX, &cli->limit);
-  if (ok && (cli->verb->options >> OPTION_ENTRY & 1) != 0)
-    ok = (cli->entry_count > 0 || add_default_entries (cli)) && take_key (cli);
+  is_valid = parse_number_option (cli, OPTION_IF_REVISION, UINT64_MAX,
+                                  &cli->if_revision)
+             && parse_number_option (cli, OPTION_TIMEOUT_MS,
+                                     WAIT_TIMEOUT_MAX_MS, &cli->timeout_ms)
+             && parse_number_option (cli, OPTION_LIMIT, HISTORY_LIMIT_MAX,
+                                     &cli->limit);
+  if (is_valid && (cli->verb->options >> OPTION_ENTRY & 1) != 0)
+    is_valid = (cli->entry_count > 0 || add_default_entries (cli))
+               && load_key (cli);
 
 free_parser:
   parser_free (&parser);
-  return ok;
+  return is_valid;
 }
--- a/packages/cli/status.c
+++ b/packages/cli/status.c
@@ -5,31 +5,31 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Load of some processes together.  */
+/* Total load of the processes of one availability zone.  */
 typedef struct
 {
   str_t zone;
   str_t state;
   size_t processes;
   size_t live;
-  size_t behind;
+  size_t lagging;
   uint64_t in_flight;
   uint64_t limit;
   uint64_t queue;
 } zone_load_t;
 
-/* What is printed of one status answer.  */
+/* Summary of a status reply; the strings point into `root'.  */
 typedef struct
 {
   const json_t *root;
-  uint64_t revision; /* The highest that any process has.  */
+  uint64_t revision; /* Highest revision of any process.  */
   const json_t **peers;
   size_t peer_count;
   zone_load_t *zones;
   size_t zone_count;
 } status_t;
 
-/* Append MS in the unit that reads best.  */
+/* Append the duration MS in ms, s, min or h, depending on its length.  */
 static void
 append_age (buf_t *out, uint64_t ms)
 {
@@ -43,7 +43,7 @@
     buf_printf (out, "%llu h", (unsigned long long)(ms / 3600000));
 }
 
-/* Order peers by zone, role and name.  */
+/* Compare two peers by zone, role and name.  */
 static int
 compare_peers (const void *left, const void *right)
 {
@@ -53,19 +53,22 @@
 
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
     {
-      const char *one = json_string_value (json_object_get (a, keys[i]));
-      const char *two = json_string_value (json_object_get (b, keys[i]));
-      /* runner-2 before runner-10.  */
-      int order = strverscmp (one != NULL ? one : "", two != NULL ? two : "");
+      const char *left_value
+          = json_string_value (json_object_get (a, keys[i]));
+      const char *right_value
+          = json_string_value (json_object_get (b, keys[i]));
+      /* strverscmp sorts runner-2 before runner-10.  */
+      int order = strverscmp (left_value != NULL ? left_value : "",
+                              right_value != NULL ? right_value : "");
       if (order != 0)
         return order;
     }
   return 0;
 }
 
-/* Return the load of ZONE, added when it is new.  */
+/* Return the load record of ZONE, adding one if there is none.  */
 static zone_load_t *
-status_zone (status_t *status, str_t zone)
+status_get_zone (status_t *status, str_t zone)
 {
   for (size_t i = 0; i < status->zone_count; i++)
     if (str_eq (status->zones[i].zone, zone))
@@ -89,7 +92,7 @@
   status->peers
       = mem_alloc ((json_array_size (peers) + 1) * sizeof (json_t *));
   json_array_foreach (json_object_get (root, "zones"), index, item)
-      status_zone (status, json_str (item, "name"))
+      status_get_zone (status, json_str (item, "name"))
           ->state
       = json_str (item, "state");
   json_array_foreach (peers, index, item)
@@ -102,10 +105,10 @@
   for (size_t i = 0; i < status->peer_count; i++)
     {
       item = status->peers[i];
-      zone_load_t *zone = status_zone (status, json_str (item, "zone"));
+      zone_load_t *zone = status_get_zone (status, json_str (item, "zone"));
       zone->processes++;
       zone->live += str_eq (json_str (item, "state"), STR ("live"));
-      zone->behind += json_u64 (item, "revision") < status->revision;
+      zone->lagging += json_u64 (item, "revision") < status->revision;
       zone->in_flight += json_u64 (item, "in_flight");
       zone->limit += json_u64 (item, "limit");
       zone->queue += json_u64 (item, "queue");
@@ -119,19 +122,20 @@
   free (status->zones);
 }
 
-/* Add a cell with how much of LIMIT is used.  */
+/* Add a cell with IN_FLIGHT, LIMIT and their ratio; `-' if LIMIT is 0.  */
 static void
-add_load (table_t *table, uint64_t in_flight, uint64_t limit)
+add_load_cell (table_t *table, uint64_t in_flight, uint64_t limit)
 {
   if (limit == 0)
-    table_add (table, "-");
+    table_add_cell (table, "-");
   else
-    table_add (table, "%llu/%llu %3.0f%%", (unsigned long long)in_flight,
-               (unsigned long long)limit,
-               100.0 * (double)in_flight / (double)limit);
+    table_add_cell (table, "%llu/%llu %3.0f%%", (unsigned long long)in_flight,
+                    (unsigned long long)limit,
+                    100.0 * (double)in_flight / (double)limit);
 }
 
-/* Count the processes of ROLE, and how many of them are in STATE.  */
+/* Return the number of peers with ROLE and STATE; an empty string matches any
+   value.  */
 static size_t
 count_peers (const status_t *status, str_t role, str_t state)
 {
@@ -146,25 +150,25 @@
 }
 
 static void
-print_head (const status_t *status)
+print_overview (const status_t *status)
 {
   static const char *const states[]
       = { "live", "draining", "silent", "ejected", "out" };
   const json_t *process = json_object_get (status->root, "process");
-  buf_t age = BUF_NULL;
-  buf_t up = BUF_NULL;
-  size_t behind = json_u64 (status->root, "revision") < status->revision;
+  buf_t age_text = BUF_NULL;
+  buf_t uptime = BUF_NULL;
+  size_t lagging = json_u64 (status->root, "revision") < status->revision;
 
-  append_age (&age, json_u64 (status->root, "confirmed_ms_ago"));
-  append_age (&up, json_u64 (process, "uptime_ms"));
+  append_age (&age_text, json_u64 (status->root, "confirmed_ms_ago"));
+  append_age (&uptime, json_u64 (process, "uptime_ms"));
   for (size_t i = 0; i < status->zone_count; i++)
-    behind += status->zones[i].behind;
+    lagging += status->zones[i].lagging;
   printf ("revision %llu, confirmed %s ago; as seen by %.*s (%.*s, %.*s, up "
           "%s)\n",
-          (unsigned long long)status->revision, age.ptr,
+          (unsigned long long)status->revision, age_text.ptr,
           STR_ARG (json_str (process, "name")),
           STR_ARG (json_str (process, "role")),
-          STR_ARG (json_str (process, "zone")), up.ptr);
+          STR_ARG (json_str (process, "zone")), uptime.ptr);
   printf ("%zu entries and %zu sidecars besides:",
           count_peers (status, STR ("entry"), STR_NULL),
           count_peers (status, STR ("sidecar"), STR_NULL));
@@ -174,12 +178,12 @@
       if (count > 0 || i == 0)
         printf ("%s %zu %s", i == 0 ? "" : ",", count, states[i]);
     }
-  if (behind > 0)
-    printf ("; %zu behind in revision\n", behind);
+  if (lagging > 0)
+    printf ("; %zu behind in revision\n", lagging);
   else
     printf ("; all at revision %llu\n", (unsigned long long)status->revision);
-  buf_free (&age);
-  buf_free (&up);
+  buf_free (&age_text);
+  buf_free (&uptime);
 }
 
 static void
@@ -188,32 +192,32 @@
   table_t table;
 
   table_init (&table, 7);
-  table_add (&table, "ZONE");
-  table_add (&table, "STATE");
-  table_add (&table, "PROCESSES");
-  table_add (&table, "LIVE");
-  table_add (&table, "BEHIND");
-  table_add (&table, "LOAD");
-  table_add (&table, "QUEUE");
+  table_add_cell (&table, "ZONE");
+  table_add_cell (&table, "STATE");
+  table_add_cell (&table, "PROCESSES");
+  table_add_cell (&table, "LIVE");
+  table_add_cell (&table, "BEHIND");
+  table_add_cell (&table, "LOAD");
+  table_add_cell (&table, "QUEUE");
   for (size_t i = 0; i < status->zone_count; i++)
     {
       const zone_load_t *zone = &status->zones[i];
-      table_add (&table, "%.*s", STR_ARG (zone->zone));
-      table_add (&table, "%.*s", STR_ARG (zone->state));
-      table_add (&table, "%zu", zone->processes);
-      table_add (&table, "%zu", zone->live);
-      table_add (&table, "%zu", zone->behind);
-      add_load (&table, zone->in_flight, zone->limit);
-      table_add (&table, "%llu", (unsigned long long)zone->queue);
+      table_add_cell (&table, "%.*s", STR_ARG (zone->zone));
+      table_add_cell (&table, "%.*s", STR_ARG (zone->state));
+      table_add_cell (&table, "%zu", zone->processes);
+      table_add_cell (&table, "%zu", zone->live);
+      table_add_cell (&table, "%zu", zone->lagging);
+      add_load_cell (&table, zone->in_flight, zone->limit);
+      table_add_cell (&table, "%llu", (unsigned long long)zone->queue);
     }
   putchar ('\n');
   table_print (&table);
   table_free (&table);
 }
 
-/* Add a cell with the names that PEER serves.  */
+/* Add a cell with the models, versions or services that PEER serves.  */
 static void
-add_serves (table_t *table, const json_t *peer)
+add_serves_cell (table_t *table, const json_t *peer)
 {
   buf_t names = BUF_NULL;
   const json_t *name;
@@ -222,7 +226,7 @@
   json_array_foreach (json_object_get (peer, "serves"), index, name)
       buf_printf (&names, "%s%s", index == 0 ? "" : " ",
                   json_is_string (name) ? json_string_value (name) : "?");
-  table_add (table, "%.*s", STR_ARG (buf_str (&names)));
+  table_add_cell (table, "%.*s", STR_ARG (buf_str (&names)));
   buf_free (&names);
 }
 
@@ -230,43 +234,44 @@
 print_peers (const status_t *status)
 {
   table_t table;
-  buf_t age = BUF_NULL;
+  buf_t age_text = BUF_NULL;
 
   table_init (&table, 9);
-  table_add (&table, "ZONE");
-  table_add (&table, "PROCESS");
-  table_add (&table, "ROLE");
-  table_add (&table, "STATE");
-  table_add (&table, "REVISION");
-  table_add (&table, "HEARD");
-  table_add (&table, "LOAD");
-  table_add (&table, "QUEUE");
-  table_add (&table, "SERVES");
+  table_add_cell (&table, "ZONE");
+  table_add_cell (&table, "PROCESS");
+  table_add_cell (&table, "ROLE");
+  table_add_cell (&table, "STATE");
+  table_add_cell (&table, "REVISION");
+  table_add_cell (&table, "HEARD");
+  table_add_cell (&table, "LOAD");
+  table_add_cell (&table, "QUEUE");
+  table_add_cell (&table, "SERVES");
   for (size_t i = 0; i < status->peer_count; i++)
     {
       const json_t *peer = status->peers[i];
       uint64_t revision = json_u64 (peer, "revision");
-      table_add (&table, "%.*s", STR_ARG (json_str (peer, "zone")));
-      table_add (&table, "%.*s", STR_ARG (json_str (peer, "name")));
-      table_add (&table, "%.*s", STR_ARG (json_str (peer, "role")));
-      table_add (&table, "%.*s", STR_ARG (json_str (peer, "state")));
+      table_add_cell (&table, "%.*s", STR_ARG (json_str (peer, "zone")));
+      table_add_cell (&table, "%.*s", STR_ARG (json_str (peer, "name")));
+      table_add_cell (&table, "%.*s", STR_ARG (json_str (peer, "role")));
+      table_add_cell (&table, "%.*s", STR_ARG (json_str (peer, "state")));
       if (revision < status->revision)
-        table_add (&table, "%llu (-%llu)", (unsigned long long)revision,
-                   (unsigned long long)(status->revision - revision));
+        table_add_cell (&table, "%llu (-%llu)", (unsigned long long)revision,
+                        (unsigned long long)(status->revision - revision));
       else
-        table_add (&table, "%llu", (unsigned long long)revision);
-      age.len = 0;
-      append_age (&age, json_u64 (peer, "heard_ms_ago"));
-      table_add (&table, "%s", age.ptr);
-      add_load (&table, json_u64 (peer, "in_flight"),
-                json_u64 (peer, "limit"));
-      table_add (&table, "%llu", (unsigned long long)json_u64 (peer, "queue"));
-      add_serves (&table, peer);
+        table_add_cell (&table, "%llu", (unsigned long long)revision);
+      age_text.len = 0;
+      append_age (&age_text, json_u64 (peer, "heard_ms_ago"));
+      table_add_cell (&table, "%s", age_text.ptr);
+      add_load_cell (&table, json_u64 (peer, "in_flight"),
+                     json_u64 (peer, "limit"));
+      table_add_cell (&table, "%llu",
+                      (unsigned long long)json_u64 (peer, "queue"));
+      add_serves_cell (&table, peer);
     }
   putchar ('\n');
   table_print (&table);
   table_free (&table);
-  buf_free (&age);
+  buf_free (&age_text);
 }
 
 static void
@@ -280,18 +285,18 @@
   if (json_array_size (list) == 0)
     return;
   table_init (&table, 5);
-  table_add (&table, "ROLL-OUT");
-  table_add (&table, "OVER");
-  table_add (&table, "STATE");
-  table_add (&table, "SHARE");
-  table_add (&table, "REASON");
+  table_add_cell (&table, "ROLL-OUT");
+  table_add_cell (&table, "OVER");
+  table_add_cell (&table, "STATE");
+  table_add_cell (&table, "SHARE");
+  table_add_cell (&table, "REASON");
   json_array_foreach (list, index, item)
   {
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "version")));
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "over")));
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "state")));
-    table_add (&table, "%g%%", json_double (item, "share"));
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "reason")));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "version")));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "over")));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "state")));
+    table_add_cell (&table, "%g%%", json_double (item, "share"));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "reason")));
   }
   putchar ('\n');
   table_print (&table);
@@ -309,36 +314,37 @@
   if (json_array_size (list) == 0)
     return;
   table_init (&table, 4);
-  table_add (&table, "TASK");
-  table_add (&table, "CHOICE");
-  table_add (&table, "COUNT");
-  table_add (&table, "REASON");
+  table_add_cell (&table, "TASK");
+  table_add_cell (&table, "CHOICE");
+  table_add_cell (&table, "COUNT");
+  table_add_cell (&table, "REASON");
   json_array_foreach (list, index, item)
   {
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "task")));
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "choice")));
-    table_add (&table, "%llu", (unsigned long long)json_u64 (item, "count"));
-    table_add (&table, "%.*s", STR_ARG (json_str (item, "reason")));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "task")));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "choice")));
+    table_add_cell (&table, "%llu",
+                    (unsigned long long)json_u64 (item, "count"));
+    table_add_cell (&table, "%.*s", STR_ARG (json_str (item, "reason")));
   }
   putchar ('\n');
   table_print (&table);
   table_free (&table);
 }
 
-cli_exit_t
+cli_exit_code_t
 run_status (cli_t *cli)
 {
   client_t *client = client_create (cli);
   reply_t reply;
   status_t status;
-  cli_exit_t code = client_get (client, "/admin/status", &reply);
+  cli_exit_code_t code = client_get (client, "/admin/status", &reply);
 
-  if (code == CLI_DONE && cli->given[OPTION_JSON])
+  if (code == CLI_OK && cli->has_option[OPTION_JSON])
     reply_print (&reply);
-  else if (code == CLI_DONE)
+  else if (code == CLI_OK)
     {
       status_init (&status, reply.json);
-      print_head (&status);
+      print_overview (&status);
       print_zones (&status);
       print_peers (&status);
       print_rollouts (&status);
--- a/packages/cli/table.c
+++ b/packages/cli/table.c
@@ -15,7 +15,7 @@
 }
 
 void
-table_add (table_t *table, const char *format, ...)
+table_add_cell (table_t *table, const char *format, ...)
 {
   size_t column = table->cell_count++ % table->columns;
   size_t start = table->cells.len;
@@ -24,7 +24,7 @@
   va_start (args, format);
   buf_vprintf (&table->cells, format, args);
   va_end (args);
-  /* An empty cell would read as a column that is missing.  */
+  /* An empty cell would look like a missing column.  */
   if (table->cells.len == start)
     buf_append_char (&table->cells, '-');
   size_t width = table->cells.len - start;
@@ -42,7 +42,7 @@
     {
       size_t column = i % table->columns;
       size_t len = strlen (cell);
-      /* No blanks at the end of a line.  */
+      /* The last column is not padded, to avoid trailing blanks.  */
       if (column + 1 == table->columns)
         printf ("%s\n", cell);
       else
--- a/packages/cli/view.c
+++ b/packages/cli/view.c
@@ -4,18 +4,19 @@
 #include <stdio.h>
 #include <time.h>
 
-cli_exit_t
+cli_exit_code_t
 run_show (cli_t *cli)
 {
   client_t *client = client_create (cli);
   configuration_t current;
-  cli_exit_t code = configuration_read (client, &current);
+  cli_exit_code_t code = configuration_read (client, &current);
 
-  if (code == CLI_DONE && cli->given[OPTION_JSON])
+  if (code == CLI_OK && cli->has_option[OPTION_JSON])
     reply_print (&current.reply);
-  else if (code == CLI_DONE)
+  else if (code == CLI_OK)
     {
-      /* On standard error, so that the text can go to a file.  */
+      /* The revision goes to standard error so that standard output holds the
+         configuration text alone.  */
       fprintf (stderr, "revision %llu, confirmed %.1f s ago\n",
                (unsigned long long)current.revision,
                (double)current.confirmed_ms_ago / 1e3);
@@ -26,36 +27,36 @@
   return code;
 }
 
-cli_exit_t
+cli_exit_code_t
 run_diff (cli_t *cli)
 {
   buf_t text = BUF_NULL;
   buf_t delta = BUF_NULL;
   configuration_t current;
   client_t *client;
-  cli_exit_t code;
+  cli_exit_code_t code;
 
   if (!configuration_load (cli->operands[0], &text))
     {
       buf_free (&text);
-      return CLI_USAGE;
+      return CLI_USAGE_ERROR;
     }
   client = client_create (cli);
   code = configuration_read (client, &current);
-  if (code == CLI_DONE)
+  if (code == CLI_OK)
     {
-      bool same = str_eq (current.text, buf_str (&text));
+      bool is_same = str_eq (current.text, buf_str (&text));
       conf_delta_make (current.text, buf_str (&text), &delta);
-      if (cli->given[OPTION_JSON])
+      if (cli->has_option[OPTION_JSON])
         {
           json_t *root = json_pack ("{s:I, s:b, s:s%}", "revision",
-                                    (json_int_t)current.revision, "same", same,
-                                    "delta", delta.ptr, delta.len);
+                                    (json_int_t)current.revision, "same",
+                                    is_same, "delta", delta.ptr, delta.len);
           json_dumpf (root, stdout, JSON_COMPACT);
           putchar ('\n');
           json_decref (root);
         }
-      else if (same)
+      else if (is_same)
         printf ("no difference from revision %llu\n",
                 (unsigned long long)current.revision);
       else
@@ -70,37 +71,37 @@
 
 /* Print one revision of the history.  */
 static void
-print_change (const json_t *change)
+print_history_entry (const json_t *item)
 {
-  time_t when = (time_t)(json_u64 (change, "when_ms") / 1000);
+  time_t when = (time_t)(json_u64 (item, "when_ms") / 1000);
   struct tm utc;
   char text[32] = "";
-  str_t who = json_str (change, "who");
+  str_t who = json_str (item, "who");
 
   if (gmtime_r (&when, &utc) != NULL)
     strftime (text, sizeof text, "%Y-%m-%d %H:%M:%SZ", &utc);
   printf ("revision %llu  %s  %.*s\n",
-          (unsigned long long)json_u64 (change, "revision"), text,
+          (unsigned long long)json_u64 (item, "revision"), text,
           STR_ARG (who));
-  delta_print_short (json_str (change, "delta"));
+  delta_print_changed_lines (json_str (item, "delta"));
 }
 
-cli_exit_t
+cli_exit_code_t
 run_history (cli_t *cli)
 {
   client_t *client = client_create (cli);
   reply_t reply;
   buf_t path = BUF_NULL;
-  const json_t *change;
+  const json_t *item;
   size_t index;
 
   buf_printf (&path, "/admin/history?limit=%llu",
               (unsigned long long)cli->limit);
-  cli_exit_t code = client_get (client, path.ptr, &reply);
-  if (code == CLI_DONE && cli->given[OPTION_JSON])
+  cli_exit_code_t code = client_get (client, path.ptr, &reply);
+  if (code == CLI_OK && cli->has_option[OPTION_JSON])
     reply_print (&reply);
-  else if (code == CLI_DONE)
-    json_array_foreach (reply.json, index, change) print_change (change);
+  else if (code == CLI_OK)
+    json_array_foreach (reply.json, index, item) print_history_entry (item);
   reply_free (&reply);
   client_destroy (client);
   buf_free (&path);
--- a/packages/cli/wait.c
+++ b/packages/cli/wait.c
@@ -7,114 +7,119 @@
 
 enum
 {
-  POLL_MS = 200,
-  /* Named in a complaint; the rest are counted.  */
-  NAMED_MAX = 8
+  POLL_INTERVAL_MS = 200,
+  /* Number of lagging processes that the error message names.  */
+  NAMES_PRINTED_MAX = 8
 };
 
-/* How far a revision has come.  */
+/* Number of processes at which a revision is in force.  */
 typedef struct
 {
-  size_t processes;
-  size_t behind;
-  buf_t names; /* Of some that are behind, for people.  */
+  size_t process_count;
+  size_t lagging;
+  buf_t
+      lagging_names; /* Names and revisions of the first lagging processes.  */
 } progress_t;
 
 static void
 sleep_ms (uint64_t ms)
 {
-  struct timespec step = { (time_t)(ms / 1000), (long)(ms % 1000) * 1000000 };
+  struct timespec duration
+      = { (time_t)(ms / 1000), (long)(ms % 1000) * 1000000 };
 
-  nanosleep (&step, NULL);
+  nanosleep (&duration, NULL);
 }
 
-/* Count one process; HEARD_MS_AGO is 0 for the one that answers.  */
+/* Count PROCESS, which has revision PROCESS_REVISION.  If that is older than
+   REVISION, add the process to LAGGING.  */
 static void
-progress_count (progress_t *progress, uint64_t revision, const json_t *process,
-                uint64_t has, json_t *behind)
+progress_add (progress_t *progress, uint64_t revision, const json_t *process,
+              uint64_t process_revision, json_t *lagging)
 {
   str_t name = json_str (process, "name");
   str_t state = json_str (process, "state");
 
-  progress->processes++;
-  if (has >= revision)
+  progress->process_count++;
+  if (process_revision >= revision)
     return;
-  progress->behind++;
-  json_array_append_new (behind, json_stringn (name.ptr, name.len));
-  if (progress->behind > NAMED_MAX)
+  progress->lagging++;
+  json_array_append_new (lagging, json_stringn (name.ptr, name.len));
+  if (progress->lagging > NAMES_PRINTED_MAX)
     return;
-  buf_printf (&progress->names, "%s%.*s at %llu",
-              progress->behind == 1 ? "" : ", ", STR_ARG (name),
-              (unsigned long long)has);
+  buf_printf (&progress->lagging_names, "%s%.*s at %llu",
+              progress->lagging == 1 ? "" : ", ", STR_ARG (name),
+              (unsigned long long)process_revision);
   if (state.len > 0 && !str_eq (state, STR ("live")))
-    buf_printf (&progress->names, " (%.*s)", STR_ARG (state));
+    buf_printf (&progress->lagging_names, " (%.*s)", STR_ARG (state));
 }
 
-/* Ask how far REVISION has come.  Return CLI_DONE or an exit code after a
-   complaint.  */
-static cli_exit_t
-progress_ask (client_t *client, uint64_t revision, progress_t *progress,
-              json_t *behind)
+/* Request the status and count the processes at which REVISION is in force.
+   Return CLI_OK, or another exit code after printing an error.  */
+static cli_exit_code_t
+progress_poll (client_t *client, uint64_t revision, progress_t *progress,
+               json_t *lagging)
 {
   reply_t reply;
   const json_t *peer;
   size_t index;
-  cli_exit_t code = client_get (client, "/admin/status", &reply);
+  cli_exit_code_t code = client_get (client, "/admin/status", &reply);
 
-  progress->processes = 0;
-  progress->behind = 0;
-  progress->names.len = 0;
-  json_array_clear (behind);
-  if (code == CLI_DONE)
+  progress->process_count = 0;
+  progress->lagging = 0;
+  progress->lagging_names.len = 0;
+  json_array_clear (lagging);
+  if (code == CLI_OK)
     {
-      progress_count (progress, revision,
-                      json_object_get (reply.json, "process"),
-                      json_u64 (reply.json, "revision"), behind);
+      progress_add (progress, revision,
+                    json_object_get (reply.json, "process"),
+                    json_u64 (reply.json, "revision"), lagging);
       json_array_foreach (json_object_get (reply.json, "peers"), index, peer)
-          progress_count (progress, revision, peer,
-                          json_u64 (peer, "revision"), behind);
+          progress_add (progress, revision, peer, json_u64 (peer, "revision"),
+                        lagging);
     }
   reply_free (&reply);
   return code;
 }
 
-cli_exit_t
-wait_everywhere (cli_t *cli, client_t *client, uint64_t revision,
-                 json_t *behind)
+cli_exit_code_t
+wait_until_in_force (cli_t *cli, client_t *client, uint64_t revision,
+                     json_t *lagging)
 {
   clock_iface_t *clock = clock_system ();
-  uint64_t end_ms = clock_ms (clock) + cli->timeout_ms;
-  bool terminal = isatty (STDERR_FILENO) == 1;
+  uint64_t deadline_ms = clock_ms (clock) + cli->timeout_ms;
+  bool is_terminal = isatty (STDERR_FILENO) == 1;
   progress_t progress = { 0 };
-  cli_exit_t code;
+  cli_exit_code_t code;
 
   for (;;)
     {
-      code = progress_ask (client, revision, &progress, behind);
-      if (code != CLI_DONE || progress.behind == 0)
+      code = progress_poll (client, revision, &progress, lagging);
+      if (code != CLI_OK || progress.lagging == 0)
         break;
-      if (terminal)
+      if (is_terminal)
         fprintf (stderr, "\r\033[Krevision %llu: in force at %zu of %zu",
                  (unsigned long long)revision,
-                 progress.processes - progress.behind, progress.processes);
-      if (clock_ms (clock) >= end_ms)
+                 progress.process_count - progress.lagging,
+                 progress.process_count);
+      if (clock_ms (clock) >= deadline_ms)
         {
-          code = CLI_LATE;
+          code = CLI_WAIT_TIMEOUT;
           break;
         }
-      sleep_ms (POLL_MS);
+      sleep_ms (POLL_INTERVAL_MS);
     }
-  if (terminal)
+  if (is_terminal)
     fputs ("\r\033[K", stderr);
-  if (code == CLI_LATE)
-    cli_complain ("revision %llu is accepted, but not yet in force at %zu of "
-                  "%zu processes: %s%s (see `vanillahook status')",
-                  (unsigned long long)revision, progress.behind,
-                  progress.processes, progress.names.ptr,
-                  progress.behind > NAMED_MAX ? ", ..." : "");
-  else if (code == CLI_DONE && !cli->given[OPTION_JSON])
+  if (code == CLI_WAIT_TIMEOUT)
+    cli_print_error (
+        "revision %llu is accepted, but not yet in force at %zu of "
+        "%zu processes: %s%s (see `vanillahook status')",
+        (unsigned long long)revision, progress.lagging, progress.process_count,
+        progress.lagging_names.ptr,
+        progress.lagging > NAMES_PRINTED_MAX ? ", ..." : "");
+  else if (code == CLI_OK && !cli->has_option[OPTION_JSON])
     printf ("revision %llu is in force at all %zu processes\n",
-            (unsigned long long)revision, progress.processes);
-  buf_free (&progress.names);
+            (unsigned long long)revision, progress.process_count);
+  buf_free (&progress.lagging_names);
   return code;
 }
