--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -1,5 +1,5 @@
-/* The operators' port: health, metrics, configuration, status, reports.
-   docs/CONTRACTS.md gives its calls.  */
+/* HTTP server of the operators' port: health, metrics, configuration, status
+   and reports.  docs/CONTRACTS.md describes its calls.  */
 
 #include "base/log.h"
 #include "daemon/processint.h"
@@ -10,16 +10,17 @@
 
 enum
 {
-  BODY_LIMIT = 8 << 20,
-  KEY_SHA256_LEN = 32
+  BODY_BYTES_MAX = 8 << 20,
+  SHA256_BYTES = 32
 };
 
-/* Tell whether REQ may use the calls under /admin/.  */
+/* Return whether REQ may use the calls under /admin/: it carries the
+   operators' key or, if no key is configured, comes from loopback.  */
 static bool
-may_operate (const process_t *process, const httpd_req_t *req)
+is_authorized (const process_t *process, const httpd_req_t *req)
 {
-  uint8_t expected[KEY_SHA256_LEN];
-  uint8_t given[KEY_SHA256_LEN];
+  uint8_t expected[SHA256_BYTES];
+  uint8_t actual[SHA256_BYTES];
   str_t hex = process->settings->operator_key_sha256;
   str_t header = httpd_header (req, STR ("authorization"));
 
@@ -29,12 +30,12 @@
       || !str_unhex (hex, expected, sizeof expected))
     return false;
   str_t key = str_trim (str_make (header.ptr + 7, header.len - 7));
-  return EVP_Digest (key.ptr, key.len, given, NULL, EVP_sha256 (), NULL) == 1
-         && CRYPTO_memcmp (expected, given, sizeof given) == 0;
+  return EVP_Digest (key.ptr, key.len, actual, NULL, EVP_sha256 (), NULL) == 1
+         && CRYPTO_memcmp (expected, actual, sizeof actual) == 0;
 }
 
-/* Answer with CODE and, inside the error object, EXTRA (JSON members that
-   begin with a comma, or "").  */
+/* Send an error reply for CODE.  EXTRA is "" or further JSON members of the
+   error object, beginning with a comma.  */
 static void
 reply_error (httpd_req_t *req, vh_code_t code, const char *extra)
 {
@@ -70,37 +71,37 @@
 static void
 serve_ready (process_t *process, httpd_req_t *req)
 {
-  if (process_ready (process))
+  if (process_is_ready (process))
     reply_text (req, 200, STR ("ready\n"));
   else
     reply_text (req, 503, STR ("not ready\n"));
 }
 
 static void
-add_rpc_stats (rpc_stats_t *sum, rpc_node_t *node)
+add_rpc_stats (rpc_stats_t *total, rpc_node_t *node)
 {
   const rpc_stats_t *stats = rpc_node_stats (node);
 
-#define X(name, help) sum->name += stats->name;
+#define X(name, help) total->name += stats->name;
   RPC_STATS (X)
 #undef X
 }
 
-/* Carry the counters of this process's RPC nodes over to its metrics.  */
+/* Copy the counters of the RPC nodes of PROCESS to its metrics.  */
 static void
 update_rpc_metrics (process_t *process)
 {
-  rpc_stats_t sum = { 0 };
+  rpc_stats_t total = { 0 };
 
   if (process->entry != NULL)
-    add_rpc_stats (&sum, entry_rpc_node (process->entry));
+    add_rpc_stats (&total, entry_rpc_node (process->entry));
   for (size_t i = 0; i < process->sidecar_count; i++)
-    add_rpc_stats (&sum, sidecar_node (process->sidecars[i]));
+    add_rpc_stats (&total, sidecar_node (process->sidecars[i]));
 #define X(name, help)                                                         \
   metrics_counter (process->metrics, "vanillahook_rpc_" #name "_total", "",   \
                    help)                                                      \
       ->value                                                                 \
-      = sum.name;
+      = total.name;
   RPC_STATS (X)
 #undef X
 }
@@ -116,7 +117,8 @@
   buf_free (&text);
 }
 
-/* Milliseconds since the revision in force was confirmed; -1: never.  */
+/* Return the time since the store last confirmed the revision in force, in ms;
+   -1 if it never did.  */
 static long long
 confirmed_ms_ago (const process_t *process)
 {
@@ -141,7 +143,7 @@
 }
 
 static void
-reply_bad_config (httpd_req_t *req, const conf_errors_t *errors)
+reply_validation_errors (httpd_req_t *req, const conf_errors_t *errors)
 {
   buf_t extra = BUF_NULL;
 
@@ -162,42 +164,43 @@
   buf_free (&extra);
 }
 
-/* An operator's call that waits for the store.  */
+/* A call of an operator that waits for a reply of the store.  */
 typedef struct
 {
-  httpd_req_t *req; /* NULL once the operator is gone.  */
-} waiting_t;
+  httpd_req_t *req; /* NULL after the operator has disconnected.  */
+} store_call_t;
 
 static void
-on_operator_gone (void *arg)
+on_operator_disconnected (void *arg)
 {
-  ((waiting_t *)arg)->req = NULL;
+  ((store_call_t *)arg)->req = NULL;
 }
 
-static waiting_t *
-wait_for_store (httpd_req_t *req)
+static store_call_t *
+store_call_start (httpd_req_t *req)
 {
-  waiting_t *waiting = mem_zalloc (sizeof *waiting);
+  store_call_t *call = mem_zalloc (sizeof *call);
 
-  waiting->req = req;
-  httpd_watch (req, NULL, on_operator_gone, waiting);
-  return waiting;
+  call->req = req;
+  httpd_watch (req, NULL, on_operator_disconnected, call);
+  return call;
 }
 
-/* Stop waiting; return the request, or NULL when nobody is there.  */
+/* Release CALL.  Return the request, or NULL if the operator has
+   disconnected.  */
 static httpd_req_t *
-end_wait (waiting_t *waiting)
+store_call_finish (store_call_t *call)
 {
-  httpd_req_t *req = waiting->req;
+  httpd_req_t *req = call->req;
 
-  free (waiting);
+  free (call);
   if (req != NULL)
     httpd_watch (req, NULL, NULL, NULL);
   return req;
 }
 
 static void
-reply_stale (httpd_req_t *req, uint64_t revision)
+reply_stale_revision (httpd_req_t *req, uint64_t revision)
 {
   buf_t extra = BUF_NULL;
 
@@ -220,14 +223,14 @@
 static void
 on_applied (void *arg, vh_code_t code, uint64_t revision)
 {
-  httpd_req_t *req = end_wait (arg);
+  httpd_req_t *req = store_call_finish (arg);
 
   if (req == NULL)
     return;
   if (code == VH_OK)
     reply_revision (req, revision);
   else if (code == VH_E_STALE_REVISION)
-    reply_stale (req, revision);
+    reply_stale_revision (req, revision);
   else
     reply_error (req, code == VH_E_CANCELLED ? VH_E_DRAINING : code, "");
 }
@@ -238,25 +241,26 @@
   conf_errors_t errors = { 0 };
   snapshot_t *snapshot = NULL;
   str_t text = httpd_body (req);
-  uint64_t mine = confstore_revision (process->conf);
+  uint64_t current_revision = confstore_revision (process->conf);
   uint64_t expected = CONFSTORE_ANY;
-  str_t given = httpd_query_get (req, STR ("if-revision"));
+  str_t parameter = httpd_query_get (req, STR ("if-revision"));
   str_t who = httpd_query_get (req, STR ("who"));
 
-  if (given.ptr != NULL && !str_to_u64 (given, &expected))
+  if (parameter.ptr != NULL && !str_to_u64 (parameter, &expected))
     reply_error (req, VH_E_BAD_REQUEST, "");
-  else if (snapshot_parse (text, mine + 1, &snapshot, &errors) != VH_OK)
-    reply_bad_config (req, &errors);
+  else if (snapshot_parse (text, current_revision + 1, &snapshot, &errors)
+           != VH_OK)
+    reply_validation_errors (req, &errors);
   else if (str_eq (httpd_query_get (req, STR ("dry-run")), STR ("1")))
     {
-      if (expected != CONFSTORE_ANY && expected != mine)
-        reply_stale (req, mine);
+      if (expected != CONFSTORE_ANY && expected != current_revision)
+        reply_stale_revision (req, current_revision);
       else
-        reply_revision (req, mine);
+        reply_revision (req, current_revision);
     }
   else
     confstore_apply (process->conf, text, who.len > 0 ? who : STR ("unnamed"),
-                     expected, on_applied, wait_for_store (req));
+                     expected, on_applied, store_call_start (req));
   snapshot_unref (snapshot);
   conf_errors_free (&errors);
 }
@@ -265,7 +269,7 @@
 on_history (void *arg, vh_code_t code,
             const confstore_history_entry_t *entries, size_t count)
 {
-  httpd_req_t *req = end_wait (arg);
+  httpd_req_t *req = store_call_finish (arg);
   buf_t body = BUF_NULL;
 
   if (req == NULL)
@@ -296,20 +300,21 @@
 {
   enum
   {
-    HISTORY_DEFAULT = 20,
-    HISTORY_MAX = 1000
+    HISTORY_LIMIT_DEFAULT = 20,
+    HISTORY_LIMIT_MAX = 1000
   };
-  uint64_t limit = HISTORY_DEFAULT;
-  str_t given = httpd_query_get (req, STR ("limit"));
+  uint64_t limit = HISTORY_LIMIT_DEFAULT;
+  str_t parameter = httpd_query_get (req, STR ("limit"));
 
-  if (given.ptr != NULL
-      && (!str_to_u64 (given, &limit) || limit == 0 || limit > HISTORY_MAX))
+  if (parameter.ptr != NULL
+      && (!str_to_u64 (parameter, &limit) || limit == 0
+          || limit > HISTORY_LIMIT_MAX))
     {
       reply_error (req, VH_E_BAD_REQUEST, "");
       return;
     }
   confstore_history (process->conf, (size_t)limit, on_history,
-                     wait_for_store (req));
+                     store_call_start (req));
 }
 
 static void
@@ -347,11 +352,11 @@
   buf_free (&body);
 }
 
-/* A report that waits for the store, and its day.  */
+/* A bill report that waits for the store.  */
 typedef struct
 {
-  waiting_t *waiting;
-  char day[16];
+  store_call_t *call;
+  char day[16]; /* Day of the report, as YYYY-MM-DD.  */
 } bill_report_t;
 
 static void
@@ -359,7 +364,7 @@
                 size_t count)
 {
   bill_report_t *report = arg;
-  httpd_req_t *req = end_wait (report->waiting);
+  httpd_req_t *req = store_call_finish (report->call);
   buf_t body = BUF_NULL;
 
   if (req != NULL && code != VH_OK)
@@ -395,8 +400,9 @@
             gmtime_r (&now, &utc));
   if (day.len == 10)
     memcpy (report->day, day.ptr, day.len);
-  report->waiting = wait_for_store (req);
-  /* What is held here shows in the next report at the latest.  */
+  report->call = store_call_start (req);
+  /* Pending bills of this process are written now, so that at the latest the
+     next report includes them.  */
   ledger_flush (process->ledger);
   ledger_report (process->ledger, str_from (report->day), on_bill_report,
                  report);
@@ -437,7 +443,7 @@
 {
   str_t method;
   str_t path;
-  bool open; /* Needs no operator's key.  */
+  bool is_public; /* Whether requests need no operators' key.  */
   void (*serve) (process_t *process, httpd_req_t *req);
 } route_t;
 
@@ -455,40 +461,41 @@
 static void
 on_request (void *arg, httpd_req_t *req)
 {
-#define X(method, path, open, serve) { STR (method), STR (path), open, serve },
+#define X(method, path, is_public, serve)                                     \
+  { STR (method), STR (path), is_public, serve },
   const route_t routes[] = { ROUTES (X) };
 #undef X
   process_t *process = arg;
   str_t path = httpd_path (req);
-  bool known = false;
+  bool is_known_path = false;
 
   for (size_t i = 0; i < sizeof routes / sizeof routes[0]; i++)
     {
       const route_t *route = &routes[i];
       if (!str_eq (route->path, path))
         continue;
-      known = true;
+      is_known_path = true;
       if (!str_eq (route->method, httpd_method (req)))
         continue;
-      if (!route->open && !may_operate (process, req))
+      if (!route->is_public && !is_authorized (process, req))
         reply_error (req, VH_E_BAD_KEY, "");
       else
         route->serve (process, req);
       return;
     }
-  reply_error (req, known ? VH_E_BAD_METHOD : VH_E_NO_ROUTE, "");
+  reply_error (req, is_known_path ? VH_E_BAD_METHOD : VH_E_NO_ROUTE, "");
 }
 
 vh_code_t
 admin_create (process_t *process)
 {
-  const httpd_options_t options = { .body_limit = BODY_LIMIT };
+  const httpd_options_t options = { .body_limit = BODY_BYTES_MAX };
   vh_code_t code
       = httpd_create (process->loop, process->settings->admin_listen, &options,
                       on_request, process, &process->admin);
 
   if (code != VH_OK)
-    log_err ("process", "Cannot listen for operators. address=%.*s",
+    log_err ("process", "Cannot listen on the operators' port. address=%.*s",
              STR_ARG (process->settings->admin_listen));
   return code;
 }
--- a/packages/daemon/bills.c
+++ b/packages/daemon/bills.c
@@ -1,4 +1,5 @@
-/* From an answered request to the ledger, and what is left at a stop.  */
+/* Passes bills of answered requests to the ledger, and writes or transfers the
+   pending bills when a process stops.  */
 
 #include "base/log.h"
 #include "base/map.h"
@@ -8,7 +9,7 @@
 
 enum
 {
-  HAND_OVER_MAX = 1000
+  TRANSFER_BILLS_MAX = 1000
 };
 
 void
@@ -29,45 +30,49 @@
   if (ledger_add (process->ledger, &bill) != VH_OK)
     {
       log_err ("process",
-               "A bill found no room; its sidecar keeps it. "
+               "The ledger is full; the sidecar keeps the bill. "
                "id=%s",
                wire->bill_id);
       return;
     }
   if (instance.len > 0)
-    free (map_put (process->bill_homes, id, str_dup (instance)));
+    free (map_put (process->bill_holders, id, str_dup (instance)));
 }
 
-/* Tell the sidecars that hold copies of BILLS that they may let go.  Bills of
-   one row mostly have few homes, so each round takes those of one.  */
+/* Acknowledge the written BILLS to the sidecars that hold copies, which then
+   drop the copies.  The bills of one row mostly have few holders, so each
+   round of the loop acknowledges the bills of one holder in one message.  */
 static void
 on_written (void *owner, const ledger_bill_t *bills, size_t count)
 {
   process_t *process = owner;
-  str_t *ids = mem_alloc ((count + 1) * sizeof *ids);
+  str_t *bill_ids = mem_alloc ((count + 1) * sizeof *bill_ids);
 
   for (;;)
     {
-      char *home = NULL;
-      size_t found = 0;
-      for (size_t i = 0; i < count && found < WIRE_BILLS_MAX; i++)
+      char *holder = NULL;
+      size_t id_count = 0;
+      for (size_t i = 0; i < count && id_count < WIRE_BILLS_MAX; i++)
         {
-          char *at = map_get (process->bill_homes, bills[i].request_id);
-          if (at == NULL || (home != NULL && strcmp (home, at) != 0))
+          char *bill_holder
+              = map_get (process->bill_holders, bills[i].request_id);
+          if (bill_holder == NULL
+              || (holder != NULL && strcmp (holder, bill_holder) != 0))
             continue;
-          ids[found++] = bills[i].request_id;
-          if (home == NULL)
-            home = map_remove (process->bill_homes, bills[i].request_id);
+          bill_ids[id_count++] = bills[i].request_id;
+          if (holder == NULL)
+            holder = map_remove (process->bill_holders, bills[i].request_id);
           else
-            free (map_remove (process->bill_homes, bills[i].request_id));
+            free (map_remove (process->bill_holders, bills[i].request_id));
         }
-      if (home == NULL)
+      if (holder == NULL)
         break;
-      if (!process->over && process->entry != NULL)
-        entry_acknowledge_bills (process->entry, str_from (home), ids, found);
-      free (home);
+      if (!process->are_roles_destroyed && process->entry != NULL)
+        entry_acknowledge_bills (process->entry, str_from (holder), bill_ids,
+                                 id_count);
+      free (holder);
     }
-  free (ids);
+  free (bill_ids);
 }
 
 void
@@ -82,39 +87,40 @@
           .on_written = on_written,
           .owner = process };
 
-  process->bill_homes = map_create ();
+  process->bill_holders = map_create ();
   process->ledger = ledger_create (&env, &options);
 }
 
 void
-bills_end (process_t *process)
+bills_free (process_t *process)
 {
   size_t cursor = 0;
-  void *home;
+  void *holder;
 
-  if (process->bill_homes == NULL)
+  if (process->bill_holders == NULL)
     return;
-  while (map_next (process->bill_homes, &cursor, NULL, &home))
-    free (home);
-  map_destroy (process->bill_homes);
-  process->bill_homes = NULL;
+  while (map_next (process->bill_holders, &cursor, NULL, &holder))
+    free (holder);
+  map_destroy (process->bill_holders);
+  process->bill_holders = NULL;
 }
 
 typedef struct
 {
-  wire_bill_t bills[HAND_OVER_MAX];
+  wire_bill_t bills[TRANSFER_BILLS_MAX];
   size_t count;
-} gathered_t;
+} bill_batch_t;
 
+/* Append a wire copy of BILL to the batch ARG, unless the batch is full.  */
 static void
-gather (void *arg, const ledger_bill_t *bill)
+batch_add (void *arg, const ledger_bill_t *bill)
 {
-  gathered_t *gathered = arg;
+  bill_batch_t *batch = arg;
   buf_t target = BUF_NULL;
 
-  if (gathered->count == HAND_OVER_MAX)
+  if (batch->count == TRANSFER_BILLS_MAX)
     return;
-  wire_bill_t *wire = &gathered->bills[gathered->count++];
+  wire_bill_t *wire = &batch->bills[batch->count++];
   buf_append_str (&target, bill->model);
   if (bill->version.len > 0)
     buf_printf (&target, "@%.*s", STR_ARG (bill->version));
@@ -129,90 +135,92 @@
 }
 
 static void
-free_gathered (gathered_t *gathered)
+batch_free (bill_batch_t *batch)
 {
-  for (size_t i = 0; i < gathered->count; i++)
+  for (size_t i = 0; i < batch->count; i++)
     {
-      free (gathered->bills[i].bill_id);
-      free (gathered->bills[i].team);
-      free (gathered->bills[i].target);
+      free (batch->bills[i].bill_id);
+      free (batch->bills[i].team);
+      free (batch->bills[i].target);
     }
-  free (gathered);
+  free (batch);
 }
 
+/* Return whether INSTANCE holds a copy of a bill.  */
 static bool
-has_home (const process_t *process, str_t instance)
+is_bill_holder (const process_t *process, str_t instance)
 {
   size_t cursor = 0;
-  void *home;
+  void *holder;
 
-  while (map_next (process->bill_homes, &cursor, NULL, &home))
-    if (str_eq (str_from (home), instance))
+  while (map_next (process->bill_holders, &cursor, NULL, &holder))
+    if (str_eq (str_from (holder), instance))
       return true;
   return false;
 }
 
+/* The sender keeps the bills, so the result of the copy does not matter.  */
 static void
-ignore_copy (void *arg, bool taken)
+ignore_copy_result (void *arg, bool is_accepted)
 {
   (void)arg;
-  (void)taken;
+  (void)is_accepted;
 }
 
-/* The bills whose copies went stand in this process alone.  They are written
-   now, and while the store may be down a peer gets copies: both may write
-   them.  */
+/* The bills whose copies are lost exist only in this process.  They are
+   written at once, and because the store may be down a peer receives copies as
+   well; it is safe if both write the same bill.  */
 void
-bills_home_lost (process_t *process, str_t instance)
+bills_replace_lost_copies (process_t *process, str_t instance)
 {
   if (process->ledger == NULL || ledger_pending_count (process->ledger) == 0
-      || !has_home (process, instance))
+      || !is_bill_holder (process, instance))
     return;
-  gathered_t *gathered = mem_zalloc (sizeof *gathered);
-  ledger_foreach_pending (process->ledger, gather, gathered);
-  entry_transfer_bills (process->entry, gathered->bills, gathered->count,
-                        ignore_copy, NULL);
-  free_gathered (gathered);
+  bill_batch_t *batch = mem_zalloc (sizeof *batch);
+  ledger_foreach_pending (process->ledger, batch_add, batch);
+  entry_transfer_bills (process->entry, batch->bills, batch->count,
+                        ignore_copy_result, NULL);
+  batch_free (batch);
   ledger_flush (process->ledger);
 }
 
 static void
-on_handed_over (void *arg, bool taken)
+on_transferred (void *arg, bool is_accepted)
 {
   process_t *process = arg;
 
-  process->handing_over = false;
-  process->handed_over = process->handed_over || taken;
+  process->is_transfer_pending = false;
+  process->is_transfer_finished = process->is_transfer_finished || is_accepted;
 }
 
-/* XXX: of more than HAND_OVER_MAX bills the rest stays with the sidecars
-   that hold copies; another entry takes those over.  */
+/* XXX: Only TRANSFER_BILLS_MAX bills are transferred.  The sidecars keep their
+   copies of the others until another entry takes those over.  */
 bool
-bills_settled (process_t *process)
+bills_write_or_transfer (process_t *process)
 {
-  if (process->entry == NULL || process->handed_over
+  if (process->entry == NULL || process->is_transfer_finished
       || ledger_pending_count (process->ledger) == 0)
     return true;
-  uint64_t waited_ms = clock_ms (process->clock) - process->drained_ms;
-  if (waited_ms >= BILLS_GIVE_UP_MS)
+  uint64_t waited_ms
+      = clock_ms (process->clock) - process->requests_finished_ms;
+  if (waited_ms >= BILLS_TRANSFER_TIMEOUT_MS)
     {
       log_warning ("process",
-                   "Neither store nor peer took the last bills; the sidecars "
-                   "keep their copies. bills=%zu",
+                   "Neither the store nor a peer accepted the pending bills; "
+                   "the sidecars keep their copies. bills=%zu",
                    ledger_pending_count (process->ledger));
-      process->handed_over = true;
+      process->is_transfer_finished = true;
       return true;
     }
-  if (process->handing_over)
+  if (process->is_transfer_pending)
     return false;
   ledger_flush (process->ledger);
-  if (waited_ms < BILLS_FLUSH_MS)
+  if (waited_ms < BILLS_WRITE_TIMEOUT_MS)
     return false;
-  gathered_t *gathered = mem_zalloc (sizeof *gathered);
-  ledger_foreach_pending (process->ledger, gather, gathered);
-  process->handing_over
-      = entry_transfer_bills (process->entry, gathered->bills, gathered->count,
-                              on_handed_over, process);
-  free_gathered (gathered);
+  bill_batch_t *batch = mem_zalloc (sizeof *batch);
+  ledger_foreach_pending (process->ledger, batch_add, batch);
+  process->is_transfer_pending = entry_transfer_bills (
+      process->entry, batch->bills, batch->count, on_transferred, process);
+  batch_free (batch);
   return false;
 }
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -10,15 +10,16 @@
 
 enum
 {
-  /* What is left between our last act and the kill: a turn of the loop, the
-     kernel's last packets, a slow machine.  */
+  /* Time between the end of the drain and the kill of the process.  It covers
+     an iteration of the event loop, the last packets that the kernel sends and
+     delays on a slow machine.  */
   KILL_MARGIN_MS = 800,
-  /* New requests are taken on for as long as the balancer may still send
-     them.  */
-  GRACE_MS = 3000,
-  /* Of the time in which a key must stop working, a tenth is left for a
-     request on its way and for clocks that differ.  */
-  REVOKE_PARTS = 10,
+  /* Longest time during which a draining gateway still accepts new requests,
+     because the load balancer in front may still send them.  */
+  DRAIN_GRACE_MAX_MS = 3000,
+  /* One tenth of the time within which a revoked key must stop working is
+     reserved for requests in transit and for clock differences.  */
+  REVOCATION_MARGIN_DIVISOR = 10,
   MS_PER_S = 1000
 };
 
@@ -26,43 +27,44 @@
 {
   gateway_t *gateway;
   const char *path;
-} running_t;
+} gateway_run_t;
 
 static void
-on_stop_signal (uv_signal_t *handle, int number)
+on_stop_signal (uv_signal_t *handle, int signal_number)
 {
-  running_t *running = handle->data;
+  gateway_run_t *run = handle->data;
 
-  (void)number;
-  gateway_begin_stop (running->gateway);
+  (void)signal_number;
+  gateway_begin_stop (run->gateway);
 }
 
-/* Settings are read at start only; a changed file is checked and told.  */
+/* Check the settings file and log the result.  Settings take effect only at
+   start.  */
 static void
-on_reload_signal (uv_signal_t *handle, int number)
+on_reload_signal (uv_signal_t *handle, int signal_number)
 {
-  running_t *running = handle->data;
+  gateway_run_t *run = handle->data;
   settings_t *settings = NULL;
   conf_errors_t errors = { 0 };
 
-  (void)number;
-  vh_code_t code = settings_load (running->path, &settings, &errors);
-  log_event (EVENT_RELOAD, field_text (FIELD_FILE, str_from (running->path)),
+  (void)signal_number;
+  vh_code_t code = settings_load (run->path, &settings, &errors);
+  log_event (EVENT_RELOAD, field_text (FIELD_FILE, str_from (run->path)),
              field_number (FIELD_CODE, code));
   conf_errors_free (&errors);
   settings_destroy (settings);
 }
 
-/* Before the loop waits.  */
+/* Called before each wait of the event loop.  */
 static void
-on_prepare (uv_prepare_t *prepare)
+on_loop_prepare (uv_prepare_t *prepare)
 {
   (void)prepare;
   eventlog_turn ();
 }
 
 static uint64_t
-make_seed (const settings_t *settings)
+choose_seed (const settings_t *settings)
 {
   uint64_t seed = settings->seed;
 
@@ -74,7 +76,7 @@
 static gateway_options_t
 make_options (const settings_t *settings)
 {
-  uint64_t kill_ms = (uint64_t)(settings->kill_after_s * MS_PER_S);
+  uint64_t kill_after_ms = (uint64_t)(settings->kill_after_s * MS_PER_S);
   gateway_options_t options = {
     .name = settings->name,
     .zone = settings->zone,
@@ -85,12 +87,13 @@
     .rpc_keys = settings->rpc_keys,
     .rpc_key_count = settings->rpc_keys_count,
     .link_mbps = settings->link_mbps,
-    .seed = make_seed (settings),
-    .drain_timeout_ms = kill_ms - KILL_MARGIN_MS,
-    .config_max_age_ms
-    = settings->key_revocation_max_ms > 0
-          ? settings->key_revocation_max_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
-          : settings->config_max_age_ms,
+    .seed = choose_seed (settings),
+    .drain_timeout_ms = kill_after_ms - KILL_MARGIN_MS,
+    .config_max_age_ms = settings->key_revocation_max_ms > 0
+                             ? settings->key_revocation_max_ms
+                                   / REVOCATION_MARGIN_DIVISOR
+                                   * (REVOCATION_MARGIN_DIVISOR - 1)
+                             : settings->config_max_age_ms,
     .registration_grace_ms = settings->registration_grace_ms,
     .retry_ratio = settings->extra_send_ratio,
     .retry_fixed_budget = settings->extra_send_fixed_budget,
@@ -105,9 +108,9 @@
                     .confidence_stddev = settings->rating_noise_points },
   };
 
-  options.drain_grace_ms = options.drain_timeout_ms / 2 < GRACE_MS
+  options.drain_grace_ms = options.drain_timeout_ms / 2 < DRAIN_GRACE_MAX_MS
                                ? options.drain_timeout_ms / 2
-                               : GRACE_MS;
+                               : DRAIN_GRACE_MAX_MS;
   return options;
 }
 
@@ -117,8 +120,8 @@
   uv_loop_t *loop = uv_default_loop ();
   gateway_options_t options = make_options (settings);
   rows_t *rows = platform_rows_create (loop, settings->platform_address);
-  running_t running = { .path = path };
-  static const int numbers[] = { SIGTERM, SIGINT, SIGHUP };
+  gateway_run_t run = { .path = path };
+  static const int signal_numbers[] = { SIGTERM, SIGINT, SIGHUP };
   uv_signal_t signals[3];
   uv_prepare_t prepare;
   int status = EXIT_FAILURE;
@@ -127,28 +130,28 @@
   eventlog_source (settings->name, clock_system ());
   eventlog_hold (true);
   uv_prepare_init (loop, &prepare);
-  uv_prepare_start (&prepare, on_prepare);
+  uv_prepare_start (&prepare, on_loop_prepare);
   uv_unref ((uv_handle_t *)&prepare);
   if (gateway_create (loop, clock_system (), rows, platform_dialect (),
-                      &options, &running.gateway)
+                      &options, &run.gateway)
       != VH_OK)
-    goto no_gateway;
+    goto close_loop;
   for (size_t i = 0; i < 3; i++)
     {
       uv_signal_init (loop, &signals[i]);
-      signals[i].data = &running;
+      signals[i].data = &run;
       uv_signal_start (&signals[i],
-                       numbers[i] == SIGHUP ? on_reload_signal
-                                            : on_stop_signal,
-                       numbers[i]);
+                       signal_numbers[i] == SIGHUP ? on_reload_signal
+                                                   : on_stop_signal,
+                       signal_numbers[i]);
     }
-  while (!gateway_is_stopped (running.gateway))
+  while (!gateway_is_stopped (run.gateway))
     uv_run (loop, UV_RUN_DEFAULT);
-  if (gateway_destroy (running.gateway))
+  if (gateway_destroy (run.gateway))
     status = EXIT_SUCCESS;
   for (size_t i = 0; i < 3; i++)
     uv_close ((uv_handle_t *)&signals[i], NULL);
-no_gateway:
+close_loop:
   uv_close ((uv_handle_t *)&prepare, NULL);
   rows->ops->destroy (rows);
   uv_run (loop, UV_RUN_NOWAIT);
--- a/packages/daemon/gateway_main.h
+++ b/packages/daemon/gateway_main.h
@@ -1,12 +1,12 @@
-/* The daemon in the role of a gateway.  */
+/* Main function of a daemon process in the gateway role.  */
 
 #ifndef DAEMON_GATEWAY_MAIN_H
 #define DAEMON_GATEWAY_MAIN_H
 
 #include "conf/settings.h"
 
-/* Run SETTINGS, read from PATH, to the end of a planned stop.  Return the
-   process's exit status.  */
+/* Run a gateway with SETTINGS, which were read from the file PATH, until a
+   planned stop is complete.  Return the exit status of the process.  */
 int gateway_main (const settings_t *settings, const char *path);
 
 #endif
--- a/packages/daemon/main.c
+++ b/packages/daemon/main.c
@@ -1,6 +1,7 @@
-/* vanillahookd: reads its settings, starts its role and stops on SIGTERM.
-   Exit status: 0 after a planned stop, 1 when it could not start or the stop
-   cut something, 2 for bad usage or settings.  */
+/* vanillahookd: reads the settings, runs the role that they name, and stops on
+   SIGTERM or SIGINT.  Exit status: 0 after a planned stop, 1 if the process
+   could not start or the stop aborted unfinished requests, 2 for invalid
+   options or settings.  */
 
 #include "base/log.h"
 #include "daemon/gateway_main.h"
@@ -16,17 +17,18 @@
 };
 
 static void
-on_signal (uv_signal_t *handle, int number)
+on_stop_signal (uv_signal_t *handle, int signal_number)
 {
-  (void)number;
+  (void)signal_number;
   process_stop (handle->data);
 }
 
-/* Run SETTINGS to the end of a planned stop.  Return the exit status.  */
+/* Run a process with SETTINGS until a planned stop is complete.  Return the
+   exit status.  */
 static int
-run (const settings_t *settings)
+run_process (const settings_t *settings)
 {
-  static const int numbers[] = { SIGTERM, SIGINT };
+  static const int signal_numbers[] = { SIGTERM, SIGINT };
   uv_signal_t signals[2];
   uv_loop_t *loop = uv_default_loop ();
   process_t *process;
@@ -38,21 +40,23 @@
     {
       uv_signal_init (loop, &signals[i]);
       signals[i].data = process;
-      uv_signal_start (&signals[i], on_signal, numbers[i]);
+      uv_signal_start (&signals[i], on_stop_signal, signal_numbers[i]);
       uv_unref ((uv_handle_t *)&signals[i]);
     }
   uv_run (loop, UV_RUN_DEFAULT);
   for (size_t i = 0; i < 2; i++)
     uv_close ((uv_handle_t *)&signals[i], NULL);
   uv_run (loop, UV_RUN_DEFAULT);
-  bool whole = process_destroy (process);
+  bool is_clean_stop = process_destroy (process);
   uv_loop_close (loop);
-  return whole ? EXIT_SUCCESS : EXIT_FAILURE;
+  return is_clean_stop ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/* Load PATH and, unless CHECK, run it.  Return the exit status.  */
+/* Load the settings file PATH and, unless CHECK_ONLY, run a process with it.
+   LEVEL is the log level, or NULL for the level in the settings.  Return the
+   exit status.  */
 static int
-load_and_run (const char *path, bool check, const char *level)
+load_and_run (const char *path, bool check_only, const char *level)
 {
   settings_t *settings = NULL;
   conf_errors_t errors = { 0 };
@@ -60,7 +64,8 @@
   vh_code_t code = settings_load (path, &settings, &errors);
 
   if (code == VH_E_IO)
-    fprintf (stderr, "vanillahookd: %s: cannot be read\n", path);
+    fprintf (stderr, "vanillahookd: %s: the settings file cannot be read\n",
+             path);
   if (code != VH_OK)
     {
       buf_t lines = BUF_NULL;
@@ -68,18 +73,18 @@
       fprintf (stderr, "%.*s", STR_ARG (buf_str (&lines)));
       buf_free (&lines);
     }
-  else if (check)
+  else if (check_only)
     {
       printf ("%s: good\n", path);
       status = EXIT_SUCCESS;
     }
   else
     {
-      char *named = str_dup (settings->log_level);
-      log_set_level_name (level != NULL ? level : named);
-      free (named);
+      char *configured_level = str_dup (settings->log_level);
+      log_set_level_name (level != NULL ? level : configured_level);
+      free (configured_level);
       status = settings->role == ROLE_GATEWAY ? gateway_main (settings, path)
-                                              : run (settings);
+                                              : run_process (settings);
     }
   conf_errors_free (&errors);
   settings_destroy (settings);
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -8,42 +8,48 @@
 
 enum
 {
-  TICK_MS = 50,
-  /* 730 entries make 365 reads a second of the platform's two thousand.  */
-  ROSTER_MS = 2000,
-  /* Entries of one zone that look at the store's head; two, so that one's
-     pause does not stop the news.  */
-  POLLERS = 2,
-  LAST_WRITE_MS = 200,
-  FLUSHES_PER_S = 70,
-  FLUSH_MIN_MS = 1000,
-  FLUSH_MAX_MS = 10000,
-  PEERS_AGAIN_MS = 5000
+  TICK_INTERVAL_MS = 50,
+  /* With 730 entries this interval makes 365 reads a second, of the 2000 reads
+     a second that the platform can serve.  */
+  ROSTER_POLL_INTERVAL_MS = 2000,
+  /* Number of entries in each availability zone that poll the store for new
+     revisions.  With two, a pause of one entry does not delay them.  */
+  POLLERS_PER_ZONE = 2,
+  /* Time between the last finished request and the destruction of the roles,
+     in which the event loop writes the last replies.  */
+  LAST_REPLY_WRITE_MS = 200,
+  /* Most bill rows a second that all entries together write.  */
+  BILL_ROWS_PER_S_MAX = 70,
+  BILL_FLUSH_INTERVAL_MIN_MS = 1000,
+  BILL_FLUSH_INTERVAL_MAX_MS = 10000,
+  /* Age of the roster, and time since the last attempt, after which the peers
+     from the settings are added to the roster again.  */
+  CONFIGURED_PEERS_RETRY_MS = 5000
 };
 
-/* The host functions that the entry calls.  */
-
 static bool
-host_delta_from (void *arg, uint64_t have, buf_t *update)
+callback_build_config_update (void *arg, uint64_t known_revision,
+                              buf_t *update)
 {
-  return confstore_write_update (((process_t *)arg)->conf, have, update);
+  return confstore_write_update (((process_t *)arg)->conf, known_revision,
+                                 update);
 }
 
 static vh_code_t
-host_learn (void *arg, str_t update)
+callback_apply_config_update (void *arg, str_t update)
 {
   return confstore_receive_update (((process_t *)arg)->conf, update);
 }
 
 static void
-host_confirm (void *arg, uint64_t revision, uint64_t age_ms)
+callback_confirm_revision (void *arg, uint64_t revision, uint64_t age_ms)
 {
   if (age_ms < UINT32_MAX)
     confstore_record_confirmation (((process_t *)arg)->conf, revision, age_ms);
 }
 
 static uint32_t
-host_confirmed_ms (void *arg)
+callback_get_confirmation_age_ms (void *arg)
 {
   uint64_t age_ms = confstore_confirmed_age_ms (((process_t *)arg)->conf);
 
@@ -51,33 +57,35 @@
 }
 
 static void
-host_bill (void *arg, const wire_bill_t *bill, str_t instance)
+callback_record_bill (void *arg, const wire_bill_t *bill, str_t instance)
 {
   bills_add (arg, bill, instance);
 }
 
 static void
-host_write_bills (void *arg)
+callback_flush_bills (void *arg)
 {
   ledger_flush (((process_t *)arg)->ledger);
 }
 
-static void host_seen (void *arg, str_t name, instance_event_t sight);
+static void callback_on_instance_event (void *arg, str_t name,
+                                        instance_event_t event);
 
-static const entry_callbacks_t entry_host = {
-  .build_config_update = host_delta_from,
-  .apply_config_update = host_learn,
-  .confirm_revision = host_confirm,
-  .get_confirmation_age_ms = host_confirmed_ms,
-  .record_bill = host_bill,
-  .flush_bills = host_write_bills,
-  .on_instance_event = host_seen,
+static const entry_callbacks_t process_entry_callbacks = {
+  .build_config_update = callback_build_config_update,
+  .apply_config_update = callback_apply_config_update,
+  .confirm_revision = callback_confirm_revision,
+  .get_confirmation_age_ms = callback_get_confirmation_age_ms,
+  .record_bill = callback_record_bill,
+  .flush_bills = callback_flush_bills,
+  .on_instance_event = callback_on_instance_event,
 };
-static const sidecar_host_t sidecar_host = { host_learn, host_delta_from };
+static const sidecar_host_t process_sidecar_callbacks
+    = { callback_apply_config_update, callback_build_config_update };
 
-/* Put TEXT in force in every role of this process.  */
+/* Apply configuration TEXT of REVISION in every role of the process.  */
 static void
-on_in_force (void *owner, uint64_t revision, str_t text)
+on_revision_in_force (void *owner, uint64_t revision, str_t text)
 {
   process_t *process = owner;
 
@@ -88,7 +96,7 @@
 }
 
 bool
-process_ready (const process_t *process)
+process_is_ready (const process_t *process)
 {
   if (!drain_is_healthy (process->drain))
     return false;
@@ -98,8 +106,6 @@
                    && sidecar_revision (process->sidecars[0]) > 0;
 }
 
-/* Roster.  */
-
 static void
 on_roster (void *owner, roster_event_t event, const roster_entry_t *entry)
 {
@@ -115,7 +121,7 @@
     = entry->state == ROSTER_DRAINING ? INSTANCE_LEAVING : INSTANCE_LIVE,
   };
 
-  if (process->over)
+  if (process->are_roles_destroyed)
     return;
   if (event == ROSTER_REMOVED)
     entry_remove_instance (process->entry, entry->name);
@@ -124,21 +130,21 @@
 }
 
 static void
-host_seen (void *arg, str_t name, instance_event_t sight)
+callback_on_instance_event (void *arg, str_t name, instance_event_t event)
 {
   process_t *process = arg;
 
   if (process->roster == NULL)
     return;
-  if (sight == INSTANCE_EVENT_UNREACHABLE || sight == INSTANCE_EVENT_RESTARTED)
-    bills_home_lost (process, name);
-  if (sight == INSTANCE_EVENT_ALIVE || sight == INSTANCE_EVENT_RESTARTED)
+  if (event == INSTANCE_EVENT_UNREACHABLE || event == INSTANCE_EVENT_RESTARTED)
+    bills_replace_lost_copies (process, name);
+  if (event == INSTANCE_EVENT_ALIVE || event == INSTANCE_EVENT_RESTARTED)
     roster_report_responsive (process->roster, name);
-  else if (sight == INSTANCE_EVENT_UNREACHABLE)
+  else if (event == INSTANCE_EVENT_UNREACHABLE)
     roster_report_unresponsive (process->roster, name);
   else
     roster_report_draining (process->roster, name,
-                            sight == INSTANCE_EVENT_DRAINING_STARTED);
+                            event == INSTANCE_EVENT_DRAINING_STARTED);
 }
 
 static void
@@ -146,18 +152,20 @@
 {
   const control_env_t env = { process->loop, process->clock, process->platform,
                               process->seed + 4000 };
-  const roster_options_t options = { .poll_interval_ms = ROSTER_MS,
-                                     .on_change = on_roster,
-                                     .owner = process };
+  const roster_options_t options
+      = { .poll_interval_ms = ROSTER_POLL_INTERVAL_MS,
+          .on_change = on_roster,
+          .owner = process };
 
   process->roster = roster_create (&env, &options);
 }
 
-/* Make the peers named in the settings known until the list comes.  */
+/* Add the peers named in the settings to the roster, as a substitute until the
+   list of instances has been read.  */
 static void
-put_named_peers (process_t *process)
+add_configured_peers (process_t *process)
 {
-  process->peers_ms = clock_ms (process->clock);
+  process->configured_peers_added_ms = clock_ms (process->clock);
   for (size_t i = 0; i < process->settings->peers_count; i++)
     {
       const peer_settings_t *peer = &process->settings->peers[i];
@@ -171,10 +179,9 @@
     }
 }
 
-/* Planned stop.  */
-
+/* Return the number of unfinished requests of all roles.  */
 static size_t
-in_hand (const process_t *process)
+count_unfinished_requests (const process_t *process)
 {
   size_t count = 0;
 
@@ -185,37 +192,40 @@
   return count;
 }
 
-/* What a planned stop waits for: requests, then bills.  */
+/* Return the amount of work that a planned stop still waits for: unfinished
+   requests, then 1 while replies are written or bills are pending.  */
 static size_t
-left_to_do (process_t *process)
+count_remaining_work (process_t *process)
 {
-  size_t count = in_hand (process);
+  size_t count = count_unfinished_requests (process);
 
   if (count > 0)
     {
-      process->drained_ms = 0;
+      process->requests_finished_ms = 0;
       return count;
     }
-  if (process->drained_ms == 0)
-    process->drained_ms = clock_ms (process->clock);
-  /* The last replies are written on the loop's next turn; ending the roles
-     before that would cut them.  */
-  if (clock_ms (process->clock) - process->drained_ms < LAST_WRITE_MS)
+  if (process->requests_finished_ms == 0)
+    process->requests_finished_ms = clock_ms (process->clock);
+  /* The event loop writes the last replies in its next iteration.  Destroying
+     the roles earlier would truncate the replies.  */
+  if (clock_ms (process->clock) - process->requests_finished_ms
+      < LAST_REPLY_WRITE_MS)
     return 1;
-  return bills_settled (process) ? 0 : 1;
+  return bills_write_or_transfer (process) ? 0 : 1;
 }
 
+/* Destroy the roles at the end of a planned stop.  */
 static void
-end_roles (process_t *process)
+destroy_roles (process_t *process)
 {
-  uint32_t cut = drain_unfinished_at_timeout (process->drain);
+  uint32_t unfinished_count = drain_unfinished_at_timeout (process->drain);
 
-  if (cut > 0)
+  if (unfinished_count > 0)
     log_warning ("process",
-                 "The stop reached its bound and cuts work. "
+                 "The planned stop timed out and aborts unfinished requests. "
                  "requests=%u",
-                 cut);
-  process->over = true;
+                 unfinished_count);
+  process->are_roles_destroyed = true;
   roster_destroy (process->roster);
   process->roster = NULL;
   ledger_destroy (process->ledger);
@@ -225,27 +235,27 @@
   httpd_destroy (process->admin);
   confstore_destroy (process->conf);
   process->platform->ops->destroy (process->platform);
-  uv_close ((uv_handle_t *)&process->tick, NULL);
-  uv_close ((uv_handle_t *)&process->turn, NULL);
+  uv_close ((uv_handle_t *)&process->tick_timer, NULL);
+  uv_close ((uv_handle_t *)&process->loop_probe, NULL);
   log_notice ("process", "Stopped.");
 }
 
-/* Move the planned stop on.  */
+/* Update the state of the planned stop and act on a change.  */
 static void
-step_stop (process_t *process)
+update_drain (process_t *process)
 {
-  drain_state_t before = process->drain_state;
+  drain_state_t previous_state = process->drain_state;
 
-  if (before == DRAIN_SERVING && drain_is_healthy (process->drain))
+  if (previous_state == DRAIN_SERVING && drain_is_healthy (process->drain))
     return;
-  process->drain_state
-      = drain_update (process->drain, (uint32_t)left_to_do (process));
-  if (process->drain_state == before)
+  process->drain_state = drain_update (
+      process->drain, (uint32_t)count_remaining_work (process));
+  if (process->drain_state == previous_state)
     return;
   if (process->drain_state == DRAIN_DRAINING && process->entry != NULL)
     entry_stop_listening (process->entry);
   if (process->drain_state == DRAIN_DONE)
-    end_roles (process);
+    destroy_roles (process);
 }
 
 void
@@ -253,10 +263,11 @@
 {
   if (!drain_start (process->drain))
     return;
-  log_notice ("process", "Stopping. in_hand=%zu", in_hand (process));
-  /* A standalone's sidecars serve its entry to the end.  A sidecar alone
-     takes nothing new at once: its refusals are free, and every entry has
-     others to turn to.  */
+  log_notice ("process", "Stopping. in_hand=%zu",
+              count_unfinished_requests (process));
+  /* The sidecars of a standalone serve its entry until the end of the stop.  A
+     separate sidecar refuses new requests at once: a refusal costs nothing,
+     and each entry can select another sidecar.  */
   if (process->entry != NULL)
     entry_start_draining (process->entry);
   else
@@ -264,47 +275,51 @@
       sidecar_drain (process->sidecars[i]);
 }
 
-/* How long bills wait for others: the less the better, as long as all entries
-   together make no more than FLUSHES_PER_S rows.  */
+/* Return the time, in ms, that bills wait to be written together in one row.
+   Shorter is better, but all entries together must not write more than
+   BILL_ROWS_PER_S_MAX rows a second.  */
 static uint64_t
-flush_ms (const process_t *process)
+bill_flush_interval_ms (const process_t *process)
 {
-  uint64_t ms
-      = entry_count_known_entries (process->entry) * 1000 / FLUSHES_PER_S;
+  uint64_t ms = entry_count_known_entries (process->entry) * 1000
+                / BILL_ROWS_PER_S_MAX;
 
-  if (ms < FLUSH_MIN_MS)
-    return FLUSH_MIN_MS;
-  return ms < FLUSH_MAX_MS ? ms : (uint64_t)FLUSH_MAX_MS;
+  if (ms < BILL_FLUSH_INTERVAL_MIN_MS)
+    return BILL_FLUSH_INTERVAL_MIN_MS;
+  return ms < BILL_FLUSH_INTERVAL_MAX_MS
+             ? ms
+             : (uint64_t)BILL_FLUSH_INTERVAL_MAX_MS;
 }
 
 static void
-on_turn (uv_prepare_t *handle)
+on_loop_iteration (uv_prepare_t *handle)
 {
   process_t *process = handle->data;
   uint64_t now_ns = uv_hrtime ();
   uint64_t idle_ns = uv_metrics_idle_time (process->loop);
 
-  if (process->turn_ns != 0)
-    histogram_record (
-        process->busy,
-        (now_ns - process->turn_ns - (idle_ns - process->idle_ns)) / 1000);
-  process->turn_ns = now_ns;
-  process->idle_ns = idle_ns;
+  if (process->iteration_start_ns != 0)
+    histogram_record (process->loop_busy_time,
+                      (now_ns - process->iteration_start_ns
+                       - (idle_ns - process->idle_at_iteration_start_ns))
+                          / 1000);
+  process->iteration_start_ns = now_ns;
+  process->idle_at_iteration_start_ns = idle_ns;
 }
 
-/* Time the loop's turns: one that takes long holds up every request, and
-   shows here first.  */
+/* Start to measure the busy time of each event loop iteration.  A long
+   iteration delays every request, and this histogram shows it first.  */
 static void
-watch_loop (process_t *process)
+start_loop_metrics (process_t *process)
 {
-  process->busy
+  process->loop_busy_time
       = metrics_histogram (process->metrics, "vanillahook_loop_busy_seconds",
                            "", "Work of one turn of the loop.");
   uv_loop_configure (process->loop, UV_METRICS_IDLE_TIME);
-  uv_prepare_init (process->loop, &process->turn);
-  process->turn.data = process;
-  uv_prepare_start (&process->turn, on_turn);
-  uv_unref ((uv_handle_t *)&process->turn);
+  uv_prepare_init (process->loop, &process->loop_probe);
+  process->loop_probe.data = process;
+  uv_prepare_start (&process->loop_probe, on_loop_iteration);
+  uv_unref ((uv_handle_t *)&process->loop_probe);
 }
 
 static void
@@ -312,24 +327,24 @@
 {
   process_t *process = timer->data;
 
-  if (process->entry != NULL && !process->over)
+  if (process->entry != NULL && !process->are_roles_destroyed)
     {
-      confstore_set_polling (process->conf,
-                             entry_zone_rank (process->entry) < POLLERS);
-      ledger_set_flush_ms (process->ledger, flush_ms (process));
+      confstore_set_polling (process->conf, entry_zone_rank (process->entry)
+                                                < POLLERS_PER_ZONE);
+      ledger_set_flush_ms (process->ledger, bill_flush_interval_ms (process));
     }
-  /* Without the list the settings' peers are all there is to try.  */
-  if (process->roster != NULL && !process->over
-      && roster_age_ms (process->roster) > PEERS_AGAIN_MS
-      && clock_ms (process->clock) - process->peers_ms > PEERS_AGAIN_MS)
-    put_named_peers (process);
-  step_stop (process);
+  /* Without a current list of instances, the peers from the settings are the
+     only ones to try.  */
+  if (process->roster != NULL && !process->are_roles_destroyed
+      && roster_age_ms (process->roster) > CONFIGURED_PEERS_RETRY_MS
+      && clock_ms (process->clock) - process->configured_peers_added_ms
+             > CONFIGURED_PEERS_RETRY_MS)
+    add_configured_peers (process);
+  update_drain (process);
 }
 
-/* Start.  */
-
 static uint64_t
-draw_seed (const settings_t *settings)
+choose_seed (const settings_t *settings)
 {
   uint64_t seed = settings->seed;
 
@@ -353,7 +368,7 @@
                                           .settings = settings,
                                           .upstream = &settings->upstreams[i],
                                           .seed = process->seed + i + 1,
-                                          .host = &sidecar_host,
+                                          .host = &process_sidecar_callbacks,
                                           .arg = process };
       vh_code_t code = sidecar_create (&options, &process->sidecars[i]);
       if (code != VH_OK)
@@ -372,15 +387,15 @@
                                     .settings = process->settings,
                                     .platform = process->platform,
                                     .seed = process->seed,
-                                    .callbacks = &entry_host,
+                                    .callbacks = &process_entry_callbacks,
                                     .arg = process };
 
   return entry_create (&options, &process->entry);
 }
 
-/* Make the sidecars of a standalone known to its entry.  */
+/* Add the sidecars of a standalone to the instances of its entry.  */
 static void
-put_own_sidecars (process_t *process)
+add_local_sidecars (process_t *process)
 {
   for (size_t i = 0; i < process->sidecar_count; i++)
     {
@@ -397,24 +412,26 @@
 }
 
 static void
-on_first_applied (void *arg, vh_code_t code, uint64_t revision)
+on_initial_configuration_applied (void *arg, vh_code_t code, uint64_t revision)
 {
   (void)arg;
   if (code == VH_OK)
     log_notice ("process",
-                "The settings' configuration was applied. "
+                "The initial configuration was applied. "
                 "revision=%llu",
                 (unsigned long long)revision);
   else if (code != VH_E_STALE_REVISION && code != VH_E_CANCELLED)
     log_warning ("process",
-                 "The settings' configuration was not applied. "
+                 "The initial configuration was not applied. "
                  "code=%d",
                  (int)code);
 }
 
-/* Apply the configuration that the settings name, if the table has none.  */
+/* Apply the configuration file that the settings name, if the store has no
+   configuration yet.  Return VH_OK, or an error code after logging the
+   error.  */
 static vh_code_t
-load_configuration (process_t *process)
+load_initial_configuration (process_t *process)
 {
   char *path = str_dup (process->settings->configuration_file);
   buf_t text = BUF_NULL;
@@ -429,12 +446,15 @@
       buf_t lines = BUF_NULL;
       conf_errors_print (&errors, "vanillahookd", str_from (path), &lines);
       fprintf (stderr, "%.*s", STR_ARG (buf_str (&lines)));
-      log_err ("process", "The configuration cannot be used. file=%s", path);
+      log_err (
+          "process",
+          "The initial configuration cannot be read or is not valid. file=%s",
+          path);
       buf_free (&lines);
     }
   else
     confstore_apply (process->conf, buf_str (&text), STR ("settings"), 0,
-                     on_first_applied, process);
+                     on_initial_configuration_applied, process);
   snapshot_unref (snapshot);
   conf_errors_free (&errors);
   buf_free (&text);
@@ -443,21 +463,21 @@
 }
 
 static void
-start_conf (process_t *process)
+start_confstore (process_t *process)
 {
   const control_env_t env = { process->loop, process->clock, process->platform,
                               process->seed + 2000 };
   const confstore_options_t options
       = { .poll_interval_ms = process->settings->poll_ms,
           .polling_enabled = process->settings->role != ROLE_SIDECAR,
-          .on_revision = on_in_force,
+          .on_revision = on_revision_in_force,
           .owner = process };
 
   process->conf = confstore_create (&env, &options);
 }
 
 static platform_t *
-make_platform (process_t *process)
+create_platform (process_t *process)
 {
   const settings_t *settings = process->settings;
 
@@ -482,18 +502,19 @@
     return code;
   if (settings->role == ROLE_STANDALONE)
     {
-      log_warning ("process", "This is a standalone: nothing outlives it, "
-                              "neither bills nor claims nor configuration.");
-      put_own_sidecars (process);
+      log_warning ("process",
+                   "Standalone process: bills, claims and configuration "
+                   "are lost when it stops.");
+      add_local_sidecars (process);
     }
   bills_start (process);
   if (process->entry != NULL)
     {
       start_roster (process);
-      put_named_peers (process);
+      add_configured_peers (process);
     }
   if (settings->configuration_file.len > 0)
-    code = load_configuration (process);
+    code = load_initial_configuration (process);
   return code;
 }
 
@@ -508,28 +529,29 @@
   process->settings = settings;
   process->clock = clock_system ();
   process->metrics = metrics_create ();
-  process->seed = draw_seed (settings);
+  process->seed = choose_seed (settings);
   process->started_ms = clock_ms (process->clock);
   process->drain
       = drain_create ((uint32_t)settings->drain_grace_ms,
                       (uint32_t)settings->drain_timeout_ms, process->clock);
-  process->platform = make_platform (process);
+  process->platform = create_platform (process);
   if (process->platform == NULL)
     {
       log_err ("process", "The platform's address is not valid.");
       goto free_process;
     }
-  start_conf (process);
+  start_confstore (process);
   code = start_roles (process);
   if (code != VH_OK)
     goto free_platform;
   code = admin_create (process);
   if (code != VH_OK)
     goto free_platform;
-  watch_loop (process);
-  uv_timer_init (loop, &process->tick);
-  process->tick.data = process;
-  uv_timer_start (&process->tick, on_tick, TICK_MS, TICK_MS);
+  start_loop_metrics (process);
+  uv_timer_init (loop, &process->tick_timer);
+  process->tick_timer.data = process;
+  uv_timer_start (&process->tick_timer, on_tick, TICK_INTERVAL_MS,
+                  TICK_INTERVAL_MS);
   log_notice ("process", "Serving. name=%.*s zone=%.*s",
               STR_ARG (settings->name), STR_ARG (settings->zone));
   *out = process;
@@ -548,7 +570,7 @@
   process->platform->ops->destroy (process->platform);
   uv_run (loop, UV_RUN_DEFAULT);
 free_process:
-  bills_end (process);
+  bills_free (process);
   free (process->sidecars);
   drain_destroy (process->drain);
   metrics_destroy (process->metrics);
@@ -559,12 +581,12 @@
 bool
 process_destroy (process_t *process)
 {
-  bool whole = drain_unfinished_at_timeout (process->drain) == 0;
+  bool is_clean_stop = drain_unfinished_at_timeout (process->drain) == 0;
 
-  bills_end (process);
+  bills_free (process);
   free (process->sidecars);
   drain_destroy (process->drain);
   metrics_destroy (process->metrics);
   free (process);
-  return whole;
+  return is_clean_stop;
 }
--- a/packages/daemon/process.h
+++ b/packages/daemon/process.h
@@ -1,4 +1,4 @@
-/* One daemon process: its roles, its platform and its way from start to
+/* A daemon process in an entry, sidecar or standalone role, from start to
    planned stop.  */
 
 #ifndef DAEMON_PROCESS_H
@@ -10,15 +10,16 @@
 
 typedef struct process process_t;
 
-/* Start what SETTINGS name on LOOP; both must outlive the process.  Return
-   VH_OK and *OUT, or the reason, already logged.  */
+/* Start the roles that SETTINGS name on LOOP; both must outlive the process.
+   Return VH_OK with the process in *OUT, or an error code after logging the
+   error.  Release the process with process_destroy.  */
 vh_code_t process_create (uv_loop_t *loop, const settings_t *settings,
                           process_t **out);
-/* Begin the planned stop; a second call changes nothing.  The loop ends by
-   itself when it is over.  */
+/* Begin the planned stop; further calls have no effect.  The loop ends when
+   the stop is complete.  */
 void process_stop (process_t *process);
-/* Release PROCESS after its loop has ended.  Return false when the planned
-   stop ran into its bound and cut something.  */
+/* Release PROCESS after its loop has ended.  Return false if the planned stop
+   timed out and aborted unfinished requests.  */
 bool process_destroy (process_t *process);
 
 #endif
--- a/packages/daemon/processint.h
+++ b/packages/daemon/processint.h
@@ -1,4 +1,4 @@
-/* Shared by process.c and admin.c alone.  */
+/* Internals shared by process.c, admin.c and bills.c only.  */
 
 #ifndef DAEMON_PROCESSINT_H
 #define DAEMON_PROCESSINT_H
@@ -24,49 +24,67 @@
   metrics_t *metrics;
   platform_t *platform;
   entry_t *entry;       /* NULL in a sidecar process.  */
-  sidecar_t **sidecars; /* One, or one for each upstream of a standalone.  */
+  sidecar_t **sidecars; /* One for each upstream in the settings.  */
   size_t sidecar_count;
-  httpd_t *admin;
-  uv_timer_t tick;
-  /* How long the loop works between two waits.  */
-  uv_prepare_t turn;
-  uint64_t turn_ns;
-  uint64_t idle_ns;
-  histogram_t *busy;
-  uint64_t started_ms; /* Monotonic.  */
+  httpd_t *admin; /* Server of the operators' port.  */
+  uv_timer_t tick_timer;
+  /* Measures the busy time of each iteration of the event loop.  */
+  uv_prepare_t loop_probe;
+  /* Start of the current iteration; 0 before the first iteration.  */
+  uint64_t iteration_start_ns;
+  /* Total idle time of the loop, in ns, when the current iteration began.  */
+  uint64_t idle_at_iteration_start_ns;
+  histogram_t *loop_busy_time;
+  uint64_t started_ms; /* Start of the process on the monotonic clock.  */
   drain_t *drain;
-  drain_state_t drain_state; /* At the last step.  */
-  bool over;                 /* The roles are gone.  */
+  drain_state_t drain_state; /* State after the last update.  */
+  bool are_roles_destroyed;
   uint64_t seed;
   confstore_t *conf;
-  roster_t *roster;  /* NULL in a sidecar process.  */
-  uint64_t peers_ms; /* When the settings' peers were last put in.  */
-  /* Bills.  */
+  roster_t *roster; /* NULL in a sidecar process.  */
+  /* Time when the peers from the settings were last added to the roster.  */
+  uint64_t configured_peers_added_ms;
   ledger_t *ledger;
-  map_t *bill_homes;   /* Bill id to the instance that holds a copy.  */
-  uint64_t drained_ms; /* When the last request was done; 0: not yet.  */
-  bool handing_over;
-  bool handed_over;
+  /* Bill ID to the name of the sidecar instance that holds a copy of the bill.
+     The map owns the names.  */
+  map_t *bill_holders;
+  /* Time during a planned stop when the last request finished; 0 if requests
+     are unfinished.  */
+  uint64_t requests_finished_ms;
+  /* Whether a transfer of bills awaits the reply of a peer.  */
+  bool is_transfer_pending;
+  /* Whether a peer accepted the bills, or the transfer timed out.  */
+  bool is_transfer_finished;
 };
 
 enum
 {
-  /* How long a stopping entry waits for its last rows before it gives the
-     bills to a peer.  */
-  BILLS_FLUSH_MS = 1500,
-  BILLS_GIVE_UP_MS = 10000
+  /* Time that a stopping entry gives the store to write the pending bills
+     before it transfers them to a peer.  */
+  BILLS_WRITE_TIMEOUT_MS = 1500,
+  /* Time after which a stopping entry no longer waits for the store or a peer;
+     the sidecars keep their copies of the bills.  */
+  BILLS_TRANSFER_TIMEOUT_MS = 10000
 };
 
-/* bills.c */
+/* Create the ledger of PROCESS.  */
 void bills_start (process_t *process);
-void bills_end (process_t *process);
+/* Release the table of bill copies.  */
+void bills_free (process_t *process);
+/* Add the bill WIRE to the ledger.  INSTANCE names the sidecar that holds a
+   copy, or is empty.  */
 void bills_add (process_t *process, const wire_bill_t *wire, str_t instance);
-/* INSTANCE is gone with the copies that it held.  */
-void bills_home_lost (process_t *process, str_t instance);
-/* Tell whether a stop may go on: all bills are written or handed over.  */
-bool bills_settled (process_t *process);
+/* Write the pending bills and send copies to a peer, because INSTANCE became
+   unreachable or restarted.  Do nothing if INSTANCE holds no copy.  */
+void bills_replace_lost_copies (process_t *process, str_t instance);
+/* Write the pending bills to the store during a planned stop or, after a
+   timeout, transfer them to a peer.  Return whether the stop may proceed.  */
+bool bills_write_or_transfer (process_t *process);
 
+/* Start the server of the operators' port.  Return VH_OK, or an error code
+   after logging the error.  */
 vh_code_t admin_create (process_t *process);
-bool process_ready (const process_t *process);
+/* Return whether PROCESS is not draining and has a configuration in force.  */
+bool process_is_ready (const process_t *process);
 
 #endif
