--- a/tests/fake_entry.c
+++ b/tests/fake_entry.c
@@ -13,12 +13,13 @@
 
 enum
 {
-  REQUEST_MAX = 1 << 20
+  REQUEST_BYTES_MAX = 1 << 20
 };
 
-/* Write an answer with BODY and close the connection.  */
+/* Send a response with STATUS and BODY that announces the end of the
+   connection.  */
 static void
-answer (int fd, int status, const char *body)
+send_response (int fd, int status, const char *body)
 {
   buf_t out = BUF_NULL;
 
@@ -37,24 +38,25 @@
 }
 
 static void
-answer_json (int fd, int status, json_t *root)
+send_json (int fd, int status, json_t *root)
 {
   char *body = json_dumps (root, JSON_COMPACT);
 
-  answer (fd, status, body);
+  send_response (fd, status, body);
   free (body);
   json_decref (root);
 }
 
-/* Read one request, head and body; return false when it ends early.  */
+/* Read one request into IN and set BODY to its body.  Return false if the
+   connection ends early.  */
 static bool
 read_request (int fd, buf_t *in, str_t *body)
 {
   char bytes[4096];
   char *end = NULL;
-  size_t need = SIZE_MAX;
+  size_t request_len = SIZE_MAX;
 
-  while (in->len < need && in->len < REQUEST_MAX)
+  while (in->len < request_len && in->len < REQUEST_BYTES_MAX)
     {
       ssize_t n = recv (fd, bytes, sizeof bytes, 0);
       if (n <= 0)
@@ -66,10 +68,10 @@
         {
           const char *length = strcasestr (in->ptr, "content-length:");
           size_t head = (size_t)(end - in->ptr) + 4;
-          need = head
-                 + (length != NULL && length < end
-                        ? strtoul (length + 15, NULL, 10)
-                        : 0);
+          request_len = head
+                        + (length != NULL && length < end
+                               ? strtoul (length + 15, NULL, 10)
+                               : 0);
           *body = str_make (NULL, head);
         }
     }
@@ -86,17 +88,17 @@
 }
 
 static void
-change_by_another (server_t *server)
+make_concurrent_change (fake_entry_t *server)
 {
   server->revision++;
   buf_printf (&server->text, "; change %llu by another\n",
               (unsigned long long)server->revision);
-  snprintf (server->who, sizeof server->who, "amina");
+  snprintf (server->author, sizeof server->author, "amina");
 }
 
-/* Answer a text that is not valid.  */
+/* Send the reply to a configuration that is not valid.  */
 static void
-answer_errors (int fd, const conf_errors_t *errors)
+send_validation_errors (int fd, const conf_errors_t *errors)
 {
   json_t *root = make_error (701, "bad_config", "bad");
   json_t *list = json_array ();
@@ -106,39 +108,41 @@
         list, json_pack ("{s:i, s:s, s:s}", "line", errors->items[i].line,
                          "message", errors->items[i].message, "hint", ""));
   json_object_set_new (json_object_get (root, "error"), "errors", list);
-  answer_json (fd, 422, root);
+  send_json (fd, 422, root);
 }
 
 static void
-on_post (server_t *server, int fd, const char *head, str_t body)
+on_post (fake_entry_t *server, int fd, const char *head, str_t body)
 {
-  const char *wanted = strstr (head, "if-revision=");
-  const char *who = strstr (head, "who=");
+  const char *if_revision = strstr (head, "if-revision=");
+  const char *author = strstr (head, "who=");
   conf_errors_t errors = { 0 };
   snapshot_t *snapshot = NULL;
 
-  server->posts++;
+  server->post_count++;
   if (server->fault == FAULT_STORE_DOWN)
     {
-      answer_json (fd, 503,
-                   make_error (505, "not_accepted",
-                               "The change was not accepted; nothing "
-                               "changed."));
+      send_json (fd, 503,
+                 make_error (505, "not_accepted",
+                             "The change was not accepted; nothing "
+                             "changed."));
       return;
     }
-  if (server->fault == FAULT_RACE && server->races-- > 0)
-    change_by_another (server);
-  if (wanted == NULL || strtoull (wanted + 12, NULL, 10) != server->revision)
+  if (server->fault == FAULT_CONCURRENT_CHANGE
+      && server->concurrent_changes-- > 0)
+    make_concurrent_change (server);
+  if (if_revision == NULL
+      || strtoull (if_revision + 12, NULL, 10) != server->revision)
     {
       json_t *root = make_error (507, "stale_revision", "stale");
       json_object_set_new (json_object_get (root, "error"), "revision",
                            json_integer ((json_int_t)server->revision));
-      answer_json (fd, 409, root);
+      send_json (fd, 409, root);
       return;
     }
   if (snapshot_parse (body, 0, &snapshot, &errors) != VH_OK)
     {
-      answer_errors (fd, &errors);
+      send_validation_errors (fd, &errors);
       conf_errors_free (&errors);
       return;
     }
@@ -148,48 +152,49 @@
       server->revision++;
       server->text.len = 0;
       buf_append_str (&server->text, body);
-      if (who != NULL)
-        snprintf (server->who, sizeof server->who, "%.*s",
-                  (int)strcspn (who + 4, "& "), who + 4);
+      if (author != NULL)
+        snprintf (server->author, sizeof server->author, "%.*s",
+                  (int)strcspn (author + 4, "& "), author + 4);
     }
-  if (server->fault == FAULT_LOSE_REPLY)
+  if (server->fault == FAULT_REPLY_LOST)
     return;
-  answer_json (fd, 200,
-               json_pack ("{s:I}", "revision", (json_int_t)server->revision));
+  send_json (fd, 200,
+             json_pack ("{s:I}", "revision", (json_int_t)server->revision));
 }
 
 static void
-on_status (server_t *server, int fd)
+on_status (fake_entry_t *server, int fd)
 {
   json_t *peers = json_array ();
-  uint64_t behind = server->revision;
+  uint64_t reported_revision = server->revision;
 
-  if (server->polls_late > 0)
+  if (server->outdated_status_replies > 0)
     {
-      server->polls_late--;
-      behind--;
+      server->outdated_status_replies--;
+      reported_revision--;
     }
-  for (int i = 0; i < SIDECARS; i++)
+  for (int i = 0; i < SIDECAR_COUNT; i++)
     {
       char name[32];
       char zone[32];
-      bool last = i == SIDECARS - 1;
+      bool is_last = i == SIDECAR_COUNT - 1;
       snprintf (name, sizeof name, "runner-%d", i);
       snprintf (zone, sizeof zone, "nairobi-%c", 'a' + i % 3);
       json_array_append_new (
           peers,
           json_pack ("{s:s, s:s, s:s, s:s, s:I, s:i, s:i, s:i, s:i, s:[s]}",
                      "name", name, "role", "sidecar", "zone", zone, "state",
-                     last && server->never ? "silent"
-                     : i == 3              ? "ejected"
-                                           : "live",
+                     is_last && server->has_lagging_sidecar ? "silent"
+                     : i == 3                               ? "ejected"
+                                                            : "live",
                      "revision",
-                     (json_int_t)(last && server->never ? FIRST_REVISION - 2
-                                                        : behind),
+                     (json_int_t)(is_last && server->has_lagging_sidecar
+                                      ? FIRST_REVISION - 2
+                                      : reported_revision),
                      "heard_ms_ago", 40 + i, "in_flight", i, "limit", 64,
                      "queue", i % 4, "serves", "draft-small@3"));
     }
-  answer_json (
+  send_json (
       fd, 200,
       json_pack (
           "{s:{s:s, s:s, s:s, s:i}, s:I, s:i, s:[{s:s, s:s}, {s:s, s:s}], "
@@ -204,64 +209,65 @@
           "cheapest that meets the target", "count", 420));
 }
 
-/* Answer a GET of PATH.  */
+/* Reply to the GET request whose first line is HEAD.  */
 static void
-on_get (server_t *server, int fd, const char *head)
+on_get (fake_entry_t *server, int fd, const char *head)
 {
   if (strncmp (head, "GET /admin/configuration", 24) == 0)
-    answer_json (fd, 200,
-                 json_pack ("{s:I, s:i, s:s%}", "revision",
-                            (json_int_t)server->revision, "confirmed_ms_ago",
-                            250, "text", server->text.ptr, server->text.len));
+    send_json (fd, 200,
+               json_pack ("{s:I, s:i, s:s%}", "revision",
+                          (json_int_t)server->revision, "confirmed_ms_ago",
+                          250, "text", server->text.ptr, server->text.len));
   else if (strncmp (head, "GET /admin/status", 17) == 0)
     on_status (server, fd);
   else if (strncmp (head, "GET /admin/history?limit=", 25) == 0)
-    answer_json (fd, 200,
-                 json_pack ("[{s:I, s:s, s:I, s:s}]", "revision",
-                            (json_int_t)server->revision, "who", server->who,
-                            "when_ms", (json_int_t)1764633600000, "delta",
-                            "delta 1 0 0 0\n=3\n-weight = 4\n+weight = 5\n"));
+    send_json (fd, 200,
+               json_pack ("[{s:I, s:s, s:I, s:s}]", "revision",
+                          (json_int_t)server->revision, "who", server->author,
+                          "when_ms", (json_int_t)1764633600000, "delta",
+                          "delta 1 0 0 0\n=3\n-weight = 4\n+weight = 5\n"));
   else if (strncmp (head, "GET /admin/report/bill?day=2026-12-01 ", 38) == 0)
-    answer_json (fd, 200,
-                 json_pack ("[{s:s, s:s, s:s, s:s, s:i, s:i, s:f}]", "team",
-                            "coast-office", "model", "draft-small", "version",
-                            "draft-small@3", "day", "2026-12-01", "requests",
-                            7, "tokens", 1900, "cost", 1.5));
+    send_json (fd, 200,
+               json_pack ("[{s:s, s:s, s:s, s:s, s:i, s:i, s:f}]", "team",
+                          "coast-office", "model", "draft-small", "version",
+                          "draft-small@3", "day", "2026-12-01", "requests", 7,
+                          "tokens", 1900, "cost", 1.5));
   else if (strncmp (head, "GET /admin/report/burn?format=text ", 35) == 0)
-    answer (fd, 200, "drafts  answered  5m 3.00 page\n");
+    send_response (fd, 200, "drafts  answered  5m 3.00 page\n");
   else if (strncmp (head, "GET /admin/report/burn?format=json ", 35) == 0)
-    answer (fd, 200, "{\"objectives\":[{\"name\":\"drafts\"}]}");
+    send_response (fd, 200, "{\"objectives\":[{\"name\":\"drafts\"}]}");
   else if (strncmp (head, "GET /admin/report/burn?format=html ", 35) == 0)
-    answer (fd, 200, "<!doctype html><svg></svg>");
+    send_response (fd, 200, "<!doctype html><svg></svg>");
   else
-    answer_json (fd, 404, make_error (105, "no_route", "no route"));
+    send_json (fd, 404, make_error (105, "no_route", "no route"));
 }
 
 static void
-on_connection (server_t *server, int fd)
+on_connection (fake_entry_t *server, int fd)
 {
   buf_t in = BUF_NULL;
   str_t body = STR_NULL;
 
   if (!read_request (fd, &in, &body))
     goto free_in;
-  server->requests++;
-  if (server->fault == FAULT_CUT || server->fault == FAULT_SILENT)
+  server->request_count++;
+  if (server->fault == FAULT_CLOSE_UNANSWERED
+      || server->fault == FAULT_NO_REPLY)
     goto free_in;
   const char *authorization
       = strcasestr (in.ptr, "\r\nauthorization: bearer ");
-  if (server->fault == FAULT_GARBAGE)
-    answer (fd, 200, "<html>");
+  if (server->fault == FAULT_NOT_JSON)
+    send_response (fd, 200, "<html>");
   else if (server->fault == FAULT_NOT_FOUND)
-    answer (fd, 404, "not here");
+    send_response (fd, 404, "not here");
   else if (server->fault == FAULT_DRAINING)
-    answer_json (fd, 503, make_error (304, "draining", "stopping"));
+    send_json (fd, 503, make_error (304, "draining", "stopping"));
   else if (server->key != NULL
            && (authorization == NULL
                || strncmp (authorization + 24, server->key,
                            strlen (server->key))
                       != 0))
-    answer_json (fd, 401, make_error (201, "bad_key", "bad key"));
+    send_json (fd, 401, make_error (201, "bad_key", "bad key"));
   else if (strncmp (in.ptr, "POST /admin/configuration?", 26) == 0)
     {
       char *end = strchr (in.ptr, '\r');
@@ -278,7 +284,7 @@
 static void *
 serve (void *arg)
 {
-  server_t *server = arg;
+  fake_entry_t *server = arg;
 
   for (;;)
     {
@@ -288,22 +294,22 @@
       pthread_mutex_lock (&server->lock);
       on_connection (server, fd);
       pthread_mutex_unlock (&server->lock);
-      if (server->fault == FAULT_SILENT && server->silent_count < 8)
-        server->silent[server->silent_count++] = fd;
+      if (server->fault == FAULT_NO_REPLY && server->open_fd_count < 8)
+        server->open_fds[server->open_fd_count++] = fd;
       else
         close (fd);
     }
 }
 
 void
-server_start (server_t *server)
+fake_entry_start (fake_entry_t *server)
 {
   struct sockaddr_in address
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t len = sizeof address;
 
-  *server = (server_t){ .revision = FIRST_REVISION, .who = "amina" };
-  ck_assert_int_eq (conf_read_file (LISTS, &server->text), VH_OK);
+  *server = (fake_entry_t){ .revision = FIRST_REVISION, .author = "amina" };
+  ck_assert_int_eq (conf_read_file (CONFIGURATION_PATH, &server->text), VH_OK);
   server->fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   ck_assert_int_eq (bind (server->fd, (struct sockaddr *)&address, len), 0);
   ck_assert_int_eq (listen (server->fd, 16), 0);
@@ -315,13 +321,13 @@
 }
 
 void
-server_stop (server_t *server)
+fake_entry_stop (fake_entry_t *server)
 {
   shutdown (server->fd, SHUT_RDWR);
   pthread_join (server->thread, NULL);
   close (server->fd);
-  for (int i = 0; i < server->silent_count; i++)
-    close (server->silent[i]);
+  for (int i = 0; i < server->open_fd_count; i++)
+    close (server->open_fds[i]);
   pthread_mutex_destroy (&server->lock);
   buf_free (&server->text);
 }
--- a/tests/fake_entry.h
+++ b/tests/fake_entry.h
@@ -1,4 +1,5 @@
-/* An HTTP server in a thread that plays the operators' port of an entry.  */
+/* An HTTP server, in a thread, that imitates the operators' port of an
+   entry.  */
 
 #ifndef TESTS_FAKE_ENTRY_H
 #define TESTS_FAKE_ENTRY_H
@@ -7,26 +8,27 @@
 
 #include <pthread.h>
 
-#define LISTS "examples/lists.ini"
+#define CONFIGURATION_PATH "examples/lists.ini"
 
 enum
 {
   FIRST_REVISION = 12,
-  SIDECARS = 26
+  SIDECAR_COUNT = 26
 };
 
-/* How the server misbehaves.  */
+/* Fault that the server simulates.  */
 typedef enum
 {
   FAULT_NONE,
-  FAULT_CUT,        /* Closes each connection unanswered.  */
-  FAULT_SILENT,     /* Takes each request and says nothing.  */
-  FAULT_GARBAGE,    /* Answers with something that is not JSON.  */
-  FAULT_NOT_FOUND,  /* Is some other HTTP server.  */
-  FAULT_STORE_DOWN, /* Cannot say: 503 not_accepted on every POST.  */
-  FAULT_DRAINING,   /* Is stopping.  */
-  FAULT_LOSE_REPLY, /* Makes the change and loses the reply.  */
-  FAULT_RACE        /* Another operator's change comes before each POST.  */
+  FAULT_CLOSE_UNANSWERED, /* Closes each connection without a reply.  */
+  FAULT_NO_REPLY,         /* Reads each request and sends no reply.  */
+  FAULT_NOT_JSON,         /* Replies with a body that is not JSON.  */
+  FAULT_NOT_FOUND,        /* Replies 404, as another HTTP server.  */
+  FAULT_STORE_DOWN,       /* Replies 503 not_accepted to each POST.  */
+  FAULT_DRAINING,         /* Replies 503 draining to each request.  */
+  FAULT_REPLY_LOST,       /* Applies a change and sends no reply.  */
+  FAULT_CONCURRENT_CHANGE /* Applies another operator's change before a POST.
+                           */
 } fault_t;
 
 typedef struct
@@ -35,24 +37,27 @@
   char address[32];
   pthread_t thread;
   pthread_mutex_t lock;
-  /* Set before a run.  */
+  /* Set by the test before it runs the program.  */
   fault_t fault;
-  int races;       /* For FAULT_RACE: how many times.  */
-  int polls_late;  /* Status answers before the sidecars follow.  */
-  bool never;      /* One sidecar never follows.  */
-  const char *key; /* NULL: none is needed.  */
-  /* Looked at after a run.  */
+  int concurrent_changes; /* Changes that FAULT_CONCURRENT_CHANGE still makes.
+                           */
+  int outdated_status_replies; /* Status replies that still show the previous
+                                  revision.  */
+  bool has_lagging_sidecar; /* Whether one sidecar keeps an old revision.  */
+  const char *key;          /* Required operators' key; NULL if none.  */
+  /* Checked by the test after it has run the program.  */
   uint64_t revision;
   buf_t text;
-  char who[64];
-  int posts;
-  int requests;
-  int silent[8]; /* Connections that are held open in silence.  */
-  int silent_count;
-} server_t;
-
-/* Start a server with the lists of LISTS in force.  */
-void server_start (server_t *server);
-void server_stop (server_t *server);
+  char author[64];
+  int post_count;
+  int request_count;
+  int open_fds[8]; /* Connections held open without a reply.  */
+  int open_fd_count;
+} fake_entry_t;
+
+/* Start a server with the configuration of CONFIGURATION_PATH in force.  */
+void fake_entry_start (fake_entry_t *server);
+/* Stop the server and release its memory.  */
+void fake_entry_stop (fake_entry_t *server);
 
 #endif
--- a/tests/test_cli.c
+++ b/tests/test_cli.c
@@ -1,5 +1,5 @@
-/* Tests of the operators' command line: the real binary against a small
-   HTTP server that plays the operators' port of an entry.  */
+/* Tests of the operators' command line.  They run the program against an HTTP
+   server that imitates the operators' port of an entry.  */
 
 #include "conf/snapshot.h"
 #include "fake_entry.h"
@@ -19,13 +19,13 @@
   ARGS_MAX = 24
 };
 
-/* Tell whether nothing changed since server_start.  */
+/* Return whether SERVER has had no change since fake_entry_start.  */
 static bool
-server_unchanged (const server_t *server)
+is_unchanged (const fake_entry_t *server)
 {
   buf_t text = BUF_NULL;
 
-  conf_read_file (LISTS, &text);
+  conf_read_file (CONFIGURATION_PATH, &text);
   bool same = server->revision == FIRST_REVISION
               && str_eq (buf_str (&text), buf_str (&server->text));
   buf_free (&text);
@@ -33,15 +33,15 @@
 }
 
 static bool
-server_has (server_t *server, const char *part)
+text_contains (fake_entry_t *server, const char *expected_part)
 {
   buf_append_char (&server->text, '\0');
-  bool has = strstr (server->text.ptr, part) != NULL;
+  bool is_found = strstr (server->text.ptr, expected_part) != NULL;
   server->text.len--;
-  return has;
+  return is_found;
 }
 
-/* What a run of the program printed.  */
+/* Exit code and output of one run of the program.  */
 typedef struct
 {
   int code;
@@ -49,9 +49,10 @@
   buf_t err;
 } result_t;
 
-/* Read all of FILE into BUF, NUL-terminated past its length.  */
+/* Append all of FILE to BUF, followed by a NUL byte beyond its length.  Close
+   FILE.  */
 static void
-read_back (FILE *file, buf_t *buf)
+read_output (FILE *file, buf_t *buf)
 {
   char bytes[4096];
   size_t n;
@@ -64,8 +65,8 @@
   fclose (file);
 }
 
-/* Run ARGV with the entries ENTRIES and the operators' KEY_TEXT, standard
-   error being ERR_FD unless negative.  */
+/* Run ARGV with ENTRIES in VANILLAHOOK_ENTRY and KEY_TEXT in VANILLAHOOK_KEY.
+   Standard error goes to ERR_FD or, if ERR_FD is negative, to RESULT.  */
 static void
 run_argv_err (char **argv, const char *entries, const char *key_text,
               int err_fd, result_t *result)
@@ -92,8 +93,8 @@
   posix_spawn_file_actions_destroy (&actions);
   ck_assert_int_eq (waitpid (pid, &status, 0), pid);
   result->code = WIFEXITED (status) ? WEXITSTATUS (status) : -1;
-  read_back (out, &result->out);
-  read_back (err, &result->err);
+  read_output (out, &result->out);
+  read_output (err, &result->err);
 }
 
 static void
@@ -103,8 +104,8 @@
   run_argv_err (argv, entries, key_text, -1, result);
 }
 
-/* Run `vanillahook LINE', LINE being split at blanks, with standard error
-   as run_argv_err has it.  */
+/* Run the program with the arguments in LINE, which is split at blanks.  The
+   other parameters are those of run_argv_err.  */
 static void
 run_err (const char *line, const char *entries, const char *key_text,
          int err_fd, result_t *result)
@@ -133,7 +134,7 @@
 }
 
 static void
-run (const char *line, const server_t *server, result_t *result)
+run (const char *line, const fake_entry_t *server, result_t *result)
 {
   run_at (line, server->address, KEY, result);
 }
@@ -145,10 +146,11 @@
   buf_free (&result->err);
 }
 
-/* Check that RESULT of LINE is CODE and one complaint that holds PART.  */
+/* Check that RESULT, of the command LINE, has exit code CODE and one line of
+   error output that contains PART.  */
 static void
-check_complaint (const char *line, const result_t *result, int code,
-                 const char *part)
+check_error (const char *line, const result_t *result, int code,
+             const char *expected_part)
 {
   const char *newline = strchr (result->err.ptr, '\n');
 
@@ -157,28 +159,29 @@
   ck_assert_msg (strncmp (result->err.ptr, "vanillahook: ", 13) == 0
                      && newline != NULL && newline[1] == '\0',
                  "%s: not one line:\n%s", line, result->err.ptr);
-  ck_assert_msg (strstr (result->err.ptr, part) != NULL, "%s: no `%s' in\n%s",
-                 line, part, result->err.ptr);
+  ck_assert_msg (strstr (result->err.ptr, expected_part) != NULL,
+                 "%s: no `%s' in\n%s", line, expected_part, result->err.ptr);
   ck_assert_msg (result->out.len == 0, "%s: printed\n%s", line,
                  result->out.ptr);
 }
 
-/* Check that LINE succeeds and prints PART.  */
+/* Check that the command LINE succeeds and prints PART.  */
 static void
-check_success (const char *line, const server_t *server, const char *part)
+check_success (const char *line, const fake_entry_t *server,
+               const char *expected_part)
 {
   result_t result;
 
   run (line, server, &result);
   ck_assert_msg (result.code == 0, "%s: exit code %d\n%s", line, result.code,
                  result.err.ptr);
-  ck_assert_msg (strstr (result.out.ptr, part) != NULL, "%s: no `%s' in\n%s",
-                 line, part, result.out.ptr);
+  ck_assert_msg (strstr (result.out.ptr, expected_part) != NULL,
+                 "%s: no `%s' in\n%s", line, expected_part, result.out.ptr);
   result_free (&result);
 }
 
-/* Every verb that asks an entry.  */
-static const char *const asking[] = {
+/* Commands that send requests to an entry, at least one for each such verb. */
+static const char *const entry_commands[] = {
   "apply examples/lists.ini",
   "show",
   "diff examples/lists.ini",
@@ -197,68 +200,70 @@
 
 enum
 {
-  ASKING_COUNT = sizeof asking / sizeof asking[0]
+  ENTRY_COMMAND_COUNT = sizeof entry_commands / sizeof entry_commands[0]
 };
 
-START_TEST (unreachable_entry)
+START_TEST (unreachable_entry_is_reported)
 {
   result_t result;
-  /* A port that nothing listens on: one that was just given back.  */
-  server_t server;
-
-  server_start (&server);
-  server_stop (&server);
-  run (asking[_i], &server, &result);
-  check_complaint (asking[_i], &result, 4, "no entry answers at 127.0.0.1:");
+  /* No process listens on the port of a server that was stopped just now.  */
+  fake_entry_t server;
+
+  fake_entry_start (&server);
+  fake_entry_stop (&server);
+  run (entry_commands[_i], &server, &result);
+  check_error (entry_commands[_i], &result, 4,
+               "no entry answers at 127.0.0.1:");
   result_free (&result);
 }
 END_TEST
 
-START_TEST (wrong_or_missing_key)
+START_TEST (wrong_or_missing_key_is_refused)
 {
-  server_t server;
+  fake_entry_t server;
   result_t result;
 
-  server_start (&server);
+  fake_entry_start (&server);
   server.key = KEY;
-  run_at (asking[_i], server.address, "sesame", &result);
-  check_complaint (asking[_i], &result, 5, "is not the right one");
+  run_at (entry_commands[_i], server.address, "sesame", &result);
+  check_error (entry_commands[_i], &result, 5, "is not the right one");
   ck_assert_ptr_null (strstr (result.err.ptr, "sesame"));
   result_free (&result);
-  run_at (asking[_i], server.address, "", &result);
-  check_complaint (asking[_i], &result, 5, "key is needed");
+  run_at (entry_commands[_i], server.address, "", &result);
+  check_error (entry_commands[_i], &result, 5, "key is needed");
   result_free (&result);
-  ck_assert (server_unchanged (&server));
-  server_stop (&server);
+  ck_assert (is_unchanged (&server));
+  fake_entry_stop (&server);
 }
 END_TEST
 
-START_TEST (entry_that_is_none)
+START_TEST (invalid_replies_are_reported)
 {
   static const struct
   {
     fault_t fault;
     int code;
-    const char *part;
+    const char *expected_part;
   } cases[] = {
-    { FAULT_CUT, 4, "ended early" },
-    { FAULT_GARBAGE, 4, "is it the operators' port of an entry?" },
+    { FAULT_CLOSE_UNANSWERED, 4, "ended early" },
+    { FAULT_NOT_JSON, 4, "is it the operators' port of an entry?" },
     { FAULT_NOT_FOUND, 1, "HTTP status 404; is it the operators' port" },
     { FAULT_DRAINING, 1, "stopping" },
   };
-  server_t server;
+  fake_entry_t server;
   result_t result;
 
-  server_start (&server);
+  fake_entry_start (&server);
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       server.fault = cases[i].fault;
-      run (asking[_i], &server, &result);
-      check_complaint (asking[_i], &result, cases[i].code, cases[i].part);
+      run (entry_commands[_i], &server, &result);
+      check_error (entry_commands[_i], &result, cases[i].code,
+                   cases[i].expected_part);
       result_free (&result);
     }
-  ck_assert (server_unchanged (&server));
-  server_stop (&server);
+  ck_assert (is_unchanged (&server));
+  fake_entry_stop (&server);
 }
 END_TEST
 
@@ -267,9 +272,9 @@
   const char *line;
   fault_t fault;
   int code;
-  const char *part;
+  const char *expected_part;
 } failures[] = {
-  /* Usage.  */
+  /* Wrong command lines.  */
   { "", FAULT_NONE, 2, "give a verb" },
   { "aply x", FAULT_NONE, 2, "there is no verb `aply'" },
   { "help aply", FAULT_NONE, 2, "there is no verb `aply'" },
@@ -280,8 +285,10 @@
   { "zone oot nairobi-a", FAULT_NONE, 2, "write `vanillahook zone out|in" },
   { "zone out nairobi/a", FAULT_NONE, 2, "is not a name" },
   { "version withdraw draft-small", FAULT_NONE, 2, "write MODEL@VERSION" },
-  { "apply " LISTS " --if-revision x", FAULT_NONE, 2, "--if-revision" },
-  { "apply " LISTS " --if-revision", FAULT_NONE, 2, "--if-revision" },
+  { "apply " CONFIGURATION_PATH " --if-revision x", FAULT_NONE, 2,
+    "--if-revision" },
+  { "apply " CONFIGURATION_PATH " --if-revision", FAULT_NONE, 2,
+    "--if-revision" },
   { "history --limit 9999", FAULT_NONE, 2, "--limit" },
   { "show --entry localhost:1", FAULT_NONE, 2, "not HOST:PORT" },
   { "show --key-file no/such.key", FAULT_NONE, 2, "no/such.key: the key" },
@@ -292,7 +299,7 @@
   { "rollout start draft-small@3", FAULT_NONE, 2, "by --over" },
   { "rollout start draft-small@3 --over draft-small@3", FAULT_NONE, 2,
     "over itself" },
-  /* Files.  */
+  /* Unreadable or invalid files.  */
   { "check no/such.ini", FAULT_NONE, 2, "no/such.ini: the file cannot" },
   { "apply no/such.ini", FAULT_NONE, 2, "no/such.ini: the file cannot" },
   { "diff no/such.ini", FAULT_NONE, 2, "no/such.ini: the file cannot" },
@@ -303,7 +310,7 @@
     "tests/data/dangling.ini:2: team `a' has the unknown plan `p'" },
   { "diff tests/data/dangling.ini", FAULT_NONE, 2,
     "tests/data/dangling.ini:2: team `a' has the unknown plan `p'" },
-  /* Dangling names.  */
+  /* Names that do not exist.  */
   { "zone out nairobi-x", FAULT_NONE, 1, "did you mean `nairobi-a'?" },
   { "zone out mombasa", FAULT_NONE, 1, "add `[availability-zone mombasa]'" },
   { "instance out runer-17", FAULT_NONE, 1, "did you mean `runner-17'?" },
@@ -315,7 +322,7 @@
     "no version `draft-small@9'" },
   { "rollout pause draft-small@3", FAULT_NONE, 1, "no roll-out of" },
   { "rollout resume draft-large@7", FAULT_NONE, 1, "no roll-out of" },
-  /* Lost races.  */
+  /* Revision conflicts.  */
   { "apply examples/lists.ini --if-revision 9", FAULT_NONE, 3,
     "revision 12 by amina is in force, not 9; nothing changed" },
   { "zone out nairobi-a --if-revision 9", FAULT_NONE, 3,
@@ -323,32 +330,32 @@
   { "instance out runner-17 --if-revision 9", FAULT_NONE, 3, "not 9" },
   { "version withdraw draft-small@4 --if-revision 9", FAULT_NONE, 3, "not 9" },
   { "rollout resume draft-small@4 --if-revision 9", FAULT_NONE, 3, "not 9" },
-  /* The store cannot say.  */
+  /* The entry cannot write to the store.  */
   { "zone out nairobi-a", FAULT_STORE_DOWN, 1,
     "code 505: The change was not accepted; nothing changed." },
   { "version withdraw draft-small@4 --wait", FAULT_STORE_DOWN, 1, "code 505" },
 };
 
-START_TEST (failures_are_one_line_and_change_nothing)
+START_TEST (failures_print_one_line_and_change_nothing)
 {
   const char *line = failures[_i].line;
-  server_t server;
+  fake_entry_t server;
   result_t result;
 
-  server_start (&server);
+  fake_entry_start (&server);
   server.fault = failures[_i].fault;
   run (line, &server, &result);
-  check_complaint (line, &result, failures[_i].code, failures[_i].part);
-  ck_assert (server_unchanged (&server));
+  check_error (line, &result, failures[_i].code, failures[_i].expected_part);
+  ck_assert (is_unchanged (&server));
   result_free (&result);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
 static const struct
 {
   const char *line;
-  const char *has;
+  const char *expected_text;
 } edits[] = {
   { "zone out nairobi-b", "[availability-zone nairobi-b]\nstate = out" },
   { "instance out runner-17", "[instance runner-17]\nstate = out" },
@@ -364,73 +371,73 @@
     "[rollout draft-small@4]\nover = draft-small@3\nstate = aborted" },
 };
 
-START_TEST (verbs_edit_the_lists)
+START_TEST (verbs_edit_the_configuration)
 {
-  server_t server;
+  fake_entry_t server;
 
-  server_start (&server);
+  fake_entry_start (&server);
   check_success (edits[_i].line, &server, "revision 13 accepted\n");
-  ck_assert_msg (server_has (&server, edits[_i].has), "%s:\n%.*s",
+  ck_assert_msg (text_contains (&server, edits[_i].expected_text), "%s:\n%.*s",
                  edits[_i].line, STR_ARG (buf_str (&server.text)));
-  ck_assert_str_eq (server.who, "wanjiru");
-  /* All else stays, comments too.  */
-  ck_assert (server_has (&server, "; The operators' lists: who"));
-  /* Once more is no change.  */
+  ck_assert_str_eq (server.author, "wanjiru");
+  /* The other text stays, including comments.  */
+  ck_assert (text_contains (&server, "; The operators' lists: who"));
+  /* Repeating the command makes no change.  */
   check_success (edits[_i].line, &server,
                  "revision 13 has it already; nothing to change\n");
   ck_assert_uint_eq (server.revision, 13);
-  ck_assert_int_eq (server.posts, 1);
-  server_stop (&server);
+  ck_assert_int_eq (server.post_count, 1);
+  fake_entry_stop (&server);
 }
 END_TEST
 
 START_TEST (dry_runs_change_nothing)
 {
-  server_t server;
+  fake_entry_t server;
   buf_t line = BUF_NULL;
 
-  server_start (&server);
+  fake_entry_start (&server);
   buf_printf (&line, "%s --dry-run", edits[_i].line);
   check_success (line.ptr, &server, "nothing changed\n");
   line.len = 0;
   buf_printf (&line, "%s --dry-run --json", edits[_i].line);
   check_success (line.ptr, &server, "\"dry_run\":true");
-  ck_assert_int_eq (server.posts, 2);
-  ck_assert (server_unchanged (&server));
+  ck_assert_int_eq (server.post_count, 2);
+  ck_assert (is_unchanged (&server));
   buf_free (&line);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-/* Story: two operators take things out of service in the same second.  The
-   second one's change is refused for its revision; it reads again and edits
-   what is in force by then, so that both changes last.  */
-START_TEST (lost_race_is_run_again)
+/* Two operators change the configuration in the same second, and the second
+   change is refused because of its revision.  The program must edit the newer
+   revision and try again, so that both changes are kept.  */
+START_TEST (revision_conflict_is_retried)
 {
-  server_t server;
+  fake_entry_t server;
 
-  server_start (&server);
-  server.fault = FAULT_RACE;
-  server.races = 2;
+  fake_entry_start (&server);
+  server.fault = FAULT_CONCURRENT_CHANGE;
+  server.concurrent_changes = 2;
   check_success ("zone out nairobi-a", &server, "revision 15 accepted\n");
-  ck_assert (server_has (&server, "; change 13 by another\n"));
-  ck_assert (server_has (&server, "; change 14 by another\n"));
-  ck_assert (server_has (&server, "[availability-zone nairobi-a]\n"
-                                  "state = out"));
-  server_stop (&server);
+  ck_assert (text_contains (&server, "; change 13 by another\n"));
+  ck_assert (text_contains (&server, "; change 14 by another\n"));
+  ck_assert (text_contains (&server, "[availability-zone nairobi-a]\n"
+                                     "state = out"));
+  fake_entry_stop (&server);
 }
 END_TEST
 
-/* Story: the same, but the operator asked for a change of one revision
-   only, or applies a whole file, or loses every time.  It ends with the
-   revision that beat it, and leaves that one in force.  */
-START_TEST (lost_race_is_told)
+/* A revision conflict is not resolved by retries: --if-revision requires one
+   revision, the change applies a whole file, or each attempt has a conflict.
+   The program must name the revision in force and leave it unchanged.  */
+START_TEST (final_revision_conflict_is_reported)
 {
   static const struct
   {
     const char *line;
-    int races;
-    const char *part;
+    int concurrent_changes;
+    const char *expected_part;
   } cases[] = {
     { "zone out nairobi-a --if-revision 12", 1,
       "revision 13 by amina is in force, not 12; nothing changed" },
@@ -441,44 +448,44 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
-      server_t server;
+      fake_entry_t server;
       result_t result;
-      server_start (&server);
-      server.fault = FAULT_RACE;
-      server.races = cases[i].races;
+      fake_entry_start (&server);
+      server.fault = FAULT_CONCURRENT_CHANGE;
+      server.concurrent_changes = cases[i].concurrent_changes;
       run (cases[i].line, &server, &result);
-      check_complaint (cases[i].line, &result, 3, cases[i].part);
-      ck_assert (!server_has (&server, "state = out"));
-      ck_assert_str_eq (server.who, "amina");
+      check_error (cases[i].line, &result, 3, cases[i].expected_part);
+      ck_assert (!text_contains (&server, "state = out"));
+      ck_assert_str_eq (server.author, "amina");
       result_free (&result);
-      server_stop (&server);
+      fake_entry_stop (&server);
     }
 }
 END_TEST
 
-/* Story: the first entry makes the change and dies before it says so.  The
-   second entry knows nothing of that and sees a newer revision; the operator
-   must not be told that somebody else was first.  */
-START_TEST (lost_reply_is_read_back)
+/* The first entry applies the change and stops before it replies.  The second
+   entry refuses the same change because of the newer revision.  The program
+   must not report a conflict with another operator.  */
+START_TEST (lost_reply_is_not_a_conflict)
 {
-  server_t first;
-  server_t second;
+  fake_entry_t first;
+  fake_entry_t second;
   result_t result;
   char entries[96];
 
-  server_start (&first);
-  first.fault = FAULT_LOSE_REPLY;
+  fake_entry_start (&first);
+  first.fault = FAULT_REPLY_LOST;
   run ("zone out nairobi-a", &first, &result);
-  check_complaint ("zone out", &result, 4,
-                   "the change may have been made; see `vanillahook history'");
+  check_error ("zone out", &result, 4,
+               "the change may have been made; see `vanillahook history'");
   ck_assert_uint_eq (first.revision, 13);
   result_free (&result);
-  server_stop (&first);
+  fake_entry_stop (&first);
 
-  /* Both entries read the same lists: the second one already sees them.  */
-  server_start (&first);
-  server_start (&second);
-  first.fault = FAULT_LOSE_REPLY;
+  /* The second entry already has the revision that the first one made.  */
+  fake_entry_start (&first);
+  fake_entry_start (&second);
+  first.fault = FAULT_REPLY_LOST;
   second.text.len = 0;
   conf_set_key (buf_str (&first.text), STR ("availability-zone nairobi-a"),
                 STR ("state"), STR ("out"), &second.text);
@@ -488,110 +495,112 @@
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_str_eq (result.out.ptr, "revision 13 accepted\n");
   result_free (&result);
-  server_stop (&first);
-  server_stop (&second);
+  fake_entry_stop (&first);
+  fake_entry_stop (&second);
 }
 END_TEST
 
 START_TEST (next_entry_is_tried)
 {
-  server_t down;
-  server_t stopping;
-  server_t up;
+  fake_entry_t stopped;
+  fake_entry_t stopping;
+  fake_entry_t up;
   result_t result;
   char entries[96];
 
-  server_start (&down);
-  server_stop (&down);
-  server_start (&stopping);
+  fake_entry_start (&stopped);
+  fake_entry_stop (&stopped);
+  fake_entry_start (&stopping);
   stopping.fault = FAULT_DRAINING;
-  server_start (&up);
-  snprintf (entries, sizeof entries, "%s,%s,%s", down.address,
+  fake_entry_start (&up);
+  snprintf (entries, sizeof entries, "%s,%s,%s", stopped.address,
             stopping.address, up.address);
   run_at ("zone out nairobi-a", entries, KEY, &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_str_eq (result.out.ptr, "revision 13 accepted\n");
   ck_assert_uint_eq (up.revision, 13);
-  ck_assert_int_eq (stopping.requests, 1);
+  ck_assert_int_eq (stopping.request_count, 1);
   result_free (&result);
-  server_stop (&stopping);
-  server_stop (&up);
+  fake_entry_stop (&stopping);
+  fake_entry_stop (&up);
 }
 END_TEST
 
-/* Story: something between the operator and an entry has lost track of the
-   connection, or the entry hangs.  The next entry is asked after some
-   seconds, and only once: the silent one is not asked again.  */
-START_TEST (silent_entry_is_passed_over)
+/* An entry hangs, or a device in between dropped the connection, so that no
+   reply arrives.  The program must try the next entry after a timeout, and
+   must send no further request to the first one.  */
+START_TEST (unresponsive_entry_is_skipped)
 {
-  server_t silent;
-  server_t up;
+  fake_entry_t unresponsive;
+  fake_entry_t up;
   result_t result;
   char entries[96];
 
-  server_start (&silent);
-  silent.fault = FAULT_SILENT;
-  server_start (&up);
-  snprintf (entries, sizeof entries, "%s,%s", silent.address, up.address);
+  fake_entry_start (&unresponsive);
+  unresponsive.fault = FAULT_NO_REPLY;
+  fake_entry_start (&up);
+  snprintf (entries, sizeof entries, "%s,%s", unresponsive.address,
+            up.address);
   run_at ("zone out nairobi-a --wait", entries, KEY, &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_uint_eq (up.revision, 13);
-  ck_assert_int_eq (silent.requests, 1);
+  ck_assert_int_eq (unresponsive.request_count, 1);
   result_free (&result);
-  server_stop (&silent);
-  server_stop (&up);
+  fake_entry_stop (&unresponsive);
+  fake_entry_stop (&up);
 }
 END_TEST
 
-START_TEST (key_file_and_entry_options)
+START_TEST (key_file_and_entry_options_are_used)
 {
   char path[] = "/tmp/test_cli_key_XXXXXX";
   int fd = mkstemp (path);
-  server_t server;
+  fake_entry_t server;
   result_t result;
   buf_t line = BUF_NULL;
 
   ck_assert_int_eq (write (fd, KEY "\n", sizeof KEY), sizeof KEY);
   close (fd);
-  server_start (&server);
+  fake_entry_start (&server);
   server.key = KEY;
   buf_printf (&line,
               "zone out nairobi-a --who otieno --key-file %s --entry %s", path,
               server.address);
   run_at (line.ptr, "127.0.0.1:1", "", &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
-  ck_assert_str_eq (server.who, "otieno");
+  ck_assert_str_eq (server.author, "otieno");
   result_free (&result);
   unlink (path);
   buf_free (&line);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-START_TEST (wait_reports_when_it_is_in_force)
+START_TEST (wait_ends_when_in_force_everywhere)
 {
-  server_t server;
+  fake_entry_t server;
 
-  server_start (&server);
-  server.polls_late = 2;
+  fake_entry_start (&server);
+  server.outdated_status_replies = 2;
   check_success ("zone out nairobi-a --wait", &server,
                  "revision 13 accepted\n"
                  "revision 13 is in force at all 27 processes\n");
-  ck_assert_int_eq (server.polls_late, 0);
-  server_stop (&server);
+  ck_assert_int_eq (server.outdated_status_replies, 0);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-/* Story: a zone must be out before works on its power start.  One process
-   does not answer, and may go on sending work there: the operator must hear
-   its name, and a script must see it in the exit code.  */
-START_TEST (wait_names_who_is_late)
+/* A zone must be out of service before work on its power supply starts.  One
+   process does not follow the change and may still send requests to the zone.
+   The error must name that process, and the exit code must show the
+   timeout.  */
+START_TEST (wait_names_lagging_process)
 {
-  server_t server;
+  fake_entry_t server;
   result_t result;
 
-  server_start (&server);
-  server.never = true;
+  fake_entry_start (&server);
+  server.has_lagging_sidecar = true;
   run ("zone out nairobi-a --wait --timeout-ms 300", &server, &result);
   ck_assert_int_eq (result.code, 6);
   ck_assert_str_eq (result.out.ptr, "revision 13 accepted\n");
@@ -606,16 +615,16 @@
                                     "\"in_force_everywhere\":false,"
                                     "\"behind\":[\"runner-25\"]}\n");
   result_free (&result);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-/* The progress line goes to a terminal only; the other tests of --wait see
-   none in a file.  */
-START_TEST (progress_on_a_terminal)
+/* The progress line is printed on a terminal only.  The other tests of --wait
+   check that a file receives none.  */
+START_TEST (progress_is_printed_on_a_terminal)
 {
   int terminal = posix_openpt (O_RDWR | O_NOCTTY);
-  server_t server;
+  fake_entry_t server;
   result_t result;
   char text[4096];
 
@@ -624,8 +633,8 @@
   ck_assert_int_eq (unlockpt (terminal), 0);
   int line = open (ptsname (terminal), O_RDWR | O_NOCTTY);
   ck_assert_int_ge (line, 0);
-  server_start (&server);
-  server.polls_late = 1;
+  fake_entry_start (&server);
+  server.outdated_status_replies = 1;
   run_err ("zone out nairobi-a --wait", server.address, KEY, line, &result);
   ck_assert_int_eq (result.code, 0);
   ssize_t len = read (terminal, text, sizeof text - 1);
@@ -636,21 +645,24 @@
   result_free (&result);
   close (line);
   close (terminal);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-START_TEST (apply_and_views)
+START_TEST (apply_and_views_print_the_configuration)
 {
-  server_t server;
+  fake_entry_t server;
 
-  server_start (&server);
-  check_success ("check " LISTS, &server,
-                 LISTS ": valid; teams 3, models 2, versions 3, services 1\n");
-  check_success ("check " LISTS " --json", &server,
+  fake_entry_start (&server);
+  check_success ("check " CONFIGURATION_PATH, &server,
+                 CONFIGURATION_PATH
+                 ": valid; teams 3, models 2, versions 3, services 1\n");
+  check_success ("check " CONFIGURATION_PATH " --json", &server,
                  "{\"valid\":true,\"errors\":[]}\n");
-  check_success ("apply " LISTS, &server, "revision 12 has it already");
-  check_success ("diff " LISTS, &server, "no difference from revision 12\n");
+  check_success ("apply " CONFIGURATION_PATH, &server,
+                 "revision 12 has it already");
+  check_success ("diff " CONFIGURATION_PATH, &server,
+                 "no difference from revision 12\n");
   check_success ("diff tests/data/small.ini", &server, "+[plan p]\n");
   check_success ("show", &server, "[team coast-office]\nplan = grants\n");
   check_success ("show --json", &server, "\"revision\":12");
@@ -660,42 +672,43 @@
                  "revision 13  2025-12-02 00:00:00Z  wanjiru\n"
                  "    -weight = 4\n    +weight = 5\n");
   check_success ("history --json --limit 1", &server, "\"who\":\"wanjiru\"");
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-/* The text of `show' goes back by `apply' unchanged.  */
-START_TEST (show_is_the_text_in_force)
+/* `show' prints exactly the text in force, so that `apply' accepts it
+   unchanged.  */
+START_TEST (show_prints_the_text_in_force)
 {
-  server_t server;
+  fake_entry_t server;
   result_t result;
 
-  server_start (&server);
+  fake_entry_start (&server);
   run ("show", &server, &result);
   ck_assert (str_eq (buf_str (&result.out), buf_str (&server.text)));
   ck_assert_str_eq (result.err.ptr, "revision 12, confirmed 0.2 s ago\n");
   result_free (&result);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
 START_TEST (diff_names_the_section)
 {
-  server_t server;
+  fake_entry_t server;
   buf_t edited = BUF_NULL;
 
-  server_start (&server);
+  fake_entry_start (&server);
   conf_set_key (buf_str (&server.text), STR ("plan drafts"), STR ("prefer"),
                 STR ("cost"), &edited);
   buf_free (&server.text);
   server.text = edited;
-  check_success ("diff " LISTS, &server,
+  check_success ("diff " CONFIGURATION_PATH, &server,
                  "  [plan drafts]\n-prefer = cost\n+prefer = latency\n");
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-START_TEST (status_at_a_glance)
+START_TEST (status_prints_all_tables)
 {
   static const char *const parts[] = {
     "revision 12, confirmed 300 ms ago; as seen by entry-1 (entry, "
@@ -708,12 +721,12 @@
     "draft-small@4  draft-small@3  paused  12.5%  paused by operators\n",
     "draft  draft-small@3  420    cheapest that meets the target\n",
   };
-  server_t server;
+  fake_entry_t server;
   result_t result;
   size_t longest = 0;
 
-  server_start (&server);
-  server.never = true;
+  fake_entry_start (&server);
+  server.has_lagging_sidecar = true;
   run ("status", &server, &result);
   ck_assert_int_eq (result.code, 0);
   for (size_t i = 0; i < sizeof parts / sizeof parts[0]; i++)
@@ -728,20 +741,20 @@
   ck_assert_uint_le (longest, 100);
   result_free (&result);
   check_success ("status --json", &server, "\"peers\":[{");
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
-START_TEST (reports)
+START_TEST (reports_are_printed)
 {
   char path[] = "/tmp/test_cli_html_XXXXXX";
   int fd = mkstemp (path);
-  server_t server;
+  fake_entry_t server;
   buf_t line = BUF_NULL;
   buf_t page = BUF_NULL;
 
   close (fd);
-  server_start (&server);
+  fake_entry_start (&server);
   check_success ("report bill --day 2026-12-01", &server,
                  "coast-office  draft-small  draft-small@3  7         1900  "
                  "  1.500\n");
@@ -756,13 +769,13 @@
   unlink (path);
   buf_free (&page);
   buf_free (&line);
-  server_stop (&server);
+  fake_entry_stop (&server);
 }
 END_TEST
 
 START_TEST (codes_page_is_up_to_date)
 {
-  server_t server = { .address = "127.0.0.1:1" };
+  fake_entry_t server = { .address = "127.0.0.1:1" };
   result_t result;
   buf_t page = BUF_NULL;
 
@@ -792,7 +805,7 @@
 
 START_TEST (each_verb_has_help)
 {
-  server_t server = { .address = "127.0.0.1:1" };
+  fake_entry_t server = { .address = "127.0.0.1:1" };
   char line[64];
   char usage[64];
 
@@ -808,8 +821,8 @@
 }
 END_TEST
 
-/* Every verb and option stands in the pages.  */
-START_TEST (pages_name_every_verb_and_option)
+/* The manual pages name every verb and option.  */
+START_TEST (manual_names_every_verb_and_option)
 {
   static const char *const pages[]
       = { "docs/CLI.md", "docs/man/vanillahook.1" };
@@ -838,7 +851,7 @@
 }
 END_TEST
 
-START_TEST (completion_completes)
+START_TEST (completion_replies_match)
 {
   static const struct
   {
@@ -851,7 +864,7 @@
     { "vanillahook zone out x --dr", "4", "--dry-run\n" },
     { "vanillahook check examples/lists", "2", "examples/lists.ini\n" },
   };
-  server_t server = { .address = "127.0.0.1:1" };
+  fake_entry_t server = { .address = "127.0.0.1:1" };
   result_t script;
 
   run ("completion bash", &server, &script);
@@ -883,33 +896,36 @@
   TCase *tcase = tcase_create ("cli");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_loop_test (tcase, unreachable_entry, 0, ASKING_COUNT);
-  tcase_add_loop_test (tcase, wrong_or_missing_key, 0, ASKING_COUNT);
-  tcase_add_loop_test (tcase, entry_that_is_none, 0, ASKING_COUNT);
-  tcase_add_loop_test (tcase, failures_are_one_line_and_change_nothing, 0,
+  tcase_add_loop_test (tcase, unreachable_entry_is_reported, 0,
+                       ENTRY_COMMAND_COUNT);
+  tcase_add_loop_test (tcase, wrong_or_missing_key_is_refused, 0,
+                       ENTRY_COMMAND_COUNT);
+  tcase_add_loop_test (tcase, invalid_replies_are_reported, 0,
+                       ENTRY_COMMAND_COUNT);
+  tcase_add_loop_test (tcase, failures_print_one_line_and_change_nothing, 0,
                        sizeof failures / sizeof failures[0]);
-  tcase_add_loop_test (tcase, verbs_edit_the_lists, 0,
+  tcase_add_loop_test (tcase, verbs_edit_the_configuration, 0,
                        sizeof edits / sizeof edits[0]);
   tcase_add_loop_test (tcase, dry_runs_change_nothing, 0,
                        sizeof edits / sizeof edits[0]);
-  tcase_add_test (tcase, lost_race_is_run_again);
-  tcase_add_test (tcase, lost_race_is_told);
-  tcase_add_test (tcase, lost_reply_is_read_back);
+  tcase_add_test (tcase, revision_conflict_is_retried);
+  tcase_add_test (tcase, final_revision_conflict_is_reported);
+  tcase_add_test (tcase, lost_reply_is_not_a_conflict);
   tcase_add_test (tcase, next_entry_is_tried);
-  tcase_add_test (tcase, silent_entry_is_passed_over);
-  tcase_add_test (tcase, key_file_and_entry_options);
-  tcase_add_test (tcase, wait_reports_when_it_is_in_force);
-  tcase_add_test (tcase, wait_names_who_is_late);
-  tcase_add_test (tcase, progress_on_a_terminal);
-  tcase_add_test (tcase, apply_and_views);
-  tcase_add_test (tcase, show_is_the_text_in_force);
+  tcase_add_test (tcase, unresponsive_entry_is_skipped);
+  tcase_add_test (tcase, key_file_and_entry_options_are_used);
+  tcase_add_test (tcase, wait_ends_when_in_force_everywhere);
+  tcase_add_test (tcase, wait_names_lagging_process);
+  tcase_add_test (tcase, progress_is_printed_on_a_terminal);
+  tcase_add_test (tcase, apply_and_views_print_the_configuration);
+  tcase_add_test (tcase, show_prints_the_text_in_force);
   tcase_add_test (tcase, diff_names_the_section);
-  tcase_add_test (tcase, status_at_a_glance);
-  tcase_add_test (tcase, reports);
+  tcase_add_test (tcase, status_prints_all_tables);
+  tcase_add_test (tcase, reports_are_printed);
   tcase_add_test (tcase, codes_page_is_up_to_date);
   tcase_add_loop_test (tcase, each_verb_has_help, 0, VERB_COUNT);
-  tcase_add_test (tcase, pages_name_every_verb_and_option);
-  tcase_add_test (tcase, completion_completes);
+  tcase_add_test (tcase, manual_names_every_verb_and_option);
+  tcase_add_test (tcase, completion_replies_match);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
