--- a/packages/cli/client.c
+++ b/packages/cli/client.c
@@ -83,8 +83,9 @@
   buf_append_str (&pending->reply->text, body);
 }
 
-/* Send REQUEST to entry number INDEX and run the loop until it has finished.
-   Return VH_OK if a response with any status arrived, or the failure.  */
+/* Send REQUEST to entry number INDEX and run the event loop until the
+   request has finished.  Return VH_OK if a response with any status arrived,
+   or an error code.  */
 static vh_code_t
 client_send (client_t *client, int index, const httpc_request_t *request,
              reply_t *reply)
--- a/packages/cli/configuration.h
+++ b/packages/cli/configuration.h
@@ -9,7 +9,8 @@
 typedef struct
 {
   uint64_t revision;
-  uint64_t confirmed_ms_ago; /* Time since the last confirmation; 0: never.  */
+  /* Time since the store last confirmed the revision; 0 if it never did.  */
+  uint64_t confirmed_ms_ago;
   str_t text;
   reply_t reply; /* Owns the memory of `text'.  */
 } configuration_t;
--- a/packages/cli/edits.c
+++ b/packages/cli/edits.c
@@ -190,7 +190,7 @@
 }
 
 /* Write the configuration with the roll-out of version NAME running to TEXT.
-   EXISTS says whether the configuration has the roll-out already.  */
+   If EXISTS, the configuration has the roll-out already.  */
 static cli_exit_code_t
 edit_rollout_start (change_t *change, const configuration_t *current,
                     str_t name, bool exists, buf_t *text)
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -281,13 +281,13 @@
 static uint64_t
 bill_flush_interval_ms (const process_t *process)
 {
-  uint64_t ms = entry_count_known_entries (process->entry) * 1000
-                / BILL_ROWS_PER_S_MAX;
+  uint64_t interval_ms = entry_count_known_entries (process->entry) * 1000
+                         / BILL_ROWS_PER_S_MAX;
 
-  if (ms < BILL_FLUSH_INTERVAL_MIN_MS)
+  if (interval_ms < BILL_FLUSH_INTERVAL_MIN_MS)
     return BILL_FLUSH_INTERVAL_MIN_MS;
-  return ms < BILL_FLUSH_INTERVAL_MAX_MS
-             ? ms
+  return interval_ms < BILL_FLUSH_INTERVAL_MAX_MS
+             ? interval_ms
              : (uint64_t)BILL_FLUSH_INTERVAL_MAX_MS;
 }
 
--- a/tests/fake_entry.h
+++ b/tests/fake_entry.h
@@ -27,8 +27,8 @@
   FAULT_STORE_DOWN,       /* Replies 503 not_accepted to each POST.  */
   FAULT_DRAINING,         /* Replies 503 draining to each request.  */
   FAULT_REPLY_LOST,       /* Applies a change and sends no reply.  */
-  FAULT_CONCURRENT_CHANGE /* Applies another operator's change before a POST.
-                           */
+  /* Applies another operator's change before a POST.  */
+  FAULT_CONCURRENT_CHANGE
 } fault_t;
 
 typedef struct
@@ -39,10 +39,10 @@
   pthread_mutex_t lock;
   /* Set by the test before it runs the program.  */
   fault_t fault;
-  int concurrent_changes; /* Changes that FAULT_CONCURRENT_CHANGE still makes.
-                           */
-  int outdated_status_replies; /* Status replies that still show the previous
-                                  revision.  */
+  /* Number of changes that FAULT_CONCURRENT_CHANGE still makes.  */
+  int concurrent_changes;
+  /* Number of status replies that still show the previous revision.  */
+  int outdated_status_replies;
   bool has_lagging_sidecar; /* Whether one sidecar keeps an old revision.  */
   const char *key;          /* Required operators' key; NULL if none.  */
   /* Checked by the test after it has run the program.  */
--- a/tests/test_cli.c
+++ b/tests/test_cli.c
@@ -68,8 +68,8 @@
 /* Run ARGV with ENTRIES in VANILLAHOOK_ENTRY and KEY_TEXT in VANILLAHOOK_KEY.
    Standard error goes to ERR_FD or, if ERR_FD is negative, to RESULT.  */
 static void
-run_argv_err (char **argv, const char *entries, const char *key_text,
-              int err_fd, result_t *result)
+run_argv_with_stderr (char **argv, const char *entries, const char *key_text,
+                      int err_fd, result_t *result)
 {
   char entry[128];
   char key[64];
@@ -101,14 +101,14 @@
 run_argv (char **argv, const char *entries, const char *key_text,
           result_t *result)
 {
-  run_argv_err (argv, entries, key_text, -1, result);
+  run_argv_with_stderr (argv, entries, key_text, -1, result);
 }
 
 /* Run the program with the arguments in LINE, which is split at blanks.  The
-   other parameters are those of run_argv_err.  */
+   other parameters are those of run_argv_with_stderr.  */
 static void
-run_err (const char *line, const char *entries, const char *key_text,
-         int err_fd, result_t *result)
+run_with_stderr (const char *line, const char *entries, const char *key_text,
+                 int err_fd, result_t *result)
 {
   const char *build = getenv ("VH_BUILD");
   char path[512];
@@ -122,21 +122,21 @@
   for (char *word = strtok_r (copy, " ", &save); word != NULL;
        word = strtok_r (NULL, " ", &save))
     argv[count++] = word;
-  run_argv_err (argv, entries, key_text, err_fd, result);
+  run_argv_with_stderr (argv, entries, key_text, err_fd, result);
   free (copy);
 }
 
 static void
-run_at (const char *line, const char *entries, const char *key_text,
-        result_t *result)
+run_with_entries (const char *line, const char *entries, const char *key_text,
+                  result_t *result)
 {
-  run_err (line, entries, key_text, -1, result);
+  run_with_stderr (line, entries, key_text, -1, result);
 }
 
 static void
 run (const char *line, const fake_entry_t *server, result_t *result)
 {
-  run_at (line, server->address, KEY, result);
+  run_with_entries (line, server->address, KEY, result);
 }
 
 static void
@@ -180,7 +180,7 @@
   result_free (&result);
 }
 
-/* Commands that send requests to an entry, at least one for each such verb. */
+/* Commands of all verbs that send requests to an entry.  */
 static const char *const entry_commands[] = {
   "apply examples/lists.ini",
   "show",
@@ -225,11 +225,11 @@
 
   fake_entry_start (&server);
   server.key = KEY;
-  run_at (entry_commands[_i], server.address, "sesame", &result);
+  run_with_entries (entry_commands[_i], server.address, "sesame", &result);
   check_error (entry_commands[_i], &result, 5, "is not the right one");
   ck_assert_ptr_null (strstr (result.err.ptr, "sesame"));
   result_free (&result);
-  run_at (entry_commands[_i], server.address, "", &result);
+  run_with_entries (entry_commands[_i], server.address, "", &result);
   check_error (entry_commands[_i], &result, 5, "key is needed");
   result_free (&result);
   ck_assert (is_unchanged (&server));
@@ -491,7 +491,7 @@
                 STR ("state"), STR ("out"), &second.text);
   second.revision = 13;
   snprintf (entries, sizeof entries, "%s,%s", first.address, second.address);
-  run_at ("zone out nairobi-a", entries, KEY, &result);
+  run_with_entries ("zone out nairobi-a", entries, KEY, &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_str_eq (result.out.ptr, "revision 13 accepted\n");
   result_free (&result);
@@ -515,7 +515,7 @@
   fake_entry_start (&up);
   snprintf (entries, sizeof entries, "%s,%s,%s", stopped.address,
             stopping.address, up.address);
-  run_at ("zone out nairobi-a", entries, KEY, &result);
+  run_with_entries ("zone out nairobi-a", entries, KEY, &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_str_eq (result.out.ptr, "revision 13 accepted\n");
   ck_assert_uint_eq (up.revision, 13);
@@ -541,7 +541,7 @@
   fake_entry_start (&up);
   snprintf (entries, sizeof entries, "%s,%s", unresponsive.address,
             up.address);
-  run_at ("zone out nairobi-a --wait", entries, KEY, &result);
+  run_with_entries ("zone out nairobi-a --wait", entries, KEY, &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_uint_eq (up.revision, 13);
   ck_assert_int_eq (unresponsive.request_count, 1);
@@ -566,7 +566,7 @@
   buf_printf (&line,
               "zone out nairobi-a --who otieno --key-file %s --entry %s", path,
               server.address);
-  run_at (line.ptr, "127.0.0.1:1", "", &result);
+  run_with_entries (line.ptr, "127.0.0.1:1", "", &result);
   ck_assert_msg (result.code == 0, "%s", result.err.ptr);
   ck_assert_str_eq (server.author, "otieno");
   result_free (&result);
@@ -635,7 +635,8 @@
   ck_assert_int_ge (line, 0);
   fake_entry_start (&server);
   server.outdated_status_replies = 1;
-  run_err ("zone out nairobi-a --wait", server.address, KEY, line, &result);
+  run_with_stderr ("zone out nairobi-a --wait", server.address, KEY, line,
+                   &result);
   ck_assert_int_eq (result.code, 0);
   ssize_t len = read (terminal, text, sizeof text - 1);
   ck_assert_int_gt (len, 0);
