--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -182,7 +182,7 @@
   store_call_t *call = mem_zalloc (sizeof *call);
 
   call->req = req;
-  httpd_watch (req, NULL, on_operator_disconnected, call);
+  httpd_set_callbacks (req, NULL, on_operator_disconnected, call);
   return call;
 }
 
@@ -195,7 +195,7 @@
 
   free (call);
   if (req != NULL)
-    httpd_watch (req, NULL, NULL, NULL);
+    httpd_set_callbacks (req, NULL, NULL, NULL);
   return req;
 }
 
@@ -243,15 +243,15 @@
   str_t text = httpd_body (req);
   uint64_t current_revision = confstore_revision (process->conf);
   uint64_t expected = CONFSTORE_ANY;
-  str_t parameter = httpd_query_get (req, STR ("if-revision"));
-  str_t who = httpd_query_get (req, STR ("who"));
+  str_t parameter = httpd_query_param (req, STR ("if-revision"));
+  str_t who = httpd_query_param (req, STR ("who"));
 
   if (parameter.ptr != NULL && !str_to_u64 (parameter, &expected))
     reply_error (req, VH_E_BAD_REQUEST, "");
   else if (snapshot_parse (text, current_revision + 1, &snapshot, &errors)
            != VH_OK)
     reply_validation_errors (req, &errors);
-  else if (str_eq (httpd_query_get (req, STR ("dry-run")), STR ("1")))
+  else if (str_eq (httpd_query_param (req, STR ("dry-run")), STR ("1")))
     {
       if (expected != CONFSTORE_ANY && expected != current_revision)
         reply_stale_revision (req, current_revision);
@@ -304,7 +304,7 @@
     HISTORY_LIMIT_MAX = 1000
   };
   uint64_t limit = HISTORY_LIMIT_DEFAULT;
-  str_t parameter = httpd_query_get (req, STR ("limit"));
+  str_t parameter = httpd_query_param (req, STR ("limit"));
 
   if (parameter.ptr != NULL
       && (!str_to_u64 (parameter, &limit) || limit == 0
@@ -392,7 +392,7 @@
 serve_bill (process_t *process, httpd_req_t *req)
 {
   bill_report_t *report = mem_zalloc (sizeof *report);
-  str_t day = httpd_query_get (req, STR ("day"));
+  str_t day = httpd_query_param (req, STR ("day"));
   time_t now = (time_t)(clock_realtime_ms (process->clock) / 1000);
   struct tm utc;
 
@@ -411,7 +411,7 @@
 static void
 serve_burn (process_t *process, httpd_req_t *req)
 {
-  str_t format = httpd_query_get (req, STR ("format"));
+  str_t format = httpd_query_param (req, STR ("format"));
   buf_t body = BUF_NULL;
 
   if (process->entry == NULL)
