--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -80,7 +80,7 @@
   .flush_bills = callback_flush_bills,
   .on_instance_event = callback_on_instance_event,
 };
-static const sidecar_host_t process_sidecar_callbacks
+static const sidecar_callbacks_t process_sidecar_callbacks
     = { callback_apply_config_update, callback_build_config_update };
 
 /* Apply configuration TEXT of REVISION in every role of the process.  */
@@ -188,7 +188,7 @@
   if (process->entry != NULL)
     count += entry_count_unfinished_requests (process->entry);
   for (size_t i = 0; i < process->sidecar_count; i++)
-    count += sidecar_in_hand (process->sidecars[i]);
+    count += sidecar_count_unfinished (process->sidecars[i]);
   return count;
 }
 
