--- a/packages/sidecar/held.c
+++ b/packages/sidecar/held.c
@@ -1,12 +1,13 @@
-/* Bills held beside the entry that is to write them.
+/* Backup copies of bills that an entry has yet to write to the ledger.
 
-   An entry can die between an answer's last byte and its ledger's next
-   write; the bill would be lost.  The sidecar that ran the attempt holds a
-   copy until the entry says that it is written.  Once the entry has not been
-   heard for HELD_SILENCE_MS its bills are orphans, which the next entry that
-   pings takes over.  Two entries may write one bill: the ledger is a set by
-   bill id.  A writer is one life of an entry: a restarted one under the same
-   name knows nothing of its former bills.  */
+   An entry that crashes between the last byte of an answer and its next write
+   to the ledger would lose the bill.  The sidecar that ran the attempt
+   therefore keeps a copy until the entry confirms the write.  The bills of an
+   entry that has sent no message for ENTRY_DEAD_MS are orphans, which the next
+   entry that pings the sidecar adopts.  Two entries may write the same bill,
+   since the ledger is a set keyed by bill id.  An entry is identified by name
+   and epoch, because an entry that restarts under the same name has lost its
+   earlier bills.  */
 
 #include "sidecar/sidecarint.h"
 
@@ -14,49 +15,50 @@
 
 enum
 {
-  /* Bills whose entry died stand in this process alone, so this is short.
-     An idle entry may ping less often: what it then still holds itself is
-     written twice, which the ledger undoes.  */
-  HELD_SILENCE_MS = 5000,
-  HELD_MAX = 65536
+  /* Time without a message after which an entry is considered dead.  It is
+     short, since the bills of a dead entry exist in this process only.  An
+     idle entry may ping less often; its bills are then written twice, which
+     has no effect on the ledger.  */
+  ENTRY_DEAD_MS = 5000,
+  BILLS_MAX = 65536
 };
 
 typedef struct
 {
   list_t link;
-  wire_bill_t bill; /* Its texts are owned.  */
-} held_bill_t;
+  wire_bill_t bill; /* Owns its strings.  */
+} backup_bill_t;
 
-/* An entry and the bills held for it, so that a sweep looks at entries (few)
-   and not at bills (many).  */
+/* An entry and its bills.  A periodic scan visits the entries, which are few,
+   and not the bills, which are many.  */
 typedef struct
 {
-  uint64_t heard_ms;
+  uint64_t last_contact_ms;
   list_t bills;
-} writer_t;
+} entry_record_t;
 
-struct held
+struct bill_backup
 {
   clock_iface_t *clock;
-  map_t *bills;   /* By request id.  */
-  map_t *writers; /* By name.  */
+  map_t *bills;   /* By bill id.  */
+  map_t *entries; /* By NAME/EPOCH.  */
 };
 
-held_t *
-held_create (clock_iface_t *clock)
+bill_backup_t *
+bill_backup_create (clock_iface_t *clock)
 {
-  held_t *held = mem_zalloc (sizeof *held);
+  bill_backup_t *backup = mem_zalloc (sizeof *backup);
 
-  held->clock = clock;
-  held->bills = map_create ();
-  held->writers = map_create ();
-  return held;
+  backup->clock = clock;
+  backup->bills = map_create ();
+  backup->entries = map_create ();
+  return backup;
 }
 
 static void
-free_bill (held_t *held, held_bill_t *bill)
+free_bill (bill_backup_t *backup, backup_bill_t *bill)
 {
-  map_remove (held->bills, str_from (bill->bill.bill_id));
+  map_remove (backup->bills, str_from (bill->bill.bill_id));
   list_remove (&bill->link);
   free (bill->bill.bill_id);
   free (bill->bill.team);
@@ -65,48 +67,51 @@
 }
 
 void
-held_destroy (held_t *held)
+bill_backup_destroy (bill_backup_t *backup)
 {
   size_t cursor = 0;
   void *value;
 
-  if (held == NULL)
+  if (backup == NULL)
     return;
-  while (map_next (held->writers, &cursor, NULL, &value))
+  while (map_next (backup->entries, &cursor, NULL, &value))
     {
-      writer_t *writer = value;
-      while (!list_empty (&writer->bills))
-        free_bill (held, CONTAINER_OF (writer->bills.next, held_bill_t, link));
-      free (writer);
+      entry_record_t *entry = value;
+      while (!list_empty (&entry->bills))
+        free_bill (backup,
+                   CONTAINER_OF (entry->bills.next, backup_bill_t, link));
+      free (entry);
     }
-  map_destroy (held->writers);
-  map_destroy (held->bills);
-  free (held);
+  map_destroy (backup->entries);
+  map_destroy (backup->bills);
+  free (backup);
 }
 
-/* Return the record of the entry NAME, made at need.  */
-static writer_t *
-find_writer (held_t *held, str_t name)
+/* Return the record of the entry ENTRY_ID, created if there is none.  */
+static entry_record_t *
+find_or_add_entry (bill_backup_t *backup, str_t entry_id)
 {
-  writer_t *writer = map_get (held->writers, name);
+  entry_record_t *entry = map_get (backup->entries, entry_id);
 
-  if (writer == NULL)
+  if (entry == NULL)
     {
-      writer = mem_zalloc (sizeof *writer);
-      writer->heard_ms = clock_ms (held->clock);
-      list_init (&writer->bills);
-      map_put (held->writers, name, writer);
+      entry = mem_zalloc (sizeof *entry);
+      entry->last_contact_ms = clock_ms (backup->clock);
+      list_init (&entry->bills);
+      map_put (backup->entries, entry_id, entry);
     }
-  return writer;
+  return entry;
 }
 
 void
-held_heard (held_t *held, str_t name)
+bill_backup_record_contact (bill_backup_t *backup, str_t entry_id)
 {
-  find_writer (held, name)->heard_ms = clock_ms (held->clock);
+  find_or_add_entry (backup, entry_id)->last_contact_ms
+      = clock_ms (backup->clock);
 }
 
-/* The id of ATTEMPT's bill, to be freed: request ids are the teams' own.  */
+/* Return the id of ATTEMPT's bill, to be freed.  It contains the team, since
+   request ids are unique within a team only.  */
 static char *
 make_bill_id (const attempt_t *attempt)
 {
@@ -118,18 +123,18 @@
 }
 
 void
-held_add (held_t *held, const attempt_t *attempt, str_t writer,
-          uint64_t cost_micro)
+bill_backup_add (bill_backup_t *backup, const attempt_t *attempt,
+                 str_t entry_id, uint64_t cost_micro)
 {
   char *bill_id = make_bill_id (attempt);
 
-  if (map_get (held->bills, str_from (bill_id)) != NULL
-      || map_size (held->bills) >= HELD_MAX)
+  if (map_get (backup->bills, str_from (bill_id)) != NULL
+      || map_size (backup->bills) >= BILLS_MAX)
     {
       free (bill_id);
       return;
     }
-  held_bill_t *bill = mem_zalloc (sizeof *bill);
+  backup_bill_t *bill = mem_zalloc (sizeof *bill);
   bill->bill.bill_id = bill_id;
   bill->bill.team = str_dup (str_from (attempt->team));
   bill->bill.target = str_dup (str_from (attempt->target));
@@ -137,37 +142,37 @@
   bill->bill.tokens_in = attempt->tokens_in;
   bill->bill.tokens_out = attempt->tokens_out;
   bill->bill.cost_micro = (u_int)cost_micro;
-  list_append (&find_writer (held, writer)->bills, &bill->link);
-  map_put (held->bills, str_from (bill->bill.bill_id), bill);
+  list_append (&find_or_add_entry (backup, entry_id)->bills, &bill->link);
+  map_put (backup->bills, str_from (bill->bill.bill_id), bill);
 }
 
 void
-held_drop (held_t *held, str_t bill_id)
+bill_backup_remove (bill_backup_t *backup, str_t bill_id)
 {
-  held_bill_t *bill = map_get (held->bills, bill_id);
+  backup_bill_t *bill = map_get (backup->bills, bill_id);
 
   if (bill != NULL)
-    free_bill (held, bill);
+    free_bill (backup, bill);
 }
 
 static bool
-is_gone (const held_t *held, const writer_t *writer)
+is_dead (const bill_backup_t *backup, const entry_record_t *entry)
 {
-  return clock_ms (held->clock) - writer->heard_ms >= HELD_SILENCE_MS;
+  return clock_ms (backup->clock) - entry->last_contact_ms >= ENTRY_DEAD_MS;
 }
 
 size_t
-held_orphans (const held_t *held)
+bill_backup_count_orphans (const bill_backup_t *backup)
 {
   size_t cursor = 0;
   size_t count = 0;
   void *value;
 
-  while (map_next (held->writers, &cursor, NULL, &value))
+  while (map_next (backup->entries, &cursor, NULL, &value))
     {
-      const writer_t *writer = value;
-      if (is_gone (held, writer))
-        for (const list_t *at = writer->bills.next; at != &writer->bills;
+      const entry_record_t *entry = value;
+      if (is_dead (backup, entry))
+        for (const list_t *at = entry->bills.next; at != &entry->bills;
              at = at->next)
           count++;
     }
@@ -175,18 +180,18 @@
 }
 
 size_t
-held_unheard (const held_t *held, uint64_t since_ms)
+bill_backup_count_silent (const bill_backup_t *backup, uint64_t since_ms)
 {
   size_t cursor = 0;
   size_t count = 0;
   void *value;
 
-  while (map_next (held->writers, &cursor, NULL, &value))
+  while (map_next (backup->entries, &cursor, NULL, &value))
     {
-      const writer_t *writer = value;
-      if (writer->heard_ms >= since_ms)
+      const entry_record_t *entry = value;
+      if (entry->last_contact_ms >= since_ms)
         continue;
-      for (const list_t *at = writer->bills.next; at != &writer->bills;
+      for (const list_t *at = entry->bills.next; at != &entry->bills;
            at = at->next)
         count++;
     }
@@ -194,50 +199,51 @@
 }
 
 size_t
-held_take (held_t *held, str_t name, size_t most, wire_bill_t *bills)
+bill_backup_adopt (bill_backup_t *backup, str_t entry_id, size_t max_count,
+                   wire_bill_t *bills)
 {
-  writer_t *taker = find_writer (held, name);
+  entry_record_t *adopter = find_or_add_entry (backup, entry_id);
   size_t cursor = 0;
   size_t count = 0;
   void *value;
 
-  while (map_next (held->writers, &cursor, NULL, &value))
+  while (map_next (backup->entries, &cursor, NULL, &value))
     {
-      writer_t *writer = value;
-      if (writer == taker || !is_gone (held, writer))
+      entry_record_t *entry = value;
+      if (entry == adopter || !is_dead (backup, entry))
         continue;
-      LIST_EACH (at, &writer->bills)
+      LIST_EACH (at, &entry->bills)
         {
-          if (count == most)
+          if (count == max_count)
             return count;
-          bills[count++] = CONTAINER_OF (at, held_bill_t, link)->bill;
+          bills[count++] = CONTAINER_OF (at, backup_bill_t, link)->bill;
           list_remove (at);
-          list_append (&taker->bills, at);
+          list_append (&adopter->bills, at);
         }
     }
   return count;
 }
 
 void
-held_expire (held_t *held)
+bill_backup_expire (bill_backup_t *backup)
 {
   size_t cursor = 0;
-  str_t name;
+  str_t entry_id;
   void *value;
 
-  while (map_next (held->writers, &cursor, &name, &value))
+  while (map_next (backup->entries, &cursor, &entry_id, &value))
     {
-      writer_t *writer = value;
-      if (!is_gone (held, writer) || !list_empty (&writer->bills))
+      entry_record_t *entry = value;
+      if (!is_dead (backup, entry) || !list_empty (&entry->bills))
         continue;
-      map_remove (held->writers, name);
-      free (writer);
-      return; /* The map has changed; the next sweep goes on.  */
+      map_remove (backup->entries, entry_id);
+      free (entry);
+      return; /* The removal invalidates CURSOR; the next call continues.  */
     }
 }
 
 size_t
-held_count (const held_t *held)
+bill_backup_count (const bill_backup_t *backup)
 {
-  return map_size (held->bills);
+  return map_size (backup->bills);
 }
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -1,4 +1,4 @@
-/* The procedures that entries call.  */
+/* The RPC procedures that entries call.  */
 
 #include "sidecar/sidecarint.h"
 
@@ -11,14 +11,15 @@
 {
   FETCH_BYTES_MAX = 1 << 20,
   FETCH_WAIT_MAX_MS = 30000,
-  WHOLE_PIECE = 64 << 10
+  UNSTREAMED_PIECE_BYTES = 64 << 10
 };
 
 vh_code_t
-sidecar_gate (const sidecar_t *sidecar, str_t team_name, str_t target)
+sidecar_check_admission (const sidecar_t *sidecar, str_t team_name,
+                         str_t target)
 {
   const snapshot_t *snapshot = sidecar->snapshot;
-  bool served = false;
+  bool is_served = false;
 
   if (sidecar->draining)
     return VH_E_DRAINING;
@@ -27,9 +28,9 @@
       || !snapshot_instance_in (snapshot, sidecar->upstream->instance))
     return VH_E_GATE;
   for (size_t i = 0; i < sidecar->upstream->serves_count; i++)
-    served = served || str_eq (sidecar->upstream->serves[i], target);
+    is_served = is_served || str_eq (sidecar->upstream->serves[i], target);
   const team_t *team = snapshot_team (snapshot, team_name);
-  if (!served || team == NULL)
+  if (!is_served || team == NULL)
     return VH_E_GATE;
   if (sidecar->upstream->is_service)
     {
@@ -51,7 +52,8 @@
   rpc_reply (request, answer);
 }
 
-/* Answer REQUEST with CODE alone: the attempt did not and will not start.  */
+/* Reply to REQUEST with CODE and an empty answer: the attempt has not started
+   and will not start.  */
 static void
 reply_refusal (rpc_request_t *request, vh_code_t code)
 {
@@ -64,7 +66,8 @@
   reply_answer (request, &answer);
 }
 
-/* The price of ATTEMPT in millionths.  */
+/* Return the cost of ATTEMPT in millionths of the unit in which the costs of
+   versions are configured; 0 if the target is not a known version.  */
 static uint64_t
 attempt_cost (const sidecar_t *sidecar, const attempt_t *attempt)
 {
@@ -78,74 +81,79 @@
 }
 
 static void
-answer_fetcher (sidecar_t *sidecar, attempt_t *attempt, rpc_request_t *request,
+reply_to_fetch (sidecar_t *sidecar, attempt_t *attempt, rpc_request_t *request,
                 uint64_t offset, uint32_t max_bytes)
 {
   wire_header_t headers[WIRE_HEADERS_MAX];
   wire_answer_t answer;
 
-  attempt_fill (attempt, offset, max_bytes, headers, &answer);
-  uint64_t taken = answer.offset + answer.bytes.bytes_len;
-  if (taken > attempt->taken)
-    attempt->taken = taken;
-  attempt->delivered = attempt->delivered || answer.end;
+  attempt_fill_answer (attempt, offset, max_bytes, headers, &answer);
+  uint64_t fetched_bytes = answer.offset + answer.bytes.bytes_len;
+  if (fetched_bytes > attempt->fetched_bytes)
+    attempt->fetched_bytes = fetched_bytes;
+  attempt->end_delivered = attempt->end_delivered || answer.end;
   if (answer.end && attempt->code == VH_OK && attempt->status < 400
-      && !attempt->billed)
+      && !attempt->has_bill)
     {
-      attempt->billed = true;
-      held_add (sidecar->held, attempt, str_from (attempt->writer),
-                attempt_cost (sidecar, attempt));
+      attempt->has_bill = true;
+      bill_backup_add (sidecar->bill_backup, attempt,
+                       str_from (attempt->entry_id),
+                       attempt_cost (sidecar, attempt));
     }
   reply_answer (request, &answer);
-  sidecar_unpause (sidecar, attempt);
+  sidecar_resume_reading (sidecar, attempt);
 }
 
-/* An answer that is not streamed to its caller is handed over whole, or in
-   large pieces: its bytes and its end then take one reply, not two.  */
+/* Return whether a fetch from OFFSET can be answered now.  An answer that is
+   not a stream is sent whole or in large pieces, so that its bytes and its end
+   take one reply instead of two.  */
 static bool
-has_news (const attempt_t *attempt, uint64_t offset)
+is_fetch_ready (const attempt_t *attempt, uint64_t offset)
 {
-  uint64_t least = attempt->stream ? 1 : WHOLE_PIECE;
+  uint64_t bytes_needed = attempt->stream ? 1 : UNSTREAMED_PIECE_BYTES;
 
-  return attempt->answer.len >= offset + least
+  return attempt->answer.len >= offset + bytes_needed
          || attempt->state == ATTEMPT_DONE || attempt->state == ATTEMPT_FENCED;
 }
 
 static void
-answer_and_free (sidecar_t *sidecar, attempt_t *attempt, fetcher_t *fetcher)
+finish_pending_fetch (sidecar_t *sidecar, attempt_t *attempt,
+                      pending_fetch_t *pending)
 {
-  list_remove (&fetcher->link);
-  answer_fetcher (sidecar, attempt, fetcher->request, fetcher->offset,
-                  fetcher->max_bytes);
-  free (fetcher);
+  list_remove (&pending->link);
+  reply_to_fetch (sidecar, attempt, pending->request, pending->offset,
+                  pending->max_bytes);
+  free (pending);
 }
 
 void
-sidecar_wake (sidecar_t *sidecar, attempt_t *attempt)
+sidecar_answer_fetches (sidecar_t *sidecar, attempt_t *attempt)
 {
-  LIST_EACH (at, &attempt->fetchers)
+  LIST_EACH (at, &attempt->pending_fetches)
     {
-      fetcher_t *fetcher = CONTAINER_OF (at, fetcher_t, link);
-      if (has_news (attempt, fetcher->offset))
-        answer_and_free (sidecar, attempt, fetcher);
+      pending_fetch_t *pending = CONTAINER_OF (at, pending_fetch_t, link);
+      if (is_fetch_ready (attempt, pending->offset))
+        finish_pending_fetch (sidecar, attempt, pending);
     }
 }
 
 void
-sidecar_wake_late (sidecar_t *sidecar, attempt_t *attempt, uint64_t now_ms)
+sidecar_answer_expired_fetches (sidecar_t *sidecar, attempt_t *attempt,
+                                uint64_t now_ms)
 {
-  LIST_EACH (at, &attempt->fetchers)
+  LIST_EACH (at, &attempt->pending_fetches)
     {
-      fetcher_t *fetcher = CONTAINER_OF (at, fetcher_t, link);
-      if (now_ms >= fetcher->until_ms)
-        answer_and_free (sidecar, attempt, fetcher);
+      pending_fetch_t *pending = CONTAINER_OF (at, pending_fetch_t, link);
+      if (now_ms >= pending->timeout_at_ms)
+        finish_pending_fetch (sidecar, attempt, pending);
     }
 }
 
-/* Answer now, or when there is news past OFFSET, or after WAIT_MS.  */
+/* Reply to REQUEST now if the answer has enough bytes after the offset in
+   ARGS, else as soon as it has them or after the wait time in ARGS.  */
 static void
-fetch (sidecar_t *sidecar, attempt_t *attempt, rpc_request_t *request,
-       const wire_fetch_args_t *args)
+start_fetch (sidecar_t *sidecar, attempt_t *attempt, rpc_request_t *request,
+             const wire_fetch_args_t *args)
 {
   uint32_t max_bytes = args->max_bytes < FETCH_BYTES_MAX
                            ? args->max_bytes
@@ -154,30 +162,30 @@
                          ? args->wait_ms
                          : (uint32_t)FETCH_WAIT_MAX_MS;
 
-  attempt->touched_ms = clock_ms (sidecar->clock);
-  /* The bill is held for the entry that asks, which is not the sender of
-     whatever message comes last before the answer's end.  */
-  if (attempt->writer == NULL
-      || strcmp (attempt->writer, sidecar->caller) != 0)
+  attempt->last_fetch_ms = clock_ms (sidecar->clock);
+  /* The bill belongs to the entry that fetches the answer.  The sender of the
+     last message before the answer's end may be another one.  */
+  if (attempt->entry_id == NULL
+      || strcmp (attempt->entry_id, sidecar->caller_id) != 0)
     {
-      free (attempt->writer);
-      attempt->writer = str_dup (str_from (sidecar->caller));
+      free (attempt->entry_id);
+      attempt->entry_id = str_dup (str_from (sidecar->caller_id));
     }
-  if (wait_ms == 0 || has_news (attempt, args->offset))
+  if (wait_ms == 0 || is_fetch_ready (attempt, args->offset))
     {
-      answer_fetcher (sidecar, attempt, request, args->offset, max_bytes);
+      reply_to_fetch (sidecar, attempt, request, args->offset, max_bytes);
       return;
     }
-  fetcher_t *fetcher = mem_zalloc (sizeof *fetcher);
-  fetcher->request = request;
-  fetcher->offset = args->offset;
-  fetcher->max_bytes = max_bytes;
-  fetcher->until_ms = attempt->touched_ms + wait_ms;
-  list_append (&attempt->fetchers, &fetcher->link);
+  pending_fetch_t *pending = mem_zalloc (sizeof *pending);
+  pending->request = request;
+  pending->offset = args->offset;
+  pending->max_bytes = max_bytes;
+  pending->timeout_at_ms = attempt->last_fetch_ms + wait_ms;
+  list_append (&attempt->pending_fetches, &pending->link);
 }
 
 void
-sidecar_refuse (sidecar_t *sidecar, attempt_t *attempt, vh_code_t code)
+sidecar_reject_attempt (sidecar_t *sidecar, attempt_t *attempt, vh_code_t code)
 {
   attempt->state = ATTEMPT_DONE;
   attempt->code = code;
@@ -188,13 +196,15 @@
                      / 1000);
   attempts_end (sidecar->attempts, attempt);
   counter_add (sidecar->counters.refused, 1);
-  sidecar_wake (sidecar, attempt);
+  sidecar_answer_fetches (sidecar, attempt);
 }
 
-/* Tell whether an attempt that is here already stands for the request in
-   ARGS: it runs, has answered, or may have run and may not be repeated.  */
+/* Return whether the request in ARGS is to share ATTEMPT, an earlier attempt
+   under the same request id, instead of starting a new one.  That is so if
+   ATTEMPT is queued or running, has succeeded, or may have been executed and
+   the request is not idempotent.  */
 static bool
-stands_for (const attempt_t *attempt, const wire_submit_args_t *args)
+can_share (const attempt_t *attempt, const wire_submit_args_t *args)
 {
   if (attempt->state == ATTEMPT_FENCED)
     return false;
@@ -206,8 +216,8 @@
 }
 
 static void
-enqueue (sidecar_t *sidecar, attempt_t *attempt,
-         const wire_submit_args_t *args)
+enqueue_attempt (sidecar_t *sidecar, attempt_t *attempt,
+                 const wire_submit_args_t *args)
 {
   static const queue_priority_t priorities[]
       = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
@@ -225,11 +235,11 @@
   vh_code_t code
       = queue_push (sidecar->queue, &attempt->waiter, &job, &evicted);
   if (evicted != NULL)
-    sidecar_refuse (sidecar, CONTAINER_OF (evicted, attempt_t, waiter),
-                    VH_E_FULL);
+    sidecar_reject_attempt (sidecar, CONTAINER_OF (evicted, attempt_t, waiter),
+                            VH_E_FULL);
   if (code != VH_OK)
-    sidecar_refuse (sidecar, attempt, code);
-  sidecar_pump (sidecar);
+    sidecar_reject_attempt (sidecar, attempt, code);
+  sidecar_dispatch (sidecar);
 }
 
 static void
@@ -237,13 +247,13 @@
               wire_submit_args_t *args)
 {
   str_t id = str_from (args->attempt);
-  wire_fetch_args_t first = { .attempt = args->attempt,
-                              .max_bytes = args->max_bytes,
-                              .wait_ms = args->wait_ms };
+  wire_fetch_args_t first_fetch = { .attempt = args->attempt,
+                                    .max_bytes = args->max_bytes,
+                                    .wait_ms = args->wait_ms };
 
   counter_add (sidecar->counters.submitted, 1);
-  /* Sent to a process that is no more: it may have started the attempt, and
-     this one cannot know.  */
+  /* The call was meant for an earlier sidecar process, which may have started
+     the attempt; this process has no record of it.  */
   if (args->epoch != 0 && args->epoch != rpc_node_epoch (sidecar->node))
     {
       reply_refusal (request, VH_E_NO_ATTEMPT);
@@ -252,13 +262,13 @@
   attempt_t *attempt = attempts_find (sidecar->attempts, id);
   if (attempt != NULL)
     {
-      /* The same call on a fresh connection.  */
-      fetch (sidecar, attempt, request, &first);
+      /* The entry repeated the call on a new connection.  */
+      start_fetch (sidecar, attempt, request, &first_fetch);
       return;
     }
   attempt = attempts_find_request (sidecar->attempts, str_from (args->team),
                                    str_from (args->request_id));
-  if (attempt != NULL && stands_for (attempt, args))
+  if (attempt != NULL && can_share (attempt, args))
     {
       if (attempt->request_digest != args->digest)
         {
@@ -266,21 +276,21 @@
           return;
         }
       counter_add (sidecar->counters.joined, 1);
-      attempts_alias (sidecar->attempts, id, attempt);
-      fetch (sidecar, attempt, request, &first);
+      attempts_add_alias (sidecar->attempts, id, attempt);
+      start_fetch (sidecar, attempt, request, &first_fetch);
       return;
     }
-  vh_code_t code
-      = sidecar_gate (sidecar, str_from (args->team), str_from (args->target));
+  vh_code_t code = sidecar_check_admission (sidecar, str_from (args->team),
+                                            str_from (args->target));
   if (code != VH_OK)
     {
-      counter_add (sidecar->counters.gated, 1);
+      counter_add (sidecar->counters.not_admitted, 1);
       reply_refusal (request, code);
       return;
     }
   attempt = attempts_add (sidecar->attempts, args);
-  enqueue (sidecar, attempt, args);
-  fetch (sidecar, attempt, request, &first);
+  enqueue_attempt (sidecar, attempt, args);
+  start_fetch (sidecar, attempt, request, &first_fetch);
 }
 
 static void
@@ -293,7 +303,7 @@
   if (attempt == NULL)
     reply_refusal (request, VH_E_NO_ATTEMPT);
   else
-    fetch (sidecar, attempt, request, args);
+    start_fetch (sidecar, attempt, request, args);
 }
 
 static void
@@ -316,20 +326,21 @@
       reply_code (request, VH_E_NO_ATTEMPT);
       return;
     }
-  /* Others may have joined it, and what may not be repeated runs to its end
-     for the record.  */
-  bool alone = attempt->refs == 1;
-  if (attempt->state == ATTEMPT_QUEUED && alone)
+  /* An attempt that other requests share continues.  So does a running one
+     that is not idempotent, since its outcome must be recorded.  */
+  bool is_unshared = attempt->id_count == 1;
+  if (attempt->state == ATTEMPT_QUEUED && is_unshared)
     {
       queue_cancel (sidecar->queue, &attempt->waiter);
-      sidecar_refuse (sidecar, attempt, VH_E_CANCELLED);
+      sidecar_reject_attempt (sidecar, attempt, VH_E_CANCELLED);
       counter_add (sidecar->counters.cancelled, 1);
     }
-  else if (attempt->state == ATTEMPT_RUNNING && alone && attempt->idempotent)
+  else if (attempt->state == ATTEMPT_RUNNING && is_unshared
+           && attempt->idempotent)
     {
-      sidecar_stop_call (sidecar, attempt, VH_E_CANCELLED);
+      sidecar_abort_call (sidecar, attempt, VH_E_CANCELLED);
       counter_add (sidecar->counters.cancelled, 1);
-      sidecar_pump (sidecar);
+      sidecar_dispatch (sidecar);
     }
   reply_code (request, VH_OK);
 }
@@ -349,13 +360,13 @@
     }
   if (attempt == NULL)
     {
-      /* The SUBMIT may still be on its way: it will find the fence.  */
-      attempts_fence (sidecar->attempts, id);
+      /* The SUBMIT may arrive later; the fence will stop it.  */
+      attempts_add_fenced (sidecar->attempts, id);
     }
   else if (attempt->state == ATTEMPT_QUEUED)
     {
       queue_cancel (sidecar->queue, &attempt->waiter);
-      sidecar_refuse (sidecar, attempt, VH_E_FENCED);
+      sidecar_reject_attempt (sidecar, attempt, VH_E_FENCED);
     }
   else if (attempt->started)
     code = VH_E_STARTED;
@@ -368,10 +379,10 @@
 serve_recall (sidecar_t *sidecar, rpc_request_t *request,
               wire_recall_args_t *args)
 {
-  char nothing[] = "";
+  char empty[] = "";
   attempt_t *attempt = attempts_find_request (
       sidecar->attempts, str_from (args->team), str_from (args->request_id));
-  wire_recall_res_t result = { .code = VH_E_NO_ATTEMPT, .attempt = nothing };
+  wire_recall_res_t result = { .code = VH_E_NO_ATTEMPT, .attempt = empty };
 
   if (attempt != NULL)
     {
@@ -390,17 +401,17 @@
   char **serves = mem_zalloc ((upstream->serves_count + 1) * sizeof *serves);
   char *instance = str_dup (upstream->instance);
   char *zone = str_dup (sidecar->options.settings->zone);
-  size_t suspects = sidecar->suspect_count < SUSPECTS_KEPT
-                        ? sidecar->suspect_count
-                        : (size_t)SUSPECTS_KEPT;
+  size_t suspects = sidecar->suspects_recorded < RECENT_SUSPECTS_MAX
+                        ? sidecar->suspects_recorded
+                        : (size_t)RECENT_SUSPECTS_MAX;
   wire_ping_res_t result
       = { .sequence = args->sequence,
           .instance = instance,
           .zone = zone,
           .is_service = upstream->is_service,
           .features = upstream->features,
-          .started_ms = sidecar->started_ms,
-          .orphans = (u_int)held_orphans (sidecar->held),
+          .started_ms = sidecar->started_real_ms,
+          .orphans = (u_int)bill_backup_count_orphans (sidecar->bill_backup),
           .serves = { (u_int)upstream->serves_count, serves },
           .suspects = { (u_int)suspects, sidecar->suspects } };
 
@@ -444,7 +455,8 @@
                   const wire_bills_drop_args_t *args)
 {
   for (u_int i = 0; i < args->bill_ids.bill_ids_len; i++)
-    held_drop (sidecar->held, str_from (args->bill_ids.bill_ids_val[i]));
+    bill_backup_remove (sidecar->bill_backup,
+                        str_from (args->bill_ids.bill_ids_val[i]));
   reply_code (request, VH_OK);
 }
 
@@ -453,11 +465,12 @@
                   const wire_bills_take_args_t *args)
 {
   wire_bills_take_res_t result;
-  size_t most = args->most < WIRE_BILLS_MAX ? args->most : WIRE_BILLS_MAX;
+  size_t max_count = args->most < WIRE_BILLS_MAX ? args->most : WIRE_BILLS_MAX;
 
-  result.bills.bills_val = mem_zalloc ((most + 1) * sizeof (wire_bill_t));
-  result.bills.bills_len = (u_int)held_take (
-      sidecar->held, str_from (sidecar->caller), most, result.bills.bills_val);
+  result.bills.bills_val = mem_zalloc ((max_count + 1) * sizeof (wire_bill_t));
+  result.bills.bills_len = (u_int)bill_backup_adopt (
+      sidecar->bill_backup, str_from (sidecar->caller_id), max_count,
+      result.bills.bills_val);
   rpc_reply (request, &result);
   free (result.bills.bills_val);
 }
@@ -471,15 +484,15 @@
   reply_code (arg, code);
 }
 
-/* Pass an order to the engine.  Engines that ignore fencing numbers get all
-   their orders through here, so that one from a holder whose lease passed on
-   is stopped for them.  */
+/* Forward an order to the engine unless its fencing number is stale.  The
+   check protects engines that ignore fencing numbers from orders of a former
+   lease holder.  */
 static void
 serve_order (sidecar_t *sidecar, rpc_request_t *request,
              const wire_order_args_t *args)
 {
   str_t subject = str_from (args->subject);
-  uint64_t *highest = map_get (sidecar->fences, subject);
+  uint64_t *highest = map_get (sidecar->fence_by_subject, subject);
 
   if ((sidecar->upstream->features & FEATURE_ORDERS) == 0)
     {
@@ -494,7 +507,7 @@
   if (highest == NULL)
     {
       highest = mem_alloc (sizeof *highest);
-      map_put (sidecar->fences, subject, highest);
+      map_put (sidecar->fence_by_subject, subject, highest);
     }
   *highest = args->fence;
   buf_t body = BUF_NULL;
@@ -511,8 +524,8 @@
                                   .header_count = 1,
                                   .body = buf_str (&body),
                                   .timeout_ms = 10000 };
-  httpc_fetch (sidecar->http, &order, ANSWER_AHEAD_MAX, on_order_done,
-               request);
+  httpc_fetch (sidecar->http_client, &order, ANSWER_UNFETCHED_BYTES_MAX,
+               on_order_done, request);
   buf_free (&body);
 }
 
@@ -530,7 +543,8 @@
 }
 
 void
-sidecar_serve (void *arg, rpc_request_t *request, uint32_t proc, void *args)
+sidecar_handle_rpc (void *arg, rpc_request_t *request, uint32_t proc,
+                    void *args)
 {
   sidecar_t *sidecar = arg;
 
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -6,9 +6,9 @@
 
 enum
 {
-  TICK_MS = 25,
-  KEEP_DEFAULT_MS = 300000,
-  UPSTREAM_CONNECTIONS = 256
+  MAINTENANCE_INTERVAL_MS = 25,
+  ANSWER_KEEP_DEFAULT_MS = 300000,
+  UPSTREAM_IDLE_CONNECTIONS_MAX = 256
 };
 
 static void
@@ -24,66 +24,68 @@
   load->limit = limit_slots (sidecar->limit);
   load->queued = queue_waiting (sidecar->queue);
   load->wait_ms = (u_int)(queue_wait_us (sidecar->queue, STR (""), 1) / 1000);
-  load->latency_us = (u_int)sidecar->first_byte_us;
-  load->deaths = sidecar->deaths;
+  load->latency_us = (u_int)sidecar->mean_first_byte_us;
+  load->deaths = sidecar->crash_count;
   load->warming = limit_warming (sidecar->limit);
 }
 
 static void
-see_context (void *arg, rpc_peer_t *peer, const wire_context_t *context)
+record_caller (void *arg, rpc_peer_t *peer, const wire_context_t *context)
 {
   sidecar_t *sidecar = arg;
 
   (void)peer;
-  if (sidecar->caller_epoch != context->epoch || sidecar->caller == NULL)
+  if (sidecar->caller_epoch != context->epoch || sidecar->caller_id == NULL)
     {
       buf_t name = BUF_NULL;
       buf_printf (&name, "%s/%llx", context->name,
                   (unsigned long long)context->epoch);
       buf_append_char (&name, '\0');
-      free (sidecar->caller);
-      sidecar->caller = name.ptr;
+      free (sidecar->caller_id);
+      sidecar->caller_id = name.ptr;
       sidecar->caller_epoch = context->epoch;
     }
-  held_heard (sidecar->held, str_from (sidecar->caller));
+  bill_backup_record_contact (sidecar->bill_backup,
+                              str_from (sidecar->caller_id));
 }
 
-static const rpc_hooks_t hooks = { fill_context, see_context };
+static const rpc_hooks_t rpc_hooks = { fill_context, record_caller };
 
-/* Tell whether nobody waits for ATTEMPT any more.  */
+/* Return whether ATTEMPT may be cancelled because no entry has fetched its
+   answer for ABANDONED_ATTEMPT_MS.  */
 static bool
-is_orphan (const attempt_t *attempt, uint64_t now_ms)
+is_abandoned (const attempt_t *attempt, uint64_t now_ms)
 {
-  return attempt->idempotent && list_empty (&attempt->fetchers)
-         && now_ms - attempt->touched_ms >= ORPHAN_MS;
+  return attempt->idempotent && list_empty (&attempt->pending_fetches)
+         && now_ms - attempt->last_fetch_ms >= ABANDONED_ATTEMPT_MS;
 }
 
 static void
-check_attempt (sidecar_t *sidecar, attempt_t *attempt, uint64_t now_ms)
+maintain_attempt (sidecar_t *sidecar, attempt_t *attempt, uint64_t now_ms)
 {
-  sidecar_wake_late (sidecar, attempt, now_ms);
-  if (!is_orphan (attempt, now_ms))
+  sidecar_answer_expired_fetches (sidecar, attempt, now_ms);
+  if (!is_abandoned (attempt, now_ms))
     return;
   if (attempt->state == ATTEMPT_QUEUED)
     {
       queue_cancel (sidecar->queue, &attempt->waiter);
-      sidecar_refuse (sidecar, attempt, VH_E_CANCELLED);
+      sidecar_reject_attempt (sidecar, attempt, VH_E_CANCELLED);
     }
   else if (attempt->state == ATTEMPT_RUNNING)
-    sidecar_stop_call (sidecar, attempt, VH_E_CANCELLED);
+    sidecar_abort_call (sidecar, attempt, VH_E_CANCELLED);
 }
 
 static void
-on_tick (uv_timer_t *timer)
+on_maintenance_timer (uv_timer_t *timer)
 {
   sidecar_t *sidecar = timer->data;
   uint64_t now_ms = clock_ms (sidecar->clock);
 
-  LIST_EACH (at, attempts_live (sidecar->attempts))
-    check_attempt (sidecar, CONTAINER_OF (at, attempt_t, link), now_ms);
+  LIST_EACH (at, attempts_active (sidecar->attempts))
+    maintain_attempt (sidecar, CONTAINER_OF (at, attempt_t, link), now_ms);
   attempts_expire (sidecar->attempts);
-  held_expire (sidecar->held);
-  sidecar_pump (sidecar);
+  bill_backup_expire (sidecar->bill_backup);
+  sidecar_dispatch (sidecar);
 }
 
 static void
@@ -120,12 +122,14 @@
   sidecar->clock = options->clock;
   sidecar->upstream = upstream;
   sidecar->rng = rng_make (options->seed);
-  sidecar->started_ms = clock_realtime_ms (options->clock);
-  sidecar->http
-      = httpc_create (options->loop, upstream->upstream, UPSTREAM_CONNECTIONS);
-  if (sidecar->http == NULL)
+  sidecar->started_real_ms = clock_realtime_ms (options->clock);
+  sidecar->http_client = httpc_create (options->loop, upstream->upstream,
+                                       UPSTREAM_IDLE_CONNECTIONS_MAX);
+  if (sidecar->http_client == NULL)
     {
-      log_err ("sidecar", "The upstream's address is not valid. address=%.*s",
+      log_err ("sidecar",
+               "The upstream's address is not valid; the sidecar does not "
+               "start. address=%.*s",
                STR_ARG (upstream->upstream));
       free (sidecar);
       return VH_E_IO;
@@ -133,24 +137,25 @@
   sidecar->attempts = attempts_create (options->clock,
                                        upstream->answer_keep_ms > 0
                                            ? upstream->answer_keep_ms
-                                           : (uint64_t)KEEP_DEFAULT_MS,
+                                           : (uint64_t)ANSWER_KEEP_DEFAULT_MS,
                                        upstream->answer_bytes);
   sidecar->limit = limit_create (&limit, options->clock);
   sidecar->queue = queue_create (&queue, options->clock);
-  sidecar->held = held_create (options->clock);
-  sidecar->fences = map_create ();
+  sidecar->bill_backup = bill_backup_create (options->clock);
+  sidecar->fence_by_subject = map_create ();
   make_counters (sidecar);
   sidecar->node = rpc_node_create (
       options->loop, options->clock, rng_make (rng_u64 (&sidecar->rng)),
       upstream->instance, options->settings->rpc_keys,
-      options->settings->rpc_keys_count, &hooks, sidecar);
-  uv_timer_init (options->loop, &sidecar->tick);
-  sidecar->tick.data = sidecar;
-  uv_timer_start (&sidecar->tick, on_tick, TICK_MS, TICK_MS);
-  uv_timer_init (options->loop, &sidecar->lapse);
-  sidecar->lapse.data = sidecar;
-  code = rpc_server_create (sidecar->node, upstream->listen, sidecar_serve,
-                            sidecar, &sidecar->server);
+      options->settings->rpc_keys_count, &rpc_hooks, sidecar);
+  uv_timer_init (options->loop, &sidecar->maintenance_timer);
+  sidecar->maintenance_timer.data = sidecar;
+  uv_timer_start (&sidecar->maintenance_timer, on_maintenance_timer,
+                  MAINTENANCE_INTERVAL_MS, MAINTENANCE_INTERVAL_MS);
+  uv_timer_init (options->loop, &sidecar->expiry_timer);
+  sidecar->expiry_timer.data = sidecar;
+  code = rpc_server_create (sidecar->node, upstream->listen,
+                            sidecar_handle_rpc, sidecar, &sidecar->server);
   if (code != VH_OK)
     {
       sidecar_destroy (sidecar);
@@ -176,77 +181,80 @@
 sidecar_drain (sidecar_t *sidecar)
 {
   sidecar->draining = true;
-  sidecar->drain_ms = clock_ms (sidecar->clock);
+  sidecar->drain_started_ms = clock_ms (sidecar->clock);
 }
 
-/* Bills that would be lost if this process ended now, as far as it can know.
-   An entry may have died just before the stop: only one that was heard since
-   the stop began is sure to hold its bills itself.  */
+/* Return the number of bills that may be lost if this process stops now.
+   During a drain an entry may have crashed just before the drain began: only
+   an entry that has sent a message since then is known to have its bills.  */
 static size_t
-held_left (const sidecar_t *sidecar)
+count_bills_at_risk (const sidecar_t *sidecar)
 {
-  return sidecar->draining ? held_unheard (sidecar->held, sidecar->drain_ms)
-                           : held_orphans (sidecar->held);
+  return sidecar->draining ? bill_backup_count_silent (
+             sidecar->bill_backup, sidecar->drain_started_ms)
+                           : bill_backup_count_orphans (sidecar->bill_backup);
 }
 
 size_t
 sidecar_in_hand (const sidecar_t *sidecar)
 {
-  return sidecar->running + queue_waiting (sidecar->queue)
-         + attempts_undelivered (sidecar->attempts) + held_left (sidecar);
+  return sidecar->running_count + queue_waiting (sidecar->queue)
+         + attempts_count_undelivered (sidecar->attempts)
+         + count_bills_at_risk (sidecar);
 }
 
 bool
 sidecar_idle (const sidecar_t *sidecar)
 {
-  return list_empty (attempts_live (sidecar->attempts));
+  return list_empty (attempts_active (sidecar->attempts));
 }
 
 static void
-on_tick_closed (uv_handle_t *handle)
+on_maintenance_timer_closed (uv_handle_t *handle)
 {
   sidecar_t *sidecar = handle->data;
   size_t cursor = 0;
   void *fence;
 
-  while (map_next (sidecar->fences, &cursor, NULL, &fence))
+  while (map_next (sidecar->fence_by_subject, &cursor, NULL, &fence))
     free (fence);
-  map_destroy (sidecar->fences);
+  map_destroy (sidecar->fence_by_subject);
   attempts_destroy (sidecar->attempts);
   queue_destroy (sidecar->queue);
   limit_destroy (sidecar->limit);
-  held_destroy (sidecar->held);
+  bill_backup_destroy (sidecar->bill_backup);
   snapshot_unref (sidecar->snapshot);
-  free (sidecar->caller);
+  free (sidecar->caller_id);
   free (sidecar);
 }
 
 static void
-on_lapse_closed (uv_handle_t *handle)
+on_expiry_timer_closed (uv_handle_t *handle)
 {
   sidecar_t *sidecar = handle->data;
 
-  uv_close ((uv_handle_t *)&sidecar->tick, on_tick_closed);
+  uv_close ((uv_handle_t *)&sidecar->maintenance_timer,
+            on_maintenance_timer_closed);
 }
 
 void
 sidecar_destroy (sidecar_t *sidecar)
 {
-  if (sidecar == NULL || sidecar->destroyed)
+  if (sidecar == NULL || sidecar->is_destroyed)
     return;
-  sidecar->destroyed = true;
-  LIST_EACH (at, attempts_live (sidecar->attempts))
+  sidecar->is_destroyed = true;
+  LIST_EACH (at, attempts_active (sidecar->attempts))
     {
       attempt_t *attempt = CONTAINER_OF (at, attempt_t, link);
       if (attempt->state == ATTEMPT_RUNNING)
-        sidecar_stop_call (sidecar, attempt, VH_E_CANCELLED);
+        sidecar_abort_call (sidecar, attempt, VH_E_CANCELLED);
       else
-        sidecar_refuse (sidecar, attempt, VH_E_CANCELLED);
+        sidecar_reject_attempt (sidecar, attempt, VH_E_CANCELLED);
     }
   rpc_server_destroy (sidecar->server);
   rpc_node_destroy (sidecar->node);
-  httpc_destroy (sidecar->http);
-  uv_close ((uv_handle_t *)&sidecar->lapse, on_lapse_closed);
+  httpc_destroy (sidecar->http_client);
+  uv_close ((uv_handle_t *)&sidecar->expiry_timer, on_expiry_timer_closed);
 }
 
 uint64_t
@@ -255,22 +263,24 @@
   return sidecar->snapshot != NULL ? snapshot_revision (sidecar->snapshot) : 0;
 }
 
-/* Refuse what waits and may no longer run: withdrawn, out, not allowed.  */
+/* Reject the queued attempts that the new configuration no longer admits: the
+   version is withdrawn, the zone or the instance is out of service, or the
+   team has lost its access.  */
 static void
-gate_waiting (sidecar_t *sidecar)
+reject_not_admitted (sidecar_t *sidecar)
 {
-  LIST_EACH (at, attempts_live (sidecar->attempts))
+  LIST_EACH (at, attempts_active (sidecar->attempts))
     {
       attempt_t *attempt = CONTAINER_OF (at, attempt_t, link);
       if (attempt->state != ATTEMPT_QUEUED || sidecar->draining)
         continue;
-      vh_code_t code = sidecar_gate (sidecar, str_from (attempt->team),
-                                     str_from (attempt->target));
+      vh_code_t code = sidecar_check_admission (
+          sidecar, str_from (attempt->team), str_from (attempt->target));
       if (code == VH_OK)
         continue;
       queue_cancel (sidecar->queue, &attempt->waiter);
-      counter_add (sidecar->counters.gated, 1);
-      sidecar_refuse (sidecar, attempt, code);
+      counter_add (sidecar->counters.not_admitted, 1);
+      sidecar_reject_attempt (sidecar, attempt, code);
     }
 }
 
@@ -286,13 +296,15 @@
   conf_errors_free (&errors);
   if (code != VH_OK)
     {
-      log_err ("sidecar", "A pushed configuration has errors. revision=%llu",
+      log_err ("sidecar",
+               "The received configuration has errors and is ignored. "
+               "revision=%llu",
                (unsigned long long)revision);
       return code;
     }
   snapshot_unref (sidecar->snapshot);
   sidecar->snapshot = snapshot;
-  gate_waiting (sidecar);
+  reject_not_admitted (sidecar);
   return VH_OK;
 }
 
@@ -310,7 +322,7 @@
               limit_in_flight (sidecar->limit), limit_slots (sidecar->limit),
               queue_waiting (sidecar->queue),
               limit_warming (sidecar->limit) ? "true" : "false",
-              sidecar->deaths, attempts_count (sidecar->attempts),
+              sidecar->crash_count, attempts_count (sidecar->attempts),
               (unsigned long long)attempts_bytes (sidecar->attempts),
-              held_count (sidecar->held));
+              bill_backup_count (sidecar->bill_backup));
 }
--- a/packages/sidecar/sidecar.h
+++ b/packages/sidecar/sidecar.h
@@ -1,9 +1,10 @@
-/* The sidecar: the only door to one upstream instance.
+/* The sidecar: the only process that sends requests to one upstream instance.
 
-   All entries meet here, so what must happen once or in bounded number at
-   this upstream needs no agreement: the gate, the limit and the queue are
-   exact, a duplicate is seen where it would run, and all orders to the engine
-   come from one process that checks their fencing numbers.  */
+   All entries reach the upstream through its sidecar, so limits that hold for
+   the whole upstream need no agreement between processes: admission, the
+   concurrency limit and the queue are exact, a duplicate request is detected
+   where it would run, and all orders to the engine come from one process,
+   which checks their fencing numbers.  */
 
 #ifndef SIDECAR_SIDECAR_H
 #define SIDECAR_SIDECAR_H
@@ -16,14 +17,19 @@
 
 typedef struct sidecar sidecar_t;
 
-/* What the process around the sidecar does for it; see entry_host_t.  */
+/* Callbacks of the process that runs the sidecar.  */
 typedef struct
 {
+  /* Apply a configuration update from another process.  Return VH_OK, or
+     VH_E_STALE_REVISION when the update starts after the revision in force
+     in this process.  */
   vh_code_t (*learn) (void *arg, str_t update);
+  /* Append to UPDATE the changes of the configuration since revision HAVE;
+     return false when there are none.  */
   bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
 } sidecar_host_t;
 
-/* Everything is borrowed and must outlive the sidecar.  */
+/* All pointers are borrowed and must outlive the sidecar.  */
 typedef struct
 {
   uv_loop_t *loop;
@@ -33,26 +39,28 @@
   const upstream_settings_t *upstream;
   uint64_t seed;
   const sidecar_host_t *host;
-  void *arg;
+  void *arg; /* First argument of the callbacks in HOST.  */
 } sidecar_options_t;
 
-/* Listen and serve.  Return VH_OK and *OUT, or VH_E_IO.  */
+/* Create a sidecar that listens and serves RPCs.  Return VH_OK and the
+   sidecar in *OUT, or VH_E_IO.  */
 vh_code_t sidecar_create (const sidecar_options_t *options, sidecar_t **out);
 uint16_t sidecar_port (const sidecar_t *sidecar);
-/* Take no new work; what is in hand goes on.  */
+/* Reject new attempts from now on; queued and running ones continue.  */
 void sidecar_drain (sidecar_t *sidecar);
-/* Tell whether nothing is in hand: no attempt runs or waits, and every
-   answer was taken.  */
+/* Return whether no attempt is queued or running.  */
 bool sidecar_idle (const sidecar_t *sidecar);
-/* Number of attempts running or waiting.  */
+/* Return the number of running and queued attempts, of recent answers whose
+   end no entry has fetched, and of held bills that would be lost if the
+   process stopped now.  */
 size_t sidecar_in_hand (const sidecar_t *sidecar);
 void sidecar_destroy (sidecar_t *sidecar);
 rpc_node_t *sidecar_node (sidecar_t *sidecar);
 uint64_t sidecar_revision (const sidecar_t *sidecar);
 /* Append the status as a JSON object.  */
 void sidecar_status (const sidecar_t *sidecar, buf_t *out);
-/* Put TEXT in force as REVISION unless a later one is.  Return VH_OK or
-   VH_E_BAD_CONFIG.  */
+/* Put the configuration TEXT in force as REVISION, unless the revision in
+   force is the same or later.  Return VH_OK or VH_E_BAD_CONFIG.  */
 vh_code_t sidecar_configure (sidecar_t *sidecar, uint64_t revision,
                              str_t text);
 
--- a/packages/sidecar/sidecarint.h
+++ b/packages/sidecar/sidecarint.h
@@ -1,5 +1,6 @@
-/* Shared by the sidecar's sources alone: sidecar.c (the task), serve.c (the
-   procedures), upstream.c (calls to the upstream) and held.c (bills).  */
+/* Private declarations of the sidecar: sidecar.c (life cycle and timers),
+   serve.c (RPC procedures), upstream.c (calls to the upstream) and
+   held.c (bills not yet in the ledger).  */
 
 #ifndef SIDECAR_SIDECARINT_H
 #define SIDECAR_SIDECARINT_H
@@ -12,19 +13,19 @@
 
 enum
 {
-  /* Bytes of an answer that may wait untaken before the upstream is held
-     back.  */
-  ANSWER_AHEAD_MAX = 256 << 10,
-  /* An idempotent attempt whose entry asked for nothing this long has nobody
-     to answer to.  */
-  ORPHAN_MS = 15000,
-  ANSWER_MAX = 32 << 20,
-  SUSPECTS_KEPT = 64
+  /* Number of received but not yet fetched bytes of an answer above which
+     reading from the upstream is paused.  */
+  ANSWER_UNFETCHED_BYTES_MAX = 256 << 10,
+  /* Time without a FETCH after which an idempotent attempt is cancelled:
+     its entry no longer waits for the answer.  */
+  ABANDONED_ATTEMPT_MS = 15000,
+  ATTEMPT_ANSWER_BYTES_MAX = 32 << 20,
+  RECENT_SUSPECTS_MAX = 64
 };
 
-/* Bills of answers taken whole, until the entry says that they are in the
-   ledger.  */
-typedef struct held held_t;
+/* Copies of the bills of delivered answers, kept until the entry confirms
+   that the ledger has them.  */
+typedef struct bill_backup bill_backup_t;
 
 #define SIDECAR_COUNTERS(X)                                                   \
   X (submitted, "vanillahook_sidecar_submitted_total",                        \
@@ -35,7 +36,7 @@
      "Attempts whose answer was whole.")                                      \
   X (failed, "vanillahook_sidecar_failed_total",                              \
      "Attempts that the upstream failed.")                                    \
-  X (gated, "vanillahook_sidecar_gated_total",                                \
+  X (not_admitted, "vanillahook_sidecar_gated_total",                         \
      "Attempts refused by the gate.")                                         \
   X (refused, "vanillahook_sidecar_refused_total",                            \
      "Attempts refused by queue or deadline.")                                \
@@ -43,7 +44,7 @@
      "Requests joined to an attempt that was here already.")                  \
   X (fenced, "vanillahook_sidecar_fenced_total", "Attempts fenced.")          \
   X (cancelled, "vanillahook_sidecar_cancelled_total", "Attempts cancelled.") \
-  X (deaths, "vanillahook_sidecar_upstream_deaths_total",                     \
+  X (upstream_crashes, "vanillahook_sidecar_upstream_deaths_total",           \
      "Deaths of the upstream.")
 
 struct sidecar
@@ -54,29 +55,29 @@
   const upstream_settings_t *upstream;
   rpc_node_t *node;
   rpc_server_t *server;
-  httpc_t *http;
+  httpc_t *http_client;
   attempts_t *attempts;
   limit_t *limit;
   queue_t *queue;
   snapshot_t *snapshot; /* NULL before the first configuration.  */
-  held_t *held;
-  char *caller; /* Sender of the message being handled: NAME/EPOCH.  */
+  bill_backup_t *bill_backup;
+  char *caller_id; /* NAME/EPOCH of the sender of the current RPC.  */
   uint64_t caller_epoch;
   bool draining;
-  uint64_t drain_ms; /* When draining began.  */
-  bool destroyed;
-  uv_timer_t tick;
-  uv_timer_t lapse; /* Fires when the next waiter lapses.  */
+  uint64_t drain_started_ms;
+  bool is_destroyed;
+  uv_timer_t maintenance_timer;
+  uv_timer_t expiry_timer; /* Expires with the next deadline in the queue.  */
   rng_t rng;
-  uint64_t started_ms; /* Real time.  */
-  uint32_t running;
-  uint32_t running_nonidempotent;
-  uint32_t running_suspect;
-  uint32_t deaths;
-  uint64_t first_byte_us; /* Moving mean.  */
-  wire_suspect_t suspects[SUSPECTS_KEPT];
-  size_t suspect_count;
-  map_t *fences; /* Order subject to its highest fencing number.  */
+  uint64_t started_real_ms; /* Start of the sidecar, in real time.  */
+  uint32_t running_count;
+  uint32_t running_nonidempotent_count;
+  uint32_t running_suspect_count;
+  uint32_t crash_count;        /* Crashes of the upstream detected so far.  */
+  uint64_t mean_first_byte_us; /* Moving mean of the time to first byte.  */
+  wire_suspect_t suspects[RECENT_SUSPECTS_MAX]; /* Ring buffer.  */
+  size_t suspects_recorded; /* Total, including overwritten ones.  */
+  map_t *fence_by_subject;  /* Highest fencing number of each subject.  */
   struct
   {
 #define X(name, series, help) counter_t *name;
@@ -85,44 +86,53 @@
   } counters;
 };
 
-/* serve.c: handle one procedure.  */
-void sidecar_serve (void *arg, rpc_request_t *request, uint32_t proc,
-                    void *args);
-/* Answer the fetchers of ATTEMPT that can be.  */
-void sidecar_wake (sidecar_t *sidecar, attempt_t *attempt);
-/* Answer the fetchers whose wait is over.  */
-void sidecar_wake_late (sidecar_t *sidecar, attempt_t *attempt,
-                        uint64_t now_ms);
+/* serve.c: handle the RPC REQUEST of procedure PROC.  */
+void sidecar_handle_rpc (void *arg, rpc_request_t *request, uint32_t proc,
+                         void *args);
+/* Reply to the pending fetches of ATTEMPT for which enough bytes have come
+   or whose answer has ended.  */
+void sidecar_answer_fetches (sidecar_t *sidecar, attempt_t *attempt);
+/* Reply to the pending fetches of ATTEMPT whose wait has timed out.  */
+void sidecar_answer_expired_fetches (sidecar_t *sidecar, attempt_t *attempt,
+                                     uint64_t now_ms);
 /* End ATTEMPT, which has not started, with CODE.  */
-void sidecar_refuse (sidecar_t *sidecar, attempt_t *attempt, vh_code_t code);
-/* Return VH_OK, or why the gate keeps TEAM's work for TARGET out.  */
-vh_code_t sidecar_gate (const sidecar_t *sidecar, str_t team, str_t target);
+void sidecar_reject_attempt (sidecar_t *sidecar, attempt_t *attempt,
+                             vh_code_t code);
+/* Return VH_OK if a request of TEAM for TARGET may run at this upstream,
+   VH_E_DRAINING, or VH_E_GATE when the configuration forbids the request.  */
+vh_code_t sidecar_check_admission (const sidecar_t *sidecar, str_t team,
+                                   str_t target);
 
-/* upstream.c: refuse what has lapsed and start what may start.  */
-void sidecar_pump (sidecar_t *sidecar);
-/* End ATTEMPT's call to the upstream for good.  */
-void sidecar_stop_call (sidecar_t *sidecar, attempt_t *attempt,
-                        vh_code_t code);
-/* Go on reading an answer that its fetcher has caught up with.  */
-void sidecar_unpause (const sidecar_t *sidecar, attempt_t *attempt);
+/* upstream.c: reject queued attempts that can't make their deadline and start
+   as many of the others as the concurrency limit allows.  */
+void sidecar_dispatch (sidecar_t *sidecar);
+/* Abort ATTEMPT's call to the upstream and end ATTEMPT with CODE.  */
+void sidecar_abort_call (sidecar_t *sidecar, attempt_t *attempt,
+                         vh_code_t code);
+/* Resume reading a paused answer once its fetcher has caught up.  */
+void sidecar_resume_reading (const sidecar_t *sidecar, attempt_t *attempt);
 
-/* held.c */
-held_t *held_create (clock_iface_t *clock);
-void held_destroy (held_t *held);
-/* WRITER was heard.  */
-void held_heard (held_t *held, str_t writer);
-/* Hold the bill of ATTEMPT for WRITER.  */
-void held_add (held_t *held, const attempt_t *attempt, str_t writer,
-               uint64_t cost_micro);
-void held_drop (held_t *held, str_t bill_id);
-/* Number of bills whose writer has not been heard for long.  */
-size_t held_orphans (const held_t *held);
-/* Number of bills whose writer was not heard since SINCE_MS.  */
-size_t held_unheard (const held_t *held, uint64_t since_ms);
-/* Put up to MOST orphans under WRITER and into BILLS, borrowed.  */
-size_t held_take (held_t *held, str_t writer, size_t most, wire_bill_t *bills);
-/* Forget writers that are gone and have no bills.  */
-void held_expire (held_t *held);
-size_t held_count (const held_t *held);
+/* held.c.  An entry is identified by its NAME/EPOCH.  */
+bill_backup_t *bill_backup_create (clock_iface_t *clock);
+void bill_backup_destroy (bill_backup_t *backup);
+/* Record that a message from ENTRY_ID has arrived.  */
+void bill_backup_record_contact (bill_backup_t *backup, str_t entry_id);
+/* Keep a copy of the bill of ATTEMPT for the entry ENTRY_ID.  */
+void bill_backup_add (bill_backup_t *backup, const attempt_t *attempt,
+                      str_t entry_id, uint64_t cost_micro);
+void bill_backup_remove (bill_backup_t *backup, str_t bill_id);
+/* Return the number of bills whose entry is considered dead.  */
+size_t bill_backup_count_orphans (const bill_backup_t *backup);
+/* Return the number of bills whose entry has sent no message since
+   SINCE_MS.  */
+size_t bill_backup_count_silent (const bill_backup_t *backup,
+                                 uint64_t since_ms);
+/* Reassign up to MAX_COUNT orphaned bills to the entry ENTRY_ID and store
+   them in BILLS; their strings are borrowed.  Return their number.  */
+size_t bill_backup_adopt (bill_backup_t *backup, str_t entry_id,
+                          size_t max_count, wire_bill_t *bills);
+/* Remove the record of one dead entry that has no bills left.  */
+void bill_backup_expire (bill_backup_t *backup);
+size_t bill_backup_count (const bill_backup_t *backup);
 
 #endif
--- a/packages/sidecar/usage.c
+++ b/packages/sidecar/usage.c
@@ -7,12 +7,12 @@
   BYTES_PER_TOKEN = 4
 };
 
-/* Return the text of the last event of STREAM that has "usage" in it, or
+/* Return the data of the last event in STREAM that contains "usage", or
    STR_NULL.  */
 static str_t
 last_usage_event (str_t stream)
 {
-  static const char mark[] = "\"usage\"";
+  static const char usage_key[] = "\"usage\"";
   size_t end = stream.len;
 
   while (end > 0)
@@ -22,7 +22,8 @@
         begin--;
       str_t line = str_make (stream.ptr + begin, end - begin);
       if (str_starts (line, STR ("data: "))
-          && memmem (line.ptr, line.len, mark, sizeof mark - 1) != NULL)
+          && memmem (line.ptr, line.len, usage_key, sizeof usage_key - 1)
+                 != NULL)
         return str_make (line.ptr + 6, line.len - 6);
       end = begin > 0 ? begin - 1 : 0;
     }
@@ -30,7 +31,7 @@
 }
 
 static bool
-read_count (const json_t *usage, const char *name, uint32_t *count)
+parse_count (const json_t *usage, const char *name, uint32_t *count)
 {
   const json_t *value = json_object_get (usage, name);
 
@@ -42,21 +43,22 @@
 }
 
 void
-usage_read (str_t answer, bool stream, size_t prompt_bytes,
-            uint32_t *tokens_in, uint32_t *tokens_out, uint32_t *cached)
+usage_parse (str_t answer, bool stream, size_t prompt_bytes,
+             uint32_t *tokens_in, uint32_t *tokens_out,
+             uint32_t *tokens_cached)
 {
   str_t text = stream ? last_usage_event (answer) : answer;
   json_t *root = NULL;
 
   *tokens_in = (uint32_t)(prompt_bytes / BYTES_PER_TOKEN);
   *tokens_out = (uint32_t)(answer.len / BYTES_PER_TOKEN);
-  *cached = 0;
+  *tokens_cached = 0;
   if (text.len > 0)
     root = json_loadb (text.ptr, text.len, 0, NULL);
   const json_t *usage = json_object_get (root, "usage");
-  read_count (usage, "prompt_tokens", tokens_in);
-  read_count (usage, "completion_tokens", tokens_out);
-  read_count (json_object_get (usage, "prompt_tokens_details"),
-              "cached_tokens", cached);
+  parse_count (usage, "prompt_tokens", tokens_in);
+  parse_count (usage, "completion_tokens", tokens_out);
+  parse_count (json_object_get (usage, "prompt_tokens_details"),
+               "cached_tokens", tokens_cached);
   json_decref (root);
 }
