--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -9,12 +9,12 @@
 
 enum
 {
-  KEEP_CONNECTIONS = 16,
-  REPLY_LIMIT = 64 * 1024 * 1024,
-  /* The first attempt may take this share of the deadline, so that a silent
-     connection leaves the rest for another one, and a service that is slow
-     by less than the rest still succeeds.  */
-  FIRST_ATTEMPT_PERCENT = 40,
+  IDLE_CONNECTIONS_MAX = 16,
+  REPLY_BYTES_MAX = 64 * 1024 * 1024,
+  /* Share of the call's time-out that the first attempt may take.  The rest
+     is left for a second attempt when the connection is silent, and suffices
+     for a service that takes less than that to reply.  */
+  FIRST_ATTEMPT_TIMEOUT_PERCENT = 40,
   BACKOFF_MIN_MS = 20,
   BACKOFF_MAX_MS = 1000
 };
@@ -29,30 +29,31 @@
   rng_t rng;
   httpc_t *client;
   uint64_t timeout_ms;
-  breaker_t store;
-  breaker_t rating;
+  breaker_t store_breaker;
+  breaker_t rating_breaker;
   list_t calls;
-} http_t;
+} http_platform_t;
 
-/* Report the end of a call: CODE, and with VH_OK or VH_E_CONFLICT the body
-   of the reply.  */
-typedef void (*deliver_t) (const call_t *call, vh_code_t code, str_t body);
+/* Report the end of CALL to its caller: CODE and, with VH_OK or VH_E_CONFLICT,
+   the BODY of the reply.  */
+typedef void (*report_cb_t) (const call_t *call, vh_code_t code, str_t body);
 
 struct call
 {
   list_t link;
-  http_t *http;
+  http_platform_t *http;
   breaker_t *breaker;
-  deliver_t deliver;
+  report_cb_t report;
   char *method;
   buf_t path;
   buf_t body;
-  httpc_call_t *out;
+  httpc_call_t *http_call;
   bool is_write;
-  bool repeatable;
-  bool maybe; /* An attempt may have taken effect unseen.  */
-  bool over;
-  vh_code_t result; /* To be reported by the timer when OVER.  */
+  bool is_repeatable;
+  bool may_have_effect; /* An attempt without a usable reply may have taken
+                           effect.  */
+  bool is_finished;
+  vh_code_t failure; /* Failure that the timer reports.  */
   uint64_t deadline_ms;
   uint64_t backoff_ms;
   uv_timer_t timer;
@@ -71,7 +72,7 @@
 static void start_attempt (call_t *call);
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   call_t *call = handle->data;
 
@@ -81,77 +82,79 @@
   free (call);
 }
 
-/* Report CODE and let go of CALL.  */
+/* Report CODE and BODY to the caller and free CALL.  */
 static void
 finish (call_t *call, vh_code_t code, str_t body)
 {
   list_remove (&call->link);
-  call->deliver (call, code, body);
-  uv_close ((uv_handle_t *)&call->timer, on_closed);
+  call->report (call, code, body);
+  uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
 }
 
 static void
-on_over (uv_timer_t *timer)
+on_report_timer (uv_timer_t *timer)
 {
   call_t *call = timer->data;
 
-  finish (call, call->result, STR_NULL);
+  finish (call, call->failure, STR_NULL);
 }
 
 static void
-on_retry (uv_timer_t *timer)
+on_retry_timer (uv_timer_t *timer)
 {
   start_attempt (timer->data);
 }
 
-/* Report the failure CODE on a later turn.  */
+/* Report the failure CODE in a later iteration of the loop.  */
 static void
-finish_later (call_t *call, vh_code_t code)
-{
-  call->over = true;
-  /* An earlier attempt may have taken effect, whatever became of the
-     last: "nothing took effect" would be a guess.  */
-  call->result = call->is_write && call->maybe ? VH_E_STORE_LATE : code;
-  uv_timer_start (&call->timer, on_over, 0, 0);
+fail_later (call_t *call, vh_code_t code)
+{
+  call->is_finished = true;
+  /* An earlier attempt of a write may have taken effect even if the last one
+     did not, so CODE must not claim that nothing took effect.  */
+  call->failure
+      = call->is_write && call->may_have_effect ? VH_E_STORE_LATE : code;
+  uv_timer_start (&call->timer, on_report_timer, 0, 0);
 }
 
-/* Try again if deadline, budget and kind of call allow it, else fail with
-   CODE.  */
+/* Retry CALL after a backoff if its deadline, the retry budget and the kind of
+   call allow it, else fail with CODE.  */
 static void
 retry_or_fail (call_t *call, vh_code_t code)
 {
   uint64_t now_ms = clock_ms (call->http->clock);
-  uint64_t wait_ms = rng_jitter (&call->http->rng, call->backoff_ms);
-  /* Without a token a second run of a write that took effect would be a
-     second effect.  */
-  bool may = call->repeatable || !call->maybe;
+  uint64_t delay_ms = rng_jitter (&call->http->rng, call->backoff_ms);
+  /* Without a token a retry of a write that took effect would be executed a
+     second time.  */
+  bool may_retry = call->is_repeatable || !call->may_have_effect;
 
-  if (!may || now_ms + wait_ms >= call->deadline_ms
-      || !breaker_retry (call->breaker))
+  if (!may_retry || now_ms + delay_ms >= call->deadline_ms
+      || !breaker_take_retry (call->breaker))
     {
-      finish_later (call, code);
+      fail_later (call, code);
       return;
     }
   call->backoff_ms *= 2;
   if (call->backoff_ms > BACKOFF_MAX_MS)
     call->backoff_ms = BACKOFF_MAX_MS;
-  uv_timer_start (&call->timer, on_retry, wait_ms, 0);
+  uv_timer_start (&call->timer, on_retry_timer, delay_ms, 0);
 }
 
 static void
-record (call_t *call, bool ok)
+record_result (call_t *call, bool ok)
 {
-  http_t *http = call->http;
+  http_platform_t *http = call->http;
 
-  breaker_result (call->breaker, ok, clock_ms (http->clock), &http->rng);
+  breaker_record_result (call->breaker, ok, clock_ms (http->clock),
+                         &http->rng);
 }
 
 static void
 on_no_reply (call_t *call, vh_code_t code)
 {
-  record (call, false);
+  record_result (call, false);
   if (code != VH_E_CONNECT)
-    call->maybe = true;
+    call->may_have_effect = true;
   retry_or_fail (call, VH_E_STORE_DOWN);
 }
 
@@ -161,32 +164,32 @@
   switch (status)
     {
     case 200:
-      record (call, true);
+      record_result (call, true);
       finish (call, VH_OK, body);
       break;
     case 404:
-      record (call, true);
+      record_result (call, true);
       finish (call, VH_E_NOT_FOUND, body);
       break;
     case 409:
-      record (call, true);
+      record_result (call, true);
       finish (call, VH_E_CONFLICT, body);
       break;
     case 429:
-      record (call, true);
+      record_result (call, true);
       retry_or_fail (call, VH_E_STORE_BUSY);
       break;
     case 503:
-      record (call, false);
+      record_result (call, false);
       retry_or_fail (call, VH_E_STORE_DOWN);
       break;
     default:
-      /* 4xx refuses the call for good; any other may come from something
-         in between after the effect.  */
-      record (call, status < 500);
-      call->maybe = call->maybe || status >= 500;
+      /* Status 4xx rejects the call permanently.  Status 5xx may come from an
+         intermediary after the call took effect.  */
+      record_result (call, status < 500);
+      call->may_have_effect = call->may_have_effect || status >= 500;
       if (status < 500)
-        finish_later (call, VH_E_BAD_REQUEST);
+        fail_later (call, VH_E_BAD_REQUEST);
       else
         retry_or_fail (call, VH_E_STORE_DOWN);
       break;
@@ -194,11 +197,11 @@
 }
 
 static void
-on_reply (void *arg, vh_code_t code, int status, str_t body)
+on_attempt_done (void *arg, vh_code_t code, int status, str_t body)
 {
   call_t *call = arg;
 
-  call->out = NULL;
+  call->http_call = NULL;
   uv_timer_stop (&call->timer);
   if (code != VH_OK)
     on_no_reply (call, code);
@@ -206,78 +209,79 @@
     on_status (call, status, body);
 }
 
-/* The server sends bytes too slowly to end in time: httpc's own bound is on
-   silence alone.  */
+/* The attempt has exceeded its time.  This covers a server that sends bytes
+   too slowly, since httpc's own time-out covers silence only.  */
 static void
 on_attempt_timeout (uv_timer_t *timer)
 {
   call_t *call = timer->data;
 
-  httpc_cancel (call->out);
-  call->out = NULL;
+  httpc_cancel (call->http_call);
+  call->http_call = NULL;
   on_no_reply (call, VH_E_TIMEOUT);
 }
 
 static void
 start_attempt (call_t *call)
 {
-  http_t *http = call->http;
+  http_platform_t *http = call->http;
   uint64_t now_ms = clock_ms (http->clock);
-  uint64_t left_ms
+  uint64_t attempt_timeout_ms
       = call->deadline_ms > now_ms ? call->deadline_ms - now_ms : 1;
 
-  if (!breaker_allow (call->breaker, now_ms))
+  if (!breaker_allow_call (call->breaker, now_ms))
     {
-      finish_later (call, VH_E_STORE_DOWN);
+      fail_later (call, VH_E_STORE_DOWN);
       return;
     }
-  uint64_t first_ms = http->timeout_ms * FIRST_ATTEMPT_PERCENT / 100;
-  if (left_ms > http->timeout_ms - first_ms)
-    left_ms = first_ms;
+  uint64_t first_attempt_ms
+      = http->timeout_ms * FIRST_ATTEMPT_TIMEOUT_PERCENT / 100;
+  if (attempt_timeout_ms > http->timeout_ms - first_attempt_ms)
+    attempt_timeout_ms = first_attempt_ms;
   const httpc_request_t request = { .method = str_from (call->method),
                                     .path = buf_str (&call->path),
                                     .body = buf_str (&call->body),
-                                    .timeout_ms = left_ms };
-  call->out
-      = httpc_fetch (http->client, &request, REPLY_LIMIT, on_reply, call);
-  /* A little later than httpc's own, which can tell whether the request left
-     this process.  */
-  uv_timer_start (&call->timer, on_attempt_timeout, left_ms + 1, 0);
+                                    .timeout_ms = attempt_timeout_ms };
+  call->http_call = httpc_fetch (http->client, &request, REPLY_BYTES_MAX,
+                                 on_attempt_done, call);
+  /* Expires after httpc's own time-out, whose error code shows whether the
+     request has left this process.  */
+  uv_timer_start (&call->timer, on_attempt_timeout, attempt_timeout_ms + 1, 0);
 }
 
 static void
-on_start (uv_timer_t *timer)
+on_start_timer (uv_timer_t *timer)
 {
   start_attempt (timer->data);
 }
 
-/* Add a call of METHOD; the caller fills path, body and callback, and it
-   starts on the next turn.  */
+/* Add a call of the HTTP method METHOD, which starts in the next iteration of
+   the loop.  The caller must set its path, body and callback before that.  */
 static call_t *
-add_call (platform_t *platform, const char *method, deliver_t deliver,
+add_call (platform_t *platform, const char *method, report_cb_t report,
           void *arg)
 {
-  http_t *http = (http_t *)platform;
+  http_platform_t *http = (http_platform_t *)platform;
   call_t *call = mem_zalloc (sizeof *call);
 
   call->http = http;
-  call->breaker = &http->store;
-  call->deliver = deliver;
+  call->breaker = &http->store_breaker;
+  call->report = report;
   call->method = str_dup (str_from (method));
   call->arg = arg;
-  call->repeatable = true;
+  call->is_repeatable = true;
   call->backoff_ms = BACKOFF_MIN_MS;
   call->deadline_ms = clock_ms (http->clock) + http->timeout_ms;
   uv_timer_init (http->loop, &call->timer);
   call->timer.data = call;
-  uv_timer_start (&call->timer, on_start, 0, 0);
+  uv_timer_start (&call->timer, on_start_timer, 0, 0);
   list_append (&http->calls, &call->link);
   return call;
 }
 
 /* Return the JSON object in BODY, or NULL.  */
 static json_t *
-parse (str_t body)
+parse_object (str_t body)
 {
   json_t *json = json_loadb (body.len > 0 ? body.ptr : "", body.len,
                              JSON_ALLOW_NUL, NULL);
@@ -289,12 +293,12 @@
 }
 
 static void
-deliver_txn (const call_t *call, vh_code_t code, str_t body)
+report_txn (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse (body);
+  json_t *json = parse_object (body);
   uint64_t revision = json_get_u64 (json, "revision");
 
-  /* A reply that cannot be read may stand for an effect.  */
+  /* A write with an unreadable reply may have taken effect.  */
   if (code == VH_OK && revision == 0)
     code = VH_E_STORE_LATE;
   call->cb.txn (call->arg, code, revision, json_get_plain (json, "conflict"));
@@ -304,19 +308,19 @@
 static void
 http_txn (platform_t *platform, const txn_t *txn, txn_cb_t cb, void *arg)
 {
-  call_t *call = add_call (platform, "POST", deliver_txn, arg);
+  call_t *call = add_call (platform, "POST", report_txn, arg);
 
   call->cb.txn = cb;
   call->is_write = true;
-  call->repeatable = txn->token.len > 0;
+  call->is_repeatable = txn->token.len > 0;
   buf_append_str (&call->path, STR ("/v1/txn"));
   json_write (json_from_txn (txn), &call->body);
 }
 
 static void
-deliver_get (const call_t *call, vh_code_t code, str_t body)
+report_get (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse (body);
+  json_t *json = parse_object (body);
   buf_t scratch = BUF_NULL;
   row_t row
       = { json_get_plain (json, "key"), json_get_str (json, "value", &scratch),
@@ -332,7 +336,7 @@
 static void
 http_get (platform_t *platform, str_t key, get_cb_t cb, void *arg)
 {
-  call_t *call = add_call (platform, "POST", deliver_get, arg);
+  call_t *call = add_call (platform, "POST", report_get, arg);
   json_t *json = json_object ();
 
   call->cb.get = cb;
@@ -342,9 +346,9 @@
 }
 
 static void
-deliver_scan (const call_t *call, vh_code_t code, str_t body)
+report_scan (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse (body);
+  json_t *json = parse_object (body);
   const json_t *list = json_object_get (json, "rows");
   size_t count = json_array_size (list);
   row_t *rows = mem_zalloc ((count + 1) * sizeof *rows);
@@ -372,7 +376,7 @@
 http_scan (platform_t *platform, str_t prefix, str_t after, size_t limit,
            scan_cb_t cb, void *arg)
 {
-  call_t *call = add_call (platform, "POST", deliver_scan, arg);
+  call_t *call = add_call (platform, "POST", report_scan, arg);
   json_t *json = json_object ();
 
   call->cb.scan = cb;
@@ -383,7 +387,7 @@
   json_write (json, &call->body);
 }
 
-/* Append NAME, percent-encoded, to the path of an object.  */
+/* Append the path of the object NAME, with NAME percent-encoded.  */
 static void
 append_object_path (buf_t *path, str_t name)
 {
@@ -391,9 +395,9 @@
   for (size_t i = 0; i < name.len; i++)
     {
       unsigned char c = (unsigned char)name.ptr[i];
-      bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')
-                   || (c >= '0' && c <= '9') || c == '-' || c == '_';
-      if (plain)
+      bool is_unreserved = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')
+                           || (c >= '0' && c <= '9') || c == '-' || c == '_';
+      if (is_unreserved)
         buf_append_char (path, (char)c);
       else
         buf_printf (path, "%%%02x", c);
@@ -401,7 +405,7 @@
 }
 
 static void
-deliver_object (const call_t *call, vh_code_t code, str_t body)
+report_object (const call_t *call, vh_code_t code, str_t body)
 {
   call->cb.object (call->arg, code, code == VH_OK ? body : STR_NULL);
 }
@@ -409,7 +413,7 @@
 static void
 http_object_get (platform_t *platform, str_t name, object_cb_t cb, void *arg)
 {
-  call_t *call = add_call (platform, "GET", deliver_object, arg);
+  call_t *call = add_call (platform, "GET", report_object, arg);
 
   call->cb.object = cb;
   append_object_path (&call->path, name);
@@ -419,7 +423,7 @@
 http_object_put (platform_t *platform, str_t name, str_t bytes, object_cb_t cb,
                  void *arg)
 {
-  call_t *call = add_call (platform, "PUT", deliver_object, arg);
+  call_t *call = add_call (platform, "PUT", report_object, arg);
 
   call->cb.object = cb;
   call->is_write = true;
@@ -428,9 +432,9 @@
 }
 
 static void
-deliver_instances (const call_t *call, vh_code_t code, str_t body)
+report_instances (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse (body);
+  json_t *json = parse_object (body);
   const json_t *list = json_object_get (json, "instances");
   size_t size = json_array_size (list);
   instance_row_t *rows = mem_zalloc ((size + 1) * sizeof *rows);
@@ -452,7 +456,7 @@
 http_instances (platform_t *platform, uint64_t after, instances_cb_t cb,
                 void *arg)
 {
-  call_t *call = add_call (platform, "GET", deliver_instances, arg);
+  call_t *call = add_call (platform, "GET", report_instances, arg);
 
   call->cb.instances = cb;
   buf_printf (&call->path, "/v1/instances?after=%llu",
@@ -460,13 +464,13 @@
 }
 
 static void
-deliver_rate (const call_t *call, vh_code_t code, str_t body)
+report_rate (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse (body);
+  json_t *json = parse_object (body);
   const json_t *score = json_object_get (json, "score");
   double value = json_number_value (score);
 
-  /* A rating outside the scale would steer the cascade: drop it.  */
+  /* A rating outside 0 to 1 would distort the cascade's decisions.  */
   if (code == VH_OK && (!json_is_number (score) || value < 0 || value > 1))
     code = VH_E_PROTOCOL;
   call->cb.rate (call->arg, code, code == VH_OK ? value : 0);
@@ -477,11 +481,12 @@
 http_rate (platform_t *platform, str_t task, str_t question, str_t answer,
            rate_cb_t cb, void *arg)
 {
-  call_t *call = add_call (platform, "POST", deliver_rate, arg);
+  call_t *call = add_call (platform, "POST", report_rate, arg);
   json_t *json = json_object ();
 
-  /* A rating service that is down must not cut off the table.  */
-  call->breaker = &((http_t *)platform)->rating;
+  /* The rating service has its own breaker, so that its outage does not block
+     calls to the table.  */
+  call->breaker = &((http_platform_t *)platform)->rating_breaker;
   call->cb.rate = cb;
   buf_append_str (&call->path, STR ("/v1/rate"));
   json_put_str (json, "task", task);
@@ -493,13 +498,13 @@
 static void
 http_destroy (platform_t *platform)
 {
-  http_t *http = (http_t *)platform;
+  http_platform_t *http = (http_platform_t *)platform;
 
   while (!list_empty (&http->calls))
     {
       call_t *call = CONTAINER_OF (http->calls.next, call_t, link);
-      if (call->out != NULL)
-        httpc_cancel (call->out);
+      if (call->http_call != NULL)
+        httpc_cancel (call->http_call);
       finish (call, VH_E_CANCELLED, STR_NULL);
     }
   httpc_destroy (http->client);
@@ -521,19 +526,19 @@
 platform_http_create (uv_loop_t *loop, clock_iface_t *clock, rng_t rng,
                       str_t address, uint64_t timeout_ms)
 {
-  httpc_t *client = httpc_create (loop, address, KEEP_CONNECTIONS);
+  httpc_t *client = httpc_create (loop, address, IDLE_CONNECTIONS_MAX);
 
   if (client == NULL)
     return NULL;
-  http_t *http = mem_zalloc (sizeof *http);
+  http_platform_t *http = mem_zalloc (sizeof *http);
   http->base.ops = &http_ops;
   http->loop = loop;
   http->clock = clock;
   http->rng = rng;
   http->client = client;
   http->timeout_ms = timeout_ms;
-  breaker_init (&http->store);
-  breaker_init (&http->rating);
+  breaker_init (&http->store_breaker);
+  breaker_init (&http->rating_breaker);
   list_init (&http->calls);
   return &http->base;
 }
--- a/packages/storage/json.c
+++ b/packages/storage/json.c
@@ -105,7 +105,8 @@
   txn_condition_t *condition
       = mem_zalloc ((condition_count + 1) * sizeof *condition);
   txn_write_t *write = mem_zalloc ((write_count + 1) * sizeof *write);
-  /* One buffer a string: growing a shared one would move earlier ones.  */
+  /* One buffer per value: a shared one would move earlier values when it
+     grows.  */
   buf_t *scratch = mem_zalloc ((write_count + 1) * sizeof *scratch);
   txn_t *txn = NULL;
 
--- a/packages/storage/memory.c
+++ b/packages/storage/memory.c
@@ -50,13 +50,13 @@
 {
   platform_t base;
   uv_loop_t *loop;
-  uv_timer_t timer; /* Runs the pending calls on the next turn.  */
+  uv_timer_t timer; /* Runs the pending calls in the next iteration.  */
   table_t *table;
   map_t *objects;
   instance_list_t *instances;
   call_t *pending;       /* Oldest first.  */
-  call_t **pending_tail; /* Where the next one goes.  */
-} memory_t;
+  call_t **pending_tail; /* Link to be set to the next call.  */
+} memory_platform_t;
 
 static void
 free_call (call_t *call)
@@ -80,7 +80,7 @@
 }
 
 static void
-run_txn (memory_t *memory, const call_t *call)
+run_txn (memory_platform_t *memory, const call_t *call)
 {
   uint64_t revision;
   str_t conflict;
@@ -91,7 +91,7 @@
 }
 
 static void
-run_get (memory_t *memory, const call_t *call)
+run_get (memory_platform_t *memory, const call_t *call)
 {
   row_t row = { call_name (call), STR_NULL, 0 };
   bool found = table_get (memory->table, call_name (call), &row);
@@ -100,7 +100,7 @@
 }
 
 static void
-run_scan (memory_t *memory, const call_t *call)
+run_scan (memory_platform_t *memory, const call_t *call)
 {
   row_t *rows = mem_alloc ((call->limit + 1) * sizeof *rows);
   bool more;
@@ -112,7 +112,7 @@
 }
 
 static void
-run_object_get (memory_t *memory, const call_t *call)
+run_object_get (memory_platform_t *memory, const call_t *call)
 {
   object_t *object = map_get (memory->objects, call_name (call));
 
@@ -123,7 +123,7 @@
 }
 
 static void
-run_object_put (memory_t *memory, const call_t *call)
+run_object_put (memory_platform_t *memory, const call_t *call)
 {
   object_t *object = mem_alloc (sizeof *object + call->bytes_len);
 
@@ -135,7 +135,7 @@
 }
 
 static void
-run_instances (memory_t *memory, const call_t *call)
+run_instances (memory_platform_t *memory, const call_t *call)
 {
   instance_row_t *rows;
   uint64_t sequence;
@@ -148,7 +148,7 @@
 }
 
 static void
-run_call (memory_t *memory, const call_t *call)
+run_call (memory_platform_t *memory, const call_t *call)
 {
   switch (call->kind)
     {
@@ -179,7 +179,7 @@
 static void
 cancel_call (const call_t *call)
 {
-  const row_t none = { call_name (call), STR_NULL, 0 };
+  const row_t no_row = { call_name (call), STR_NULL, 0 };
 
   switch (call->kind)
     {
@@ -187,7 +187,7 @@
       call->cb.txn (call->arg, VH_E_CANCELLED, 0, STR_NULL);
       break;
     case CALL_GET:
-      call->cb.get (call->arg, VH_E_CANCELLED, &none);
+      call->cb.get (call->arg, VH_E_CANCELLED, &no_row);
       break;
     case CALL_SCAN:
       call->cb.scan (call->arg, VH_E_CANCELLED, NULL, 0, false);
@@ -205,9 +205,10 @@
     }
 }
 
-/* Hand over the pending calls; those made meanwhile wait a turn.  */
+/* Remove the pending calls from MEMORY and return the first of them.  Calls
+   that their callbacks add run in the next iteration of the loop.  */
 static call_t *
-take_pending (memory_t *memory)
+take_pending (memory_platform_t *memory)
 {
   call_t *first = memory->pending;
 
@@ -219,7 +220,7 @@
 static void
 run_pending (uv_timer_t *timer)
 {
-  memory_t *memory = timer->data;
+  memory_platform_t *memory = timer->data;
 
   for (call_t *call = take_pending (memory); call != NULL;)
     {
@@ -234,7 +235,7 @@
 add_call (platform_t *platform, call_kind_t kind, str_t name, str_t bytes,
           void *arg)
 {
-  memory_t *memory = (memory_t *)platform;
+  memory_platform_t *memory = (memory_platform_t *)platform;
   call_t *call = mem_zalloc (sizeof *call);
 
   call->kind = kind;
@@ -306,7 +307,7 @@
 }
 
 static void
-on_closed (uv_handle_t *handle)
+on_timer_closed (uv_handle_t *handle)
 {
   free (handle->data);
 }
@@ -314,7 +315,7 @@
 static void
 memory_destroy (platform_t *platform)
 {
-  memory_t *memory = (memory_t *)platform;
+  memory_platform_t *memory = (memory_platform_t *)platform;
   size_t cursor = 0;
   void *object;
 
@@ -330,7 +331,7 @@
   map_destroy (memory->objects);
   table_destroy (memory->table);
   instance_list_destroy (memory->instances);
-  uv_close ((uv_handle_t *)&memory->timer, on_closed);
+  uv_close ((uv_handle_t *)&memory->timer, on_timer_closed);
 }
 
 static const platform_ops_t memory_ops = {
@@ -347,7 +348,7 @@
 platform_t *
 platform_memory_create (uv_loop_t *loop)
 {
-  memory_t *memory = mem_zalloc (sizeof *memory);
+  memory_platform_t *memory = mem_zalloc (sizeof *memory);
 
   memory->base.ops = &memory_ops;
   memory->loop = loop;
@@ -363,5 +364,5 @@
 void
 platform_memory_instance (platform_t *platform, const instance_row_t *row)
 {
-  instance_list_put (((memory_t *)platform)->instances, row);
+  instance_list_put (((memory_platform_t *)platform)->instances, row);
 }
--- a/packages/storage/table.c
+++ b/packages/storage/table.c
@@ -8,9 +8,9 @@
 
 enum
 {
-  /* Enough for 4^12 rows at the expected search cost.  */
-  LEVELS = 12,
-  /* The contract asks for ten minutes.  */
+  /* Keeps the expected search cost logarithmic up to 4^12 rows.  */
+  LEVELS_MAX = 12,
+  /* The platform's contract requires at least 10 minutes.  */
   TOKEN_KEEP_MS = 15 * 60 * 1000
 };
 
@@ -28,7 +28,7 @@
 
 typedef struct outcome
 {
-  struct outcome *newer;
+  struct outcome *next;
   char *token;
   size_t token_len;
   uint64_t at_ms;
@@ -46,7 +46,7 @@
   map_t *outcomes; /* By token.  */
   outcome_t *oldest;
   outcome_t *newest;
-  char *conflict; /* Of the last conflict without a token.  */
+  char *last_conflict_key; /* Of the last executed transaction, or NULL.  */
 };
 
 static node_t *
@@ -75,32 +75,34 @@
   return str_make (node->key, node->key_len);
 }
 
-/* Fill BEFORE with the last node of each level whose key is below KEY, or
-   not above it when INCLUSIVE; return the node that follows.  */
+/* Return the first node whose key is not less than KEY or, if INCLUSIVE, is
+   greater than KEY; NULL if there is none.  PREDECESSORS, unless NULL,
+   receives the last node before that position on each level.  */
 static node_t *
-seek (const table_t *table, str_t key, bool inclusive, node_t **before)
+find_position (const table_t *table, str_t key, bool inclusive,
+               node_t **predecessors)
 {
   node_t *at = table->head;
 
-  for (int level = LEVELS - 1; level >= 0; level--)
+  for (int level = LEVELS_MAX - 1; level >= 0; level--)
     {
       while (at->next[level] != NULL)
         {
-          int order = str_cmp (node_key (at->next[level]), key);
-          if (order > 0 || (order == 0 && !inclusive))
+          int comparison = str_cmp (node_key (at->next[level]), key);
+          if (comparison > 0 || (comparison == 0 && !inclusive))
             break;
           at = at->next[level];
         }
-      if (before != NULL)
-        before[level] = at;
+      if (predecessors != NULL)
+        predecessors[level] = at;
     }
   return at->next[0];
 }
 
 static node_t *
-find (const table_t *table, str_t key)
+find_node (const table_t *table, str_t key)
 {
-  node_t *node = seek (table, key, false, NULL);
+  node_t *node = find_position (table, key, false, NULL);
 
   return node != NULL && str_eq (node_key (node), key) ? node : NULL;
 }
@@ -110,39 +112,39 @@
 {
   int height = 1;
 
-  while (height < LEVELS && rng_below (&table->rng, 4) == 0)
+  while (height < LEVELS_MAX && rng_below (&table->rng, 4) == 0)
     height++;
   return height;
 }
 
 static node_t *
-insert (table_t *table, str_t key)
+find_or_insert (table_t *table, str_t key)
 {
-  node_t *before[LEVELS];
-  node_t *node = seek (table, key, false, before);
+  node_t *predecessors[LEVELS_MAX];
+  node_t *node = find_position (table, key, false, predecessors);
 
   if (node != NULL && str_eq (node_key (node), key))
     return node;
   node = node_create (key, random_height (table));
   for (int level = 0; level < node->height; level++)
     {
-      node->next[level] = before[level]->next[level];
-      before[level]->next[level] = node;
+      node->next[level] = predecessors[level]->next[level];
+      predecessors[level]->next[level] = node;
     }
   table->count++;
   return node;
 }
 
 static void
-erase (table_t *table, str_t key)
+remove_node (table_t *table, str_t key)
 {
-  node_t *before[LEVELS];
-  node_t *node = seek (table, key, false, before);
+  node_t *predecessors[LEVELS_MAX];
+  node_t *node = find_position (table, key, false, predecessors);
 
   if (node == NULL || !str_eq (node_key (node), key))
     return;
   for (int level = 0; level < node->height; level++)
-    before[level]->next[level] = node->next[level];
+    predecessors[level]->next[level] = node->next[level];
   node_free (node);
   table->count--;
 }
@@ -152,7 +154,7 @@
 {
   table_t *table = mem_zalloc (sizeof *table);
 
-  table->head = node_create (STR (""), LEVELS);
+  table->head = node_create (STR (""), LEVELS_MAX);
   table->rng = rng_make (1);
   table->outcomes = map_create ();
   return table;
@@ -183,7 +185,7 @@
   while (map_next (table->outcomes, &cursor, NULL, &outcome))
     outcome_free (outcome);
   map_destroy (table->outcomes);
-  free (table->conflict);
+  free (table->last_conflict_key);
   free (table);
 }
 
@@ -194,7 +196,7 @@
          && table->oldest->at_ms + TOKEN_KEEP_MS <= now_ms)
     {
       outcome_t *outcome = table->oldest;
-      table->oldest = outcome->newer;
+      table->oldest = outcome->next;
       if (table->oldest == NULL)
         table->newest = NULL;
       map_remove (table->outcomes,
@@ -204,8 +206,8 @@
 }
 
 static void
-remember (table_t *table, str_t token, uint64_t now_ms, vh_code_t code,
-          uint64_t revision, str_t conflict_key)
+store_outcome (table_t *table, str_t token, uint64_t now_ms, vh_code_t code,
+               uint64_t revision, str_t conflict_key)
 {
   outcome_t *outcome = mem_zalloc (sizeof *outcome);
 
@@ -217,7 +219,7 @@
   outcome->conflict_key = str_dup (conflict_key);
   map_put (table->outcomes, token, outcome);
   if (table->newest != NULL)
-    table->newest->newer = outcome;
+    table->newest->next = outcome;
   else
     table->oldest = outcome;
   table->newest = outcome;
@@ -229,7 +231,7 @@
 {
   for (size_t i = 0; i < txn->condition_count; i++)
     {
-      node_t *node = find (table, txn->conditions[i].key);
+      node_t *node = find_node (table, txn->conditions[i].key);
       if ((node != NULL ? node->version : 0) != txn->conditions[i].version)
         return &txn->conditions[i];
     }
@@ -237,17 +239,17 @@
 }
 
 static void
-apply (table_t *table, const txn_t *txn)
+apply_writes (table_t *table, const txn_t *txn)
 {
   for (size_t i = 0; i < txn->write_count; i++)
     {
       const txn_write_t *write = &txn->writes[i];
       if (write->is_delete)
         {
-          erase (table, write->key);
+          remove_node (table, write->key);
           continue;
         }
-      node_t *node = insert (table, write->key);
+      node_t *node = find_or_insert (table, write->key);
       free (node->value);
       node->value = str_dup (write->value);
       node->value_len = write->value.len;
@@ -260,24 +262,24 @@
            uint64_t *revision, str_t *conflict_key)
 {
   expire_outcomes (table, now_ms);
-  outcome_t *earlier
+  outcome_t *stored
       = txn->token.len > 0 ? map_get (table->outcomes, txn->token) : NULL;
-  if (earlier != NULL)
+  if (stored != NULL)
     {
-      *revision = earlier->revision;
-      *conflict_key = str_from (earlier->conflict_key);
-      return earlier->code;
+      *revision = stored->revision;
+      *conflict_key = str_from (stored->conflict_key);
+      return stored->code;
     }
   const txn_condition_t *failed = failed_condition (table, txn);
   vh_code_t code = failed != NULL ? VH_E_CONFLICT : VH_OK;
   *revision = failed != NULL ? 0 : ++table->revision;
-  free (table->conflict);
-  table->conflict = failed != NULL ? str_dup (failed->key) : NULL;
-  *conflict_key = str_from (table->conflict);
+  free (table->last_conflict_key);
+  table->last_conflict_key = failed != NULL ? str_dup (failed->key) : NULL;
+  *conflict_key = str_from (table->last_conflict_key);
   if (code == VH_OK)
-    apply (table, txn);
+    apply_writes (table, txn);
   if (txn->token.len > 0)
-    remember (table, txn->token, now_ms, code, *revision, *conflict_key);
+    store_outcome (table, txn->token, now_ms, code, *revision, *conflict_key);
   return code;
 }
 
@@ -291,7 +293,7 @@
 bool
 table_get (const table_t *table, str_t key, row_t *row)
 {
-  node_t *node = find (table, key);
+  node_t *node = find_node (table, key);
 
   if (node == NULL)
     return false;
@@ -304,10 +306,13 @@
             row_t *rows, bool *more)
 {
   bool past_prefix = str_cmp (after, prefix) >= 0;
-  node_t *node = seek (table, past_prefix ? after : prefix, past_prefix, NULL);
+  node_t *node
+      = find_position (table, past_prefix ? after : prefix, past_prefix, NULL);
   size_t count = 0;
 
-  /* AFTER excludes a row of that very key; the bare prefix does not.  */
+  /* A row whose key equals AFTER is excluded, but an empty AFTER excludes no
+     row: with both empty the scan starts at the first row, whose key may be
+     empty.  */
   if (past_prefix && after.len == 0 && prefix.len == 0)
     node = table->head->next[0];
   while (node != NULL && count < limit && str_starts (node_key (node), prefix))
@@ -378,8 +383,8 @@
 
 struct instance_list
 {
-  /* XXX: entries that are gone are kept, so that every reader hears of it;
-     a list of tests does not grow without bound.  */
+  /* XXX: removed instances are never deleted from the list, so that every
+     reader gets the removal.  The lists that tests use stay short.  */
   instance_entry_t *entries;
   size_t count;
   uint64_t sequence;
@@ -403,7 +408,7 @@
 }
 
 static str_t
-own (str_t s)
+copy_str (str_t s)
 {
   return str_make (str_dup (s), s.len);
 }
@@ -420,7 +425,7 @@
 }
 
 static instance_entry_t *
-entry_of (instance_list_t *list, str_t name)
+find_or_add_entry (instance_list_t *list, str_t name)
 {
   for (size_t i = 0; i < list->count; i++)
     if (str_eq (list->entries[i].row.name, name))
@@ -435,18 +440,18 @@
 void
 instance_list_put (instance_list_t *list, const instance_row_t *row)
 {
-  instance_entry_t *entry = entry_of (list, row->name);
-  instance_row_t old = entry->row;
+  instance_entry_t *entry = find_or_add_entry (list, row->name);
+  instance_row_t replaced = entry->row;
 
-  entry->row = (instance_row_t){ .name = own (row->name),
-                                 .role = own (row->role),
-                                 .zone = own (row->zone),
-                                 .region = own (row->region),
-                                 .address = own (row->address),
-                                 .serves = own (row->serves),
+  entry->row = (instance_row_t){ .name = copy_str (row->name),
+                                 .role = copy_str (row->role),
+                                 .zone = copy_str (row->zone),
+                                 .region = copy_str (row->region),
+                                 .address = copy_str (row->address),
+                                 .serves = copy_str (row->serves),
                                  .state = row->state };
   entry->sequence = ++list->sequence;
-  free_row (&old);
+  free_row (&replaced);
 }
 
 size_t
@@ -461,9 +466,9 @@
   for (size_t i = 0; i < list->count; i++)
     {
       const instance_entry_t *entry = &list->entries[i];
-      bool wanted = *full ? entry->row.state != INSTANCE_GONE
-                          : entry->sequence > after;
-      if (wanted)
+      bool is_included = *full ? entry->row.state != INSTANCE_GONE
+                               : entry->sequence > after;
+      if (is_included)
         (*rows)[count++] = entry->row;
     }
   return count;
@@ -487,7 +492,7 @@
          && ((at[digits.len] >= '0' && at[digits.len] <= '9')
              || at[digits.len] == '.'))
     digits.len++;
-  /* A full stop that ends the sentence.  */
+  /* Skip a full stop at the end of a sentence.  */
   if (digits.len > 0 && at[digits.len - 1] == '.')
     digits.len--;
   if (!str_to_double (digits, &score))
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -743,14 +743,14 @@
   breaker_init (&breaker);
   for (int i = 0; i < 1000; i++)
     {
-      breaker_result (&breaker, true, 0, &rng);
-      repeats += breaker_retry (&breaker);
+      breaker_record_result (&breaker, true, 0, &rng);
+      repeats += breaker_take_retry (&breaker);
     }
   ck_assert_int_le (repeats, 110);
   for (uint64_t now_ms = 0; now_ms < 60000; now_ms++)
-    if (breaker_allow (&breaker, now_ms))
+    if (breaker_allow_call (&breaker, now_ms))
       {
-        breaker_result (&breaker, false, now_ms, &rng);
+        breaker_record_result (&breaker, false, now_ms, &rng);
         probes++;
       }
   ck_assert_int_ge (probes, 60000 / 5000);
