--- a/tests/platform_child.c
+++ b/tests/platform_child.c
@@ -8,7 +8,8 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Read the port from the line that the child prints when ready.  */
+/* Return the port from the line that the server prints to FD when it
+   listens.  */
 static uint16_t
 read_port (int fd)
 {
@@ -27,27 +28,29 @@
 {
   const char *build = getenv ("VH_BUILD");
   char path[1024];
-  char listen[64];
-  char option[1024];
-  char *argv[] = { path, listen, faults != NULL ? option : NULL, NULL };
+  char listen_option[64];
+  char faults_option[1024];
+  char *argv[]
+      = { path, listen_option, faults != NULL ? faults_option : NULL, NULL };
   posix_spawn_file_actions_t actions;
-  int fds[2];
+  int pipe_fds[2];
 
   snprintf (path, sizeof path, "%s/tests/standin_platform",
             build != NULL ? build : "build");
-  snprintf (listen, sizeof listen, "--listen=127.0.0.1:%u", port);
-  snprintf (option, sizeof option, "--faults=%s",
+  snprintf (listen_option, sizeof listen_option, "--listen=127.0.0.1:%u",
+            port);
+  snprintf (faults_option, sizeof faults_option, "--faults=%s",
             faults != NULL ? faults : "");
-  ck_assert_int_eq (pipe (fds), 0);
+  ck_assert_int_eq (pipe (pipe_fds), 0);
   posix_spawn_file_actions_init (&actions);
-  posix_spawn_file_actions_adddup2 (&actions, fds[1], STDOUT_FILENO);
-  posix_spawn_file_actions_addclose (&actions, fds[0]);
-  posix_spawn_file_actions_addclose (&actions, fds[1]);
+  posix_spawn_file_actions_adddup2 (&actions, pipe_fds[1], STDOUT_FILENO);
+  posix_spawn_file_actions_addclose (&actions, pipe_fds[0]);
+  posix_spawn_file_actions_addclose (&actions, pipe_fds[1]);
   ck_assert_int_eq (
       posix_spawn (&child->pid, path, &actions, NULL, argv, environ), 0);
   posix_spawn_file_actions_destroy (&actions);
-  close (fds[1]);
-  child->port = read_port (fds[0]);
+  close (pipe_fds[1]);
+  child->port = read_port (pipe_fds[0]);
   snprintf (child->address, sizeof child->address, "127.0.0.1:%u",
             child->port);
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,6 +1,6 @@
-/* Contract test of the platform: the same cases against the in-memory
-   implementation and, over HTTP, against the stand-in; then what only the
-   HTTP client has to bear.  */
+/* Contract test of the platform: the same cases are run against the in-memory
+   implementation and, over HTTP, against the stand-in server.  Further tests
+   inject faults that only the HTTP client can encounter.  */
 
 #include "base/mem.h"
 #include "storage/breaker.h"
@@ -23,9 +23,9 @@
   uv_loop_t loop;
   platform_t *platform;
   platform_child_t child;
-  bool over_http;
-  /* The last result.  */
-  int done;
+  bool is_http;
+  /* Number of results since the last wait, and the last result.  */
+  int ended_calls;
   vh_code_t code;
   uint64_t revision;
   uint64_t sequence;
@@ -40,7 +40,7 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->revision = revision;
   f->text.len = 0;
@@ -52,7 +52,7 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->revision = row->version;
   f->text.len = 0;
@@ -64,7 +64,7 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->count = count;
   f->flag = more;
@@ -79,7 +79,7 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->text.len = 0;
   buf_append_str (&f->text, bytes);
@@ -91,7 +91,7 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->sequence = sequence;
   f->flag = full;
@@ -107,20 +107,21 @@
 {
   fixture_t *f = arg;
 
-  f->done++;
+  f->ended_calls++;
   f->code = code;
   f->score = score;
 }
 
-/* Run the loop until COUNT results have come since the last wait.  */
+/* Run the loop until COUNT calls have ended since the last wait.  */
 static void
 wait_for (fixture_t *f, int count)
 {
-  ck_assert_msg (f->done == 0, "a call ended inside itself");
-  while (f->done < count)
+  ck_assert_msg (f->ended_calls == 0,
+                 "a callback was called before its call returned");
+  while (f->ended_calls < count)
     uv_run (&f->loop, UV_RUN_ONCE);
-  ck_assert_int_eq (f->done, count);
-  f->done = 0;
+  ck_assert_int_eq (f->ended_calls, count);
+  f->ended_calls = 0;
 }
 
 static void
@@ -167,31 +168,33 @@
 static void
 assert_text (const fixture_t *f, str_t expected)
 {
-  ck_assert_msg (str_eq (buf_str (&f->text), expected), "%.*s, not %.*s",
-                 (int)f->text.len, f->text.ptr, STR_ARG (expected));
+  ck_assert_msg (str_eq (buf_str (&f->text), expected),
+                 "got \"%.*s\", expected \"%.*s\"", (int)f->text.len,
+                 f->text.ptr, STR_ARG (expected));
 }
 
 static void
-case_conditions (fixture_t *f)
+case_conditional_writes (fixture_t *f)
 {
   put_if (f, STR ("a"), STR ("1"), 0, STR_NULL);
   ck_assert_int_eq (f->code, VH_OK);
-  uint64_t first = f->revision;
-  ck_assert_uint_gt (first, 0);
+  uint64_t first_revision = f->revision;
+  ck_assert_uint_gt (first_revision, 0);
   put_if (f, STR ("a"), STR ("2"), 0, STR_NULL);
   ck_assert_int_eq (f->code, VH_E_CONFLICT);
   assert_text (f, STR ("a"));
-  put_if (f, STR ("a"), STR ("2"), first, STR_NULL);
+  put_if (f, STR ("a"), STR ("2"), first_revision, STR_NULL);
   ck_assert_int_eq (f->code, VH_OK);
-  ck_assert_uint_gt (f->revision, first);
+  ck_assert_uint_gt (f->revision, first_revision);
   get (f, STR ("a"));
   assert_text (f, STR ("2"));
 }
 
-/* Two operators swap rows that belong together: half a transaction would
-   leave a revision whose text is another's.  */
+/* Guards against a partly executed transaction.  Two operators change related
+   rows at the same time; writing only some of them would leave a revision with
+   the text of another one.  */
 static void
-case_all_or_nothing (fixture_t *f)
+case_transaction_is_atomic (fixture_t *f)
 {
   put (f, STR ("b"), STR ("old"));
   const txn_condition_t conditions[]
@@ -210,44 +213,46 @@
   ck_assert_uint_eq (f->revision, 0);
 }
 
-/* A row is deleted and made again between a reader's two looks.  Were its
-   version to start anew, the reader's swap would succeed on the wrong row. */
+/* Guards against a conditional write that succeeds on the wrong row.  The row
+   is deleted and created again between a reader's read and its write; a
+   version that started from 1 again would match the reader's condition.  */
 static void
 case_versions_never_repeat (fixture_t *f)
 {
   put (f, STR ("d"), STR ("1"));
-  uint64_t first = f->revision;
-  const txn_write_t gone = { STR ("d"), STR_NULL, true };
-  const txn_t txn = { NULL, 0, &gone, 1, STR_NULL };
+  uint64_t first_revision = f->revision;
+  const txn_write_t deletion = { STR ("d"), STR_NULL, true };
+  const txn_t txn = { NULL, 0, &deletion, 1, STR_NULL };
   run_txn (f, &txn);
   ck_assert_int_eq (f->code, VH_OK);
   put (f, STR ("d"), STR ("2"));
-  ck_assert_uint_gt (f->revision, first);
-  put_if (f, STR ("d"), STR ("3"), first, STR_NULL);
+  ck_assert_uint_gt (f->revision, first_revision);
+  put_if (f, STR ("d"), STR ("3"), first_revision, STR_NULL);
   ck_assert_int_eq (f->code, VH_E_CONFLICT);
 }
 
-/* A reply is lost and the writer asks again.  The second asking must hear
-   what became of the first, not that the writer lost to itself.  */
+/* Guards against a false conflict after a lost reply.  The writer sends its
+   transaction again and must get the first outcome, not a conflict with its
+   own write.  */
 static void
-case_token_has_one_effect (fixture_t *f)
+case_resent_token_reports_first_outcome (fixture_t *f)
 {
   put_if (f, STR ("e"), STR ("1"), 0, STR ("token-1"));
-  uint64_t first = f->revision;
+  uint64_t first_revision = f->revision;
   put_if (f, STR ("e"), STR ("1"), 0, STR ("token-1"));
   ck_assert_int_eq (f->code, VH_OK);
-  ck_assert_uint_eq (f->revision, first);
+  ck_assert_uint_eq (f->revision, first_revision);
   put_if (f, STR ("e"), STR ("2"), 0, STR ("token-2"));
   ck_assert_int_eq (f->code, VH_E_CONFLICT);
-  const txn_write_t gone = { STR ("e"), STR_NULL, true };
-  const txn_t txn = { NULL, 0, &gone, 1, STR_NULL };
+  const txn_write_t deletion = { STR ("e"), STR_NULL, true };
+  const txn_t txn = { NULL, 0, &deletion, 1, STR_NULL };
   run_txn (f, &txn);
   put_if (f, STR ("e"), STR ("2"), 0, STR ("token-2"));
   ck_assert_int_eq (f->code, VH_E_CONFLICT);
 }
 
 static void
-case_scan_pages (fixture_t *f)
+case_scan_in_pages (fixture_t *f)
 {
   put (f, STR ("s/1"), STR ("a"));
   put (f, STR ("s/3"), STR ("c"));
@@ -267,7 +272,7 @@
 }
 
 static void
-case_any_bytes (fixture_t *f)
+case_values_with_any_bytes (fixture_t *f)
 {
   static const char bytes[] = "\xff\x00\"\n\xc3\x28";
   const str_t value = { bytes, sizeof bytes - 1 };
@@ -303,19 +308,20 @@
   assert_text (f, value);
 }
 
-/* Post BODY to PATH of the stand-in, outside the platform under test.  */
 static void
-on_posted (void *arg, vh_code_t code, int status, str_t body)
+on_control_reply (void *arg, vh_code_t code, int status, str_t body)
 {
   fixture_t *f = arg;
 
   ck_assert_int_eq (code, VH_OK);
   ck_assert_int_eq (status, 200);
-  f->done++;
+  f->ended_calls++;
   f->text.len = 0;
   buf_append_str (&f->text, body);
 }
 
+/* Send a control request to the stand-in server, bypassing the platform under
+   test, and wait for its reply.  */
 static void
 control (fixture_t *f, str_t method, str_t path, str_t body)
 {
@@ -323,7 +329,7 @@
   const httpc_request_t request
       = { .method = method, .path = path, .body = body, .timeout_ms = 5000 };
 
-  httpc_fetch (client, &request, 1 << 20, on_posted, f);
+  httpc_fetch (client, &request, 1 << 20, on_control_reply, f);
   wait_for (f, 1);
   httpc_destroy (client);
 }
@@ -334,9 +340,9 @@
   control (f, STR ("POST"), STR ("/faults"), str_from (faults));
 }
 
-/* Return the count NAME of the stand-in.  */
+/* Return the counter NAME from the statistics of the stand-in server.  */
 static uint64_t
-count_of (fixture_t *f, const char *name)
+get_stat (fixture_t *f, const char *name)
 {
   control (f, STR ("GET"), STR ("/stats"), STR_NULL);
   json_t *json = json_loadb (f->text.ptr, f->text.len, 0, NULL);
@@ -360,7 +366,7 @@
                                .state = state };
   buf_t body = BUF_NULL;
 
-  if (!f->over_http)
+  if (!f->is_http)
     {
       platform_memory_instance (f->platform, &row);
       return;
@@ -375,7 +381,7 @@
 }
 
 static void
-instances (fixture_t *f, uint64_t after)
+get_instances (fixture_t *f, uint64_t after)
 {
   f->platform->ops->instances (f->platform, after, on_instances, f);
   wait_for (f, 1);
@@ -387,20 +393,21 @@
 {
   put_instance (f, "r-1", "a", INSTANCE_LIVE);
   put_instance (f, "r-2", "b", INSTANCE_LIVE);
-  instances (f, 0);
+  get_instances (f, 0);
   ck_assert (f->flag);
   assert_text (f, STR ("r-1/a:0 r-2/b:0 "));
   uint64_t sequence = f->sequence;
-  instances (f, sequence);
+  get_instances (f, sequence);
   ck_assert (!f->flag);
   ck_assert_uint_eq (f->count, 0);
   put_instance (f, "r-2", "b", INSTANCE_LEAVING);
   put_instance (f, "r-1", "a", INSTANCE_GONE);
-  instances (f, sequence);
+  get_instances (f, sequence);
   ck_assert (!f->flag);
   assert_text (f, STR ("r-1/a:2 r-2/b:1 "));
-  /* A list that was started anew knows no such sequence.  */
-  instances (f, 1000);
+  /* A platform whose list was reset does not know the sequence number and
+     returns the whole list.  */
+  get_instances (f, 1000);
   ck_assert (f->flag);
   assert_text (f, STR ("r-2/b:1 "));
 }
@@ -416,7 +423,7 @@
 }
 
 static void
-case_many_at_once (fixture_t *f)
+case_many_concurrent_calls (fixture_t *f)
 {
   char key[32];
 
@@ -432,36 +439,37 @@
   ck_assert_uint_eq (f->count, 100);
 }
 
-/* What is pending when the platform goes ends once, as cancelled.  */
+/* Guards against calls that never end: destroying the platform ends each
+   pending call once, with VH_E_CANCELLED.  */
 static void
-case_destroy_ends_calls (fixture_t *f)
+case_destroy_cancels_pending_calls (fixture_t *f)
 {
   f->platform->ops->get (f->platform, STR ("a"), on_get, f);
   f->platform->ops->rate (f->platform, STR (""), STR (""), STR (""), on_rate,
                           f);
   f->platform->ops->destroy (f->platform);
   f->platform = NULL;
-  ck_assert_int_eq (f->done, 2);
+  ck_assert_int_eq (f->ended_calls, 2);
   ck_assert_int_eq (f->code, VH_E_CANCELLED);
 }
 
 static void (*const cases[]) (fixture_t *f) = {
-  case_conditions,
-  case_all_or_nothing,
+  case_conditional_writes,
+  case_transaction_is_atomic,
   case_versions_never_repeat,
-  case_token_has_one_effect,
-  case_scan_pages,
-  case_any_bytes,
+  case_resent_token_reports_first_outcome,
+  case_scan_in_pages,
+  case_values_with_any_bytes,
   case_objects,
   case_instances,
   case_rating,
-  case_many_at_once,
-  case_destroy_ends_calls,
+  case_many_concurrent_calls,
+  case_destroy_cancels_pending_calls,
 };
 
 enum
 {
-  CASES = sizeof cases / sizeof cases[0]
+  CASE_COUNT = sizeof cases / sizeof cases[0]
 };
 
 static void
@@ -469,7 +477,7 @@
 {
   memset (f, 0, sizeof *f);
   uv_loop_init (&f->loop);
-  f->over_http = true;
+  f->is_http = true;
   platform_child_start (&f->child, 0, faults);
   f->platform = platform_http_create (&f->loop, clock_system (), rng_make (3),
                                       str_from (f->child.address), TIMEOUT_MS);
@@ -508,59 +516,62 @@
 }
 END_TEST
 
-/* An operator's change takes effect and its reply is lost; the client asks
-   again.  The operator must see "done" once, with one revision, and the row
-   must have been written once.  */
-START_TEST (lost_reply_is_read_back)
+/* Guards against a write that is executed twice.  An operator's change takes
+   effect, its reply is lost and the client sends it again: the row must have
+   been written once, with one revision.  */
+START_TEST (resent_write_has_one_effect_after_lost_reply)
 {
   fixture_t f;
 
   setup_http (&f, NULL);
   put (&f, STR ("k"), STR ("0"));
-  uint64_t before = f.revision;
+  uint64_t old_revision = f.revision;
   set_faults (&f, "{\"lost_reply_share\":1}");
-  put_if (&f, STR ("k"), STR ("1"), before, STR ("t-1"));
+  put_if (&f, STR ("k"), STR ("1"), old_revision, STR ("t-1"));
   ck_assert_int_eq (f.code, VH_E_STORE_LATE);
   set_faults (&f, "{\"lost_reply_share\":0}");
-  put_if (&f, STR ("k"), STR ("1"), before, STR ("t-1"));
+  put_if (&f, STR ("k"), STR ("1"), old_revision, STR ("t-1"));
   ck_assert_int_eq (f.code, VH_OK);
-  ck_assert_uint_eq (f.revision, before + 1);
+  ck_assert_uint_eq (f.revision, old_revision + 1);
   teardown (&f);
 }
 END_TEST
 
-/* Half of the replies are lost at random: no write may be told as "nothing
-   took effect" when it did, nor as done when it was not.  */
-START_TEST (half_of_the_replies_lost)
+/* Guards against wrong outcomes when half of the replies are lost at random.
+   A write that took effect must not be reported as VH_E_STORE_DOWN, and one
+   that did not must not be reported as VH_OK.  */
+START_TEST (lost_replies_give_no_wrong_outcome)
 {
   fixture_t f;
   char key[32];
-  int told_done = 0;
+  int writes_done = 0;
 
   setup_http (&f, "{\"lost_reply_share\":0.5}");
   for (int i = 0; i < 40; i++)
     {
       snprintf (key, sizeof key, "k/%d", i);
       put_if (&f, str_from (key), STR ("v"), 0, str_from (key));
-      vh_code_t told = f.code;
+      vh_code_t write_code = f.code;
       get (&f, str_from (key));
-      bool there = f.code == VH_OK;
+      bool is_present = f.code == VH_OK;
       if (f.code == VH_E_STORE_DOWN)
-        continue; /* The breaker is open: nobody can look.  */
-      ck_assert (told != VH_OK || there);
-      ck_assert (told != VH_E_STORE_DOWN || !there);
-      ck_assert_int_ne (told, VH_E_CONFLICT);
-      told_done += told == VH_OK;
+        continue; /* The breaker is open, so the row cannot be read.  */
+      ck_assert (write_code != VH_OK || is_present);
+      ck_assert (write_code != VH_E_STORE_DOWN || !is_present);
+      ck_assert_int_ne (write_code, VH_E_CONFLICT);
+      writes_done += write_code == VH_OK;
     }
-  ck_assert_int_gt (told_done, 10);
-  printf ("half of the replies lost: %d of 40 told done\n", told_done);
+  ck_assert_int_gt (writes_done, 10);
+  printf ("half of the replies lost: %d of 40 writes reported as done\n",
+          writes_done);
   teardown (&f);
 }
 END_TEST
 
-/* A write without a token goes unanswered: sending it again might do it
-   twice, so the client sends it once and says that it may have happened.  */
-START_TEST (write_without_token_is_sent_once)
+/* Guards against a write that is executed twice.  The reply to a write without
+   a token is lost: the client must not retry it and must report that it may
+   have taken effect.  */
+START_TEST (write_without_token_is_not_retried)
 {
   fixture_t f;
   const txn_write_t write = { STR ("k"), STR ("v"), false };
@@ -569,14 +580,14 @@
   setup_http (&f, "{\"lost_reply_share\":1}");
   run_txn (&f, &txn);
   ck_assert_int_eq (f.code, VH_E_STORE_LATE);
-  ck_assert_uint_eq (count_of (&f, "txns"), 1);
+  ck_assert_uint_eq (get_stat (&f, "txns"), 1);
   teardown (&f);
 }
 END_TEST
 
-/* The store is slow by seconds, within the deadline: a call must wait for
-   it rather than fail and add load.  */
-START_TEST (slow_store_is_waited_for)
+/* Guards against needless failures and extra load when the store is slow.  A
+   call whose reply comes late, but within the time-out, must succeed.  */
+START_TEST (slow_reply_within_timeout_succeeds)
 {
   fixture_t f;
 
@@ -587,9 +598,10 @@
 }
 END_TEST
 
-/* The store says nothing for good.  Every call must end within its deadline,
-   and say of a write that it may have happened.  */
-START_TEST (silent_store_ends_in_time)
+/* Guards against calls that hang when the store accepts requests and never
+   replies.  Every call must end within its time-out, and a write must be
+   reported as possibly executed.  */
+START_TEST (silent_store_does_not_hang_calls)
 {
   fixture_t f;
 
@@ -599,48 +611,50 @@
   ck_assert_int_eq (f.code, VH_E_STORE_LATE);
   get (&f, STR ("k"));
   ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
-  uint64_t took_ms = clock_ms (clock_system ()) - start_ms;
-  ck_assert_uint_lt (took_ms, 2 * TIMEOUT_MS + 400);
+  uint64_t elapsed_ms = clock_ms (clock_system ()) - start_ms;
+  ck_assert_uint_lt (elapsed_ms, 2 * TIMEOUT_MS + 400);
   teardown (&f);
 }
 END_TEST
 
-/* The store refuses for a while under steady traffic.  The clients must not
-   beat on it meanwhile (the breaker is open), and must find it again soon
-   after it is back.  */
-START_TEST (outage_is_not_hammered)
+/* Guards against overload of a store during an outage.  The store refuses all
+   calls under steady traffic: the open breaker must hold back most calls, and
+   must detect the recovery within seconds.  */
+START_TEST (breaker_limits_calls_during_outage)
 {
   fixture_t f;
 
   setup_http (&f, NULL);
   get (&f, STR ("k"));
   set_faults (&f, "{\"outage\":\"refuse\"}");
-  uint64_t until_ms = clock_ms (clock_system ()) + 1000;
-  uint64_t asked = 0;
-  while (clock_ms (clock_system ()) < until_ms)
+  uint64_t deadline_ms = clock_ms (clock_system ()) + 1000;
+  uint64_t calls_made = 0;
+  while (clock_ms (clock_system ()) < deadline_ms)
     {
       get (&f, STR ("k"));
       ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
-      asked++;
+      calls_made++;
     }
-  uint64_t sent = count_of (&f, "refused");
-  ck_assert_uint_gt (asked, 100);
-  ck_assert_uint_lt (sent, 40);
+  uint64_t calls_sent = get_stat (&f, "refused");
+  ck_assert_uint_gt (calls_made, 100);
+  ck_assert_uint_lt (calls_sent, 40);
   set_faults (&f, "{\"outage\":\"none\"}");
-  until_ms = clock_ms (clock_system ()) + 6000;
+  deadline_ms = clock_ms (clock_system ()) + 6000;
   do
     get (&f, STR ("k"));
-  while (f.code != VH_E_NOT_FOUND && clock_ms (clock_system ()) < until_ms);
+  while (f.code != VH_E_NOT_FOUND && clock_ms (clock_system ()) < deadline_ms);
   ck_assert_int_eq (f.code, VH_E_NOT_FOUND);
   printf ("outage of 1 s: %llu calls made, %llu sent\n",
-          (unsigned long long)asked, (unsigned long long)sent);
+          (unsigned long long)calls_made, (unsigned long long)calls_sent);
   teardown (&f);
 }
 END_TEST
 
-/* The platform's process ends and another starts on the same address: calls
-   in between were surely not sent, and the client finds the new one.  */
-START_TEST (restart_is_found_again)
+/* Guards against a client that stays disconnected after a restart.  The
+   platform's process is killed and a new one starts at the same address.  A
+   write while no process listens must be reported as not executed; a write
+   after the restart must succeed.  */
+START_TEST (client_recovers_after_platform_restart)
 {
   fixture_t f;
 
@@ -653,31 +667,32 @@
   put_if (&f, STR ("k"), STR ("w"), 0, STR ("t-2"));
   ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
   platform_child_start (&f.child, port, NULL);
-  uint64_t until_ms = clock_ms (clock_system ()) + 6000;
+  uint64_t deadline_ms = clock_ms (clock_system ()) + 6000;
   do
     put_if (&f, STR ("k"), STR ("w"), 0, STR ("t-3"));
-  while (f.code != VH_OK && clock_ms (clock_system ()) < until_ms);
+  while (f.code != VH_OK && clock_ms (clock_system ()) < deadline_ms);
   ck_assert_int_eq (f.code, VH_OK);
   teardown (&f);
 }
 END_TEST
 
-/* The table refuses calls above its rate: nothing took effect, the caller
-   hears so, and a call that has time is sent again a little later.  */
-START_TEST (rate_limit_is_told)
+/* Guards against a wrong code for rate-limited calls.  The table rejects calls
+   above its rate: the client retries them within the time-out and otherwise
+   reports VH_E_STORE_BUSY, since nothing took effect.  */
+START_TEST (rate_limit_is_reported_as_busy)
 {
   fixture_t f;
-  bool busy = false;
+  bool is_busy_reported = false;
 
   setup_http (&f, "{\"write_limit\":5}");
   for (int i = 0; i < 30; i++)
     {
       put_if (&f, STR ("k"), STR ("v"), 0, STR_NULL);
-      busy = busy || f.code == VH_E_STORE_BUSY;
+      is_busy_reported = is_busy_reported || f.code == VH_E_STORE_BUSY;
       ck_assert (f.code == VH_OK || f.code == VH_E_CONFLICT
                  || f.code == VH_E_STORE_BUSY);
     }
-  ck_assert (busy);
+  ck_assert (is_busy_reported);
   teardown (&f);
 }
 END_TEST
@@ -695,9 +710,9 @@
   { "{\"rating\":\"wrong\"}", VH_OK, 0.2 },
 };
 
-/* The rating service fails for long: the table must go on as if nothing had
-   happened.  */
-START_TEST (rating_faults)
+/* Guards against faults of the rating service (no reply, slow replies, wrong
+   ratings) that block calls to the table, which has its own breaker.  */
+START_TEST (rating_outage_does_not_block_table)
 {
   const rating_case_t *c = &rating_cases[_i];
   fixture_t f;
@@ -716,37 +731,38 @@
 }
 END_TEST
 
-START_TEST (instance_list_lags)
+START_TEST (new_instance_appears_after_lag)
 {
   fixture_t f;
 
   setup_http (&f, "{\"lag_ms\":100}");
   put_instance (&f, "r-1", "a", INSTANCE_LIVE);
-  instances (&f, 0);
+  get_instances (&f, 0);
   ck_assert_uint_eq (f.count, 0);
   while (f.count == 0)
-    instances (&f, 0);
+    get_instances (&f, 0);
   assert_text (&f, STR ("r-1/a:0 "));
   teardown (&f);
 }
 END_TEST
 
-/* A thousand clients fail together.  Repeats stay a small share of the calls
-   and the probes of an open breaker are spread.  */
-START_TEST (breaker_bounds)
+/* Guards against a surge of retries and probes during an outage.  After 1000
+   successful calls retries must be a small share of the calls, and during 60 s
+   of failures the probes must be spread over time.  */
+START_TEST (breaker_bounds_retries_and_probes)
 {
   breaker_t breaker;
   rng_t rng = rng_make (9);
-  int repeats = 0;
+  int retries = 0;
   int probes = 0;
 
   breaker_init (&breaker);
   for (int i = 0; i < 1000; i++)
     {
       breaker_record_result (&breaker, true, 0, &rng);
-      repeats += breaker_take_retry (&breaker);
+      retries += breaker_take_retry (&breaker);
     }
-  ck_assert_int_le (repeats, 110);
+  ck_assert_int_le (retries, 110);
   for (uint64_t now_ms = 0; now_ms < 60000; now_ms++)
     if (breaker_allow_call (&breaker, now_ms))
       {
@@ -764,20 +780,20 @@
   Suite *suite = suite_create ("platform");
   TCase *tcase = tcase_create ("platform");
 
-  tcase_add_loop_test (tcase, contract_in_memory, 0, CASES);
-  tcase_add_loop_test (tcase, contract_over_http, 0, CASES);
-  tcase_add_test (tcase, lost_reply_is_read_back);
-  tcase_add_test (tcase, half_of_the_replies_lost);
-  tcase_add_test (tcase, write_without_token_is_sent_once);
-  tcase_add_test (tcase, slow_store_is_waited_for);
-  tcase_add_test (tcase, silent_store_ends_in_time);
-  tcase_add_test (tcase, outage_is_not_hammered);
-  tcase_add_test (tcase, restart_is_found_again);
-  tcase_add_test (tcase, rate_limit_is_told);
-  tcase_add_loop_test (tcase, rating_faults, 0,
+  tcase_add_loop_test (tcase, contract_in_memory, 0, CASE_COUNT);
+  tcase_add_loop_test (tcase, contract_over_http, 0, CASE_COUNT);
+  tcase_add_test (tcase, resent_write_has_one_effect_after_lost_reply);
+  tcase_add_test (tcase, lost_replies_give_no_wrong_outcome);
+  tcase_add_test (tcase, write_without_token_is_not_retried);
+  tcase_add_test (tcase, slow_reply_within_timeout_succeeds);
+  tcase_add_test (tcase, silent_store_does_not_hang_calls);
+  tcase_add_test (tcase, breaker_limits_calls_during_outage);
+  tcase_add_test (tcase, client_recovers_after_platform_restart);
+  tcase_add_test (tcase, rate_limit_is_reported_as_busy);
+  tcase_add_loop_test (tcase, rating_outage_does_not_block_table, 0,
                        sizeof rating_cases / sizeof rating_cases[0]);
-  tcase_add_test (tcase, instance_list_lags);
-  tcase_add_test (tcase, breaker_bounds);
+  tcase_add_test (tcase, new_instance_appears_after_lag);
+  tcase_add_test (tcase, breaker_bounds_retries_and_probes);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
