--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -196,7 +196,7 @@
 }
 
 size_t
-sidecar_in_hand (const sidecar_t *sidecar)
+sidecar_count_unfinished (const sidecar_t *sidecar)
 {
   return sidecar->running_count + queue_waiting (sidecar->queue)
          + attempts_count_undelivered (sidecar->attempts)
@@ -204,7 +204,7 @@
 }
 
 bool
-sidecar_idle (const sidecar_t *sidecar)
+sidecar_is_idle (const sidecar_t *sidecar)
 {
   return list_empty (attempts_active (sidecar->attempts));
 }
--- a/packages/sidecar/sidecar.h
+++ b/packages/sidecar/sidecar.h
@@ -27,7 +27,7 @@
   /* Append to UPDATE the changes of the configuration since revision HAVE;
      return false when there are none.  */
   bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
-} sidecar_host_t;
+} sidecar_callbacks_t;
 
 /* All pointers are borrowed and must outlive the sidecar.  */
 typedef struct
@@ -38,7 +38,7 @@
   const settings_t *settings;
   const upstream_settings_t *upstream;
   uint64_t seed;
-  const sidecar_host_t *host;
+  const sidecar_callbacks_t *host;
   void *arg; /* First argument of the callbacks in HOST.  */
 } sidecar_options_t;
 
@@ -49,11 +49,11 @@
 /* Reject new attempts from now on; queued and running ones continue.  */
 void sidecar_drain (sidecar_t *sidecar);
 /* Return whether no attempt is queued or running.  */
-bool sidecar_idle (const sidecar_t *sidecar);
+bool sidecar_is_idle (const sidecar_t *sidecar);
 /* Return the number of running and queued attempts, of recent answers whose
    end no entry has fetched, and of held bills that would be lost if the
    process stopped now.  */
-size_t sidecar_in_hand (const sidecar_t *sidecar);
+size_t sidecar_count_unfinished (const sidecar_t *sidecar);
 void sidecar_destroy (sidecar_t *sidecar);
 rpc_node_t *sidecar_node (sidecar_t *sidecar);
 uint64_t sidecar_revision (const sidecar_t *sidecar);
--- a/packages/storage/storage.h
+++ b/packages/storage/storage.h
@@ -139,8 +139,8 @@
 platform_t *platform_memory_create (uv_loop_t *loop);
 /* Add ROW to the list of instances of PLATFORM, an in-memory platform, or
    replace the instance of the same name.  */
-void platform_memory_instance (platform_t *platform,
-                               const instance_row_t *row);
+void platform_memory_put_instance (platform_t *platform,
+                                   const instance_row_t *row);
 
 /* Create a client of the platform's HTTP/JSON interface, which is specified in
    docs/PLATFORM-CONTRACT.md, at ADDRESS (HOST:PORT, numeric).  Each call ends
--- a/packages/storage/table.h
+++ b/packages/storage/table.h
@@ -16,8 +16,8 @@
    *REVISION, or VH_E_CONFLICT and the key of the first failed condition in
    *CONFLICT_KEY, borrowed until the next transaction.  A transaction whose
    token has a stored outcome changes nothing and returns that outcome.  */
-vh_code_t table_txn (table_t *table, const txn_t *txn, uint64_t now_ms,
-                     uint64_t *revision, str_t *conflict_key);
+vh_code_t table_execute (table_t *table, const txn_t *txn, uint64_t now_ms,
+                         uint64_t *revision, str_t *conflict_key);
 /* Fill *ROW with the row of KEY, borrowed until the next write.  Return false
    if there is no such row.  */
 bool table_get (const table_t *table, str_t key, row_t *row);
@@ -38,12 +38,12 @@
    number AFTER, and return its length.  If AFTER is 0 or unknown, *FULL is set
    and the array has all instances that are not removed.  The caller frees the
    array; its strings are borrowed until the next change.  */
-size_t instance_list_read (const instance_list_t *list, uint64_t after,
-                           instance_row_t **rows, uint64_t *sequence,
-                           bool *full);
+size_t instance_list_get_changes (const instance_list_t *list, uint64_t after,
+                                  instance_row_t **rows, uint64_t *sequence,
+                                  bool *full);
 
 /* Return the rating given by a marker `quality=X' in ANSWER, limited to the
    range 0 to 1; 0.5 without a valid marker.  */
-double rating_of (str_t answer);
+double rating_parse_marker (str_t answer);
 
 #endif
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -368,7 +368,7 @@
 
   if (!f->is_http)
     {
-      platform_memory_instance (f->platform, &row);
+      platform_memory_put_instance (f->platform, &row);
       return;
     }
   buf_printf (&body,
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -41,7 +41,7 @@
                                .address = STR ("127.0.0.1:1"),
                                .state = state };
 
-  platform_memory_instance (f->base.memory, &row);
+  platform_memory_put_instance (f->base.memory, &row);
 }
 
 /* Let the roster read the list, then compare and forget the events.  */
@@ -170,7 +170,7 @@
 
   setup (&f);
   roster_draining (f.roster, STR ("r-1"), true);
-  platform_memory_instance (f.base.memory, &row);
+  platform_memory_put_instance (f.base.memory, &row);
   expect (&f, STR ("~r-1:draining ~r-1:up "));
   ck_assert (str_eq (roster_find (f.roster, STR ("r-1"))->address,
                      STR ("127.0.0.2:1")));
