--- a/packages/control/store.c
+++ b/packages/control/store.c
@@ -228,7 +228,7 @@
   platform_t *platform = store->env.platform;
 
   call->cb.instances = cb;
-  platform->ops->instances (platform, after, on_instances, call);
+  platform->ops->list_instances (platform, after, on_instances, call);
 }
 
 void
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -351,7 +351,7 @@
                                           .settings = settings,
                                           .upstream = &settings->upstreams[i],
                                           .seed = process->seed + i + 1,
-                                          .host = &sidecar_host,
+                                          .callbacks = &sidecar_host,
                                           .arg = process };
       vh_code_t code = sidecar_create (&options, &process->sidecars[i]);
       if (code != VH_OK)
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -335,7 +335,7 @@
     return false;
   request->rating = true;
   content_extract (buf_str (&request->at.body), false, &content);
-  entry->options.platform->ops->rate (
+  entry->options.platform->ops->rate_answer (
       entry->options.platform, request->version->model->task,
       question (request), buf_str (&content), on_rated, request);
   buf_free (&content);
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -339,7 +339,7 @@
       rating->rollout_start_ms = request->rollout->start_ms;
     }
   entry->ratings_on_way++;
-  entry->options.platform->ops->rate (
+  entry->options.platform->ops->rate_answer (
       entry->options.platform, request->version->model->task,
       buf_str (&request->raw), content, on_rated, rating);
 }
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -431,8 +431,8 @@
 {
   str_t update = str_make (args->update.update_val, args->update.update_len);
 
-  reply_code (request,
-              sidecar->options.host->learn (sidecar->options.arg, update));
+  reply_code (request, sidecar->options.callbacks->apply_update (
+                           sidecar->options.arg, update));
 }
 
 static void
@@ -442,8 +442,8 @@
   wire_config_pull_res_t result;
   buf_t update = BUF_NULL;
 
-  sidecar->options.host->delta_from (sidecar->options.arg, args->have,
-                                     &update);
+  sidecar->options.callbacks->append_update (sidecar->options.arg, args->have,
+                                             &update);
   result.update.update_val = update.ptr;
   result.update.update_len = (u_int)update.len;
   rpc_reply (request, &result);
--- a/packages/sidecar/sidecar.h
+++ b/packages/sidecar/sidecar.h
@@ -23,10 +23,10 @@
   /* Apply a configuration update from another process.  Return VH_OK, or
      VH_E_STALE_REVISION when the update starts after the revision in force
      in this process.  */
-  vh_code_t (*learn) (void *arg, str_t update);
+  vh_code_t (*apply_update) (void *arg, str_t update);
   /* Append to UPDATE the changes of the configuration since revision HAVE;
      return false when there are none.  */
-  bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
+  bool (*append_update) (void *arg, uint64_t have, buf_t *update);
 } sidecar_callbacks_t;
 
 /* All pointers are borrowed and must outlive the sidecar.  */
@@ -38,8 +38,8 @@
   const settings_t *settings;
   const upstream_settings_t *upstream;
   uint64_t seed;
-  const sidecar_callbacks_t *host;
-  void *arg; /* First argument of the callbacks in HOST.  */
+  const sidecar_callbacks_t *callbacks;
+  void *arg; /* First argument of the functions in CALLBACKS.  */
 } sidecar_options_t;
 
 /* Create a sidecar that listens and serves RPCs.  Return VH_OK and the
--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -517,8 +517,8 @@
   .scan = http_scan,
   .object_get = http_object_get,
   .object_put = http_object_put,
-  .instances = http_instances,
-  .rate = http_rate,
+  .list_instances = http_instances,
+  .rate_answer = http_rate,
   .destroy = http_destroy,
 };
 
--- a/packages/storage/memory.c
+++ b/packages/storage/memory.c
@@ -341,8 +341,8 @@
   .scan = memory_scan,
   .object_get = memory_object_get,
   .object_put = memory_object_put,
-  .instances = memory_instances,
-  .rate = memory_rate,
+  .list_instances = memory_instances,
+  .rate_answer = memory_rate,
   .destroy = memory_destroy,
 };
 
--- a/packages/storage/storage.h
+++ b/packages/storage/storage.h
@@ -121,11 +121,11 @@
                       object_cb_t cb, void *arg);
   /* Read the changes of the list of instances after sequence number AFTER, or
      the whole list if AFTER is 0 or unknown to the platform.  */
-  void (*instances) (platform_t *platform, uint64_t after, instances_cb_t cb,
-                     void *arg);
+  void (*list_instances) (platform_t *platform, uint64_t after,
+                          instances_cb_t cb, void *arg);
   /* Request the rating, from 0 to 1, of ANSWER to QUESTION in TASK.  */
-  void (*rate) (platform_t *platform, str_t task, str_t question, str_t answer,
-                rate_cb_t cb, void *arg);
+  void (*rate_answer) (platform_t *platform, str_t task, str_t question,
+                       str_t answer, rate_cb_t cb, void *arg);
   void (*destroy) (platform_t *platform);
 } platform_ops_t;
 
--- a/tests/faulty_platform.c
+++ b/tests/faulty_platform.c
@@ -161,7 +161,7 @@
       inner->ops->scan (inner, key, after, op->limit, on_scan, op);
       break;
     case KIND_INSTANCES:
-      inner->ops->instances (inner, op->sequence, on_instances, op);
+      inner->ops->list_instances (inner, op->sequence, on_instances, op);
       break;
     }
 }
@@ -302,7 +302,7 @@
   .txn = faulty_txn,
   .get = faulty_get,
   .scan = faulty_scan,
-  .instances = faulty_instances,
+  .list_instances = faulty_instances,
   .destroy = faulty_destroy,
 };
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -383,7 +383,7 @@
 static void
 get_instances (fixture_t *f, uint64_t after)
 {
-  f->platform->ops->instances (f->platform, after, on_instances, f);
+  f->platform->ops->list_instances (f->platform, after, on_instances, f);
   wait_for (f, 1);
   ck_assert_int_eq (f->code, VH_OK);
 }
@@ -415,8 +415,8 @@
 static void
 case_rating (fixture_t *f)
 {
-  f->platform->ops->rate (f->platform, STR ("draft"), STR ("q"),
-                          STR ("an answer, quality=0.83."), on_rate, f);
+  f->platform->ops->rate_answer (f->platform, STR ("draft"), STR ("q"),
+                                 STR ("an answer, quality=0.83."), on_rate, f);
   wait_for (f, 1);
   ck_assert_int_eq (f->code, VH_OK);
   ck_assert_double_eq_tol (f->score, 0.83, 1e-9);
@@ -445,8 +445,8 @@
 case_destroy_cancels_pending_calls (fixture_t *f)
 {
   f->platform->ops->get (f->platform, STR ("a"), on_get, f);
-  f->platform->ops->rate (f->platform, STR (""), STR (""), STR (""), on_rate,
-                          f);
+  f->platform->ops->rate_answer (f->platform, STR (""), STR (""), STR (""),
+                                 on_rate, f);
   f->platform->ops->destroy (f->platform);
   f->platform = NULL;
   ck_assert_int_eq (f->ended_calls, 2);
@@ -720,8 +720,8 @@
   setup_http (&f, c->faults);
   for (int i = 0; i < 2; i++)
     {
-      f.platform->ops->rate (f.platform, STR ("draft"), STR ("q"),
-                             STR ("quality=0.8"), on_rate, &f);
+      f.platform->ops->rate_answer (f.platform, STR ("draft"), STR ("q"),
+                                    STR ("quality=0.8"), on_rate, &f);
       wait_for (&f, 1);
       ck_assert_int_eq (f.code, c->code);
       ck_assert_double_eq_tol (f.score, c->score, 1e-9);
