--- a/packages/sidecar/sidecarint.h
+++ b/packages/sidecar/sidecarint.h
@@ -1,6 +1,6 @@
 /* Private declarations of the sidecar: sidecar.c (life cycle and timers),
    serve.c (RPC procedures), upstream.c (calls to the upstream) and
-   held.c (bills not yet in the ledger).  */
+   bill_backup.c (bills not yet in the ledger).  */
 
 #ifndef SIDECAR_SIDECARINT_H
 #define SIDECAR_SIDECARINT_H
@@ -112,7 +112,7 @@
 /* Resume reading a paused answer once its fetcher has caught up.  */
 void sidecar_resume_reading (const sidecar_t *sidecar, attempt_t *attempt);
 
-/* held.c.  An entry is identified by its NAME/EPOCH.  */
+/* bill_backup.c.  An entry is identified by its NAME/EPOCH.  */
 bill_backup_t *bill_backup_create (clock_iface_t *clock);
 void bill_backup_destroy (bill_backup_t *backup);
 /* Record that a message from ENTRY_ID has arrived.  */
