--- a/packages/sidecar/attempt.c
+++ b/packages/sidecar/attempt.c
@@ -21,7 +21,7 @@
   clock_iface_t *clock;
   uint64_t keep_ms;
   uint64_t bytes_max;
-  uint64_t bytes; /* Total of ended answers, with their overhead.  */
+  uint64_t bytes; /* Memory of the ended attempts, in bytes.  */
   map_t *by_id;
   map_t *by_request;
   list_t active;
--- a/packages/sidecar/bill_backup.c
+++ b/packages/sidecar/bill_backup.c
@@ -40,8 +40,8 @@
 struct bill_backup
 {
   clock_iface_t *clock;
-  map_t *bills;   /* By bill id.  */
-  map_t *entries; /* By NAME/EPOCH.  */
+  map_t *bills;   /* Bills by bill id.  */
+  map_t *entries; /* Entry records by NAME/EPOCH.  */
 };
 
 bill_backup_t *
--- a/packages/sidecar/sidecarint.h
+++ b/packages/sidecar/sidecarint.h
@@ -75,8 +75,8 @@
   uint32_t running_suspect_count;
   uint32_t crash_count;        /* Crashes of the upstream detected so far.  */
   uint64_t mean_first_byte_us; /* Moving mean of the time to first byte.  */
-  wire_suspect_t suspects[RECENT_SUSPECTS_MAX]; /* Ring buffer.  */
-  size_t suspects_recorded; /* Total, including overwritten ones.  */
+  wire_suspect_t suspects[RECENT_SUSPECTS_MAX]; /* Ring buffer of suspects.  */
+  size_t suspects_recorded; /* Total, with overwritten suspects.  */
   map_t *fence_by_subject;  /* Highest fencing number of each subject.  */
   struct
   {
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -282,7 +282,7 @@
 }
 
 /* Release ATTEMPT's slot of the concurrency limit, unless a crash of the
-   upstream has dropped all slots since the start.  */
+   upstream has dropped all slots since the call began.  */
 static void
 release_limit_slot (sidecar_t *sidecar, const attempt_t *attempt,
                     uint64_t took_us, uint32_t units, bool ok)
@@ -293,8 +293,8 @@
   queue_set_slots (sidecar->queue, limit_slots (sidecar->limit));
 }
 
-/* Release the slots of ATTEMPT, whose call ended with CODE, and count the
-   attempt.  */
+/* Release the slots of ATTEMPT, whose call ended with CODE, in the limit and
+   in the queue, and count the attempt as failed or answered.  */
 static void
 release_slots (sidecar_t *sidecar, attempt_t *attempt, vh_code_t code)
 {
--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -53,7 +53,7 @@
   bool may_have_effect; /* An attempt without a usable reply may have taken
                            effect.  */
   bool is_finished;
-  vh_code_t failure; /* Failure that the timer reports.  */
+  vh_code_t failure; /* Error code to report when TIMER expires.  */
   uint64_t deadline_ms;
   uint64_t backoff_ms;
   uv_timer_t timer;
--- a/packages/storage/memory.c
+++ b/packages/storage/memory.c
@@ -50,7 +50,7 @@
 {
   platform_t base;
   uv_loop_t *loop;
-  uv_timer_t timer; /* Runs the pending calls in the next iteration.  */
+  uv_timer_t timer; /* Expires in the next iteration of the loop.  */
   table_t *table;
   map_t *objects;
   instance_list_t *instances;
--- a/packages/storage/table.c
+++ b/packages/storage/table.c
@@ -43,10 +43,10 @@
   size_t count;
   uint64_t revision;
   rng_t rng;
-  map_t *outcomes; /* By token.  */
+  map_t *outcomes; /* Stored outcomes by token.  */
   outcome_t *oldest;
   outcome_t *newest;
-  char *last_conflict_key; /* Of the last executed transaction, or NULL.  */
+  char *last_conflict_key; /* NULL if the last transaction succeeded.  */
 };
 
 static node_t *
--- a/packages/storage/table.h
+++ b/packages/storage/table.h
@@ -10,7 +10,7 @@
 typedef struct table table_t;
 
 table_t *table_create (void);
-/* NULL is accepted.  */
+/* Release TABLE, which may be NULL.  */
 void table_destroy (table_t *table);
 /* Execute TXN at NOW_MS.  Return VH_OK and the written rows' new version in
    *REVISION, or VH_E_CONFLICT and the key of the first failed condition in
