--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -84,7 +84,7 @@
 
 /* Report CODE and BODY to the caller and free CALL.  */
 static void
-finish (call_t *call, vh_code_t code, str_t body)
+finish_call (call_t *call, vh_code_t code, str_t body)
 {
   list_remove (&call->link);
   call->report (call, code, body);
@@ -96,7 +96,7 @@
 {
   call_t *call = timer->data;
 
-  finish (call, call->failure, STR_NULL);
+  finish_call (call, call->failure, STR_NULL);
 }
 
 static void
@@ -165,15 +165,15 @@
     {
     case 200:
       record_result (call, true);
-      finish (call, VH_OK, body);
+      finish_call (call, VH_OK, body);
       break;
     case 404:
       record_result (call, true);
-      finish (call, VH_E_NOT_FOUND, body);
+      finish_call (call, VH_E_NOT_FOUND, body);
       break;
     case 409:
       record_result (call, true);
-      finish (call, VH_E_CONFLICT, body);
+      finish_call (call, VH_E_CONFLICT, body);
       break;
     case 429:
       record_result (call, true);
@@ -281,7 +281,7 @@
 
 /* Return the JSON object in BODY, or NULL.  */
 static json_t *
-parse_object (str_t body)
+parse_json_object (str_t body)
 {
   json_t *json = json_loadb (body.len > 0 ? body.ptr : "", body.len,
                              JSON_ALLOW_NUL, NULL);
@@ -295,7 +295,7 @@
 static void
 report_txn (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse_object (body);
+  json_t *json = parse_json_object (body);
   uint64_t revision = json_get_u64 (json, "revision");
 
   /* A write with an unreadable reply may have taken effect.  */
@@ -320,7 +320,7 @@
 static void
 report_get (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse_object (body);
+  json_t *json = parse_json_object (body);
   buf_t scratch = BUF_NULL;
   row_t row = { json_get_utf8 (json, "key"),
                 json_get_bytes (json, "value", &scratch),
@@ -348,7 +348,7 @@
 static void
 report_scan (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse_object (body);
+  json_t *json = parse_json_object (body);
   const json_t *list = json_object_get (json, "rows");
   size_t count = json_array_size (list);
   row_t *rows = mem_zalloc ((count + 1) * sizeof *rows);
@@ -434,7 +434,7 @@
 static void
 report_instances (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse_object (body);
+  json_t *json = parse_json_object (body);
   const json_t *list = json_object_get (json, "instances");
   size_t size = json_array_size (list);
   instance_row_t *rows = mem_zalloc ((size + 1) * sizeof *rows);
@@ -466,7 +466,7 @@
 static void
 report_rate (const call_t *call, vh_code_t code, str_t body)
 {
-  json_t *json = parse_object (body);
+  json_t *json = parse_json_object (body);
   const json_t *score = json_object_get (json, "score");
   double value = json_number_value (score);
 
@@ -505,7 +505,7 @@
       call_t *call = CONTAINER_OF (http->calls.next, call_t, link);
       if (call->http_call != NULL)
         httpc_cancel (call->http_call);
-      finish (call, VH_E_CANCELLED, STR_NULL);
+      finish_call (call, VH_E_CANCELLED, STR_NULL);
     }
   httpc_destroy (http->client);
   free (http);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -29,7 +29,7 @@
   vh_code_t code;
   uint64_t revision;
   uint64_t sequence;
-  bool flag;
+  bool bool_result;
   size_t count;
   double score;
   buf_t text;
@@ -67,7 +67,7 @@
   f->ended_calls++;
   f->code = code;
   f->count = count;
-  f->flag = more;
+  f->bool_result = more;
   f->text.len = 0;
   for (size_t i = 0; i < count; i++)
     buf_printf (&f->text, "%.*s=%.*s ", STR_ARG (rows[i].key),
@@ -94,7 +94,7 @@
   f->ended_calls++;
   f->code = code;
   f->sequence = sequence;
-  f->flag = full;
+  f->bool_result = full;
   f->count = count;
   f->text.len = 0;
   for (size_t i = 0; i < count; i++)
@@ -260,10 +260,10 @@
   put (f, STR ("t/1"), STR ("x"));
   scan (f, STR ("s/"), STR_NULL, 2);
   assert_text (f, STR ("s/1=a s/2=b "));
-  ck_assert (f->flag);
+  ck_assert (f->bool_result);
   scan (f, STR ("s/"), STR ("s/2"), 2);
   assert_text (f, STR ("s/3=c "));
-  ck_assert (!f->flag);
+  ck_assert (!f->bool_result);
   scan (f, STR ("s/"), STR ("s/3"), 2);
   ck_assert_uint_eq (f->count, 0);
   scan (f, STR ("none/"), STR_NULL, 2);
@@ -323,7 +323,7 @@
 /* Send a control request to the stand-in server, bypassing the platform under
    test, and wait for its reply.  */
 static void
-control (fixture_t *f, str_t method, str_t path, str_t body)
+send_control_request (fixture_t *f, str_t method, str_t path, str_t body)
 {
   httpc_t *client = httpc_create (&f->loop, str_from (f->child.address), 1);
   const httpc_request_t request
@@ -337,14 +337,14 @@
 static void
 set_faults (fixture_t *f, const char *faults)
 {
-  control (f, STR ("POST"), STR ("/faults"), str_from (faults));
+  send_control_request (f, STR ("POST"), STR ("/faults"), str_from (faults));
 }
 
 /* Return the counter NAME from the statistics of the stand-in server.  */
 static uint64_t
 get_stat (fixture_t *f, const char *name)
 {
-  control (f, STR ("GET"), STR ("/stats"), STR_NULL);
+  send_control_request (f, STR ("GET"), STR ("/stats"), STR_NULL);
   json_t *json = json_loadb (f->text.ptr, f->text.len, 0, NULL);
   ck_assert_ptr_nonnull (json);
   uint64_t count = (uint64_t)json_integer_value (json_object_get (json, name));
@@ -376,7 +376,7 @@
               "\"region\":\"kenya\",\"address\":\"127.0.0.1:1\","
               "\"serves\":\"service:files\",\"state\":\"%s\"}",
               name, zone, states[state]);
-  control (f, STR ("POST"), STR ("/instances"), buf_str (&body));
+  send_control_request (f, STR ("POST"), STR ("/instances"), buf_str (&body));
   buf_free (&body);
 }
 
@@ -394,21 +394,21 @@
   put_instance (f, "r-1", "a", INSTANCE_LIVE);
   put_instance (f, "r-2", "b", INSTANCE_LIVE);
   get_instances (f, 0);
-  ck_assert (f->flag);
+  ck_assert (f->bool_result);
   assert_text (f, STR ("r-1/a:0 r-2/b:0 "));
   uint64_t sequence = f->sequence;
   get_instances (f, sequence);
-  ck_assert (!f->flag);
+  ck_assert (!f->bool_result);
   ck_assert_uint_eq (f->count, 0);
   put_instance (f, "r-2", "b", INSTANCE_LEAVING);
   put_instance (f, "r-1", "a", INSTANCE_GONE);
   get_instances (f, sequence);
-  ck_assert (!f->flag);
+  ck_assert (!f->bool_result);
   assert_text (f, STR ("r-1/a:2 r-2/b:1 "));
   /* A platform whose list was reset does not know the sequence number and
      returns the whole list.  */
   get_instances (f, 1000);
-  ck_assert (f->flag);
+  ck_assert (f->bool_result);
   assert_text (f, STR ("r-2/b:1 "));
 }
 
