--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -187,10 +187,10 @@
   if (plan->kind == CASCADE_DIRECT)
     {
       if (plan->audit
-          || quality_sample (r->quality, &r->rng, task, first, r->now_ms))
+          || quality_should_rate (r->quality, &r->rng, task, first, r->now_ms))
         {
-          quality_add (r->quality, task, first, rate (&r->rng, *got),
-                       r->now_ms);
+          quality_add_rating (r->quality, task, first, rate (&r->rng, *got),
+                              r->now_ms);
           paid += RATING_COST;
         }
       return paid;
@@ -198,16 +198,17 @@
   double rating = rate (&r->rng, *got);
   double audit = plan->audit ? rate (&r->rng, *got) : NAN;
   paid += plan->audit ? 2 * RATING_COST : RATING_COST;
-  cascade_first (r->cascade, task, first, rating, audit, r->now_ms);
-  quality_add (r->quality, task, first, rating, r->now_ms);
+  cascade_record_first (r->cascade, task, first, rating, audit, r->now_ms);
+  quality_add_rating (r->quality, task, first, rating, r->now_ms);
   if (rating >= plan->threshold)
     return paid;
   *got = answer_quality (&r->rng, plan->second, easy);
   paid += costs[plan->second];
   if (plan->audit)
     {
-      cascade_second (r->cascade, task, first, str_from (names[plan->second]),
-                      rating, rate (&r->rng, *got), r->now_ms);
+      cascade_record_second (r->cascade, task, first,
+                             str_from (names[plan->second]), rating,
+                             rate (&r->rng, *got), r->now_ms);
       paid += RATING_COST;
     }
   return paid;
@@ -230,21 +231,22 @@
       cascade_candidate_t candidates[VERSIONS];
       double got;
       for (size_t v = 0; v < VERSIONS; v++)
-        candidates[v]
-            = (cascade_candidate_t){ str_from (names[v]), costs[v],
-                                     quality_get (r.quality, STR ("draft"),
-                                                  str_from (names[v]),
-                                                  priors[v], r.now_ms),
-                                     latencies_ms[v] };
-      const cascade_request_t request = { .task = STR ("draft"),
-                                          .candidates = candidates,
-                                          .count = VERSIONS,
-                                          .target = target,
-                                          .deadline_left_ms = 30000,
-                                          .rating_cost = RATING_COST,
-                                          .rating_latency_ms = 150,
-                                          .rater_ok = true,
-                                          .explore = CASCADE_EXPLORE_DEFAULT };
+        candidates[v] = (cascade_candidate_t){
+          str_from (names[v]), costs[v],
+          quality_estimate (r.quality, STR ("draft"), str_from (names[v]),
+                            priors[v], r.now_ms),
+          latencies_ms[v]
+        };
+      const cascade_request_t request
+          = { .task = STR ("draft"),
+              .candidates = candidates,
+              .count = VERSIONS,
+              .target = target,
+              .deadline_left_ms = 30000,
+              .rating_cost = RATING_COST,
+              .rating_latency_ms = 150,
+              .rater_ok = true,
+              .explore = CASCADE_EXPLORE_COST_SHARE };
       cascade_plan_t plan
           = cascade_plan (r.cascade, &r.rng, &request, r.now_ms);
       double paid = run_plan (&r, &plan, easy, &got);
@@ -286,11 +288,12 @@
   row (name, fixed.cost, ours.cost, "price/request");
   snprintf (name, sizeof name, "quality-reached-%s-%d", mix, percent);
   row (name, target, ours.quality, "mean-quality");
-  bool met = ours.quality + QUALITY_Z * ours.error >= target;
-  bool fixed_met = fixed.quality + QUALITY_Z * fixed.error >= target;
+  bool met = ours.quality + QUALITY_Z_ONE_SIDED_95 * ours.error >= target;
+  bool fixed_met
+      = fixed.quality + QUALITY_Z_ONE_SIDED_95 * fixed.error >= target;
   printf ("# %s: target %.4f ours %.4f (+-%.4f, %s) fixed-threshold %.4f "
           "(%s) strongest %.4f; dearest run %.4f\n",
-          name, target, ours.quality, QUALITY_Z * ours.error,
+          name, target, ours.quality, QUALITY_Z_ONE_SIDED_95 * ours.error,
           met ? "met" : "MISSED", fixed.quality, fixed_met ? "met" : "missed",
           strongest.quality, dearest / strongest.cost);
 }
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -193,8 +193,9 @@
 
   for (int i = 0; i < 200; i++)
     for (size_t model = 0; model < 2; model++)
-      escalation_heard (escalation, model, (uint32_t)rng_below (&rng, 20000),
-                        100 + rng_below (&rng, 500), 2000);
+      escalation_record_wait (escalation, model,
+                              (uint32_t)rng_below (&rng, 20000),
+                              100 + rng_below (&rng, 500), 2000);
   for (int round = 0; round < ROUNDS; round++)
     {
       double begin = cpu_ns ();
@@ -205,11 +206,11 @@
           upstream_t *upstream;
           if (pool_select (pool, &want, &upstream) != VH_OK)
             abort ();
-          const escalation_choice_t choice
+          const escalation_candidate_t choice
               = { .model = 1,
                   .cost = 0.25,
                   .beside = upstream_request_count (pool, upstream) };
-          const escalation_case_t request
+          const escalation_request_t request
               = { .cost = 0.017,
                   .read = (uint32_t)rng_below (&rng, 30000),
                   .generated = 300,
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -207,7 +207,7 @@
       name[5] = (char)('0' + i / 10 % 3);
       if (admission_decide (admission, str_from (name), 50, QUEUE_NORMAL)
           == VH_OK)
-        admission_result (admission, 50, i % 3 != 0);
+        admission_record_result (admission, 50, i % 3 != 0);
       if (i % 10 == 0)
         clock_manual_advance_us (clock, 1000);
     }
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -180,7 +180,7 @@
               vh_code_t code
                   = admission_decide (admission, team, 256, QUEUE_NORMAL);
               if (code == VH_OK)
-                admission_result (admission, 256, i % 3 != 0);
+                admission_record_result (admission, 256, i % 3 != 0);
               if (i % 24 == 0)
                 clock_manual_advance_us (clock, 10000);
             }
@@ -423,7 +423,7 @@
 }
 
 static void
-state_changed (void *arg, rpc_state_t state)
+state_changed (void *arg, rpc_peer_state_t state)
 {
   (void)arg;
   (void)state;
--- a/bench/model.c
+++ b/bench/model.c
@@ -448,7 +448,7 @@
   queue_waiter_t *waiter;
   uint64_t lapse_us;
 
-  while ((waiter = queue_lapsed (u->queue)) != NULL)
+  while ((waiter = queue_pop_expired (u->queue)) != NULL)
     {
       request_t *request = CONTAINER_OF (waiter, request_t, waiter);
 
@@ -462,12 +462,12 @@
       waiter = queue_pop (u->queue);
       if (waiter == NULL)
         {
-          limit_forget (u->limit);
+          limit_release_without_sample (u->limit);
           break;
         }
       engine_start (m, u, CONTAINER_OF (waiter, request_t, waiter));
     }
-  lapse_us = queue_next_lapse_us (u->queue);
+  lapse_us = queue_next_expiry_us (u->queue);
   unschedule (m, &u->lapse);
   if (lapse_us != QUEUE_NO_DEADLINE)
     schedule (m, &u->lapse, LAPSE, lapse_us > m->now ? lapse_us : m->now);
@@ -553,12 +553,12 @@
       if (sidecar_submit (m, request->at, request))
         {
           /* The request may be gone already, refused as lapsed.  */
-          admission_result (entry->admission, estimate, true);
+          admission_record_result (entry->admission, estimate, true);
           count_attempt (m, &m->upstreams[number], counted);
           return;
         }
       balance_request_ended (entry->balance, id, true);
-      admission_result (entry->admission, request->estimate, false);
+      admission_record_result (entry->admission, request->estimate, false);
     }
   finish_refused (m, request);
 }
@@ -641,14 +641,14 @@
   if (ok && units == request->work)
     {
       queue_done (u->queue, &request->waiter, took_us, units);
-      retry_observe (entry->retry, m->now - request->arrived_us);
+      retry_record_latency (entry->retry, m->now - request->arrived_us);
     }
   else
     queue_cancel (u->queue, &request->waiter);
   balance_request_ended (entry->balance, entry->ids[u->number], ok);
   if (entry->members[u->number] != NULL)
     outlier_record (entry->outlier, entry->members[u->number], ok,
-                    limit_warming (u->limit) ? 0 : took_us, units);
+                    limit_is_warming_up (u->limit) ? 0 : took_us, units);
   apply_ejections (entry);
   sidecar_pump (m, u);
 }
@@ -906,8 +906,8 @@
         }
       balance_record_load (entry->balance, entry->ids[u->number], &heard->load,
                            (m->now - heard->sent_us) / 1000);
-      admission_pressure (entry->admission,
-                          balance_pressure (entry->balance, m->pool));
+      admission_set_pressure (entry->admission,
+                              balance_pressure (entry->balance, m->pool));
     }
   free (heard);
 }
@@ -928,7 +928,7 @@
       if (!in_service (m, i))
         continue;
       if (m->ours)
-        load = limit_in_flight (u->limit) + queue_waiting (u->queue);
+        load = limit_in_flight (u->limit) + queue_waiting_count (u->queue);
       most = load > most ? load : most;
       sum += load;
       count++;
@@ -991,7 +991,7 @@
   if (m->ours)
     {
       for (uint32_t n = u->jobs.count; n > 0; n--)
-        limit_observe (u->limit, OBSERVE_US, (uint32_t)units);
+        limit_report_progress (u->limit, OBSERVE_US, (uint32_t)units);
       sidecar_pump (m, u);
       for (int e = 0; e < ENTRIES; e++)
         apply_ejections (&m->entries[e]);
@@ -1037,7 +1037,7 @@
   for (int i = 0; i < CACHED; i++)
     u->cached[i] = 0;
   if (restarted && m->ours)
-    limit_restart (u->limit);
+    limit_reset (u->limit);
   engine_schedule (m, u);
 }
 
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -59,7 +59,7 @@
   while (chosen->id != id)
     chosen++;
   bool taken = limit_acquire (chosen->limit) == VH_OK;
-  admission_result (admission, 1, taken);
+  admission_record_result (admission, 1, taken);
   refused += !taken;
   if (!taken)
     return;
--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -535,7 +535,7 @@
   draft_t *draft = mem_zalloc (sizeof *draft);
   buf_t token = BUF_NULL;
 
-  store_token (claims->store, &token);
+  store_append_token (claims->store, &token);
   for (size_t i = 0; i < batch->count; i++)
     if (batch->items[i]->is_claim)
       draft_claim (draft, batch->items[i], buf_str (&token));
@@ -651,7 +651,7 @@
     if (str_cmp (rows[i].key, buf_str (&keep)) < 0)
       writes[write_count++] = (txn_write_t){ rows[i].key, STR_NULL, true };
   buf_free (&keep);
-  if (write_count == 0 || !lease_held (claims->options.lease))
+  if (write_count == 0 || !lease_is_held (claims->options.lease))
     {
       claims->sweeping = false;
       return;
@@ -679,7 +679,7 @@
     return;
   claims->next_sweep_ms
       = now + rng_jitter (store_rng (claims->store), claims->options.sweep_ms);
-  if (lease_held (claims->options.lease))
+  if (lease_is_held (claims->options.lease))
     sweep (claims);
 }
 
@@ -766,8 +766,8 @@
 }
 
 void
-claims_claim (claims_t *claims, str_t id, uint64_t wait_ms, claims_cb_t cb,
-              void *arg)
+claims_acquire (claims_t *claims, str_t id, uint64_t wait_ms, claims_cb_t cb,
+                void *arg)
 {
   item_t *item = mem_zalloc (sizeof *item);
 
@@ -803,7 +803,7 @@
 }
 
 vh_code_t
-claims_record (claims_t *claims, str_t id, str_t outcome)
+claims_record_outcome (claims_t *claims, str_t id, str_t outcome)
 {
   return settle (claims, id, ROW_DONE, outcome);
 }
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -392,7 +392,7 @@
 }
 
 void
-confstore_set_polls (confstore_t *conf, bool polls)
+confstore_set_polling (confstore_t *conf, bool polls)
 {
   conf->options.polls = polls;
 }
@@ -501,7 +501,7 @@
       start_apply (apply);
       return;
     }
-  store_token (conf->store, &token);
+  store_append_token (conf->store, &token);
   write_delta_row (apply, revision, buf_str (&token), &row);
   snprintf (number, sizeof number, "%llu", (unsigned long long)revision);
   txn_write_t writes[5]
@@ -584,7 +584,7 @@
 
 static void
 history_end (history_t *history, vh_code_t code,
-             const confstore_entry_t *entries, size_t count)
+             const confstore_history_entry_t *entries, size_t count)
 {
   list_remove (&history->link);
   history->cb (history->arg, code, entries, count);
@@ -596,7 +596,8 @@
                  bool more)
 {
   history_t *history = arg;
-  confstore_entry_t *entries = mem_zalloc ((count + 1) * sizeof *entries);
+  confstore_history_entry_t *entries
+      = mem_zalloc ((count + 1) * sizeof *entries);
   json_t **json = mem_zalloc ((count + 1) * sizeof (json_t *));
   buf_t *scratch = mem_zalloc ((2 * count + 1) * sizeof *scratch);
 
@@ -606,7 +607,7 @@
       const row_t *row = &rows[count - 1 - i];
       json[i]
           = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
-      entries[i] = (confstore_entry_t){
+      entries[i] = (confstore_history_entry_t){
         .revision = json_get_u64 (json[i], "revision"),
         .who = json_get_bytes (json[i], "who", &scratch[2 * i]),
         .when_ms = json_get_u64 (json[i], "when_ms"),
@@ -664,7 +665,8 @@
 }
 
 void
-confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms)
+confstore_record_confirmation (confstore_t *conf, uint64_t revision,
+                               uint64_t age_ms)
 {
   uint64_t now = now_ms (conf);
 
@@ -673,7 +675,7 @@
 }
 
 bool
-confstore_delta_from (const confstore_t *conf, uint64_t have, buf_t *buf)
+confstore_write_update (const confstore_t *conf, uint64_t have, buf_t *buf)
 {
   size_t bytes = 0;
   bool linked = have > 0 && conf->revision - have <= CHAIN_MAX;
@@ -704,7 +706,7 @@
 }
 
 vh_code_t
-confstore_learn_update (confstore_t *conf, str_t update)
+confstore_receive_update (confstore_t *conf, str_t update)
 {
   while (update.len > 0)
     {
--- a/packages/control/qualitystore.c
+++ b/packages/control/qualitystore.c
@@ -99,7 +99,7 @@
   if (count == 0)
     return;
   buf_t token = BUF_NULL;
-  store_token (quality->store, &token);
+  store_append_token (quality->store, &token);
   const txn_t txn = { NULL, 0, writes, count, buf_str (&token) };
   quality->busy = true;
   store_txn (quality->store, &txn, PATIENCE_MS, on_saved, quality);
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -26,20 +26,20 @@
 static bool
 host_delta_from (void *arg, uint64_t have, buf_t *update)
 {
-  return confstore_delta_from (((process_t *)arg)->conf, have, update);
+  return confstore_write_update (((process_t *)arg)->conf, have, update);
 }
 
 static vh_code_t
 host_learn (void *arg, str_t update)
 {
-  return confstore_learn_update (((process_t *)arg)->conf, update);
+  return confstore_receive_update (((process_t *)arg)->conf, update);
 }
 
 static void
 host_confirm (void *arg, uint64_t revision, uint64_t age_ms)
 {
   if (age_ms < UINT32_MAX)
-    confstore_confirm (((process_t *)arg)->conf, revision, age_ms);
+    confstore_record_confirmation (((process_t *)arg)->conf, revision, age_ms);
 }
 
 static uint32_t
@@ -62,9 +62,9 @@
   ledger_flush (((process_t *)arg)->ledger);
 }
 
-static void host_seen (void *arg, str_t name, sight_t sight);
+static void host_seen (void *arg, str_t name, instance_event_t sight);
 
-static const entry_host_t entry_host = {
+static const entry_callbacks_t entry_host = {
   .delta_from = host_delta_from,
   .learn = host_learn,
   .confirm = host_confirm,
@@ -119,26 +119,27 @@
   if (process->over)
     return;
   if (event == ROSTER_REMOVED)
-    entry_member_remove (process->entry, entry->name);
+    entry_remove_instance (process->entry, entry->name);
   else
-    entry_member_put (process->entry, &row);
+    entry_put_instance (process->entry, &row);
 }
 
 static void
-host_seen (void *arg, str_t name, sight_t sight)
+host_seen (void *arg, str_t name, instance_event_t sight)
 {
   process_t *process = arg;
 
   if (process->roster == NULL)
     return;
-  if (sight == SIGHT_SILENT || sight == SIGHT_RESTARTED)
+  if (sight == INSTANCE_EVENT_UNREACHABLE || sight == INSTANCE_EVENT_RESTARTED)
     bills_home_lost (process, name);
-  if (sight == SIGHT_HEARD || sight == SIGHT_RESTARTED)
-    roster_heard (process->roster, name);
-  else if (sight == SIGHT_SILENT)
-    roster_silent (process->roster, name);
+  if (sight == INSTANCE_EVENT_ALIVE || sight == INSTANCE_EVENT_RESTARTED)
+    roster_report_responsive (process->roster, name);
+  else if (sight == INSTANCE_EVENT_UNREACHABLE)
+    roster_report_unresponsive (process->roster, name);
   else
-    roster_draining (process->roster, name, sight == SIGHT_DRAINING);
+    roster_report_draining (process->roster, name,
+                            sight == INSTANCE_EVENT_DRAINING_STARTED);
 }
 
 static void
@@ -166,7 +167,7 @@
         .zone = peer->zone,
         .address = peer->address,
       };
-      roster_sighted (process->roster, &row);
+      roster_report_instance (process->roster, &row);
     }
 }
 
@@ -178,7 +179,7 @@
   size_t count = 0;
 
   if (process->entry != NULL)
-    count += entry_in_hand (process->entry);
+    count += entry_count_unfinished_requests (process->entry);
   for (size_t i = 0; i < process->sidecar_count; i++)
     count += sidecar_count_unfinished (process->sidecars[i]);
   return count;
@@ -257,7 +258,7 @@
      takes nothing new at once: its refusals are free, and every entry has
      others to turn to.  */
   if (process->entry != NULL)
-    entry_announce (process->entry);
+    entry_start_draining (process->entry);
   else
     for (size_t i = 0; i < process->sidecar_count; i++)
       sidecar_drain (process->sidecars[i]);
@@ -268,7 +269,8 @@
 static uint64_t
 flush_ms (const process_t *process)
 {
-  uint64_t ms = entry_peers (process->entry) * 1000 / FLUSHES_PER_S;
+  uint64_t ms
+      = entry_count_known_entries (process->entry) * 1000 / FLUSHES_PER_S;
 
   if (ms < FLUSH_MIN_MS)
     return FLUSH_MIN_MS;
@@ -312,8 +314,8 @@
 
   if (process->entry != NULL && !process->over)
     {
-      confstore_set_polls (process->conf,
-                           entry_rank (process->entry) < POLLERS);
+      confstore_set_polling (process->conf,
+                             entry_zone_rank (process->entry) < POLLERS);
       ledger_set_flush_ms (process->ledger, flush_ms (process));
     }
   /* Without the list the settings' peers are all there is to try.  */
@@ -390,7 +392,7 @@
               .role = STR ("sidecar"),
               .zone = process->settings->zone,
               .address = str_make (address, (size_t)len) };
-      entry_member_put (process->entry, &row);
+      entry_put_instance (process->entry, &row);
     }
 }
 
--- a/packages/entry/answer.c
+++ b/packages/entry/answer.c
@@ -55,7 +55,7 @@
 
   if (http != NULL)
     {
-      httpd_watch (http, NULL, NULL, NULL);
+      httpd_set_callbacks (http, NULL, NULL, NULL);
       answer_error (http, code, outcome, id, request->retry_after_ms);
     }
   request_destroy (request);
@@ -219,7 +219,7 @@
   if (request->http != NULL)
     {
       fill_head (request, &head);
-      httpd_watch (request->http, NULL, NULL, NULL);
+      httpd_set_callbacks (request->http, NULL, NULL, NULL);
       httpd_reply (request->http, request->at.status, head.list, head.count,
                    buf_str (&request->at.body));
       free_head (&head);
@@ -238,7 +238,8 @@
   if (!request->released)
     {
       fill_head (request, &head);
-      httpd_start (request->http, request->at.status, head.list, head.count);
+      httpd_start_response (request->http, request->at.status, head.list,
+                            head.count);
       free_head (&head);
       request->released = true;
       histogram_record (request->entry->first_byte,
@@ -246,7 +247,7 @@
                             - request->received_us);
     }
   if (last)
-    httpd_watch (request->http, NULL, NULL, NULL);
+    httpd_set_callbacks (request->http, NULL, NULL, NULL);
   httpd_send (request->http, bytes, last);
   if (last)
     request->http = NULL;
@@ -262,7 +263,7 @@
   counter_add (request->entry->counters.unknown, 1);
   if (http != NULL)
     {
-      httpd_watch (http, NULL, NULL, NULL);
+      httpd_set_callbacks (http, NULL, NULL, NULL);
       if (request->stream)
         {
           /* A stream's reader sees the event; one that reads no events still
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -57,8 +57,8 @@
 {
   const snapshot_t *snapshot = request->snapshot;
   str_t name = str_from (request->model);
-  const version_t *version = snapshot_version (snapshot, name);
-  const model_t *model = snapshot_model (snapshot, name);
+  const version_t *version = snapshot_find_version (snapshot, name);
+  const model_t *model = snapshot_find_model (snapshot, name);
 
   if (version != NULL && version->state == VERSION_WITHDRAWN)
     return answer_refuse (request, VH_E_WITHDRAWN);
@@ -119,7 +119,7 @@
   buf_free (&expected);
   if (!good)
     return false;
-  request->session_version = snapshot_version (request->snapshot, target);
+  request->session_version = snapshot_find_version (request->snapshot, target);
   request->session_instance = str_dup (instance);
   return true;
 }
@@ -173,7 +173,7 @@
       = pool->latency_us > 0
             ? mean_ms + 3.0 * (double)pool->latency_dev_us / 1000.0
             : LATENCY_UNKNOWN_MS;
-  candidate->quality = quality_get (
+  candidate->quality = quality_estimate (
       entry->quality, version->model->task, version->name,
       version->model->quality_prior, clock_realtime_ms (entry->clock));
 }
@@ -242,14 +242,14 @@
     .first_byte_ms = 0,
     .rating_cost = 0,
     .rating_latency_ms = RATING_TIMEOUT_MS / 4.0,
-    .rater_ok = quality_rater_ok (entry->quality, real_ms),
-    .explore = CASCADE_EXPLORE_DEFAULT,
+    .rater_ok = quality_is_rater_available (entry->quality, real_ms),
+    .explore = CASCADE_EXPLORE_COST_SHARE,
   };
   request->plan
       = cascade_plan (entry->cascade, request->key_given ? &own : &entry->rng,
                       &asked, real_ms);
   request->plan_first = request->candidates[request->plan.first];
-  if (request->plan.kind == CASCADE_FIRST)
+  if (request->plan.kind == CASCADE_TWO_STAGE)
     request->plan_second = request->candidates[request->plan.second];
 }
 
@@ -307,12 +307,12 @@
     {
       /* Without a rating the answer cannot be told good from bad: the
          stronger version gives it.  */
-      quality_rater_failed (entry->quality, now_ms);
+      quality_record_rater_failure (entry->quality, now_ms);
       dispatch_escalate (request, request->plan_second);
       return;
     }
   buf_t content = BUF_NULL;
-  quality_rater_answered (entry->quality);
+  quality_record_rater_success (entry->quality);
   request->first_rating = score;
   content_extract (buf_str (&request->at.body), false, &content);
   learn_first_rated (request, buf_str (&content));
--- a/packages/entry/claim.c
+++ b/packages/entry/claim.c
@@ -209,7 +209,8 @@
     }
   char *text = json_dumps (outcome, JSON_COMPACT);
   char *id = claim_id (request);
-  claims_record (request->entry->claims, str_from (id), str_from (text));
+  claims_record_outcome (request->entry->claims, str_from (id),
+                         str_from (text));
   free (id);
   free (text);
   json_decref (outcome);
@@ -280,9 +281,9 @@
     return FILTER_NEXT;
   char *id = claim_id (request);
   request->claiming = true;
-  claims_claim (entry->claims, str_from (id),
-                left_ms < CLAIM_WAIT_MS ? left_ms : CLAIM_WAIT_MS, on_claimed,
-                request);
+  claims_acquire (entry->claims, str_from (id),
+                  left_ms < CLAIM_WAIT_MS ? left_ms : CLAIM_WAIT_MS,
+                  on_claimed, request);
   free (id);
   return FILTER_WAIT;
 }
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -100,7 +100,7 @@
   if (at->counted || at->joined)
     return;
   at->counted = true;
-  admission_result (request->pool->admission, request->cost, true);
+  admission_record_result (request->pool->admission, request->cost, true);
 }
 
 static uint64_t
@@ -221,7 +221,7 @@
   if (started)
     count_taken (request);
   else if (code == VH_E_FULL || code == VH_E_DEADLINE)
-    admission_result (request->pool->admission, request->cost, false);
+    admission_record_result (request->pool->admission, request->cost, false);
   if (answer->retry_after_ms > request->retry_after_ms)
     request->retry_after_ms = answer->retry_after_ms;
   /* The sidecar was restarted.  What only ever went to its new life has not
@@ -485,7 +485,7 @@
   if (!may_fetch (request))
     return;
   if (request->released && request->http != NULL
-      && httpd_buffered (request->http) > AHEAD_MAX)
+      && httpd_buffered_bytes (request->http) > AHEAD_MAX)
     return;
   send_fetch (request, FETCH_BYTES,
               left < FETCH_WAIT_MS ? left : (uint64_t)FETCH_WAIT_MS);
@@ -717,8 +717,8 @@
       const member_t *member = value;
       if (!member->is_entry
           && member_serves (member, str_from (request->pool->name))
-          && snapshot_instance_in (snapshot, str_from (member->name))
-          && snapshot_zone_in (snapshot, str_from (member->zone)))
+          && snapshot_is_instance_enabled (snapshot, str_from (member->name))
+          && snapshot_is_zone_enabled (snapshot, str_from (member->zone)))
         return true;
     }
   return false;
@@ -819,7 +819,7 @@
 filter_step_t
 dispatch_start (request_t *request)
 {
-  retry_request (request->pool->retry);
+  retry_add_request (request->pool->retry);
   try_next (request);
   return FILTER_WAIT;
 }
@@ -836,7 +836,7 @@
   rpc_cancel (at->call);
   at->call = NULL;
   settle (request, true);
-  rpc_peer_fire (at->member->peer, WIRE_CANCEL, &args);
+  rpc_peer_notify (at->member->peer, WIRE_CANCEL, &args);
 }
 
 void
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -39,7 +39,7 @@
 request_destroy (request_t *request)
 {
   if (request->http != NULL)
-    httpd_watch (request->http, NULL, NULL, NULL);
+    httpd_set_callbacks (request->http, NULL, NULL, NULL);
   request->http = NULL;
   request->ended = true;
   claim_forget (request);
@@ -176,7 +176,7 @@
 }
 
 rpc_node_t *
-entry_node (entry_t *entry)
+entry_rpc_node (entry_t *entry)
 {
   return entry->node;
 }
@@ -215,7 +215,7 @@
 }
 
 void
-entry_announce (entry_t *entry)
+entry_start_draining (entry_t *entry)
 {
   entry->announced = true;
   if (entry->http != NULL)
@@ -230,9 +230,10 @@
 }
 
 size_t
-entry_in_hand (const entry_t *entry)
+entry_count_unfinished_requests (const entry_t *entry)
 {
-  size_t count = entry->http != NULL ? httpd_unwritten (entry->http) : 0;
+  size_t count
+      = entry->http != NULL ? httpd_unwritten_responses (entry->http) : 0;
 
   for (const list_t *at = entry->requests.next; at != &entry->requests;
        at = at->next)
@@ -292,7 +293,8 @@
        i++)
     buf_printf (out, "%s{\"name\":\"%.*s\",\"state\":\"%s\"}",
                 i > 0 ? "," : "", STR_ARG (zone),
-                snapshot_zone_in (entry->snapshot, zone) ? "in" : "out");
+                snapshot_is_zone_enabled (entry->snapshot, zone) ? "in"
+                                                                 : "out");
   buf_printf (out, "]");
 }
 
@@ -319,7 +321,7 @@
 }
 
 void
-entry_status (entry_t *entry, buf_t *out)
+entry_write_status (entry_t *entry, buf_t *out)
 {
   zones_status (entry, out);
   buf_append_char (out, ',');
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -18,12 +18,12 @@
 /* What an entry sees of an instance directly.  */
 typedef enum
 {
-  SIGHT_HEARD,
-  SIGHT_SILENT,
-  SIGHT_RESTARTED, /* The same name, another process.  */
-  SIGHT_DRAINING,
-  SIGHT_NOT_DRAINING
-} sight_t;
+  INSTANCE_EVENT_ALIVE,
+  INSTANCE_EVENT_UNREACHABLE,
+  INSTANCE_EVENT_RESTARTED, /* The same name, another process.  */
+  INSTANCE_EVENT_DRAINING_STARTED,
+  INSTANCE_EVENT_DRAINING_ENDED
+} instance_event_t;
 
 /* What the process around the entry does for it.  */
 typedef struct
@@ -44,8 +44,8 @@
   /* Bills were taken over: write them without waiting for others.  */
   void (*write_bills) (void *arg);
   /* Instance NAME was seen so.  */
-  void (*seen) (void *arg, str_t name, sight_t sight);
-} entry_host_t;
+  void (*seen) (void *arg, str_t name, instance_event_t sight);
+} entry_callbacks_t;
 
 /* Everything is borrowed and must outlive the entry.  */
 typedef struct
@@ -56,55 +56,56 @@
   const settings_t *settings;
   platform_t *platform;
   uint64_t seed;
-  const entry_host_t *host;
+  const entry_callbacks_t *host;
   void *arg;
 } entry_options_t;
 
 /* Listen and serve.  Return VH_OK and *OUT, or VH_E_IO.  */
 vh_code_t entry_create (const entry_options_t *options, entry_t **out);
 uint16_t entry_port (const entry_t *entry);
-rpc_node_t *entry_node (entry_t *entry);
+rpc_node_t *entry_rpc_node (entry_t *entry);
 /* Put TEXT in force as REVISION unless a later one is.  */
 vh_code_t entry_configure (entry_t *entry, uint64_t revision, str_t text);
 /* The snapshot in force, borrowed; NULL before the first.  */
 snapshot_t *entry_snapshot (const entry_t *entry);
 
 /* Make an instance known, or change what is known of it.  */
-void entry_member_put (entry_t *entry, const instance_row_t *row);
-void entry_member_remove (entry_t *entry, str_t name);
+void entry_put_instance (entry_t *entry, const instance_row_t *row);
+void entry_remove_instance (entry_t *entry, str_t name);
 
 /* Entries known, this one included.  */
-size_t entry_peers (const entry_t *entry);
+size_t entry_count_known_entries (const entry_t *entry);
 /* Rank of this entry among the entries of its zone that it can reach, from
    0; the first few look after shared duties such as polling the store.  */
-size_t entry_rank (const entry_t *entry);
+size_t entry_zone_rank (const entry_t *entry);
 
 /* Say that this entry leaves, keep accepting.  */
-void entry_announce (entry_t *entry);
+void entry_start_draining (entry_t *entry);
 /* Accept no more connections; what is in hand goes on.  */
 void entry_stop_listening (entry_t *entry);
-size_t entry_in_hand (const entry_t *entry);
+size_t entry_count_unfinished_requests (const entry_t *entry);
 void entry_destroy (entry_t *entry);
 
 /* Tell the sidecar INSTANCE that the bills of BILL_IDS are written.  */
-void entry_bills_written (entry_t *entry, str_t instance,
-                          const str_t *bill_ids, size_t count);
+void entry_acknowledge_bills (entry_t *entry, str_t instance,
+                              const str_t *bill_ids, size_t count);
 /* Give BILLS to another entry; CB says whether it has them.  Return false
    when there is none to ask.  */
-bool entry_bills_hand_over (entry_t *entry, wire_bill_t *bills, size_t count,
-                            void (*cb) (void *arg, bool taken), void *arg);
+bool entry_transfer_bills (entry_t *entry, wire_bill_t *bills, size_t count,
+                           void (*cb) (void *arg, bool taken), void *arg);
 /* The lease under which one entry at a time does the shared duties.  */
-lease_t *entry_lease (entry_t *entry);
+lease_t *entry_leader_lease (entry_t *entry);
 /* Append the service-level burn as text, JSON or one HTML page.  */
 typedef enum
 {
-  BURN_TEXT,
-  BURN_JSON,
-  BURN_HTML
+  BURN_FORMAT_TEXT,
+  BURN_FORMAT_JSON,
+  BURN_FORMAT_HTML
 } burn_format_t;
-void entry_burn (entry_t *entry, burn_format_t format, buf_t *out);
+void entry_write_burn_report (entry_t *entry, burn_format_t format,
+                              buf_t *out);
 /* Append the parts of the operators' status that the entry knows: "zones",
    "peers", "rollouts" and "decisions".  */
-void entry_status (entry_t *entry, buf_t *out);
+void entry_write_status (entry_t *entry, buf_t *out);
 
 #endif
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -126,7 +126,7 @@
   if (ok)
     {
       learn_latency (pool, latency_us);
-      retry_observe (pool->retry, latency_us);
+      retry_record_latency (pool->retry, latency_us);
     }
   apply_ejections (entry, pool);
 }
@@ -134,7 +134,7 @@
 /* Connections.  */
 
 static void
-tell (member_t *member, sight_t sight)
+tell (member_t *member, instance_event_t sight)
 {
   const entry_t *entry = member->entry;
 
@@ -144,13 +144,13 @@
 }
 
 static void
-on_peer_state (void *arg, rpc_state_t state)
+on_peer_state (void *arg, rpc_peer_state_t state)
 {
   member_t *member = arg;
 
   member->down = state != RPC_UP;
   if (member->down)
-    tell (member, SIGHT_SILENT);
+    tell (member, INSTANCE_EVENT_UNREACHABLE);
   else
     /* A request may have come before the first ping; what the process serves
        and can do is only in its pong.  */
@@ -159,9 +159,9 @@
     balance_set_mark (member->entry->balance, member->id, BALANCE_UNREACHABLE,
                       member->down);
   log_info ("entry", "Connection is %s. instance=%s",
-            state == RPC_UP       ? "up"
-            : state == RPC_SILENT ? "silent"
-                                  : "down",
+            state == RPC_UP             ? "up"
+            : state == RPC_UNRESPONSIVE ? "silent"
+                                        : "down",
             member->name);
 }
 
@@ -206,10 +206,10 @@
                     member->draining || member->leaving);
   balance_set_mark (entry->balance, member->id, BALANCE_UNREACHABLE,
                     member->down);
-  balance_set_mark (
-      entry->balance, member->id, BALANCE_DISABLED,
-      snapshot != NULL
-          && !snapshot_instance_in (snapshot, str_from (member->name)));
+  balance_set_mark (entry->balance, member->id, BALANCE_DISABLED,
+                    snapshot != NULL
+                        && !snapshot_is_instance_enabled (
+                            snapshot, str_from (member->name)));
 }
 
 /* What a sidecar says it serves goes before the platform's list, which lags
@@ -318,7 +318,7 @@
 }
 
 void
-entry_member_remove (entry_t *entry, str_t name)
+entry_remove_instance (entry_t *entry, str_t name)
 {
   member_t *member = map_get (entry->members, name);
 
@@ -327,7 +327,7 @@
 }
 
 void
-entry_member_put (entry_t *entry, const instance_row_t *row)
+entry_put_instance (entry_t *entry, const instance_row_t *row)
 {
   member_t *member = map_get (entry->members, row->name);
 
@@ -383,18 +383,19 @@
   member->confirmed_ms = context->confirmed_ms;
   member->load = context->load;
   if (member->epoch != 0 && member->epoch != context->epoch)
-    tell (member, SIGHT_RESTARTED);
+    tell (member, INSTANCE_EVENT_RESTARTED);
   member->epoch = context->epoch;
   uint64_t now_ms = clock_ms (entry->clock);
   if (now_ms - member->told_ms >= HEARD_EVERY_MS)
     {
       member->told_ms = now_ms;
-      tell (member, SIGHT_HEARD);
+      tell (member, INSTANCE_EVENT_ALIVE);
     }
   if (member->draining != (bool)context->draining)
     {
       member->draining = context->draining;
-      tell (member, member->draining ? SIGHT_DRAINING : SIGHT_NOT_DRAINING);
+      tell (member, member->draining ? INSTANCE_EVENT_DRAINING_STARTED
+                                     : INSTANCE_EVENT_DRAINING_ENDED);
       if (member->id != 0)
         balance_set_mark (entry->balance, member->id, BALANCE_DRAINING,
                           member->draining || member->leaving);
@@ -423,8 +424,9 @@
 
   for (size_t i = 0;
        (zone = snapshot_zone_at (entry->snapshot, i)).ptr != NULL; i++)
-    balance_set_zone_enabled (entry->balance, zone,
-                              snapshot_zone_in (entry->snapshot, zone));
+    balance_set_zone_enabled (
+        entry->balance, zone,
+        snapshot_is_zone_enabled (entry->snapshot, zone));
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
@@ -541,19 +543,19 @@
     {
       pool_t *pool = value;
       apply_ejections (entry, pool);
-      admission_pressure (pool->admission,
-                          balance_pressure (entry->balance, pool->id));
+      admission_set_pressure (pool->admission,
+                              balance_pressure (entry->balance, pool->id));
     }
 }
 
 size_t
-entry_peers (const entry_t *entry)
+entry_count_known_entries (const entry_t *entry)
 {
   return count_entries (entry) + 1;
 }
 
 size_t
-entry_rank (const entry_t *entry)
+entry_zone_rank (const entry_t *entry)
 {
   uint64_t mine = duty_rank (entry, entry->settings->name);
   size_t rank = 0;
@@ -608,7 +610,7 @@
 member_status (const member_t *member, uint64_t now_ms, buf_t *out)
 {
   balance_info_t info = { 0 };
-  uint64_t heard_ms = rpc_peer_heard_ms (member->peer);
+  uint64_t heard_ms = rpc_peer_last_reply_ms (member->peer);
 
   if (member->id != 0)
     balance_info (member->entry->balance, member->id, &info);
--- a/packages/entry/lead.c
+++ b/packages/entry/lead.c
@@ -108,7 +108,7 @@
 }
 
 lease_t *
-entry_lease (entry_t *entry)
+entry_leader_lease (entry_t *entry)
 {
   return entry->lead->lease;
 }
@@ -224,7 +224,7 @@
   buf_printf (&key, "%s%s", row_prefix, rollout->version);
   buf_printf (&value, "%llu ", (unsigned long long)rollout->start_ms);
   buf_append_hex (&value, state.ptr, state.len);
-  store_token (lead->store, &token);
+  store_append_token (lead->store, &token);
   const txn_condition_t condition = lease_condition (lead->lease);
   const txn_write_t write
       = { .key = buf_str (&key), .value = buf_str (&value) };
@@ -325,7 +325,7 @@
   if (!lead->loaded)
     load (lead, now_ms);
   if (now_ms - lead->stepped_ms < STEP_MS || !lead->loaded
-      || entry->snapshot == NULL || !lease_held (lead->lease))
+      || entry->snapshot == NULL || !lease_is_held (lead->lease))
     return;
   lead->stepped_ms = now_ms;
   for (size_t i = 0;
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -34,12 +34,12 @@
   entry_t *entry = request->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  if (!quality_rater_ok (entry->quality, now_ms))
+  if (!quality_is_rater_available (entry->quality, now_ms))
     return;
   request->sampled = sampled_for_rollout (request)
-                     || quality_sample (entry->quality, &entry->rng,
-                                        request->version->model->task,
-                                        request->version->name, now_ms);
+                     || quality_should_rate (entry->quality, &entry->rng,
+                                             request->version->model->task,
+                                             request->version->name, now_ms);
 }
 
 void
@@ -167,7 +167,7 @@
   for (size_t i = 0;
        last != NULL && (now = snapshot_version_at (next, i)) != NULL; i++)
     {
-      const version_t *was = snapshot_version (last, now->name);
+      const version_t *was = snapshot_find_version (last, now->name);
       if (was != NULL && was->state == VERSION_WITHDRAWN
           && now->state != VERSION_WITHDRAWN)
         degradation_clear_alarm (entry->watch, now->name,
@@ -251,7 +251,7 @@
   str_t version = str_from (rating->version);
   const rollout_sample_t rated = { .rated = true, .rating = score };
 
-  quality_add (entry->quality, task, version, score, now_ms);
+  quality_add_rating (entry->quality, task, version, score, now_ms);
   degradation_observe (entry->watch, version, task, &rated, now_ms);
   learn_rollout_t *rollout
       = rating->rollout != NULL
@@ -275,17 +275,17 @@
                                  .zone = str_from (rating->zone),
                                  .rating = score };
 
-  quality_rater_answered (entry->quality);
+  quality_record_rater_success (entry->quality);
   if (rating->purpose == RATING_AUDIT)
     {
-      cascade_first (entry->cascade, task, version, rating->first_rating,
-                     score, now_ms);
+      cascade_record_first (entry->cascade, task, version,
+                            rating->first_rating, score, now_ms);
       return;
     }
   burn_observe_rating (entry->burn, &sample, now_ms);
   if (rating->purpose == RATING_SECOND)
-    cascade_second (entry->cascade, task, str_from (rating->first), version,
-                    rating->first_rating, score, now_ms);
+    cascade_record_second (entry->cascade, task, str_from (rating->first),
+                           version, rating->first_rating, score, now_ms);
   else
     learn_score (rating, score, now_ms);
 }
@@ -303,13 +303,14 @@
         take_score (rating, score);
       else
         {
-          quality_rater_failed (entry->quality,
-                                clock_realtime_ms (entry->clock));
+          quality_record_rater_failure (entry->quality,
+                                        clock_realtime_ms (entry->clock));
           /* The audit's first rating still counts.  */
           if (rating->purpose == RATING_AUDIT)
-            cascade_first (entry->cascade, str_from (rating->task),
-                           str_from (rating->version), rating->first_rating,
-                           NAN, clock_realtime_ms (entry->clock));
+            cascade_record_first (entry->cascade, str_from (rating->task),
+                                  str_from (rating->version),
+                                  rating->first_rating, NAN,
+                                  clock_realtime_ms (entry->clock));
         }
     }
   rating_free (rating);
@@ -350,13 +351,14 @@
   entry_t *entry = request->entry;
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  quality_add (entry->quality, request->version->model->task,
-               request->version->name, request->first_rating, now_ms);
+  quality_add_rating (entry->quality, request->version->model->task,
+                      request->version->name, request->first_rating, now_ms);
   if (request->plan.audit && entry->ratings_on_way < RATINGS_MAX)
     ask_rating (request, RATING_AUDIT, content);
   else
-    cascade_first (entry->cascade, request->version->model->task,
-                   request->version->name, request->first_rating, NAN, now_ms);
+    cascade_record_first (entry->cascade, request->version->model->task,
+                          request->version->name, request->first_rating, NAN,
+                          now_ms);
 }
 
 void
@@ -392,8 +394,8 @@
 {
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  quality_settle (entry->quality, generation, now_ms);
-  cascade_settle (entry->cascade, generation, now_ms);
+  quality_fold_epochs (entry->quality, generation, now_ms);
+  cascade_fold_epochs (entry->cascade, generation, now_ms);
   degradation_compact (entry->watch, generation, now_ms);
   burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
--- a/packages/entry/objective.c
+++ b/packages/entry/objective.c
@@ -75,19 +75,19 @@
 }
 
 void
-entry_burn (entry_t *entry, burn_format_t format, buf_t *out)
+entry_write_burn_report (entry_t *entry, burn_format_t format, buf_t *out)
 {
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
   switch (format)
     {
-    case BURN_TEXT:
+    case BURN_FORMAT_TEXT:
       burn_write_text (entry->burn, now_ms, out);
       break;
-    case BURN_JSON:
+    case BURN_FORMAT_JSON:
       burn_write_json (entry->burn, now_ms, out);
       break;
-    case BURN_HTML:
+    case BURN_FORMAT_HTML:
       burn_write_html (entry->burn, now_ms, out);
       break;
     }
--- a/packages/entry/peering.c
+++ b/packages/entry/peering.c
@@ -111,8 +111,8 @@
 }
 
 void
-entry_bills_written (entry_t *entry, str_t instance, const str_t *bill_ids,
-                     size_t count)
+entry_acknowledge_bills (entry_t *entry, str_t instance, const str_t *bill_ids,
+                         size_t count)
 {
   member_t *member = map_get (entry->members, instance);
 
@@ -122,7 +122,7 @@
   for (size_t i = 0; i < count; i++)
     ids[i] = str_dup (bill_ids[i]);
   wire_bills_drop_args_t args = { .bill_ids = { (u_int)count, ids } };
-  rpc_peer_fire (member->peer, WIRE_BILLS_DROP, &args);
+  rpc_peer_notify (member->peer, WIRE_BILLS_DROP, &args);
   for (size_t i = 0; i < count; i++)
     free (ids[i]);
   free (ids);
@@ -179,8 +179,8 @@
 }
 
 bool
-entry_bills_hand_over (entry_t *entry, wire_bill_t *bills, size_t count,
-                       void (*cb) (void *arg, bool taken), void *arg)
+entry_transfer_bills (entry_t *entry, wire_bill_t *bills, size_t count,
+                      void (*cb) (void *arg, bool taken), void *arg)
 {
   wire_bills_hold_args_t args
       = { .bills = { (u_int)(count < WIRE_BILLS_MAX ? count : WIRE_BILLS_MAX),
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -163,24 +163,24 @@
       = gateway_service_escalation (relay->state, attrs->service->name);
   size_t model = relay_service_model_index (relay, relay->model_index);
   uint32_t confidence_points = confidence < 100 ? (uint32_t)confidence : 100;
-  escalation_choice_t choices[SERVICE_MODELS_MAX];
+  escalation_candidate_t choices[SERVICE_MODELS_MAX];
   size_t count = 0;
 
   if (relay->model_index == 0)
     relay->first_confidence = confidence_points;
   else
-    escalation_compared (escalation, model, relay->first_confidence,
-                         confidence_points);
+    escalation_record_confidences (escalation, model, relay->first_confidence,
+                                   confidence_points);
   for (size_t i = relay->model_index + 1;
        i < route->model_count && count < SERVICE_MODELS_MAX; i++)
     {
       size_t larger_model = relay_service_model_index (relay, i);
       choices[count++]
-          = (escalation_choice_t){ .model = larger_model,
-                                   .cost = model_cost (relay, larger_model),
-                                   .beside = load_for_model (relay, i) };
+          = (escalation_candidate_t){ .model = larger_model,
+                                      .cost = model_cost (relay, larger_model),
+                                      .beside = load_for_model (relay, i) };
     }
-  const escalation_case_t request
+  const escalation_request_t request
       = { .model = model,
           .cost = model_cost (relay, model),
           .read = attrs->prompt_tokens,
--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -104,7 +104,7 @@
 next_rate (double rate, double brought, double ticks)
 {
   double seconds = ticks * ADMISSION_TICK_MS / 1000;
-  double keep = pow (1 - ADMISSION_GAIN, ticks);
+  double keep = pow (1 - ADMISSION_RATE_SMOOTHING, ticks);
 
   return rate * keep + brought / seconds * (1 - keep);
 }
@@ -140,20 +140,22 @@
 measure_capacity (admission_t *admission, double demand, double ticks)
 {
   double dispatched = admission->accepted + admission->refused;
-  bool full = admission->refused > dispatched * ADMISSION_REFUSED
-              || admission->pressure > ADMISSION_PRESSURE;
+  bool full
+      = admission->refused > dispatched * ADMISSION_OVERLOAD_REFUSED_SHARE
+        || admission->pressure > ADMISSION_OVERLOAD_PRESSURE;
   double found;
 
   admission->accepted_rate
       = next_rate (admission->accepted_rate, admission->accepted, ticks);
-  found = admission->accepted_rate * ADMISSION_PROBE;
+  found = admission->accepted_rate * ADMISSION_PROBE_FACTOR;
   /* The rate of what is accepted lags behind a sudden burst just as that of
      what is asked for does, so the two can be compared in it.  */
   if (full || found > admission->capacity)
     admission->capacity = found;
   else if (admission->limiting)
-    admission->capacity *= pow (ADMISSION_OPEN, ticks);
-  admission->capacity = fmax (admission->capacity, ADMISSION_FLOOR * demand);
+    admission->capacity *= pow (ADMISSION_GROWTH_PER_TICK, ticks);
+  admission->capacity
+      = fmax (admission->capacity, ADMISSION_ADMITTED_SHARE_MIN * demand);
   admission->accepted = 0;
   admission->refused = 0;
 }
@@ -280,7 +282,7 @@
 }
 
 void
-admission_result (admission_t *admission, uint32_t cost, bool accepted)
+admission_record_result (admission_t *admission, uint32_t cost, bool accepted)
 {
   tick (admission);
   if (accepted)
@@ -290,7 +292,7 @@
 }
 
 void
-admission_pressure (admission_t *admission, double pressure)
+admission_set_pressure (admission_t *admission, double pressure)
 {
   tick (admission);
   admission->pressure = pressure;
@@ -304,14 +306,14 @@
 
   if (team->share > 0)
     span_s = team->refused / team->share;
-  if (span_s > ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S)
-    span_s = ADMISSION_RETRY_MAX_S - ADMISSION_RETRY_MIN_S;
-  return ADMISSION_RETRY_MIN_S
+  if (span_s > ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S)
+    span_s = ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S;
+  return ADMISSION_RETRY_AFTER_MIN_S
          + (uint32_t)rng_below (admission->rng, (uint64_t)span_s + 1);
 }
 
 double
-admission_share (admission_t *admission, str_t name)
+admission_admitted_share (admission_t *admission, str_t name)
 {
   const team_t *team = find_team (admission, name);
 
@@ -319,7 +321,7 @@
 }
 
 bool
-admission_limiting (const admission_t *admission)
+admission_is_limiting (const admission_t *admission)
 {
   return admission->limiting;
 }
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -105,7 +105,7 @@
 static uint64_t
 curve_hash (str_t task, str_t first, str_t second)
 {
-  return str_hash (second, quality_hash (task, first));
+  return str_hash (second, quality_series_hash (task, first));
 }
 
 static uint64_t
@@ -144,16 +144,16 @@
 }
 
 void
-cascade_first (cascade_t *c, str_t task, str_t first, double rating,
-               double second_rating, uint64_t now_ms)
+cascade_record_first (cascade_t *c, str_t task, str_t first, double rating,
+                      double second_rating, uint64_t now_ms)
 {
   learn (c, curve_hash (task, first, STR_NULL), rating, true, second_rating,
          now_ms);
 }
 
 void
-cascade_second (cascade_t *c, str_t task, str_t first, str_t second,
-                double rating, double second_rating, uint64_t now_ms)
+cascade_record_second (cascade_t *c, str_t task, str_t first, str_t second,
+                       double rating, double second_rating, uint64_t now_ms)
 {
   if (!isnan (second_rating))
     learn (c, curve_hash (task, first, second), rating, false, second_rating,
@@ -310,7 +310,7 @@
     {
       const quality_bound_t *q = b < t ? &second_bins[b] : &first_bins[b];
       double share = first->bins[b].first / first->first;
-      double error = (q->mean - q->lower) / QUALITY_Z;
+      double error = (q->mean - q->lower) / QUALITY_Z_ONE_SIDED_95;
       mean += share * q->mean;
       square += share * q->mean * q->mean;
       variance += share * share * error * error;
@@ -318,7 +318,8 @@
     }
   /* The shares of the bins are themselves estimates.  */
   variance += fmax (0, square - mean * mean) / first->first;
-  return (outcome_t){ mean, mean - QUALITY_Z * sqrt (variance), escalated };
+  return (outcome_t){ mean, mean - QUALITY_Z_ONE_SIDED_95 * sqrt (variance),
+                      escalated };
 }
 
 /* The request under decision, with what was derived from it.  */
@@ -341,8 +342,8 @@
 static double
 audit_share (double audited)
 {
-  return fmax (CASCADE_AUDIT_FLOOR,
-               CASCADE_AUDIT_START / (1 + audited / AUDIT_HALF));
+  return fmax (CASCADE_AUDIT_SHARE_MIN,
+               CASCADE_AUDIT_SHARE_MAX / (1 + audited / AUDIT_HALF));
 }
 
 /* Tell whether FIRST, its rating and SECOND fit.  */
@@ -430,8 +431,8 @@
           = below.escalated + part * (at.escalated - below.escalated);
       double audit = audit_share (fmin (own.rated, pair.rated));
       *plan = (cascade_plan_t){
-        .kind = CASCADE_FIRST,
-        .reason = CASCADE_R_CASCADE,
+        .kind = CASCADE_TWO_STAGE,
+        .reason = CASCADE_R_TWO_STAGE,
         .first = first,
         .second = second,
         .threshold = (double)t / CASCADE_BINS,
@@ -525,7 +526,7 @@
           && pair_fits (d, i, j))
         return true;
   if (!d->request->rater_ok)
-    *why = CASCADE_R_NO_RATER;
+    *why = CASCADE_R_RATER_DOWN;
   else if (d->request->streaming)
     *why = CASCADE_R_STREAMING;
   else
@@ -583,7 +584,7 @@
   if (best == NULL || own.first < FIRST_MIN)
     return true;
   /* The pair in use learns from its own traffic.  */
-  if (best->kind == CASCADE_FIRST && best->first == first
+  if (best->kind == CASCADE_TWO_STAGE && best->first == first
       && best->second == second)
     return false;
   if (!pair_plan (d, first, second, JUDGE_UPPER, &plan))
@@ -642,7 +643,7 @@
             || rng_below (rng, ++choices) != 0)
           continue;
         *plan = direct_plan (d, i, CASCADE_R_EXPLORE);
-        plan->kind = CASCADE_FIRST;
+        plan->kind = CASCADE_TWO_STAGE;
         plan->second = j;
         plan->threshold = d->request->target;
         plan->whole = 1;
@@ -712,7 +713,7 @@
     return (cascade_plan_t){ .kind = CASCADE_NONE,
                              .reason = CASCADE_R_NO_CANDIDATE };
   if (d->count == 1)
-    return direct_plan (d, 0, CASCADE_R_ONLY);
+    return direct_plan (d, 0, CASCADE_R_SINGLE_VERSION);
   if (d->strongest == SIZE_MAX)
     return direct_plan (d, fastest (d), CASCADE_R_TOO_LATE);
   bool roomy = any_pair_fits (d, &why);
@@ -728,7 +729,7 @@
       && rng_double (rng) < explore_chance (d, &plan, &best))
     return plan;
   plan = best;
-  if (plan.kind == CASCADE_FIRST)
+  if (plan.kind == CASCADE_TWO_STAGE)
     {
       plan.audit = draw_audit (d, rng, &plan);
       draw_threshold (rng, &plan);
@@ -747,7 +748,7 @@
                                 ? request->count
                                 : CASCADE_CANDIDATES_MAX,
                    .room_ms = (double)request->deadline_left_ms
-                              * CASCADE_DEADLINE_PART };
+                              * CASCADE_DEADLINE_SHARE };
 
   crdt_advance (c->evidence, now_ms);
   d.strongest = strongest_in_time (&d);
@@ -757,7 +758,7 @@
 }
 
 void
-cascade_settle (cascade_t *c, uint64_t generation, uint64_t now_ms)
+cascade_fold_epochs (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
   uint64_t epoch = crdt_first_epoch (c->evidence);
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -19,7 +19,7 @@
    rating.
 
    Escalation needs room: both attempts and the rating within
-   CASCADE_DEADLINE_PART of the deadline left, the rest being for queueing.
+   CASCADE_DEADLINE_SHARE of the deadline left, the rest being for queueing.
    A streaming caller gets a cascade only when the first version's whole
    answer and its rating fit the time it may wait for the first byte.
 
@@ -52,15 +52,15 @@
 };
 
 /* Share of the deadline left that a plan may use.  */
-#define CASCADE_DEADLINE_PART 0.8
+#define CASCADE_DEADLINE_SHARE 0.8
 /* Share of the cascades whose first answer is rated twice, and of the
    escalated answers that are rated: this much while little is known, and the
    floor once a bin's neighbourhood is.  */
-#define CASCADE_AUDIT_START 0.3
-#define CASCADE_AUDIT_FLOOR 0.02
+#define CASCADE_AUDIT_SHARE_MAX 0.3
+#define CASCADE_AUDIT_SHARE_MIN 0.02
 
 /* Share of the cost that exploration may add.  */
-#define CASCADE_EXPLORE_DEFAULT 0.08
+#define CASCADE_EXPLORE_COST_SHARE 0.08
 
 typedef enum
 {
@@ -70,21 +70,21 @@
 
 typedef enum
 {
-  CASCADE_NONE,   /* No candidate.  */
-  CASCADE_DIRECT, /* FIRST answers.  */
-  CASCADE_FIRST   /* FIRST answers, is rated, and SECOND takes over.  */
+  CASCADE_NONE,     /* No candidate.  */
+  CASCADE_DIRECT,   /* FIRST answers.  */
+  CASCADE_TWO_STAGE /* FIRST answers, is rated, and SECOND takes over.  */
 } cascade_kind_t;
 
 /* X (symbol, short code, sentence).  The short code goes into the header and
    the counters.  */
 #define CASCADE_REASONS(X)                                                    \
   X (CASCADE_R_NO_CANDIDATE, "no-candidate", "No version is permitted.")      \
-  X (CASCADE_R_ONLY, "only", "One version alone is permitted.")               \
+  X (CASCADE_R_SINGLE_VERSION, "only", "One version alone is permitted.")     \
   X (CASCADE_R_CHEAPEST, "cheapest-in-bound",                                 \
      "The cheapest version whose quality bound meets the target.")            \
   X (CASCADE_R_FASTEST, "fastest-in-bound",                                   \
      "The fastest version whose quality bound meets the target.")             \
-  X (CASCADE_R_CASCADE, "cheap-first",                                        \
+  X (CASCADE_R_TWO_STAGE, "cheap-first",                                      \
      "A rated cheap answer first costs less than any direct choice.")         \
   X (CASCADE_R_NO_BOUND, "strongest",                                         \
      "No bound meets the target; what may be the strongest is used.")         \
@@ -92,7 +92,7 @@
      "No room to escalate; the best direct choice within the deadline.")      \
   X (CASCADE_R_STREAMING, "streaming",                                        \
      "The first byte cannot wait for a rated first answer.")                  \
-  X (CASCADE_R_NO_RATER, "rater-down",                                        \
+  X (CASCADE_R_RATER_DOWN, "rater-down",                                      \
      "The rating service does not answer; a direct choice.")                  \
   X (CASCADE_R_TOO_LATE, "too-late",                                          \
      "No version answers within the deadline; the fastest one.")              \
@@ -136,14 +136,14 @@
   cascade_kind_t kind;
   cascade_reason_t reason;
   size_t first;     /* Index of the candidate.  */
-  size_t second;    /* For CASCADE_FIRST.  */
+  size_t second;    /* For CASCADE_TWO_STAGE.  */
   double threshold; /* Escalate when the rating lies below it.  */
   double whole;     /* Share of such plans whose threshold is the upper edge
                        of the bin; drawn already.  */
-  bool audit;       /* CASCADE_DIRECT: rate the answer.  CASCADE_FIRST: rate
-                       the first answer once more, and the second one if it
-                       runs.  Off the request's way.  */
-  double cost;      /* Expected, ratings included.  */
+  bool audit;  /* CASCADE_DIRECT: rate the answer.  CASCADE_TWO_STAGE: rate
+                  the first answer once more, and the second one if it
+                  runs.  Off the request's way.  */
+  double cost; /* Expected, ratings included.  */
   double latency_ms;
   double quality;
   double lower;
@@ -161,15 +161,18 @@
 
 /* Learn the first answer's RATING; SECOND_RATING is that of the audit, or
    NaN.  */
-void cascade_first (cascade_t *cascade, str_t task, str_t first, double rating,
-                    double second_rating, uint64_t now_ms);
+void cascade_record_first (cascade_t *cascade, str_t task, str_t first,
+                           double rating, double second_rating,
+                           uint64_t now_ms);
 /* Learn what an audited escalation gave: the first answer had RATING, the
    second version's answer SECOND_RATING.  */
-void cascade_second (cascade_t *cascade, str_t task, str_t first, str_t second,
-                     double rating, double second_rating, uint64_t now_ms);
+void cascade_record_second (cascade_t *cascade, str_t task, str_t first,
+                            str_t second, double rating, double second_rating,
+                            uint64_t now_ms);
 
 /* As in quality.h.  */
-void cascade_settle (cascade_t *cascade, uint64_t generation, uint64_t now_ms);
+void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
+                          uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
 vh_code_t cascade_merge (cascade_t *cascade, str_t bytes, uint64_t now_ms);
 
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -97,7 +97,7 @@
   const crdt_options_t options = { .writer = writer,
                                    .epoch_ms = DEGRADATION_EPOCH_MS,
                                    .epochs = DEGRADATION_EPOCHS,
-                                   .fields = SAMPLE_FIELDS,
+                                   .fields = SAMPLE_FIELD_COUNT,
                                    .keys_max = DEGRADATION_SERIES_MAX,
                                    .cells_max = DEGRADATION_CELLS_MAX };
   degradation_t *d = mem_zalloc (sizeof *d);
@@ -165,10 +165,10 @@
 degradation_observe (degradation_t *d, str_t version, str_t task,
                      const rollout_sample_t *sample, uint64_t now_ms)
 {
-  int64_t fields[SAMPLE_FIELDS];
+  int64_t fields[SAMPLE_FIELD_COUNT];
   int key = series_find_or_add (d, hash_name (version), hash_name (task));
 
-  sample_fields (sample, fields);
+  sample_to_fields (sample, fields);
   crdt_add (d->measurements, key, now_ms, fields);
 }
 
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -45,8 +45,8 @@
 {
   escalation_options_t options;
   double pressure;
-  curve_t curves[ESCALATION_MODELS];
-  lead_t leads[ESCALATION_MODELS];
+  curve_t curves[ESCALATION_MODELS_MAX];
+  lead_t leads[ESCALATION_MODELS_MAX];
   double worth; /* Mean, of a request; 0: none came.  */
 };
 
@@ -126,8 +126,8 @@
 static bool
 model_terms (const escalation_t *escalation, size_t model, double terms[TERMS])
 {
-  if (model >= ESCALATION_MODELS
-      || escalation->curves[model].count < ESCALATION_LEAST)
+  if (model >= ESCALATION_MODELS_MAX
+      || escalation->curves[model].count < ESCALATION_OBSERVATIONS_MIN)
     return false;
   curve_terms (&escalation->curves[model], terms);
   return true;
@@ -142,8 +142,8 @@
 }
 
 double
-escalation_wait_ms (const escalation_t *escalation, size_t model,
-                    uint32_t read)
+escalation_predicted_wait_ms (const escalation_t *escalation, size_t model,
+                              uint32_t read)
 {
   double terms[TERMS];
 
@@ -155,29 +155,29 @@
 {
   double power = 1;
 
-  curve->count = curve->count * ESCALATION_KEEP_CURVE + 1;
+  curve->count = curve->count * ESCALATION_CURVE_DECAY + 1;
   for (size_t i = 0; i < 2 * TERMS - 1; i++)
     {
-      curve->powers[i] = curve->powers[i] * ESCALATION_KEEP_CURVE + power;
+      curve->powers[i] = curve->powers[i] * ESCALATION_CURVE_DECAY + power;
       if (i < TERMS)
         curve->waits[i]
-            = curve->waits[i] * ESCALATION_KEEP_CURVE + wait_ms * power;
+            = curve->waits[i] * ESCALATION_CURVE_DECAY + wait_ms * power;
       power *= x;
     }
 }
 
 void
-escalation_heard (escalation_t *escalation, size_t model, uint32_t read,
-                  uint64_t wait_ms, uint64_t objective_ms)
+escalation_record_wait (escalation_t *escalation, size_t model, uint32_t read,
+                        uint64_t wait_ms, uint64_t objective_ms)
 {
   double terms[TERMS];
   double wait = (double)wait_ms;
 
   if (objective_ms > 0)
-    escalation->pressure = escalation->pressure * ESCALATION_KEEP_PRESSURE
+    escalation->pressure = escalation->pressure * ESCALATION_PRESSURE_DECAY
                            + fmin (wait / (double)objective_ms, part_max)
-                                 * (1 - ESCALATION_KEEP_PRESSURE);
-  if (model >= ESCALATION_MODELS)
+                                 * (1 - ESCALATION_PRESSURE_DECAY);
+  if (model >= ESCALATION_MODELS_MAX)
     return;
   if (model_terms (escalation, model, terms))
     wait = fmin (wait, at (terms, read) * stray_times + stray_ms);
@@ -194,30 +194,34 @@
 static double
 beyond (double value, double limit)
 {
-  return 1 / (1 + exp ((limit - value) / (limit * ESCALATION_SCATTER)));
+  return 1
+         / (1
+            + exp ((limit - value)
+                   / (limit * ESCALATION_LATE_TRANSITION_WIDTH)));
 }
 
 void
-escalation_compared (escalation_t *escalation, size_t model, uint32_t first,
-                     uint32_t opinion)
+escalation_record_confidences (escalation_t *escalation, size_t model,
+                               uint32_t first, uint32_t opinion)
 {
   /* At the ends of their scale opinions say less than they mean.  */
-  if (model >= ESCALATION_MODELS || first == 0 || first >= 100 || opinion == 0
-      || opinion >= 100)
+  if (model >= ESCALATION_MODELS_MAX || first == 0 || first >= 100
+      || opinion == 0 || opinion >= 100)
     return;
   lead_t *lead = &escalation->leads[model];
-  lead->count = lead->count * ESCALATION_KEEP_CURVE + 1;
-  lead->points = lead->points * ESCALATION_KEEP_CURVE + opinion - first;
+  lead->count = lead->count * ESCALATION_CURVE_DECAY + 1;
+  lead->points = lead->points * ESCALATION_CURVE_DECAY + opinion - first;
 }
 
 double
-escalation_lead (const escalation_t *escalation, size_t model)
+escalation_confidence_lead (const escalation_t *escalation, size_t model)
 {
-  if (model >= ESCALATION_MODELS)
+  if (model >= ESCALATION_MODELS_MAX)
     return 0;
   const lead_t *lead = &escalation->leads[model];
-  return (lead->points + ESCALATION_LEAD * ESCALATION_LEAD_COUNT)
-         / (lead->count + ESCALATION_LEAD_COUNT);
+  return (lead->points
+          + ESCALATION_PRIOR_LEAD_POINTS * ESCALATION_PRIOR_LEAD_COUNT)
+         / (lead->count + ESCALATION_PRIOR_LEAD_COUNT);
 }
 
 /* The chance that an answer is good of which a model has OPINION, a mean of
@@ -234,14 +238,14 @@
 static double
 pressed_points (const escalation_t *escalation)
 {
-  double pressed = (escalation->pressure - ESCALATION_CALM)
-                   / (ESCALATION_PRESSED - ESCALATION_CALM);
+  double pressed = (escalation->pressure - ESCALATION_PRESSURE_LOW)
+                   / (ESCALATION_PRESSURE_HIGH - ESCALATION_PRESSURE_LOW);
 
-  return fmin (fmax (pressed, 0), 1) * ESCALATION_PRESSED_POINTS;
+  return fmin (fmax (pressed, 0), 1) * ESCALATION_PRESSURE_POINTS_MAX;
 }
 
 static double
-worth_of (const escalation_t *escalation, const escalation_case_t *request)
+worth_of (const escalation_t *escalation, const escalation_request_t *request)
 {
   double size = request->read + generated_size * request->generated;
 
@@ -254,7 +258,8 @@
 /* What a second answer of CHOICE costs in the use of models: the first is not
    generated to its end.  */
 static double
-cost_of (const escalation_case_t *request, const escalation_choice_t *choice)
+cost_of (const escalation_request_t *request,
+         const escalation_candidate_t *choice)
 {
   double generated = request->generated / kilo;
   double read = request->read / kilo * read_cost_part;
@@ -265,8 +270,8 @@
 /* Fill what CHOICE would take until its first event, and how much of that is
    for reading.  */
 static void
-foresee (const escalation_t *escalation, const escalation_case_t *request,
-         const escalation_choice_t *choice, double *wait_ms,
+foresee (const escalation_t *escalation, const escalation_request_t *request,
+         const escalation_candidate_t *choice, double *wait_ms,
          double *reading_ms)
 {
   double terms[TERMS];
@@ -287,31 +292,31 @@
 /* The opinion of the answer, in points of its model; COUNT gets of how many
    opinions that is the mean.  */
 static double
-opinion_of (const escalation_t *escalation, const escalation_case_t *request,
-            double *count)
+opinion_of (const escalation_t *escalation,
+            const escalation_request_t *request, double *count)
 {
   *count = 1;
   if (!request->has_first)
     return request->opinion;
   *count = 2;
   return (request->opinion + request->first
-          + escalation_lead (escalation, request->model))
+          + escalation_confidence_lead (escalation, request->model))
          / 2;
 }
 
 double
 escalation_gain (const escalation_t *escalation,
-                 const escalation_case_t *request, size_t index)
+                 const escalation_request_t *request, size_t index)
 {
   const escalation_options_t *options = &escalation->options;
-  const escalation_choice_t *choice = &request->choices[index];
+  const escalation_candidate_t *choice = &request->choices[index];
   double worth = worth_of (escalation, request);
   double count;
   double opinion
       = opinion_of (escalation, request, &count) + pressed_points (escalation);
-  double lead = escalation_lead (escalation, choice->model);
+  double lead = escalation_confidence_lead (escalation, choice->model);
   if (request->has_first)
-    lead -= escalation_lead (escalation, request->model);
+    lead -= escalation_confidence_lead (escalation, request->model);
   double kept = good_part (escalation, opinion, count);
   double good = index + 1 == request->choice_count
                     ? 1
@@ -326,18 +331,20 @@
                               (double)request->objective_ms)
                     : 0;
   if (request->pause_ms > 0)
-    harm = beyond (reading_ms, (double)request->pause_ms * ESCALATION_PAUSES)
+    harm = beyond (reading_ms,
+                   (double)request->pause_ms * ESCALATION_PAUSE_FACTOR)
            * choice->beside * (1 - options->late_part)
            * (escalation->worth > 0 ? escalation->worth : worth);
   double larger_part = (good + (1 - good) * options->poor_part)
                        * (1 - late * (1 - options->late_part));
   double kept_part = kept + (1 - kept) * options->poor_part;
-  return worth * (larger_part - kept_part - ESCALATION_MARGIN)
+  return worth * (larger_part - kept_part - ESCALATION_GAIN_SHARE_MIN)
          - cost_of (request, choice) - harm;
 }
 
 size_t
-escalation_choose (escalation_t *escalation, const escalation_case_t *request)
+escalation_choose (escalation_t *escalation,
+                   const escalation_request_t *request)
 {
   double worth = worth_of (escalation, request);
   size_t best = request->choice_count;
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -46,35 +46,35 @@
    is calm, from the second on the engines are pressed.  A calm engine answers
    within a tenth; at half of the objectives on average the slowest tenth of
    first events is late already.  */
-#define ESCALATION_CALM 0.16
-#define ESCALATION_PRESSED 0.48
+#define ESCALATION_PRESSURE_LOW 0.16
+#define ESCALATION_PRESSURE_HIGH 0.48
 /* Points that are added to an opinion at pressed engines: what is left to drop
    is wrong nearly always.  */
-#define ESCALATION_PRESSED_POINTS 43
+#define ESCALATION_PRESSURE_POINTS_MAX 43
 /* What an observation leaves of the pressure: a second's worth of an entry's
    requests.  */
-#define ESCALATION_KEEP_PRESSURE 0.92
+#define ESCALATION_PRESSURE_DECAY 0.92
 /* The lead of a model before any was seen, as so many observations.  */
-#define ESCALATION_LEAD 10
-#define ESCALATION_LEAD_COUNT 4
+#define ESCALATION_PRIOR_LEAD_POINTS 10
+#define ESCALATION_PRIOR_LEAD_COUNT 4
 /* What an observation leaves of the curves: some 20 s at ten a second.  */
-#define ESCALATION_KEEP_CURVE 0.995
+#define ESCALATION_CURVE_DECAY 0.995
 /* Width of the step from on time to late, in what is allowed: that much do
    times scatter about their curve.  */
-#define ESCALATION_SCATTER 0.15
+#define ESCALATION_LATE_TRANSITION_WIDTH 0.15
 /* Pauses that are on time for which a prompt must be read to make late what
    runs beside it: a shorter read falls into two gaps between events.  */
-#define ESCALATION_PAUSES 1.25
+#define ESCALATION_PAUSE_FACTOR 1.25
 
 /* Part of its worth by which a request must gain: a drop that gains less than
    an opinion can tell is work for the engines all the same.  */
-#define ESCALATION_MARGIN 0.02
+#define ESCALATION_GAIN_SHARE_MIN 0.02
 
 enum
 {
-  ESCALATION_MODELS = 8,
+  ESCALATION_MODELS_MAX = 8,
   /* Observations before a curve is believed.  */
-  ESCALATION_LEAST = 10
+  ESCALATION_OBSERVATIONS_MIN = 10
 };
 
 typedef struct escalation escalation_t;
@@ -98,7 +98,7 @@
   size_t model;  /* Index, smallest first.  */
   double cost;   /* For 1,000 tokens generated or 4,000 read.  */
   double beside; /* Requests at the engine that would read the prompt.  */
-} escalation_choice_t;
+} escalation_candidate_t;
 
 /* One request and its answer so far.  */
 typedef struct
@@ -114,36 +114,39 @@
   uint64_t elapsed_ms; /* Since the caller asked.  */
   uint64_t objective_ms;
   uint64_t pause_ms; /* Longest between events that is on time; 0: any.  */
-  const escalation_choice_t *choices; /* The larger models, smallest first.  */
+  const escalation_candidate_t
+      *choices; /* The larger models, smallest first.  */
   size_t choice_count;
-} escalation_case_t;
+} escalation_request_t;
 
 escalation_t *escalation_create (const escalation_options_t *options);
 void escalation_destroy (escalation_t *escalation);
 
 /* The first event of MODEL for a prompt of READ tokens came after WAIT_MS; it
    was due after OBJECTIVE_MS.  */
-void escalation_heard (escalation_t *escalation, size_t model, uint32_t read,
-                       uint64_t wait_ms, uint64_t objective_ms);
+void escalation_record_wait (escalation_t *escalation, size_t model,
+                             uint32_t read, uint64_t wait_ms,
+                             uint64_t objective_ms);
 /* MODEL had OPINION of its answer to a request of which the smallest model had
    opinion FIRST.  */
-void escalation_compared (escalation_t *escalation, size_t model,
-                          uint32_t first, uint32_t opinion);
+void escalation_record_confidences (escalation_t *escalation, size_t model,
+                                    uint32_t first, uint32_t opinion);
 /* Points by which the opinions of MODEL, not the smallest, exceed those of the
    smallest.  */
-double escalation_lead (const escalation_t *escalation, size_t model);
+double escalation_confidence_lead (const escalation_t *escalation,
+                                   size_t model);
 /* What it is worth to drop the answer for that of choice INDEX.  */
 double escalation_gain (const escalation_t *escalation,
-                        const escalation_case_t *request, size_t index);
+                        const escalation_request_t *request, size_t index);
 /* The choice that gains most, or the count of choices when the answer is kept.
    The request is taken into account for those that come beside others.  */
 size_t escalation_choose (escalation_t *escalation,
-                          const escalation_case_t *request);
+                          const escalation_request_t *request);
 /* Mean part of its objective that a first event takes now.  */
 double escalation_pressure (const escalation_t *escalation);
 /* Time to the first event of MODEL for a prompt of READ tokens; 0: not known.
  */
-double escalation_wait_ms (const escalation_t *escalation, size_t model,
-                           uint32_t read);
+double escalation_predicted_wait_ms (const escalation_t *escalation,
+                                     size_t model, uint32_t read);
 
 #endif
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -39,9 +39,9 @@
   limit_t *limit = mem_zalloc (sizeof *limit);
 
   limit->clock = clock;
-  limit->start = LIMIT_START;
-  limit->max = LIMIT_MAX;
-  limit->tolerance = LIMIT_TOLERANCE;
+  limit->start = LIMIT_INITIAL_SLOTS;
+  limit->max = LIMIT_SLOTS_MAX;
+  limit->tolerance = LIMIT_LATENCY_TOLERANCE;
   if (config != NULL && config->start > 0)
     limit->start = config->start;
   if (config != NULL && config->max > 0)
@@ -50,7 +50,7 @@
     limit->tolerance = config->tolerance;
   if (limit->start > limit->max)
     limit->start = limit->max;
-  limit_restart (limit);
+  limit_reset (limit);
   return limit;
 }
 
@@ -105,7 +105,7 @@
   uint64_t now = clock_us (limit->clock);
   double minutes = (double)(now - limit->drift_us) / 60e6;
 
-  limit->best_us *= 1 + LIMIT_DRIFT_PER_MIN * fmin (minutes, 1);
+  limit->best_us *= 1 + LIMIT_BEST_DRIFT_PER_MIN * fmin (minutes, 1);
   limit->drift_us = now;
 }
 
@@ -136,8 +136,9 @@
 static double
 double_used (const limit_t *limit)
 {
-  return limit->known && limit->slots < LIMIT_SMALL ? LIMIT_GROW_USED
-                                                    : LIMIT_DOUBLE_USED;
+  return limit->known && limit->slots < LIMIT_SMALL_SLOTS
+             ? LIMIT_GROWTH_UTILIZATION
+             : LIMIT_DOUBLE_UTILIZATION;
 }
 
 /* Judge the round that ends here and set the limit for the next.  */
@@ -151,7 +152,7 @@
 
   drift_best (limit);
   /* The best was that of a cold engine, so nothing is known of a warm one.  */
-  if (mean_us < limit->best_us * LIMIT_WARMED)
+  if (mean_us < limit->best_us * LIMIT_WARM_LATENCY_RATIO)
     {
       limit->warming = true;
       limit->threshold = limit->max;
@@ -160,7 +161,7 @@
   if (limit->best_us == 0)
     limit->best_us = mean_us;
   else if (mean_us < limit->best_us)
-    limit->best_us += LIMIT_BEST_GAIN * (mean_us - limit->best_us);
+    limit->best_us += LIMIT_BEST_SMOOTHING * (mean_us - limit->best_us);
   if (limit->failures * 2 > limit->samples)
     {
       limit->warming = false;
@@ -181,8 +182,8 @@
       limit->warming = limit->slots * 2 < limit->threshold;
       set_slots (limit, fmin (limit->slots * 2, limit->threshold));
     }
-  else if (used > LIMIT_GROW_USED)
-    set_slots (limit, limit->slots + LIMIT_STEP);
+  else if (used > LIMIT_GROWTH_UTILIZATION)
+    set_slots (limit, limit->slots + LIMIT_GROWTH_SLOTS);
   begin_round (limit);
 }
 
@@ -199,7 +200,8 @@
   /* Guards against a warm upstream that turns cold: it shows as a run of
      samples far above the best.  Waiting for the round to end would send it
      a full batch more, and all of that would time out.  */
-  if (limit->best_us > 0 && unit_us > limit->best_us * LIMIT_COLD_FACTOR)
+  if (limit->best_us > 0
+      && unit_us > limit->best_us * LIMIT_COLD_LATENCY_RATIO)
     limit->cold_run++;
   else
     limit->cold_run = 0;
@@ -211,10 +213,11 @@
   uint64_t round_ms = (clock_us (limit->clock) - limit->round_us) / 1000;
 
   limit->samples++;
-  if (limit->cold_run >= LIMIT_COLD_RUN || limit->error_run >= LIMIT_ERROR_RUN)
+  if (limit->cold_run >= LIMIT_COLD_SAMPLES
+      || limit->error_run >= LIMIT_CONSECUTIVE_ERRORS)
     fall_back (limit);
   else if (limit->samples >= limit_slots (limit)
-           && round_ms >= LIMIT_WINDOW_MS)
+           && round_ms >= LIMIT_ROUND_MIN_MS)
     end_round (limit);
 }
 
@@ -229,7 +232,7 @@
 }
 
 void
-limit_forget (limit_t *limit)
+limit_release_without_sample (limit_t *limit)
 {
   count_busy (limit);
   if (limit->in_flight > 0)
@@ -237,7 +240,7 @@
 }
 
 void
-limit_observe (limit_t *limit, uint64_t latency_us, uint32_t units)
+limit_report_progress (limit_t *limit, uint64_t latency_us, uint32_t units)
 {
   limit->error_run = 0;
   take_sample (limit, latency_us, units);
@@ -247,10 +250,10 @@
 void
 limit_release (limit_t *limit, uint64_t latency_us, uint32_t units, bool ok)
 {
-  limit_forget (limit);
+  limit_release_without_sample (limit);
   if (ok)
     {
-      limit_observe (limit, latency_us, units);
+      limit_report_progress (limit, latency_us, units);
       return;
     }
   limit->failures++;
@@ -259,7 +262,7 @@
 }
 
 void
-limit_restart (limit_t *limit)
+limit_reset (limit_t *limit)
 {
   limit->in_flight = 0;
   limit->best_us = 0;
@@ -282,7 +285,7 @@
 }
 
 bool
-limit_warming (const limit_t *limit)
+limit_is_warming_up (const limit_t *limit)
 {
   /* A limit that cannot move is never low.  */
   return limit->start < limit->max
--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -76,8 +76,8 @@
 
 /* Record one response of MEMBER: OK is false if the upstream failed, UNITS is
    the cost of the request.  Pass LATENCY_US 0 to leave the latency out, as for
-   an upstream for which limit_warming returns true: its concurrency limit
-   makes it slow, and it would be ejected just when it is warm.  */
+   an upstream for which limit_is_warming_up returns true: its concurrency
+   limit makes it slow, and it would be ejected just when it is warm.  */
 void outlier_record (outlier_t *outlier, outlier_member_t *member, bool ok,
                      uint64_t latency_us, uint32_t units);
 
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -73,21 +73,22 @@
 }
 
 uint64_t
-quality_hash (str_t task, str_t version)
+quality_series_hash (str_t task, str_t version)
 {
   return str_hash (version, str_hash (task, 0x71));
 }
 
 bool
-quality_add (quality_t *q, str_t task, str_t version, double rating,
-             uint64_t now_ms)
+quality_add_rating (quality_t *q, str_t task, str_t version, double rating,
+                    uint64_t now_ms)
 {
   if (isnan (rating))
     return false;
   double value = fmax (0, fmin (1, rating));
   int64_t sample[FIELDS] = { 0, crdt_to_fixed_point (value),
                              crdt_to_fixed_point (value * value) };
-  int key = crdt_key_find_or_add (q->evidence, quality_hash (task, version));
+  int key = crdt_key_find_or_add (q->evidence,
+                                  quality_series_hash (task, version));
   return crdt_add (q->evidence, key, now_ms, sample);
 }
 
@@ -101,7 +102,7 @@
       = QUALITY_PRIOR_WEIGHT * (variance + (prior - mean) * (prior - mean));
 
   spread += fmax (0, squares - 2 * mean * sum + count * mean * mean);
-  double half = QUALITY_Z * sqrt (spread / weight / weight);
+  double half = QUALITY_Z_ONE_SIDED_95 * sqrt (spread / weight / weight);
   return (quality_bound_t){ mean, fmax (0, mean - half), fmin (1, mean + half),
                             count };
 }
@@ -181,8 +182,8 @@
   if (count < CLIP_EPOCHS_MIN)
     return batches[i].mean;
   double centre = median_of_others (batches, count, i);
-  return fmax (centre - QUALITY_CLIP,
-               fmin (centre + QUALITY_CLIP, batches[i].mean));
+  return fmax (centre - QUALITY_CLIP_DISTANCE,
+               fmin (centre + QUALITY_CLIP_DISTANCE, batches[i].mean));
 }
 
 static void
@@ -221,10 +222,10 @@
 }
 
 quality_bound_t
-quality_get (quality_t *q, str_t task, str_t version, double prior,
-             uint64_t now_ms)
+quality_estimate (quality_t *q, str_t task, str_t version, double prior,
+                  uint64_t now_ms)
 {
-  int key = crdt_key_find (q->evidence, quality_hash (task, version));
+  int key = crdt_key_find (q->evidence, quality_series_hash (task, version));
 
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
@@ -251,22 +252,22 @@
 }
 
 bool
-quality_sample (quality_t *q, rng_t *rng, str_t task, str_t version,
-                uint64_t now_ms)
+quality_should_rate (quality_t *q, rng_t *rng, str_t task, str_t version,
+                     uint64_t now_ms)
 {
-  quality_bound_t known = quality_get (q, task, version, 0.5, now_ms);
+  quality_bound_t known = quality_estimate (q, task, version, 0.5, now_ms);
   const quality_sampling_t *s = &q->sampling;
   double share = s->share;
 
   if (known.weight > s->want)
     share = fmax (fmin (s->share, s->share_settled),
                   s->share * s->want / known.weight);
-  return rng_double (rng) < share && quality_rater_ok (q, now_ms)
+  return rng_double (rng) < share && quality_is_rater_available (q, now_ms)
          && tokens_take (q, now_ms);
 }
 
 void
-quality_rater_failed (quality_t *q, uint64_t now_ms)
+quality_record_rater_failure (quality_t *q, uint64_t now_ms)
 {
   uint64_t pause = q->rater_pause_ms * 2;
 
@@ -278,20 +279,20 @@
 }
 
 void
-quality_rater_answered (quality_t *q)
+quality_record_rater_success (quality_t *q)
 {
   q->rater_pause_ms = 0;
   q->rater_until_ms = 0;
 }
 
 bool
-quality_rater_ok (const quality_t *q, uint64_t now_ms)
+quality_is_rater_available (const quality_t *q, uint64_t now_ms)
 {
   return now_ms >= q->rater_until_ms;
 }
 
 void
-quality_settle (quality_t *q, uint64_t generation, uint64_t now_ms)
+quality_fold_epochs (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
   uint64_t epoch = crdt_first_epoch (q->evidence);
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -22,8 +22,8 @@
    versions rather than on stale numbers.
 
    An epoch whose mean lies far from the weighted median of the other epochs
-   is clipped to QUALITY_CLIP from it: a rating service that is wrong for an
-   hour moves the posterior by a bounded amount.  A version that really
+   is clipped to QUALITY_CLIP_DISTANCE from it: a rating service that is wrong
+   for an hour moves the posterior by a bounded amount.  A version that really
    changed moves the median once it fills half the votes; roll-out and watch
    (rollout.h) are the ones who must see it at once.  */
 
@@ -47,11 +47,11 @@
 };
 
 /* One-sided 95% of a normal.  */
-#define QUALITY_Z 1.645
+#define QUALITY_Z_ONE_SIDED_95 1.645
 /* Farthest an epoch's mean counts from the median of the others: twice the
    shift between two epochs of 20 ratings with spread 0.2 that chance alone
    gives once in a hundred.  */
-#define QUALITY_CLIP 0.25
+#define QUALITY_CLIP_DISTANCE 0.25
 
 typedef struct
 {
@@ -87,34 +87,36 @@
 /* Take in RATING, 0 to 1 (clipped; NaN is refused), of one answer that was
    not chosen for its rating.  NOW_MS is real time.  Return false when
    nothing was taken in.  */
-bool quality_add (quality_t *quality, str_t task, str_t version, double rating,
-                  uint64_t now_ms);
+bool quality_add_rating (quality_t *quality, str_t task, str_t version,
+                         double rating, uint64_t now_ms);
 
 /* The posterior of VERSION for TASK with PRIOR as its expected rating.  */
-quality_bound_t quality_get (quality_t *quality, str_t task, str_t version,
-                             double prior, uint64_t now_ms);
+quality_bound_t quality_estimate (quality_t *quality, str_t task,
+                                  str_t version, double prior,
+                                  uint64_t now_ms);
 
 /* Decide whether to send an answer to the rating service.  The chance is the
    bounded share, less for versions already well known, and a token bucket
    bounds the rate.  */
-bool quality_sample (quality_t *quality, rng_t *rng, str_t task, str_t version,
-                     uint64_t now_ms);
+bool quality_should_rate (quality_t *quality, rng_t *rng, str_t task,
+                          str_t version, uint64_t now_ms);
 
 /* The rating service failed or was late: ask it nothing for a while, doubled
    at each failure in a row up to a minute.  */
-void quality_rater_failed (quality_t *quality, uint64_t now_ms);
-void quality_rater_answered (quality_t *quality);
+void quality_record_rater_failure (quality_t *quality, uint64_t now_ms);
+void quality_record_rater_success (quality_t *quality);
 /* False while it is left alone.  */
-bool quality_rater_ok (const quality_t *quality, uint64_t now_ms);
+bool quality_is_rater_available (const quality_t *quality, uint64_t now_ms);
 
 /* As in evidence.h: fold epochs older than the last two under a lease's
    fencing number, write (news for gossip, all for the table), merge.  */
-void quality_settle (quality_t *quality, uint64_t generation, uint64_t now_ms);
+void quality_fold_epochs (quality_t *quality, uint64_t generation,
+                          uint64_t now_ms);
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
 vh_code_t quality_merge (quality_t *quality, str_t bytes, uint64_t now_ms);
 
 /* The hash under which evidence of (TASK, VERSION) is kept.  */
-uint64_t quality_hash (str_t task, str_t version);
+uint64_t quality_series_hash (str_t task, str_t version);
 
 /* Variance of a uniform rating.  */
 #define QUALITY_PRIOR_VARIANCE (1.0 / 12.0)
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -91,7 +91,7 @@
 
   queue->clock = clock;
   queue->max_waiters = QUEUE_MAX_WAITERS;
-  queue->long_cost = QUEUE_LONG_COST;
+  queue->long_cost = QUEUE_LONG_COST_MIN;
   queue->slots = 1;
   queue->low_slots = INFINITY;
   queue->low_us = clock_us (clock);
@@ -162,7 +162,7 @@
   double seconds = fmin ((double)(now - queue->low_us) / 1e6, 10);
 
   queue->slots = slots > 0 ? slots : 1;
-  queue->low_slots *= 1 + QUEUE_LOW_RISE_PER_S * seconds;
+  queue->low_slots *= 1 + QUEUE_MIN_SLOTS_RISE_PER_S * seconds;
   queue->low_slots = fmin (queue->low_slots, queue->slots);
   queue->low_us = now;
 }
@@ -182,12 +182,12 @@
 static uint32_t
 long_cap (const queue_t *queue)
 {
-  uint64_t memory_us = (uint64_t)QUEUE_SHORT_MEMORY_MS * 1000;
+  uint64_t memory_us = (uint64_t)QUEUE_SHORT_RESERVE_MS * 1000;
 
   if (queue->short_seen_us == 0
       || clock_us (queue->clock) - queue->short_seen_us > memory_us)
     return queue->slots;
-  return part_of_slots (queue, QUEUE_LONG_CAP);
+  return part_of_slots (queue, QUEUE_LONG_SHARE_MAX);
 }
 
 /* Return the time that COST units of KIND take in one slot, from the jobs
@@ -212,8 +212,9 @@
   uint32_t others = queue->kinds[kind == SHORT ? LONG : SHORT].running;
   uint32_t left = queue->slots > others ? queue->slots - others : 0;
   uint32_t floor_slots
-      = kind == SHORT ? queue->slots - part_of_slots (queue, QUEUE_LONG_CAP)
-                      : part_of_slots (queue, QUEUE_LONG_FLOOR);
+      = kind == SHORT
+            ? queue->slots - part_of_slots (queue, QUEUE_LONG_SHARE_MAX)
+            : part_of_slots (queue, QUEUE_LONG_SHARE_MIN);
 
   if (kind == LONG && left > long_cap (queue))
     left = long_cap (queue);
@@ -325,7 +326,7 @@
 static uint64_t
 due_us (const queue_job_t *job, uint64_t now, uint64_t length_us)
 {
-  uint64_t pass_us = (uint64_t)QUEUE_PASS_MS * 1000;
+  uint64_t pass_us = (uint64_t)QUEUE_REORDER_MAX_MS * 1000;
 
   if (length_us > pass_us)
     length_us = pass_us;
@@ -337,7 +338,7 @@
 static uint64_t
 credit_of (const kind_t *all, const queue_team_t *team)
 {
-  return (uint64_t)(all->mean_cost * QUEUE_CREDIT * VIRTUAL_SCALE
+  return (uint64_t)(all->mean_cost * QUEUE_CREDIT_JOBS * VIRTUAL_SCALE
                     / team->weight);
 }
 
@@ -349,7 +350,7 @@
   if (now + runs_us > deadline_us)
     return false;
   return (double)wait_us
-         <= (double)(deadline_us - now - runs_us) * QUEUE_SLACK_USED;
+         <= (double)(deadline_us - now - runs_us) * QUEUE_WAIT_SLACK_SHARE;
 }
 
 vh_code_t
@@ -372,7 +373,7 @@
       && !fits (now, expected_wait_us (queue, team, kind, cost), runs_us,
                 job->deadline_us))
     return VH_E_DEADLINE;
-  if (queue_waiting (queue) >= queue->max_waiters)
+  if (queue_waiting_count (queue) >= queue->max_waiters)
     {
       *evicted = make_room (queue, flow, team->weight, cost);
       if (*evicted == NULL)
@@ -419,7 +420,7 @@
   /* Guards against starved drafts: under an endless stream of short jobs the
      long ones still get their floor.  Not the only slot, though.  */
   if (long_may && queue->slots > 1
-      && longs->running < part_of_slots (queue, QUEUE_LONG_FLOOR))
+      && longs->running < part_of_slots (queue, QUEUE_LONG_SHARE_MIN))
     return LONG;
   return SHORT;
 }
@@ -526,7 +527,7 @@
 }
 
 queue_waiter_t *
-queue_lapsed (queue_t *queue)
+queue_pop_expired (queue_t *queue)
 {
   heap_node_t *first = heap_top (&queue->lapses);
   queue_waiter_t *waiter;
@@ -539,7 +540,7 @@
 }
 
 uint64_t
-queue_next_lapse_us (const queue_t *queue)
+queue_next_expiry_us (const queue_t *queue)
 {
   const heap_node_t *first = heap_top (&queue->lapses);
 
@@ -547,7 +548,7 @@
 }
 
 uint64_t
-queue_wait_us (queue_t *queue, str_t team, uint32_t cost)
+queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost)
 {
   int kind = cost >= queue->long_cost ? LONG : SHORT;
 
@@ -555,13 +556,13 @@
 }
 
 uint32_t
-queue_waiting (const queue_t *queue)
+queue_waiting_count (const queue_t *queue)
 {
   return queue->lapses.count;
 }
 
 uint32_t
-queue_running (const queue_t *queue)
+queue_running_count (const queue_t *queue)
 {
   return queue->kinds[SHORT].running + queue->kinds[LONG].running;
 }
@@ -569,7 +570,7 @@
 uint32_t
 queue_load (const queue_t *queue)
 {
-  uint32_t load = queue_waiting (queue) / LOAD_REST;
+  uint32_t load = queue_waiting_count (queue) / LOAD_REST;
 
   for (int kind = 0; kind < KINDS; kind++)
     for (uint32_t i = 0; i < queue->kinds[kind].ready.count; i++)
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -16,10 +16,10 @@
    what matters inside a team; it takes nothing from other teams.
 
    Short against long: short ones go first, but the long ones keep
-   QUEUE_LONG_FLOOR of the slots and may never hold more than QUEUE_LONG_CAP
-   of them while short ones are about.  So a short job waits for other short
-   jobs only.  XXX: with a single slot there is nothing to keep free, and a
-   short job waits for the long one that runs.
+   QUEUE_LONG_SHARE_MIN of the slots and may never hold more than
+   QUEUE_LONG_SHARE_MAX of them while short ones are about.  So a short job
+   waits for other short jobs only.  XXX: with a single slot there is nothing
+   to keep free, and a short job waits for the long one that runs.
 
    Who is refused: a job which, by what waits before it and the speed seen,
    cannot end by its deadline is refused when it arrives, while its caller can
@@ -27,23 +27,23 @@
    soon as that is known.  A full queue refuses the team that waits with most
    for its weight, not the one that happens to come last.
 
-   - QUEUE_LONG_CAP 0.75, QUEUE_LONG_FLOOR 0.25: three quarters for either kind
-     at its strongest.  The quarter kept free turns over tens of times while a
-     long job runs.
-   - QUEUE_LOW_RISE_PER_S 0.1: cap and floor are taken of the least slots seen
-     lately, which is let rise by a tenth a second: the sawtooth of the limit
-     has a period of some seconds, a long job lasts a minute.
-   - QUEUE_SHORT_MEMORY_MS 60000: for how long after the last short job the
+   - QUEUE_LONG_SHARE_MAX 0.75, QUEUE_LONG_SHARE_MIN 0.25: three quarters for
+   either kind at its strongest.  The quarter kept free turns over tens of
+   times while a long job runs.
+   - QUEUE_MIN_SLOTS_RISE_PER_S 0.1: cap and floor are taken of the least slots
+   seen lately, which is let rise by a tenth a second: the sawtooth of the
+   limit has a period of some seconds, a long job lasts a minute.
+   - QUEUE_SHORT_RESERVE_MS 60000: for how long after the last short job the
      reserve is kept; a pool without short jobs uses all its slots.
-   - QUEUE_PASS_MS 2000: how far a job's length or priority can put it back
-     behind later ones of its team.
-   - QUEUE_CREDIT 3 mean jobs: what a team may have left unused and take later
-     at once.  Without it three requests that a quiet team happens to send
+   - QUEUE_REORDER_MAX_MS 2000: how far a job's length or priority can put it
+   back behind later ones of its team.
+   - QUEUE_CREDIT_JOBS 3 mean jobs: what a team may have left unused and take
+   later at once.  Without it three requests that a quiet team happens to send
      together wait for each other at the pace of its share alone.
-   - QUEUE_SLACK_USED 0.5: an estimated wait may take half of the time left.
-     What comes later from teams with less service goes first, so waits turn
-     out up to twice as long; a refusal on arrival costs the caller nothing, a
-     lapse costs all it waited.
+   - QUEUE_WAIT_SLACK_SHARE 0.5: an estimated wait may take half of the time
+   left. What comes later from teams with less service goes first, so waits
+   turn out up to twice as long; a refusal on arrival costs the caller nothing,
+   a lapse costs all it waited.
    - QUEUE_MAX_WAITERS 4096: bounds memory; deadlines refuse long before.  */
 
 #ifndef POLICY_QUEUE_H
@@ -55,17 +55,17 @@
 
 enum
 {
-  QUEUE_SHORT_MEMORY_MS = 60000,
-  QUEUE_PASS_MS = 2000,
+  QUEUE_SHORT_RESERVE_MS = 60000,
+  QUEUE_REORDER_MAX_MS = 2000,
   QUEUE_MAX_WAITERS = 4096,
-  QUEUE_LONG_COST = 1000
+  QUEUE_LONG_COST_MIN = 1000
 };
 
-#define QUEUE_LONG_CAP 0.75
-#define QUEUE_LONG_FLOOR 0.25
-#define QUEUE_SLACK_USED 0.5
-#define QUEUE_CREDIT 3.0
-#define QUEUE_LOW_RISE_PER_S 0.1
+#define QUEUE_LONG_SHARE_MAX 0.75
+#define QUEUE_LONG_SHARE_MIN 0.25
+#define QUEUE_WAIT_SLACK_SHARE 0.5
+#define QUEUE_CREDIT_JOBS 3.0
+#define QUEUE_MIN_SLOTS_RISE_PER_S 0.1
 #define QUEUE_NO_DEADLINE UINT64_MAX
 
 typedef struct queue queue_t;
@@ -80,7 +80,7 @@
 
 /* One job, embedded in the caller's own record; zero it before the first
    push.  Its fields are the queue's.  It may go away after it was refused,
-   cancelled, handed back by queue_lapsed, or passed to queue_done.  */
+   cancelled, handed back by queue_pop_expired, or passed to queue_done.  */
 typedef struct
 {
   heap_node_t order;
@@ -138,12 +138,12 @@
 
 /* Return a waiter that can no longer make its deadline, to be refused with
    VH_E_DEADLINE, or NULL when there is none.  */
-queue_waiter_t *queue_lapsed (queue_t *queue);
+queue_waiter_t *queue_pop_expired (queue_t *queue);
 /* Return when the next waiter lapses, or QUEUE_NO_DEADLINE.  */
-uint64_t queue_next_lapse_us (const queue_t *queue);
+uint64_t queue_next_expiry_us (const queue_t *queue);
 
 /* Return how long a job of TEAM with COST would wait from now.  */
-uint64_t queue_wait_us (queue_t *queue, str_t team, uint32_t cost);
+uint64_t queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost);
 
 /* Return the load to report of what waits: how much of it the job of one more
    team would find before it.  A plain count makes upstreams look alike whether
@@ -151,7 +151,7 @@
    gather where they wait for each other.  */
 uint32_t queue_load (const queue_t *queue);
 
-uint32_t queue_waiting (const queue_t *queue);
-uint32_t queue_running (const queue_t *queue);
+uint32_t queue_waiting_count (const queue_t *queue);
+uint32_t queue_running_count (const queue_t *queue);
 
 #endif
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -44,7 +44,7 @@
 }
 
 void
-retry_request (retry_t *retry)
+retry_add_request (retry_t *retry)
 {
   retry->tokens += retry->share;
   if (retry->tokens > retry->burst)
@@ -72,7 +72,7 @@
 }
 
 void
-retry_observe (retry_t *retry, uint64_t latency_us)
+retry_record_latency (retry_t *retry, uint64_t latency_us)
 {
   histogram_record (&retry->latency, latency_us);
   if (retry->latency.count < RETRY_DECAY_SAMPLES)
@@ -87,19 +87,19 @@
 }
 
 uint64_t
-retry_hedge_ms (const retry_t *retry, bool idempotent)
+retry_hedge_delay_ms (const retry_t *retry, bool idempotent)
 {
   uint64_t delay_ms;
 
   if (!idempotent || retry->tokens < 1
-      || retry->latency.count < RETRY_HEDGE_SAMPLES)
+      || retry->latency.count < RETRY_HEDGE_SAMPLES_MIN)
     return RETRY_NO_HEDGE;
   delay_ms = histogram_quantile (&retry->latency, RETRY_HEDGE_QUANTILE) / 1000;
   return delay_ms > RETRY_HEDGE_MIN_MS ? delay_ms : RETRY_HEDGE_MIN_MS;
 }
 
 double
-retry_budget (const retry_t *retry)
+retry_budget_left (const retry_t *retry)
 {
   return retry->tokens;
 }
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -12,7 +12,7 @@
    - RETRY_FIRST_MS 25, RETRY_LAST_MS 2000: the first wait is some round trips
      between zones, the last what a caller still bears; doubled between.
    - RETRY_HEDGE_QUANTILE 0.95: a hedge at the 95th percentile adds at most a
-     twentieth to the load and cuts the tail beyond it.  RETRY_HEDGE_SAMPLES
+     twentieth to the load and cuts the tail beyond it. RETRY_HEDGE_SAMPLES_MIN
      20 are the fewest that have a 95th percentile.
 
    Only idempotent requests are hedged: two runs of any other would be what
@@ -29,7 +29,7 @@
   RETRY_BURST = 10,
   RETRY_FIRST_MS = 25,
   RETRY_LAST_MS = 2000,
-  RETRY_HEDGE_SAMPLES = 20,
+  RETRY_HEDGE_SAMPLES_MIN = 20,
   RETRY_HEDGE_MIN_MS = 5
 };
 
@@ -52,7 +52,7 @@
 void retry_destroy (retry_t *retry);
 
 /* A request (not an attempt) came for the pool: it earns its share.  */
-void retry_request (retry_t *retry);
+void retry_add_request (retry_t *retry);
 
 /* Spend one retry or hedge.  Return VH_OK, or VH_E_RETRY_BUDGET with nothing
    spent.  */
@@ -63,13 +63,13 @@
 uint64_t retry_backoff_ms (retry_t *retry, uint32_t attempt);
 
 /* Take in the latency of a good answer.  */
-void retry_observe (retry_t *retry, uint64_t latency_us);
+void retry_record_latency (retry_t *retry, uint64_t latency_us);
 
 /* Return after how many milliseconds a second attempt may be sent beside the
    first, or RETRY_NO_HEDGE.  The hedge itself is paid by retry_spend.  */
-uint64_t retry_hedge_ms (const retry_t *retry, bool idempotent);
+uint64_t retry_hedge_delay_ms (const retry_t *retry, bool idempotent);
 
 /* Return the retries that could be spent now.  */
-double retry_budget (const retry_t *retry);
+double retry_budget_left (const retry_t *retry);
 
 #endif
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -134,7 +134,7 @@
       = { .writer = writer,
           .epoch_ms = ROLLOUT_EPOCH_MS,
           .epochs = ROLLOUT_EPOCHS,
-          .fields = SAMPLE_FIELDS,
+          .fields = SAMPLE_FIELD_COUNT,
           .keys_max = 2 * ROLLOUT_STEP_COUNT * (ROLLOUT_TASK_CLASSES_MAX + 1),
           .cells_max = ROLLOUT_CELLS_MAX };
   const crdt_options_t exposure_options
@@ -235,7 +235,7 @@
 void
 rollout_count_exposure (rollout_run_t *r, rollout_arm_t arm, uint64_t now_ms)
 {
-  const int64_t no_values[SAMPLE_FIELDS] = { 0 };
+  const int64_t no_values[SAMPLE_FIELD_COUNT] = { 0 };
 
   crdt_add (r->exposure, r->exposure_keys[arm], now_ms, no_values);
 }
@@ -244,7 +244,7 @@
 rollout_observe (rollout_run_t *r, rollout_arm_t arm, str_t task,
                  const rollout_sample_t *sample, uint64_t now_ms)
 {
-  int64_t fields[SAMPLE_FIELDS];
+  int64_t fields[SAMPLE_FIELD_COUNT];
   uint64_t step = r->decision.step;
 
   /* Both versions must be measured at the same times and in a constant ratio
@@ -253,7 +253,7 @@
   if (step >= ROLLOUT_STEP_COUNT
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
-  sample_fields (sample, fields);
+  sample_to_fields (sample, fields);
   crdt_add (r->measurements, task_class_get (r, task)->keys[step][arm], now_ms,
             fields);
 }
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -22,11 +22,12 @@
   load->in_flight
       = limit_in_flight (sidecar->limit) + queue_load (sidecar->queue);
   load->limit = limit_slots (sidecar->limit);
-  load->queued = queue_waiting (sidecar->queue);
-  load->wait_ms = (u_int)(queue_wait_us (sidecar->queue, STR (""), 1) / 1000);
+  load->queued = queue_waiting_count (sidecar->queue);
+  load->wait_ms
+      = (u_int)(queue_estimate_wait_us (sidecar->queue, STR (""), 1) / 1000);
   load->latency_us = (u_int)sidecar->mean_first_byte_us;
   load->deaths = sidecar->crash_count;
-  load->warming = limit_warming (sidecar->limit);
+  load->warming = limit_is_warming_up (sidecar->limit);
 }
 
 static void
@@ -198,7 +199,7 @@
 size_t
 sidecar_count_unfinished (const sidecar_t *sidecar)
 {
-  return sidecar->running_count + queue_waiting (sidecar->queue)
+  return sidecar->running_count + queue_waiting_count (sidecar->queue)
          + attempts_count_undelivered (sidecar->attempts)
          + count_bills_at_risk (sidecar);
 }
@@ -320,8 +321,8 @@
               (unsigned long long)sidecar_revision (sidecar),
               sidecar->draining ? "true" : "false",
               limit_in_flight (sidecar->limit), limit_slots (sidecar->limit),
-              queue_waiting (sidecar->queue),
-              limit_warming (sidecar->limit) ? "true" : "false",
+              queue_waiting_count (sidecar->queue),
+              limit_is_warming_up (sidecar->limit) ? "true" : "false",
               sidecar->crash_count, attempts_count (sidecar->attempts),
               (unsigned long long)attempts_bytes (sidecar->attempts),
               bill_backup_count (sidecar->bill_backup));
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -104,8 +104,8 @@
       || attempt->event_count == attempt->events_sampled)
     return;
   if (attempt->crash_count_at_start == sidecar->crash_count)
-    limit_observe (sidecar->limit, took_us,
-                   attempt->event_count - attempt->events_sampled);
+    limit_report_progress (sidecar->limit, took_us,
+                           attempt->event_count - attempt->events_sampled);
   attempt->pace_sampled_at_us = now_us;
   attempt->events_sampled = attempt->event_count;
 }
@@ -230,7 +230,7 @@
             {
               sidecar->crash_count++;
               counter_add (sidecar->counters.upstream_crashes, 1);
-              limit_restart (sidecar->limit);
+              limit_reset (sidecar->limit);
             }
         }
       end_attempt (sidecar, attempt, VH_E_UPSTREAM_CUT);
@@ -362,7 +362,7 @@
   else
     {
       if (attempt->crash_count_at_start == sidecar->crash_count)
-        limit_forget (sidecar->limit);
+        limit_release_without_sample (sidecar->limit);
       queue_cancel (sidecar->queue, &attempt->waiter);
     }
   remove_from_running (sidecar, attempt);
@@ -448,7 +448,7 @@
 {
   queue_waiter_t *waiter;
 
-  while ((waiter = queue_lapsed (sidecar->queue)) != NULL)
+  while ((waiter = queue_pop_expired (sidecar->queue)) != NULL)
     sidecar_reject_attempt (sidecar, CONTAINER_OF (waiter, attempt_t, waiter),
                             VH_E_DEADLINE);
 }
@@ -465,7 +465,7 @@
 static void
 set_expiry_timer (sidecar_t *sidecar)
 {
-  uint64_t next_expiry_us = queue_next_lapse_us (sidecar->queue);
+  uint64_t next_expiry_us = queue_next_expiry_us (sidecar->queue);
   uint64_t now_us = clock_us (sidecar->clock);
 
   if (next_expiry_us == QUEUE_NO_DEADLINE)
@@ -488,13 +488,13 @@
       queue_waiter_t *waiter = queue_pop (sidecar->queue);
       if (waiter == NULL)
         {
-          limit_forget (sidecar->limit);
+          limit_release_without_sample (sidecar->limit);
           return;
         }
       attempt_t *attempt = CONTAINER_OF (waiter, attempt_t, waiter);
       if (!can_run_now (sidecar, attempt))
         {
-          limit_forget (sidecar->limit);
+          limit_release_without_sample (sidecar->limit);
           queue_cancel (sidecar->queue, waiter);
           sidecar_reject_attempt (sidecar, attempt, VH_E_FULL);
           continue;
--- a/packages/storage/breaker.c
+++ b/packages/storage/breaker.c
@@ -15,7 +15,7 @@
 void
 breaker_init (breaker_t *breaker)
 {
-  *breaker = (breaker_t){ .retry_budget = RETRY_BUDGET_MAX,
+  *breaker = (breaker_t){ .retry_budget_left = RETRY_BUDGET_MAX,
                           .open_interval_ms = OPEN_INTERVAL_MIN_MS };
 }
 
@@ -51,9 +51,9 @@
     {
       breaker->consecutive_failures = 0;
       breaker->open_interval_ms = OPEN_INTERVAL_MIN_MS;
-      breaker->retry_budget += 1.0 / CALLS_PER_RETRY;
-      if (breaker->retry_budget > RETRY_BUDGET_MAX)
-        breaker->retry_budget = RETRY_BUDGET_MAX;
+      breaker->retry_budget_left += 1.0 / CALLS_PER_RETRY;
+      if (breaker->retry_budget_left > RETRY_BUDGET_MAX)
+        breaker->retry_budget_left = RETRY_BUDGET_MAX;
       return;
     }
   /* Calls that were in flight when the breaker opened may fail after that;
@@ -68,8 +68,8 @@
 bool
 breaker_take_retry (breaker_t *breaker)
 {
-  if (breaker->retry_budget < 1)
+  if (breaker->retry_budget_left < 1)
     return false;
-  breaker->retry_budget -= 1;
+  breaker->retry_budget_left -= 1;
   return true;
 }
--- a/packages/storage/breaker.h
+++ b/packages/storage/breaker.h
@@ -17,7 +17,7 @@
 
 typedef struct
 {
-  double retry_budget; /* Number of retries allowed now.  */
+  double retry_budget_left; /* Number of retries allowed now.  */
   int consecutive_failures;
   uint64_t open_until_ms;    /* Time from which a probe may be sent.  */
   uint64_t open_interval_ms; /* Next interval, before jitter.  */
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -140,7 +140,7 @@
 
   if (req != NULL)
     {
-      httpd_watch (req, NULL, NULL, NULL);
+      httpd_set_callbacks (req, NULL, NULL, NULL);
       send_answer (req, answer->status, answer->is_json,
                    buf_str (&answer->body));
     }
@@ -166,7 +166,7 @@
   uv_timer_init (standin->loop, &answer->timer);
   answer->timer.data = answer;
   uv_timer_start (&answer->timer, answer_due, delay_ms, 0);
-  httpd_watch (req, NULL, answer_stopped, answer);
+  httpd_set_callbacks (req, NULL, answer_stopped, answer);
 }
 
 static void
@@ -222,7 +222,7 @@
   standin->counts.lost_replies++;
   if (rng_below (&standin->rng, 2) == 0)
     return;
-  httpd_start (req, 200, NULL, 0);
+  httpd_start_response (req, 200, NULL, 0);
   httpd_abort (req);
 }
 
@@ -304,7 +304,7 @@
 serve_object (standin_t *standin, httpd_req_t *req)
 {
   /* The encoded name is as good a key as the plain one.  */
-  str_t name = httpd_query_get (req, STR ("name"));
+  str_t name = httpd_query_param (req, STR ("name"));
   buf_t *object = map_get (standin->objects, name);
   buf_t body = BUF_NULL;
 
@@ -338,7 +338,7 @@
   bool full;
 
   standin->counts.instances++;
-  str_to_u64 (httpd_query_get (req, STR ("after")), &after);
+  str_to_u64 (httpd_query_param (req, STR ("after")), &after);
   size_t count = instance_list_get_changes (standin->instances, after, &rows,
                                             &sequence, &full);
   json_t *list = json_array ();
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -63,7 +63,7 @@
   if (code != VH_OK)
     return code;
   teams[team].admitted++;
-  admission_result (admission, COST, bucket >= COST);
+  admission_record_result (admission, COST, bucket >= COST);
   if (bucket >= COST)
     {
       bucket -= COST;
@@ -114,7 +114,7 @@
   run (10, rates);
   for (int i = 0; i < TEAMS; i++)
     ck_assert_uint_eq (teams[i].served, teams[i].asked);
-  ck_assert (!admission_limiting (admission));
+  ck_assert (!admission_is_limiting (admission));
 }
 END_TEST
 
@@ -130,7 +130,7 @@
 
   run (5, rates);
   run (10, rates);
-  ck_assert (admission_limiting (admission));
+  ck_assert (admission_is_limiting (admission));
   for (int i = 1; i < TEAMS; i++)
     {
       ck_assert_uint_eq (teams[i].admitted, teams[i].asked);
@@ -157,7 +157,7 @@
   run (10, rates);
   ck_assert_uint_ge (teams[0].admitted * 10, teams[1].admitted * 29);
   ck_assert_uint_le (teams[0].admitted * 10, teams[1].admitted * 31);
-  ck_assert (admission_share (admission, names[0]) > 0.35);
+  ck_assert (admission_admitted_share (admission, names[0]) > 0.35);
   /* Less than its share, though more than an even part.  */
   run (3, unlike);
   run (5, unlike);
@@ -217,7 +217,7 @@
   run (3, calm);
   run (5, calm);
   ck_assert_uint_eq (teams[0].served, teams[0].asked);
-  ck_assert (!admission_limiting (admission));
+  ck_assert (!admission_is_limiting (admission));
 }
 END_TEST
 
@@ -267,16 +267,16 @@
   static const double rates[TEAMS] = { 8000 };
 
   run (3, rates);
-  ck_assert (!admission_limiting (admission));
-  admission_pressure (admission, ADMISSION_PRESSURE * 1.5);
+  ck_assert (!admission_is_limiting (admission));
+  admission_set_pressure (admission, ADMISSION_OVERLOAD_PRESSURE * 1.5);
   /* The fleet takes half of what is dispatched from here on.  */
   for (int i = 0; i < 3000; i++)
     {
       clock_manual_advance_us (manual, 1000);
       if (admission_decide (admission, names[0], 8, QUEUE_NORMAL) == VH_OK)
-        admission_result (admission, 4, true);
+        admission_record_result (admission, 4, true);
     }
-  ck_assert (admission_limiting (admission));
+  ck_assert (admission_is_limiting (admission));
 }
 END_TEST
 
@@ -285,30 +285,30 @@
 START_TEST (retry_after_spreads_the_returns)
 {
   static const double rates[TEAMS] = { 30000, 100 };
-  int counts[ADMISSION_RETRY_MAX_S + 1] = { 0 };
+  int counts[ADMISSION_RETRY_AFTER_MAX_S + 1] = { 0 };
   int most = 0;
 
   ck_assert_uint_eq (admission_retry_after_s (admission, names[0]),
-                     ADMISSION_RETRY_MIN_S);
+                     ADMISSION_RETRY_AFTER_MIN_S);
   run (10, rates);
   for (int i = 0; i < 1000; i++)
     {
       uint32_t after_s = admission_retry_after_s (admission, names[0]);
-      ck_assert_uint_ge (after_s, ADMISSION_RETRY_MIN_S);
-      ck_assert_uint_le (after_s, ADMISSION_RETRY_MAX_S);
+      ck_assert_uint_ge (after_s, ADMISSION_RETRY_AFTER_MIN_S);
+      ck_assert_uint_le (after_s, ADMISSION_RETRY_AFTER_MAX_S);
       counts[after_s]++;
     }
-  for (int i = 0; i <= ADMISSION_RETRY_MAX_S; i++)
+  for (int i = 0; i <= ADMISSION_RETRY_AFTER_MAX_S; i++)
     most = counts[i] > most ? counts[i] : most;
   ck_assert_int_le (most, 200);
   /* Who is within its share is not kept away.  */
   ck_assert_uint_eq (admission_retry_after_s (admission, names[1]),
-                     ADMISSION_RETRY_MIN_S);
+                     ADMISSION_RETRY_AFTER_MIN_S);
   fleet = 100;
   run (10, rates);
   for (int i = 0; i < 1000; i++)
     ck_assert_uint_le (admission_retry_after_s (admission, names[0]),
-                       ADMISSION_RETRY_MAX_S);
+                       ADMISSION_RETRY_AFTER_MAX_S);
 }
 END_TEST
 
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -92,7 +92,7 @@
                     CASCADE_NONE);
   cascade_request_t one = make_request (candidates, 1, 0.9);
   ck_assert_int_eq (cascade_plan (c, &rng, &one, START_MS).reason,
-                    CASCADE_R_ONLY);
+                    CASCADE_R_SINGLE_VERSION);
   cascade_destroy (c);
 }
 END_TEST
@@ -109,10 +109,11 @@
       double rating = truth + 0.1 * (rng_double (rng) - 0.5);
       double audit = truth + 0.1 * (rng_double (rng) - 0.5);
       double second = 0.95 + 0.1 * (rng_double (rng) - 0.5);
-      cascade_first (c, STR ("draft"), STR ("small@1"), rating, audit, now_ms);
+      cascade_record_first (c, STR ("draft"), STR ("small@1"), rating, audit,
+                            now_ms);
       if (rating < 0.9)
-        cascade_second (c, STR ("draft"), STR ("small@1"), STR ("large@1"),
-                        rating, second, now_ms);
+        cascade_record_second (c, STR ("draft"), STR ("small@1"),
+                               STR ("large@1"), rating, second, now_ms);
     }
 }
 
@@ -129,8 +130,8 @@
   teach (c, &rng, 1000, START_MS);
   cascade_request_t r = make_request (candidates, 3, 0.92);
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
-  ck_assert_int_eq (plan.kind, CASCADE_FIRST);
-  ck_assert_int_eq (plan.reason, CASCADE_R_CASCADE);
+  ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
+  ck_assert_int_eq (plan.reason, CASCADE_R_TWO_STAGE);
   ck_assert_uint_eq (plan.first, 0);
   ck_assert_uint_eq (plan.second, 2);
   ck_assert_double_gt (plan.threshold, 0.55);
@@ -158,7 +159,7 @@
     {
       cascade_request_t r = make_request (candidates, 3, target);
       cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
-      ck_assert_int_eq (plan.kind, CASCADE_FIRST);
+      ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
       ck_assert_double_ge (plan.cost, cost);
       cost = plan.cost;
     }
@@ -191,7 +192,7 @@
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
   r.first_byte_ms = 600;
   plan = cascade_plan (c, &rng, &r, START_MS);
-  ck_assert_int_eq (plan.kind, CASCADE_FIRST);
+  ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
 
   r.streaming = false;
   r.rater_ok = false;
@@ -212,7 +213,7 @@
   cascade_request_t r = make_request (candidates, 3, 0.99);
   r.rater_ok = false;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
-                    CASCADE_R_NO_RATER);
+                    CASCADE_R_RATER_DOWN);
   r.rater_ok = true;
   r.streaming = true;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
@@ -248,7 +249,7 @@
       base += 15;
       extra += plan.cost - 15;
       explored += plan.reason == CASCADE_R_EXPLORE;
-      if (plan.reason == CASCADE_R_EXPLORE && plan.kind == CASCADE_FIRST)
+      if (plan.reason == CASCADE_R_EXPLORE && plan.kind == CASCADE_TWO_STAGE)
         {
           ck_assert_double_ge (plan.threshold, 0.9);
           ck_assert_uint_eq (plan.second, 2);
@@ -319,35 +320,35 @@
       cascade_candidate_t k[3];
       known_candidates (k);
       for (size_t v = 0; v < 3; v++)
-        k[v].quality = quality_get (q, STR ("draft"), str_from (names[v]),
-                                    priors[v], now);
+        k[v].quality = quality_estimate (q, STR ("draft"), str_from (names[v]),
+                                         priors[v], now);
       cascade_request_t r = make_request (k, 3, run->target);
-      r.explore = CASCADE_EXPLORE_DEFAULT;
+      r.explore = CASCADE_EXPLORE_COST_SHARE;
       cascade_plan_t plan = cascade_plan (c, &rng, &r, now);
       str_t first = str_from (names[plan.first]);
       got = answer_quality (&rng, plan.first, easy);
       paid += costs[plan.first];
-      if (plan.kind == CASCADE_FIRST)
+      if (plan.kind == CASCADE_TWO_STAGE)
         {
           double rating = rate (&rng, got);
           double audit = plan.audit ? rate (&rng, got) : NAN;
           paid += 0.3 + (plan.audit ? 0.3 : 0);
-          cascade_first (c, STR ("draft"), first, rating, audit, now);
-          quality_add (q, STR ("draft"), first, rating, now);
+          cascade_record_first (c, STR ("draft"), first, rating, audit, now);
+          quality_add_rating (q, STR ("draft"), first, rating, now);
           if (rating < plan.threshold)
             {
               got = answer_quality (&rng, plan.second, easy);
               paid += costs[plan.second] + (plan.audit ? 0.3 : 0);
               if (plan.audit)
-                cascade_second (c, STR ("draft"), first,
-                                str_from (names[plan.second]), rating,
-                                rate (&rng, got), now);
+                cascade_record_second (c, STR ("draft"), first,
+                                       str_from (names[plan.second]), rating,
+                                       rate (&rng, got), now);
             }
         }
       else if (plan.audit
-               || quality_sample (q, &rng, STR ("draft"), first, now))
+               || quality_should_rate (q, &rng, STR ("draft"), first, now))
         {
-          quality_add (q, STR ("draft"), first, rate (&rng, got), now);
+          quality_add_rating (q, STR ("draft"), first, rate (&rng, got), now);
           paid += 0.3;
         }
       if (i >= warm)
@@ -425,8 +426,8 @@
   cascade_request_t r = make_request (candidates, 3, 0.92);
   cascade_plan_t left = cascade_plan (a, &rng, &r, START_MS);
   cascade_plan_t right = cascade_plan (b, &rng, &r, START_MS);
-  ck_assert_int_eq (left.kind, CASCADE_FIRST);
-  ck_assert_int_eq (right.kind, CASCADE_FIRST);
+  ck_assert_int_eq (left.kind, CASCADE_TWO_STAGE);
+  ck_assert_int_eq (right.kind, CASCADE_TWO_STAGE);
   ck_assert_double_eq (left.threshold, right.threshold);
   ck_assert_int_eq (
       cascade_merge (b, str_make (bytes.ptr, bytes.len - 1), START_MS),
@@ -459,7 +460,8 @@
      longer half a day later.  */
   c = cascade_create (1);
   teach (c, &rng, 200, START_MS);
-  ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).kind, CASCADE_FIRST);
+  ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).kind,
+                    CASCADE_TWO_STAGE);
   plan = cascade_plan (c, &rng, &r, START_MS + (uint64_t)12 * 3600 * 1000);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
   cascade_destroy (c);
--- a/tests/test_escalation.c
+++ b/tests/test_escalation.c
@@ -50,42 +50,44 @@
       uint32_t read
           = 300 + (uint32_t)rng_below (&rng, 1 << rng_below (&rng, 15));
       double extra = (double)rng_below (&rng, 40);
-      escalation_heard (escalation, SMALL, read,
-                        (uint64_t)(small_ms (read) + extra), OBJECTIVE_MS);
-      escalation_heard (escalation, LARGE, read,
-                        (uint64_t)(large_ms (read) + extra), OBJECTIVE_MS);
+      escalation_record_wait (escalation, SMALL, read,
+                              (uint64_t)(small_ms (read) + extra),
+                              OBJECTIVE_MS);
+      escalation_record_wait (escalation, LARGE, read,
+                              (uint64_t)(large_ms (read) + extra),
+                              OBJECTIVE_MS);
     }
   for (int i = 0; i < 100; i++)
-    escalation_heard (escalation, SMALL, 500, 100, OBJECTIVE_MS);
+    escalation_record_wait (escalation, SMALL, 500, 100, OBJECTIVE_MS);
 }
 
-static const escalation_choice_t large_alone[]
+static const escalation_candidate_t large_alone[]
     = { { .model = LARGE, .cost = 0.25, .beside = RUNNING } };
-static const escalation_choice_t middle_too[]
+static const escalation_candidate_t middle_too[]
     = { { .model = MIDDLE, .cost = 0.12, .beside = RUNNING },
         { .model = LARGE, .cost = 0.25, .beside = RUNNING } };
 
 /* A draft, a question or a label of the usual size.  */
-static escalation_case_t
+static escalation_request_t
 draft (uint32_t opinion)
 {
-  return (escalation_case_t){ .model = SMALL,
-                              .cost = 0.017,
-                              .read = 12000,
-                              .generated = 385,
-                              .rank = 1,
-                              .opinion = opinion,
-                              .elapsed_ms = 150,
-                              .objective_ms = OBJECTIVE_MS,
-                              .pause_ms = PAUSE_MS,
-                              .choices = large_alone,
-                              .choice_count = 1 };
+  return (escalation_request_t){ .model = SMALL,
+                                 .cost = 0.017,
+                                 .read = 12000,
+                                 .generated = 385,
+                                 .rank = 1,
+                                 .opinion = opinion,
+                                 .elapsed_ms = 150,
+                                 .objective_ms = OBJECTIVE_MS,
+                                 .pause_ms = PAUSE_MS,
+                                 .choices = large_alone,
+                                 .choice_count = 1 };
 }
 
-static escalation_case_t
+static escalation_request_t
 question (uint32_t opinion)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_request_t request = draft (opinion);
 
   request.read = 826;
   request.generated = 290;
@@ -93,10 +95,10 @@
   return request;
 }
 
-static escalation_case_t
+static escalation_request_t
 label (uint32_t opinion)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_request_t request = draft (opinion);
 
   request.read = 2368;
   request.generated = 21;
@@ -106,11 +108,11 @@
 
 /* The least opinion at which what MAKE gives is kept.  */
 static uint32_t
-bar (escalation_t *escalation, escalation_case_t (*make) (uint32_t opinion))
+bar (escalation_t *escalation, escalation_request_t (*make) (uint32_t opinion))
 {
   for (uint32_t opinion = 0; opinion <= 100; opinion++)
     {
-      const escalation_case_t request = make (opinion);
+      const escalation_request_t request = make (opinion);
       if (escalation_choose (escalation, &request) == request.choice_count)
         return opinion;
     }
@@ -126,11 +128,12 @@
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       escalation_t *escalation = escalation_create (&options);
-      ck_assert_double_eq (escalation_wait_ms (escalation, LARGE, 500), 0);
+      ck_assert_double_eq (
+          escalation_predicted_wait_ms (escalation, LARGE, 500), 0);
       teach (escalation, seed);
       for (size_t i = 0; i < sizeof reads / sizeof reads[0]; i++)
         ck_assert_double_le (
-            fabs (escalation_wait_ms (escalation, LARGE, reads[i])
+            fabs (escalation_predicted_wait_ms (escalation, LARGE, reads[i])
                   - large_ms (reads[i]) - 20),
             0.1 * large_ms (reads[i]));
       escalation_destroy (escalation);
@@ -161,7 +164,7 @@
 START_TEST (what_would_come_late_is_kept)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (10);
+  escalation_request_t request = draft (10);
 
   teach (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -176,13 +179,13 @@
 START_TEST (an_idle_engine_may_read_long_prompts)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (10);
+  escalation_request_t request = draft (10);
 
   teach (escalation, 1);
   request.read = 40000;
   request.objective_ms = 4 * OBJECTIVE_MS;
   ck_assert_double_lt (escalation_gain (escalation, &request, 0), 0);
-  escalation_choice_t alone = large_alone[0];
+  escalation_candidate_t alone = large_alone[0];
   alone.beside = 0;
   request.choices = &alone;
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -195,7 +198,7 @@
 START_TEST (a_late_drop_is_not_made)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (48);
+  escalation_request_t request = draft (48);
 
   teach (escalation, 1);
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -209,7 +212,7 @@
 press (escalation_t *escalation, int count, uint64_t wait_ms)
 {
   for (int i = 0; i < count; i++)
-    escalation_heard (escalation, SMALL, 500, wait_ms, OBJECTIVE_MS);
+    escalation_record_wait (escalation, SMALL, 500, wait_ms, OBJECTIVE_MS);
 }
 
 /* Half of the engines crash and callers' first events come after half of their
@@ -227,7 +230,7 @@
   ck_assert_uint_lt (bar (escalation, question), calm * 2 / 3);
   press (escalation, 40, OBJECTIVE_MS / 2);
   ck_assert_uint_le (bar (escalation, question),
-                     calm - ESCALATION_PRESSED_POINTS);
+                     calm - ESCALATION_PRESSURE_POINTS_MAX);
   press (escalation, 40, 130);
   ck_assert_uint_ge (bar (escalation, question), calm - 2);
   escalation_destroy (escalation);
@@ -254,8 +257,8 @@
 START_TEST (the_first_answers_are_judged_too)
 {
   escalation_t *escalation = escalation_create (&options);
-  const escalation_choice_t large = { .model = LARGE };
-  escalation_case_t request
+  const escalation_candidate_t large = { .model = LARGE };
+  escalation_request_t request
       = { .opinion = 10, .choices = &large, .choice_count = 1 };
 
   ck_assert_double_gt (escalation_gain (escalation, &request, 0), 0);
@@ -275,8 +278,9 @@
   for (int i = 0; i < 100; i++)
     {
       uint32_t first = 35 + (uint32_t)rng_below (&rng, 20);
-      escalation_compared (escalation, MIDDLE, first,
-                           first + lead + (uint32_t)rng_below (&rng, 21) - 10);
+      escalation_record_confidences (
+          escalation, MIDDLE, first,
+          first + lead + (uint32_t)rng_below (&rng, 21) - 10);
     }
 }
 
@@ -285,7 +289,7 @@
 static size_t
 next (escalation_t *escalation, uint32_t opinion)
 {
-  escalation_case_t request = draft (opinion);
+  escalation_request_t request = draft (opinion);
 
   request.choices = middle_too;
   request.choice_count = 2;
@@ -300,7 +304,8 @@
 
   teach (escalation, 1);
   compare (escalation, 14, 1);
-  ck_assert_double_le (fabs (escalation_lead (escalation, MIDDLE) - 14), 2);
+  ck_assert_double_le (
+      fabs (escalation_confidence_lead (escalation, MIDDLE) - 14), 2);
   ck_assert_uint_eq (next (escalation, 10), 1);
   ck_assert_uint_eq (next (escalation, 50), 0);
   ck_assert_uint_eq (next (escalation, 80), 2);
@@ -327,7 +332,7 @@
 START_TEST (two_opinions_say_more_than_one)
 {
   escalation_t *escalation = escalation_create (&options);
-  escalation_case_t request = draft (50);
+  escalation_request_t request = draft (50);
 
   teach (escalation, 1);
   compare (escalation, 14, 1);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -104,8 +104,8 @@
 
       upstream.unit_us = warm_unit_us * excess * excess / (CARRIED * CARRIED);
       run_batch (UNITS);
-      if (slots > LIMIT_START
-          && limit_slots (upstream.limit) == (uint32_t)LIMIT_START)
+      if (slots > LIMIT_INITIAL_SLOTS
+          && limit_slots (upstream.limit) == (uint32_t)LIMIT_INITIAL_SLOTS)
         falls++;
     }
   ck_assert_int_eq (falls, 1);
@@ -122,9 +122,9 @@
 
   limit_destroy (upstream.limit);
   upstream.limit = limit_create (&fixed, upstream.clock);
-  ck_assert (!limit_warming (upstream.limit));
+  ck_assert (!limit_is_warming_up (upstream.limit));
   run_batch (UNITS);
-  ck_assert (!limit_warming (upstream.limit));
+  ck_assert (!limit_is_warming_up (upstream.limit));
   ck_assert_uint_eq (limit_slots (upstream.limit), 4);
 }
 END_TEST
@@ -141,9 +141,9 @@
   while (limit_acquire (upstream.limit) == VH_OK)
     ;
   clock_manual_advance_us (upstream.clock, job_us * 8);
-  for (int i = 0; i < LIMIT_COLD_RUN; i++)
+  for (int i = 0; i < LIMIT_COLD_SAMPLES; i++)
     limit_release (upstream.limit, job_us * 8, UNITS, true);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   ck_assert_int_eq (limit_acquire (upstream.limit), VH_E_FULL);
   while (limit_in_flight (upstream.limit) > 0)
     limit_release (upstream.limit, job_us * 8, UNITS, true);
@@ -151,7 +151,7 @@
   /* Still cold: it stays low however long that takes.  */
   upstream.unit_us = warm_unit_us * 4;
   for (int i = 0; i < 30; i++)
-    ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
+    ck_assert_uint_eq (run_batch (UNITS), LIMIT_INITIAL_SLOTS);
   upstream.unit_us = warm_unit_us;
   for (int i = 0; i < 4; i++)
     run_batch (UNITS);
@@ -176,9 +176,9 @@
     run_batch (UNITS);
   while (limit_acquire (upstream.limit) == VH_OK)
     ;
-  for (int i = 0; i < LIMIT_COLD_RUN; i++)
-    limit_observe (upstream.limit, warm_unit_us * 10, 1);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  for (int i = 0; i < LIMIT_COLD_SAMPLES; i++)
+    limit_report_progress (upstream.limit, warm_unit_us * 10, 1);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -192,12 +192,12 @@
       limit_release (upstream.limit, job_us, UNITS, i % 4 != 0);
     }
   ck_assert_uint_ge (limit_slots (upstream.limit), SLOTS);
-  for (int i = 0; i < LIMIT_ERROR_RUN; i++)
+  for (int i = 0; i < LIMIT_CONSECUTIVE_ERRORS; i++)
     {
       ck_assert_int_eq (limit_acquire (upstream.limit), VH_OK);
       limit_release (upstream.limit, 0, UNITS, false);
     }
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -260,8 +260,8 @@
   for (int i = 0; i < 10; i++)
     {
       run_batch (UNITS);
-      if (limit_slots (upstream.limit) == LIMIT_START)
-        ck_assert (limit_warming (upstream.limit));
+      if (limit_slots (upstream.limit) == LIMIT_INITIAL_SLOTS)
+        ck_assert (limit_is_warming_up (upstream.limit));
     }
   ck_assert (limit_slots (upstream.limit) < SLOTS / 2);
   upstream.unit_us = warm_unit_us;
@@ -284,8 +284,8 @@
     ;
   while (limit_in_flight (upstream.limit) > 0)
     limit_release (upstream.limit, job_us * 20, UNITS, true);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
-  ck_assert (limit_warming (upstream.limit));
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
+  ck_assert (limit_is_warming_up (upstream.limit));
   run_few (1, 6);
   ck_assert_uint_eq (limit_slots (upstream.limit), 4);
 }
@@ -296,10 +296,10 @@
 {
   for (int i = 0; i < 10; i++)
     run_batch (1);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   for (int i = 0; i < 20; i++)
     run_batch (1);
-  ck_assert_uint_gt (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_gt (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
 }
 END_TEST
 
@@ -314,7 +314,7 @@
   upstream.unit_us = warm_unit_us * 2;
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
-  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_START);
+  ck_assert_uint_eq (limit_slots (upstream.limit), LIMIT_INITIAL_SLOTS);
   begin_us = clock_us (upstream.clock);
   while (limit_slots (upstream.limit) < SLOTS)
     run_batch (UNITS);
@@ -345,11 +345,11 @@
 
   for (int i = 0; i < 20; i++)
     run_batch (UNITS);
-  limit_restart (upstream.limit);
-  ck_assert_uint_eq (run_batch (UNITS), LIMIT_START);
-  ck_assert (limit_warming (upstream.limit));
+  limit_reset (upstream.limit);
+  ck_assert_uint_eq (run_batch (UNITS), LIMIT_INITIAL_SLOTS);
+  ck_assert (limit_is_warming_up (upstream.limit));
   /* What was started is slower by nature; that is no coldness.  */
-  limit_restart (upstream.limit);
+  limit_reset (upstream.limit);
   upstream.unit_us = warm_unit_us * 5;
   for (int i = 0; i < 4; i++)
     run_batch (UNITS);
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -55,7 +55,7 @@
 {
   quality_t *q = make (1);
   quality_bound_t b
-      = quality_get (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
+      = quality_estimate (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
 
   ck_assert_double_eq_tol (b.mean, 0.7, 1e-9);
   ck_assert_double_lt (b.lower, 0.5);
@@ -107,17 +107,17 @@
 
   for (int i = 0; i < 300; i++)
     {
-      quality_add (q, STR ("draft"), STR ("small@1"), rating_near (&rng, 0.9),
-                   START_MS);
-      quality_add (q, STR ("tag"), STR ("small@1"), rating_near (&rng, 0.5),
-                   START_MS);
+      quality_add_rating (q, STR ("draft"), STR ("small@1"),
+                          rating_near (&rng, 0.9), START_MS);
+      quality_add_rating (q, STR ("tag"), STR ("small@1"),
+                          rating_near (&rng, 0.5), START_MS);
     }
   ck_assert_double_eq_tol (
-      quality_get (q, STR ("draft"), STR ("small@1"), 0.5, START_MS).mean, 0.9,
-      0.03);
+      quality_estimate (q, STR ("draft"), STR ("small@1"), 0.5, START_MS).mean,
+      0.9, 0.03);
   ck_assert_double_eq_tol (
-      quality_get (q, STR ("tag"), STR ("small@1"), 0.5, START_MS).mean, 0.5,
-      0.03);
+      quality_estimate (q, STR ("tag"), STR ("small@1"), 0.5, START_MS).mean,
+      0.5, 0.03);
   quality_destroy (q);
 }
 END_TEST
@@ -133,19 +133,19 @@
   str_t version = STR ("small@1");
 
   for (int i = 0; i < 400; i++)
-    quality_add (q, task, version, rating_near (&rng, 0.9), START_MS);
-  quality_bound_t before = quality_get (q, task, version, 0.6, START_MS);
+    quality_add_rating (q, task, version, rating_near (&rng, 0.9), START_MS);
+  quality_bound_t before = quality_estimate (q, task, version, 0.6, START_MS);
   double width = before.mean - before.lower;
   for (int hour = 6; hour <= 23; hour += 6)
     {
-      quality_bound_t b = quality_get (q, task, version, 0.6,
-                                       START_MS + (uint64_t)hour * HOUR_MS);
+      quality_bound_t b = quality_estimate (
+          q, task, version, 0.6, START_MS + (uint64_t)hour * HOUR_MS);
       ck_assert_double_gt (b.mean - b.lower, width * 1.2);
       ck_assert_double_eq_tol (b.mean, before.mean, 0.06);
       width = b.mean - b.lower;
     }
   quality_bound_t gone
-      = quality_get (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
+      = quality_estimate (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
   ck_assert_double_eq (gone.weight, 0);
   ck_assert_double_eq_tol (gone.mean, 0.6, 1e-9);
   quality_destroy (q);
@@ -165,16 +165,17 @@
 
   for (int half = 0; half < 12; half++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
-      quality_add (q, task, version, rating_near (&rng, 0.9), now);
+      quality_add_rating (q, task, version, rating_near (&rng, 0.9), now);
   for (int half = 0; half < 2; half++, now += HOUR_MS / 2)
     for (int i = 0; i < 300; i++)
-      quality_add (q, task, version, 0, now);
-  quality_bound_t wrong = quality_get (q, task, version, 0.6, now);
-  ck_assert_double_gt (wrong.mean, 0.9 - QUALITY_CLIP);
+      quality_add_rating (q, task, version, 0, now);
+  quality_bound_t wrong = quality_estimate (q, task, version, 0.6, now);
+  ck_assert_double_gt (wrong.mean, 0.9 - QUALITY_CLIP_DISTANCE);
   for (int half = 0; half < 12; half++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
-      quality_add (q, task, version, rating_near (&rng, 0.9), now);
-  ck_assert_double_gt (quality_get (q, task, version, 0.6, now).mean, 0.8);
+      quality_add_rating (q, task, version, rating_near (&rng, 0.9), now);
+  ck_assert_double_gt (quality_estimate (q, task, version, 0.6, now).mean,
+                       0.8);
   quality_destroy (q);
 }
 END_TEST
@@ -185,10 +186,10 @@
   str_t task = STR ("draft");
   str_t version = STR ("small@1");
 
-  ck_assert (!quality_add (q, task, version, NAN, START_MS));
-  ck_assert (quality_add (q, task, version, 1e12, START_MS));
-  ck_assert (quality_add (q, task, version, -INFINITY, START_MS));
-  quality_bound_t b = quality_get (q, task, version, 0.5, START_MS);
+  ck_assert (!quality_add_rating (q, task, version, NAN, START_MS));
+  ck_assert (quality_add_rating (q, task, version, 1e12, START_MS));
+  ck_assert (quality_add_rating (q, task, version, -INFINITY, START_MS));
+  quality_bound_t b = quality_estimate (q, task, version, 0.5, START_MS);
   ck_assert_double_eq_tol (b.mean, 0.5, 1e-6);
   quality_destroy (q);
 }
@@ -220,7 +221,8 @@
           for (int i = 0; i < 5; i++)
             {
               double r = rating_near (&rng, 0.8);
-              quality_add (q, STR ("draft"), STR ("small@1"), r, START_MS);
+              quality_add_rating (q, STR ("draft"), STR ("small@1"), r,
+                                  START_MS);
               sum += r;
               count += 1;
             }
@@ -238,8 +240,8 @@
       for (int m = MESSAGES - 1; m >= 0; m--)
         quality_merge (shuffled, buf_str (&messages[m]), START_MS);
       ck_assert (same_state (ordered, shuffled));
-      quality_bound_t b = quality_get (shuffled, STR ("draft"),
-                                       STR ("small@1"), 0.5, START_MS);
+      quality_bound_t b = quality_estimate (shuffled, STR ("draft"),
+                                            STR ("small@1"), 0.5, START_MS);
       ck_assert_double_eq_tol (b.weight, count, 1e-9);
       ck_assert_double_eq_tol (b.mean,
                                (sum + 0.5 * QUALITY_PRIOR_WEIGHT)
@@ -268,12 +270,12 @@
 
   for (int i = 0; i < 100; i++)
     {
-      quality_add (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
-      quality_add (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
+      quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
+      quality_add_rating (b, STR ("draft"), STR ("small@1"), 0.6, START_MS);
     }
   quality_write (a, true, &late);
   deliver (a, true, b, later);
-  quality_settle (b, 7, later);
+  quality_fold_epochs (b, 7, later);
   deliver (b, false, c, later);
   quality_merge (c, buf_str (&late), later);
   quality_merge (b, buf_str (&late), later);
@@ -281,7 +283,7 @@
   ck_assert (same_state (a, b));
   ck_assert (same_state (b, c));
   quality_bound_t bound
-      = quality_get (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
+      = quality_estimate (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
   ck_assert_double_eq_tol (bound.weight, 200, 1e-9);
   ck_assert_double_eq_tol (bound.mean, 0.7, 1e-6);
   buf_free (&late);
@@ -304,13 +306,13 @@
   str_t version = STR ("small@1");
 
   for (int i = 0; i < 100; i++)
-    quality_add (writer, task, version, 0.8, START_MS);
+    quality_add_rating (writer, task, version, 0.8, START_MS);
   deliver (writer, true, old, START_MS);
   for (int i = 0; i < 50; i++)
-    quality_add (writer, task, version, 0.8, START_MS);
+    quality_add_rating (writer, task, version, 0.8, START_MS);
   deliver (writer, true, next, START_MS);
-  quality_settle (old, 7, later);
-  quality_settle (next, 8, later);
+  quality_fold_epochs (old, 7, later);
+  quality_fold_epochs (next, 8, later);
   for (int order = 0; order < 2; order++)
     {
       quality_t *seen = make (4);
@@ -319,7 +321,8 @@
       deliver (order == 0 ? next : old, false, seen, later);
       ck_assert (same_state (seen, next));
       ck_assert_double_eq_tol (
-          quality_get (seen, task, version, 0.7, START_MS).weight, 150, 1e-9);
+          quality_estimate (seen, task, version, 0.7, START_MS).weight, 150,
+          1e-9);
       quality_destroy (seen);
     }
   quality_destroy (writer);
@@ -338,7 +341,7 @@
   rng_t rng = rng_make (17);
 
   for (int i = 0; i < 50; i++)
-    quality_add (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
+    quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, START_MS);
   quality_write (a, false, &bytes);
   buf_append_char (&bytes, 'x');
   ck_assert_int_eq (quality_merge (b, buf_str (&bytes), START_MS),
@@ -348,7 +351,8 @@
     ck_assert_int_eq (quality_merge (b, str_make (bytes.ptr, len), START_MS),
                       VH_E_PROTOCOL);
   ck_assert_double_eq (
-      quality_get (b, STR ("draft"), STR ("small@1"), 0.5, START_MS).weight,
+      quality_estimate (b, STR ("draft"), STR ("small@1"), 0.5, START_MS)
+          .weight,
       0);
   for (int i = 0; i < 2000; i++)
     {
@@ -403,7 +407,7 @@
 
   for (int half = 0; half < 40; half++, now += HOUR_MS / 2)
     {
-      quality_add (a, STR ("draft"), STR ("small@1"), 0.8, now);
+      quality_add_rating (a, STR ("draft"), STR ("small@1"), 0.8, now);
       deliver (a, true, b, now);
     }
   quality_write (a, true, &news);
@@ -425,9 +429,9 @@
   for (int i = 0; i < QUALITY_SERIES_MAX + 10; i++)
     {
       int len = snprintf (name, sizeof name, "v@%d", i);
-      ck_assert_int_eq (quality_add (q, STR ("draft"),
-                                     str_make (name, (size_t)len), 0.5,
-                                     START_MS),
+      ck_assert_int_eq (quality_add_rating (q, STR ("draft"),
+                                            str_make (name, (size_t)len), 0.5,
+                                            START_MS),
                         i < QUALITY_SERIES_MAX);
     }
   quality_destroy (q);
@@ -446,19 +450,20 @@
   int burst = 0;
 
   for (int i = 0; i < 20000; i++)
-    first += quality_sample (q, &rng, task, STR ("small@1"),
-                             START_MS + (uint64_t)i * 100);
+    first += quality_should_rate (q, &rng, task, STR ("small@1"),
+                                  START_MS + (uint64_t)i * 100);
   ck_assert_int_ge (first, 20000 * 4 / 100);
   ck_assert_int_le (first, 20000 * 6 / 100);
   for (int i = 0; i < 4000; i++)
-    quality_add (q, task, STR ("small@1"), 0.9, START_MS + 2000000);
+    quality_add_rating (q, task, STR ("small@1"), 0.9, START_MS + 2000000);
   for (int i = 0; i < 20000; i++)
-    second += quality_sample (q, &rng, task, STR ("small@1"),
-                              START_MS + 2000000 + (uint64_t)i * 10);
+    second += quality_should_rate (q, &rng, task, STR ("small@1"),
+                                   START_MS + 2000000 + (uint64_t)i * 10);
   ck_assert_int_le (second, first / 3);
   ck_assert_int_gt (second, 0);
   for (int i = 0; i < 100000; i++)
-    burst += quality_sample (q, &rng, task, STR ("new@1"), START_MS + 3000000);
+    burst += quality_should_rate (q, &rng, task, STR ("new@1"),
+                                  START_MS + 3000000);
   ck_assert_int_le (burst, 40);
   quality_destroy (q);
 }
@@ -468,14 +473,14 @@
 {
   quality_t *q = make (1);
 
-  ck_assert (quality_rater_ok (q, START_MS));
+  ck_assert (quality_is_rater_available (q, START_MS));
   for (int i = 0; i < 20; i++)
-    quality_rater_failed (q, START_MS);
-  ck_assert (!quality_rater_ok (q, START_MS + 59000));
-  ck_assert (quality_rater_ok (q, START_MS + 61000));
-  quality_rater_answered (q);
-  quality_rater_failed (q, START_MS);
-  ck_assert (quality_rater_ok (q, START_MS + 1000));
+    quality_record_rater_failure (q, START_MS);
+  ck_assert (!quality_is_rater_available (q, START_MS + 59000));
+  ck_assert (quality_is_rater_available (q, START_MS + 61000));
+  quality_record_rater_success (q);
+  quality_record_rater_failure (q, START_MS);
+  ck_assert (quality_is_rater_available (q, START_MS + 1000));
   quality_destroy (q);
 }
 END_TEST
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -153,7 +153,7 @@
 END_TEST
 
 /* What a team used of an idle upstream is not held against it, and of what it
-   did not use no more is saved up than QUEUE_CREDIT jobs.  */
+   did not use no more is saved up than QUEUE_CREDIT_JOBS jobs.  */
 START_TEST (idle_time_is_neither_debt_nor_credit)
 {
   uint64_t served[3] = { 0 };
@@ -171,7 +171,7 @@
   serve (100, served);
   ck_assert_uint_le (served[0], served[1]);
   ck_assert_uint_le (served[1],
-                     served[0] + ((uint64_t)QUEUE_CREDIT + 1) * 100);
+                     served[0] + ((uint64_t)QUEUE_CREDIT_JOBS + 1) * 100);
 }
 END_TEST
 
@@ -212,7 +212,7 @@
       serve (1, served);
     }
   last = push_plain (0, 100);
-  told_us = queue_wait_us (queue, teams[0], 100);
+  told_us = queue_estimate_wait_us (queue, teams[0], 100);
   begin_us = clock_us (manual);
   while (last->waiting)
     {
@@ -284,7 +284,7 @@
       run_job (pop_job (), 10);
     }
   ck_assert_uint_le (clock_us (manual) - begin_us,
-                     (QUEUE_LOW * QUEUE_PASS_MS + 100) * 1000ul);
+                     (QUEUE_LOW * QUEUE_REORDER_MAX_MS + 100) * 1000ul);
 }
 END_TEST
 
@@ -300,11 +300,11 @@
   draft = push_plain (0, LONG_COST * 20);
   while (draft->waiting)
     {
-      push_plain (0, QUEUE_LONG_COST);
-      run_job (pop_job (), QUEUE_LONG_COST);
+      push_plain (0, QUEUE_LONG_COST_MIN);
+      run_job (pop_job (), QUEUE_LONG_COST_MIN);
     }
   ck_assert_uint_le (clock_us (manual) - begin_us,
-                     (QUEUE_PASS_MS + 1000) * 1000ul);
+                     (QUEUE_REORDER_MAX_MS + 1000) * 1000ul);
 }
 END_TEST
 
@@ -403,7 +403,7 @@
   /* What was taken in is done in time.  */
   for (; taken > 0; taken--)
     {
-      ck_assert_ptr_null (queue_lapsed (queue));
+      ck_assert_ptr_null (queue_pop_expired (queue));
       serve (1, served);
     }
   ck_assert_uint_le (clock_us (manual), deadline_us);
@@ -423,8 +423,10 @@
     push_plain (0, SHORT_COST);
   pop_job ();
   all_us = jobs_us (19);
-  ck_assert_uint_ge (queue_wait_us (queue, teams[0], SHORT_COST), all_us);
-  ck_assert_uint_le (queue_wait_us (queue, teams[1], SHORT_COST), jobs_us (3));
+  ck_assert_uint_ge (queue_estimate_wait_us (queue, teams[0], SHORT_COST),
+                     all_us);
+  ck_assert_uint_le (queue_estimate_wait_us (queue, teams[1], SHORT_COST),
+                     jobs_us (3));
   ck_assert_ptr_nonnull (
       push_job (1, SHORT_COST, QUEUE_NORMAL, clock_us (manual) + jobs_us (6)));
   serve (2, served);
@@ -433,8 +435,8 @@
      that waits.  */
   queue_set_weight (queue, teams[2], 1000);
   push_plain (2, SHORT_COST);
-  ck_assert_uint_le (queue_wait_us (queue, teams[0], SHORT_COST),
-                     jobs_us (queue_waiting (queue) + 1));
+  ck_assert_uint_le (queue_estimate_wait_us (queue, teams[0], SHORT_COST),
+                     jobs_us (queue_waiting_count (queue) + 1));
 }
 END_TEST
 
@@ -454,14 +456,14 @@
                    clock_us (manual) + jobs_us (8));
   ck_assert_ptr_nonnull (late);
   pop_job ();
-  lapse_us = queue_next_lapse_us (queue);
+  lapse_us = queue_next_expiry_us (queue);
   ck_assert_uint_eq (lapse_us, clock_us (manual) + jobs_us (7));
   clock_manual_advance_us (manual, lapse_us - clock_us (manual) - 1);
-  ck_assert_ptr_null (queue_lapsed (queue));
+  ck_assert_ptr_null (queue_pop_expired (queue));
   clock_manual_advance_us (manual, 1);
-  ck_assert_ptr_eq (queue_lapsed (queue), &late->waiter);
-  ck_assert_ptr_null (queue_lapsed (queue));
-  ck_assert_uint_eq (queue_waiting (queue), 1);
+  ck_assert_ptr_eq (queue_pop_expired (queue), &late->waiter);
+  ck_assert_ptr_null (queue_pop_expired (queue));
+  ck_assert_uint_eq (queue_waiting_count (queue), 1);
 }
 END_TEST
 
@@ -477,7 +479,7 @@
   ck_assert_ptr_null (push_plain (0, 100));
   small = push_plain (1, 100);
   ck_assert_ptr_nonnull (small);
-  ck_assert_uint_eq (queue_waiting (queue), 10);
+  ck_assert_uint_eq (queue_waiting_count (queue), 10);
   ck_assert (!jobs[9].waiting);
   ck_assert (jobs[0].waiting);
 }
@@ -545,12 +547,12 @@
           waiting--;
           queue_cancel (queue, &job->waiter);
         }
-      ck_assert_uint_eq (queue_waiting (queue), waiting);
-      ck_assert_uint_eq (queue_running (queue), 0);
+      ck_assert_uint_eq (queue_waiting_count (queue), waiting);
+      ck_assert_uint_eq (queue_running_count (queue), 0);
     }
   while (pop_job () != NULL)
     waiting--;
-  ck_assert_uint_ge (waiting, queue_waiting (queue));
+  ck_assert_uint_ge (waiting, queue_waiting_count (queue));
 }
 END_TEST
 
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -38,7 +38,7 @@
     {
       int tries = 1;
 
-      retry_request (retry);
+      retry_add_request (retry);
       for (; tries < TRIES && rng_below (&rng, 2) == 0; tries++)
         plain++;
       plain++;
@@ -62,9 +62,9 @@
     ck_assert_int_eq (retry_spend (retry), VH_OK);
   ck_assert_int_eq (retry_spend (retry), VH_E_RETRY_BUDGET);
   for (int i = 0; i < 1000; i++)
-    retry_request (retry);
-  ck_assert (retry_budget (retry) <= RETRY_BURST);
-  ck_assert (retry_budget (retry) > RETRY_BURST - 0.01);
+    retry_add_request (retry);
+  ck_assert (retry_budget_left (retry) <= RETRY_BURST);
+  ck_assert (retry_budget_left (retry) > RETRY_BURST - 0.01);
 }
 END_TEST
 
@@ -95,29 +95,29 @@
    may be.  */
 START_TEST (hedges_only_idempotent_requests)
 {
-  ck_assert_uint_eq (retry_hedge_ms (retry, true), RETRY_NO_HEDGE);
+  ck_assert_uint_eq (retry_hedge_delay_ms (retry, true), RETRY_NO_HEDGE);
   for (int i = 0; i < 1000; i++)
-    retry_observe (retry, i % 100 < 97 ? 100000 : 5000000);
-  ck_assert_uint_ge (retry_hedge_ms (retry, true), 100);
-  ck_assert_uint_le (retry_hedge_ms (retry, true), 130);
-  ck_assert_uint_eq (retry_hedge_ms (retry, false), RETRY_NO_HEDGE);
+    retry_record_latency (retry, i % 100 < 97 ? 100000 : 5000000);
+  ck_assert_uint_ge (retry_hedge_delay_ms (retry, true), 100);
+  ck_assert_uint_le (retry_hedge_delay_ms (retry, true), 130);
+  ck_assert_uint_eq (retry_hedge_delay_ms (retry, false), RETRY_NO_HEDGE);
   while (retry_spend (retry) == VH_OK)
     ;
-  ck_assert_uint_eq (retry_hedge_ms (retry, true), RETRY_NO_HEDGE);
+  ck_assert_uint_eq (retry_hedge_delay_ms (retry, true), RETRY_NO_HEDGE);
 }
 END_TEST
 
 START_TEST (hedge_follows_the_latency_of_now)
 {
   for (int i = 0; i < 20000; i++)
-    retry_observe (retry, 100000);
+    retry_record_latency (retry, 100000);
   for (int i = 0; i < 20000; i++)
-    retry_observe (retry, 1000000);
-  ck_assert_uint_ge (retry_hedge_ms (retry, true), 1000);
-  ck_assert_uint_le (retry_hedge_ms (retry, true), 1200);
+    retry_record_latency (retry, 1000000);
+  ck_assert_uint_ge (retry_hedge_delay_ms (retry, true), 1000);
+  ck_assert_uint_le (retry_hedge_delay_ms (retry, true), 1200);
   for (int i = 0; i < 40000; i++)
-    retry_observe (retry, 100000);
-  ck_assert_uint_le (retry_hedge_ms (retry, true), 130);
+    retry_record_latency (retry, 100000);
+  ck_assert_uint_le (retry_hedge_delay_ms (retry, true), 130);
 }
 END_TEST
 
