--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -362,14 +362,15 @@
       = mem_zalloc ((settings->upstreams_count + 1) * sizeof (sidecar_t *));
   for (size_t i = 0; i < settings->upstreams_count; i++)
     {
-      const sidecar_options_t options = { .loop = process->loop,
-                                          .clock = process->clock,
-                                          .metrics = process->metrics,
-                                          .settings = settings,
-                                          .upstream = &settings->upstreams[i],
-                                          .seed = process->seed + i + 1,
-                                          .host = &process_sidecar_callbacks,
-                                          .arg = process };
+      const sidecar_options_t options
+          = { .loop = process->loop,
+              .clock = process->clock,
+              .metrics = process->metrics,
+              .settings = settings,
+              .upstream = &settings->upstreams[i],
+              .seed = process->seed + i + 1,
+              .callbacks = &process_sidecar_callbacks,
+              .arg = process };
       vh_code_t code = sidecar_create (&options, &process->sidecars[i]);
       if (code != VH_OK)
         return code;
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -343,7 +343,7 @@
     return false;
   request->rating_pending = true;
   content_extract (buf_str (&request->attempt.body), false, &content);
-  entry->options.platform->ops->rate (
+  entry->options.platform->ops->rate_answer (
       entry->options.platform, request->version->model->task,
       request_text (request), buf_str (&content), on_first_rated, request);
   buf_free (&content);
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -341,7 +341,7 @@
       rating->rollout_start_ms = request->rollout->start_ms;
     }
   entry->ratings_in_flight++;
-  entry->options.platform->ops->rate (
+  entry->options.platform->ops->rate_answer (
       entry->options.platform, request->version->model->task,
       buf_str (&request->raw_body), content, on_rated, rating);
 }
--- a/tests/faulty_platform.c
+++ b/tests/faulty_platform.c
@@ -162,7 +162,7 @@
       inner->ops->scan (inner, key, after, call->limit, on_scan, call);
       break;
     case KIND_INSTANCES:
-      inner->ops->instances (inner, call->sequence, on_instances, call);
+      inner->ops->list_instances (inner, call->sequence, on_instances, call);
       break;
     }
 }
@@ -303,7 +303,7 @@
   .txn = faulty_txn,
   .get = faulty_get,
   .scan = faulty_scan,
-  .instances = faulty_instances,
+  .list_instances = faulty_instances,
   .destroy = faulty_destroy,
 };
 
