--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -156,7 +156,7 @@
      moves to another version, and the answer reports the move.  */
   if (version == NULL
       || !snapshot_allows (request->snapshot, request->team, version)
-      || learn_is_rolled_back (request->entry, version))
+      || learn_is_rollout_stopped (request->entry, version))
     request->session_moved = true;
   request->session_version = request->session_moved ? NULL : version;
   return FILTER_CONTINUE;
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -354,7 +354,7 @@
 void learn_config_changed (entry_t *entry, const snapshot_t *last,
                            const snapshot_t *next);
 /* Tell whether the roll-out of VERSION is halted or aborted.  */
-bool learn_is_rolled_back (entry_t *entry, const version_t *version);
+bool learn_is_rollout_stopped (entry_t *entry, const version_t *version);
 learn_rollout_t *learn_rollout_find (entry_t *entry, str_t version);
 /* Return the roll-out of VERSION that started at START_MS, created if it is
    not known; NULL if a later roll-out of VERSION is known.  */
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -95,7 +95,7 @@
 }
 
 bool
-learn_is_rolled_back (entry_t *entry, const version_t *version)
+learn_is_rollout_stopped (entry_t *entry, const version_t *version)
 {
   const learn_rollout_t *rollout = learn_rollout_find (entry, version->name);
 
