--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -8,47 +8,53 @@
 
 enum
 {
-  PRIORITIES = QUEUE_LOW + 1,
-  /* Most ticks counted at once.  After ten seconds without a call the old
-     rates have decayed to almost nothing.  */
+  PRIORITY_COUNT = QUEUE_LOW + 1,
+  /* Largest number of ticks that one update counts.  After ten seconds without
+     an update the old rates have decayed to almost nothing.  */
   TICKS_MAX = 100
 };
 
-/* Decay of the refused cost per tick, for a mean age of a hundred ticks or ten
-   seconds.  */
+/* Factor by which the recently refused cost of a team decays per tick, for a
+   mean age of a hundred ticks or ten seconds.  */
 #define REFUSED_DECAY 0.99
 
 typedef struct
 {
   double tick_cost;      /* Requested cost in the current tick.  */
-  double rate;           /* Requested cost per second.  */
+  double cost_per_s;     /* Requested cost per second.  */
   double admitted_share; /* Share of the requests to admit, 0 to 1.  */
-  double credit; /* Fraction of a request, carried over to the next one.  */
+  double request_credit; /* Sum of the admitted shares of past requests, minus
+                            the admitted requests.  */
 } demand_t;
 
 typedef struct
 {
-  list_t link;
+  list_t list_node;
   uint32_t weight;
-  demand_t demands[PRIORITIES];
-  double demand_rate;    /* Requested cost per second, all priorities.  */
-  double admitted_rate;  /* Admitted cost per second.  */
-  double recent_refused; /* Cost refused in the last seconds.  */
+  demand_t demands[PRIORITY_COUNT];
+  double demand_cost_per_s; /* Requested cost per second, of all priorities. */
+  double admitted_cost_per_s; /* Admitted cost per second.  */
+  double recent_refused_cost; /* Cost of the requests refused in the last
+                                 seconds, decayed.  */
 } team_t;
 
 struct admission
 {
   clock_iface_t *clock;
   rng_t *rng;
-  map_t *names;
+  map_t *teams_by_name;
   list_t teams;
   uint64_t tick_start_ms; /* Start of the current tick.  */
-  double tick_accepted; /* Cost accepted by the fleet in the current tick.  */
-  double tick_refused;  /* Cost refused by the fleet in the current tick.  */
-  double accepted_rate; /* Cost accepted by the fleet per second.  */
-  double pressure;      /* Load of the fleet relative to its slots.  */
-  double capacity; /* Cost per second; INFINITY if the fleet was never full. */
-  bool limiting;
+  /* Cost accepted by the fleet in the current tick.  */
+  double tick_accepted_cost;
+  /* Cost refused by the fleet in the current tick.  */
+  double tick_refused_cost;
+  double accepted_cost_per_s; /* Cost accepted by the fleet per second.  */
+  /* Load that the sidecars report, relative to their slots.  */
+  double pressure;
+  double capacity_per_s; /* Cost that the fleet can serve per second; INFINITY
+                            if it was never full.  */
+  bool is_limiting;
 };
 
 admission_t *
@@ -58,9 +64,9 @@
 
   admission->clock = clock;
   admission->rng = rng;
-  admission->names = map_create ();
+  admission->teams_by_name = map_create ();
   admission->tick_start_ms = clock_ms (clock);
-  admission->capacity = INFINITY;
+  admission->capacity_per_s = INFINITY;
   list_init (&admission->teams);
   return admission;
 }
@@ -71,26 +77,26 @@
   if (admission == NULL)
     return;
   LIST_EACH (node, &admission->teams)
-    free (CONTAINER_OF (node, team_t, link));
-  map_destroy (admission->names);
+    free (CONTAINER_OF (node, team_t, list_node));
+  map_destroy (admission->teams_by_name);
   free (admission);
 }
 
-/* Return the record of team NAME, which is created on first use.  The names
+/* Return the state of team NAME, which is created on first use.  Team names
    come from the configuration, so their number is bounded.  */
 static team_t *
 find_team (admission_t *admission, str_t name)
 {
-  team_t *team = map_get (admission->names, name);
+  team_t *team = map_get (admission->teams_by_name, name);
 
   if (team != NULL)
     return team;
   team = mem_zalloc (sizeof *team);
   team->weight = 1;
-  for (int priority = 0; priority < PRIORITIES; priority++)
+  for (int priority = 0; priority < PRIORITY_COUNT; priority++)
     team->demands[priority].admitted_share = 1;
-  map_put (admission->names, name, team);
-  list_append (&admission->teams, &team->link);
+  map_put (admission->teams_by_name, name, team);
+  list_append (&admission->teams, &team->list_node);
   return team;
 }
 
@@ -100,10 +106,10 @@
   find_team (admission, name)->weight = weight > 0 ? weight : 1;
 }
 
-/* Return the moving average RATE per second after TICKS ticks with a total of
-   AMOUNT.  */
+/* Return the moving average RATE of an amount per second, updated by the last
+   TICKS ticks, in which the amount was AMOUNT in total.  */
 static double
-update_rate (double rate, double amount, double ticks)
+average_per_s (double rate, double amount, double ticks)
 {
   double seconds = ticks * ADMISSION_TICK_MS / 1000;
   double decay = pow (1 - ADMISSION_RATE_SMOOTHING, ticks);
@@ -111,7 +117,8 @@
   return rate * decay + amount / seconds * (1 - decay);
 }
 
-/* Update the demand of each team after TICKS ticks, and return the sum.  */
+/* Update the demand of each team after TICKS ticks, and return the demand of
+   all teams, as cost per second.  */
 static double
 update_demand (admission_t *admission, double ticks)
 {
@@ -119,19 +126,20 @@
 
   LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (node, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, list_node);
 
-      team->demand_rate = 0;
-      for (int priority = 0; priority < PRIORITIES; priority++)
+      team->demand_cost_per_s = 0;
+      for (int priority = 0; priority < PRIORITY_COUNT; priority++)
         {
           demand_t *demand = &team->demands[priority];
 
-          demand->rate = update_rate (demand->rate, demand->tick_cost, ticks);
+          demand->cost_per_s
+              = average_per_s (demand->cost_per_s, demand->tick_cost, ticks);
           demand->tick_cost = 0;
-          team->demand_rate += demand->rate;
+          team->demand_cost_per_s += demand->cost_per_s;
         }
-      team->recent_refused *= pow (REFUSED_DECAY, ticks);
-      sum += team->demand_rate;
+      team->recent_refused_cost *= pow (REFUSED_DECAY, ticks);
+      sum += team->demand_cost_per_s;
     }
   return sum;
 }
@@ -141,42 +149,44 @@
 static void
 update_capacity (admission_t *admission, double demand, double ticks)
 {
-  double dispatched = admission->tick_accepted + admission->tick_refused;
-  bool is_full
-      = admission->tick_refused > dispatched * ADMISSION_OVERLOAD_REFUSED_SHARE
-        || admission->pressure > ADMISSION_OVERLOAD_PRESSURE;
+  double dispatched
+      = admission->tick_accepted_cost + admission->tick_refused_cost;
+  bool is_full = admission->tick_refused_cost
+                     > dispatched * ADMISSION_OVERLOAD_REFUSED_SHARE
+                 || admission->pressure > ADMISSION_OVERLOAD_PRESSURE;
   double probe_capacity;
 
-  admission->accepted_rate = update_rate (admission->accepted_rate,
-                                          admission->tick_accepted, ticks);
-  probe_capacity = admission->accepted_rate * ADMISSION_PROBE_FACTOR;
+  admission->accepted_cost_per_s = average_per_s (
+      admission->accepted_cost_per_s, admission->tick_accepted_cost, ticks);
+  probe_capacity = admission->accepted_cost_per_s * ADMISSION_PROBE_FACTOR;
   /* The accepted rate and the demand have the same lag behind a sudden burst,
      so the capacity derived from one can be compared with the other.  */
-  if (is_full || probe_capacity > admission->capacity)
-    admission->capacity = probe_capacity;
-  else if (admission->limiting)
-    admission->capacity *= pow (ADMISSION_GROWTH_PER_TICK, ticks);
-  admission->capacity
-      = fmax (admission->capacity, ADMISSION_ADMITTED_SHARE_MIN * demand);
-  admission->tick_accepted = 0;
-  admission->tick_refused = 0;
+  if (is_full || probe_capacity > admission->capacity_per_s)
+    admission->capacity_per_s = probe_capacity;
+  else if (admission->is_limiting)
+    admission->capacity_per_s *= pow (ADMISSION_GROWTH_PER_TICK, ticks);
+  admission->capacity_per_s = fmax (admission->capacity_per_s,
+                                    ADMISSION_ADMITTED_SHARE_MIN * demand);
+  admission->tick_accepted_cost = 0;
+  admission->tick_refused_cost = 0;
 }
 
 /* Set the admitted rate of each team to its max-min fair share of the
-   capacity: teams below the level get their full demand, and the capacity
-   that they leave raises the level for the others.  */
+   capacity: a team whose demand relative to its weight is below the common
+   level gets its full demand, and the capacity that such teams leave raises
+   the level for the others.  */
 static void
 divide_capacity (admission_t *admission)
 {
-  double remaining = admission->capacity;
+  double remaining = admission->capacity_per_s;
   double weight_sum = 0;
   bool changed = true;
 
   LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (node, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, list_node);
 
-      team->admitted_rate = -1;
+      team->admitted_cost_per_s = -1;
       weight_sum += team->weight;
     }
   while (changed)
@@ -186,23 +196,23 @@
       changed = false;
       LIST_EACH (node, &admission->teams)
         {
-          team_t *team = CONTAINER_OF (node, team_t, link);
+          team_t *team = CONTAINER_OF (node, team_t, list_node);
 
-          if (team->admitted_rate >= 0
-              || team->demand_rate > level * team->weight)
+          if (team->admitted_cost_per_s >= 0
+              || team->demand_cost_per_s > level * team->weight)
             continue;
-          team->admitted_rate = team->demand_rate;
-          remaining -= team->demand_rate;
+          team->admitted_cost_per_s = team->demand_cost_per_s;
+          remaining -= team->demand_cost_per_s;
           weight_sum -= team->weight;
           changed = weight_sum > 0;
         }
     }
   LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (node, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, list_node);
 
-      if (team->admitted_rate < 0)
-        team->admitted_rate = remaining * team->weight / weight_sum;
+      if (team->admitted_cost_per_s < 0)
+        team->admitted_cost_per_s = remaining * team->weight / weight_sum;
     }
 }
 
@@ -210,16 +220,16 @@
 static void
 divide_admitted_rate (team_t *team)
 {
-  double remaining = team->admitted_rate;
+  double remaining = team->admitted_cost_per_s;
 
-  for (int priority = 0; priority < PRIORITIES; priority++)
+  for (int priority = 0; priority < PRIORITY_COUNT; priority++)
     {
       demand_t *demand = &team->demands[priority];
 
       demand->admitted_share = 1;
-      if (demand->rate > remaining)
-        demand->admitted_share = remaining / demand->rate;
-      remaining -= fmin (demand->rate, remaining);
+      if (demand->cost_per_s > remaining)
+        demand->admitted_share = remaining / demand->cost_per_s;
+      remaining -= fmin (demand->cost_per_s, remaining);
     }
 }
 
@@ -228,10 +238,10 @@
 {
   LIST_EACH (node, &admission->teams)
     {
-      team_t *team = CONTAINER_OF (node, team_t, link);
+      team_t *team = CONTAINER_OF (node, team_t, list_node);
 
-      team->admitted_rate = team->demand_rate;
-      for (int priority = 0; priority < PRIORITIES; priority++)
+      team->admitted_cost_per_s = team->demand_cost_per_s;
+      for (int priority = 0; priority < PRIORITY_COUNT; priority++)
         team->demands[priority].admitted_share = 1;
     }
 }
@@ -251,15 +261,15 @@
     ticks = TICKS_MAX;
   demand = update_demand (admission, (double)ticks);
   update_capacity (admission, demand, (double)ticks);
-  admission->limiting = demand > admission->capacity;
-  if (!admission->limiting)
+  admission->is_limiting = demand > admission->capacity_per_s;
+  if (!admission->is_limiting)
     {
       admit_all (admission);
       return;
     }
   divide_capacity (admission);
   LIST_EACH (node, &admission->teams)
-    divide_admitted_rate (CONTAINER_OF (node, team_t, link));
+    divide_admitted_rate (CONTAINER_OF (node, team_t, list_node));
 }
 
 vh_code_t
@@ -275,13 +285,13 @@
     return VH_OK;
   /* Deterministic credit instead of a random draw: at a share of 0.9 exactly
      each tenth request is refused, never three in a row.  */
-  demand->credit += demand->admitted_share;
-  if (demand->credit >= 1)
+  demand->request_credit += demand->admitted_share;
+  if (demand->request_credit >= 1)
     {
-      demand->credit -= 1;
+      demand->request_credit -= 1;
       return VH_OK;
     }
-  team->recent_refused += cost;
+  team->recent_refused_cost += cost;
   return VH_E_TEAM_SHARE;
 }
 
@@ -290,9 +300,9 @@
 {
   update_shares (admission);
   if (accepted)
-    admission->tick_accepted += cost;
+    admission->tick_accepted_cost += cost;
   else
-    admission->tick_refused += cost;
+    admission->tick_refused_cost += cost;
 }
 
 void
@@ -308,8 +318,8 @@
   const team_t *team = find_team (admission, name);
   double span_s = 0;
 
-  if (team->admitted_rate > 0)
-    span_s = team->recent_refused / team->admitted_rate;
+  if (team->admitted_cost_per_s > 0)
+    span_s = team->recent_refused_cost / team->admitted_cost_per_s;
   if (span_s > ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S)
     span_s = ADMISSION_RETRY_AFTER_MAX_S - ADMISSION_RETRY_AFTER_MIN_S;
   return ADMISSION_RETRY_AFTER_MIN_S
@@ -321,11 +331,13 @@
 {
   const team_t *team = find_team (admission, name);
 
-  return team->demand_rate > 0 ? team->admitted_rate / team->demand_rate : 1;
+  return team->demand_cost_per_s > 0
+             ? team->admitted_cost_per_s / team->demand_cost_per_s
+             : 1;
 }
 
 bool
 admission_is_limiting (const admission_t *admission)
 {
-  return admission->limiting;
+  return admission->is_limiting;
 }
--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -10,18 +10,21 @@
 {
   uint64_t name_hash;
   uint64_t zone_hash;         /* Hash of the zone's name.  */
-  uint64_t unlisted_since_ms; /* Time of leaving the list; 0 if listed.  */
+  uint64_t unlisted_since_ms; /* Time at which the gateway left the list; 0 if
+                                 it is listed.  */
   char *name;
 } member_t;
 
 struct allotment
 {
   clock_iface_t *clock;
-  member_t *members; /* The first is this gateway.  */
+  /* Gateways that share the limits; the first is this one.  */
+  member_t *members;
   size_t count;
   size_t capacity;
   size_t unlisted_count; /* Number of members that are no longer listed.  */
-  map_t *index_by_name; /* From name to index in MEMBERS + 1, as a pointer.  */
+  map_t *index_by_name;  /* Maps a gateway's name to its index in MEMBERS plus
+                            1, stored as a pointer.  */
   uint64_t generation;
   bool is_loaded;
 };
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -65,9 +65,9 @@
   uint32_t pool_count;
   uint64_t name_hash; /* Hash of the name, the same in every process.  */
   pool_id_t *pools;
-} upstream_record_t;
+} upstream_details_t;
 
-/* An upstream in an array ordered by hash.  */
+/* An upstream's index, and the hash by which an array of these is ordered.  */
 typedef struct
 {
   uint32_t hash;
@@ -77,10 +77,12 @@
 /* The upstreams of one pool in one zone.  */
 typedef struct
 {
-  hashed_index_t *ring; /* All upstreams, in ascending order of hashes.  */
-  uint32_t count;
+  hashed_index_t *ring; /* Hash ring of the upstreams of the pool in the zone,
+                           in ascending order of hashes.  */
+  uint32_t upstream_count;
   uint32_t capacity;
-  hashed_index_t *subset; /* Upstreams in use, highest rank first.  */
+  /* Upstreams that this gateway uses, highest rank first.  */
+  hashed_index_t *subset;
   uint32_t subset_count;
 } zone_pool_t;
 
@@ -88,9 +90,10 @@
 {
   char *name;
   uint32_t name_len;
-  float mean_other_load;  /* Reported mean load of other gateways per slot.  */
-  float mean_load;        /* Reported mean load of all gateways per slot.  */
-  uint32_t reported_tick; /* Tick at which the last load report arrived.  */
+  float mean_other_load; /* Mean load per slot that gateways other than this
+                            one cause, as reported.  */
+  float mean_load; /* Mean load per slot of all gateways, as reported.  */
+  uint32_t reported_tick;  /* Tick at which the last load report arrived.  */
   zone_pool_t *zone_pools; /* Indexed by zone number.  */
 } upstream_pool_t;
 
@@ -105,7 +108,7 @@
 {
   uint64_t affinity;
   upstream_id_t id;
-  uint32_t tick;
+  uint32_t stored_tick;
 } cache_hint_t;
 
 struct balance
@@ -116,12 +119,14 @@
   uint16_t own_zone;
 
   upstream_state_t *states;
-  upstream_record_t *records;
-  uint32_t count; /* Length of STATES and of RECORDS.  */
+  upstream_details_t *details;
+  /* Length of STATES and of DETAILS, removed upstreams included.  */
+  uint32_t count;
   uint32_t capacity;
   uint32_t *free_indices; /* Indices of removed upstreams, for reuse.  */
   uint32_t free_index_count;
-  map_t *index_by_name; /* From name to index + 1, as a pointer.  */
+  map_t *index_by_name; /* Maps an upstream's name to its index plus 1, stored
+                           as a pointer.  */
 
   upstream_pool_t *pools;
   uint32_t pool_count;
@@ -189,7 +194,7 @@
 static uint32_t
 subset_rank (const balance_t *balance, uint32_t index)
 {
-  return (uint32_t)(splitmix64 (balance->records[index].name_hash
+  return (uint32_t)(splitmix64 (balance->details[index].name_hash
                                 ^ balance->gateway_hash)
                     >> 32);
 }
@@ -208,7 +213,7 @@
 }
 
 /* Return whether an upstream with the marks of STATE may be in a subset.  An
-   ejected one may, and so keeps its connection, because ejections last only
+   ejected upstream may: its connection stays open, because ejections last only
    seconds.  */
 static bool
 subset_accepts (const upstream_state_t *state)
@@ -216,7 +221,8 @@
   return (state->marks & ~BALANCE_EJECTED) == 0;
 }
 
-/* Add INDEX to the subset of ZONE_POOL if its rank is high enough.  */
+/* Add the upstream INDEX to the subset of ZONE_POOL if its rank is high
+   enough.  */
 static void
 subset_add_if_ranked (const balance_t *balance, zone_pool_t *zone_pool,
                       uint32_t index)
@@ -255,11 +261,11 @@
   hashed_index_t last = { UINT32_MAX, 0 };
 
   if (zone_pool->subset_count >= capacity
-      || zone_pool->subset_count >= zone_pool->count)
+      || zone_pool->subset_count >= zone_pool->upstream_count)
     return;
   if (zone_pool->subset_count > 0)
     last = zone_pool->subset[zone_pool->subset_count - 1];
-  for (uint32_t i = 0; i < zone_pool->count; i++)
+  for (uint32_t i = 0; i < zone_pool->upstream_count; i++)
     {
       uint32_t index = zone_pool->ring[i].index;
       hashed_index_t at = { subset_rank (balance, index), index };
@@ -273,7 +279,8 @@
     zone_pool->subset[zone_pool->subset_count++] = best;
 }
 
-/* Remove INDEX from the subset of ZONE_POOL if it is a member.  */
+/* Remove the upstream INDEX from the subset of ZONE_POOL if it is a
+   member.  */
 static void
 subset_remove (const balance_t *balance, zone_pool_t *zone_pool,
                uint32_t index)
@@ -300,7 +307,7 @@
 ring_search (const zone_pool_t *zone_pool, uint32_t hash)
 {
   uint32_t low = 0;
-  uint32_t high = zone_pool->count;
+  uint32_t high = zone_pool->upstream_count;
 
   while (low < high)
     {
@@ -318,7 +325,7 @@
 ring_hash (const balance_t *balance, uint32_t index)
 {
   return (
-      uint32_t)(splitmix64 (balance->records[index].name_hash ^ RING_HASH_SEED)
+      uint32_t)(splitmix64 (balance->details[index].name_hash ^ RING_HASH_SEED)
                 >> 32);
 }
 
@@ -329,7 +336,7 @@
   hashed_index_t new = { ring_hash (balance, index), index };
   uint32_t at = ring_search (zone_pool, new.hash);
 
-  if (zone_pool->count == zone_pool->capacity)
+  if (zone_pool->upstream_count == zone_pool->capacity)
     {
       zone_pool->capacity = zone_pool->capacity > 0 ? zone_pool->capacity * 2
                                                     : INITIAL_CAPACITY;
@@ -337,9 +344,9 @@
           zone_pool->ring, zone_pool->capacity * sizeof (hashed_index_t));
     }
   memmove (&zone_pool->ring[at + 1], &zone_pool->ring[at],
-           (zone_pool->count - at) * sizeof (hashed_index_t));
+           (zone_pool->upstream_count - at) * sizeof (hashed_index_t));
   zone_pool->ring[at] = new;
-  zone_pool->count++;
+  zone_pool->upstream_count++;
   subset_add_if_ranked (balance, zone_pool, index);
 }
 
@@ -351,9 +358,9 @@
 
   while (zone_pool->ring[at].index != index)
     at++;
-  zone_pool->count--;
+  zone_pool->upstream_count--;
   memmove (&zone_pool->ring[at], &zone_pool->ring[at + 1],
-           (zone_pool->count - at) * sizeof (hashed_index_t));
+           (zone_pool->upstream_count - at) * sizeof (hashed_index_t));
   subset_remove (balance, zone_pool, index);
 }
 
@@ -454,11 +461,11 @@
   free (balance->zones);
   for (uint32_t i = 0; i < balance->count; i++)
     {
-      free (balance->records[i].name);
-      free (balance->records[i].pools);
+      free (balance->details[i].name);
+      free (balance->details[i].pools);
     }
   free (balance->states);
-  free (balance->records);
+  free (balance->details);
   free (balance->free_indices);
   free (balance->cache_hints);
   map_destroy (balance->index_by_name);
@@ -466,7 +473,8 @@
   free (balance);
 }
 
-/* Return the index of an unused upstream.  */
+/* Return the index of an unused element of STATES and DETAILS, which grow if
+   all elements are in use.  */
 static uint32_t
 take_index (balance_t *balance)
 {
@@ -479,13 +487,13 @@
           = balance->capacity > 0 ? balance->capacity * 2 : INITIAL_CAPACITY;
       balance->states = mem_realloc (
           balance->states, balance->capacity * sizeof (upstream_state_t));
-      balance->records = mem_realloc (
-          balance->records, balance->capacity * sizeof (upstream_record_t));
+      balance->details = mem_realloc (
+          balance->details, balance->capacity * sizeof (upstream_details_t));
       balance->free_indices = mem_realloc (
           balance->free_indices, balance->capacity * sizeof (uint32_t));
     }
   balance->states[balance->count] = (upstream_state_t){ 0 };
-  balance->records[balance->count] = (upstream_record_t){ 0 };
+  balance->details[balance->count] = (upstream_details_t){ 0 };
   return balance->count++;
 }
 
@@ -498,21 +506,21 @@
 static void
 remove_from_pools (balance_t *balance, uint32_t index)
 {
-  upstream_record_t *record = &balance->records[index];
+  upstream_details_t *details = &balance->details[index];
 
-  for (uint32_t i = 0; i < record->pool_count; i++)
-    zone_pool_remove (balance, zone_pool_of (balance, index, record->pools[i]),
-                      index);
-  free (record->pools);
-  record->pools = NULL;
-  record->pool_count = 0;
+  for (uint32_t i = 0; i < details->pool_count; i++)
+    zone_pool_remove (balance,
+                      zone_pool_of (balance, index, details->pools[i]), index);
+  free (details->pools);
+  details->pools = NULL;
+  details->pool_count = 0;
 }
 
 static bool
-serves_pool (const upstream_record_t *record, pool_id_t pool)
+serves_pool (const upstream_details_t *details, pool_id_t pool)
 {
-  for (uint32_t i = 0; i < record->pool_count; i++)
-    if (record->pools[i] == pool)
+  for (uint32_t i = 0; i < details->pool_count; i++)
+    if (details->pools[i] == pool)
       return true;
   return false;
 }
@@ -521,17 +529,17 @@
 add_to_pools (balance_t *balance, uint32_t index, const str_t *pools,
               size_t pool_count)
 {
-  upstream_record_t *record = &balance->records[index];
+  upstream_details_t *details = &balance->details[index];
 
-  record->pools
+  details->pools
       = mem_alloc ((pool_count > 0 ? pool_count : 1) * sizeof (pool_id_t));
   for (size_t i = 0; i < pool_count; i++)
     {
       pool_id_t pool = balance_find_or_add_pool (balance, pools[i]);
 
-      if (serves_pool (record, pool))
+      if (serves_pool (details, pool))
         continue;
-      record->pools[record->pool_count++] = pool;
+      details->pools[details->pool_count++] = pool;
       zone_pool_add (balance, zone_pool_of (balance, index, pool), index);
     }
 }
@@ -541,12 +549,12 @@
 has_same_pools (balance_t *balance, uint32_t index, const str_t *pools,
                 size_t pool_count)
 {
-  const upstream_record_t *record = &balance->records[index];
+  const upstream_details_t *details = &balance->details[index];
 
-  if (record->pool_count != pool_count)
+  if (details->pool_count != pool_count)
     return false;
   for (size_t i = 0; i < pool_count; i++)
-    if (!serves_pool (record, balance_find_or_add_pool (balance, pools[i])))
+    if (!serves_pool (details, balance_find_or_add_pool (balance, pools[i])))
       return false;
   return true;
 }
@@ -563,7 +571,7 @@
 {
   uint32_t index = take_index (balance);
   upstream_state_t *state = &balance->states[index];
-  upstream_record_t *record = &balance->records[index];
+  upstream_details_t *details = &balance->details[index];
   uint16_t generation = (state->generation + 1) & GENERATION_MASK;
 
   *state = (upstream_state_t){ 0 };
@@ -573,8 +581,8 @@
   state->average_slots_16ths = BALANCE_DEFAULT_SLOTS * FIXED_POINT_ONE;
   if (returning)
     start_ramp (balance, state);
-  record->name = copy_name (name, &record->name_len);
-  record->name_hash = str_hash (name, 0);
+  details->name = copy_name (name, &details->name_len);
+  details->name_hash = str_hash (name, 0);
   map_put (balance->index_by_name, name, index_to_pointer (index));
   return index;
 }
@@ -612,8 +620,8 @@
     return;
   index = pointer_to_index (found);
   remove_from_pools (balance, index);
-  free (balance->records[index].name);
-  balance->records[index].name = NULL;
+  free (balance->details[index].name);
+  balance->details[index].name = NULL;
   balance->states[index].flags = 0;
   balance->free_indices[balance->free_index_count++] = index;
 }
@@ -633,12 +641,12 @@
   uint32_t index = find_index (balance, id);
   bool was_accepted;
   upstream_state_t *state;
-  const upstream_record_t *record;
+  const upstream_details_t *details;
 
   if (index == NO_UPSTREAM)
     return;
   state = &balance->states[index];
-  record = &balance->records[index];
+  details = &balance->details[index];
   if (((state->marks & mark) != 0) == on)
     return;
   was_accepted = subset_accepts (state);
@@ -650,9 +658,10 @@
     }
   if (subset_accepts (state) == was_accepted)
     return;
-  for (uint32_t i = 0; i < record->pool_count; i++)
+  for (uint32_t i = 0; i < details->pool_count; i++)
     {
-      zone_pool_t *zone_pool = zone_pool_of (balance, index, record->pools[i]);
+      zone_pool_t *zone_pool
+          = zone_pool_of (balance, index, details->pools[i]);
 
       if (was_accepted)
         subset_remove (balance, zone_pool, index);
@@ -664,7 +673,8 @@
 void
 balance_set_zone_enabled (balance_t *balance, str_t zone, bool enabled)
 {
-  /* Adding a zone may move the array, so the number is looked up first.  */
+  /* find_or_add_zone may move the array ZONES, so the number is looked up
+     before its element.  */
   uint16_t number = find_or_add_zone (balance, zone);
   zone_t *found = balance->zones[number].zone;
 
@@ -699,15 +709,15 @@
   uint32_t index = find_index (balance, id);
   uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
   uint32_t tick = now_ticks - ms_to_ticks (age_ms);
-  const upstream_record_t *record;
+  const upstream_details_t *details;
   upstream_state_t *state;
 
   if (index == NO_UPSTREAM)
     return;
   state = &balance->states[index];
-  record = &balance->records[index];
-  /* Reports may arrive out of order.  One that is older than the last would
-     restore a load that no longer exists.  */
+  details = &balance->details[index];
+  /* Reports may arrive out of order.  A report that is older than the last one
+     would restore a load that no longer exists.  */
   if ((state->flags & FLAG_REPORTED) != 0
       && (int32_t)(tick - state->reported_tick) < 0)
     return;
@@ -717,9 +727,9 @@
   state->other_load = load->in_flight > state->in_flight
                           ? (float)(load->in_flight - state->in_flight)
                           : 0;
-  for (uint32_t i = 0; i < record->pool_count; i++)
+  for (uint32_t i = 0; i < details->pool_count; i++)
     {
-      upstream_pool_t *pool = &balance->pools[record->pools[i]];
+      upstream_pool_t *pool = &balance->pools[details->pools[i]];
       float slots = state->slots;
 
       pool->mean_other_load
@@ -731,7 +741,8 @@
     }
 }
 
-/* The data of one selection.  */
+/* Input and derived values of the selection of an upstream for one
+   request.  */
 typedef struct
 {
   const balance_request_t *request;
@@ -740,7 +751,7 @@
   uint32_t now_ticks;
   double traffic_share; /* Share of traffic that the examined zone gets, 0
                            to 1.  */
-} choice_t;
+} selection_t;
 
 /* Return VALUE weighted by its age: a half at an age of HALF_MS, a third at
    twice that age.  */
@@ -750,9 +761,9 @@
   return value * half_ms / (half_ms + ticks_to_ms (age_ticks));
 }
 
-/* Return the failure penalty of STATE at NOW_TICKS.  It decays exponentially:
-   with the slower decay of reports it would still keep requests away from an
-   upstream of few slots long after its recovery.  */
+/* Return the failure penalty of STATE at NOW_TICKS.  The penalty decays
+   exponentially: with the slower decay of reports a penalty would still keep
+   requests away from an upstream of few slots long after its recovery.  */
 static float
 decayed_penalty (const upstream_state_t *state, uint32_t now_ticks)
 {
@@ -761,15 +772,15 @@
                   / BALANCE_PENALTY_HALF_MS);
 }
 
-/* Return the load of the upstream of STATE with one more request; 1 if that
-   takes its last slot.  */
+/* Return the load per slot of the upstream with STATE if one more request is
+   sent there; 1 if that request takes the last slot.  */
 static float
-load_with_request (const choice_t *choice, upstream_state_t *state)
+load_with_request (const selection_t *selection, upstream_state_t *state)
 {
   float effective_slots = (float)state->average_slots_16ths / FIXED_POINT_ONE;
   float other_load = 0;
   float load = (float)state->in_flight + 1;
-  uint32_t age_ticks = choice->now_ticks - state->reported_tick;
+  uint32_t age_ticks = selection->now_ticks - state->reported_tick;
 
   /* An old report would make all gateways select the upstream that was idle
      when the report was made (herding).  The weight of a report therefore
@@ -777,18 +788,18 @@
   if ((state->flags & FLAG_REPORTED) != 0)
     effective_slots += weigh_by_age (state->slots - effective_slots, age_ticks,
                                      BALANCE_REPORT_HALF_MS);
-  other_load = choice->pool->mean_other_load * effective_slots;
+  other_load = selection->pool->mean_other_load * effective_slots;
   if ((state->flags & FLAG_REPORTED) != 0)
     other_load += weigh_by_age (state->other_load - other_load, age_ticks,
                                 BALANCE_REPORT_HALF_MS);
-  effective_slots *= (float)choice->traffic_share;
+  effective_slots *= (float)selection->traffic_share;
   if (other_load > 0)
     load += other_load;
   if (state->penalty > 0)
-    load += decayed_penalty (state, choice->now_ticks);
+    load += decayed_penalty (state, selection->now_ticks);
   if ((state->flags & FLAG_RAMPING) != 0)
     {
-      uint64_t age_ms = (uint64_t)(choice->now_ticks - state->ramp_tick)
+      uint64_t age_ms = (uint64_t)(selection->now_ticks - state->ramp_tick)
                         << TICK_SHIFT;
       double ramp_share = zone_ramp_share (0, BALANCE_RAMP_MS, age_ms);
 
@@ -800,10 +811,10 @@
 }
 
 static bool
-is_selectable (const balance_t *balance, const choice_t *choice,
+is_selectable (const balance_t *balance, const selection_t *selection,
                uint32_t index)
 {
-  const balance_request_t *request = choice->request;
+  const balance_request_t *request = selection->request;
 
   if (balance->states[index].marks != 0)
     return false;
@@ -815,19 +826,20 @@
 
 typedef struct
 {
-  uint32_t index; /* NO_UPSTREAM if there is none.  */
+  /* Index of the upstream; NO_UPSTREAM if no upstream was found.  */
+  uint32_t index;
   float load;
 } candidate_t;
 
 static void
-consider_candidate (const balance_t *balance, const choice_t *choice,
+consider_candidate (const balance_t *balance, const selection_t *selection,
                     uint32_t index, candidate_t *best)
 {
   float load;
 
-  if (!is_selectable (balance, choice, index))
+  if (!is_selectable (balance, selection, index))
     return;
-  load = load_with_request (choice, &balance->states[index]);
+  load = load_with_request (selection, &balance->states[index]);
   if (best->index != NO_UPSTREAM && load >= best->load)
     return;
   best->index = index;
@@ -836,10 +848,11 @@
 
 /* Return the less loaded of two upstreams drawn at random from the subset of
    ZONE_POOL.  A draw that finds no free slot is repeated a few times, because
-   with half of the pool full every fourth pair is full.  If marks and former
-   tries exclude all upstreams drawn, the whole subset is examined.  */
+   with half of the pool full every fourth pair is full.  If marks and earlier
+   attempts of the request exclude all upstreams drawn, the whole subset is
+   examined.  */
 static candidate_t
-choose_best_of_two (const balance_t *balance, const choice_t *choice,
+choose_best_of_two (const balance_t *balance, const selection_t *selection,
                     const zone_pool_t *zone_pool)
 {
   candidate_t best = { NO_UPSTREAM, 0 };
@@ -856,13 +869,15 @@
 
       if (b >= a)
         b++;
-      consider_candidate (balance, choice, zone_pool->subset[a].index, &best);
-      consider_candidate (balance, choice, zone_pool->subset[b].index, &best);
+      consider_candidate (balance, selection, zone_pool->subset[a].index,
+                          &best);
+      consider_candidate (balance, selection, zone_pool->subset[b].index,
+                          &best);
     }
   for (uint32_t i = 0; i < n && best.index == NO_UPSTREAM; i++)
-    consider_candidate (balance, choice, zone_pool->subset[i].index, &best);
+    consider_candidate (balance, selection, zone_pool->subset[i].index, &best);
   if (n == 2)
-    consider_candidate (balance, choice, zone_pool->subset[1].index, &best);
+    consider_candidate (balance, selection, zone_pool->subset[1].index, &best);
   return best;
 }
 
@@ -870,34 +885,36 @@
    slot, or its load is at most BALANCE_AFFINITY_LOAD_FACTOR times the mean
    load of the pool.  */
 static bool
-is_within_affinity_bound (const balance_t *balance, const choice_t *choice,
-                          uint32_t index)
+is_within_affinity_bound (const balance_t *balance,
+                          const selection_t *selection, uint32_t index)
 {
-  float bound = choice->pool->mean_load * (float)BALANCE_AFFINITY_LOAD_FACTOR;
+  float bound
+      = selection->pool->mean_load * (float)BALANCE_AFFINITY_LOAD_FACTOR;
 
   if (bound < 1)
     bound = 1;
-  return is_selectable (balance, choice, index)
-         && load_with_request (choice, &balance->states[index]) <= bound;
+  return is_selectable (balance, selection, index)
+         && load_with_request (selection, &balance->states[index]) <= bound;
 }
 
 /* Return the upstream that has cached the request's prefix according to the
    last cache event.  Return NO_UPSTREAM if there is no valid event, or if the
    upstream is in another zone or no longer serves the pool.  */
 static uint32_t
-hinted_upstream (const balance_t *balance, const choice_t *choice)
+hinted_upstream (const balance_t *balance, const selection_t *selection)
 {
-  uint64_t affinity = choice->request->affinity;
+  uint64_t affinity = selection->request->affinity;
   const cache_hint_t *hint
       = &balance->cache_hints[splitmix64 (affinity) % BALANCE_HINT_TABLE_SIZE];
   uint32_t index;
 
   if (hint->affinity != affinity
-      || ticks_to_ms (choice->now_ticks - hint->tick) > BALANCE_HINT_TTL_MS)
+      || ticks_to_ms (selection->now_ticks - hint->stored_tick)
+             > BALANCE_HINT_TTL_MS)
     return NO_UPSTREAM;
   index = find_index (balance, hint->id);
   if (index == NO_UPSTREAM || balance->states[index].zone != balance->own_zone
-      || !serves_pool (&balance->records[index], choice->request->pool))
+      || !serves_pool (&balance->details[index], selection->request->pool))
     return NO_UPSTREAM;
   return index;
 }
@@ -906,11 +923,11 @@
    hash of the request's affinity, whose load is within the affinity bound.
    Return NO_UPSTREAM if BALANCE_AFFINITY_STEPS_MAX steps find none.  */
 static uint32_t
-choose_by_affinity (const balance_t *balance, const choice_t *choice,
+choose_by_affinity (const balance_t *balance, const selection_t *selection,
                     const zone_pool_t *zone_pool)
 {
-  uint32_t hash = (uint32_t)(splitmix64 (choice->request->affinity) >> 32);
-  uint32_t steps = zone_pool->count;
+  uint32_t hash = (uint32_t)(splitmix64 (selection->request->affinity) >> 32);
+  uint32_t steps = zone_pool->upstream_count;
   uint32_t at;
 
   if (steps > BALANCE_AFFINITY_STEPS_MAX)
@@ -918,9 +935,9 @@
   at = ring_search (zone_pool, hash);
   for (; steps > 0; steps--, at++)
     {
-      if (at >= zone_pool->count)
+      if (at >= zone_pool->upstream_count)
         at = 0;
-      if (is_within_affinity_bound (balance, choice,
+      if (is_within_affinity_bound (balance, selection,
                                     zone_pool->ring[at].index))
         return zone_pool->ring[at].index;
     }
@@ -930,7 +947,7 @@
 /* Return the least loaded candidate in the zones other than the gateway's
    own.  */
 static candidate_t
-choose_in_other_zones (const balance_t *balance, choice_t *choice)
+choose_in_other_zones (const balance_t *balance, selection_t *selection)
 {
   candidate_t best = { NO_UPSTREAM, 0 };
 
@@ -938,12 +955,12 @@
     {
       candidate_t found;
 
-      choice->traffic_share
-          = zone_share (balance->zones[z].zone, choice->now_ms);
-      if (z == balance->own_zone || choice->traffic_share == 0)
+      selection->traffic_share
+          = zone_share (balance->zones[z].zone, selection->now_ms);
+      if (z == balance->own_zone || selection->traffic_share == 0)
         continue;
-      found
-          = choose_best_of_two (balance, choice, &choice->pool->zone_pools[z]);
+      found = choose_best_of_two (balance, selection,
+                                  &selection->pool->zone_pools[z]);
       if (found.index != NO_UPSTREAM
           && (best.index == NO_UPSTREAM || found.load < best.load))
         best = found;
@@ -951,35 +968,36 @@
   return best;
 }
 
-/* Return the upstream for the request of CHOICE, or NO_UPSTREAM.  */
+/* Return the index of the upstream for the request of SELECTION, or
+   NO_UPSTREAM.  */
 static uint32_t
-choose_upstream (const balance_t *balance, choice_t *choice)
+choose_upstream (const balance_t *balance, selection_t *selection)
 {
   const zone_pool_t *own_zone_pool
-      = &choice->pool->zone_pools[balance->own_zone];
+      = &selection->pool->zone_pools[balance->own_zone];
   candidate_t best = { NO_UPSTREAM, 0 };
   candidate_t other;
 
-  choice->traffic_share
-      = zone_share (balance->zones[balance->own_zone].zone, choice->now_ms);
-  if (choice->traffic_share > 0)
+  selection->traffic_share
+      = zone_share (balance->zones[balance->own_zone].zone, selection->now_ms);
+  if (selection->traffic_share > 0)
     {
-      if (choice->request->affinity != BALANCE_NO_AFFINITY)
+      if (selection->request->affinity != BALANCE_NO_AFFINITY)
         {
-          uint32_t index = hinted_upstream (balance, choice);
+          uint32_t index = hinted_upstream (balance, selection);
 
           if (index != NO_UPSTREAM
-              && is_within_affinity_bound (balance, choice, index))
+              && is_within_affinity_bound (balance, selection, index))
             return index;
-          index = choose_by_affinity (balance, choice, own_zone_pool);
+          index = choose_by_affinity (balance, selection, own_zone_pool);
           if (index != NO_UPSTREAM)
             return index;
         }
-      best = choose_best_of_two (balance, choice, own_zone_pool);
+      best = choose_best_of_two (balance, selection, own_zone_pool);
       if (best.index != NO_UPSTREAM && best.load <= 1)
         return best.index;
     }
-  other = choose_in_other_zones (balance, choice);
+  other = choose_in_other_zones (balance, selection);
   if (best.index == NO_UPSTREAM
       || (other.index != NO_UPSTREAM
           && other.load + (float)BALANCE_SPILL_MARGIN < best.load))
@@ -991,15 +1009,15 @@
 balance_pick (balance_t *balance, const balance_request_t *request,
               upstream_id_t *id)
 {
-  choice_t choice = { .request = request };
+  selection_t selection = { .request = request };
   uint32_t index;
 
   if (request->pool >= balance->pool_count)
     return VH_E_NO_UPSTREAM;
-  choice.pool = &balance->pools[request->pool];
-  choice.now_ms = clock_ms (balance->clock);
-  choice.now_ticks = ms_to_ticks (choice.now_ms);
-  index = choose_upstream (balance, &choice);
+  selection.pool = &balance->pools[request->pool];
+  selection.now_ms = clock_ms (balance->clock);
+  selection.now_ticks = ms_to_ticks (selection.now_ms);
+  index = choose_upstream (balance, &selection);
   if (index == NO_UPSTREAM)
     return VH_E_NO_UPSTREAM;
   *id = make_id (balance, index);
@@ -1091,29 +1109,29 @@
 current_load (balance_t *balance, uint32_t index)
 {
   upstream_state_t *state = &balance->states[index];
-  const upstream_record_t *record = &balance->records[index];
-  choice_t choice = { .now_ms = clock_ms (balance->clock) };
+  const upstream_details_t *details = &balance->details[index];
+  selection_t selection = { .now_ms = clock_ms (balance->clock) };
 
-  if (record->pool_count == 0)
+  if (details->pool_count == 0)
     return 0;
-  choice.now_ticks = ms_to_ticks (choice.now_ms);
-  choice.pool = &balance->pools[record->pools[0]];
-  choice.traffic_share
-      = zone_share (balance->zones[state->zone].zone, choice.now_ms);
-  return choice.traffic_share > 0 ? load_with_request (&choice, state)
-                                  : INFINITY;
+  selection.now_ticks = ms_to_ticks (selection.now_ms);
+  selection.pool = &balance->pools[details->pools[0]];
+  selection.traffic_share
+      = zone_share (balance->zones[state->zone].zone, selection.now_ms);
+  return selection.traffic_share > 0 ? load_with_request (&selection, state)
+                                     : INFINITY;
 }
 
 static void
 fill_info (balance_t *balance, uint32_t index, balance_info_t *info)
 {
   const upstream_state_t *state = &balance->states[index];
-  const upstream_record_t *record = &balance->records[index];
+  const upstream_details_t *details = &balance->details[index];
   const named_zone_t *named_zone = &balance->zones[state->zone];
   uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
 
   info->id = make_id (balance, index);
-  info->name = str_make (record->name, record->name_len);
+  info->name = str_make (details->name, details->name_len);
   info->zone = str_make (named_zone->name, named_zone->name_len);
   info->marks = state->marks;
   info->in_flight = state->in_flight;
--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -25,9 +25,10 @@
      one at or after the affinity's hash on a hash ring of the zone.  If the
      load of that upstream exceeds the bound, the next ones on the ring are
      tried.
-   - An upstream or zone that returns counts as smaller than it is until its
-     ramp ends (see zone).  Failures count as load for a while, so that an
-     upstream that fails fast does not appear idle.
+   - The slots of an upstream or zone that returns to service count only in
+     part until its ramp ends (zone_ramp_share in zone.h).  Failures count as
+     load for a while, so that an upstream that fails fast does not appear
+     idle.
 
    Constants:
    - BALANCE_SUBSET_OWN_ZONE 96, BALANCE_SUBSET_OTHER_ZONE 16 for each other
@@ -37,9 +38,10 @@
    - BALANCE_REPORT_HALF_MS 100: the requests in flight are replaced entirely
      within the time of a short request, some hundred milliseconds.  Of 100,
      250, 500 and 1,000, 100 was best with reports up to ten seconds late, and
-     no worse with current ones.  Reported slots decay alike towards the
-     upstream's average, because its concurrency limit probes upwards and
-     downwards all the time.
+     no worse with current ones.  With the same half age, the moving average of
+     an upstream's slots replaces the reported number of slots, because the
+     concurrency limit of an upstream probes upwards and downwards all the
+     time.
    - BALANCE_SPILL_MARGIN 0.25 of a full load: more than the noise between two
      reports, so that zones do not exchange their traffic.
    - BALANCE_AFFINITY_LOAD_FACTOR 1.25: consistent hashing with bounded loads
@@ -156,8 +158,8 @@
 /* Enable ZONE with a ramp if ENABLED is set, otherwise disable it.  */
 void balance_set_zone_enabled (balance_t *balance, str_t zone, bool enabled);
 
-/* Record a load report that was made AGE_MS ago.  One that is older than the
-   last report is ignored.  */
+/* Record a load report that was made AGE_MS ago.  A report that is older than
+   the last one is ignored.  */
 void balance_record_load (balance_t *balance, upstream_id_t id,
                           const balance_load_t *load, uint64_t age_ms);
 /* Record a cache event: upstream ID has the prefix AFFINITY in its cache if
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
+  /* Fields of a cell of crdt.h; field 0 is the number of additions.  */
   FIELD_REQUESTS = 1,
   FIELD_UNANSWERED,
   FIELD_FIRST_TOKENS,
@@ -76,7 +76,8 @@
 #undef X
 };
 
-/* One name of one split of one objective.  */
+/* The sums of one objective for one name in one dimension, such as one
+   team.  */
 typedef struct
 {
   uint64_t hash;
@@ -88,8 +89,8 @@
 
 typedef struct
 {
-  burn_objective_t
-      settings; /* Its strings point to the fields NAME and TEAM below.  */
+  /* The objective; its strings point to NAME and TEAM below.  */
+  burn_objective_t settings;
   char *name;
   char *team;
   uint64_t hash;
@@ -161,8 +162,8 @@
   return map_get (b->by_hash, str_make ((const char *)&hash, sizeof hash));
 }
 
-/* Return the series of NAME, created on first use.  Without room, return that
-   of "other"; NULL if there is none.  */
+/* Return the series of NAME, created on first use.  If all series are in use,
+   return the series of the name "other", or NULL if there is none.  */
 static series_t *
 series_find_or_add (burn_t *b, uint64_t objective, burn_split_t split,
                     str_t name)
@@ -203,7 +204,8 @@
       o->settings.team = str_from (o->team);
       o->hash = str_hash (o->settings.name, 0x62);
       series_find_or_add (b, o->hash, BURN_ALL, STR ("all"));
-      /* Reserved, so that names above the limit have a series.  */
+      /* The series of "other" are created first, for the names that find no
+         room later.  */
       for (int split = BURN_TEAM; split < BURN_SPLIT_COUNT; split++)
         series_find_or_add (b, o->hash, (burn_split_t)split, STR ("other"));
     }
@@ -369,7 +371,7 @@
   return r;
 }
 
-/* Sum the epochs FIRST to LAST of series S in TIER.  */
+/* Add the sums of series S in the epochs FIRST to LAST of TIER to FIELDS.  */
 static void
 sum_epochs (const burn_t *b, const series_t *s, int tier, uint64_t first,
             uint64_t last, int64_t out[FIELDS])
@@ -423,7 +425,7 @@
                .rate;
 }
 
-/* One kind of one objective in the report.  */
+/* A line of the report: one objective and one kind of requirement.  */
 typedef struct
 {
   const objective_entry_t *objective;
@@ -482,9 +484,9 @@
   return strcmp (left->series->name, right->series->name);
 }
 
-/* Collect all names of LINE's objective that were measured in three days,
-   sorted by their harm in the last hour, largest first.  Return their
-   number.  */
+/* Store the names for which the objective of LINE was measured in the last
+   three days, sorted by their harm in the last hour, largest first.  Return
+   their number.  */
 static size_t
 collect_contributors (const burn_t *b, const report_line_t *line,
                       uint64_t now_ms, contributor_t out[BURN_SERIES_MAX])
@@ -684,7 +686,8 @@
               PLOT_LEFT, PLOT_WIDTH, y, y, PLOT_LEFT - 4, y + 4, label);
 }
 
-/* Append a bar chart of the burn rate by hour over the last three days.  */
+/* Append an HTML bar chart of the burn rate in each hour of the last three
+   days.  */
 static void
 append_html_plot (const burn_t *b, const report_line_t *line, uint64_t now_ms,
                   buf_t *out)
@@ -738,7 +741,7 @@
               PLOT_LEFT, PLOT_HEIGHT - 4, PLOT_WIDTH, PLOT_HEIGHT - 4);
 }
 
-/* Append a bar of the remaining budget.  */
+/* Append an HTML bar that shows the remaining budget.  */
 static void
 append_html_budget_bar (const report_line_t *line, buf_t *out)
 {
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -1,19 +1,20 @@
 /* Burn rates of service-level objectives: how fast each error budget is spent.
 
    Load pattern: an objective is in danger, and the operator must see it early,
-   with the team, model, version or zone that spends the budget.  Without this
-   module a mean over the day hides an hour of failures, and an alert on any
-   failure is raised so often that it is ignored.
+   with the team, model, version or zone that causes most of the harm.  Without
+   this module a mean over the day hides an hour of failures, and an alert on
+   any failure is raised so often that it is ignored.
 
    Each objective has a budget, the share (or amount) of harm that it allows.
    The burn rate is harm divided by budget: at 1 the budget is spent exactly,
    at 14.4 a fiftieth of a thirty days' budget is spent in an hour.  Four
-   windows are kept: 5 minutes, 1 hour, 6 hours and 3 days, the pairs of "The
-   Site Reliability Workbook" (2018), chapter 5.  Both windows of a pair must
-   burn, so that an alert is neither raised by a short peak nor kept up after
-   the problem has ended.  BURN_PAGE_RATE for 5 minutes and 1 hour, and
-   BURN_TICKET_RATE for 6 hours and 3 days, are the book's figures.  The
-   remaining budget is that of three days.
+   windows are kept: 5 minutes, 1 hour, 6 hours and 3 days, in the pairs of
+   "The Site Reliability Workbook" (2018), chapter 5.  An alert needs a burn
+   rate above the pair's threshold in both windows of a pair, so that a short
+   peak raises no alert, and the alert ends soon after the problem.
+   BURN_PAGE_RATE for 5 minutes and 1 hour, and BURN_TICKET_RATE for 6 hours
+   and 3 days, are the book's figures.  The remaining budget is that of three
+   days.
 
    Cost and memory are bounded: sums are kept for the whole service and for
    each team, model, version and zone by itself, not for their combinations,
@@ -32,17 +33,18 @@
 enum
 {
   BURN_OBJECTIVES_MAX = 16,
-  /* Largest number of pairs of an objective and a name.  */
+  /* Largest number of combinations of an objective and the name of a team,
+     model, version or zone.  */
   BURN_SERIES_MAX = 256,
-  /* Largest number of cells that one process fills: all names in each of the
-     hours kept.  */
+  /* Largest number of cells that one process fills: one for each name in each
+     of the hours kept.  */
   BURN_CELLS_DEFAULT = 20480
 };
 
 #define BURN_PAGE_RATE 14.4
 #define BURN_TICKET_RATE 1.0
 
-/* X (symbol, name, seconds).  */
+/* X (symbol, name, seconds): windows over which burn rates are computed.  */
 #define BURN_WINDOWS(X)                                                       \
   X (BURN_5M, "5m", 300)                                                      \
   X (BURN_1H, "1h", 3600)                                                     \
@@ -89,7 +91,7 @@
       BURN_SPLIT_COUNT
 } burn_split_t;
 
-/* The fields mean the same as the configuration's in [objective]; 0 if the
+/* An objective, as configured in a section [objective].  A field is 0 if the
    objective has no such requirement.  */
 typedef struct
 {
@@ -113,7 +115,7 @@
   str_t zone;
   bool answered;
   double first_token_ms;
-  /* Longest gap, or a high percentile of the gaps.  */
+  /* Longest time between two tokens, or a high percentile of these times.  */
   double between_tokens_ms;
   double rating; /* NaN if not rated.  */
   double cost;
@@ -122,17 +124,18 @@
 /* Harm, count and burn rate of one kind of requirement in one window.  */
 typedef struct
 {
-  double count; /* Number of requests, or of ratings, that were measured.  */
-  double harm;  /* Number of failed or late ones; or the sum of what their
-                   ratings lack to 1, or of their costs.  */
+  double count; /* Number of requests that were measured, or of ratings.  */
+  double harm;  /* Number of failed or late requests, or the sum of 1 - rating
+                   over the ratings, or the sum of the request costs.  */
   double rate;  /* Burn rate; at 1 the budget is spent exactly.  */
 } burn_rate_t;
 
-/* WRITER is that of crdt.h.  CELLS_MAX bounds the memory (about 1 KB for
-   each cell); a process that merges the states of many others needs more than
-   the default.  */
+/* Return new burn rates without objectives, owned by the caller.  WRITER is
+   unique to each start of each process (see crdt.h).  CELLS_MAX bounds the
+   memory (about 1 KB for each cell); a process that merges the states of many
+   others needs more than the default.  */
 burn_t *burn_create (uint64_t writer, uint32_t cells_max);
-/* NULL is accepted.  */
+/* Free BURN, which may be NULL.  */
 void burn_destroy (burn_t *burn);
 
 /* Replace the objectives.  Sums are kept under an objective's name: if only
@@ -160,7 +163,8 @@
 double burn_budget_left (const burn_t *burn, size_t index, burn_kind_t kind,
                          uint64_t now_ms);
 
-/* Append the report.  The HTML page loads no other files.  */
+/* Append a report on all objectives to OUT, as text, as JSON or as an HTML
+   page that loads no other files.  */
 void burn_write_text (const burn_t *burn, uint64_t now_ms, buf_t *out);
 void burn_write_json (const burn_t *burn, uint64_t now_ms, buf_t *out);
 void burn_write_html (const burn_t *burn, uint64_t now_ms, buf_t *out);
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -8,20 +8,23 @@
 
 enum
 {
-  /* Index of each sum in an evidence cell; index 0 is the number of samples.
-   */
-  FIELD_FIRST_COUNT = 1, /* Number of first ratings in the bin.  */
-  FIELD_AUDIT_COUNT,     /* Number of audits of first or second answers.  */
+  /* Fields of a cell of crdt.h, which holds one bin of a curve; field 0 is the
+     number of samples.  */
+  FIELD_FIRST_RATING_COUNT = 1, /* Number of first ratings in the bin.  */
+  FIELD_AUDIT_COUNT, /* Number of audits in the bin: of answers of the first
+                        version in a cell of a single version, of answers of
+                        the second version in a cell of a pair.  */
   FIELD_AUDIT_SUM,
   FIELD_AUDIT_SQUARES,
   FIELDS,
   CACHE_MS = 1000,
-  /* Weight of the ratings of the strongest version from which on its direct
-     answers are no longer all rated.  A version that is chosen for its upper
-     bound alone must get ratings soon.  */
+  /* Number of decayed ratings of the strongest version below which all its
+     direct answers are rated.  A version that is chosen for its upper bound
+     alone must get ratings soon.  */
   WELL_KNOWN_RATINGS = 50,
-  /* Fewest first ratings for a cascade.  With fewer ratings the share of a bin
-     has an error of 0.1 or more.  */
+  /* Fewest first ratings of a cheap version with which a cascade is planned.
+     With fewer ratings the estimated share of a bin has an error of 0.1 or
+     more.  */
   CURVE_RATINGS_MIN = 60,
   /* Number of audits of a pair at which the share of audits has halved.  */
   AUDIT_HALVING_COUNT = 1500,
@@ -39,32 +42,33 @@
 /* Largest share of the requests that explore, whatever the cost.  */
 #define EXPLORE_SHARE_MAX 0.25
 
-/* Largest ratio of the cost (or latency) of a pair to that of the plan in use
-   for which the pair is explored.  A gain of a twentieth is about the cost of
-   exploration.  */
+/* Largest ratio of the cost (or latency) of a pair of a cheap and a strong
+   version to that of the plan in use for which the pair is explored.  A gain
+   of a twentieth is about the cost of exploration.  */
 #define PROMISING_RATIO_MAX 0.95
-/* Distance of the upper bound from the mean, relative to that of the lower
-   bound.  A ratio of 2 gives a bound of about 99.9%, so that a pair whose
-   first ratings were low by chance is explored again.  */
+/* Distance of the upper bound of a cascade's expected rating from its mean,
+   relative to that of the one-sided 95% lower bound.  With a ratio of 2 the
+   upper bound is a two-sided 99.9% bound, so that a pair of a cheap and a
+   strong version whose first ratings were low by chance is explored again.  */
 #define UPPER_BOUND_RATIO 2.0
 
 typedef struct
 {
-  bool filled;
-  uint64_t at_ms;   /* Time at which the sums were computed.  */
-  uint64_t changes; /* State of the evidence at AT_MS (crdt_change_count).  */
-  double first_count;   /* Number of first ratings.  */
-  double audit_count;   /* Number of audits.  */
-  double audit_sum;     /* Sum of the audit ratings.  */
-  double audit_squares; /* Sum of the squares of the audit ratings.  */
+  bool is_filled;
+  uint64_t computed_ms;      /* Time at which the sums were computed.  */
+  uint64_t change_count;     /* Result of crdt_change_count at COMPUTED_MS.  */
+  double first_rating_count; /* Number of first ratings.  */
+  double audit_count;        /* Number of audits.  */
+  double audit_sum;          /* Sum of the audit ratings.  */
+  double audit_square_sum;   /* Sum of the squares of the audit ratings.  */
 } decayed_sums_t;
 
 struct cascade
 {
-  crdt_t *evidence;
+  crdt_t *rating_crdt;
   decayed_sums_t *cache; /* Decayed sums by key index.  */
   /* Weight of an epoch by its age in epochs.  */
-  double decay[CASCADE_EPOCHS + 1];
+  double epoch_decay[CASCADE_EPOCHS + 1];
   uint64_t plan_counts[CASCADE_REASON_COUNT]; /* Number of plans by reason.  */
 };
 
@@ -73,7 +77,7 @@
 typedef struct
 {
   decayed_sums_t bins[CASCADE_BINS];
-  double first_count;
+  double first_rating_count;
   double audit_count;
   double audit_sum;
 } curve_t;
@@ -89,10 +93,10 @@
                                    .cells_max = CASCADE_CELLS_MAX };
   cascade_t *c = mem_zalloc (sizeof *c);
 
-  c->evidence = crdt_create (&options);
+  c->rating_crdt = crdt_create (&options);
   c->cache = mem_zalloc (CASCADE_KEYS_MAX * sizeof *c->cache);
   for (int age = 0; age <= CASCADE_EPOCHS; age++)
-    c->decay[age]
+    c->epoch_decay[age]
         = exp2 (-(double)age * CASCADE_EPOCH_MS / QUALITY_HALF_LIFE_MS);
   return c;
 }
@@ -102,13 +106,13 @@
 {
   if (c == NULL)
     return;
-  crdt_destroy (c->evidence);
+  crdt_destroy (c->rating_crdt);
   free (c->cache);
   free (c);
 }
 
-/* Return the hash of the curve of the pair FIRST and SECOND, or of FIRST alone
-   when SECOND is STR_NULL.  */
+/* Return the hash that identifies the curve of the versions FIRST and SECOND,
+   or of FIRST alone when SECOND is STR_NULL.  */
 static uint64_t
 curve_hash (str_t task, str_t first, str_t second)
 {
@@ -137,7 +141,7 @@
 
   if (isnan (rating))
     return;
-  sample[FIELD_FIRST_COUNT] = is_first;
+  sample[FIELD_FIRST_RATING_COUNT] = is_first;
   if (!isnan (audit))
     {
       double clipped = fmax (0, fmin (1, audit));
@@ -145,9 +149,9 @@
       sample[FIELD_AUDIT_SUM] = crdt_to_fixed_point (clipped);
       sample[FIELD_AUDIT_SQUARES] = crdt_to_fixed_point (clipped * clipped);
     }
-  int key
-      = crdt_key_find_or_add (c->evidence, bin_hash (curve, bin_of (rating)));
-  crdt_add (c->evidence, key, now_ms, sample);
+  int key = crdt_key_find_or_add (c->rating_crdt,
+                                  bin_hash (curve, bin_of (rating)));
+  crdt_add (c->rating_crdt, key, now_ms, sample);
 }
 
 void
@@ -171,31 +175,35 @@
 compute_sums (const cascade_t *c, int key, uint64_t now_ms,
               decayed_sums_t *out)
 {
-  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
-  uint64_t last = crdt_last_epoch (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->rating_crdt, now_ms);
+  uint64_t last = crdt_last_epoch (c->rating_crdt);
 
-  *out = (decayed_sums_t){ .filled = true,
-                           .at_ms = now_ms,
-                           .changes = crdt_change_count (c->evidence) };
-  for (uint64_t epoch = crdt_first_epoch (c->evidence); epoch <= last; epoch++)
+  *out
+      = (decayed_sums_t){ .is_filled = true,
+                          .computed_ms = now_ms,
+                          .change_count = crdt_change_count (c->rating_crdt) };
+  for (uint64_t epoch = crdt_first_epoch (c->rating_crdt); epoch <= last;
+       epoch++)
     {
-      const int64_t *sums = crdt_sums (c->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (c->rating_crdt, key, epoch);
       if (sums == NULL)
         continue;
       uint64_t age = now_epoch > epoch ? now_epoch - epoch : 0;
-      double decay = c->decay[age < CASCADE_EPOCHS ? age : CASCADE_EPOCHS];
-      out->first_count += decay * (double)sums[FIELD_FIRST_COUNT];
+      double decay
+          = c->epoch_decay[age < CASCADE_EPOCHS ? age : CASCADE_EPOCHS];
+      out->first_rating_count
+          += decay * (double)sums[FIELD_FIRST_RATING_COUNT];
       out->audit_count += decay * (double)sums[FIELD_AUDIT_COUNT];
       out->audit_sum
           += decay * (double)sums[FIELD_AUDIT_SUM] / CRDT_FIXED_POINT_ONE;
-      out->audit_squares
+      out->audit_square_sum
           += decay * (double)sums[FIELD_AUDIT_SQUARES] / CRDT_FIXED_POINT_ONE;
     }
 }
 
-/* Return the decayed sums of KEY.  They are recomputed when the evidence has
-   changed and they are older than CACHE_MS, and after a quarter of an epoch in
-   any case.  */
+/* Return the decayed sums of KEY.  The sums are recomputed when a rating was
+   added or merged and the sums are older than CACHE_MS, and after a quarter of
+   an epoch in any case.  */
 static const decayed_sums_t *
 get_sums (cascade_t *c, int key, uint64_t now_ms)
 {
@@ -204,25 +212,25 @@
   if (key < 0)
     return &none;
   decayed_sums_t *cache = &c->cache[key];
-  bool is_stale = now_ms - cache->at_ms >= CACHE_MS
-                  && (cache->changes != crdt_change_count (c->evidence)
-                      || now_ms - cache->at_ms >= CASCADE_EPOCH_MS / 4);
-  if (!cache->filled || now_ms < cache->at_ms || is_stale)
+  bool is_stale = now_ms - cache->computed_ms >= CACHE_MS
+                  && (cache->change_count != crdt_change_count (c->rating_crdt)
+                      || now_ms - cache->computed_ms >= CASCADE_EPOCH_MS / 4);
+  if (!cache->is_filled || now_ms < cache->computed_ms || is_stale)
     compute_sums (c, key, now_ms, cache);
   return cache;
 }
 
 static void
-load_curve (cascade_t *c, uint64_t hash, uint64_t now_ms, curve_t *curve)
+compute_curve (cascade_t *c, uint64_t hash, uint64_t now_ms, curve_t *curve)
 {
-  curve->first_count = 0;
+  curve->first_rating_count = 0;
   curve->audit_count = 0;
   curve->audit_sum = 0;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      int key = crdt_key_find (c->evidence, bin_hash (hash, b));
+      int key = crdt_key_find (c->rating_crdt, bin_hash (hash, b));
       curve->bins[b] = *get_sums (c, key, now_ms);
-      curve->first_count += curve->bins[b].first_count;
+      curve->first_rating_count += curve->bins[b].first_rating_count;
       curve->audit_count += curve->bins[b].audit_count;
       curve->audit_sum += curve->bins[b].audit_sum;
     }
@@ -234,8 +242,9 @@
   return ((double)bin + 0.5) / CASCADE_BINS;
 }
 
-/* Return the variance of an audit around the mean of its bin, pooled over the
-   bins.  Within a bin audits vary far less than over all bins.  */
+/* Return the variance of the audit ratings around the mean of their bin,
+   pooled over the bins.  Within a bin audits vary far less than over all
+   bins.  */
 static double
 pooled_variance (const curve_t *curve)
 {
@@ -245,20 +254,20 @@
     {
       const decayed_sums_t *bin = &curve->bins[b];
       if (bin->audit_count > 0)
-        squared_deviations += fmax (0, bin->audit_squares
+        squared_deviations += fmax (0, bin->audit_square_sum
                                            - bin->audit_sum * bin->audit_sum
                                                  / bin->audit_count);
     }
   return squared_deviations / (QUALITY_PRIOR_WEIGHT + curve->audit_count);
 }
 
-/* Regression line of the audit on the first rating, through the means of the
-   bins.  The slope is the share of the variance of a rating that comes from
-   the answer and not from noise; the prior is a half.  */
+/* Regression line of the audit rating on the first rating, fitted to the means
+   of the bins.  The slope is the share of the variance of a rating that comes
+   from the answer and not from noise; the prior is a half.  */
 typedef struct
 {
   double mean_rating; /* Mean first rating of the audited answers.  */
-  double mean_audit;  /* Expected audit at MEAN_RATING.  */
+  double mean_audit;  /* Expected audit rating at MEAN_RATING.  */
   double slope;
 } regression_t;
 
@@ -270,8 +279,8 @@
       = { .mean_rating = QUALITY_PRIOR_WEIGHT * mean,
           .mean_audit
           = (QUALITY_PRIOR_WEIGHT * mean + curve->audit_sum) / weight };
-  double cross_products = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE * 0.5;
-  double squares = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
+  double cross_product_sum = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE * 0.5;
+  double square_sum = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     line.mean_rating += curve->bins[b].audit_count * bin_center (b);
@@ -280,16 +289,16 @@
     {
       const decayed_sums_t *bin = &curve->bins[b];
       double x = bin_center (b) - line.mean_rating;
-      cross_products
+      cross_product_sum
           += x * (bin->audit_sum - bin->audit_count * line.mean_audit);
-      squares += x * x * bin->audit_count;
+      square_sum += x * x * bin->audit_count;
     }
-  line.slope = fmax (0, fmin (1, cross_products / squares));
+  line.slope = fmax (0, fmin (1, cross_product_sum / square_sum));
   return line;
 }
 
-/* Store the posterior of the first version's answers by bin of their rating in
-   OUT.  */
+/* Store in OUT, by bin of the first rating, the posterior quality of the first
+   version's answers.  */
 static void
 compute_first_posteriors (const curve_t *curve, double mean,
                           quality_bound_t *out)
@@ -303,7 +312,7 @@
       double prior
           = line.mean_audit + line.slope * (bin_center (b) - line.mean_rating);
       out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
-                                  bin->audit_squares,
+                                  bin->audit_square_sum,
                                   fmax (0, fmin (1, prior)), variance);
     }
 }
@@ -311,9 +320,9 @@
 /* Expected result of a cascade with a given threshold.  */
 typedef struct
 {
-  double mean;      /* Expected rating.  */
-  double lower;     /* Lower bound of the expected rating.  */
-  double escalated; /* Share of the requests that escalate.  */
+  double mean;            /* Expected rating.  */
+  double lower;           /* Lower bound of the expected rating.  */
+  double escalated_share; /* Share of the requests that escalate.  */
 } outcome_t;
 
 static outcome_t
@@ -329,7 +338,8 @@
     {
       const quality_bound_t *q
           = b < threshold_bin ? &second_bins[b] : &first_bins[b];
-      double share = first->bins[b].first_count / first->first_count;
+      double share
+          = first->bins[b].first_rating_count / first->first_rating_count;
       double error = (q->mean - q->lower) / QUALITY_Z_ONE_SIDED_95;
       mean += share * q->mean;
       mean_of_squares += share * q->mean * q->mean;
@@ -337,7 +347,8 @@
       escalated += b < threshold_bin ? share : 0;
     }
   /* The share of each bin is an estimate, whose error adds to the variance. */
-  variance += fmax (0, mean_of_squares - mean * mean) / first->first_count;
+  variance
+      += fmax (0, mean_of_squares - mean * mean) / first->first_rating_count;
   return (outcome_t){ mean, mean - QUALITY_Z_ONE_SIDED_95 * sqrt (variance),
                       escalated };
 }
@@ -348,14 +359,14 @@
   cascade_t *cascade;
   const cascade_request_t *request;
   uint64_t now_ms;
-  size_t count;          /* Number of candidates considered.  */
-  double time_budget_ms; /* Time that a plan may take in total.  */
+  size_t candidate_count; /* Number of candidates considered.  */
+  double time_budget_ms;  /* Time that a plan may take in total.  */
   size_t strongest; /* Index of the strongest candidate; SIZE_MAX if none is in
                        time.  */
 } decision_t;
 
 static const cascade_candidate_t *
-candidate (const decision_t *d, size_t index)
+candidate_at (const decision_t *d, size_t index)
 {
   return &d->request->candidates[index];
 }
@@ -375,16 +386,17 @@
 {
   const cascade_request_t *r = d->request;
   double first_rated_ms
-      = candidate (d, first)->latency_ms + r->rating_latency_ms;
+      = candidate_at (d, first)->latency_ms + r->rating_latency_ms;
 
   return r->is_rater_available
          && (!r->streaming || first_rated_ms <= (double)r->first_byte_ms)
-         && first_rated_ms + candidate (d, second)->latency_ms
+         && first_rated_ms + candidate_at (d, second)->latency_ms
                 <= d->time_budget_ms;
 }
 
-/* Store the posterior of the second version's answers by bin of the first
-   rating in OUT.  MEAN is the mean rating of the second version.  */
+/* Store in OUT, by bin of the first rating, the posterior quality of the
+   second version's answers.  MEAN is the mean rating of the second
+   version.  */
 static void
 compute_second_posteriors (const curve_t *second_curve,
                            const quality_bound_t *first_bins, double mean,
@@ -401,15 +413,15 @@
       prior = (QUALITY_PRIOR_WEIGHT * prior + second_curve->audit_sum)
               / (QUALITY_PRIOR_WEIGHT + second_curve->audit_count);
       out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
-                                  bin->audit_squares, prior, variance);
+                                  bin->audit_square_sum, prior, variance);
     }
 }
 
 /* The bound of the expected rating that is compared with the target.  */
 typedef enum
 {
-  BOUND_LOWER, /* Lower bound; decides on plans that are used.  */
-  BOUND_UPPER  /* Upper bound; decides on pairs that may be explored.  */
+  BOUND_LOWER, /* Lower bound; decides which plans are used.  */
+  BOUND_UPPER  /* Upper bound; decides which pairs may be explored.  */
 } bound_side_t;
 
 static double
@@ -429,18 +441,18 @@
                 bound_side_t side, cascade_plan_t *plan)
 {
   const cascade_request_t *r = d->request;
-  const cascade_candidate_t *a = candidate (d, first);
-  const cascade_candidate_t *b = candidate (d, second);
+  const cascade_candidate_t *a = candidate_at (d, first);
+  const cascade_candidate_t *b = candidate_at (d, second);
   quality_bound_t first_bins[CASCADE_BINS];
   quality_bound_t second_bins[CASCADE_BINS];
   curve_t first_curve, second_curve;
 
-  load_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
-              d->now_ms, &first_curve);
-  if (first_curve.first_count < CURVE_RATINGS_MIN)
+  compute_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
+                 d->now_ms, &first_curve);
+  if (first_curve.first_rating_count < CURVE_RATINGS_MIN)
     return false;
-  load_curve (d->cascade, curve_hash (r->task, a->version, b->version),
-              d->now_ms, &second_curve);
+  compute_curve (d->cascade, curve_hash (r->task, a->version, b->version),
+                 d->now_ms, &second_curve);
   compute_first_posteriors (&first_curve, a->quality.mean, first_bins);
   compute_second_posteriors (&second_curve, first_bins, b->quality.mean,
                              second_bins);
@@ -461,9 +473,10 @@
           = previous_bound >= r->target
                 ? 0
                 : (r->target - previous_bound) / (bound - previous_bound);
-      double escalated = previous.escalated
-                         + upper_edge_probability
-                               * (outcome.escalated - previous.escalated);
+      double escalated
+          = previous.escalated_share
+            + upper_edge_probability
+                  * (outcome.escalated_share - previous.escalated_share);
       double audit = audit_probability (
           fmin (first_curve.audit_count, second_curve.audit_count));
       *plan = (cascade_plan_t){
@@ -491,7 +504,7 @@
 static cascade_plan_t
 make_direct_plan (const decision_t *d, size_t index, cascade_reason_t reason)
 {
-  const cascade_candidate_t *c = candidate (d, index);
+  const cascade_candidate_t *c = candidate_at (d, index);
 
   return (cascade_plan_t){ .kind = CASCADE_DIRECT,
                            .reason = reason,
@@ -517,10 +530,10 @@
   return a->latency_ms < b->latency_ms;
 }
 
-/* Return whether A may be stronger than B, by the upper bound of their quality
-   and then by cost.  With the mean, a good version with many ratings would
-   permanently rank above a better one without ratings; by its upper bound the
-   version without ratings is tried.  */
+/* Return whether A counts as stronger than B, by the upper bound of their
+   quality and then by cost.  With the mean, a good version with many ratings
+   would permanently rank above a better one without ratings; by its upper
+   bound the version without ratings is tried.  */
 static bool
 is_stronger (const cascade_candidate_t *a, const cascade_candidate_t *b)
 {
@@ -536,10 +549,10 @@
 {
   size_t best = SIZE_MAX;
 
-  for (size_t i = 0; i < d->count; i++)
-    if (candidate (d, i)->latency_ms <= d->time_budget_ms
+  for (size_t i = 0; i < d->candidate_count; i++)
+    if (candidate_at (d, i)->latency_ms <= d->time_budget_ms
         && (best == SIZE_MAX
-            || is_stronger (candidate (d, i), candidate (d, best))))
+            || is_stronger (candidate_at (d, i), candidate_at (d, best))))
       best = i;
   return best;
 }
@@ -549,8 +562,8 @@
 {
   size_t best = 0;
 
-  for (size_t i = 1; i < d->count; i++)
-    if (candidate (d, i)->latency_ms < candidate (d, best)->latency_ms)
+  for (size_t i = 1; i < d->candidate_count; i++)
+    if (candidate_at (d, i)->latency_ms < candidate_at (d, best)->latency_ms)
       best = i;
   return best;
 }
@@ -561,9 +574,9 @@
 static bool
 has_pair_in_time (const decision_t *d, cascade_reason_t *obstacle)
 {
-  for (size_t i = 0; i < d->count; i++)
-    for (size_t j = 0; j < d->count; j++)
-      if (candidate (d, i)->cost < candidate (d, j)->cost
+  for (size_t i = 0; i < d->candidate_count; i++)
+    for (size_t j = 0; j < d->candidate_count; j++)
+      if (candidate_at (d, i)->cost < candidate_at (d, j)->cost
           && is_pair_in_time (d, i, j))
         return true;
   if (!d->request->is_rater_available)
@@ -585,9 +598,9 @@
       = prefers_latency ? CASCADE_R_FASTEST : CASCADE_R_CHEAPEST;
   bool found = false;
 
-  for (size_t i = 0; i < d->count; i++)
+  for (size_t i = 0; i < d->candidate_count; i++)
     {
-      const cascade_candidate_t *c = candidate (d, i);
+      const cascade_candidate_t *c = candidate_at (d, i);
       cascade_plan_t plan = make_direct_plan (d, i, reason);
       if (c->quality.lower < d->request->target
           || c->latency_ms > d->time_budget_ms)
@@ -596,11 +609,11 @@
         *best = plan;
       found = true;
     }
-  for (size_t i = 0; i < d->count; i++)
-    for (size_t j = 0; j < d->count; j++)
+  for (size_t i = 0; i < d->candidate_count; i++)
+    for (size_t j = 0; j < d->candidate_count; j++)
       {
         cascade_plan_t plan;
-        if (candidate (d, i)->cost >= candidate (d, j)->cost
+        if (candidate_at (d, i)->cost >= candidate_at (d, j)->cost
             || !is_pair_in_time (d, i, j)
             || !find_pair_plan (d, i, j, BOUND_LOWER, &plan)
             || (found && !is_preferred (d, &plan, best)))
@@ -622,13 +635,13 @@
   cascade_plan_t plan;
   curve_t first_curve;
 
-  load_curve (
-      d->cascade,
-      curve_hash (d->request->task, candidate (d, first)->version, STR_NULL),
-      d->now_ms, &first_curve);
-  if (best == NULL || first_curve.first_count < CURVE_RATINGS_MIN)
+  compute_curve (d->cascade,
+                 curve_hash (d->request->task,
+                             candidate_at (d, first)->version, STR_NULL),
+                 d->now_ms, &first_curve);
+  if (best == NULL || first_curve.first_rating_count < CURVE_RATINGS_MIN)
     return true;
-  /* The plan in use provides ratings of its own pair.  */
+  /* The plan in use already provides ratings of its pair of versions.  */
   if (best->kind == CASCADE_TWO_STAGE && best->first == first
       && best->second == second)
     return false;
@@ -644,10 +657,10 @@
 static bool
 may_explore (const decision_t *d, size_t first, size_t second)
 {
-  const cascade_candidate_t *b = candidate (d, second);
+  const cascade_candidate_t *b = candidate_at (d, second);
 
   return (second == d->strongest || b->quality.lower >= d->request->target)
-         && candidate (d, first)->cost < b->cost
+         && candidate_at (d, first)->cost < b->cost
          && is_pair_in_time (d, first, second);
 }
 
@@ -660,15 +673,15 @@
   double below_count = 0;
   curve_t first_curve;
 
-  load_curve (
-      d->cascade,
-      curve_hash (d->request->task, candidate (d, first)->version, STR_NULL),
-      d->now_ms, &first_curve);
-  if (first_curve.first_count < CURVE_RATINGS_MIN)
+  compute_curve (d->cascade,
+                 curve_hash (d->request->task,
+                             candidate_at (d, first)->version, STR_NULL),
+                 d->now_ms, &first_curve);
+  if (first_curve.first_rating_count < CURVE_RATINGS_MIN)
     return 1;
   for (size_t b = 0; b <= target_bin; b++)
-    below_count += first_curve.bins[b].first_count;
-  return below_count / first_curve.first_count;
+    below_count += first_curve.bins[b].first_rating_count;
+  return below_count / first_curve.first_rating_count;
 }
 
 /* Store an exploring plan in *PLAN: a cascade of a cheaper version and a more
@@ -682,8 +695,8 @@
   bool any_pair = rng_below (rng, EXPLORE_ANY_INTERVAL) == 0;
   size_t pair_count = 0;
 
-  for (size_t i = 0; i < d->count; i++)
-    for (size_t j = 0; j < d->count; j++)
+  for (size_t i = 0; i < d->candidate_count; i++)
+    for (size_t j = 0; j < d->candidate_count; j++)
       {
         if (!may_explore (d, i, j)
             || (!any_pair && !is_promising (d, i, j, best))
@@ -698,9 +711,9 @@
         plan->cost
             += 2 * d->request->rating_cost
                + share_below_target (d, i)
-                     * (candidate (d, j)->cost + d->request->rating_cost);
+                     * (candidate_at (d, j)->cost + d->request->rating_cost);
         plan->latency_ms
-            += d->request->rating_latency_ms + candidate (d, j)->latency_ms;
+            += d->request->rating_latency_ms + candidate_at (d, j)->latency_ms;
       }
   if (pair_count > 0 && rng_below (rng, EXPLORE_DIRECT_INTERVAL) == 0)
     {
@@ -734,19 +747,19 @@
     plan->threshold -= 1.0 / CASCADE_BINS;
 }
 
-/* Draw whether PLAN, a cascade, is audited.  */
+/* Return, at random, whether PLAN, which is a cascade, is audited.  */
 static bool
 draw_audit (const decision_t *d, rng_t *rng, const cascade_plan_t *plan)
 {
   const cascade_request_t *r = d->request;
-  str_t first = candidate (d, plan->first)->version;
-  str_t second = candidate (d, plan->second)->version;
+  str_t first = candidate_at (d, plan->first)->version;
+  str_t second = candidate_at (d, plan->second)->version;
   curve_t first_curve, second_curve;
 
-  load_curve (d->cascade, curve_hash (r->task, first, STR_NULL), d->now_ms,
-              &first_curve);
-  load_curve (d->cascade, curve_hash (r->task, first, second), d->now_ms,
-              &second_curve);
+  compute_curve (d->cascade, curve_hash (r->task, first, STR_NULL), d->now_ms,
+                 &first_curve);
+  compute_curve (d->cascade, curve_hash (r->task, first, second), d->now_ms,
+                 &second_curve);
   return rng_double (rng) < audit_probability (
              fmin (first_curve.audit_count, second_curve.audit_count));
 }
@@ -758,10 +771,10 @@
   cascade_reason_t obstacle = CASCADE_R_NO_BOUND;
   cascade_plan_t plan;
 
-  if (d->count == 0)
+  if (d->candidate_count == 0)
     return (cascade_plan_t){ .kind = CASCADE_NONE,
                              .reason = CASCADE_R_NO_CANDIDATE };
-  if (d->count == 1)
+  if (d->candidate_count == 1)
     return make_direct_plan (d, 0, CASCADE_R_SINGLE_VERSION);
   if (d->strongest == SIZE_MAX)
     return make_direct_plan (d, find_fastest (d), CASCADE_R_TOO_LATE);
@@ -772,8 +785,8 @@
     {
       best = make_direct_plan (d, d->strongest,
                                can_escalate ? CASCADE_R_NO_BOUND : obstacle);
-      best.audit
-          = candidate (d, d->strongest)->quality.weight < WELL_KNOWN_RATINGS;
+      best.audit = candidate_at (d, d->strongest)->quality.weight
+                   < WELL_KNOWN_RATINGS;
     }
   if (can_escalate && r->explore_cost_share > 0
       && rng_double (rng) < EXPLORE_SHARE_MAX
@@ -796,13 +809,13 @@
   decision_t d = { .cascade = c,
                    .request = request,
                    .now_ms = now_ms,
-                   .count = request->count < CASCADE_CANDIDATES_MAX
-                                ? request->count
-                                : CASCADE_CANDIDATES_MAX,
+                   .candidate_count = request->count < CASCADE_CANDIDATES_MAX
+                                          ? request->count
+                                          : CASCADE_CANDIDATES_MAX,
                    .time_budget_ms = (double)request->deadline_left_ms
                                      * CASCADE_DEADLINE_SHARE };
 
-  crdt_advance (c->evidence, now_ms);
+  crdt_advance (c->rating_crdt, now_ms);
   d.strongest = find_strongest (&d);
   cascade_plan_t plan = make_plan (&d, rng);
   c->plan_counts[plan.reason]++;
@@ -812,23 +825,23 @@
 void
 cascade_fold_epochs (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
-  uint64_t epoch = crdt_first_epoch (c->evidence);
+  uint64_t now_epoch = crdt_epoch_at (c->rating_crdt, now_ms);
+  uint64_t epoch = crdt_first_epoch (c->rating_crdt);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (c->evidence, epoch, generation);
+    crdt_compact (c->rating_crdt, epoch, generation);
 }
 
 void
 cascade_write (const cascade_t *c, bool own_only, buf_t *out)
 {
-  crdt_write (c->evidence, own_only, out);
+  crdt_write (c->rating_crdt, own_only, out);
 }
 
 vh_code_t
 cascade_merge (cascade_t *c, str_t bytes, uint64_t now_ms)
 {
-  return crdt_merge (c->evidence, bytes, now_ms);
+  return crdt_merge (c->rating_crdt, bytes, now_ms);
 }
 
 static const struct
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -71,7 +71,7 @@
 
 typedef enum
 {
-  CASCADE_NONE,   /* There is no candidate.  */
+  CASCADE_NONE,   /* No plan, because there is no candidate.  */
   CASCADE_DIRECT, /* The version FIRST alone answers.  */
   /* The version FIRST answers and is rated, and the version SECOND answers
      when the rating is below the threshold.  */
@@ -151,9 +151,9 @@
   /* Probability that the threshold is the upper edge of its bin instead of the
      lower one; THRESHOLD is already drawn.  */
   double upper_edge_probability;
-  /* Whether to rate the answer of a direct plan, or to rate the first answer
-     of a cascade a second time and the second answer if there is one.  An
-     audit does not delay the response.  */
+  /* Whether the plan is audited: the answer of a direct plan is rated; the
+     first answer of a cascade is rated a second time, and the second answer is
+     rated if there is one.  An audit does not delay the response.  */
   bool audit;
   double cost;          /* Expected cost, ratings included.  */
   double latency_ms;    /* Expected time to the full answer.  */
@@ -162,7 +162,7 @@
 } cascade_plan_t;
 
 /* Return a new planner, owned by the caller.  WRITER is unique to each start
-   of each process (see evidence.h).  */
+   of each process (see crdt.h).  */
 cascade_t *cascade_create (uint64_t writer);
 /* Free CASCADE, which may be NULL.  */
 void cascade_destroy (cascade_t *cascade);
@@ -183,8 +183,8 @@
                             str_t second, double rating, double second_rating,
                             uint64_t now_ms);
 
-/* Merge old epochs, write the learned state and merge a received state, like
-   the functions of the same names in quality.h.  */
+/* Compact old epochs, write the learned state and merge a received state, like
+   quality_compact, quality_write and quality_merge.  */
 void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
                           uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
--- a/packages/policy/crdt.c
+++ b/packages/policy/crdt.c
@@ -8,7 +8,8 @@
 enum
 {
   FORMAT = 1,
-  /* A larger value than any deployment reaches means a corrupt message.  */
+  /* Most bits of a value in a message.  Larger values than any deployment
+     reaches mean that the message is corrupt.  */
   VALUE_BITS_MAX = 56
 };
 
@@ -17,21 +18,22 @@
   uint64_t writer; /* 0 for the cell of a compacted epoch.  */
   uint64_t epoch;
   uint32_t key;
-  uint32_t used;
+  uint32_t is_used;
 } cell_t;
 
 struct crdt
 {
   crdt_options_t options;
-  uint64_t *key_hashes; /* By key index.  */
+  uint64_t *key_hashes; /* Hash of each key, by key index.  */
   uint32_t key_count;
   uint32_t *key_table; /* Hash table of key index + 1; 0 marks a free slot.
                           The size is a power of two.  */
   uint32_t key_mask;
-  /* Hash table by (key, writer, epoch), with open addressing.  */
+  /* Hash table of the cells by key, writer and epoch, with open
+     addressing.  */
   cell_t *cells;
   int64_t *values;
-  /* Second table, so that a rebuild needs no allocation.  */
+  /* Second table of cells, so that a rebuild needs no allocation.  */
   cell_t *spare_cells;
   int64_t *spare_values;
   uint32_t cell_mask;
@@ -39,8 +41,9 @@
   uint64_t first_epoch; /* First epoch kept.  */
   uint64_t last_epoch;  /* Latest epoch seen, by the clock or in a message.  */
   uint64_t *generations;
-  int64_t *sums; /* Indexed by [key][epoch % epochs][field].  */
-  uint64_t changes;
+  int64_t *sums; /* Sums over all writers, indexed by [key][epoch %
+                    epochs][field].  */
+  uint64_t change_count;
 };
 
 static uint32_t
@@ -101,7 +104,8 @@
   return z ^ (z >> 31);
 }
 
-/* Return the slot of HASH in the key table, in use or free.  */
+/* Return the slot of HASH in the key table, or the free slot for that
+   hash.  */
 static uint32_t
 key_slot (const crdt_t *crdt, uint64_t hash)
 {
@@ -149,14 +153,15 @@
   return crdt->values + (size_t)cell * crdt->options.fields;
 }
 
-/* Return the slot of the cell, in use or free.  */
+/* Return the slot of the cell of KEY, WRITER and EPOCH in the table of cells,
+   or the free slot for that cell.  */
 static uint32_t
 cell_slot (const crdt_t *crdt, uint32_t key, uint64_t writer, uint64_t epoch)
 {
   uint64_t hash = mix_hash (writer ^ mix_hash (epoch ^ ((uint64_t)key << 40)));
   uint32_t slot_index = (uint32_t)hash & crdt->cell_mask;
 
-  while (crdt->cells[slot_index].used
+  while (crdt->cells[slot_index].is_used
          && (crdt->cells[slot_index].key != key
              || crdt->cells[slot_index].writer != writer
              || crdt->cells[slot_index].epoch != epoch))
@@ -164,7 +169,7 @@
   return slot_index;
 }
 
-/* Rebuild the table without the cells of epochs before FIRST_EPOCH and of
+/* Rebuild the table of cells without those of epochs before FIRST_EPOCH and of
    DROPPED_EPOCH.  */
 static void
 rebuild_cells (crdt_t *crdt, uint64_t first_epoch, uint64_t dropped_epoch)
@@ -183,7 +188,7 @@
   for (size_t i = 0; i < size; i++)
     {
       const cell_t *c = &cells[i];
-      if (!c->used || c->epoch < first_epoch || c->epoch == dropped_epoch)
+      if (!c->is_used || c->epoch < first_epoch || c->epoch == dropped_epoch)
         continue;
       uint32_t slot_index = cell_slot (crdt, c->key, c->writer, c->epoch);
       crdt->cells[slot_index] = *c;
@@ -215,7 +220,7 @@
     clear_epoch (crdt, epoch);
   crdt->first_epoch = first_epoch;
   rebuild_cells (crdt, first_epoch, UINT64_MAX);
-  crdt->changes++;
+  crdt->change_count++;
 }
 
 uint64_t
@@ -247,7 +252,7 @@
                   uint32_t *slot_index)
 {
   *slot_index = cell_slot (crdt, key, writer, epoch);
-  if (crdt->cells[*slot_index].used)
+  if (crdt->cells[*slot_index].is_used)
     return true;
   while (crdt->cell_count >= crdt->options.cells_max)
     {
@@ -284,7 +289,7 @@
       cell[f] += sample[f];
       sums[f] += sample[f];
     }
-  crdt->changes++;
+  crdt->change_count++;
   return true;
 }
 
@@ -312,10 +317,10 @@
 uint64_t
 crdt_change_count (const crdt_t *crdt)
 {
-  return crdt->changes;
+  return crdt->change_count;
 }
 
-/* Tell whether there are sums for EPOCH.  */
+/* Return whether there are sums for EPOCH.  */
 static bool
 has_epoch (const crdt_t *crdt, uint64_t epoch)
 {
@@ -343,7 +348,7 @@
         memcpy (values_at (crdt, slot_index), sums,
                 crdt->options.fields * sizeof *sums);
     }
-  crdt->changes++;
+  crdt->change_count++;
   return true;
 }
 
@@ -447,7 +452,7 @@
     crdt_write_varint (out, zigzag (message_cell->values[f]));
 }
 
-/* Tell whether cell C goes into a message to peers.  */
+/* Return whether the cell C belongs in a message to peers.  */
 static bool
 is_recent_own_cell (const crdt_t *crdt, const cell_t *c)
 {
@@ -466,7 +471,7 @@
   for (uint32_t i = 0; i <= crdt->cell_mask; i++)
     {
       const cell_t *c = &crdt->cells[i];
-      if (!c->used || (own_only && !is_recent_own_cell (crdt, c)))
+      if (!c->is_used || (own_only && !is_recent_own_cell (crdt, c)))
         continue;
       message_cells[count++]
           = (message_cell_t){ c->epoch, crdt->key_hashes[c->key], c->writer,
@@ -524,9 +529,9 @@
   return values[0] > 0;
 }
 
-/* Tell whether cell values A are newer than B.  Two copies with the same count
-   are equal unless a writer id was used twice; then all processes keep the
-   copy with the larger values.  */
+/* Return whether the cell values A are newer than B.  Two copies with the same
+   count are equal unless a writer id was used twice; then all processes keep
+   the copy with the larger values.  */
 static bool
 is_newer (const int64_t *a, const int64_t *b, uint32_t fields)
 {
@@ -536,7 +541,7 @@
   return false;
 }
 
-/* Tell whether a cell of EPOCH may be merged at NOW_EPOCH.  */
+/* Return whether a cell of EPOCH may be merged at NOW_EPOCH.  */
 static bool
 is_epoch_acceptable (const crdt_t *crdt, uint64_t epoch, uint64_t now_epoch)
 {
@@ -577,10 +582,10 @@
     }
 }
 
-/* Parts of a message after its header.  */
+/* Parts of a message of crdt_write after the header.  */
 typedef struct
 {
-  /* Bytes from the compacted epochs and their generations on.  */
+  /* The compacted epochs with their generations, and all bytes after them.  */
   str_t compacted;
   uint64_t compacted_count;
   str_t cells;
@@ -611,7 +616,8 @@
   return true;
 }
 
-/* Tell whether every cell is well formed and no bytes follow the last one.  */
+/* Return whether every cell is well formed and no bytes follow the last
+   one.  */
 static bool
 has_valid_cells (const crdt_t *crdt, const message_t *message)
 {
@@ -625,7 +631,8 @@
   return rest.len == 0;
 }
 
-/* Return the message's generation of EPOCH; 0 if it was not compacted.  */
+/* Return the generation under which EPOCH is compacted in MESSAGE; 0 if the
+   epoch is not compacted there.  */
 static uint64_t
 message_generation (const message_t *message, uint64_t epoch)
 {
@@ -699,6 +706,6 @@
   advance_to (crdt, now_epoch);
   merge_compacted (crdt, &message, now_epoch);
   merge_cells (crdt, &message, now_epoch);
-  crdt->changes++;
+  crdt->change_count++;
   return VH_OK;
 }
--- a/packages/policy/crdt.h
+++ b/packages/policy/crdt.h
@@ -40,16 +40,17 @@
 
 typedef struct
 {
-  uint64_t writer;    /* Unique to this run of this process; not 0.  */
-  uint64_t epoch_ms;  /* Length of an epoch, the same in all processes.  */
-  uint32_t epochs;    /* Number of epochs kept.  */
-  uint32_t fields;    /* Number of fields in a cell, field 0 included.  */
-  uint32_t keys_max;  /* Largest number of distinct keys.  */
-  uint32_t cells_max; /* Largest number of distinct (key, writer, epoch).  */
+  uint64_t writer;   /* Unique to this run of this process; not 0.  */
+  uint64_t epoch_ms; /* Length of an epoch in ms, the same in all processes. */
+  uint32_t epochs;   /* Number of epochs kept.  */
+  uint32_t fields;   /* Number of fields in a cell, field 0 included.  */
+  uint32_t keys_max; /* Largest number of distinct keys.  */
+  uint32_t cells_max; /* Largest number of distinct combinations of key, writer
+                         and epoch.  */
 } crdt_options_t;
 
 crdt_t *crdt_create (const crdt_options_t *options);
-/* NULL is accepted.  */
+/* Free CRDT, which may be NULL.  */
 void crdt_destroy (crdt_t *crdt);
 
 /* Return the index of the key with hash HASH, created on first use; -1 if
@@ -65,7 +66,7 @@
 bool crdt_add (crdt_t *crdt, int key, uint64_t now_ms, const int64_t *sample);
 
 uint64_t crdt_epoch_at (const crdt_t *crdt, uint64_t now_ms);
-/* Return the first or the last epoch that may hold values.  */
+/* Return the first or the last epoch that may have sums.  */
 uint64_t crdt_first_epoch (const crdt_t *crdt);
 uint64_t crdt_last_epoch (const crdt_t *crdt);
 /* Return the sums over all writers of KEY in EPOCH, or NULL if there are none.
@@ -85,7 +86,7 @@
    earlier messages; a peer that was away reads the whole state from the store.
    Equal states give equal bytes.  */
 void crdt_write (const crdt_t *crdt, bool own_only, buf_t *out);
-/* Tell whether crdt_merge would accept BYTES.  */
+/* Return whether crdt_merge would accept BYTES.  */
 bool crdt_is_valid (const crdt_t *crdt, str_t bytes);
 /* Merge what crdt_write wrote.  Cells more than an epoch ahead of NOW_MS,
    which a peer with a wrong clock writes, and cells of epochs no longer kept
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -35,55 +35,56 @@
   [ROLLOUT_LATENCY] = { 0.2, 0.01 },
 };
 
-/* One version and task class, at the index of its key in MEASUREMENTS.  */
+/* A series: the answers of one version for one task class.  The index of a
+   series is that of its key in SAMPLE_CRDT.  */
 typedef struct
 {
-  uint64_t version; /* Hash of the version; 0 if a merged key came without a
-                       name.  */
-  uint64_t task;
-  uint32_t version_index; /* Index in VERSIONS.  */
+  uint64_t version_hash; /* Hash of the version; 0 if a merged key came without
+                            a name.  */
+  uint64_t task_hash;
+  uint32_t version_index; /* Index of the version in VERSIONS.  */
 } series_t;
 
 typedef struct
 {
   uint64_t hash;
   uint64_t cleared_ms;
-  uint64_t since_ms; /* Start of the alarm; it is in force if later than
-                        CLEARED_MS.  */
+  uint64_t since_ms; /* Start of the alarm, which is in force if SINCE_MS is
+                        later than CLEARED_MS.  */
   uint64_t metric;
 } version_alarm_t;
 
 /* The CUSUM of one metric of one series.  */
 typedef struct
 {
-  /* Moments of the usual values; SQUARES is the sum of squared deviations from
-     the mean.  */
-  moments_t reference;
-  double value; /* Sum of log-likelihood ratios; not below 0.  */
-  /* Sums since the CUSUM was last 0, of this series' answers and of their
-     shifts, and of those in the epochs in which other versions had
-     answers.  */
-  double own_answers;
+  /* Moments of the usual values.  */
+  deviation_moments_t reference;
+  double log_likelihood_sum; /* Sum of log-likelihood ratios; not below 0.  */
+  /* Sums since the CUSUM was last 0: answers of this series, and their shifts;
+     answers of this series in the epochs in which other versions had answers,
+     and the shifts of the other versions in these epochs.  */
+  double own_answer_count;
   double own_shift_sum;
-  double other_answers;
+  double compared_answer_count;
   double other_shift_sum;
-  uint32_t shared_epochs; /* Epochs above the threshold in which other versions
-                             shifted as well.  */
+  uint32_t shared_shift_epochs; /* Epochs above the threshold in which other
+                                   versions shifted as well.  */
   /* Moments of the current epoch.  */
   moments_t epoch_moments;
   double shift; /* Mean of the current epoch minus mean of the reference.  */
 } cusum_t;
 
-/* Shift of several series in the current epoch, for one metric.  */
+/* Sum of the shifts of several series in the current epoch, for one
+   metric.  */
 typedef struct
 {
-  double count;
+  double answer_count;
   double shift_sum; /* Sum of the shifts, each times its series' answers.  */
 } shift_sum_t;
 
 struct degradation
 {
-  crdt_t *measurements;
+  crdt_t *sample_crdt;
   series_t series[DEGRADATION_SERIES_MAX];
   version_alarm_t versions[DEGRADATION_VERSIONS_MAX];
   uint32_t version_count;
@@ -102,7 +103,7 @@
                                    .cells_max = DEGRADATION_CELLS_MAX };
   degradation_t *d = mem_zalloc (sizeof *d);
 
-  d->measurements = crdt_create (&options);
+  d->sample_crdt = crdt_create (&options);
   return d;
 }
 
@@ -111,14 +112,14 @@
 {
   if (d == NULL)
     return;
-  crdt_destroy (d->measurements);
+  crdt_destroy (d->sample_crdt);
   free (d);
 }
 
 static uint64_t
 hash_name (str_t name)
 {
-  /* Nonzero, since 0 means no name.  */
+  /* The hash is nonzero, because 0 stands for no name.  */
   return str_hash (name, 0x77) | 1;
 }
 
@@ -144,8 +145,8 @@
   return &d->versions[d->version_count++];
 }
 
-/* Return the key of the series, created on first use; -1 if there is no
-   room.  */
+/* Return the key of the series of VERSION and TASK, created on first use; -1
+   if there is no room.  */
 static int
 series_find_or_add (degradation_t *d, uint64_t version, uint64_t task)
 {
@@ -154,8 +155,8 @@
 
   if (alarm_state == NULL)
     return -1;
-  int key = crdt_key_find_or_add (d->measurements, hash);
-  if (key >= 0 && d->series[key].version == 0)
+  int key = crdt_key_find_or_add (d->sample_crdt, hash);
+  if (key >= 0 && d->series[key].version_hash == 0)
     d->series[key]
         = (series_t){ version, task, (uint32_t)(alarm_state - d->versions) };
   return key;
@@ -169,7 +170,7 @@
   int key = series_find_or_add (d, hash_name (version), hash_name (task));
 
   sample_to_fields (sample, fields);
-  crdt_add (d->measurements, key, now_ms, fields);
+  crdt_add (d->sample_crdt, key, now_ms, fields);
 }
 
 static bool
@@ -195,13 +196,13 @@
 reference_variance (const cusum_t *cusum, rollout_metric_t metric)
 {
   return fmax (metric_settings[metric].variance_min,
-               cusum->reference.squares / cusum->reference.count);
+               cusum->reference.squared_deviations / cusum->reference.count);
 }
 
-/* Return the log-likelihood ratio of the epoch's values, with the tuned shift
-   against no shift.  */
+/* Return the log-likelihood ratio of the current epoch's values for the shift
+   to which the CUSUM is tuned against no shift.  */
 static double
-likelihood_ratio (const cusum_t *cusum, rollout_metric_t metric)
+epoch_log_likelihood_ratio (const cusum_t *cusum, rollout_metric_t metric)
 {
   double shift = metric_settings[metric].shift;
 
@@ -220,18 +221,18 @@
 static void
 reference_add_epoch (cusum_t *cusum)
 {
-  moments_t *r = &cusum->reference;
+  deviation_moments_t *r = &cusum->reference;
   double mean = cusum->epoch_moments.sum / cusum->epoch_moments.count;
 
   if (r->count > 0)
     {
       double mean_difference = mean - r->sum / r->count;
-      r->squares += mean_difference * mean_difference * r->count
-                    * cusum->epoch_moments.count
-                    / (r->count + cusum->epoch_moments.count);
+      r->squared_deviations += mean_difference * mean_difference * r->count
+                               * cusum->epoch_moments.count
+                               / (r->count + cusum->epoch_moments.count);
     }
-  r->squares += fmax (0, cusum->epoch_moments.squares
-                             - mean * cusum->epoch_moments.sum);
+  r->squared_deviations += fmax (0, cusum->epoch_moments.square_sum
+                                        - mean * cusum->epoch_moments.sum);
   r->count += cusum->epoch_moments.count;
   r->sum += cusum->epoch_moments.sum;
   if (r->count > REFERENCE_ANSWERS_MAX)
@@ -239,12 +240,13 @@
       double scale = REFERENCE_ANSWERS_MAX / r->count;
       r->count *= scale;
       r->sum *= scale;
-      r->squares *= scale;
+      r->squared_deviations *= scale;
     }
 }
 
-/* Load the epoch into all CUSUMs of METRIC and sum the shifts by version.
-   Return the sum over all versions.  */
+/* Store the moments and the shift of EPOCH in all CUSUMs of METRIC, and the
+   sum of the shifts of each version in BY_VERSION.  Return the sum over all
+   versions.  */
 static shift_sum_t
 load_epoch_shifts (degradation_t *d, uint64_t epoch, rollout_metric_t metric,
                    shift_sum_t by_version[DEGRADATION_VERSIONS_MAX])
@@ -258,40 +260,43 @@
       const series_t *s = &d->series[key];
       uint64_t cleared_ms = d->versions[s->version_index].cleared_ms;
       cusum->epoch_moments = (moments_t){ 0, 0, 0 };
-      if (s->version == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
+      if (s->version_hash == 0 || epoch * DEGRADATION_EPOCH_MS < cleared_ms)
         continue;
       cusum->epoch_moments
-          = sample_moments (crdt_sums (d->measurements, key, epoch), metric);
+          = sample_moments (crdt_sums (d->sample_crdt, key, epoch), metric);
       if (cusum->epoch_moments.count <= 0
           || cusum->reference.count < REFERENCE_ANSWERS_MIN)
         continue;
       cusum->shift = cusum->epoch_moments.sum / cusum->epoch_moments.count
                      - cusum->reference.sum / cusum->reference.count;
-      by_version[s->version_index].count += cusum->epoch_moments.count;
+      by_version[s->version_index].answer_count += cusum->epoch_moments.count;
       by_version[s->version_index].shift_sum
           += cusum->epoch_moments.count * cusum->shift;
-      total.count += cusum->epoch_moments.count;
+      total.answer_count += cusum->epoch_moments.count;
       total.shift_sum += cusum->epoch_moments.count * cusum->shift;
     }
   return total;
 }
 
-/* Tell whether the other versions shifted less than half as much, in this
-   epoch and since the change began.  Without this check several versions get
-   an alarm at once when the rating service becomes wrong or a zone slows all
-   versions down.  */
+/* Return whether OTHERS, the other versions in the current epoch, shifted less
+   than half as much as the series of CUSUM, and did so since the change began.
+   Without this check several versions get an alarm at once when the rating
+   service becomes wrong or a zone slows all versions down.  */
 static bool
 is_only_version_shifted (const cusum_t *cusum, const shift_sum_t *others)
 {
-  if (others->count > 0
-      && others->shift_sum / others->count >= 0.5 * cusum->shift)
+  if (others->answer_count > 0
+      && others->shift_sum / others->answer_count >= 0.5 * cusum->shift)
     return false;
-  return cusum->other_answers <= 0
-         || cusum->other_shift_sum / cusum->other_answers
-                < 0.5 * cusum->own_shift_sum / cusum->own_answers;
+  return cusum->compared_answer_count <= 0
+         || cusum->other_shift_sum / cusum->compared_answer_count
+                < 0.5 * cusum->own_shift_sum / cusum->own_answer_count;
 }
 
-/* Add the loaded epoch to CUSUM.  Return true for an alarm.  */
+/* Add the current epoch, CUSUM->epoch_moments, to CUSUM, or only to its
+   reference while that has fewer than REFERENCE_ANSWERS_MIN answers.  OTHERS
+   is the shift of the other versions in the same epoch.  Return true for an
+   alarm.  */
 static bool
 cusum_add_epoch (cusum_t *cusum, rollout_metric_t metric,
                  const shift_sum_t *others)
@@ -303,36 +308,38 @@
       reference_add_epoch (cusum);
       return false;
     }
-  cusum->value += likelihood_ratio (cusum, metric);
-  if (cusum->value <= 0)
+  cusum->log_likelihood_sum += epoch_log_likelihood_ratio (cusum, metric);
+  if (cusum->log_likelihood_sum <= 0)
     {
-      cusum->value = 0;
-      cusum->own_answers = cusum->own_shift_sum = cusum->other_answers
-          = cusum->other_shift_sum = 0;
-      cusum->shared_epochs = 0;
+      cusum->log_likelihood_sum = 0;
+      cusum->own_answer_count = cusum->own_shift_sum
+          = cusum->compared_answer_count = cusum->other_shift_sum = 0;
+      cusum->shared_shift_epochs = 0;
     }
   else
     {
-      cusum->value = fmin (cusum->value, 2 * DEGRADATION_CUSUM_THRESHOLD);
-      cusum->own_answers += cusum->epoch_moments.count;
+      cusum->log_likelihood_sum
+          = fmin (cusum->log_likelihood_sum, 2 * DEGRADATION_CUSUM_THRESHOLD);
+      cusum->own_answer_count += cusum->epoch_moments.count;
       cusum->own_shift_sum += cusum->epoch_moments.count * cusum->shift;
-      /* Weighted by this series' answers, so that an epoch has the same weight
-         in both sums.  */
-      if (others->count > 0)
+      /* The shift of the other versions is weighted by this series' answers,
+         so that an epoch has the same weight in both sums.  */
+      if (others->answer_count > 0)
         {
-          cusum->other_answers += cusum->epoch_moments.count;
+          cusum->compared_answer_count += cusum->epoch_moments.count;
           cusum->other_shift_sum += cusum->epoch_moments.count
-                                    * others->shift_sum / others->count;
+                                    * others->shift_sum / others->answer_count;
         }
     }
-  if (cusum->value < FREEZE_THRESHOLD_PART * DEGRADATION_CUSUM_THRESHOLD)
+  if (cusum->log_likelihood_sum
+      < FREEZE_THRESHOLD_PART * DEGRADATION_CUSUM_THRESHOLD)
     reference_add_epoch (cusum);
-  if (cusum->value < DEGRADATION_CUSUM_THRESHOLD)
+  if (cusum->log_likelihood_sum < DEGRADATION_CUSUM_THRESHOLD)
     return false;
   if (is_only_version_shifted (cusum, others))
     return true;
-  if (++cusum->shared_epochs >= DEGRADATION_RELEARN_EPOCHS)
-    *cusum = (cusum_t){ .shared_epochs = 0 };
+  if (++cusum->shared_shift_epochs >= DEGRADATION_RELEARN_EPOCHS)
+    *cusum = (cusum_t){ .shared_shift_epochs = 0 };
   return false;
 }
 
@@ -354,10 +361,10 @@
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
     {
       const series_t *s = &d->series[key];
-      if (s->version == 0)
+      if (s->version_hash == 0)
         continue;
       shift_sum_t others
-          = { total.count - by_version[s->version_index].count,
+          = { total.answer_count - by_version[s->version_index].answer_count,
               total.shift_sum - by_version[s->version_index].shift_sum };
       version_alarm_t *v = &d->versions[s->version_index];
       if (cusum_add_epoch (&d->cusums[key][metric], metric, &others)
@@ -373,18 +380,18 @@
 bool
 degradation_check (degradation_t *d, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (d->measurements, now_ms);
+  uint64_t now_epoch = crdt_epoch_at (d->sample_crdt, now_ms);
   bool raised = false;
 
-  crdt_advance (d->measurements, now_ms);
+  crdt_advance (d->sample_crdt, now_ms);
   if (now_epoch == d->evaluated_epoch)
     return false;
   d->evaluated_epoch = now_epoch;
-  /* Start again at the first epoch kept, so that measurements that arrived
-     late or from other processes count in their epoch and all processes find
-     the same.  */
+  /* Evaluate all epochs kept again from the first one, so that measurements
+     that arrived late or from other processes count in their epoch and all
+     processes find the same.  */
   memset (d->cusums, 0, sizeof d->cusums);
-  uint64_t epoch = crdt_first_epoch (d->measurements);
+  uint64_t epoch = crdt_first_epoch (d->sample_crdt);
   for (; epoch < now_epoch; epoch++)
     for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
       raised = evaluate_epoch (d, epoch, (rollout_metric_t)m) || raised;
@@ -433,14 +440,14 @@
   uint64_t count = 0;
 
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
-    count += d->series[key].version != 0;
+    count += d->series[key].version_hash != 0;
   crdt_write_varint (out, FORMAT);
   crdt_write_varint (out, count);
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
-    if (d->series[key].version != 0)
+    if (d->series[key].version_hash != 0)
       {
-        crdt_write_varint (out, d->series[key].version);
-        crdt_write_varint (out, d->series[key].task);
+        crdt_write_varint (out, d->series[key].version_hash);
+        crdt_write_varint (out, d->series[key].task_hash);
       }
   crdt_write_varint (out, d->version_count);
   for (uint32_t i = 0; i < d->version_count; i++)
@@ -451,7 +458,7 @@
       crdt_write_varint (out, v->since_ms);
       crdt_write_varint (out, v->metric);
     }
-  crdt_write (d->measurements, own_only, out);
+  crdt_write (d->sample_crdt, own_only, out);
 }
 
 static bool
@@ -505,7 +512,7 @@
   for (uint64_t i = 0; i < versions; i++)
     if (!read_alarm (&bytes, &alarm))
       return VH_E_PROTOCOL;
-  if (!crdt_is_valid (d->measurements, bytes))
+  if (!crdt_is_valid (d->sample_crdt, bytes))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < series && crdt_read_varint (&names, &version)
                        && crdt_read_varint (&names, &task);
@@ -517,15 +524,15 @@
       if (own != NULL)
         merge_alarm (own, &alarm);
     }
-  return crdt_merge (d->measurements, bytes, now_ms);
+  return crdt_merge (d->sample_crdt, bytes, now_ms);
 }
 
 void
 degradation_compact (degradation_t *d, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (d->measurements, now_ms);
-  uint64_t epoch = crdt_first_epoch (d->measurements);
+  uint64_t now_epoch = crdt_epoch_at (d->sample_crdt, now_ms);
+  uint64_t epoch = crdt_first_epoch (d->sample_crdt);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (d->measurements, epoch, generation);
+    crdt_compact (d->sample_crdt, epoch, generation);
 }
--- a/packages/policy/degradation.h
+++ b/packages/policy/degradation.h
@@ -46,9 +46,10 @@
   DEGRADATION_WEIGHT_STEP_MS = 30 * 1000
 };
 
-/* WRITER is that of crdt.h.  */
+/* Return a new detector without measurements, owned by the caller.  WRITER is
+   unique to each start of each process (see crdt.h).  */
 degradation_t *degradation_create (uint64_t writer);
-/* NULL is accepted.  */
+/* Free DEGRADATION, which may be NULL.  */
 void degradation_destroy (degradation_t *degradation);
 void degradation_observe (degradation_t *degradation, str_t version,
                           str_t task, const rollout_sample_t *sample,
@@ -61,7 +62,7 @@
    alarm.  */
 double degradation_traffic_weight (const degradation_t *degradation,
                                    str_t version, uint64_t now_ms);
-/* Tell whether VERSION is under alarm; if so, store the metric and the start
+/* Return whether VERSION is under alarm; if so, store the metric and the start
    of the alarm.  */
 bool degradation_get_alarm (const degradation_t *degradation, str_t version,
                             rollout_metric_t *metric, uint64_t *since_ms);
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -7,15 +7,16 @@
 
 enum
 {
-  CURVE_TERMS = 3 /* Terms of a curve: constant, linear and quadratic.  */
+  CURVE_TERMS
+  = 3 /* Number of terms of a curve: constant, linear and quadratic.  */
 };
 
 /* Largest ratio of a wait to its objective that enters the pressure, so that a
    single outlier hardly changes the pressure.  */
 static const double pressure_sample_max = 2;
-/* Waits are clipped at OUTLIER_FACTOR times the value of the curve plus
-   OUTLIER_MS.  The wait of a stalled request says nothing about the time to
-   process its prompt.  */
+/* Times to the first event are clipped at OUTLIER_FACTOR times the value of
+   the curve plus OUTLIER_MS.  The wait of a stalled request does not depend on
+   the time to process its prompt.  */
 static const double outlier_factor = 2;
 static const double outlier_ms = 200;
 /* Weight of the old mean value of a request when a new request arrives.  */
@@ -31,28 +32,29 @@
    thousand prompt tokens.  */
 typedef struct
 {
-  double count; /* Number of observations after decay.  */
-  double powers[2 * CURVE_TERMS - 1]; /* Sums of x^0 to x^4.  */
-  double waits[CURVE_TERMS];          /* Sums of y x^0 to y x^2.  */
+  double wait_count; /* Number of observations after decay.  */
+  double power_sums[2 * CURVE_TERMS - 1]; /* Sums of x^0 to x^4.  */
+  double wait_sums[CURVE_TERMS];          /* Sums of y x^0 to y x^2.  */
 } curve_t;
 
 /* Decayed sum of the points by which the confidence of a model exceeds that of
    the smallest model.  */
 typedef struct
 {
-  double count; /* Number of observations after decay.  */
-  double points;
-} lead_t;
+  double answer_count; /* Number of observations after decay.  */
+  double points_sum;
+} lead_sums_t;
 
 struct escalation
 {
   escalation_options_t options;
-  double
-      pressure; /* Mean time to the first event relative to the objective.  */
-  curve_t
-      curves[ESCALATION_MODELS_MAX]; /* Time to the first event by model.  */
-  lead_t leads[ESCALATION_MODELS_MAX];
-  double mean_value; /* Mean value of a request; 0 if there was none.  */
+  /* Mean time to the first event relative to the objective.  */
+  double pressure;
+  /* Time to the first event by model.  */
+  curve_t curves[ESCALATION_MODELS_MAX];
+  lead_sums_t leads[ESCALATION_MODELS_MAX];
+  double mean_request_value; /* Moving average of the values of requests; 0 if
+                                there was no request.  */
 };
 
 escalation_t *
@@ -105,9 +107,9 @@
 
   for (size_t row = 0; row < CURVE_TERMS; row++)
     {
-      terms[row] = row < count ? curve->waits[row] : 0;
+      terms[row] = row < count ? curve->wait_sums[row] : 0;
       for (size_t col = 0; col < CURVE_TERMS; col++)
-        matrix[row][col] = curve->powers[row + col];
+        matrix[row][col] = curve->power_sums[row + col];
     }
   if (!solve_equations (matrix, terms, count))
     return false;
@@ -124,7 +126,7 @@
   for (size_t count = CURVE_TERMS; count > 1; count--)
     if (fit_terms (curve, count, terms))
       return;
-  terms[0] = curve->waits[0] / curve->count;
+  terms[0] = curve->wait_sums[0] / curve->wait_count;
   terms[1] = 0;
   terms[2] = 0;
 }
@@ -136,7 +138,7 @@
            double terms[CURVE_TERMS])
 {
   if (model >= ESCALATION_MODELS_MAX
-      || escalation->curves[model].count < ESCALATION_OBSERVATIONS_MIN)
+      || escalation->curves[model].wait_count < ESCALATION_OBSERVATIONS_MIN)
     return false;
   fit_curve (&escalation->curves[model], terms);
   return true;
@@ -162,17 +164,18 @@
 }
 
 static void
-add_observation (curve_t *curve, double x, double wait_ms)
+curve_add_wait (curve_t *curve, double x, double wait_ms)
 {
   double power = 1;
 
-  curve->count = curve->count * ESCALATION_CURVE_DECAY + 1;
+  curve->wait_count = curve->wait_count * ESCALATION_CURVE_DECAY + 1;
   for (size_t i = 0; i < 2 * CURVE_TERMS - 1; i++)
     {
-      curve->powers[i] = curve->powers[i] * ESCALATION_CURVE_DECAY + power;
+      curve->power_sums[i]
+          = curve->power_sums[i] * ESCALATION_CURVE_DECAY + power;
       if (i < CURVE_TERMS)
-        curve->waits[i]
-            = curve->waits[i] * ESCALATION_CURVE_DECAY + wait_ms * power;
+        curve->wait_sums[i]
+            = curve->wait_sums[i] * ESCALATION_CURVE_DECAY + wait_ms * power;
       power *= x;
     }
 }
@@ -195,8 +198,8 @@
   if (fit_model (escalation, model, terms))
     wait = fmin (wait, evaluate_curve (terms, prompt_tokens) * outlier_factor
                            + outlier_ms);
-  add_observation (&escalation->curves[model], prompt_tokens / tokens_per_unit,
-                   wait);
+  curve_add_wait (&escalation->curves[model], prompt_tokens / tokens_per_unit,
+                  wait);
 }
 
 double
@@ -208,7 +211,7 @@
 /* Return the probability that a time of VALUE exceeds LIMIT, as a logistic
    function: 0 well below LIMIT, 1 well above LIMIT.  */
 static double
-exceedance (double value, double limit)
+exceedance_probability (double value, double limit)
 {
   return 1
          / (1
@@ -226,10 +229,10 @@
   if (model >= ESCALATION_MODELS_MAX || smallest_confidence == 0
       || smallest_confidence >= 100 || confidence == 0 || confidence >= 100)
     return;
-  lead_t *lead = &escalation->leads[model];
-  lead->count = lead->count * ESCALATION_CURVE_DECAY + 1;
-  lead->points = lead->points * ESCALATION_CURVE_DECAY + confidence
-                 - smallest_confidence;
+  lead_sums_t *lead = &escalation->leads[model];
+  lead->answer_count = lead->answer_count * ESCALATION_CURVE_DECAY + 1;
+  lead->points_sum = lead->points_sum * ESCALATION_CURVE_DECAY + confidence
+                     - smallest_confidence;
 }
 
 double
@@ -237,24 +240,25 @@
 {
   if (model >= ESCALATION_MODELS_MAX)
     return 0;
-  const lead_t *lead = &escalation->leads[model];
-  return (lead->points
+  const lead_sums_t *lead = &escalation->leads[model];
+  return (lead->points_sum
           + ESCALATION_PRIOR_LEAD_POINTS * ESCALATION_PRIOR_LEAD_COUNT)
-         / (lead->count + ESCALATION_PRIOR_LEAD_COUNT);
+         / (lead->answer_count + ESCALATION_PRIOR_LEAD_COUNT);
 }
 
 /* Return the probability that an answer is good, given CONFIDENCE as the mean
    of COUNT confidences.  */
 static double
-good_probability (const escalation_t *escalation, double confidence,
-                  double count)
+good_answer_probability (const escalation_t *escalation, double confidence,
+                         double count)
 {
   return 0.5
          * erfc ((50 - confidence) * sqrt (count / 2)
                  / escalation->options.confidence_stddev);
 }
 
-/* Return the points added to a confidence at the present pressure.  */
+/* Return the points that are added to each confidence at the present
+   pressure.  */
 static double
 pressure_points (const escalation_t *escalation)
 {
@@ -278,8 +282,9 @@
          * size / tokens_per_unit;
 }
 
-/* Return the additional cost of an answer of CANDIDATE.  The present answer is
-   then not generated to its end, which saves its output tokens.  */
+/* Return the additional cost of an answer of CANDIDATE.  When the candidate
+   answers, the present answer is not generated to its end, which saves the
+   cost of its output tokens.  */
 static double
 additional_cost (const escalation_request_t *request,
                  const escalation_candidate_t *candidate)
@@ -346,11 +351,11 @@
   if (request->has_smallest_confidence)
     lead -= escalation_confidence_lead (escalation, request->model);
   double present_probability
-      = good_probability (escalation, confidence, count);
+      = good_answer_probability (escalation, confidence, count);
   double candidate_probability
       = index + 1 == request->candidate_count
             ? 1
-            : good_probability (escalation, confidence + lead, count);
+            : good_answer_probability (escalation, confidence + lead, count);
   double wait_ms;
   double prompt_ms;
   double delayed_value = 0;
@@ -358,15 +363,17 @@
   predict_wait (escalation, request, candidate, &wait_ms, &prompt_ms);
   double late_probability
       = request->objective_ms > 0
-            ? exceedance ((double)request->elapsed_ms + wait_ms,
-                          (double)request->objective_ms)
+            ? exceedance_probability ((double)request->elapsed_ms + wait_ms,
+                                      (double)request->objective_ms)
             : 0;
   if (request->max_pause_ms > 0)
     delayed_value
-        = exceedance (prompt_ms,
-                      (double)request->max_pause_ms * ESCALATION_PAUSE_FACTOR)
+        = exceedance_probability (prompt_ms, (double)request->max_pause_ms
+                                                 * ESCALATION_PAUSE_FACTOR)
           * candidate->running_requests * (1 - options->late_value_ratio)
-          * (escalation->mean_value > 0 ? escalation->mean_value : value);
+          * (escalation->mean_request_value > 0
+                 ? escalation->mean_request_value
+                 : value);
   double candidate_quality
       = (candidate_probability
          + (1 - candidate_probability) * options->poor_value_ratio)
@@ -388,10 +395,11 @@
   size_t best = request->candidate_count;
   double best_gain = 0;
 
-  escalation->mean_value
-      = escalation->mean_value == 0
+  escalation->mean_request_value
+      = escalation->mean_request_value == 0
             ? value
-            : escalation->mean_value * value_decay + value * (1 - value_decay);
+            : escalation->mean_request_value * value_decay
+                  + value * (1 - value_decay);
   for (size_t i = 0; i < request->candidate_count; i++)
     {
       double gain = escalation_gain (escalation, request, i);
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -6,8 +6,9 @@
    0 to 100.  With one confidence threshold for all requests, a prompt of
    30,000 tokens is processed again by a larger model, which takes a second and
    a half: the response is late, and so are the other streams on that engine,
-   whose events wait for the chunks of the prompt.  Besides, a label of little
-   value is escalated at the same confidence as a draft of much value.
+   whose events wait for the chunks of the prompt.  Besides, the answer to a
+   request of low value, such as a label, is escalated at the same confidence
+   as that to a request of high value, such as a draft.
 
    So the gain of each escalation is compared with its cost, in the unit of the
    costs of the models:
@@ -23,13 +24,13 @@
      50 means that a good and a poor answer are equally likely.  A poor answer
      has a configured fraction of the value of a good one, and so has a late
      answer.  The answer of the largest model counts as good.
-   - A model between the smallest and the largest one answers well what is a
-     little too hard for the smallest model, at half of the cost of the
-     largest.  Its confidence exceeds that of the smallest model by a lead, in
-     points, which is learned from requests that both models answered.  The
-     probability that its answer is good follows from the confidence of the
-     smallest model plus the lead.  Once the middle model has answered, both
-     confidences count.
+   - A middle model, between the smallest and the largest one, answers well the
+     requests that are slightly too hard for the smallest model, at half of the
+     cost of the largest.  Its confidence exceeds that of the smallest model by
+     a lead, in points, which is learned from requests that both models
+     answered.  The probability that its answer is good follows from the
+     confidence of the smallest model plus the lead.  Once the middle model has
+     answered, both confidences count.
    - Whether the larger answer is late follows from the recent times to the
      first event of the larger model, fitted as a curve over the prompt tokens.
    - An engine processes a prompt in chunks between the tokens of its other
@@ -62,8 +63,9 @@
 /* Weight of the old pressure at each observation; the average covers about one
    second of the requests of an entry process.  */
 #define ESCALATION_PRESSURE_DECAY 0.92
-/* Prior of the lead of a model, in points, and its weight as a number of
-   observations.  */
+/* Prior for the lead of a model, the points by which its confidence exceeds
+   that of the smallest model on the same request, and the weight of the prior
+   as a number of requests that both models answered.  */
 #define ESCALATION_PRIOR_LEAD_POINTS 10
 #define ESCALATION_PRIOR_LEAD_COUNT 4
 /* Weight of the old sums of a curve at each observation; the sums cover some
@@ -140,8 +142,8 @@
   size_t candidate_count;
 } escalation_request_t;
 
-/* Return a new state of one service, owned by the caller.  OPTIONS is
-   copied.  */
+/* Return new learned state for the requests of one service, owned by the
+   caller.  OPTIONS is copied.  */
 escalation_t *escalation_create (const escalation_options_t *options);
 void escalation_destroy (escalation_t *escalation);
 
@@ -164,8 +166,9 @@
 double escalation_gain (const escalation_t *escalation,
                         const escalation_request_t *request, size_t index);
 /* Return the index of the candidate with the largest gain, or the number of
-   candidates when the present answer is kept.  The value of REQUEST enters the
-   mean value, which is used for concurrent requests.  */
+   candidates when the present answer is kept.  The value of REQUEST is added
+   to the moving average that stands for the value of each concurrent
+   request.  */
 size_t escalation_choose (escalation_t *escalation,
                           const escalation_request_t *request);
 /* Return the mean time to the first event relative to the objective.  */
--- a/packages/policy/fanout.c
+++ b/packages/policy/fanout.c
@@ -23,9 +23,13 @@
   peer_t self;
   map_t *peers; /* The other gateways by name.  */
   bool is_leaving;
-  uint64_t own_zone_until_ms;   /* Until then, other zones are not used.  */
-  uint64_t store_down_until_ms; /* Set when the store did not respond.  */
-  uint64_t store_up_until_ms;   /* Set when the store responded.  */
+  uint64_t own_zone_until_ms; /* Time until which no gateway of another zone is
+                                 used as a source.  */
+  uint64_t store_down_until_ms; /* Time until which the store counts as down
+                                   for this gateway; set when the store did not
+                                   respond.  */
+  uint64_t store_up_until_ms;   /* Time until which the store counts as
+                                   reachable; set when the store responded.  */
   uint64_t next_probe_ms;       /* Earliest next probe of the store; 0 if none
                                    was made.  */
 };
@@ -142,7 +146,8 @@
   return first_source (fanout, own_zone_only, is_large_fleet (fanout), now_ms);
 }
 
-/* Return whether this gateway ranks before OTHER, the first of the others.  */
+/* Return whether this gateway ranks before OTHER, the first in rank of the
+   other gateways; true if OTHER is NULL.  */
 static bool
 is_first_in_rank (const fanout_t *fanout, const peer_t *other)
 {
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -9,27 +9,31 @@
 {
   clock_iface_t *clock;
   double tolerance;
-  uint32_t start;
-  uint32_t max;
+  uint32_t initial_slots;
+  uint32_t max_slots;
 
   double slots;
   uint32_t in_flight;
   double slow_start_threshold; /* Slots at which slow start ends.  */
   bool in_slow_start;
-  bool is_best_warm;   /* Whether BEST_US was measured on a warm engine.  */
-  double slot_time_us; /* Integral of the used slots over this round.  */
+  bool is_best_warm;   /* Whether BEST_UNIT_LATENCY_US was measured on a warm
+                          engine.  */
+  double slot_time_us; /* Integral of the used slots over the time of this
+                          round.  */
   uint64_t slot_time_until_us; /* Time up to which SLOT_TIME_US is counted.  */
 
-  double best_us;           /* Best latency per unit of cost; 0 if unknown.  */
-  uint64_t best_drifted_us; /* Time of the last rise of BEST_US by drift.  */
+  /* Best latency per unit of cost; 0 if unknown.  */
+  double best_unit_latency_us;
+  uint64_t last_drift_us; /* Time of the last rise of BEST_UNIT_LATENCY_US by
+                             drift.  */
 
   uint64_t round_start_us; /* Start of the current round.  */
-  uint32_t samples;
-  uint32_t failures;
+  uint32_t round_samples;
+  uint32_t round_failures;
   double latency_sum_us;
   double units_sum;
 
-  uint32_t consecutive_cold;
+  uint32_t consecutive_cold_samples;
   uint32_t consecutive_errors;
 };
 
@@ -39,17 +43,17 @@
   limit_t *limit = mem_zalloc (sizeof *limit);
 
   limit->clock = clock;
-  limit->start = LIMIT_INITIAL_SLOTS;
-  limit->max = LIMIT_SLOTS_MAX;
+  limit->initial_slots = LIMIT_INITIAL_SLOTS;
+  limit->max_slots = LIMIT_SLOTS_MAX;
   limit->tolerance = LIMIT_LATENCY_TOLERANCE;
   if (config != NULL && config->start > 0)
-    limit->start = config->start;
+    limit->initial_slots = config->start;
   if (config != NULL && config->max > 0)
-    limit->max = config->max;
+    limit->max_slots = config->max;
   if (config != NULL && config->tolerance > 0)
     limit->tolerance = config->tolerance;
-  if (limit->start > limit->max)
-    limit->start = limit->max;
+  if (limit->initial_slots > limit->max_slots)
+    limit->initial_slots = limit->max_slots;
   limit_reset (limit);
   return limit;
 }
@@ -64,8 +68,8 @@
 start_round (limit_t *limit)
 {
   limit->round_start_us = clock_us (limit->clock);
-  limit->samples = 0;
-  limit->failures = 0;
+  limit->round_samples = 0;
+  limit->round_failures = 0;
   limit->latency_sum_us = 0;
   limit->units_sum = 0;
   limit->slot_time_us = 0;
@@ -75,7 +79,7 @@
 static void
 reset_to_start (limit_t *limit)
 {
-  if (limit->slots > limit->start)
+  if (limit->slots > limit->initial_slots)
     {
       /* Without the threshold an engine that serves six requests and fails
          at eight would go from two to eight and back in an endless loop.  A
@@ -86,9 +90,9 @@
           = limit->in_slow_start ? limit->slots / 2 : limit->slots;
       limit->is_best_warm = true;
     }
-  limit->slots = limit->start;
+  limit->slots = limit->initial_slots;
   limit->in_slow_start = true;
-  limit->consecutive_cold = 0;
+  limit->consecutive_cold_samples = 0;
   limit->consecutive_errors = 0;
   start_round (limit);
 }
@@ -96,23 +100,24 @@
 static void
 set_slots (limit_t *limit, double slots)
 {
-  limit->slots = fmin (fmax (slots, limit->start), limit->max);
+  limit->slots = fmin (fmax (slots, limit->initial_slots), limit->max_slots);
 }
 
-/* Raise the best latency with time, so that a lasting change of the upstream
-   is adopted.  */
+/* Raise the best latency by the drift since its last rise, so that a lasting
+   change of the upstream is adopted.  */
 static void
-raise_best (limit_t *limit)
+drift_best_latency (limit_t *limit)
 {
   uint64_t now = clock_us (limit->clock);
-  double minutes = (double)(now - limit->best_drifted_us) / 60e6;
+  double minutes = (double)(now - limit->last_drift_us) / 60e6;
 
-  limit->best_us *= 1 + LIMIT_BEST_DRIFT_PER_MIN * fmin (minutes, 1);
-  limit->best_drifted_us = now;
+  limit->best_unit_latency_us
+      *= 1 + LIMIT_BEST_DRIFT_PER_MIN * fmin (minutes, 1);
+  limit->last_drift_us = now;
 }
 
-/* Count SLOT_TIME_US up to now; to be called before a slot is acquired or
-   released.  */
+/* Add the slots used since SLOT_TIME_UNTIL_US to SLOT_TIME_US; to be called
+   before a slot is acquired or released.  */
 static void
 update_slot_time (limit_t *limit)
 {
@@ -152,33 +157,34 @@
 {
   double mean_us = limit->units_sum > 0
                        ? limit->latency_sum_us / limit->units_sum
-                       : limit->best_us;
+                       : limit->best_unit_latency_us;
   double utilization = round_utilization (limit);
 
-  raise_best (limit);
+  drift_best_latency (limit);
   /* The best latency so far was that of a cold engine.  */
-  if (mean_us < limit->best_us * LIMIT_WARM_LATENCY_RATIO)
+  if (mean_us < limit->best_unit_latency_us * LIMIT_WARM_LATENCY_RATIO)
     {
       limit->in_slow_start = true;
-      limit->slow_start_threshold = limit->max;
+      limit->slow_start_threshold = limit->max_slots;
       limit->is_best_warm = true;
     }
-  if (limit->best_us == 0)
-    limit->best_us = mean_us;
-  else if (mean_us < limit->best_us)
-    limit->best_us += LIMIT_BEST_SMOOTHING * (mean_us - limit->best_us);
-  if (limit->failures * 2 > limit->samples)
+  if (limit->best_unit_latency_us == 0)
+    limit->best_unit_latency_us = mean_us;
+  else if (mean_us < limit->best_unit_latency_us)
+    limit->best_unit_latency_us
+        += LIMIT_BEST_SMOOTHING * (mean_us - limit->best_unit_latency_us);
+  if (limit->round_failures * 2 > limit->round_samples)
     {
       limit->in_slow_start = false;
       set_slots (limit, limit->slots / 2);
     }
-  else if (mean_us > limit->best_us * limit->tolerance)
+  else if (mean_us > limit->best_unit_latency_us * limit->tolerance)
     {
-      double ratio = limit->best_us * limit->tolerance / mean_us;
+      double ratio = limit->best_unit_latency_us * limit->tolerance / mean_us;
 
       /* At its start value the limit cannot be cut: the engine is still cold,
          and the first good round doubles the limit.  */
-      if (limit->slots > limit->start)
+      if (limit->slots > limit->initial_slots)
         limit->in_slow_start = false;
       set_slots (limit, limit->slots * fmax (ratio, 0.5));
     }
@@ -205,11 +211,11 @@
   /* A warm upstream that turns cold gives consecutive samples far above the
      best latency.  Waiting for the end of the round would send it another full
      batch of requests, all of which would time out.  */
-  if (limit->best_us > 0
-      && unit_us > limit->best_us * LIMIT_COLD_LATENCY_RATIO)
-    limit->consecutive_cold++;
+  if (limit->best_unit_latency_us > 0
+      && unit_us > limit->best_unit_latency_us * LIMIT_COLD_LATENCY_RATIO)
+    limit->consecutive_cold_samples++;
   else
-    limit->consecutive_cold = 0;
+    limit->consecutive_cold_samples = 0;
 }
 
 static void
@@ -217,11 +223,11 @@
 {
   uint64_t round_ms = (clock_us (limit->clock) - limit->round_start_us) / 1000;
 
-  limit->samples++;
-  if (limit->consecutive_cold >= LIMIT_COLD_SAMPLES
+  limit->round_samples++;
+  if (limit->consecutive_cold_samples >= LIMIT_COLD_SAMPLES
       || limit->consecutive_errors >= LIMIT_CONSECUTIVE_ERRORS)
     reset_to_start (limit);
-  else if (limit->samples >= limit_slots (limit)
+  else if (limit->round_samples >= limit_slots (limit)
            && round_ms >= LIMIT_ROUND_MIN_MS)
     end_round (limit);
 }
@@ -261,7 +267,7 @@
       limit_report_progress (limit, latency_us, units);
       return;
     }
-  limit->failures++;
+  limit->round_failures++;
   limit->consecutive_errors++;
   update_limit (limit);
 }
@@ -270,10 +276,10 @@
 limit_reset (limit_t *limit)
 {
   limit->in_flight = 0;
-  limit->best_us = 0;
-  limit->best_drifted_us = clock_us (limit->clock);
+  limit->best_unit_latency_us = 0;
+  limit->last_drift_us = clock_us (limit->clock);
   reset_to_start (limit);
-  limit->slow_start_threshold = limit->max;
+  limit->slow_start_threshold = limit->max_slots;
   limit->is_best_warm = false;
 }
 
@@ -292,7 +298,9 @@
 bool
 limit_is_warming_up (const limit_t *limit)
 {
-  /* A fixed limit is always at its start value, which shows no cold engine. */
-  return limit->start < limit->max
-         && (limit->in_slow_start || limit_slots (limit) <= limit->start);
+  /* A fixed limit is always at its start value, which does not mean that the
+     engine is cold.  */
+  return limit->initial_slots < limit->max_slots
+         && (limit->in_slow_start
+             || limit_slots (limit) <= limit->initial_slots);
 }
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -81,7 +81,8 @@
 
 typedef struct limit limit_t;
 
-/* Settings of a limit; a field that is 0 selects the constant above.  */
+/* Settings of a limit.  START 0 selects LIMIT_INITIAL_SLOTS, MAX 0 selects
+   LIMIT_SLOTS_MAX, and TOLERANCE 0 selects LIMIT_LATENCY_TOLERANCE.  */
 typedef struct
 {
   uint32_t start;   /* Slots after creation and after a reset.  */
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -10,20 +10,23 @@
 
 struct outlier_member
 {
-  list_t link;
-  list_t change_link; /* In OUTLIER->changed_members until outlier_next_change
-                         has returned the state.  */
+  list_t list_node;
+  list_t change_node; /* Node in the list OUTLIER->changed_members, until
+                         outlier_next_change has returned the new state.  */
   void *owner;
   outlier_state_t state;
-  uint32_t samples;
+  uint32_t sample_count;
   uint32_t consecutive_errors;
   uint32_t trial_successes;
-  uint32_t ejection_count;   /* Ejections since the length was reset.  */
-  double error_rate;         /* Moving average, 0 to 1.  */
-  double unit_latency_us;    /* Moving average of the latency per unit of cost,
-                                in us; 0 if unknown.  */
+  uint32_t ejection_count; /* Number of ejections since the length of an
+                              ejection was reset.  */
+  double error_rate;      /* Moving average of the share of failed responses, 0
+                             to 1.  */
+  double unit_latency_us; /* Moving average of the latency per unit of cost,
+                             in us; 0 if unknown.  */
   uint64_t ejected_until_ms; /* End of the ejection.  */
-  uint64_t active_since_ms;  /* Start of the current time without ejection.  */
+  /* Time since which the member has not been ejected.  */
+  uint64_t active_since_ms;
 };
 
 struct outlier
@@ -32,12 +35,13 @@
   double max_ejected_share;
   list_t members;
   list_t changed_members;
-  uint32_t count;
-  uint32_t ejected;
+  uint32_t member_count;
+  uint32_t ejected_count;
   uint64_t evaluated_ms;
-  bool evaluate_now; /* A member may be failing fast: evaluate immediately.  */
-  double *scratch;   /* Buffer with room for one value of each member.  */
-  uint32_t scratch_capacity;
+  bool evaluate_now; /* Whether to evaluate without waiting for the interval,
+                        because a member may be failing fast.  */
+  double *values;    /* Buffer with room for one value of each member.  */
+  uint32_t value_capacity;
 };
 
 outlier_t *
@@ -59,8 +63,8 @@
   if (outlier == NULL)
     return;
   LIST_EACH (at, &outlier->members)
-    free (CONTAINER_OF (at, outlier_member_t, link));
-  free (outlier->scratch);
+    free (CONTAINER_OF (at, outlier_member_t, list_node));
+  free (outlier->values);
   free (outlier);
 }
 
@@ -71,14 +75,14 @@
 
   member->owner = owner;
   member->active_since_ms = clock_ms (outlier->clock);
-  list_init (&member->change_link);
-  list_append (&outlier->members, &member->link);
-  outlier->count++;
-  if (outlier->count > outlier->scratch_capacity)
+  list_init (&member->change_node);
+  list_append (&outlier->members, &member->list_node);
+  outlier->member_count++;
+  if (outlier->member_count > outlier->value_capacity)
     {
-      outlier->scratch_capacity = outlier->count * 2;
-      outlier->scratch = mem_realloc (
-          outlier->scratch, outlier->scratch_capacity * sizeof (double));
+      outlier->value_capacity = outlier->member_count * 2;
+      outlier->values = mem_realloc (outlier->values, outlier->value_capacity
+                                                          * sizeof (double));
     }
   return member;
 }
@@ -87,10 +91,10 @@
 outlier_remove_member (outlier_t *outlier, outlier_member_t *member)
 {
   if (member->state == OUTLIER_EJECTED)
-    outlier->ejected--;
-  list_remove (&member->link);
-  list_remove (&member->change_link);
-  outlier->count--;
+    outlier->ejected_count--;
+  list_remove (&member->list_node);
+  list_remove (&member->change_node);
+  outlier->member_count--;
   free (member);
 }
 
@@ -98,21 +102,22 @@
 set_state (outlier_t *outlier, outlier_member_t *member, outlier_state_t state)
 {
   if (member->state == OUTLIER_EJECTED)
-    outlier->ejected--;
+    outlier->ejected_count--;
   if (state == OUTLIER_EJECTED)
-    outlier->ejected++;
+    outlier->ejected_count++;
   member->state = state;
-  list_remove (&member->change_link);
-  list_append (&outlier->changed_members, &member->change_link);
+  list_remove (&member->change_node);
+  list_append (&outlier->changed_members, &member->change_node);
 }
 
 /* Return how many members may be ejected at the same time.  */
 static uint32_t
-max_ejected (const outlier_t *outlier)
+max_ejected_count (const outlier_t *outlier)
 {
-  uint32_t maximum = (uint32_t)(outlier->count * outlier->max_ejected_share);
+  uint32_t maximum
+      = (uint32_t)(outlier->member_count * outlier->max_ejected_share);
 
-  return maximum == 0 && outlier->count > 1 ? 1 : maximum;
+  return maximum == 0 && outlier->member_count > 1 ? 1 : maximum;
 }
 
 static void
@@ -123,7 +128,7 @@
 
   /* With most of a pool ejected, the rest would be overloaded, become slow and
      be ejected as well.  */
-  if (outlier->ejected >= max_ejected (outlier))
+  if (outlier->ejected_count >= max_ejected_count (outlier))
     return;
   if (member->state == OUTLIER_ACTIVE
       && now - member->active_since_ms >= OUTLIER_EJECTION_RESET_MS)
@@ -142,7 +147,7 @@
 outlier_record (outlier_t *outlier, outlier_member_t *member, bool ok,
                 uint64_t latency_us, uint32_t units)
 {
-  member->samples++;
+  member->sample_count++;
   member->error_rate
       += MOVING_AVERAGE_WEIGHT * ((ok ? 0 : 1) - member->error_rate);
   member->consecutive_errors = ok ? 0 : member->consecutive_errors + 1;
@@ -180,7 +185,7 @@
   return (x > y) - (x < y);
 }
 
-/* Return the median of the COUNT values in the scratch buffer; 0 if COUNT is
+/* Return the median of the COUNT values in the values buffer; 0 if COUNT is
    0.  With an even COUNT this is the lower of the two middle values, so that
    both members of a pool of two are compared with the better one.  */
 static double
@@ -188,15 +193,15 @@
 {
   if (count == 0)
     return 0;
-  qsort (outlier->scratch, count, sizeof (double), compare_doubles);
-  return outlier->scratch[(count - 1) / 2];
+  qsort (outlier->values, count, sizeof (double), compare_doubles);
+  return outlier->values[(count - 1) / 2];
 }
 
 static bool
 has_enough_samples (const outlier_member_t *member)
 {
   return member->state == OUTLIER_ACTIVE
-         && member->samples >= OUTLIER_SAMPLES_MIN;
+         && member->sample_count >= OUTLIER_SAMPLES_MIN;
 }
 
 /* Return the median error rate of the members that are not ejected and not on
@@ -210,10 +215,11 @@
 
   LIST_EACH (at, &outlier->members)
     {
-      outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
+      outlier_member_t *member
+          = CONTAINER_OF (at, outlier_member_t, list_node);
 
-      if (member->state == OUTLIER_ACTIVE && member->samples > 0)
-        outlier->scratch[count++] = member->error_rate;
+      if (member->state == OUTLIER_ACTIVE && member->sample_count > 0)
+        outlier->values[count++] = member->error_rate;
     }
   return median (outlier, count);
 }
@@ -225,10 +231,11 @@
 
   LIST_EACH (at, &outlier->members)
     {
-      outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
+      outlier_member_t *member
+          = CONTAINER_OF (at, outlier_member_t, list_node);
 
       if (has_enough_samples (member) && member->unit_latency_us > 0)
-        outlier->scratch[count++] = member->unit_latency_us;
+        outlier->values[count++] = member->unit_latency_us;
     }
   return median (outlier, count);
 }
@@ -241,11 +248,12 @@
 {
   LIST_EACH (at, &outlier->members)
     {
-      outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
+      outlier_member_t *member
+          = CONTAINER_OF (at, outlier_member_t, list_node);
 
       if (member->state != OUTLIER_EJECTED || now < member->ejected_until_ms)
         continue;
-      member->samples = 0;
+      member->sample_count = 0;
       member->consecutive_errors = 0;
       member->trial_successes = 0;
       member->error_rate = 0;
@@ -262,7 +270,8 @@
 
   LIST_EACH (at, &outlier->members)
     {
-      outlier_member_t *member = CONTAINER_OF (at, outlier_member_t, link);
+      outlier_member_t *member
+          = CONTAINER_OF (at, outlier_member_t, list_node);
 
       if (member->state != OUTLIER_ACTIVE)
         continue;
@@ -296,8 +305,8 @@
   if (list_empty (&outlier->changed_members))
     return NULL;
   member = CONTAINER_OF (outlier->changed_members.next, outlier_member_t,
-                         change_link);
-  list_remove (&member->change_link);
+                         change_node);
+  list_remove (&member->change_node);
   *state = member->state;
   return member->owner;
 }
@@ -311,5 +320,5 @@
 uint32_t
 outlier_ejected_count (const outlier_t *outlier)
 {
-  return outlier->ejected;
+  return outlier->ejected_count;
 }
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -6,7 +6,8 @@
 
 enum
 {
-  /* Set-associative table: a key may lie in any slot of its set.  */
+  /* Slots of a set.  The table is set-associative: a key may lie in any slot
+     of the set that its hash selects.  */
   SLOTS_PER_SET = 8,
   SET_COUNT = POISON_KEYS_MAX / SLOTS_PER_SET,
   DIGEST_SEED = 1,
@@ -19,7 +20,8 @@
   poison_key_t key;
   uint64_t crash_ids[POISON_CRASHES_TO_REFUSE];
   uint64_t last_crash_ms; /* Time of the newest recorded crash.  */
-  uint32_t crash_count;   /* 0 if the slot is free.  */
+  /* Number of recorded crashes; 0 if the slot is free.  */
+  uint32_t crash_count;
 } slot_t;
 
 struct poison
@@ -82,7 +84,7 @@
   return &poison->slots[key.high % SET_COUNT * SLOTS_PER_SET];
 }
 
-/* Return the slot of KEY, or NULL if it has none that is not expired.  */
+/* Return the slot of KEY; NULL if KEY has no slot, or one that is expired.  */
 static const slot_t *
 find_slot (const poison_t *poison, poison_key_t key)
 {
@@ -94,8 +96,8 @@
   return NULL;
 }
 
-/* Tell whether A is dropped before B: expired ones first, then those with
-   fewer crashes, then those that expire first.  */
+/* Return whether slot A is dropped before slot B: expired slots first, then
+   slots with fewer crashes, then those that expire first.  */
 static bool
 is_dropped_before (const poison_t *poison, const slot_t *a, const slot_t *b)
 {
@@ -106,7 +108,7 @@
   return a->last_crash_ms < b->last_crash_ms;
 }
 
-/* Return an empty slot for KEY, dropping another key at need.  */
+/* Return an empty slot for KEY; if none is free, another key is dropped.  */
 static slot_t *
 allocate_slot (poison_t *poison, poison_key_t key)
 {
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -8,14 +8,14 @@
    When an upstream crashes, the crash is recorded for every request in flight
    there, under the digest of the request's content and under its request id.
    A request with one recorded crash is a suspect, a request with two different
-   ones is refused.  A harmless request that ran beside the cause of one crash
-   must not be refused because of a second coincidence.  A suspect therefore
-   shares an upstream with no other suspect, so that each crash makes one
-   request refused at most; and with no request that is not idempotent, whose
-   outcome would be unknown after a crash.
+   recorded crashes is refused.  A harmless request that ran beside the cause
+   of one crash must not be refused because of a second coincidence.  A suspect
+   therefore shares an upstream with no other suspect, so that each crash makes
+   one request refused at most; and with no request that is not idempotent,
+   whose outcome would be unknown after a crash.
 
-   Records are pairs of a key and a crash id, so that a process may merge those
-   of another one in any order and any number of times.
+   Records are pairs of a key and a crash id, so that a process may merge the
+   records of another process in any order and any number of times.
 
    - POISON_KEYS_MAX 4096 of 48 bytes: a crash is recorded for all requests
      that an upstream runs, some dozens, under two keys each, so there is room
@@ -70,9 +70,10 @@
   uint32_t nonidempotent_count;
 } poison_in_flight_t;
 
-/* CLOCK is borrowed.  */
+/* Return a new table without records, owned by the caller.  CLOCK is
+   borrowed.  */
 poison_t *poison_create (clock_iface_t *clock);
-/* NULL is accepted.  */
+/* Free POISON, which may be NULL.  */
 void poison_destroy (poison_t *poison);
 
 /* Return the key of a digest of the request's content (model and body), and
@@ -86,17 +87,18 @@
 void poison_record_crash (poison_t *poison, poison_key_t digest,
                           poison_key_t request, uint64_t crash_id);
 
-/* Tell by both its keys whether a request may run.  */
+/* Return the class of the request with the keys DIGEST and REQUEST: whether it
+   may run, and whether it may run beside others.  */
 poison_class_t poison_classify (const poison_t *poison, poison_key_t digest,
                                 poison_key_t request);
 
-/* Tell whether a request of CLASS may start on an upstream that runs
+/* Return whether a request of CLASS may start on an upstream that runs
    IN_FLIGHT.  IDEMPOTENT: the request may be sent again after a crash.  */
 bool poison_may_run_beside (poison_class_t class, bool idempotent,
                             const poison_in_flight_t *in_flight);
 
-/* Add a record of another process.  Return false if it was known, is expired,
-   or its key already has enough crashes to be refused.  */
+/* Add a record of another process.  Return false if the record was known or is
+   expired, or if its key already has enough crashes to be refused.  */
 bool poison_merge (poison_t *poison, const poison_record_t *record);
 /* Step through the records that are not expired: start with *CURSOR 0; return
    false at the end.  */
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -22,7 +22,7 @@
 
 struct upstream
 {
-  list_t link;
+  list_t list_node;
   service_group_t *group;
   unsigned refs;
   char *id;
@@ -32,7 +32,8 @@
   char *version;
   uint64_t id_hash;
   uint64_t version_hash;
-  uint64_t rank_generation; /* Generation of the gateway list for RANK.  */
+  uint64_t rank_generation; /* Generation of the gateway list from which RANK
+                               was computed.  */
   size_t rank; /* Rank of this gateway in sharing the rate limit.  */
   bool is_own_zone;
   bool is_zone_disabled;
@@ -40,20 +41,23 @@
   uint64_t incarnation;
   uint32_t slots;
   bool draining;
-  bool is_unregistered;     /* The registration has ended.  */
-  uint64_t usable_until_ms; /* End of selection if unregistered, monotonic.  */
+  bool is_unregistered;     /* Whether the registration has ended.  */
+  uint64_t usable_until_ms; /* Monotonic time until which the instance may be
+                               selected if it is unregistered.  */
   uint64_t cold_until_ms;
   uint64_t ejected_until_ms;
   uint64_t ejection_ms; /* Length of the last ejection; 0 for none.  */
-  unsigned failures;
+  unsigned consecutive_failures;
   uint64_t last_data_ms;     /* Time of the last data received, or of a request
                                 sent while no other was running.  */
-  uint64_t last_probe_ok_ms; /* Last successful probe; 0 for none.  */
-  bool is_unreachable;       /* The last probe could not connect.  */
-  uint32_t running;          /* Running requests of this gateway.  */
+  uint64_t last_probe_ok_ms; /* Time of the last successful probe; 0 if there
+                                was none.  */
+  bool is_unreachable;       /* Whether the last probe could not connect.  */
+  uint32_t running_count;    /* Running requests of this gateway.  */
   uint64_t pending_prompt_tokens; /* Prompt tokens of this gateway awaiting
                                      prefill.  */
-  double other_requests;          /* Reported requests of other gateways.  */
+  /* Requests of other gateways in the last load report.  */
+  double other_requests;
   uint64_t reported_ms;
   uint64_t send_times[POOL_SEND_TIMES_MAX]; /* Ring buffer of the last send
                                                times. */
@@ -69,12 +73,12 @@
   double cold_slack;
   const allotment_t *gateways;
   list_t upstreams;
-  size_t unregistered_count; /* Number of instances in use after their
-                                registration.  */
+  size_t unregistered_count; /* Number of instances that can still be selected
+                                although their registration has ended.  */
   map_t *by_id;
-  map_t *groups; /* From service name to group.  */
+  map_t *groups; /* Maps a service name to its service_group_t.  */
   map_t *disabled_zones;
-  map_t *withdrawn; /* Set of "SERVICE VERSION" keys.  */
+  map_t *withdrawn_versions; /* Set of "SERVICE VERSION" keys.  */
 };
 
 pool_t *
@@ -93,7 +97,7 @@
   pool->by_id = map_create ();
   pool->groups = map_create ();
   pool->disabled_zones = map_create ();
-  pool->withdrawn = map_create ();
+  pool->withdrawn_versions = map_create ();
   return pool;
 }
 
@@ -126,7 +130,7 @@
 {
   if (--upstream->refs > 0)
     return;
-  list_remove (&upstream->link);
+  list_remove (&upstream->list_node);
   free (upstream->id);
   free (upstream->service);
   free (upstream->address);
@@ -142,7 +146,7 @@
     return;
   LIST_EACH (at, &pool->upstreams)
     {
-      upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
+      upstream_t *upstream = CONTAINER_OF (at, upstream_t, list_node);
       upstream->refs = 1;
       upstream_unref (upstream);
     }
@@ -157,7 +161,7 @@
   map_destroy (pool->groups);
   map_destroy (pool->by_id);
   map_destroy (pool->disabled_zones);
-  map_destroy (pool->withdrawn);
+  map_destroy (pool->withdrawn_versions);
   free (pool->zone);
   free (pool);
 }
@@ -185,7 +189,7 @@
   upstream_unref (upstream);
 }
 
-/* Remove the instances whose time of use after their registration is over.  */
+/* Remove the unregistered instances that may no longer be selected.  */
 static void
 remove_expired (pool_t *pool, uint64_t now_ms)
 {
@@ -193,7 +197,7 @@
     return;
   LIST_EACH (at, &pool->upstreams)
     {
-      upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
+      upstream_t *upstream = CONTAINER_OF (at, upstream_t, list_node);
       if (upstream->is_unregistered && upstream->usable_until_ms != 0
           && now_ms >= upstream->usable_until_ms)
         remove_upstream (pool, upstream);
@@ -214,7 +218,7 @@
 }
 
 static void
-write_withdrawn_key (str_t service, str_t version, buf_t *out)
+format_withdrawn_key (str_t service, str_t version, buf_t *out)
 {
   buf_append_str (out, service);
   buf_append_char (out, ' ');
@@ -226,8 +230,8 @@
 {
   buf_t key = BUF_NULL;
 
-  write_withdrawn_key (service, version, &key);
-  bool found = map_get (pool->withdrawn, buf_str (&key)) != NULL;
+  format_withdrawn_key (service, version, &key);
+  bool found = map_get (pool->withdrawn_versions, buf_str (&key)) != NULL;
   buf_free (&key);
   return found;
 }
@@ -238,15 +242,15 @@
 {
   buf_t key = BUF_NULL;
 
-  write_withdrawn_key (service, version, &key);
+  format_withdrawn_key (service, version, &key);
   if (withdrawn)
-    map_put (pool->withdrawn, buf_str (&key), pool);
+    map_put (pool->withdrawn_versions, buf_str (&key), pool);
   else
-    map_remove (pool->withdrawn, buf_str (&key));
+    map_remove (pool->withdrawn_versions, buf_str (&key));
   buf_free (&key);
   LIST_EACH (at, &pool->upstreams)
     {
-      upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
+      upstream_t *upstream = CONTAINER_OF (at, upstream_t, list_node);
       if (str_eq (str_from (upstream->service), service)
           && str_eq (str_from (upstream->version), version))
         upstream->is_withdrawn = withdrawn;
@@ -260,7 +264,7 @@
   str_t key;
   void *value;
 
-  while (map_next (pool->withdrawn, &cursor, &key, &value))
+  while (map_next (pool->withdrawn_versions, &cursor, &key, &value))
     {
       str_t version;
       if (!str_eq (str_cut (key, ' ', &version), service))
@@ -281,8 +285,8 @@
           || !str_eq (str_from (upstream->service), info->service)
           || !str_eq (str_from (upstream->address), info->address)))
     {
-      /* A process that restarted under the same id has none of the state that
-         was recorded for the former one.  */
+      /* The state that was recorded for an instance does not apply to a
+         process that restarted under the same id.  */
       remove_upstream (pool, upstream);
       upstream = NULL;
     }
@@ -293,7 +297,7 @@
       upstream->id = str_dup (info->id);
       upstream->id_hash = str_hash (info->id, 0);
       upstream->incarnation = info->incarnation;
-      list_append (&pool->upstreams, &upstream->link);
+      list_append (&pool->upstreams, &upstream->list_node);
       map_put (pool->by_id, info->id, upstream);
       service_group_add (find_or_add_group (pool, info->service), upstream);
     }
@@ -344,7 +348,7 @@
     map_remove (pool->disabled_zones, zone);
   LIST_EACH (at, &pool->upstreams)
     {
-      upstream_t *upstream = CONTAINER_OF (at, upstream_t, link);
+      upstream_t *upstream = CONTAINER_OF (at, upstream_t, list_node);
       if (str_eq (str_from (upstream->zone), zone))
         upstream->is_zone_disabled = disabled;
     }
@@ -423,7 +427,7 @@
 static double
 request_count (const upstream_t *upstream, uint64_t now_ms)
 {
-  return upstream->running
+  return upstream->running_count
          + other_requests_now (upstream, POOL_REPORT_DECAY_MS, now_ms);
 }
 
@@ -459,7 +463,7 @@
 {
   return is_below_rate_limit (pool, upstream, criteria->cold_rate_per_s,
                               now_ms)
-         && upstream->running
+         && upstream->running_count
                     + other_requests_now (upstream, POOL_FULL_DECAY_MS, now_ms)
                 < upstream->slots;
 }
@@ -502,9 +506,11 @@
    those examined so far.  */
 typedef struct
 {
-  upstream_t *own_zone; /* Among those in the zone of this gateway.  */
+  upstream_t *own_zone; /* Instance with the highest hash in the zone of this
+                           gateway; NULL for none.  */
   uint64_t own_zone_hash;
-  upstream_t *best; /* Among those in all zones.  */
+  /* Instance with the highest hash in all zones; NULL for none.  */
+  upstream_t *best;
   uint64_t best_hash;
 } affinity_choice_t;
 
@@ -570,9 +576,9 @@
 }
 
 /* Return the best instance for CRITERIA that has free slots: the affinity
-   instance if there is one, otherwise the least loaded.  Return NULL if there
-   is none.  Ejected instances are included if INCLUDE_EJECTED is set.  Set
-   *ANY_ELIGIBLE if at least one instance was eligible, even if full.  */
+   instance if there is one, otherwise the least loaded instance.  Return NULL
+   if there is none.  Ejected instances are included if INCLUDE_EJECTED is set.
+   Set *ANY_ELIGIBLE if at least one instance was eligible, even if full.  */
 static upstream_t *
 select_best (pool_t *pool, const pool_criteria_t *criteria,
              bool include_ejected, uint64_t now_ms, bool *any_eligible)
@@ -652,11 +658,11 @@
 void
 pool_request_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
 {
-  if (upstream->running == 0)
+  if (upstream->running_count == 0)
     upstream->last_data_ms = clock_ms (pool->clock);
   upstream->is_unreachable = false;
   upstream->refs++;
-  upstream->running++;
+  upstream->running_count++;
   upstream->pending_prompt_tokens += prompt;
   upstream->send_times[upstream->send_time_index] = clock_ms (pool->clock);
   upstream->send_time_index
@@ -686,7 +692,8 @@
   return silence_due_ms > next_probe_ms ? silence_due_ms : next_probe_ms;
 }
 
-/* Eject UPSTREAM for twice as long as the last time.  */
+/* Eject UPSTREAM for twice the length of its last ejection, within
+   POOL_EJECTION_FIRST_MS and POOL_EJECTION_MAX_MS.  */
 static void
 eject (upstream_t *upstream, uint64_t now_ms)
 {
@@ -697,7 +704,7 @@
     upstream->ejection_ms = POOL_EJECTION_MAX_MS;
   upstream->ejected_until_ms = now_ms + upstream->ejection_ms;
   /* After an ejection a single failure ejects the instance again.  */
-  upstream->failures = POOL_EJECTION_FAILURES - 1;
+  upstream->consecutive_failures = POOL_EJECTION_FAILURES - 1;
 }
 
 void
@@ -733,15 +740,15 @@
 {
   uint64_t now_ms = clock_ms (pool->clock);
 
-  upstream->running--;
+  upstream->running_count--;
   upstream->pending_prompt_tokens -= prompt;
   if (outcome == SEND_OK)
     {
-      upstream->failures = 0;
+      upstream->consecutive_failures = 0;
       upstream->ejection_ms = 0;
     }
   else if (outcome == SEND_FAILED
-           && ++upstream->failures >= POOL_EJECTION_FAILURES)
+           && ++upstream->consecutive_failures >= POOL_EJECTION_FAILURES)
     eject (upstream, now_ms);
   upstream_unref (upstream);
 }
@@ -753,7 +760,7 @@
   double all = (double)running + waiting;
 
   upstream->other_requests
-      = all > upstream->running ? all - upstream->running : 0;
+      = all > upstream->running_count ? all - upstream->running_count : 0;
   upstream->reported_ms = clock_ms (pool->clock);
   if (slots > 0)
     upstream->slots = slots;
@@ -798,5 +805,5 @@
 uint32_t
 upstream_running (const upstream_t *upstream)
 {
-  return upstream->running;
+  return upstream->running_count;
 }
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -26,8 +26,8 @@
      version.  Spread over all instances, a tenth of the traffic leaves them
      idle, and a version that is slow or fails under load passes until it has
      all traffic.
-   - A silent instance: it is probed, and ejected immediately if it accepts no
-     connection.  */
+   - An instance that sends no data while requests run there: the instance is
+     probed, and ejected immediately if it accepts no connection.  */
 
 #ifndef POLICY_POOL_H
 #define POLICY_POOL_H
@@ -69,8 +69,8 @@
   POOL_PROMPT_TOKENS_PER_REQUEST = 1000,
   /* Time without data after which an instance with running requests is probed.
      An engine generates a token for each request some dozens of times a
-     second, so a silent one is either busy with the prompts of other gateways
-     or down.  */
+     second, so an instance that sends nothing is either busy with the prompts
+     of other gateways or down.  */
   POOL_SILENCE_TIMEOUT_MS = 500,
   /* Time from a successful probe to the next one: a probe's connection costs a
      hundredth of a short response.  */
@@ -122,7 +122,8 @@
   POOL_TRIED_MAX = 8
 };
 
-/* Which instances a request may be sent to.  */
+/* Input of pool_select: the instances that a request may be sent to, the rate
+   limit of a cold one, and the request's affinity.  */
 typedef struct
 {
   str_t service;
@@ -145,7 +146,8 @@
   SEND_OK,       /* The instance completed the request.  */
   SEND_REFUSED,  /* The instance reported that it did not run the request.  */
   SEND_FAILED,   /* Connection lost, timeout, or error response.  */
-  SEND_CANCELLED /* Cancelled by the gateway; no success or failure.  */
+  SEND_CANCELLED /* Cancelled by the gateway; counts as neither success nor
+                    failure.  */
 } send_outcome_t;
 
 pool_t *pool_create (clock_iface_t *clock, uint64_t seed,
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -8,14 +8,15 @@
 
 enum
 {
-  /* Index of each sum in an evidence cell; index 0 is the rating count.  */
+  /* Fields of a cell of crdt.h; field 0 is the number of ratings.  */
   FIELD_RATING_SUM = 1,
   FIELD_RATING_SQUARES,
   FIELDS,
   CACHE_MS = 1000,
   RATER_PAUSE_MS = 1000,
   RATER_PAUSE_MAX_MS = 60 * 1000,
-  /* Fewest epochs whose means are clipped; a median of fewer is unreliable. */
+  /* Fewest epochs with which means are clipped; a median of fewer is
+     unreliable.  */
   CLIP_EPOCHS_MIN = 3,
   /* Most ratings of an epoch that count in the median.  Without the bound a
      rating service that is wrong and answers at many times its usual rate
@@ -25,21 +26,22 @@
 
 typedef struct
 {
-  bool filled;
-  uint64_t at_ms;   /* Time at which the sums were computed.  */
-  uint64_t changes; /* State of the evidence at AT_MS (crdt_change_count).  */
-  double count;
-  double sum;
-  double squares;
+  bool is_filled;
+  uint64_t computed_ms;  /* Time at which the sums were computed.  */
+  uint64_t change_count; /* Result of crdt_change_count at COMPUTED_MS.  */
+  double rating_count;
+  double rating_sum;
+  double square_sum;
 } decayed_sums_t;
 
 struct quality
 {
-  crdt_t *evidence;
+  crdt_t *rating_crdt;
   decayed_sums_t *cache; /* Decayed sums by key index.  */
   quality_sampling_t sampling;
-  double tokens; /* Requests to the rating service that may be sent now.  */
-  uint64_t refilled_ms;           /* Time of the last refill of TOKENS.  */
+  double rating_tokens; /* Token bucket: requests that may be sent to the
+                           rating service now.  */
+  uint64_t refilled_ms; /* Time of the last refill of RATING_TOKENS.  */
   uint64_t rater_paused_until_ms; /* End of the pause; 0 if there is none.  */
   uint64_t rater_pause_ms; /* Length of the last pause; 0 after a success.  */
 };
@@ -55,10 +57,10 @@
                                    .cells_max = QUALITY_CELLS_MAX };
   quality_t *q = mem_zalloc (sizeof *q);
 
-  q->evidence = crdt_create (&options);
+  q->rating_crdt = crdt_create (&options);
   q->cache = mem_zalloc (QUALITY_SERIES_MAX * sizeof *q->cache);
   q->sampling = *sampling;
-  q->tokens = sampling->burst;
+  q->rating_tokens = sampling->burst;
   return q;
 }
 
@@ -67,7 +69,7 @@
 {
   if (q == NULL)
     return;
-  crdt_destroy (q->evidence);
+  crdt_destroy (q->rating_crdt);
   free (q->cache);
   free (q);
 }
@@ -87,13 +89,13 @@
   double value = fmax (0, fmin (1, rating));
   int64_t sample[FIELDS] = { 0, crdt_to_fixed_point (value),
                              crdt_to_fixed_point (value * value) };
-  int key = crdt_key_find_or_add (q->evidence,
+  int key = crdt_key_find_or_add (q->rating_crdt,
                                   quality_series_hash (task, version));
-  return crdt_add (q->evidence, key, now_ms, sample);
+  return crdt_add (q->rating_crdt, key, now_ms, sample);
 }
 
 quality_bound_t
-quality_posterior (double count, double sum, double squares, double prior,
+quality_posterior (double count, double sum, double square_sum, double prior,
                    double variance)
 {
   double weight = QUALITY_PRIOR_WEIGHT + count;
@@ -102,7 +104,7 @@
       = QUALITY_PRIOR_WEIGHT * (variance + (prior - mean) * (prior - mean));
 
   squared_deviations
-      += fmax (0, squares - 2 * mean * sum + count * mean * mean);
+      += fmax (0, square_sum - 2 * mean * sum + count * mean * mean);
   double half_width
       = QUALITY_Z_ONE_SIDED_95 * sqrt (squared_deviations / weight / weight);
   return (quality_bound_t){ mean, fmax (0, mean - half_width),
@@ -113,9 +115,9 @@
 {
   double mean;
   double weight; /* Number of ratings after decay.  */
-  double votes;  /* Weight of the epoch in the median.  */
-  double count;  /* Number of ratings before decay.  */
-  double squares;
+  double votes;  /* Weight of the epoch in the median of the epochs' means.  */
+  double rating_count; /* Number of ratings before decay.  */
+  double square_sum;
 } epoch_stats_t;
 
 /* Return the weighted median of the means of COUNT epochs, which are sorted by
@@ -152,13 +154,14 @@
 collect_epochs (const quality_t *q, int key, uint64_t now_ms,
                 epoch_stats_t epochs[QUALITY_EPOCHS])
 {
-  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
-  uint64_t last = crdt_last_epoch (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->rating_crdt, now_ms);
+  uint64_t last = crdt_last_epoch (q->rating_crdt);
   size_t count = 0;
 
-  for (uint64_t epoch = crdt_first_epoch (q->evidence); epoch <= last; epoch++)
+  for (uint64_t epoch = crdt_first_epoch (q->rating_crdt); epoch <= last;
+       epoch++)
     {
-      const int64_t *sums = crdt_sums (q->evidence, key, epoch);
+      const int64_t *sums = crdt_sums (q->rating_crdt, key, epoch);
       if (sums == NULL)
         continue;
       double age = now_epoch > epoch ? (double)(now_epoch - epoch) : 0;
@@ -169,8 +172,8 @@
         = (double)sums[FIELD_RATING_SUM] / CRDT_FIXED_POINT_ONE / rating_count,
         .weight = decay * rating_count,
         .votes = decay * fmin (rating_count, EPOCH_VOTES_MAX),
-        .count = rating_count,
-        .squares = (double)sums[FIELD_RATING_SQUARES] / CRDT_FIXED_POINT_ONE
+        .rating_count = rating_count,
+        .square_sum = (double)sums[FIELD_RATING_SQUARES] / CRDT_FIXED_POINT_ONE
       };
     }
   qsort (epochs, count, sizeof *epochs, compare_means);
@@ -199,34 +202,36 @@
   epoch_stats_t epochs[QUALITY_EPOCHS];
   size_t count = collect_epochs (q, key, now_ms, epochs);
 
-  *cache = (decayed_sums_t){ .filled = true,
-                             .at_ms = now_ms,
-                             .changes = crdt_change_count (q->evidence) };
+  *cache
+      = (decayed_sums_t){ .is_filled = true,
+                          .computed_ms = now_ms,
+                          .change_count = crdt_change_count (q->rating_crdt) };
   for (size_t i = 0; i < count; i++)
     {
       const epoch_stats_t *epoch = &epochs[i];
-      double decay = epoch->weight / epoch->count;
+      double decay = epoch->weight / epoch->rating_count;
       double mean = clipped_mean (epochs, count, i);
-      double variance = fmax (0, epoch->squares / epoch->count
+      double variance = fmax (0, epoch->square_sum / epoch->rating_count
                                      - epoch->mean * epoch->mean);
-      cache->count += epoch->weight;
-      cache->sum += epoch->weight * mean;
-      cache->squares += decay * epoch->count * (variance + mean * mean);
+      cache->rating_count += epoch->weight;
+      cache->rating_sum += epoch->weight * mean;
+      cache->square_sum
+          += decay * epoch->rating_count * (variance + mean * mean);
     }
 }
 
-/* Return the decayed sums of KEY.  They are recomputed when the evidence has
-   changed and they are older than CACHE_MS, and after a quarter of an epoch in
-   any case.  */
+/* Return the decayed sums of KEY.  The sums are recomputed when a rating was
+   added or merged and the sums are older than CACHE_MS, and after a quarter of
+   an epoch in any case.  */
 static const decayed_sums_t *
 get_sums (quality_t *q, int key, uint64_t now_ms)
 {
   decayed_sums_t *cache = &q->cache[key];
-  bool is_stale = now_ms - cache->at_ms >= CACHE_MS
-                  && (cache->changes != crdt_change_count (q->evidence)
-                      || now_ms - cache->at_ms >= QUALITY_EPOCH_MS / 4);
+  bool is_stale = now_ms - cache->computed_ms >= CACHE_MS
+                  && (cache->change_count != crdt_change_count (q->rating_crdt)
+                      || now_ms - cache->computed_ms >= QUALITY_EPOCH_MS / 4);
 
-  if (!cache->filled || now_ms < cache->at_ms || is_stale)
+  if (!cache->is_filled || now_ms < cache->computed_ms || is_stale)
     compute_sums (q, key, now_ms, cache);
   return cache;
 }
@@ -235,14 +240,15 @@
 quality_estimate (quality_t *q, str_t task, str_t version, double prior,
                   uint64_t now_ms)
 {
-  int key = crdt_key_find (q->evidence, quality_series_hash (task, version));
+  int key
+      = crdt_key_find (q->rating_crdt, quality_series_hash (task, version));
 
   if (key < 0)
     return quality_posterior (0, 0, 0, prior, QUALITY_PRIOR_VARIANCE);
-  crdt_advance (q->evidence, now_ms);
+  crdt_advance (q->rating_crdt, now_ms);
   const decayed_sums_t *cache = get_sums (q, key, now_ms);
-  return quality_posterior (cache->count, cache->sum, cache->squares, prior,
-                            QUALITY_PRIOR_VARIANCE);
+  return quality_posterior (cache->rating_count, cache->rating_sum,
+                            cache->square_sum, prior, QUALITY_PRIOR_VARIANCE);
 }
 
 static bool
@@ -252,12 +258,12 @@
     {
       double refill
           = (double)(now_ms - q->refilled_ms) / 1000 * q->sampling.rate_per_s;
-      q->tokens = fmin (q->sampling.burst, q->tokens + refill);
+      q->rating_tokens = fmin (q->sampling.burst, q->rating_tokens + refill);
       q->refilled_ms = now_ms;
     }
-  if (q->tokens < 1)
+  if (q->rating_tokens < 1)
     return false;
-  q->tokens -= 1;
+  q->rating_tokens -= 1;
   return true;
 }
 
@@ -304,21 +310,21 @@
 void
 quality_fold_epochs (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
-  uint64_t epoch = crdt_first_epoch (q->evidence);
+  uint64_t now_epoch = crdt_epoch_at (q->rating_crdt, now_ms);
+  uint64_t epoch = crdt_first_epoch (q->rating_crdt);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (q->evidence, epoch, generation);
+    crdt_compact (q->rating_crdt, epoch, generation);
 }
 
 void
 quality_write (const quality_t *q, bool own_only, buf_t *out)
 {
-  crdt_write (q->evidence, own_only, out);
+  crdt_write (q->rating_crdt, own_only, out);
 }
 
 vh_code_t
 quality_merge (quality_t *q, str_t bytes, uint64_t now_ms)
 {
-  return crdt_merge (q->evidence, bytes, now_ms);
+  return crdt_merge (q->rating_crdt, bytes, now_ms);
 }
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -25,8 +25,8 @@
    epochs is clipped to a distance of QUALITY_CLIP_DISTANCE, so that a rating
    service that is wrong for an hour moves the posterior by a bounded amount.
    A version that really changed moves the median once its epochs hold half of
-   the votes; a sudden change is to be detected by the roll-out and the watch
-   (rollout.h).  */
+   the votes; a sudden change is to be detected during the roll-out (rollout.h)
+   and in service (degradation.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -65,7 +65,8 @@
   double share_min; /* Least share, for a version with many ratings.  */
 } quality_sampling_t;
 
-/* Default sampling: 5% of the answers, and 20 per second in each process.  */
+/* Default settings of sampling: 5% of the answers, and at most 20 per second
+   in each process.  */
 #define QUALITY_SAMPLING_DEFAULT                                              \
   ((quality_sampling_t){ .share = 0.05,                                       \
                          .rate_per_s = 20,                                    \
@@ -82,8 +83,8 @@
   double weight; /* Number of ratings after decay; 0 for the prior alone.  */
 } quality_bound_t;
 
-/* Return a new record of ratings, owned by the caller.  WRITER is unique to
-   each start of each process (see evidence.h).  */
+/* Return new quality estimates without ratings, owned by the caller.  WRITER
+   is unique to each start of each process (see crdt.h).  */
 quality_t *quality_create (uint64_t writer,
                            const quality_sampling_t *sampling);
 /* Free QUALITY, which may be NULL.  */
@@ -97,7 +98,7 @@
                          double rating, uint64_t now_ms);
 
 /* Return the posterior of VERSION for TASK; PRIOR is the rating expected
-   before any evidence.  */
+   before any rating was added.  */
 quality_bound_t quality_estimate (quality_t *quality, str_t task,
                                   str_t version, double prior,
                                   uint64_t now_ms);
@@ -129,15 +130,16 @@
    nothing merged.  */
 vh_code_t quality_merge (quality_t *quality, str_t bytes, uint64_t now_ms);
 
-/* Return the evidence key of the ratings of VERSION for TASK.  */
+/* Return the hash that identifies the series of VERSION and TASK (see
+   crdt_key_find).  */
 uint64_t quality_series_hash (str_t task, str_t version);
 
 /* Variance of a uniform distribution over 0 to 1.  */
 #define QUALITY_PRIOR_VARIANCE (1.0 / 12.0)
 
 /* Return the normal posterior of the mean of COUNT values with the given SUM
-   and sum of SQUARES.  The prior counts as QUALITY_PRIOR_WEIGHT values with
-   mean PRIOR and VARIANCE.  */
+   and sum of squares SQUARE_SUM.  The prior counts as QUALITY_PRIOR_WEIGHT
+   values with mean PRIOR and VARIANCE.  */
 quality_bound_t quality_posterior (double count, double sum, double squares,
                                    double prior, double variance);
 
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -11,7 +11,7 @@
 {
   SHORT,
   LONG,
-  SIZE_CLASSES
+  SIZE_CLASS_COUNT
 };
 
 enum
@@ -25,10 +25,10 @@
 {
   /* Units of virtual time per unit of cost at weight 1.  */
   VIRTUAL_SCALE = 1024,
-  /* Waiting jobs of each flow that count fully in the reported load.  In
-     addition each LOAD_REST-th of all waiting jobs counts.  */
-  LOAD_PER_FLOW = 3,
-  LOAD_REST = 4
+  /* Most waiting jobs of each flow that count fully in the reported load.  In
+     addition all waiting jobs count, divided by WAITING_LOAD_DIVISOR.  */
+  FULL_LOAD_JOBS_PER_FLOW = 3,
+  WAITING_LOAD_DIVISOR = 4
 };
 
 /* Weight of one finished job in the moving averages of cost and time.  */
@@ -36,35 +36,37 @@
 /* Weight of one gap between two jobs of a flow in its moving averages.  */
 #define GAP_SMOOTHING 0.1
 
-/* The jobs of one team and size class.  NODE.key is the virtual start time of
-   the next job.  */
+/* The jobs of one team and size class.  READY_NODE.key is the virtual start
+   time of the next job.  */
 typedef struct
 {
-  heap_node_t node;
+  heap_node_t ready_node;
   heap_t waiters;
   uint64_t waiting_cost; /* Sum of the costs of WAITERS.  */
   uint64_t last_pop_us;  /* Time of the last pop that left jobs waiting; 0 if
                             the last pop emptied the flow.  */
   double mean_gap_us;    /* Mean time between two pops while jobs waited; 0 if
                             unknown.  */
-  double mean_gap_cost;  /* Mean cost of the jobs popped after such gaps.  */
+  double mean_cost_after_gap; /* Mean cost of the jobs that were popped at the
+                                 end of such gaps.  */
 } flow_t;
 
 struct queue_team
 {
   uint32_t weight;
-  flow_t flows[SIZE_CLASSES];
+  flow_t flows[SIZE_CLASS_COUNT];
 };
 
 /* State of one size class over all teams.  */
 typedef struct
 {
-  heap_t ready_flows;        /* Flows with waiting jobs.  */
-  uint64_t virtual_now;      /* Virtual start time of the last popped job.  */
-  uint64_t last_virtual_end; /* Unused; always 0.  */
+  heap_t ready_flows;   /* Flows with waiting jobs.  */
+  uint64_t virtual_now; /* Present virtual time: the virtual start time of the
+                           last popped job.  */
+  uint64_t last_virtual_end; /* Always 0; nothing reads this field.  */
   uint64_t waiting_cost;     /* Sum of the costs of all waiting jobs.  */
   uint64_t weight_sum; /* Sum of the weights of the teams in READY_FLOWS.  */
-  uint32_t running;
+  uint32_t running_count;
   double mean_cost;
   double mean_service_us; /* Mean service time; 0 if no job has ended yet.  */
 } class_state_t;
@@ -76,11 +78,11 @@
   uint32_t long_cost_min;
   uint32_t slots;
   double recent_min_slots;   /* Recent minimum of SLOTS.  */
-  uint64_t recent_min_at_us; /* Last update of RECENT_MIN_SLOTS.  */
+  uint64_t recent_min_at_us; /* Time of the last update of RECENT_MIN_SLOTS. */
   map_t *teams;
-  class_state_t classes[SIZE_CLASSES];
+  class_state_t classes[SIZE_CLASS_COUNT];
   heap_t expiries;
-  uint64_t sequence;
+  uint64_t last_sequence;
   uint64_t last_short_us; /* Time of the last arrival of a short job; 0 if
                              there was none.  */
 };
@@ -117,18 +119,18 @@
     {
       queue_team_t *team = value;
 
-      for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+      for (int size_class = 0; size_class < SIZE_CLASS_COUNT; size_class++)
         heap_free (&team->flows[size_class].waiters);
       free (team);
     }
   map_destroy (queue->teams);
-  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+  for (int size_class = 0; size_class < SIZE_CLASS_COUNT; size_class++)
     heap_free (&queue->classes[size_class].ready_flows);
   heap_free (&queue->expiries);
   free (queue);
 }
 
-/* Return the record of team NAME, which is created on first use.  The names
+/* Return the state of team NAME, which is created on first use.  Team names
    come from the configuration, so their number is bounded.  */
 static queue_team_t *
 find_team (queue_t *queue, str_t name)
@@ -150,8 +152,8 @@
 
   if (weight == 0)
     weight = 1;
-  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
-    if (team->flows[size_class].node.position != 0)
+  for (int size_class = 0; size_class < SIZE_CLASS_COUNT; size_class++)
+    if (team->flows[size_class].ready_node.position != 0)
       queue->classes[size_class].weight_sum += (uint64_t)weight - team->weight;
   team->weight = weight;
 }
@@ -169,8 +171,8 @@
 }
 
 /* Return SHARE of the recent minimum of the slots, at least one.  The current
-   number would not do: after a fall of the limit the long jobs started at its
-   peak would hold all remaining slots, and short jobs would wait for
+   number of slots is not used: after a fall of the limit the long jobs started
+   at its peak would hold all remaining slots, and short jobs would wait for
    minutes.  */
 static uint32_t
 share_of_slots (const queue_t *queue, double share)
@@ -214,7 +216,7 @@
 slots_for_class (const queue_t *queue, int size_class)
 {
   uint32_t other_running
-      = queue->classes[size_class == SHORT ? LONG : SHORT].running;
+      = queue->classes[size_class == SHORT ? LONG : SHORT].running_count;
   uint32_t available
       = queue->slots > other_running ? queue->slots - other_running : 0;
   uint32_t min_slots
@@ -242,9 +244,9 @@
   double wait_us;
   double ahead;
 
-  if (class_state->waiting_cost == 0 && class_state->running < slots)
+  if (class_state->waiting_cost == 0 && class_state->running_count < slots)
     return 0;
-  if (flow->node.position == 0)
+  if (flow->ready_node.position == 0)
     weight_sum += team->weight;
   /* While the team waits, the other teams are served in proportion to their
      weights; the work ahead is at most all waiting work.  */
@@ -253,20 +255,21 @@
         - cost;
   if (ahead > (double)class_state->waiting_cost)
     ahead = (double)class_state->waiting_cost;
-  /* The last term is the wait for a free slot.  */
+  /* MEAN_SERVICE_US accounts for the wait for a free slot.  */
   wait_us = (estimate_service_us (queue, size_class, ahead)
              + class_state->mean_service_us)
             / slots;
-  /* Teams whose jobs hardly wait take service without raising the sums above.
-     The gaps between the pops of this flow show the service that was left.  */
+  /* Teams whose jobs hardly wait use slots without adding to the waiting costs
+     above.  The gaps between the pops of this flow, while jobs waited, show
+     the capacity that other teams left to the flow.  */
   if (flow->mean_gap_us > 0 && flow->waiting_cost > 0)
     wait_us = fmax (wait_us, (double)flow->waiting_cost * flow->mean_gap_us
-                                 / flow->mean_gap_cost);
+                                 / flow->mean_cost_after_gap);
   return (uint64_t)wait_us;
 }
 
 static void
-unlink_waiter (queue_t *queue, queue_waiter_t *waiter)
+remove_from_flow (queue_t *queue, queue_waiter_t *waiter)
 {
   class_state_t *class_state = &queue->classes[waiter->size_class];
   flow_t *flow = &waiter->team->flows[waiter->size_class];
@@ -278,7 +281,7 @@
   waiter->state = IDLE;
   if (flow->waiters.count > 0)
     return;
-  heap_remove (&class_state->ready_flows, &flow->node);
+  heap_remove (&class_state->ready_flows, &flow->ready_node);
   class_state->weight_sum -= waiter->team->weight;
 }
 
@@ -296,7 +299,7 @@
     {
       queue_team_t *team = value;
 
-      for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+      for (int size_class = 0; size_class < SIZE_CLASS_COUNT; size_class++)
         {
           flow_t *flow = &team->flows[size_class];
 
@@ -330,12 +333,14 @@
   last
       = CONTAINER_OF (backlogged->waiters.nodes[backlogged->waiters.count - 1],
                       queue_waiter_t, order_node);
-  unlink_waiter (queue, last);
+  remove_from_flow (queue, last);
   return last;
 }
 
-/* Return the key that orders JOB within its team, for an arrival at NOW and an
-   expected service time of SERVICE_US.  */
+/* Return the key by which the jobs of a team are ordered, smallest first: the
+   arrival time NOW, plus the expected service time SERVICE_US up to
+   QUEUE_REORDER_MAX_MS, plus QUEUE_REORDER_MAX_MS for each step of priority of
+   JOB below the highest.  */
 static uint64_t
 order_key_us (const queue_job_t *job, uint64_t now, uint64_t service_us)
 {
@@ -346,10 +351,11 @@
   return now + service_us + (uint64_t)job->priority * max_delay_us;
 }
 
-/* Return the most virtual time by which the next job of TEAM may start before
-   the present virtual time, after the team was idle.  */
+/* Return the credit of TEAM after the team was idle: the largest virtual time
+   by which the virtual start of its next job may lie before the present
+   virtual time.  */
 static uint64_t
-max_credit (const class_state_t *class_state, const queue_team_t *team)
+max_virtual_credit (const class_state_t *class_state, const queue_team_t *team)
 {
   return (uint64_t)(class_state->mean_cost * QUEUE_CREDIT_JOBS * VIRTUAL_SCALE
                     / team->weight);
@@ -401,44 +407,45 @@
   waiter->size_class = (uint8_t)size_class;
   waiter->state = WAITING;
   waiter->order_node.key = order_key_us (job, now, service_us);
-  waiter->order_node.tie = ++queue->sequence;
+  waiter->order_node.tie = ++queue->last_sequence;
   waiter->expiry_node.key = job->deadline_us == QUEUE_NO_DEADLINE
                                 ? QUEUE_NO_DEADLINE
                                 : job->deadline_us - service_us;
-  waiter->expiry_node.tie = queue->sequence;
+  waiter->expiry_node.tie = queue->last_sequence;
   heap_push (&flow->waiters, &waiter->order_node);
   heap_push (&queue->expiries, &waiter->expiry_node);
   flow->waiting_cost += cost;
   class_state->waiting_cost += cost;
-  if (flow->node.position == 0)
+  if (flow->ready_node.position == 0)
     {
-      uint64_t credit = max_credit (class_state, team);
+      uint64_t credit = max_virtual_credit (class_state, team);
 
-      if (flow->node.key + credit < class_state->virtual_now)
-        flow->node.key = class_state->virtual_now - credit;
-      flow->node.tie = queue->sequence;
-      heap_push (&class_state->ready_flows, &flow->node);
+      if (flow->ready_node.key + credit < class_state->virtual_now)
+        flow->ready_node.key = class_state->virtual_now - credit;
+      flow->ready_node.tie = queue->last_sequence;
+      heap_push (&class_state->ready_flows, &flow->ready_node);
       class_state->weight_sum += team->weight;
     }
   return VH_OK;
 }
 
-/* Return the size class to serve next, or SIZE_CLASSES when no waiting job may
-   run.  */
+/* Return the size class to serve next, or SIZE_CLASS_COUNT when no waiting job
+   may run.  */
 static int
 choose_class (const queue_t *queue)
 {
   const class_state_t *short_class = &queue->classes[SHORT];
   const class_state_t *long_class = &queue->classes[LONG];
   bool may_run_long = long_class->ready_flows.count > 0
-                      && long_class->running < long_slots_max (queue);
+                      && long_class->running_count < long_slots_max (queue);
 
   if (short_class->ready_flows.count == 0)
-    return may_run_long ? LONG : SIZE_CLASSES;
+    return may_run_long ? LONG : SIZE_CLASS_COUNT;
   /* Long jobs get their minimum share even under a continuous stream of short
      jobs, so that they do not starve.  A single slot is not reserved.  */
   if (may_run_long && queue->slots > 1
-      && long_class->running < share_of_slots (queue, QUEUE_LONG_SHARE_MIN))
+      && long_class->running_count
+             < share_of_slots (queue, QUEUE_LONG_SHARE_MIN))
     return LONG;
   return SHORT;
 }
@@ -454,13 +461,14 @@
     {
       double gap_us = (double)(now - flow->last_pop_us);
 
-      if (flow->mean_gap_cost == 0)
+      if (flow->mean_cost_after_gap == 0)
         {
           flow->mean_gap_us = gap_us;
-          flow->mean_gap_cost = cost;
+          flow->mean_cost_after_gap = cost;
         }
       flow->mean_gap_us += GAP_SMOOTHING * (gap_us - flow->mean_gap_us);
-      flow->mean_gap_cost += GAP_SMOOTHING * (cost - flow->mean_gap_cost);
+      flow->mean_cost_after_gap
+          += GAP_SMOOTHING * (cost - flow->mean_cost_after_gap);
     }
   flow->last_pop_us = flow->waiters.count > 0 ? now : 0;
 }
@@ -473,21 +481,22 @@
   flow_t *flow;
   queue_waiter_t *waiter;
 
-  if (size_class == SIZE_CLASSES)
+  if (size_class == SIZE_CLASS_COUNT)
     return NULL;
   class_state = &queue->classes[size_class];
-  flow = CONTAINER_OF (heap_top (&class_state->ready_flows), flow_t, node);
+  flow = CONTAINER_OF (heap_top (&class_state->ready_flows), flow_t,
+                       ready_node);
   waiter
       = CONTAINER_OF (heap_top (&flow->waiters), queue_waiter_t, order_node);
-  class_state->virtual_now = flow->node.key;
-  flow->node.key
+  class_state->virtual_now = flow->ready_node.key;
+  flow->ready_node.key
       += (uint64_t)waiter->cost * VIRTUAL_SCALE / waiter->team->weight;
-  flow->node.tie = ++queue->sequence;
-  heap_update (&class_state->ready_flows, &flow->node);
-  unlink_waiter (queue, waiter);
+  flow->ready_node.tie = ++queue->last_sequence;
+  heap_update (&class_state->ready_flows, &flow->ready_node);
+  remove_from_flow (queue, waiter);
   record_gap (queue, flow, waiter->cost);
   waiter->state = RUNNING;
-  class_state->running++;
+  class_state->running_count++;
   return waiter;
 }
 
@@ -503,13 +512,14 @@
   uint64_t actual = (uint64_t)used * VIRTUAL_SCALE / waiter->team->weight;
 
   if (actual >= charged)
-    flow->node.key += actual - charged;
-  else if (flow->node.key > class_state->virtual_now + (charged - actual))
-    flow->node.key -= charged - actual;
-  else if (flow->node.key > class_state->virtual_now)
-    flow->node.key = class_state->virtual_now;
-  if (flow->node.position != 0)
-    heap_update (&class_state->ready_flows, &flow->node);
+    flow->ready_node.key += actual - charged;
+  else if (flow->ready_node.key
+           > class_state->virtual_now + (charged - actual))
+    flow->ready_node.key -= charged - actual;
+  else if (flow->ready_node.key > class_state->virtual_now)
+    flow->ready_node.key = class_state->virtual_now;
+  if (flow->ready_node.position != 0)
+    heap_update (&class_state->ready_flows, &flow->ready_node);
 }
 
 void
@@ -519,7 +529,7 @@
   class_state_t *class_state = &queue->classes[waiter->size_class];
 
   assert (waiter->state == RUNNING);
-  class_state->running--;
+  class_state->running_count--;
   waiter->state = IDLE;
   if (used > 0)
     correct_charge (queue, waiter, used);
@@ -542,9 +552,9 @@
 queue_cancel (queue_t *queue, queue_waiter_t *waiter)
 {
   if (waiter->state == WAITING)
-    unlink_waiter (queue, waiter);
+    remove_from_flow (queue, waiter);
   else if (waiter->state == RUNNING)
-    queue->classes[waiter->size_class].running--;
+    queue->classes[waiter->size_class].running_count--;
   waiter->state = IDLE;
 }
 
@@ -557,7 +567,7 @@
   if (next == NULL || next->key > clock_us (queue->clock))
     return NULL;
   waiter = CONTAINER_OF (next, queue_waiter_t, expiry_node);
-  unlink_waiter (queue, waiter);
+  remove_from_flow (queue, waiter);
   return waiter;
 }
 
@@ -586,22 +596,25 @@
 uint32_t
 queue_running_count (const queue_t *queue)
 {
-  return queue->classes[SHORT].running + queue->classes[LONG].running;
+  return queue->classes[SHORT].running_count
+         + queue->classes[LONG].running_count;
 }
 
 uint32_t
 queue_load (const queue_t *queue)
 {
-  uint32_t load = queue_waiting_count (queue) / LOAD_REST;
+  uint32_t load = queue_waiting_count (queue) / WAITING_LOAD_DIVISOR;
 
-  for (int size_class = 0; size_class < SIZE_CLASSES; size_class++)
+  for (int size_class = 0; size_class < SIZE_CLASS_COUNT; size_class++)
     for (uint32_t i = 0; i < queue->classes[size_class].ready_flows.count; i++)
       {
-        const flow_t *flow = CONTAINER_OF (
-            queue->classes[size_class].ready_flows.nodes[i], flow_t, node);
+        const flow_t *flow
+            = CONTAINER_OF (queue->classes[size_class].ready_flows.nodes[i],
+                            flow_t, ready_node);
         uint32_t waiting = flow->waiters.count;
 
-        load += waiting < LOAD_PER_FLOW ? waiting : LOAD_PER_FLOW;
+        load += waiting < FULL_LOAD_JOBS_PER_FLOW ? waiting
+                                                  : FULL_LOAD_JOBS_PER_FLOW;
       }
   return load;
 }
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -2,10 +2,10 @@
 
    Load pattern: more work than the upstream can do, from teams of unequal
    demand and in jobs of unequal length.  With a first-come, first-served queue
-   a team that sends half of all traffic takes half of the service whatever its
-   weight, a job of a second waits behind jobs of minutes, and under overload
-   every request waits until its deadline and is answered too late, so that all
-   work is wasted.
+   a team that sends half of all traffic gets half of the capacity, whatever
+   its weight, a job of a second waits behind jobs of minutes, and under
+   overload every request waits until its deadline and is answered too late, so
+   that all work is wasted.
 
    Order: a job is short or long according to its estimated cost.  Among the
    jobs of one size class the team with the least service relative to its
@@ -14,17 +14,18 @@
    small requests or by low estimates).  Within a team jobs are ordered by
    arrival; a long service time or a low priority moves a job back by a bounded
    time, so that no job starves.  A priority orders the jobs of one team and
-   takes nothing from other teams.
+   does not affect other teams.
 
    Slots of the size classes: short jobs are served first, but long jobs keep
    QUEUE_LONG_SHARE_MIN of the slots, and they never hold more than
    QUEUE_LONG_SHARE_MAX of the slots while short jobs arrive.  So a short job
-   waits for other short jobs only.  XXX: an upstream with a single slot has
-   none to reserve, and a short job waits for the running long job.
+   waits for other short jobs only.  XXX: an upstream with a single slot cannot
+   reserve a slot for short jobs, and a short job waits for the running long
+   job.
 
    Refusal: a job is refused on arrival when the jobs ahead and the service
    times so far show that it cannot end by its deadline; its caller can still
-   try elsewhere.  A waiting job that can no longer meet its deadline is
+   try another upstream.  A waiting job that can no longer meet its deadline is
    returned to the caller at once.  A full queue refuses a job of the team with
    the most waiting work relative to its weight, not the job that arrived last.
 
@@ -107,7 +108,8 @@
   uint64_t deadline_us; /* Monotonic time, or QUEUE_NO_DEADLINE.  */
 } queue_job_t;
 
-/* Settings of a queue; a field that is 0 selects the constant above.  */
+/* Settings of a queue.  MAX_WAITERS 0 selects QUEUE_MAX_WAITERS, and
+   LONG_COST_MIN 0 selects QUEUE_LONG_COST_MIN.  */
 typedef struct
 {
   uint32_t max_waiters;
@@ -158,10 +160,10 @@
 uint64_t queue_estimate_wait_us (queue_t *queue, str_t team, uint32_t cost);
 
 /* Return the load of the waiting jobs to report to the balancer: the work that
-   a job of a further team would find ahead.  A plain count of jobs would not
-   distinguish an upstream with one waiting team from one with many, and the
-   teams within their share would gather at upstreams where they wait for each
-   other.  */
+   would be served before a job of a further team.  A plain count of jobs would
+   not distinguish an upstream with one waiting team from one with many, and
+   the teams within their share would gather at upstreams where they wait for
+   each other.  */
 uint32_t queue_load (const queue_t *queue);
 
 /* Return the number of waiting jobs.  */
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -17,7 +17,7 @@
   rng_t *rng;
   double share;        /* Retries added to the budget per request.  */
   double burst;        /* Largest budget, in retries.  */
-  double tokens;       /* Retries left in the budget.  */
+  double budget;       /* Retries left in the budget.  */
   histogram_t latency; /* Latency of successful responses, in us.  */
 };
 
@@ -33,7 +33,7 @@
     retry->share = config->share;
   if (config != NULL && config->burst > 0)
     retry->burst = config->burst;
-  retry->tokens = retry->burst;
+  retry->budget = retry->burst;
   return retry;
 }
 
@@ -46,17 +46,17 @@
 void
 retry_add_request (retry_t *retry)
 {
-  retry->tokens += retry->share;
-  if (retry->tokens > retry->burst)
-    retry->tokens = retry->burst;
+  retry->budget += retry->share;
+  if (retry->budget > retry->burst)
+    retry->budget = retry->burst;
 }
 
 vh_code_t
 retry_spend (retry_t *retry)
 {
-  if (retry->tokens < 1)
+  if (retry->budget < 1)
     return VH_E_RETRY_BUDGET;
-  retry->tokens -= 1;
+  retry->budget -= 1;
   return VH_OK;
 }
 
@@ -92,7 +92,7 @@
 {
   uint64_t delay_ms;
 
-  if (!idempotent || retry->tokens < 1
+  if (!idempotent || retry->budget < 1
       || retry->latency.count < RETRY_HEDGE_SAMPLES_MIN)
     return RETRY_NO_HEDGE;
   delay_ms = histogram_quantile (&retry->latency, RETRY_HEDGE_QUANTILE) / 1000;
@@ -102,5 +102,5 @@
 double
 retry_budget_left (const retry_t *retry)
 {
-  return retry->tokens;
+  return retry->budget;
 }
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -21,8 +21,8 @@
      that has a 95th percentile.
 
    Only idempotent requests are hedged: a hedge of another request would
-   execute the request twice, which the claims of requests exist to
-   prevent.  */
+   execute the request twice, which the entry processes prevent by a claim on
+   the request in the store (control/claims.h).  */
 
 #ifndef POLICY_RETRY_H
 #define POLICY_RETRY_H
@@ -46,7 +46,8 @@
 
 typedef struct retry retry_t;
 
-/* Settings of a retry budget; a field that is 0 selects the constant above. */
+/* Settings of a retry budget.  SHARE 0 selects RETRY_SHARE, and BURST 0
+   selects RETRY_BURST.  */
 typedef struct
 {
   double share;   /* Retries added to the budget per request.  */
