--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -11,8 +11,8 @@
 {
   FORMAT = 1,
   EXPOSURE_WRITERS_MAX = 4096,
-  /* Fewer answers of the new version decide nothing: their variance is not yet
-     estimated well enough.  */
+  /* Fewest answers of the new version for a decision; the variance of fewer
+     answers is not estimated well enough.  */
   ANSWERS_MIN = 10,
   /* Number of answers with the prior variance that are added to the measured
      ones.  */
@@ -27,7 +27,7 @@
 typedef struct
 {
   double share;
-  uint64_t cap;
+  uint64_t exposure_cap;
   double tolerance[ROLLOUT_METRIC_COUNT];
 } step_t;
 
@@ -49,7 +49,8 @@
 #undef X
 };
 
-/* The state of the decision; merged as a whole.  */
+/* The state that decisions and the operator's orders change.  Of two copies
+   one is kept whole.  */
 typedef struct
 {
   uint64_t sequence;
@@ -58,10 +59,10 @@
   uint64_t exposure_base; /* Requests sent to the new version when the step
                              began or its cap was last granted.  */
   uint64_t metric;        /* Metric that caused a halt.  */
-  uint64_t task; /* Hash of the task class that caused a halt; 0 if it was the
-                    sum of all.  */
-  uint64_t harm_ppm; /* Estimated difference at a halt, and its lower bound, in
-                        millionths.  */
+  uint64_t task; /* Hash of the task class that caused a halt; 0 if the test
+                    that pools all task classes caused the halt.  */
+  uint64_t harm_ppm; /* Estimated difference at a halt, in millionths; its
+                        lower bound is LOWER_PPM.  */
   uint64_t lower_ppm;
 } decision_t;
 
@@ -69,7 +70,7 @@
 {
   char *name;
   uint64_t hash;
-  int keys[ROLLOUT_STEP_COUNT][2]; /* Keys in MEASUREMENTS by step and arm.  */
+  int keys[ROLLOUT_STEP_COUNT][2]; /* Keys in SAMPLE_CRDT by step and arm.  */
 } task_class_t;
 
 struct rollout_run
@@ -79,16 +80,18 @@
   uint64_t first_epoch; /* First epoch that counts: the one before the start,
                            for peers whose clock is behind.  */
   decision_t decision;
-  crdt_t *measurements;
-  crdt_t *exposure; /* Requests by arm, in one epoch that never ends.  */
+  crdt_t *sample_crdt;
+  crdt_t *exposure_crdt; /* Number of requests by arm, in one epoch that never
+                            ends.  */
   int exposure_keys[2];
-  /* The last one takes all task classes for which there is no room.  */
+  /* The last element collects all task classes for which there is no room.  */
   task_class_t tasks[ROLLOUT_TASK_CLASSES_MAX + 1];
   size_t task_count;
 };
 
 static int
-arm_key (crdt_t *e, uint64_t hash, uint64_t step, rollout_arm_t arm)
+arm_key_find_or_add (crdt_t *e, uint64_t hash, uint64_t step,
+                     rollout_arm_t arm)
 {
   return crdt_key_find_or_add (e, (hash ^ arm) + step * 0x9e3779b97f4a7c15u);
 }
@@ -96,14 +99,14 @@
 static uint64_t
 task_class_hash (str_t name)
 {
-  /* Nonzero, since 0 means no task class.  */
+  /* The hash is nonzero, because 0 stands for no task class.  */
   return str_hash (name, 0x7a) | 4;
 }
 
-/* Return the task class NAME, created on first use.  Without room, return the
-   last one, named `other'.  */
+/* Return the task class NAME, created on first use.  If there is no room,
+   return the last element, named `other'.  */
 static task_class_t *
-task_class_get (rollout_run_t *r, str_t name)
+task_class_find_or_add (rollout_run_t *r, str_t name)
 {
   uint64_t hash = task_class_hash (name);
 
@@ -122,8 +125,8 @@
   task->hash = hash;
   for (uint64_t step = 0; step < ROLLOUT_STEP_COUNT; step++)
     for (int arm = ROLLOUT_OLD; arm <= ROLLOUT_NEW; arm++)
-      task->keys[step][arm] = arm_key (r->measurements, r->salt ^ hash, step,
-                                       (rollout_arm_t)arm);
+      task->keys[step][arm] = arm_key_find_or_add (
+          r->sample_crdt, r->salt ^ hash, step, (rollout_arm_t)arm);
   return task;
 }
 
@@ -147,14 +150,14 @@
   rollout_run_t *r = mem_zalloc (sizeof *r);
 
   r->salt = str_hash (new_version, start_ms) & ~(uint64_t)3;
-  r->measurements = crdt_create (&options);
-  r->first_epoch = crdt_epoch_at (r->measurements, start_ms);
+  r->sample_crdt = crdt_create (&options);
+  r->first_epoch = crdt_epoch_at (r->sample_crdt, start_ms);
   r->first_epoch -= r->first_epoch > 0;
-  r->exposure = crdt_create (&exposure_options);
+  r->exposure_crdt = crdt_create (&exposure_options);
   r->exposure_keys[ROLLOUT_OLD]
-      = arm_key (r->exposure, r->salt, 0, ROLLOUT_OLD);
+      = arm_key_find_or_add (r->exposure_crdt, r->salt, 0, ROLLOUT_OLD);
   r->exposure_keys[ROLLOUT_NEW]
-      = arm_key (r->exposure, r->salt, 0, ROLLOUT_NEW);
+      = arm_key_find_or_add (r->exposure_crdt, r->salt, 0, ROLLOUT_NEW);
   return r;
 }
 
@@ -165,8 +168,8 @@
     return;
   for (size_t i = 0; i < r->task_count; i++)
     free (r->tasks[i].name);
-  crdt_destroy (r->exposure);
-  crdt_destroy (r->measurements);
+  crdt_destroy (r->exposure_crdt);
+  crdt_destroy (r->sample_crdt);
   free (r);
 }
 
@@ -174,7 +177,7 @@
 rollout_exposed_count (const rollout_run_t *r)
 {
   const int64_t *sums
-      = crdt_sums (r->exposure, r->exposure_keys[ROLLOUT_NEW], 0);
+      = crdt_sums (r->exposure_crdt, r->exposure_keys[ROLLOUT_NEW], 0);
 
   return sums != NULL ? (uint64_t)sums[0] : 0;
 }
@@ -185,7 +188,7 @@
   uint64_t step = r->decision.step;
 
   return step < ROLLOUT_STEP_COUNT
-             ? r->decision.exposure_base + steps[step].cap
+             ? r->decision.exposure_base + steps[step].exposure_cap
              : UINT64_MAX;
 }
 
@@ -237,7 +240,7 @@
 {
   const int64_t no_values[SAMPLE_FIELD_COUNT] = { 0 };
 
-  crdt_add (r->exposure, r->exposure_keys[arm], now_ms, no_values);
+  crdt_add (r->exposure_crdt, r->exposure_keys[arm], now_ms, no_values);
 }
 
 void
@@ -254,8 +257,8 @@
       || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
     return;
   sample_to_fields (sample, fields);
-  crdt_add (r->measurements, task_class_get (r, task)->keys[step][arm], now_ms,
-            fields);
+  crdt_add (r->sample_crdt, task_class_find_or_add (r, task)->keys[step][arm],
+            now_ms, fields);
 }
 
 /* Sums over the strata for a stratified difference of means.  */
@@ -266,18 +269,21 @@
   double difference;
   double variance_factor_new; /* Sum over the strata of weight^2 / count of the
                                  new version's answers.  */
-  double variance_factor_old; /* The same for the old version.  */
-  moments_t pooled_new;       /* Pooled over the strata; SQUARES is the sum of
-                                 squared deviations from each stratum's mean.  */
-  moments_t pooled_old;
+  double variance_factor_old; /* Sum over the strata of weight^2 / count of the
+                                 old version's answers.  */
+  /* Moments of the new version's values, pooled over the strata; deviations
+     are from each stratum's mean.  */
+  deviation_moments_t pooled_new;
+  deviation_moments_t pooled_old;
 } stratified_sums_t;
 
 static void
-pool_moments (moments_t *all, const moments_t *m)
+pool_moments (deviation_moments_t *all, const moments_t *m)
 {
   all->count += m->count;
   all->sum += m->sum;
-  all->squares += fmax (0, m->squares - m->sum * m->sum / m->count);
+  all->squared_deviations
+      += fmax (0, m->square_sum - m->sum * m->sum / m->count);
 }
 
 static void
@@ -294,10 +300,10 @@
   pool_moments (&s->pooled_old, old);
 }
 
-/* Return the estimated variance of one value.  The prior keeps a handful of
-   equal values from giving a variance of 0.  */
+/* Return the estimated variance of a single value of METRIC.  The prior keeps
+   a handful of equal values from giving a variance of 0.  */
 static double
-estimated_variance (const moments_t *all, rollout_metric_t metric)
+value_variance (const deviation_moments_t *all, rollout_metric_t metric)
 {
   double p;
 
@@ -307,17 +313,17 @@
       p = (all->sum + 1) / (all->count + 2);
       return p * (1 - p);
     case ROLLOUT_RATING:
-      return (all->squares + PRIOR_ANSWERS / 12.0)
+      return (all->squared_deviations + PRIOR_ANSWERS / 12.0)
              / (all->count + PRIOR_ANSWERS);
     default:
-      return (all->squares + PRIOR_ANSWERS * 0.25)
+      return (all->squared_deviations + PRIOR_ANSWERS * 0.25)
              / (all->count + PRIOR_ANSWERS);
     }
 }
 
 /* Return the half width, at level ALPHA, of the normal-mixture confidence
-   sequence for an estimate with variance VARIANCE and a mixture with standard
-   deviation SCALE.  */
+   sequence for an estimate with variance VARIANCE and a mixture with
+   standard deviation SCALE.  */
 static double
 confidence_half_width (double variance, double scale, double alpha)
 {
@@ -332,8 +338,8 @@
 strata_add_task_class (const rollout_run_t *r, const task_class_t *task,
                        rollout_metric_t metric, stratified_sums_t *s)
 {
-  uint64_t last = crdt_last_epoch (r->measurements);
-  uint64_t epoch = crdt_first_epoch (r->measurements);
+  uint64_t last = crdt_last_epoch (r->sample_crdt);
+  uint64_t epoch = crdt_first_epoch (r->sample_crdt);
 
   if (epoch < r->first_epoch)
     epoch = r->first_epoch;
@@ -342,17 +348,18 @@
       {
         const int *keys = task->keys[step];
         moments_t new = sample_moments (
-            crdt_sums (r->measurements, keys[ROLLOUT_NEW], epoch), metric);
+            crdt_sums (r->sample_crdt, keys[ROLLOUT_NEW], epoch), metric);
         moments_t old = sample_moments (
-            crdt_sums (r->measurements, keys[ROLLOUT_OLD], epoch), metric);
+            crdt_sums (r->sample_crdt, keys[ROLLOUT_OLD], epoch), metric);
         stratum_add (s, &new, &old);
       }
 }
 
-/* Estimate METRIC for TASK, or over all task classes if TASK is NULL.  */
+/* Return the estimate of METRIC for TASK, or pooled over all task classes if
+   TASK is NULL.  */
 static rollout_estimate_t
-estimate (const rollout_run_t *r, rollout_metric_t metric,
-          const task_class_t *task)
+estimate_metric (const rollout_run_t *r, rollout_metric_t metric,
+                 const task_class_t *task)
 {
   uint64_t step = r->decision.step < ROLLOUT_STEP_COUNT
                       ? r->decision.step
@@ -377,8 +384,8 @@
   if (s.weight <= 0)
     return e;
   double variance
-      = (s.variance_factor_new * estimated_variance (&s.pooled_new, metric)
-         + s.variance_factor_old * estimated_variance (&s.pooled_old, metric))
+      = (s.variance_factor_new * value_variance (&s.pooled_new, metric)
+         + s.variance_factor_old * value_variance (&s.pooled_old, metric))
         / (s.weight * s.weight);
   double half_width
       = confidence_half_width (variance, metrics[metric].scale, alpha);
@@ -391,7 +398,7 @@
 rollout_estimate_t
 rollout_estimate (const rollout_run_t *r, rollout_metric_t metric)
 {
-  return estimate (r, metric, NULL);
+  return estimate_metric (r, metric, NULL);
 }
 
 static void
@@ -408,12 +415,13 @@
 }
 
 /* Halt if the lower confidence bound of METRIC exceeds its margin for TASK, or
-   over all task classes if TASK is NULL.  */
+   pooled over all task classes if TASK is NULL.  Return whether the roll-out
+   was halted.  */
 static bool
 halt_if_harmful (rollout_run_t *r, rollout_metric_t metric,
                  const task_class_t *task)
 {
-  rollout_estimate_t e = estimate (r, metric, task);
+  rollout_estimate_t e = estimate_metric (r, metric, task);
 
   if (e.count_new < ANSWERS_MIN || e.lower <= e.margin)
     return false;
@@ -439,20 +447,20 @@
   return false;
 }
 
-/* Tell whether harm beyond the step's tolerance is excluded for all
+/* Return whether harm beyond the step's tolerance is excluded for all
    metrics.  */
 static bool
 is_step_proven (const rollout_run_t *r)
 {
   for (int m = 0; m < ROLLOUT_METRIC_COUNT; m++)
     {
-      rollout_estimate_t all = estimate (r, (rollout_metric_t)m, NULL);
+      rollout_estimate_t all = estimate_metric (r, (rollout_metric_t)m, NULL);
       if (all.count_new < ANSWERS_MIN || all.upper >= all.tolerance)
         return false;
       for (size_t i = 0; i < r->task_count; i++)
         {
           rollout_estimate_t e
-              = estimate (r, (rollout_metric_t)m, &r->tasks[i]);
+              = estimate_metric (r, (rollout_metric_t)m, &r->tasks[i]);
           if (e.count_new > 0 && e.difference >= e.tolerance)
             return false;
         }
@@ -465,7 +473,7 @@
 {
   rollout_phase_t phase = (rollout_phase_t)r->decision.phase;
 
-  crdt_advance (r->measurements, now_ms);
+  crdt_advance (r->sample_crdt, now_ms);
   if (phase == ROLLOUT_PHASE_HALTED || phase == ROLLOUT_PHASE_ABORTED
       || phase == ROLLOUT_PHASE_COMPLETE)
     return false;
@@ -609,8 +617,8 @@
       crdt_write_varint (out, name.len);
       buf_append_str (out, name);
     }
-  append_length_prefixed (r->exposure, own_only, out);
-  append_length_prefixed (r->measurements, own_only, out);
+  append_length_prefixed (r->exposure_crdt, own_only, out);
+  append_length_prefixed (r->sample_crdt, own_only, out);
 }
 
 static bool
@@ -673,13 +681,13 @@
   if (!crdt_read_string (&bytes, &exposure)
       || !crdt_read_string (&bytes, &measurements) || bytes.len != 0)
     return VH_E_PROTOCOL;
-  if (!crdt_is_valid (r->measurements, measurements)
-      || !crdt_is_valid (r->exposure, exposure))
+  if (!crdt_is_valid (r->sample_crdt, measurements)
+      || !crdt_is_valid (r->exposure_crdt, exposure))
     return VH_E_PROTOCOL;
   for (uint64_t i = 0; i < task_count && crdt_read_string (&names, &name); i++)
-    task_class_get (r, name);
-  crdt_merge (r->measurements, measurements, now_ms);
-  crdt_merge (r->exposure, exposure, now_ms);
+    task_class_find_or_add (r, name);
+  crdt_merge (r->sample_crdt, measurements, now_ms);
+  crdt_merge (r->exposure_crdt, exposure, now_ms);
   if (supersedes (&decision, &r->decision))
     r->decision = decision;
   return VH_OK;
@@ -688,9 +696,9 @@
 void
 rollout_compact (rollout_run_t *r, uint64_t generation, uint64_t now_ms)
 {
-  uint64_t now_epoch = crdt_epoch_at (r->measurements, now_ms);
-  uint64_t epoch = crdt_first_epoch (r->measurements);
+  uint64_t now_epoch = crdt_epoch_at (r->sample_crdt, now_ms);
+  uint64_t epoch = crdt_first_epoch (r->sample_crdt);
 
   for (; epoch + 2 <= now_epoch; epoch++)
-    crdt_compact (r->measurements, epoch, generation);
+    crdt_compact (r->sample_crdt, epoch, generation);
 }
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -19,12 +19,12 @@
 
    ROLLOUT_ALPHA, the probability of halting a version that is within the
    margin, is split over the metrics.  Half of a metric's part goes to the test
-   over all task classes, half to the tests of the single task classes.
+   that pools all task classes, half to the tests of the single task classes.
 
    A step advances when, for each metric, the confidence sequence excludes harm
    beyond the step's tolerance, and no task class's plain estimate exceeds it.
-   A version that is worse than a step's tolerance in any metric therefore
-   never passes that step with probability 1 - ROLLOUT_ALPHA, and gets at most
+   With probability 1 - ROLLOUT_ALPHA, a version that is worse than a step's
+   tolerance in any metric therefore does not pass that step, and gets at most
    as many requests as the caps of the steps up to it add up to.  At the cap
    the version's share falls to 0, and the roll-out waits for ratings that are
    still to arrive, or for the operator.  Each process applies the cap to the
@@ -66,8 +66,8 @@
 } rollout_metric_t;
 
 /* X (symbol, share, cap, tolerance of rating, error, log latency).  The first
-   step tells a broken version from a working one at 1% of the traffic; each
-   later step needs about as many ratings as its share brings in minutes.  CAP
+   step suffices to detect a broken version, at 1% of the traffic.  Each later
+   step needs about as many ratings as arrive at its share within minutes.  CAP
    is the largest number of requests sent to the new version in the step,
    several times what a good version with a standard deviation of ratings of
    0.15 needs there.  */
@@ -94,8 +94,8 @@
 typedef enum
 {
   ROLLOUT_PHASE_RUNNING,
-  ROLLOUT_PHASE_STARVED, /* At the step's cap: share 0 until more measurements
-                            arrive or the operator resumes.  */
+  ROLLOUT_PHASE_STARVED, /* Stopped at the step's cap; share 0 until more
+                            measurements arrive or the operator resumes.  */
   ROLLOUT_PHASE_PAUSED, /* Paused by the operator; the share stays as it is. */
   ROLLOUT_PHASE_HALTED, /* Halted by the measurements; share 0.  */
   ROLLOUT_PHASE_ABORTED, /* Aborted by the operator; share 0.  */
@@ -133,22 +133,22 @@
 } rollout_estimate_t;
 
 /* Create the state of a roll-out of NEW_VERSION that starts at START_MS (real
-   time); WRITER is that of crdt.h.  All processes must pass the same
-   version and start.  */
+   time); WRITER is unique to each start of each process (see crdt.h).  All
+   processes must pass the same version and start.  */
 rollout_run_t *rollout_create (uint64_t writer, str_t new_version,
                                uint64_t start_ms);
-/* NULL is accepted.  */
+/* Free ROLLOUT, which may be NULL.  */
 void rollout_destroy (rollout_run_t *rollout);
 
 /* Return the new version's current share of the requests.  */
 double rollout_share (const rollout_run_t *rollout);
-/* Tell whether the session or request with hash KEY goes to the new version.
-   All processes agree if they have the same share, and a larger share only
-   adds keys.  */
+/* Return whether the session or request with hash KEY goes to the new version.
+   All processes that have the same share return the same.  Raising the share
+   never moves a key back to the old version.  */
 bool rollout_is_assigned (const rollout_run_t *rollout, uint64_t key);
-/* Return the share of ARM's answers to send to the rating service: all
-   answers, but for each version at most a tenth of the service's.  0 unless
-   the roll-out runs or is paused.  */
+/* Return the share of ARM's answers to send to the rating service: all of
+   them, or fewer where that would exceed a tenth of the service's answers.
+   Return 0 unless the roll-out runs or is paused.  */
 double rollout_rating_share (const rollout_run_t *rollout, rollout_arm_t arm);
 
 /* Count a request that is dispatched to ARM.  */
@@ -157,10 +157,11 @@
 void rollout_observe (rollout_run_t *rollout, rollout_arm_t arm, str_t task,
                       const rollout_sample_t *sample, uint64_t now_ms);
 
-/* Advance, starve, halt or complete the roll-out, depending on the
-   measurements.  Only the lease holder may call this, as often as it likes
-   (such as once a second); it must write the state when this returns true, for
-   a change.  */
+/* Evaluate the measurements: start the next step, stop at the cap of the
+   current step, halt the roll-out, complete it, or change nothing.  Only the
+   lease holder may call this, as often as it likes (such as once a second);
+   when this returns true, the state has changed and the caller must write
+   it.  */
 bool rollout_decide (rollout_run_t *rollout, uint64_t now_ms);
 
 /* Orders of the operator; each returns false if it does not apply to the
@@ -180,7 +181,7 @@
 /* Return the number of requests at which the new version's share falls to 0 in
    the current step.  */
 uint64_t rollout_exposure_cap (const rollout_run_t *rollout);
-/* Return the estimate of METRIC over all task classes.  */
+/* Return the estimate of METRIC, pooled over all task classes in strata.  */
 rollout_estimate_t rollout_estimate (const rollout_run_t *rollout,
                                      rollout_metric_t metric);
 /* Append one line, such as "halted at step 1 of 5 (1%), shown 90: rating worse
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -42,19 +42,19 @@
     case ROLLOUT_RATING:
       moments.count = (double)sums[SAMPLE_RATING_COUNT];
       moments.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
-      moments.squares
+      moments.square_sum
           = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     case ROLLOUT_ERROR:
       moments.count = (double)sums[SAMPLE_FINISHED_COUNT];
       moments.sum = (double)sums[SAMPLE_FAILED_COUNT];
-      moments.squares = moments.sum;
+      moments.square_sum = moments.sum;
       break;
     default:
       moments.count = (double)sums[SAMPLE_LATENCY_COUNT];
       moments.sum
           = (double)sums[SAMPLE_LOG_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
-      moments.squares
+      moments.square_sum
           = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / CRDT_FIXED_POINT_ONE;
       break;
     }
--- a/packages/policy/sample.h
+++ b/packages/policy/sample.h
@@ -1,6 +1,7 @@
-/* Conversion of a rollout_sample_t into the sums of an evidence cell, and of
-   these sums into the moments of one metric.  Used by the roll-out and by the
-   watch of a released version.  */
+/* Conversion of a rollout_sample_t into the fields of a cell of crdt.h, and of
+   the sums of such cells into the moments of one metric.  Used during the
+   roll-out of a version (rollout.h) and for a version in service
+   (degradation.h).  */
 
 #ifndef POLICY_SAMPLE_H
 #define POLICY_SAMPLE_H
@@ -9,8 +10,7 @@
 
 enum
 {
-  /* Index of each sum in an evidence cell; index 0 is the number of added
-     samples.  */
+  /* Fields of a cell of crdt.h; field 0 is the number of added samples.  */
   SAMPLE_FINISHED_COUNT = 1,
   SAMPLE_FAILED_COUNT,
   SAMPLE_LATENCY_COUNT,
@@ -22,15 +22,24 @@
   SAMPLE_FIELD_COUNT
 };
 
-/* Count, sum and sum of squares of one metric.  The sign is such that a larger
-   value is worse.  */
+/* Number, sum and sum of squares of the values of one metric.  The sign is
+   such that a larger value is worse.  */
 typedef struct
 {
   double count;
   double sum;
-  double squares;
+  double square_sum;
 } moments_t;
 
+/* Number, sum and sum of squared deviations from the mean of the values of one
+   metric, with the sign of moments_t.  */
+typedef struct
+{
+  double count;
+  double sum;
+  double squared_deviations;
+} deviation_moments_t;
+
 /* Store the terms that SAMPLE adds to a cell in FIELDS, an array of
    SAMPLE_FIELD_COUNT elements for crdt_add.  */
 void sample_to_fields (const rollout_sample_t *sample, int64_t *fields);
--- a/packages/policy/sendbudget.c
+++ b/packages/policy/sendbudget.c
@@ -10,7 +10,8 @@
   clock_iface_t *clock;
   send_budget_options_t options;
   uint32_t gateways;
-  uint64_t newest_bucket; /* Number of the newest bucket since time 0.  */
+  /* Number of the newest bucket, counted from time 0.  */
+  uint64_t newest_bucket;
   uint32_t requests[SEND_BUDGET_BUCKETS];
   uint32_t extra_sends[SEND_BUDGET_BUCKETS];
 };
--- a/packages/policy/sendbudget.h
+++ b/packages/policy/sendbudget.h
@@ -32,7 +32,8 @@
 typedef struct
 {
   double ratio; /* Extra sends allowed per request.  */
-  double slack; /* Further extra sends in a window, of all gateways.  */
+  double slack; /* Extra sends that all gateways together may make in a window,
+                   in addition to those per request.  */
   uint64_t window_ms;
 } send_budget_options_t;
 
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -30,15 +30,16 @@
 typedef struct
 {
   trial_sums_t sums[TRIAL_ARM_COUNT][TRIAL_CELL_COUNT];
-  bool was_sent; /* Sent by a peer, rather than read from the store.  */
+  bool was_sent; /* Whether a peer sent the counts; otherwise they were read
+                    from the store.  */
   unsigned age_s;
 } counts_t;
 
 /* Sums over the old version's times in one load class.  */
 typedef struct
 {
-  double count;
-  double log_ms; /* Sum of the times' natural logarithms.  */
+  double time_count;
+  double log_ms_sum; /* Sum of the natural logarithms of the times in ms.  */
 } load_times_t;
 
 struct trial
@@ -59,7 +60,7 @@
   counts_t own_counts;
   load_times_t usual_times[TRIAL_TIMING_COUNT][TRIAL_ROUTE_CELLS]
                           [TRIAL_LOAD_CLASSES];
-  map_t *peers;              /* Name of a process to its counts_t.  */
+  map_t *peers;              /* Maps the name of a process to its counts_t.  */
   bool has_unwritten_counts; /* Whether a count changed since the last
                                 message.  */
 };
@@ -200,9 +201,11 @@
   return fmin (trial->exposure * TRIAL_INITIAL_EXPOSURE, TRIAL_SHARE_MAX);
 }
 
-/* Return the share in TRIAL_STEP_INCREASED: what the exposure of the initial
-   step, which starts at half the time limit, and the exposure after the finish
-   leave of the bound, spread over the time up to the finish.  */
+/* Return the share in TRIAL_STEP_INCREASED.  Of the part TRIAL_EXPOSURE_USED
+   of the operators' bound, the requests of the initial step, which starts at
+   half the time limit, and the requests after the finish are subtracted; the
+   rest is spread over the time up to the finish.  The share is at least that
+   of the initial step and at most TRIAL_SHARE_MAX.  */
 static double
 increased_share (const trial_t *trial)
 {
@@ -215,11 +218,11 @@
   double left_ms = trial->exposure * TRIAL_EXPOSURE_USED * time_limit_ms
                    - TRIAL_FINISH_LEAD_MS
                    - first * fmax (step_start_ms - share_start_ms, 0);
-  double share_length_ms = finish_time_ms (trial) - step_start_ms;
+  double increased_step_ms = finish_time_ms (trial) - step_start_ms;
 
-  if (share_length_ms <= 0)
+  if (increased_step_ms <= 0)
     return TRIAL_SHARE_MAX;
-  return fmin (fmax (left_ms / share_length_ms, first), TRIAL_SHARE_MAX);
+  return fmin (fmax (left_ms / increased_step_ms, first), TRIAL_SHARE_MAX);
 }
 
 double
@@ -255,7 +258,7 @@
 }
 
 static void
-sums_add_answer (trial_sums_t *sums, trial_outcome_t outcome)
+sums_add_outcome (trial_sums_t *sums, trial_outcome_t outcome)
 {
   double weight
       = outcome == TRIAL_CONNECTION_LOST ? TRIAL_LOST_CONNECTION_WEIGHT : 1;
@@ -281,8 +284,8 @@
   trial_sums_t *loaded = &trial->own_counts.sums[arm][TRIAL_ROUTE_CELLS];
 
   if (is_loaded)
-    sums_add_answer (loaded, outcome);
-  sums_add_answer (sums, outcome);
+    sums_add_outcome (loaded, outcome);
+  sums_add_outcome (sums, outcome);
   if (wait_ms > 0)
     {
       double log_wait = log ((double)wait_ms);
@@ -308,15 +311,15 @@
   return class;
 }
 
-/* Return the geometric mean of the old version's times at load CLASS.  Without
-   enough samples in it, return that of the next higher class that has enough,
-   which is no shorter; 0 if there is none.  */
+/* Return the geometric mean of the old version's times at load CLASS.  If that
+   class has too few samples, return the mean of the next higher class that has
+   enough, which is no shorter; 0 if there is none.  */
 static double
 usual_time_ms (const load_times_t *loads, size_t class)
 {
   for (; class < TRIAL_LOAD_CLASSES; class ++)
-    if (loads[class].count >= TRIAL_ANSWERS_MIN)
-      return exp (loads[class].log_ms / loads[class].count);
+    if (loads[class].time_count >= TRIAL_ANSWERS_MIN)
+      return exp (loads[class].log_ms_sum / loads[class].time_count);
   return 0;
 }
 
@@ -326,8 +329,9 @@
                       uint64_t now_ms)
 {
   size_t cell = route % TRIAL_ROUTE_CELLS;
-  /* All requests of a batch receive tokens at the same rate, whatever their
-     route.  */
+  /* Gaps between events of all routes are compared together, because all
+     requests of a batch receive tokens at the same rate.  Times to the first
+     event are compared by route.  */
   load_times_t *loads
       = trial
             ->usual_times[timing][timing == TRIAL_TIMING_EVENT_GAP ? 0 : cell];
@@ -350,8 +354,8 @@
     }
   if (arm != TRIAL_OLD)
     return;
-  loads[class].count += 1;
-  loads[class].log_ms += log (ms);
+  loads[class].time_count += 1;
+  loads[class].log_ms_sum += log (ms);
 }
 
 static void
@@ -401,8 +405,8 @@
        i < (size_t)TRIAL_TIMING_COUNT * TRIAL_ROUTE_CELLS * TRIAL_LOAD_CLASSES;
        i++)
     {
-      usual_times[i].count *= TRIAL_DECAY_PER_S;
-      usual_times[i].log_ms *= TRIAL_DECAY_PER_S;
+      usual_times[i].time_count *= TRIAL_DECAY_PER_S;
+      usual_times[i].log_ms_sum *= TRIAL_DECAY_PER_S;
     }
   while (map_next (trial->peers, &cursor, &key, &value))
     {
@@ -518,8 +522,8 @@
   return (failed + 1) / (count + 20);
 }
 
-/* Tell whether the new version's share of failed answers exceeds the old one's
-   by both EXCESS_MIN and STDERRS standard errors.  */
+/* Return whether the new version's share of failed answers exceeds the old
+   one's by both EXCESS_MIN and STDERRS standard errors.  */
 static bool
 has_share_excess (double old_failed, double old_count, double new_failed,
                   double new_count, double excess_min, double stderrs)
@@ -544,9 +548,9 @@
   return (sums->failed + extra) / (sums->count + extra);
 }
 
-/* Tell whether a step may advance that has lasted IN_STEP_MS, with a minimum
-   of STEP_MIN_MS.  An excess of late answers holds it back from STDERRS
-   standard errors on.  */
+/* Return whether a step that has lasted IN_STEP_MS, with a minimum length of
+   STEP_MIN_MS, may advance.  An excess of late answers of at least STDERRS
+   standard errors prevents the advance.  */
 static bool
 is_ready_to_advance (const trial_sums_t *old, const trial_sums_t *new,
                      double in_step_ms, double step_min_ms, double stderrs)
@@ -565,9 +569,11 @@
          <= TRIAL_ADVANCE_EXCESS;
 }
 
-/* Tell whether, in one cell since its first answer, the new version failed
-   more than the old one by too little to be bad, or has hardly any answers
-   although the old one has many.  Sums over all cells may show neither.  */
+/* Return whether the counts of one cell since the start do not suffice to
+   declare the new version good: its share of failed answers exceeds the old
+   version's by TRIAL_FINAL_EXCESS and by TRIAL_FINAL_STDERRS standard errors,
+   or it has hardly any answers although the old version has many.  Sums over
+   all cells may show neither.  */
 static bool
 is_cell_inconclusive (const trial_sums_t *old, const trial_sums_t *new)
 {
@@ -579,7 +585,7 @@
                            TRIAL_FINAL_EXCESS, TRIAL_FINAL_STDERRS);
 }
 
-/* Tell whether the new version's mean time to the first event exceeds
+/* Return whether the new version's mean time to the first event exceeds
    TRIAL_FIRST_EVENT_RATIO times the old version's.  */
 static bool
 has_slow_first_events (const trial_sums_t *old, const trial_sums_t *new)
@@ -600,7 +606,7 @@
                                       + TRIAL_FAILURE_STDERRS * std_error;
 }
 
-/* Tell whether the sums of one cell show that the new version is bad; if so,
+/* Return whether the sums of one cell show that the new version is bad; if so,
    append the reason to REASON.  */
 static bool
 is_bad (const trial_sums_t *old, const trial_sums_t *new, buf_t *reason)
@@ -678,8 +684,8 @@
   if (is_store_down || in_step_ms < step_min_ms)
     return TRIAL_WAIT;
   bool is_due = (double)now_ms >= finish_time_ms (trial);
-  /* A cell that is inconclusive because of a few answers may become conclusive
-     until the finish is due, and is ignored before.  */
+  /* Before the finish is due an inconclusive cell does not hold the version
+     back, because further answers may still make the cell conclusive.  */
   bool is_held_back
       = (is_due && has_inconclusive_cell)
         || !is_ready_to_advance (
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -17,17 +17,18 @@
      limit.  It receives all requests when it is declared good, as late as the
      time limit allows; the requests that then run on the old version end while
      its instances drain.
-   - A step advances only while the store answers: in an outage the share must
-     not rise while the measurements of other processes cannot arrive.
+   - A step advances only while the store answers: during an outage of the
+     store the measurements of other processes cannot arrive, so the share must
+     not rise.
    - Answers of both versions are counted in cells by route.  The counts of all
      processes are added up on the way to the process that reads the store for
      the others, which decides.  Counts decay with a half-life of about 4 s, so
-     that the good start of a version that turns bad does not hide its
+     that the good answers of a version that fails later do not hide its
      failures.
-   - An instance that crashes ends all its requests, at each process: one event
-     looks like many failures of the version.  A lost connection therefore has
-     the weight TRIAL_LOST_CONNECTION_WEIGHT, with which a version that loses
-   half of its connections is still detected.
+   - An instance that crashes ends all its requests, at each process: a single
+     crash looks like many failures of the version.  A lost connection
+     therefore has the weight TRIAL_LOST_CONNECTION_WEIGHT, with which a
+     version that loses half of its connections is still detected.
    - A version may fail only on loaded instances, and its answers from the
      other instances would hide that, so answers of loaded instances also count
      in a cell of their own.
@@ -57,22 +58,23 @@
 /* X (symbol, late, samples, standard errors, name): the times that are
    measured of a send.  A time is late when it exceeds LATE usual times at the
    same load.  The version is bad when, over at least SAMPLES times, its share
-   of late ones exceeds the old version's by TRIAL_LATE_EXCESS and by so many
-   standard errors.
+   of late ones exceeds the old version's by TRIAL_LATE_EXCESS and by STANDARD
+   ERRORS standard errors.
 
    The time to the first event includes waiting behind other prompts, which
-   makes all requests late that are at one instance together.  The gap between
-   events depends on the size of the batch alone.  */
+   delays all requests that are at one instance at the same time.  The gap
+   between events depends on the size of the batch alone.  */
 #define TRIAL_TIMINGS(X)                                                      \
   X (TRIAL_TIMING_FIRST_EVENT, 4.0, 16, 4.5, "first events")                  \
   X (TRIAL_TIMING_EVENT_GAP, 2.5, 8, 4.0, "gaps between events")
 #define TRIAL_LATE_EXCESS 0.3
 /* A step does not advance while the new version's share of late times exceeds
-   the old version's by this and by TRIAL_HOLD_STDERRS standard errors.  */
+   the old version's by TRIAL_HOLD_LATE_EXCESS and by TRIAL_HOLD_STDERRS
+   standard errors.  */
 #define TRIAL_HOLD_LATE_EXCESS 0.15
 #define TRIAL_HOLD_STDERRS 1.5
-/* Replaces TRIAL_HOLD_STDERRS shortly before the time limit, when a hold can
-   no longer be waited out and ends in a roll-back.  */
+/* Replaces TRIAL_HOLD_STDERRS shortly before the time limit, when a version
+   that may not advance is rolled back.  */
 #define TRIAL_FINAL_HOLD_STDERRS 3.0
 /* Weight of a lost connection as a failure when the version is tested for
    being bad: a crash loses several connections at once.  */
@@ -81,8 +83,9 @@
 #define TRIAL_ADVANCE_LOST_CONNECTION_WEIGHT 0.5
 /* Factor by which counts of answers decay in a second.  */
 #define TRIAL_DECAY_PER_S 0.85
-/* Factor by which counts of late times decay in a second; larger, since a
-   dozen late answers must be found where three answers arrive in a second.  */
+/* Factor by which counts of late times decay in a second.  The factor is
+   larger than TRIAL_DECAY_PER_S, because a dozen late answers must be found
+   where three answers arrive in a second.  */
 #define TRIAL_TIMING_DECAY_PER_S 0.95
 
 /* A step advances when the new version has at least TRIAL_ADVANCE_ANSWERS_MIN
@@ -91,8 +94,8 @@
    times the step's minimum length.  */
 #define TRIAL_ADVANCE_EXCESS 0.1
 /* Before the version is declared good, its share of failed answers may in no
-   cell exceed the old version's both by this and by TRIAL_FINAL_STDERRS
-   standard errors.  */
+   cell exceed the old version's both by TRIAL_FINAL_EXCESS and by
+   TRIAL_FINAL_STDERRS standard errors.  */
 #define TRIAL_FINAL_EXCESS 0.13
 #define TRIAL_FINAL_STDERRS 2.0
 /* In a cell with at least TRIAL_BUSY_CELL_ANSWERS answers of the old version,
@@ -108,8 +111,8 @@
   X (TRIAL_STEP_NO_TRAFFIC, 0.50)                                             \
   X (TRIAL_STEP_INITIAL, 0.11)                                                \
   X (TRIAL_STEP_INCREASED, 0.06)
-/* Part of the operators' bound on exposure that the requests of all steps make
-   up together.  */
+/* Part of the operators' bound on the requests to the new version that all
+   steps together may use.  */
 #define TRIAL_EXPOSURE_USED 0.8
 /* Share in TRIAL_STEP_INITIAL, as a part of the operators' bound.  */
 #define TRIAL_INITIAL_EXPOSURE 0.7
@@ -149,8 +152,8 @@
      event is ignored: its instances have no prompt in their caches yet.  */
   TRIAL_WARM_UP_MS = 1000,
   /* Age at which the counts of another process expire.  Processes report every
-     second, and one that changes to another reader of the store must not count
-     twice for long.  */
+     second, and a process whose reports arrive through another reader of the
+     store from now on must not count twice for long.  */
   TRIAL_PEER_EXPIRY_S = 4,
   TRIAL_STEP_MS_MIN = 1500,
   /* Time before the limit at which a version is declared good, so that the
@@ -178,17 +181,20 @@
 } trial_arm_t;
 
 /* X (field, decimals in a message, decay factor per second): sums over
-   answers, in the order in which a message holds them.  */
+   answers, in the order in which a message holds them.
+
+   - lost_connections: number of lost connections, without weight.
+   - total_count, total_failed: answers and failed answers since the start,
+     without decay and without lost connections.
+   - first_events: answers with a first event.
+   - log_wait_sum, log_wait_square_sum: sums of the logarithms of the times to
+     the first event, in ms, and of their squares.  */
 #define TRIAL_SUMS(X)                                                         \
   X (count, 2, TRIAL_DECAY_PER_S)                                             \
   X (failed, 2, TRIAL_DECAY_PER_S)                                            \
-  /* Number of lost connections, without weight.  */                          \
   X (lost_connections, 2, TRIAL_DECAY_PER_S)                                  \
-  /* Answers and failed ones since the start, without decay and without lost  \
-     connections.  */                                                         \
   X (total_count, 1, 1)                                                       \
   X (total_failed, 1, 1)                                                      \
-  /* Answers with a first event.  */                                          \
   X (first_events, 2, TRIAL_DECAY_PER_S)                                      \
   X (log_wait_sum, 3, TRIAL_DECAY_PER_S)                                      \
   X (log_wait_square_sum, 3, TRIAL_DECAY_PER_S)
@@ -203,16 +209,16 @@
   double late_count[TRIAL_TIMING_COUNT]; /* Number of late ones among them.  */
 } trial_sums_t;
 
-/* ORDER is the number of the operators' order, which tells two orders for the
-   same version apart.  EXPOSURE is the part of the service's requests that the
-   version may get within TIME_LIMIT_MS.  */
+/* ORDER is the number of the operators' order, which distinguishes two orders
+   for the same version.  EXPOSURE is the part of the service's requests that
+   the version may get within TIME_LIMIT_MS.  */
 trial_t *trial_create (str_t service, str_t version, uint64_t order,
                        uint64_t time_limit_ms, double exposure);
 /* Set the time of the store's clock at which this process first saw the order;
    0 if unknown.  */
 void trial_set_order_seen_ms (trial_t *trial, uint64_t order_seen_ms);
 uint64_t trial_order_seen_ms (const trial_t *trial);
-/* NULL is accepted.  */
+/* Free TRIAL, which may be NULL.  */
 void trial_destroy (trial_t *trial);
 str_t trial_version (const trial_t *trial);
 uint64_t trial_order (const trial_t *trial);
@@ -238,8 +244,8 @@
 /* Return the new version's share of the requests at NOW_MS of the store's
    clock.  */
 double trial_share (const trial_t *trial, uint64_t now_ms);
-/* Tell whether the session or request with hash KEY goes to the new version.
-   When the share rises, keys are only added.  */
+/* Return whether the session or request with hash KEY goes to the new version.
+   A rising share never moves a key back to the old version.  */
 bool trial_is_assigned (const trial_t *trial, uint64_t key, uint64_t now_ms);
 
 /* Earlier sends of one request.  */
@@ -247,7 +253,7 @@
 {
   bool was_sent;      /* Whether the request was sent before, to ARM.  */
   trial_arm_t arm;    /* Version of the first send.  */
-  bool failed_on_new; /* Whether a send to the new version failed.  */
+  bool failed_on_new; /* Whether an earlier send to the new version failed.  */
 } trial_send_history_t;
 
 /* Return the version for a request with hash KEY.  A request stays with the
@@ -270,9 +276,9 @@
    instance's slots were in use.  */
 void trial_observe (trial_t *trial, trial_arm_t arm, uint64_t route,
                     trial_outcome_t outcome, uint64_t wait_ms, bool is_loaded);
-/* Count a measured time of MS for TIMING, which ended at NOW_MS of the store's
-   clock, of a send on a route with hash ROUTE.  LOAD is the number of requests
-   of all processes at the instance.  */
+/* Count a measured time of MS ms for TIMING, which ended at NOW_MS of the
+   store's clock, of a send on a route with hash ROUTE.  LOAD is the number of
+   requests of all processes at the instance.  */
 void trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
                            trial_timing_t timing, uint32_t load, double ms,
                            uint64_t now_ms);
@@ -289,16 +295,17 @@
    ignored.  */
 vh_code_t trial_merge (trial_t *trial, str_t process, bool was_sent,
                        str_t text);
-/* Tell whether a count changed since the last trial_write.  */
+/* Return whether a count changed since the last trial_write.  */
 bool trial_has_unwritten_counts (const trial_t *trial);
 
 typedef enum
 {
-  TRIAL_WAIT,      /* Nothing changes yet.  */
+  TRIAL_WAIT,      /* The current step stays in force.  */
   TRIAL_ADVANCE,   /* The next step may start.  */
   TRIAL_ROLL_BACK, /* The version is bad; all requests return to the old
                       one.  */
-  TRIAL_FINISH     /* The version is good; the old one may stop.  */
+  TRIAL_FINISH /* The version is good and gets all requests; instances of the
+                  old version may drain.  */
 } trial_decision_t;
 
 /* Decide on the counts of all processes.  If the version is bad, append the
