--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -183,8 +183,8 @@
                             str_t second, double rating, double second_rating,
                             uint64_t now_ms);
 
-/* Compact old epochs, write the learned state and merge a received state, like
-   quality_compact, quality_write and quality_merge.  */
+/* Compact old epochs, write the learned state and merge a received state, in
+   the same way as the functions of quality.h.  */
 void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
                           uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
