--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -111,7 +111,7 @@
       field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
       field_text (FIELD_VERSION, upstream_version (relay->upstream)),
       field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
-      field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
+      field_number (FIELD_RUNNING, upstream_running_count (relay->upstream)),
       field_number (FIELD_SENDS, relay->sends + 1),
       field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
       field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
@@ -124,7 +124,7 @@
   relay->sent_ms = now_ms;
   relay->last_activity_ms = now_ms;
   relay->send_event_count = 0;
-  relay->upstream_request_count = upstream_running (relay->upstream);
+  relay->upstream_request_count = upstream_running_count (relay->upstream);
   relay->is_upstream_loaded = false;
   relay->is_success = false;
   relay->connection_lost = false;
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -101,7 +101,7 @@
     relay->possible_runs++;
   add_tried_upstream (relay);
   relay->was_refused = !may_have_run;
-  if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
+  if (may_have_run && relay_trial_arm (relay) == TRIAL_ARM_NEW)
     relay->trial_sends.failed_on_new = true;
   relay_finish_send (relay, may_have_run ? SEND_FAILED : SEND_REFUSED);
   relay->response_headers.len = 0;
--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  PRIORITY_COUNT = QUEUE_LOW + 1,
+  PRIORITY_COUNT = QUEUE_PRIORITY_LOW + 1,
   /* Largest number of ticks that one update counts.  After ten seconds without
      an update the old rates have decayed to almost nothing.  */
   TICKS_MAX = 100
