--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -186,7 +186,7 @@
   *got = answer_quality (&r->rng, plan->first, easy);
   if (plan->kind == CASCADE_DIRECT)
     {
-      if (plan->audit
+      if (plan->is_audited
           || quality_should_rate (r->quality, &r->rng, task, first, r->now_ms))
         {
           quality_add_rating (r->quality, task, first, rate (&r->rng, *got),
@@ -196,15 +196,15 @@
       return paid;
     }
   double rating = rate (&r->rng, *got);
-  double audit = plan->audit ? rate (&r->rng, *got) : NAN;
-  paid += plan->audit ? 2 * RATING_COST : RATING_COST;
+  double audit = plan->is_audited ? rate (&r->rng, *got) : NAN;
+  paid += plan->is_audited ? 2 * RATING_COST : RATING_COST;
   cascade_record_first (r->cascade, task, first, rating, audit, r->now_ms);
   quality_add_rating (r->quality, task, first, rating, r->now_ms);
   if (rating >= plan->threshold)
     return paid;
   *got = answer_quality (&r->rng, plan->second, easy);
   paid += costs[plan->second];
-  if (plan->audit)
+  if (plan->is_audited)
     {
       cascade_record_second (r->cascade, task, first,
                              str_from (names[plan->second]), rating,
@@ -240,7 +240,7 @@
       const cascade_request_t request
           = { .task = STR ("draft"),
               .candidates = candidates,
-              .count = VERSIONS,
+              .candidate_count = VERSIONS,
               .target = target,
               .deadline_left_ms = 30000,
               .rating_cost = RATING_COST,
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -127,7 +127,7 @@
         };
       const cascade_request_t request = { .task = STR ("draft"),
                                           .candidates = candidates,
-                                          .count = (size_t)sizes[s],
+                                          .candidate_count = (size_t)sizes[s],
                                           .target = 0.75,
                                           .deadline_left_ms = 60000,
                                           .rating_cost = 0.1,
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -237,13 +237,13 @@
   const cascade_request_t cascade_request = {
     .task = request->candidates[0]->model->task,
     .candidates = candidates,
-    .count = request->candidate_count,
+    .candidate_count = request->candidate_count,
     .target = plan->quality_target,
-    .prefer = plan->prefer == PREFER_LATENCY ? CASCADE_PREFER_LATENCY
-                                             : CASCADE_PREFER_COST,
+    .preference = plan->prefer == PREFER_LATENCY ? CASCADE_PREFER_LATENCY
+                                                 : CASCADE_PREFER_COST,
     .deadline_left_ms
     = request->deadline_ms > now_ms ? request->deadline_ms - now_ms : 0,
-    .streaming = request->stream,
+    .is_streaming = request->stream,
     .first_byte_ms = 0,
     .rating_cost = 0,
     .rating_latency_ms = RATING_TIMEOUT_MS / 4.0,
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -47,7 +47,7 @@
 void
 learn_append_transcript (request_t *request, str_t bytes)
 {
-  if ((request->rating_sampled || request->plan.audit)
+  if ((request->rating_sampled || request->plan.is_audited)
       && request->transcript.len + bytes.len <= TRANSCRIPT_MAX_BYTES)
     buf_append_str (&request->transcript, bytes);
 }
@@ -354,7 +354,8 @@
 
   quality_add_rating (entry->quality, request->version->model->task,
                       request->version->name, request->first_rating, now_ms);
-  if (request->plan.audit && entry->ratings_in_flight < RATINGS_IN_FLIGHT_MAX)
+  if (request->plan.is_audited
+      && entry->ratings_in_flight < RATINGS_IN_FLIGHT_MAX)
     request_rating (request, RATING_PURPOSE_AUDIT, content);
   else
     cascade_record_first (entry->cascade, request->version->model->task,
@@ -367,8 +368,8 @@
 {
   entry_t *entry = request->entry;
   buf_t content = BUF_NULL;
-  bool is_rating_wanted
-      = request->escalated ? request->plan.audit : request->rating_sampled;
+  bool is_rating_wanted = request->escalated ? request->plan.is_audited
+                                             : request->rating_sampled;
 
   if (request->version == NULL || !is_rating_wanted
       || entry->ratings_in_flight >= RATINGS_IN_FLIGHT_MAX
--- a/packages/entry/objective.c
+++ b/packages/entry/objective.c
@@ -23,12 +23,12 @@
     objectives[count++] = (burn_objective_t){
       .name = objective->name,
       .team = objective->team,
-      .answered = objective->answered,
+      .answered_share = objective->answered,
       .first_token_ms = objective->first_token_ms,
       .between_tokens_ms = objective->between_tokens_ms,
-      .within = objective->within,
-      .quality = objective->quality,
-      .cost = objective->cost,
+      .timely_share = objective->within,
+      .quality_target = objective->quality,
+      .cost_budget = objective->cost,
     };
   burn_set_objectives (entry->burn, objectives, count);
 }
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -318,21 +318,23 @@
   switch (kind)
     {
     case BURN_KIND_ANSWERED:
-      return settings->answered > 0 ? fmax (BUDGET_MIN, 1 - settings->answered)
-                                    : 0;
+      return settings->answered_share > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->answered_share)
+                 : 0;
     case BURN_KIND_FIRST_TOKEN:
       return settings->first_token_ms > 0
-                 ? fmax (BUDGET_MIN, 1 - settings->within)
+                 ? fmax (BUDGET_MIN, 1 - settings->timely_share)
                  : 0;
     case BURN_KIND_BETWEEN_TOKENS:
       return settings->between_tokens_ms > 0
-                 ? fmax (BUDGET_MIN, 1 - settings->within)
+                 ? fmax (BUDGET_MIN, 1 - settings->timely_share)
                  : 0;
     case BURN_KIND_QUALITY:
-      return settings->quality > 0 ? fmax (BUDGET_MIN, 1 - settings->quality)
-                                   : 0;
+      return settings->quality_target > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->quality_target)
+                 : 0;
     default:
-      return fmax (0, settings->cost);
+      return fmax (0, settings->cost_budget);
     }
 }
 
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -96,13 +96,16 @@
 typedef struct
 {
   str_t name;
-  str_t team;      /* Empty for all teams.  */
-  double answered; /* Required share of answered requests, such as 0.999.  */
+  str_t team; /* Empty for all teams.  */
+  /* Required share of answered requests, such as 0.999.  */
+  double answered_share;
   uint64_t first_token_ms;
   uint64_t between_tokens_ms;
-  double within;  /* Share of requests that must meet the two times above.  */
-  double quality; /* Required mean rating; the budget is 1 - QUALITY.  */
-  double cost;    /* Budget: mean price units for a request.  */
+  /* Share of requests that must meet the two times above.  */
+  double timely_share;
+  double quality_target; /* Required mean rating; the budget is 1 -
+                            QUALITY_TARGET.  */
+  double cost_budget;    /* Budget: mean price units for a request.  */
 } burn_objective_t;
 
 /* Measurements of one request at its end.  Unknown values are 0, or NaN for
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -389,7 +389,7 @@
       = candidate_at (d, first)->latency_ms + r->rating_latency_ms;
 
   return r->is_rater_available
-         && (!r->streaming || first_rated_ms <= (double)r->first_byte_ms)
+         && (!r->is_streaming || first_rated_ms <= (double)r->first_byte_ms)
          && first_rated_ms + candidate_at (d, second)->latency_ms
                 <= d->time_budget_ms;
 }
@@ -521,7 +521,7 @@
 is_preferred (const decision_t *d, const cascade_plan_t *a,
               const cascade_plan_t *b)
 {
-  bool prefers_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
+  bool prefers_latency = d->request->preference == CASCADE_PREFER_LATENCY;
 
   if (prefers_latency && a->latency_ms != b->latency_ms)
     return a->latency_ms < b->latency_ms;
@@ -581,7 +581,7 @@
         return true;
   if (!d->request->is_rater_available)
     *obstacle = CASCADE_REASON_RATER_DOWN;
-  else if (d->request->streaming)
+  else if (d->request->is_streaming)
     *obstacle = CASCADE_REASON_STREAMING;
   else
     *obstacle = CASCADE_REASON_DEADLINE;
@@ -593,7 +593,7 @@
 static bool
 find_best_plan (const decision_t *d, cascade_plan_t *best)
 {
-  bool prefers_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
+  bool prefers_latency = d->request->preference == CASCADE_PREFER_LATENCY;
   cascade_reason_t reason
       = prefers_latency ? CASCADE_REASON_FASTEST : CASCADE_REASON_CHEAPEST;
   bool found = false;
@@ -647,7 +647,7 @@
     return false;
   if (!find_pair_plan (d, first, second, BOUND_UPPER, &plan))
     return false;
-  if (d->request->prefer == CASCADE_PREFER_LATENCY)
+  if (d->request->preference == CASCADE_PREFER_LATENCY)
     return plan.latency_ms < PROMISING_RATIO_MAX * best->latency_ms;
   return plan.cost < PROMISING_RATIO_MAX * best->cost;
 }
@@ -707,7 +707,7 @@
         plan->second = j;
         plan->threshold = d->request->target;
         plan->upper_edge_probability = 1;
-        plan->audit = true;
+        plan->is_audited = true;
         plan->cost
             += 2 * d->request->rating_cost
                + share_below_target (d, i)
@@ -718,7 +718,7 @@
   if (pair_count > 0 && rng_below (rng, EXPLORE_DIRECT_INTERVAL) == 0)
     {
       *plan = make_direct_plan (d, d->strongest, CASCADE_REASON_EXPLORE);
-      plan->audit = true;
+      plan->is_audited = true;
     }
   return pair_count > 0;
 }
@@ -785,8 +785,8 @@
     {
       best = make_direct_plan (
           d, d->strongest, can_escalate ? CASCADE_REASON_NO_BOUND : obstacle);
-      best.audit = candidate_at (d, d->strongest)->quality.weight
-                   < WELL_KNOWN_RATINGS;
+      best.is_audited = candidate_at (d, d->strongest)->quality.weight
+                        < WELL_KNOWN_RATINGS;
     }
   if (can_escalate && r->explore_cost_share > 0
       && rng_double (rng) < EXPLORE_SHARE_MAX
@@ -796,7 +796,7 @@
   plan = best;
   if (plan.kind == CASCADE_TWO_STAGE)
     {
-      plan.audit = draw_audit (d, rng, &plan);
+      plan.is_audited = draw_audit (d, rng, &plan);
       draw_threshold (rng, &plan);
     }
   return plan;
@@ -806,14 +806,15 @@
 cascade_plan (cascade_t *c, rng_t *rng, const cascade_request_t *request,
               uint64_t now_ms)
 {
-  decision_t d = { .cascade = c,
-                   .request = request,
-                   .now_ms = now_ms,
-                   .candidate_count = request->count < CASCADE_CANDIDATES_MAX
-                                          ? request->count
-                                          : CASCADE_CANDIDATES_MAX,
-                   .time_budget_ms = (double)request->deadline_left_ms
-                                     * CASCADE_DEADLINE_SHARE };
+  decision_t d
+      = { .cascade = c,
+          .request = request,
+          .now_ms = now_ms,
+          .candidate_count = request->candidate_count < CASCADE_CANDIDATES_MAX
+                                 ? request->candidate_count
+                                 : CASCADE_CANDIDATES_MAX,
+          .time_budget_ms
+          = (double)request->deadline_left_ms * CASCADE_DEADLINE_SHARE };
 
   crdt_advance (c->rating_crdt, now_ms);
   d.strongest = find_strongest (&d);
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -125,11 +125,12 @@
 {
   str_t task; /* Task class of the request.  */
   const cascade_candidate_t *candidates;
-  size_t count;  /* Candidates after CASCADE_CANDIDATES_MAX are ignored.  */
+  size_t candidate_count; /* Number of CANDIDATES; those after
+                             CASCADE_CANDIDATES_MAX are ignored.  */
   double target; /* Least mean rating that a plan must reach, 0 to 1.  */
-  cascade_prefer_t prefer;
+  cascade_prefer_t preference;
   uint64_t deadline_left_ms; /* Time left until the deadline.  */
-  bool streaming;
+  bool is_streaming;
   uint64_t first_byte_ms; /* Time allowed for the first byte of a stream.  */
   double rating_cost;     /* Cost of one rating.  */
   /* Time of one rating, such as the 95th percentile.  */
@@ -154,7 +155,7 @@
   /* Whether the plan is audited: the answer of a direct plan is rated; the
      first answer of a cascade is rated a second time, and the second answer is
      rated if there is one.  An audit does not delay the response.  */
-  bool audit;
+  bool is_audited;
   double cost;          /* Expected cost, ratings included.  */
   double latency_ms;    /* Expected time to the full answer.  */
   double quality;       /* Expected rating.  */
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -46,10 +46,10 @@
   limit->initial_slots = LIMIT_INITIAL_SLOTS;
   limit->max_slots = LIMIT_SLOTS_MAX;
   limit->tolerance = LIMIT_LATENCY_TOLERANCE;
-  if (config != NULL && config->start > 0)
-    limit->initial_slots = config->start;
-  if (config != NULL && config->max > 0)
-    limit->max_slots = config->max;
+  if (config != NULL && config->initial_slots > 0)
+    limit->initial_slots = config->initial_slots;
+  if (config != NULL && config->max_slots > 0)
+    limit->max_slots = config->max_slots;
   if (config != NULL && config->tolerance > 0)
     limit->tolerance = config->tolerance;
   if (limit->initial_slots > limit->max_slots)
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -81,13 +81,13 @@
 
 typedef struct limit limit_t;
 
-/* Settings of a limit.  START 0 selects LIMIT_INITIAL_SLOTS, MAX 0 selects
-   LIMIT_SLOTS_MAX, and TOLERANCE 0 selects LIMIT_LATENCY_TOLERANCE.  */
+/* Settings of a limit; 0 selects LIMIT_INITIAL_SLOTS for INITIAL_SLOTS,
+   LIMIT_SLOTS_MAX for MAX_SLOTS, and LIMIT_LATENCY_TOLERANCE for TOLERANCE. */
 typedef struct
 {
-  uint32_t start;   /* Slots after creation and after a reset.  */
-  uint32_t max;     /* Most slots, such as the batch size of the engine.  */
-  double tolerance; /* Accepted ratio of latency to the best latency.  */
+  uint32_t initial_slots; /* Slots after creation and after a reset.  */
+  uint32_t max_slots; /* Most slots, such as the batch size of the engine.  */
+  double tolerance;   /* Accepted ratio of latency to the best latency.  */
 } limit_config_t;
 
 /* Return a new limit, owned by the caller.  CONFIG may be NULL for the
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -177,9 +177,10 @@
   switch (class)
     {
     case POISON_CLEAR:
-      return idempotent || in_flight->suspects == 0;
+      return idempotent || in_flight->suspect_count == 0;
     case POISON_SUSPECT:
-      return in_flight->suspects == 0 && in_flight->nonidempotent_count == 0;
+      return in_flight->suspect_count == 0
+             && in_flight->nonidempotent_count == 0;
     case POISON_REFUSED:
       break;
     }
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -66,7 +66,7 @@
    beside them, for poison_may_run_beside.  */
 typedef struct
 {
-  uint32_t suspects;
+  uint32_t suspect_count;
   uint32_t nonidempotent_count;
 } poison_in_flight_t;
 
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -108,8 +108,8 @@
 {
   sidecar_t *sidecar = mem_zalloc (sizeof *sidecar);
   const upstream_settings_t *upstream = options->upstream;
-  const limit_config_t limit = { .start = upstream->limit_start,
-                                 .max = upstream->limit_max,
+  const limit_config_t limit = { .initial_slots = upstream->limit_start,
+                                 .max_slots = upstream->limit_max,
                                  .tolerance = upstream->limit_tolerance };
   const queue_config_t queue = { .max_waiters = upstream->queue_max,
                                  .long_cost_min = upstream->queue_long_cost };
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -417,7 +417,7 @@
 may_share (const sidecar_t *sidecar, const attempt_t *attempt)
 {
   const poison_in_flight_t company
-      = { .suspects = sidecar->running_suspect,
+      = { .suspect_count = sidecar->running_suspect,
           .nonidempotent_count = sidecar->running_nonidempotent };
 
   return poison_may_run_beside (attempt->suspect ? POISON_SUSPECT
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -16,13 +16,15 @@
 
 static const burn_objective_t objectives[] = {
   { .name = { "everyone", 8 },
-    .answered = 0.99,
+    .answered_share = 0.99,
     .first_token_ms = 500,
     .between_tokens_ms = 100,
-    .within = 0.9,
-    .quality = 0.8,
-    .cost = 4 },
-  { .name = { "coast", 5 }, .team = { "coast-office", 12 }, .answered = 0.9 },
+    .timely_share = 0.9,
+    .quality_target = 0.8,
+    .cost_budget = 4 },
+  { .name = { "coast", 5 },
+    .team = { "coast-office", 12 },
+    .answered_share = 0.9 },
 };
 
 static burn_t *
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -34,7 +34,7 @@
 {
   return (cascade_request_t){ .task = STR ("draft"),
                               .candidates = candidates,
-                              .count = count,
+                              .candidate_count = count,
                               .target = target,
                               .deadline_left_ms = 30000,
                               .rating_cost = 0.3,
@@ -73,7 +73,7 @@
     {
       cascade_request_t r = make_request (candidates, 3, cases[i].target);
       r.deadline_left_ms = cases[i].deadline_ms;
-      r.prefer = cases[i].prefer;
+      r.preference = cases[i].prefer;
       cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
       ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
       ck_assert_msg (plan.first == cases[i].first, "case %zu: chose %zu", i,
@@ -85,7 +85,7 @@
   candidates[0].latency_ms = 1200;
   cascade_request_t fast = make_request (candidates, 3, 0.7);
   ck_assert_uint_eq (cascade_plan (c, &rng, &fast, START_MS).first, 0);
-  fast.prefer = CASCADE_PREFER_LATENCY;
+  fast.preference = CASCADE_PREFER_LATENCY;
   ck_assert_uint_eq (cascade_plan (c, &rng, &fast, START_MS).first, 1);
   cascade_request_t none = make_request (candidates, 0, 0.9);
   ck_assert_int_eq (cascade_plan (c, &rng, &none, START_MS).kind,
@@ -187,7 +187,7 @@
 
   r.explore_cost_share = 0;
   r.deadline_left_ms = 30000;
-  r.streaming = true;
+  r.is_streaming = true;
   r.first_byte_ms = 500;
   plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
@@ -195,7 +195,7 @@
   plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
 
-  r.streaming = false;
+  r.is_streaming = false;
   r.is_rater_available = false;
   plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
@@ -216,7 +216,7 @@
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
                     CASCADE_REASON_RATER_DOWN);
   r.is_rater_available = true;
-  r.streaming = true;
+  r.is_streaming = true;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
                     CASCADE_REASON_STREAMING);
   for (int i = 0; i < CASCADE_REASON_COUNT; i++)
@@ -334,21 +334,21 @@
       if (plan.kind == CASCADE_TWO_STAGE)
         {
           double rating = rate (&rng, true_quality);
-          double audit = plan.audit ? rate (&rng, true_quality) : NAN;
-          request_cost += 0.3 + (plan.audit ? 0.3 : 0);
+          double audit = plan.is_audited ? rate (&rng, true_quality) : NAN;
+          request_cost += 0.3 + (plan.is_audited ? 0.3 : 0);
           cascade_record_first (c, STR ("draft"), first, rating, audit, now);
           quality_add_rating (q, STR ("draft"), first, rating, now);
           if (rating < plan.threshold)
             {
               true_quality = answer_quality (&rng, plan.second, easy);
-              request_cost += costs[plan.second] + (plan.audit ? 0.3 : 0);
-              if (plan.audit)
+              request_cost += costs[plan.second] + (plan.is_audited ? 0.3 : 0);
+              if (plan.is_audited)
                 cascade_record_second (c, STR ("draft"), first,
                                        str_from (names[plan.second]), rating,
                                        rate (&rng, true_quality), now);
             }
         }
-      else if (plan.audit
+      else if (plan.is_audited
                || quality_should_rate (q, &rng, STR ("draft"), first, now))
         {
           quality_add_rating (q, STR ("draft"), first,
@@ -401,12 +401,12 @@
   cascade_request_t r = make_request (candidates, 3, 0.9);
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_uint_eq (plan.first, 2);
-  ck_assert (plan.audit);
+  ck_assert (plan.is_audited);
   candidates[2].quality
       = quality_posterior (60, 36, 22, 0.8, QUALITY_PRIOR_VARIANCE);
   plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_uint_eq (plan.first, 1);
-  ck_assert (!plan.audit);
+  ck_assert (!plan.is_audited);
   cascade_destroy (c);
 }
 END_TEST
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -120,7 +120,7 @@
    its limit counted as warming up, its latency would be ignored.  */
 START_TEST (fixed_limit_is_never_warming_up)
 {
-  const limit_config_t fixed = { .start = 4, .max = 4 };
+  const limit_config_t fixed = { .initial_slots = 4, .max_slots = 4 };
 
   limit_destroy (upstream.limit);
   upstream.limit = limit_create (&fixed, upstream.clock);
@@ -348,7 +348,7 @@
 
 START_TEST (restart_resets_limit_and_maximum_holds)
 {
-  limit_config_t config = { .max = 6 };
+  limit_config_t config = { .max_slots = 6 };
   limit_t *limit = limit_create (&config, upstream.clock);
 
   for (int i = 0; i < 20; i++)
