--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -16,7 +16,7 @@
 
 /* Factor by which the recently refused cost of a team decays per tick, for a
    mean age of a hundred ticks or ten seconds.  */
-#define REFUSED_DECAY 0.99
+#define REFUSED_DECAY_PER_TICK 0.99
 
 typedef struct
 {
@@ -138,7 +138,7 @@
           demand->tick_cost = 0;
           team->demand_cost_per_s += demand->cost_per_s;
         }
-      team->recent_refused_cost *= pow (REFUSED_DECAY, ticks);
+      team->recent_refused_cost *= pow (REFUSED_DECAY_PER_TICK, ticks);
       sum += team->demand_cost_per_s;
     }
   return sum;
@@ -149,10 +149,10 @@
 static void
 update_capacity (admission_t *admission, double demand, double ticks)
 {
-  double dispatched
+  double dispatched_cost
       = admission->tick_accepted_cost + admission->tick_refused_cost;
   bool is_full = admission->tick_refused_cost
-                     > dispatched * ADMISSION_OVERLOAD_REFUSED_SHARE
+                     > dispatched_cost * ADMISSION_OVERLOAD_REFUSED_SHARE
                  || admission->pressure > ADMISSION_OVERLOAD_PRESSURE;
   double probe_capacity;
 
@@ -180,7 +180,7 @@
 {
   double remaining = admission->capacity_per_s;
   double weight_sum = 0;
-  bool changed = true;
+  bool has_level_changed = true;
 
   LIST_EACH (node, &admission->teams)
     {
@@ -189,11 +189,11 @@
       team->admitted_cost_per_s = -1;
       weight_sum += team->weight;
     }
-  while (changed)
+  while (has_level_changed)
     {
       double level = remaining / weight_sum;
 
-      changed = false;
+      has_level_changed = false;
       LIST_EACH (node, &admission->teams)
         {
           team_t *team = CONTAINER_OF (node, team_t, list_node);
@@ -204,7 +204,7 @@
           team->admitted_cost_per_s = team->demand_cost_per_s;
           remaining -= team->demand_cost_per_s;
           weight_sum -= team->weight;
-          changed = weight_sum > 0;
+          has_level_changed = weight_sum > 0;
         }
     }
   LIST_EACH (node, &admission->teams)
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -268,12 +268,12 @@
   for (uint32_t i = 0; i < zone_pool->upstream_count; i++)
     {
       uint32_t index = zone_pool->ring[i].index;
-      hashed_index_t at = { subset_rank (balance, index), index };
+      hashed_index_t candidate = { subset_rank (balance, index), index };
 
-      if ((zone_pool->subset_count == 0 || has_higher_rank (last, at))
-          && (best.index == NO_UPSTREAM || has_higher_rank (at, best))
+      if ((zone_pool->subset_count == 0 || has_higher_rank (last, candidate))
+          && (best.index == NO_UPSTREAM || has_higher_rank (candidate, best))
           && subset_accepts (&balance->states[index]))
-        best = at;
+        best = candidate;
     }
   if (best.index != NO_UPSTREAM)
     zone_pool->subset[zone_pool->subset_count++] = best;
@@ -302,7 +302,7 @@
 }
 
 /* Return the position in the ring of ZONE_POOL of the first upstream whose
-   hash is at least HASH; ZONE_POOL->count if there is none.  */
+   hash is at least HASH; ZONE_POOL->upstream_count if there is none.  */
 static uint32_t
 ring_search (const zone_pool_t *zone_pool, uint32_t hash)
 {
@@ -334,7 +334,7 @@
                uint32_t index)
 {
   hashed_index_t new = { ring_hash (balance, index), index };
-  uint32_t at = ring_search (zone_pool, new.hash);
+  uint32_t position = ring_search (zone_pool, new.hash);
 
   if (zone_pool->upstream_count == zone_pool->capacity)
     {
@@ -343,9 +343,9 @@
       zone_pool->ring = mem_realloc (
           zone_pool->ring, zone_pool->capacity * sizeof (hashed_index_t));
     }
-  memmove (&zone_pool->ring[at + 1], &zone_pool->ring[at],
-           (zone_pool->upstream_count - at) * sizeof (hashed_index_t));
-  zone_pool->ring[at] = new;
+  memmove (&zone_pool->ring[position + 1], &zone_pool->ring[position],
+           (zone_pool->upstream_count - position) * sizeof (hashed_index_t));
+  zone_pool->ring[position] = new;
   zone_pool->upstream_count++;
   subset_add_if_ranked (balance, zone_pool, index);
 }
@@ -354,13 +354,13 @@
 zone_pool_remove (const balance_t *balance, zone_pool_t *zone_pool,
                   uint32_t index)
 {
-  uint32_t at = ring_search (zone_pool, ring_hash (balance, index));
+  uint32_t position = ring_search (zone_pool, ring_hash (balance, index));
 
-  while (zone_pool->ring[at].index != index)
-    at++;
+  while (zone_pool->ring[position].index != index)
+    position++;
   zone_pool->upstream_count--;
-  memmove (&zone_pool->ring[at], &zone_pool->ring[at + 1],
-           (zone_pool->upstream_count - at) * sizeof (hashed_index_t));
+  memmove (&zone_pool->ring[position], &zone_pool->ring[position + 1],
+           (zone_pool->upstream_count - position) * sizeof (hashed_index_t));
   subset_remove (balance, zone_pool, index);
 }
 
@@ -928,18 +928,18 @@
 {
   uint32_t hash = (uint32_t)(splitmix64 (selection->request->affinity) >> 32);
   uint32_t steps = zone_pool->upstream_count;
-  uint32_t at;
+  uint32_t position;
 
   if (steps > BALANCE_AFFINITY_STEPS_MAX)
     steps = BALANCE_AFFINITY_STEPS_MAX;
-  at = ring_search (zone_pool, hash);
-  for (; steps > 0; steps--, at++)
+  position = ring_search (zone_pool, hash);
+  for (; steps > 0; steps--, position++)
     {
-      if (at >= zone_pool->upstream_count)
-        at = 0;
+      if (position >= zone_pool->upstream_count)
+        position = 0;
       if (is_within_affinity_bound (balance, selection,
-                                    zone_pool->ring[at].index))
-        return zone_pool->ring[at].index;
+                                    zone_pool->ring[position].index))
+        return zone_pool->ring[position].index;
     }
   return NO_UPSTREAM;
 }
@@ -1075,12 +1075,13 @@
 balance_pressure (const balance_t *balance, pool_id_t pool)
 {
   uint32_t now_ticks = ms_to_ticks (clock_ms (balance->clock));
-  const upstream_pool_t *at;
+  const upstream_pool_t *reported_pool;
 
   if (pool >= balance->pool_count)
     return 0;
-  at = &balance->pools[pool];
-  return weigh_by_age (at->mean_load, now_ticks - at->reported_tick,
+  reported_pool = &balance->pools[pool];
+  return weigh_by_age (reported_pool->mean_load,
+                       now_ticks - reported_pool->reported_tick,
                        BALANCE_PRESSURE_HALF_MS);
 }
 
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -433,7 +433,7 @@
 {
   const objective_entry_t *objective;
   burn_kind_t kind;
-  const series_t *all;
+  const series_t *all_names;
   burn_rate_t rates[BURN_WINDOW_COUNT];
   const char *state;
 } report_line_t;
@@ -449,19 +449,19 @@
     return false;
   line->objective = o;
   line->kind = kind;
-  line->all
+  line->all_names
       = series_find (b, series_hash (o->hash, BURN_SPLIT_ALL, STR ("all")));
-  if (line->all == NULL)
+  if (line->all_names == NULL)
     return false;
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
-    line->rates[w] = series_rate (b, &o->settings, kind, line->all,
+    line->rates[w] = series_rate (b, &o->settings, kind, line->all_names,
                                   (burn_window_t)w, now_ms);
   line->state = "ok";
-  if (line->rates[BURN_6H].rate > BURN_TICKET_RATE
-      && line->rates[BURN_3D].rate > BURN_TICKET_RATE)
+  if (line->rates[BURN_6H].rate > BURN_TICKET_RATE_MIN
+      && line->rates[BURN_3D].rate > BURN_TICKET_RATE_MIN)
     line->state = "ticket";
-  if (line->rates[BURN_5M].rate >= BURN_PAGE_RATE
-      && line->rates[BURN_1H].rate >= BURN_PAGE_RATE)
+  if (line->rates[BURN_5M].rate >= BURN_PAGE_RATE_MIN
+      && line->rates[BURN_1H].rate >= BURN_PAGE_RATE_MIN)
     line->state = "page";
   return true;
 }
@@ -707,10 +707,10 @@
       int64_t fields[FIELDS];
       uint64_t ago = PLOT_HOURS - 1 - h;
       uint64_t epoch = last > ago ? last - ago : 0;
-      sum_epochs (b, line->all, TIER_HOUR, epoch, epoch, fields);
+      sum_epochs (b, line->all_names, TIER_HOUR, epoch, epoch, fields);
       hours[h] = kind_rate (fields, line->kind, budget);
-      rate_max
-          = fmax (rate_max, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE));
+      rate_max = fmax (rate_max,
+                       fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE_MIN));
     }
   buf_printf (out,
               "<svg viewBox='0 0 %d %d' role='img' aria-label='Burn rate of "
@@ -726,9 +726,9 @@
                   "class='%s'><title>%d h ago: %.2f on %.0f</title></rect>\n",
                   PLOT_LEFT + h * step, y, step - 1,
                   plot_y (0, rate_max) - y + 1,
-                  hours[h].rate >= BURN_PAGE_RATE    ? "page"
-                  : hours[h].rate > BURN_TICKET_RATE ? "ticket"
-                                                     : "ok",
+                  hours[h].rate >= BURN_PAGE_RATE_MIN    ? "page"
+                  : hours[h].rate > BURN_TICKET_RATE_MIN ? "ticket"
+                                                         : "ok",
                   PLOT_HOURS - 1 - h, hours[h].rate, hours[h].count);
     }
   append_plot_line (0, rate_max, "0", out);
@@ -736,8 +736,8 @@
   bool has_label_room
       = plot_y (0, rate_max) - plot_y (1, rate_max) >= LABEL_HEIGHT_MAX;
   append_plot_line (1, rate_max, has_label_room ? "1" : "", out);
-  if (rate_max > BURN_PAGE_RATE)
-    append_plot_line (BURN_PAGE_RATE, rate_max, "14.4", out);
+  if (rate_max > BURN_PAGE_RATE_MIN)
+    append_plot_line (BURN_PAGE_RATE_MIN, rate_max, "14.4", out);
   buf_printf (out,
               "<text x='%d' y='%d' class='axis'>3 days ago</text>"
               "<text x='%d' y='%d' class='axis' text-anchor='end'>now</text>"
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -12,9 +12,9 @@
    "The Site Reliability Workbook" (2018), chapter 5.  An alert needs a burn
    rate above the pair's threshold in both windows of a pair, so that a short
    peak raises no alert, and the alert ends soon after the problem.
-   BURN_PAGE_RATE for 5 minutes and 1 hour, and BURN_TICKET_RATE for 6 hours
-   and 3 days, are the book's figures.  The remaining budget is that of three
-   days.
+   BURN_PAGE_RATE_MIN for 5 minutes and 1 hour, and BURN_TICKET_RATE_MIN for 6
+   hours and 3 days, are the book's figures.  The remaining budget is that of
+   three days.
 
    Cost and memory are bounded: sums are kept for the whole service and for
    each team, model, version and zone by itself, not for their combinations,
@@ -41,8 +41,8 @@
   BURN_CELLS_DEFAULT = 20480
 };
 
-#define BURN_PAGE_RATE 14.4
-#define BURN_TICKET_RATE 1.0
+#define BURN_PAGE_RATE_MIN 14.4
+#define BURN_TICKET_RATE_MIN 1.0
 
 /* X (symbol, name, seconds): windows over which burn rates are computed.  */
 #define BURN_WINDOWS(X)                                                       \
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -26,7 +26,8 @@
      With fewer ratings the estimated share of a bin has an error of 0.1 or
      more.  */
   CURVE_RATINGS_MIN = 60,
-  /* Number of audits of a pair at which the share of audits has halved.  */
+  /* Number of past audits of a pair of versions with which
+     CASCADE_AUDIT_SHARE_MAX is halved.  */
   AUDIT_HALVING_COUNT = 1500,
   /* Weight of the prior slope of one half, as a number of audits with
      uniformly distributed ratings.  */
@@ -34,9 +35,9 @@
   /* One exploring plan in EXPLORE_DIRECT_INTERVAL runs the strongest version
      alone, so that its quality stays known while cascades take all traffic. */
   EXPLORE_DIRECT_INTERVAL = 8,
-  /* One exploring plan in EXPLORE_ANY_INTERVAL may use any pair, promising or
-     not, which corrects a mean that is too low by chance.  */
-  EXPLORE_ANY_INTERVAL = 8
+  /* One exploring plan in EXPLORE_ANY_PAIR_INTERVAL may use any pair,
+     promising or not, which corrects a mean that is too low by chance.  */
+  EXPLORE_ANY_PAIR_INTERVAL = 8
 };
 
 /* Largest share of the requests that explore, whatever the cost.  */
@@ -58,7 +59,7 @@
   uint64_t computed_ms;      /* Time at which the sums were computed.  */
   uint64_t change_count;     /* Result of crdt_change_count at COMPUTED_MS.  */
   double first_rating_count; /* Number of first ratings.  */
-  double audit_count;        /* Number of audits.  */
+  double audit_count;        /* Number of audit ratings.  */
   double audit_sum;          /* Sum of the audit ratings.  */
   double audit_square_sum;   /* Sum of the squares of the audit ratings.  */
 } decayed_sums_t;
@@ -359,20 +360,21 @@
   cascade_t *cascade;
   const cascade_request_t *request;
   uint64_t now_ms;
-  size_t candidate_count; /* Number of candidates considered.  */
+  size_t candidate_count; /* Number of candidates that are considered, at most
+                             CASCADE_CANDIDATES_MAX.  */
   double time_budget_ms;  /* Time that a plan may take in total.  */
   size_t strongest; /* Index of the strongest candidate; SIZE_MAX if none is in
                        time.  */
-} decision_t;
+} planning_t;
 
 static const cascade_candidate_t *
-candidate_at (const decision_t *d, size_t index)
+candidate_at (const planning_t *d, size_t index)
 {
   return &d->request->candidates[index];
 }
 
 static double
-audit_probability (double audit_count)
+audit_share (double audit_count)
 {
   return fmax (CASCADE_AUDIT_SHARE_MIN,
                CASCADE_AUDIT_SHARE_MAX
@@ -382,7 +384,7 @@
 /* Return whether the answer of FIRST, its rating and the answer of SECOND fit
    in the time of the request.  */
 static bool
-is_pair_in_time (const decision_t *d, size_t first, size_t second)
+is_pair_in_time (const planning_t *d, size_t first, size_t second)
 {
   const cascade_request_t *r = d->request;
   double first_rated_ms
@@ -437,7 +439,7 @@
    that meets the target.  Return false when no threshold does, or when there
    are too few ratings.  */
 static bool
-find_pair_plan (const decision_t *d, size_t first, size_t second,
+find_pair_plan (const planning_t *d, size_t first, size_t second,
                 bound_side_t side, cascade_plan_t *plan)
 {
   const cascade_request_t *r = d->request;
@@ -477,7 +479,7 @@
           = previous.escalated_share
             + upper_edge_probability
                   * (outcome.escalated_share - previous.escalated_share);
-      double audit = audit_probability (
+      double audit = audit_share (
           fmin (first_curve.audit_count, second_curve.audit_count));
       *plan = (cascade_plan_t){
         .kind = CASCADE_TWO_STAGE,
@@ -502,7 +504,7 @@
 }
 
 static cascade_plan_t
-make_direct_plan (const decision_t *d, size_t index, cascade_reason_t reason)
+make_direct_plan (const planning_t *d, size_t index, cascade_reason_t reason)
 {
   const cascade_candidate_t *c = candidate_at (d, index);
 
@@ -518,7 +520,7 @@
 
 /* Return whether plan A is preferred to plan B; both meet the target.  */
 static bool
-is_preferred (const decision_t *d, const cascade_plan_t *a,
+is_preferred (const planning_t *d, const cascade_plan_t *a,
               const cascade_plan_t *b)
 {
   bool prefers_latency = d->request->preference == CASCADE_PREFER_LATENCY;
@@ -545,7 +547,7 @@
 /* Return the index of the strongest candidate that answers in time, or
    SIZE_MAX if there is none.  */
 static size_t
-find_strongest (const decision_t *d)
+find_strongest (const planning_t *d)
 {
   size_t best = SIZE_MAX;
 
@@ -558,7 +560,7 @@
 }
 
 static size_t
-find_fastest (const decision_t *d)
+find_fastest (const planning_t *d)
 {
   size_t best = 0;
 
@@ -572,7 +574,7 @@
    possible in the time of the request.  Otherwise store the reason in
    *OBSTACLE.  */
 static bool
-has_pair_in_time (const decision_t *d, cascade_reason_t *obstacle)
+has_pair_in_time (const planning_t *d, cascade_reason_t *obstacle)
 {
   for (size_t i = 0; i < d->candidate_count; i++)
     for (size_t j = 0; j < d->candidate_count; j++)
@@ -591,7 +593,7 @@
 /* Store in *BEST the cheapest (or fastest) plan whose lower bound meets the
    target.  Return false when there is none.  */
 static bool
-find_best_plan (const decision_t *d, cascade_plan_t *best)
+find_best_plan (const planning_t *d, cascade_plan_t *best)
 {
   bool prefers_latency = d->request->preference == CASCADE_PREFER_LATENCY;
   cascade_reason_t reason
@@ -629,7 +631,7 @@
    preferred, or the pair has too few ratings.  BEST is NULL if no plan meets
    the target.  */
 static bool
-is_promising (const decision_t *d, size_t first, size_t second,
+is_promising (const planning_t *d, size_t first, size_t second,
               const cascade_plan_t *best)
 {
   cascade_plan_t plan;
@@ -655,7 +657,7 @@
 /* Return whether the pair FIRST and SECOND may be explored: SECOND is the
    strongest candidate or meets the target, and the time allows the pair.  */
 static bool
-may_explore (const decision_t *d, size_t first, size_t second)
+may_explore (const planning_t *d, size_t first, size_t second)
 {
   const cascade_candidate_t *b = candidate_at (d, second);
 
@@ -667,7 +669,7 @@
 /* Return the share of the answers of FIRST whose rating is below the target; 1
    when there are too few ratings.  */
 static double
-share_below_target (const decision_t *d, size_t first)
+share_below_target (const planning_t *d, size_t first)
 {
   size_t target_bin = bin_of (d->request->target);
   double below_count = 0;
@@ -689,10 +691,10 @@
    drawn uniformly from the promising pairs, and sometimes from all pairs.
    Return false when there is no such pair.  */
 static bool
-make_exploring_plan (const decision_t *d, rng_t *rng,
+make_exploring_plan (const planning_t *d, rng_t *rng,
                      const cascade_plan_t *best, cascade_plan_t *plan)
 {
-  bool any_pair = rng_below (rng, EXPLORE_ANY_INTERVAL) == 0;
+  bool any_pair = rng_below (rng, EXPLORE_ANY_PAIR_INTERVAL) == 0;
   size_t pair_count = 0;
 
   for (size_t i = 0; i < d->candidate_count; i++)
@@ -726,7 +728,7 @@
 /* Return the probability with which PLAN, an exploring plan, replaces BEST, so
    that exploration adds at most its share to the average cost.  */
 static double
-explore_probability (const decision_t *d, const cascade_plan_t *plan,
+explore_probability (const planning_t *d, const cascade_plan_t *plan,
                      const cascade_plan_t *best)
 {
   double extra = plan->cost - best->cost;
@@ -749,7 +751,7 @@
 
 /* Return, at random, whether PLAN, which is a cascade, is audited.  */
 static bool
-draw_audit (const decision_t *d, rng_t *rng, const cascade_plan_t *plan)
+draw_audit (const planning_t *d, rng_t *rng, const cascade_plan_t *plan)
 {
   const cascade_request_t *r = d->request;
   str_t first = candidate_at (d, plan->first)->version;
@@ -760,12 +762,12 @@
                  &first_curve);
   compute_curve (d->cascade, curve_hash (r->task, first, second), d->now_ms,
                  &second_curve);
-  return rng_double (rng) < audit_probability (
+  return rng_double (rng) < audit_share (
              fmin (first_curve.audit_count, second_curve.audit_count));
 }
 
 static cascade_plan_t
-make_plan (const decision_t *d, rng_t *rng)
+make_plan (const planning_t *d, rng_t *rng)
 {
   const cascade_request_t *r = d->request;
   cascade_reason_t obstacle = CASCADE_REASON_NO_BOUND;
@@ -806,7 +808,7 @@
 cascade_plan (cascade_t *c, rng_t *rng, const cascade_request_t *request,
               uint64_t now_ms)
 {
-  decision_t d
+  planning_t d
       = { .cascade = c,
           .request = request,
           .now_ms = now_ms,
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -79,7 +79,7 @@
 typedef struct
 {
   double answer_count;
-  double shift_sum; /* Sum of the shifts, each times its series' answers.  */
+  double shift_sum; /* Sum over the series of shift times number of answers. */
 } shift_sum_t;
 
 struct degradation
@@ -132,15 +132,15 @@
   return NULL;
 }
 
-/* Return the alarm state of the version, created on first use; NULL if there
-   is no room.  */
+/* Return the alarm state of the version with HASH, created on first use; NULL
+   if there is no room.  */
 static version_alarm_t *
 version_find_or_add (degradation_t *d, uint64_t hash)
 {
-  version_alarm_t *found = version_find (d, hash);
+  version_alarm_t *alarm = version_find (d, hash);
 
-  if (found != NULL || d->version_count == DEGRADATION_VERSIONS_MAX)
-    return found;
+  if (alarm != NULL || d->version_count == DEGRADATION_VERSIONS_MAX)
+    return alarm;
   d->versions[d->version_count].hash = hash;
   return &d->versions[d->version_count++];
 }
@@ -248,10 +248,11 @@
    sum of the shifts of each version in BY_VERSION.  Return the sum over all
    versions.  */
 static shift_sum_t
-load_epoch_shifts (degradation_t *d, uint64_t epoch, rollout_metric_t metric,
-                   shift_sum_t by_version[DEGRADATION_VERSIONS_MAX])
+compute_epoch_shifts (degradation_t *d, uint64_t epoch,
+                      rollout_metric_t metric,
+                      shift_sum_t by_version[DEGRADATION_VERSIONS_MAX])
 {
-  shift_sum_t total = { 0, 0 };
+  shift_sum_t total_shift = { 0, 0 };
 
   memset (by_version, 0, DEGRADATION_VERSIONS_MAX * sizeof *by_version);
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
@@ -272,10 +273,10 @@
       by_version[s->version_index].answer_count += cusum->epoch_moments.count;
       by_version[s->version_index].shift_sum
           += cusum->epoch_moments.count * cusum->shift;
-      total.answer_count += cusum->epoch_moments.count;
-      total.shift_sum += cusum->epoch_moments.count * cusum->shift;
+      total_shift.answer_count += cusum->epoch_moments.count;
+      total_shift.shift_sum += cusum->epoch_moments.count * cusum->shift;
     }
-  return total;
+  return total_shift;
 }
 
 /* Return whether OTHERS, the other versions in the current epoch, shifted less
@@ -355,7 +356,8 @@
 evaluate_epoch (degradation_t *d, uint64_t epoch, rollout_metric_t metric)
 {
   shift_sum_t by_version[DEGRADATION_VERSIONS_MAX];
-  shift_sum_t total = load_epoch_shifts (d, epoch, metric, by_version);
+  shift_sum_t total_shift
+      = compute_epoch_shifts (d, epoch, metric, by_version);
   bool raised = false;
 
   for (int key = 0; key < DEGRADATION_SERIES_MAX; key++)
@@ -364,8 +366,9 @@
       if (s->version_hash == 0)
         continue;
       shift_sum_t others
-          = { total.answer_count - by_version[s->version_index].answer_count,
-              total.shift_sum - by_version[s->version_index].shift_sum };
+          = { total_shift.answer_count
+                  - by_version[s->version_index].answer_count,
+              total_shift.shift_sum - by_version[s->version_index].shift_sum };
       version_alarm_t *v = &d->versions[s->version_index];
       if (cusum_add_epoch (&d->cusums[key][metric], metric, &others)
           && !has_alarm (v))
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -72,48 +72,48 @@
   free (escalation);
 }
 
-/* Solve the first COUNT equations of M X = V and store X in V.  Return false
-   when the equations are nearly singular.  */
+/* Solve the first EQUATION_COUNT equations of M X = V and store X in V. Return
+   false when the equations are nearly singular.  */
 static bool
 solve_equations (double matrix[CURVE_TERMS][CURVE_TERMS],
-                 double vector[CURVE_TERMS], size_t count)
+                 double vector[CURVE_TERMS], size_t equation_count)
 {
   static const double pivot_min = 1e-9;
 
-  for (size_t i = 0; i < count; i++)
+  for (size_t i = 0; i < equation_count; i++)
     {
       if (fabs (matrix[i][i]) < pivot_min)
         return false;
-      for (size_t row = 0; row < count; row++)
+      for (size_t row = 0; row < equation_count; row++)
         {
           double factor = row == i ? 0 : matrix[row][i] / matrix[i][i];
-          for (size_t col = i; col < count; col++)
+          for (size_t col = i; col < equation_count; col++)
             matrix[row][col] -= factor * matrix[i][col];
           vector[row] -= factor * vector[i];
         }
     }
-  for (size_t i = 0; i < count; i++)
+  for (size_t i = 0; i < equation_count; i++)
     vector[i] /= matrix[i][i];
   return true;
 }
 
-/* Fit the first COUNT terms of CURVE.  Return false when the sums do not
+/* Fit the first TERM_COUNT terms of CURVE.  Return false when the sums do not
    determine the terms, or when a term is negative, which would predict less
    time for longer prompts.  */
 static bool
-fit_terms (const curve_t *curve, size_t count, double terms[CURVE_TERMS])
+fit_terms (const curve_t *curve, size_t term_count, double terms[CURVE_TERMS])
 {
   double matrix[CURVE_TERMS][CURVE_TERMS];
 
   for (size_t row = 0; row < CURVE_TERMS; row++)
     {
-      terms[row] = row < count ? curve->wait_sums[row] : 0;
+      terms[row] = row < term_count ? curve->wait_sums[row] : 0;
       for (size_t col = 0; col < CURVE_TERMS; col++)
         matrix[row][col] = curve->power_sums[row + col];
     }
-  if (!solve_equations (matrix, terms, count))
+  if (!solve_equations (matrix, terms, term_count))
     return false;
-  for (size_t i = 0; i < count; i++)
+  for (size_t i = 0; i < term_count; i++)
     if (terms[i] < 0)
       return false;
   return true;
@@ -123,8 +123,8 @@
 static void
 fit_curve (const curve_t *curve, double terms[CURVE_TERMS])
 {
-  for (size_t count = CURVE_TERMS; count > 1; count--)
-    if (fit_terms (curve, count, terms))
+  for (size_t term_count = CURVE_TERMS; term_count > 1; term_count--)
+    if (fit_terms (curve, term_count, terms))
       return;
   terms[0] = curve->wait_sums[0] / curve->wait_count;
   terms[1] = 0;
@@ -247,13 +247,13 @@
 }
 
 /* Return the probability that an answer is good, given CONFIDENCE as the mean
-   of COUNT confidences.  */
+   of CONFIDENCE_COUNT confidences.  */
 static double
 good_answer_probability (const escalation_t *escalation, double confidence,
-                         double count)
+                         double confidence_count)
 {
   return 0.5
-         * erfc ((50 - confidence) * sqrt (count / 2)
+         * erfc ((50 - confidence) * sqrt (confidence_count / 2)
                  / escalation->options.confidence_stddev);
 }
 
@@ -323,15 +323,16 @@
 }
 
 /* Return the confidence in the present answer, on the scale of its model.  The
-   result is the mean of *COUNT confidences.  */
+   result is the mean of *CONFIDENCE_COUNT confidences.  */
 static double
 combined_confidence (const escalation_t *escalation,
-                     const escalation_request_t *request, double *count)
+                     const escalation_request_t *request,
+                     double *confidence_count)
 {
-  *count = 1;
+  *confidence_count = 1;
   if (!request->has_smallest_confidence)
     return request->confidence;
-  *count = 2;
+  *confidence_count = 2;
   return (request->confidence + request->smallest_confidence
           + escalation_confidence_lead (escalation, request->model))
          / 2;
@@ -344,18 +345,20 @@
   const escalation_options_t *options = &escalation->options;
   const escalation_candidate_t *candidate = &request->candidates[index];
   double value = request_value (escalation, request);
-  double count;
-  double confidence = combined_confidence (escalation, request, &count)
-                      + pressure_points (escalation);
+  double confidence_count;
+  double confidence
+      = combined_confidence (escalation, request, &confidence_count)
+        + pressure_points (escalation);
   double lead = escalation_confidence_lead (escalation, candidate->model);
   if (request->has_smallest_confidence)
     lead -= escalation_confidence_lead (escalation, request->model);
   double present_probability
-      = good_answer_probability (escalation, confidence, count);
+      = good_answer_probability (escalation, confidence, confidence_count);
   double candidate_probability
       = index + 1 == request->candidate_count
             ? 1
-            : good_answer_probability (escalation, confidence + lead, count);
+            : good_answer_probability (escalation, confidence + lead,
+                                       confidence_count);
   double wait_ms;
   double prompt_ms;
   double delayed_value = 0;
--- a/packages/policy/fanout.c
+++ b/packages/policy/fanout.c
@@ -138,8 +138,8 @@
 }
 
 /* Return the first in rank of the other gateways, or NULL.  In a large fleet a
-   gateway that reported no current data keeps its rank: the ones after it read
-   from it as well, and have no current data either.  */
+   gateway that reported no current data keeps its rank: the gateways after
+   that one read from it as well, and have no current data either.  */
 static const peer_t *
 first_other (const fanout_t *fanout, bool own_zone_only, uint64_t now_ms)
 {
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -112,7 +112,7 @@
   double minutes = (double)(now - limit->last_drift_us) / 60e6;
 
   limit->best_unit_latency_us
-      *= 1 + LIMIT_BEST_DRIFT_PER_MIN * fmin (minutes, 1);
+      *= 1 + LIMIT_BEST_LATENCY_DRIFT_PER_MIN * fmin (minutes, 1);
   limit->last_drift_us = now;
 }
 
@@ -171,8 +171,8 @@
   if (limit->best_unit_latency_us == 0)
     limit->best_unit_latency_us = mean_us;
   else if (mean_us < limit->best_unit_latency_us)
-    limit->best_unit_latency_us
-        += LIMIT_BEST_SMOOTHING * (mean_us - limit->best_unit_latency_us);
+    limit->best_unit_latency_us += LIMIT_BEST_LATENCY_SMOOTHING
+                                   * (mean_us - limit->best_unit_latency_us);
   if (limit->round_failures * 2 > limit->round_samples)
     {
       limit->in_slow_start = false;
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -34,8 +34,9 @@
      costs a few rounds; a missed one costs a batch of time-outs.
    - LIMIT_CONSECUTIVE_ERRORS 3: one error may come from a malformed request;
      three consecutive errors are attributed to the upstream.
-   - LIMIT_BEST_SMOOTHING 0.3: smoothing weight of a lower best latency.  One
-     round of unusually fast jobs must not make all later jobs count as slow.
+   - LIMIT_BEST_LATENCY_SMOOTHING 0.3: smoothing weight of a lower best
+     latency.  One round of unusually fast jobs must not make all later jobs
+     count as slow.
    - LIMIT_WARM_LATENCY_RATIO 0.5: a round at half of the best latency shows
      that the upstream was cold in all earlier rounds; slow start begins again.
    - LIMIT_DOUBLE_UTILIZATION 0.75, LIMIT_GROWTH_UTILIZATION 0.49: utilization
@@ -50,9 +51,9 @@
    - LIMIT_ROUND_MIN_MS 20: minimum length of a round.  Jobs of a millisecond
      would otherwise double the limit before the engine is affected by the
      load.
-   - LIMIT_BEST_DRIFT_PER_MIN 0.1: rate at which the best latency is raised, so
-     that a lasting change of hardware or version is adopted within minutes
-     while a cold period of seconds is not.  */
+   - LIMIT_BEST_LATENCY_DRIFT_PER_MIN 0.1: rate at which the best latency is
+     raised, so that a lasting change of hardware or version is adopted within
+     minutes while a cold period of seconds is not.  */
 
 #ifndef POLICY_LIMIT_H
 #define POLICY_LIMIT_H
@@ -72,10 +73,10 @@
 
 #define LIMIT_LATENCY_TOLERANCE 1.25
 #define LIMIT_COLD_LATENCY_RATIO 3.0
-#define LIMIT_BEST_DRIFT_PER_MIN 0.1
+#define LIMIT_BEST_LATENCY_DRIFT_PER_MIN 0.1
 #define LIMIT_GROWTH_SLOTS 0.5
 #define LIMIT_WARM_LATENCY_RATIO 0.5
-#define LIMIT_BEST_SMOOTHING 0.3
+#define LIMIT_BEST_LATENCY_SMOOTHING 0.3
 #define LIMIT_DOUBLE_UTILIZATION 0.75
 #define LIMIT_GROWTH_UTILIZATION 0.49
 
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -40,7 +40,8 @@
   uint64_t evaluated_ms;
   bool evaluate_now; /* Whether to evaluate without waiting for the interval,
                         because a member may be failing fast.  */
-  double *values;    /* Buffer with room for one value of each member.  */
+  double *values;    /* Buffer for the values of which a median is taken, with
+                        room for one value of each member.  */
   uint32_t value_capacity;
 };
 
@@ -166,9 +167,9 @@
      could get most of the traffic until the next evaluation is due.  */
   if (member->consecutive_errors == OUTLIER_CONSECUTIVE_ERRORS)
     outlier->evaluate_now = true;
-  if (member->state == OUTLIER_TRIAL && !ok)
+  if (member->state == OUTLIER_ON_TRIAL && !ok)
     eject (outlier, member);
-  else if (member->state == OUTLIER_TRIAL
+  else if (member->state == OUTLIER_ON_TRIAL
            && ++member->trial_successes >= OUTLIER_TRIAL_SUCCESSES)
     {
       member->active_since_ms = clock_ms (outlier->clock);
@@ -185,9 +186,9 @@
   return (x > y) - (x < y);
 }
 
-/* Return the median of the COUNT values in the values buffer; 0 if COUNT is
-   0.  With an even COUNT this is the lower of the two middle values, so that
-   both members of a pool of two are compared with the better one.  */
+/* Return the median of the first COUNT elements of OUTLIER->values; 0 if COUNT
+   is 0.  With an even COUNT this is the lower of the two middle values, so
+   that both members of a pool of two are compared with the better one.  */
 static double
 median (outlier_t *outlier, uint32_t count)
 {
@@ -258,7 +259,7 @@
       member->trial_successes = 0;
       member->error_rate = 0;
       member->unit_latency_us = 0;
-      set_state (outlier, member, OUTLIER_TRIAL);
+      set_state (outlier, member, OUTLIER_ON_TRIAL);
     }
 }
 
--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -58,7 +58,7 @@
 {
   OUTLIER_ACTIVE,
   OUTLIER_EJECTED,
-  OUTLIER_TRIAL
+  OUTLIER_ON_TRIAL
 } outlier_state_t;
 
 /* Create the outlier detector of one pool.  MAX_EJECTED_SHARE is the largest
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -519,8 +519,9 @@
    instance of its own, because traffic between zones costs more than a second
    prefill of the shared prompt prefix.  */
 static void
-update_affinity (upstream_t *upstream, const pool_criteria_t *criteria,
-                 double max_load, uint64_t now_ms, affinity_choice_t *affinity)
+update_affinity_choice (upstream_t *upstream, const pool_criteria_t *criteria,
+                        double max_load, uint64_t now_ms,
+                        affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
   uint64_t hash = hash_weight (upstream->id_hash, criteria->affinity_key);
@@ -556,15 +557,15 @@
 id_hash_limit (const service_group_t *group, const pool_criteria_t *criteria,
                uint64_t version_hash, uint64_t now_ms)
 {
-  pool_criteria_t untried = *criteria;
+  pool_criteria_t untried_criteria = *criteria;
   size_t count = 0;
 
   if (criteria->max_instances == 0 || criteria->max_instances >= group->count)
     return UINT64_MAX;
-  untried.tried_count = 0;
+  untried_criteria.tried_count = 0;
   uint64_t *hashes = mem_alloc (group->count * sizeof *hashes);
   for (size_t i = 0; i < group->count; i++)
-    if (is_eligible (group->items[i], &untried, version_hash, now_ms)
+    if (is_eligible (group->items[i], &untried_criteria, version_hash, now_ms)
         && now_ms >= group->items[i]->ejected_until_ms)
       hashes[count++] = group->items[i]->id_hash;
   qsort (hashes, count, sizeof *hashes, compare_hashes);
@@ -604,7 +605,7 @@
       *any_eligible = true;
       if (!has_capacity (pool, upstream, criteria, now_ms))
         continue;
-      update_affinity (upstream, criteria, max_load, now_ms, &affinity);
+      update_affinity_choice (upstream, criteria, max_load, now_ms, &affinity);
       double cost = selection_cost (upstream, now_ms);
       if (least_loaded != NULL && cost > lowest_cost)
         continue;
@@ -628,9 +629,9 @@
   *out = select_best (pool, criteria, false, now_ms, &any_eligible);
   if (*out == NULL && criteria->max_instances > 0)
     {
-      pool_criteria_t all = *criteria;
-      all.max_instances = 0;
-      return pool_select (pool, &all, out);
+      pool_criteria_t all_instances = *criteria;
+      all_instances.max_instances = 0;
+      return pool_select (pool, &all_instances, out);
     }
   if (*out == NULL && !any_eligible)
     *out = select_best (pool, criteria, true, now_ms, &any_eligible);
@@ -757,10 +758,11 @@
 pool_record_load (pool_t *pool, upstream_t *upstream, uint32_t running,
                   uint32_t waiting, uint32_t slots)
 {
-  double all = (double)running + waiting;
+  double reported_requests = (double)running + waiting;
 
-  upstream->other_requests
-      = all > upstream->running_count ? all - upstream->running_count : 0;
+  upstream->other_requests = reported_requests > upstream->running_count
+                                 ? reported_requests - upstream->running_count
+                                 : 0;
   upstream->reported_ms = clock_ms (pool->clock);
   if (slots > 0)
     upstream->slots = slots;
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -125,15 +125,15 @@
 static double
 median_of_others (const epoch_stats_t *epochs, size_t count, size_t skip)
 {
-  double total = 0;
+  double total_votes = 0;
   double votes = 0;
 
   for (size_t i = 0; i < count; i++)
-    total += i != skip ? epochs[i].votes : 0;
+    total_votes += i != skip ? epochs[i].votes : 0;
   for (size_t i = 0; i < count; i++)
     {
       votes += i != skip ? epochs[i].votes : 0;
-      if (votes >= total / 2 && i != skip)
+      if (votes >= total_votes / 2 && i != skip)
         return epochs[i].mean;
     }
   return epochs[skip].mean;
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -67,7 +67,7 @@
   uint64_t waiting_cost;     /* Sum of the costs of all waiting jobs.  */
   uint64_t weight_sum; /* Sum of the weights of the teams in READY_FLOWS.  */
   uint32_t running_count;
-  double mean_cost;
+  double mean_job_cost;
   double mean_service_us; /* Mean service time; 0 if no job has ended yet.  */
 } class_state_t;
 
@@ -207,7 +207,7 @@
     sampled = &queue->classes[size_class == SHORT ? LONG : SHORT];
   if (sampled->mean_service_us == 0)
     return 0;
-  return cost * sampled->mean_service_us / sampled->mean_cost;
+  return cost * sampled->mean_service_us / sampled->mean_job_cost;
 }
 
 /* Return the number of slots that serve jobs of SIZE_CLASS, given the running
@@ -231,8 +231,8 @@
   return available > 0 ? available : 1;
 }
 
-/* Return the expected wait of a job of COST that TEAM adds to the waiting jobs
-   of all teams.  */
+/* Return the expected wait of a job of TEAM with SIZE_CLASS and COST that
+   arrives now.  */
 static uint64_t
 estimate_wait_us (const queue_t *queue, const queue_team_t *team,
                   int size_class, uint32_t cost)
@@ -357,8 +357,8 @@
 static uint64_t
 max_virtual_credit (const class_state_t *class_state, const queue_team_t *team)
 {
-  return (uint64_t)(class_state->mean_cost * QUEUE_CREDIT_JOBS * VIRTUAL_SCALE
-                    / team->weight);
+  return (uint64_t)(class_state->mean_job_cost * QUEUE_CREDIT_JOBS
+                    * VIRTUAL_SCALE / team->weight);
 }
 
 /* Return whether a job that arrives at NOW, with an expected wait of WAIT_US
@@ -500,16 +500,16 @@
   return waiter;
 }
 
-/* Charge the team of WAITER for the actual cost of USED units instead of the
-   estimated cost.  */
+/* Charge the team of WAITER for the actual cost of USED_COST units instead of
+   the estimated cost.  */
 static void
-correct_charge (queue_t *queue, queue_waiter_t *waiter, uint32_t used)
+correct_charge (queue_t *queue, queue_waiter_t *waiter, uint32_t used_cost)
 {
   class_state_t *class_state = &queue->classes[waiter->size_class];
   flow_t *flow = &waiter->team->flows[waiter->size_class];
   uint64_t charged
       = (uint64_t)waiter->cost * VIRTUAL_SCALE / waiter->team->weight;
-  uint64_t actual = (uint64_t)used * VIRTUAL_SCALE / waiter->team->weight;
+  uint64_t actual = (uint64_t)used_cost * VIRTUAL_SCALE / waiter->team->weight;
 
   if (actual >= charged)
     flow->ready_node.key += actual - charged;
@@ -524,28 +524,28 @@
 
 void
 queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t service_us,
-            uint32_t used)
+            uint32_t used_cost)
 {
   class_state_t *class_state = &queue->classes[waiter->size_class];
 
   assert (waiter->state == RUNNING);
   class_state->running_count--;
   waiter->state = IDLE;
-  if (used > 0)
-    correct_charge (queue, waiter, used);
+  if (used_cost > 0)
+    correct_charge (queue, waiter, used_cost);
   if (service_us == 0)
     return;
   if (class_state->mean_service_us == 0)
     {
       class_state->mean_service_us = (double)service_us;
-      class_state->mean_cost = waiter->cost;
+      class_state->mean_job_cost = waiter->cost;
       return;
     }
   class_state->mean_service_us
       += SERVICE_SMOOTHING
          * ((double)service_us - class_state->mean_service_us);
-  class_state->mean_cost
-      += SERVICE_SMOOTHING * (waiter->cost - class_state->mean_cost);
+  class_state->mean_job_cost
+      += SERVICE_SMOOTHING * (waiter->cost - class_state->mean_job_cost);
 }
 
 void
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -139,11 +139,11 @@
    queue_pop_expired until NULL first.  */
 queue_waiter_t *queue_pop (queue_t *queue);
 
-/* Record that the running job WAITER ended after SERVICE_US at a cost of USED
-   units; USED is 0 when the cost is unknown, and SERVICE_US is 0 when the time
-   must not count.  */
+/* Record that the running job WAITER ended after SERVICE_US at a cost of
+   USED_COST units; USED_COST is 0 when the cost is unknown, and SERVICE_US is
+   0 when the time must not count.  */
 void queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t service_us,
-                 uint32_t used);
+                 uint32_t used_cost);
 
 /* Remove WAITER, waiting or running, from the queue in O(log n).  The service
    of a running job is not recorded.  */
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -27,7 +27,7 @@
   retry_t *retry = mem_zalloc (sizeof *retry);
 
   retry->rng = rng;
-  retry->share = RETRY_SHARE;
+  retry->share = RETRY_BUDGET_SHARE;
   retry->burst = RETRY_BURST;
   if (config != NULL && config->share > 0)
     retry->share = config->share;
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -8,8 +8,9 @@
 
    Reasons for the constants:
 
-   - RETRY_SHARE 0.1: each request adds a tenth of a retry to the budget, so in
-     the long run there are at most 1.1 attempts per request, whatever fails.
+   - RETRY_BUDGET_SHARE 0.1: each request adds a tenth of a retry to the
+     budget, so in the long run there are at most 1.1 attempts per request,
+     whatever fails.
    - RETRY_BURST 10: retries that an idle pool may spend at once, so that a
      single failure after idle minutes is still retried.
    - RETRY_BACKOFF_MIN_MS 25, RETRY_BACKOFF_MAX_MS 2000: the first delay is a
@@ -39,14 +40,14 @@
   RETRY_HEDGE_MIN_MS = 5
 };
 
-#define RETRY_SHARE 0.1
+#define RETRY_BUDGET_SHARE 0.1
 #define RETRY_HEDGE_QUANTILE 0.95
 /* Hedge delay of a request that must not be hedged.  */
 #define RETRY_NO_HEDGE UINT64_MAX
 
 typedef struct retry retry_t;
 
-/* Settings of a retry budget.  SHARE 0 selects RETRY_SHARE, and BURST 0
+/* Settings of a retry budget.  SHARE 0 selects RETRY_BUDGET_SHARE, and BURST 0
    selects RETRY_BURST.  */
 typedef struct
 {
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -59,10 +59,10 @@
   uint64_t exposure_base; /* Requests sent to the new version when the step
                              began or its cap was last granted.  */
   uint64_t metric;        /* Metric that caused a halt.  */
-  uint64_t task; /* Hash of the task class that caused a halt; 0 if the test
-                    that pools all task classes caused the halt.  */
-  uint64_t harm_ppm; /* Estimated difference at a halt, in millionths; its
-                        lower bound is LOWER_PPM.  */
+  uint64_t task_hash; /* Hash of the task class that caused a halt; 0 if the
+                         test that pools all task classes caused the halt.  */
+  uint64_t harm_ppm;  /* Estimated difference at a halt, in millionths; its
+                         lower bound is LOWER_PPM.  */
   uint64_t lower_ppm;
 } decision_t;
 
@@ -426,7 +426,7 @@
   if (e.count_new < ANSWERS_MIN || e.lower <= e.margin)
     return false;
   r->decision.metric = metric;
-  r->decision.task = task != NULL ? task->hash : 0;
+  r->decision.task_hash = task != NULL ? task->hash : 0;
   r->decision.harm_ppm = to_ppm (e.difference);
   r->decision.lower_ppm = to_ppm (e.lower);
   set_phase (r, ROLLOUT_PHASE_HALTED);
@@ -584,8 +584,8 @@
   buf_printf (out, ": %s worse by %.3g, at least %.3g",
               metrics[d->metric].name, (double)d->harm_ppm / 1e6,
               (double)d->lower_ppm / 1e6);
-  if (d->task != 0)
-    buf_printf (out, ", for %s", task_class_name (r, d->task));
+  if (d->task_hash != 0)
+    buf_printf (out, ", for %s", task_class_name (r, d->task_hash));
 }
 
 static void
@@ -603,9 +603,9 @@
 rollout_write (const rollout_run_t *r, bool own_only, buf_t *out)
 {
   const decision_t *d = &r->decision;
-  const uint64_t values[] = { FORMAT,      r->salt, d->sequence,
-                              d->phase,    d->step, d->exposure_base,
-                              d->metric,   d->task, d->harm_ppm,
+  const uint64_t values[] = { FORMAT,      r->salt,      d->sequence,
+                              d->phase,    d->step,      d->exposure_base,
+                              d->metric,   d->task_hash, d->harm_ppm,
                               d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
@@ -625,8 +625,8 @@
 read_decision (str_t *rest, decision_t *d)
 {
   uint64_t *const values[]
-      = { &d->sequence, &d->phase, &d->step,     &d->exposure_base,
-          &d->metric,   &d->task,  &d->harm_ppm, &d->lower_ppm };
+      = { &d->sequence, &d->phase,     &d->step,     &d->exposure_base,
+          &d->metric,   &d->task_hash, &d->harm_ppm, &d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
     if (!crdt_read_varint (rest, values[i]))
--- a/packages/policy/sendbudget.c
+++ b/packages/policy/sendbudget.c
@@ -12,8 +12,8 @@
   uint32_t gateways;
   /* Number of the newest bucket, counted from time 0.  */
   uint64_t newest_bucket;
-  uint32_t requests[SEND_BUDGET_BUCKETS];
-  uint32_t extra_sends[SEND_BUDGET_BUCKETS];
+  uint32_t requests[SEND_BUDGET_BUCKET_COUNT];
+  uint32_t extra_sends[SEND_BUDGET_BUCKET_COUNT];
 };
 
 send_budget_t *
@@ -44,10 +44,11 @@
 static size_t
 advance_window (send_budget_t *send_budget)
 {
-  uint64_t current_bucket = clock_ms (send_budget->clock) * SEND_BUDGET_BUCKETS
+  uint64_t current_bucket = clock_ms (send_budget->clock)
+                            * SEND_BUDGET_BUCKET_COUNT
                             / send_budget->options.window_ms;
 
-  if (current_bucket - send_budget->newest_bucket >= SEND_BUDGET_BUCKETS)
+  if (current_bucket - send_budget->newest_bucket >= SEND_BUDGET_BUCKET_COUNT)
     {
       memset (send_budget->requests, 0, sizeof send_budget->requests);
       memset (send_budget->extra_sends, 0, sizeof send_budget->extra_sends);
@@ -55,11 +56,11 @@
     }
   while (send_budget->newest_bucket < current_bucket)
     {
-      size_t at = ++send_budget->newest_bucket % SEND_BUDGET_BUCKETS;
+      size_t at = ++send_budget->newest_bucket % SEND_BUDGET_BUCKET_COUNT;
       send_budget->requests[at] = 0;
       send_budget->extra_sends[at] = 0;
     }
-  return current_bucket % SEND_BUDGET_BUCKETS;
+  return current_bucket % SEND_BUDGET_BUCKET_COUNT;
 }
 
 void
@@ -77,7 +78,7 @@
   double extra_sends = 0;
 
   advance_window (send_budget);
-  for (size_t i = 0; i < SEND_BUDGET_BUCKETS; i++)
+  for (size_t i = 0; i < SEND_BUDGET_BUCKET_COUNT; i++)
     {
       requests += send_budget->requests[i];
       extra_sends += send_budget->extra_sends[i];
--- a/packages/policy/sendbudget.h
+++ b/packages/policy/sendbudget.h
@@ -24,7 +24,7 @@
 
 enum
 {
-  SEND_BUDGET_BUCKETS = 10 /* Number of counting intervals in a window.  */
+  SEND_BUDGET_BUCKET_COUNT = 10 /* Number of counting intervals in a window. */
 };
 
 typedef struct send_budget send_budget_t;
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -30,8 +30,8 @@
 typedef struct
 {
   trial_sums_t sums[TRIAL_ARM_COUNT][TRIAL_CELL_COUNT];
-  bool was_sent; /* Whether a peer sent the counts; otherwise they were read
-                    from the store.  */
+  bool was_sent_by_peer; /* Whether a peer sent the counts; otherwise they were
+                            read from the store.  */
   unsigned age_s;
 } counts_t;
 
@@ -437,7 +437,8 @@
   while (map_next (trial->peers, &cursor, &key, &value))
     {
       const counts_t *peer = value;
-      if (peer->age_s > TRIAL_PEER_EXPIRY_S || (sent_only && !peer->was_sent))
+      if (peer->age_s > TRIAL_PEER_EXPIRY_S
+          || (sent_only && !peer->was_sent_by_peer))
         continue;
       for (size_t arm = 0; arm < TRIAL_ARM_COUNT; arm++)
         for (size_t cell = 0; cell < TRIAL_CELL_COUNT; cell++)
@@ -480,9 +481,9 @@
 }
 
 vh_code_t
-trial_merge (trial_t *trial, str_t process, bool was_sent, str_t text)
+trial_merge (trial_t *trial, str_t process, bool was_sent_by_peer, str_t text)
 {
-  counts_t received = { .was_sent = was_sent };
+  counts_t received = { .was_sent_by_peer = was_sent_by_peer };
   double order;
 
   if (!read_number (&text, &order))
@@ -510,7 +511,7 @@
       map_put (trial->peers, process, peer);
     }
   *peer = received;
-  if (was_sent)
+  if (was_sent_by_peer)
     trial->has_unwritten_counts = true;
   return VH_OK;
 }
@@ -612,7 +613,8 @@
 /* Return whether the sums of one cell show that the new version is bad; if so,
    append the reason to REASON.  */
 static bool
-is_bad (const trial_sums_t *old, const trial_sums_t *new, buf_t *reason)
+is_version_bad (const trial_sums_t *old, const trial_sums_t *new,
+                buf_t *reason)
 {
   if (new->count >= TRIAL_ANSWERS_MIN
       && has_share_excess (old->failed, old->count, new->failed, new->count,
@@ -662,8 +664,8 @@
     return TRIAL_DECISION_WAIT;
   for (size_t cell = 0; cell < TRIAL_CELL_COUNT; cell++)
     {
-      if (is_bad (&all.sums[TRIAL_ARM_OLD][cell],
-                  &all.sums[TRIAL_ARM_NEW][cell], reason))
+      if (is_version_bad (&all.sums[TRIAL_ARM_OLD][cell],
+                          &all.sums[TRIAL_ARM_NEW][cell], reason))
         return TRIAL_DECISION_ROLL_BACK;
       has_inconclusive_cell |= is_cell_inconclusive (
           &all.sums[TRIAL_ARM_OLD][cell], &all.sums[TRIAL_ARM_NEW][cell]);
@@ -671,7 +673,7 @@
            arm++)
         sums_add (&sums[arm], &all.sums[arm][cell]);
     }
-  if (is_bad (&sums[TRIAL_ARM_OLD], &sums[TRIAL_ARM_NEW], reason))
+  if (is_version_bad (&sums[TRIAL_ARM_OLD], &sums[TRIAL_ARM_NEW], reason))
     return TRIAL_DECISION_ROLL_BACK;
   double time_limit_ms = (double)trial->time_limit_ms;
   double step_min_ms = step_length_parts[trial->step] * time_limit_ms;
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -55,11 +55,11 @@
 #define TRIAL_FAILURE_EXCESS 0.15
 #define TRIAL_FAILURE_STDERRS 3.0
 #define TRIAL_FIRST_EVENT_RATIO 3.0
-/* X (symbol, late, samples, standard errors, name): the times that are
-   measured of a send.  A time is late when it exceeds LATE usual times at the
-   same load.  The version is bad when, over at least SAMPLES times, its share
-   of late ones exceeds the old version's by TRIAL_LATE_EXCESS and by STANDARD
-   ERRORS standard errors.
+/* X (symbol, late, samples, stderrs, name): the times that are measured of a
+   send.  A time is late when it exceeds LATE usual times at the same load.
+   The version is bad when, over at least SAMPLES times, its share of late ones
+   exceeds the old version's by TRIAL_LATE_EXCESS and by STDERRS standard
+   errors.
 
    The time to the first event includes waiting behind other prompts, which
    delays all requests that are at one instance at the same time.  The gap
@@ -73,8 +73,8 @@
    standard errors.  */
 #define TRIAL_HOLD_LATE_EXCESS 0.15
 #define TRIAL_HOLD_STDERRS 1.5
-/* Replaces TRIAL_HOLD_STDERRS shortly before the time limit, when a version
-   that may not advance is rolled back.  */
+/* Replaces TRIAL_HOLD_STDERRS from TRIAL_FINISH_LEAD_MS before the time limit
+   on, when a version that may not advance is rolled back.  */
 #define TRIAL_FINAL_HOLD_STDERRS 3.0
 /* Weight of a lost connection as a failure when the version is tested for
    being bad: a crash loses several connections at once.  */
@@ -289,12 +289,12 @@
 /* Append the message to the other processes: this process's counts and, with
    ALL, the counts that others sent to it.  */
 void trial_write (trial_t *trial, bool all, buf_t *out);
-/* Replace the counts of PROCESS by those in the message TEXT.  WAS_SENT: the
-   message was sent to this process, rather than read from the store.  The
-   counts expire after TRIAL_PEER_EXPIRY_S seconds.  Return VH_OK, or
-   VH_E_PROTOCOL with nothing changed; a message for another order is
-   ignored.  */
-vh_code_t trial_merge (trial_t *trial, str_t process, bool was_sent,
+/* Replace the counts of PROCESS by those in the message TEXT.
+   WAS_SENT_BY_PEER is true if PROCESS sent the message, and false if the
+   message was read from the store.  The counts expire after
+   TRIAL_PEER_EXPIRY_S seconds.  Return VH_OK, or VH_E_PROTOCOL with nothing
+   changed; a message for another order is ignored.  */
+vh_code_t trial_merge (trial_t *trial, str_t process, bool was_sent_by_peer,
                        str_t text);
 /* Return whether a count changed since the last trial_write.  */
 bool trial_has_unwritten_counts (const trial_t *trial);
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -156,7 +156,7 @@
       while (!pool[0].is_active)
         run_round (1, 0);
       lengths_ms[i] = clock_ms (test_clock) - ejected_ms;
-      ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_TRIAL);
+      ck_assert_int_eq (outlier_state (pool[0].member), OUTLIER_ON_TRIAL);
     }
   ck_assert_uint_ge (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS - 100);
   ck_assert_uint_le (lengths_ms[0], OUTLIER_EJECTION_FIRST_MS
