--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -188,10 +188,10 @@
 }
 
 uint32_t
-allotment_share (double limit, size_t rank, size_t count)
+allotment_share (double limit, size_t rank, size_t gateway_count)
 {
   size_t units = limit > 0 ? (size_t)limit : 0;
-  size_t share = units / count + (rank < units % count);
+  size_t share = units / gateway_count + (rank < units % gateway_count);
 
   return share < UINT32_MAX ? (uint32_t)share : UINT32_MAX;
 }
--- a/packages/policy/allotment.h
+++ b/packages/policy/allotment.h
@@ -64,7 +64,8 @@
    OBJECT_HASH in ZONE.  */
 size_t allotment_rank (const allotment_t *allotment, uint64_t object_hash,
                        str_t zone);
-/* Return the share of LIMIT of the gateway with RANK among COUNT gateways.  */
-uint32_t allotment_share (double limit, size_t rank, size_t count);
+/* Return the share of LIMIT of the gateway with RANK among GATEWAY_COUNT
+   gateways.  */
+uint32_t allotment_share (double limit, size_t rank, size_t gateway_count);
 
 #endif
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -636,7 +636,7 @@
 
 void
 balance_set_mark (balance_t *balance, upstream_id_t id, balance_mark_t mark,
-                  bool on)
+                  bool is_set)
 {
   uint32_t index = find_index (balance, id);
   bool was_accepted;
@@ -647,7 +647,7 @@
     return;
   state = &balance->states[index];
   details = &balance->details[index];
-  if (((state->marks & mark) != 0) == on)
+  if (((state->marks & mark) != 0) == is_set)
     return;
   was_accepted = subset_accepts (state);
   state->marks ^= (uint8_t)mark;
--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -151,10 +151,11 @@
 /* Return the id of upstream NAME, or 0 if there is none.  */
 upstream_id_t balance_find (const balance_t *balance, str_t name);
 
-/* Set or clear MARK on upstream ID.  A marked upstream gets no new requests.
-   Its ramp starts when the last mark is cleared.  */
+/* Set MARK on upstream ID, or clear the mark if IS_SET is false.  A marked
+   upstream gets no new requests.  Its ramp starts when the last mark is
+   cleared.  */
 void balance_set_mark (balance_t *balance, upstream_id_t id,
-                       balance_mark_t mark, bool on);
+                       balance_mark_t mark, bool is_set);
 /* Enable ZONE with a ramp if ENABLED is set, otherwise disable it.  */
 void balance_set_zone_enabled (balance_t *balance, str_t zone, bool enabled);
 
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -340,7 +340,7 @@
 
 /* Return the harm, count and burn rate for the sums in FIELDS.  */
 static burn_rate_t
-kind_rate (const int64_t *fields, burn_kind_t kind, double budget)
+rate_from_sums (const int64_t *fields, burn_kind_t kind, double budget)
 {
   burn_rate_t r = { 0, 0, 0 };
 
@@ -400,7 +400,7 @@
   /* The current epoch has just begun, so the window includes one epoch
      more.  */
   sum_epochs (b, s, tier, last > length ? last - length : 0, last, fields);
-  return kind_rate (fields, kind, kind_budget (settings, kind));
+  return rate_from_sums (fields, kind, kind_budget (settings, kind));
 }
 
 burn_rate_t
@@ -708,7 +708,7 @@
       uint64_t ago = PLOT_HOURS - 1 - h;
       uint64_t epoch = last > ago ? last - ago : 0;
       sum_epochs (b, line->all_names, TIER_HOUR, epoch, epoch, fields);
-      hours[h] = kind_rate (fields, line->kind, budget);
+      hours[h] = rate_from_sums (fields, line->kind, budget);
       rate_max = fmax (rate_max,
                        fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE_MIN));
     }
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -120,7 +120,7 @@
   double latency_ms;
 } cascade_candidate_t;
 
-/* The request to plan for.  */
+/* Input of cascade_plan: a request and the versions that may answer it.  */
 typedef struct
 {
   str_t task; /* Task class of the request.  */
--- a/packages/policy/escalation.c
+++ b/packages/policy/escalation.c
@@ -72,8 +72,8 @@
   free (escalation);
 }
 
-/* Solve the first EQUATION_COUNT equations of M X = V and store X in V. Return
-   false when the equations are nearly singular.  */
+/* Solve the first EQUATION_COUNT equations of MATRIX * X = VECTOR and store X
+   in VECTOR.  Return false when the equations are nearly singular.  */
 static bool
 solve_equations (double matrix[CURVE_TERMS][CURVE_TERMS],
                  double vector[CURVE_TERMS], size_t equation_count)
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -40,9 +40,9 @@
   uint64_t evaluated_ms;
   bool evaluate_now; /* Whether to evaluate without waiting for the interval,
                         because a member may be failing fast.  */
-  double *values;    /* Buffer for the values of which a median is taken, with
-                        room for one value of each member.  */
-  uint32_t value_capacity;
+  double *median_values; /* Buffer for the values of which a median is taken,
+                            with room for one value of each member.  */
+  uint32_t median_capacity;
 };
 
 outlier_t *
@@ -65,7 +65,7 @@
     return;
   LIST_EACH (at, &outlier->members)
     free (CONTAINER_OF (at, outlier_member_t, list_node));
-  free (outlier->values);
+  free (outlier->median_values);
   free (outlier);
 }
 
@@ -79,11 +79,11 @@
   list_init (&member->change_node);
   list_append (&outlier->members, &member->list_node);
   outlier->member_count++;
-  if (outlier->member_count > outlier->value_capacity)
+  if (outlier->member_count > outlier->median_capacity)
     {
-      outlier->value_capacity = outlier->member_count * 2;
-      outlier->values = mem_realloc (outlier->values, outlier->value_capacity
-                                                          * sizeof (double));
+      outlier->median_capacity = outlier->member_count * 2;
+      outlier->median_values = mem_realloc (
+          outlier->median_values, outlier->median_capacity * sizeof (double));
     }
   return member;
 }
@@ -186,16 +186,17 @@
   return (x > y) - (x < y);
 }
 
-/* Return the median of the first COUNT elements of OUTLIER->values; 0 if COUNT
-   is 0.  With an even COUNT this is the lower of the two middle values, so
-   that both members of a pool of two are compared with the better one.  */
+/* Return the median of the first COUNT elements of OUTLIER->median_values; 0
+   if COUNT is 0.  With an even COUNT this is the lower of the two middle
+   values, so that both members of a pool of two are compared with the better
+   one.  */
 static double
 median (outlier_t *outlier, uint32_t count)
 {
   if (count == 0)
     return 0;
-  qsort (outlier->values, count, sizeof (double), compare_doubles);
-  return outlier->values[(count - 1) / 2];
+  qsort (outlier->median_values, count, sizeof (double), compare_doubles);
+  return outlier->median_values[(count - 1) / 2];
 }
 
 static bool
@@ -220,7 +221,7 @@
           = CONTAINER_OF (at, outlier_member_t, list_node);
 
       if (member->state == OUTLIER_ACTIVE && member->sample_count > 0)
-        outlier->values[count++] = member->error_rate;
+        outlier->median_values[count++] = member->error_rate;
     }
   return median (outlier, count);
 }
@@ -236,7 +237,7 @@
           = CONTAINER_OF (at, outlier_member_t, list_node);
 
       if (has_enough_samples (member) && member->unit_latency_us > 0)
-        outlier->values[count++] = member->unit_latency_us;
+        outlier->median_values[count++] = member->unit_latency_us;
     }
   return median (outlier, count);
 }
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -191,7 +191,7 @@
 
 /* Remove the unregistered instances that may no longer be selected.  */
 static void
-remove_expired (pool_t *pool, uint64_t now_ms)
+remove_expired_upstreams (pool_t *pool, uint64_t now_ms)
 {
   if (pool->unregistered_count == 0)
     return;
@@ -625,7 +625,7 @@
   uint64_t now_ms = clock_ms (pool->clock);
   bool any_eligible = false;
 
-  remove_expired (pool, now_ms);
+  remove_expired_upstreams (pool, now_ms);
   *out = select_best (pool, criteria, false, now_ms, &any_eligible);
   if (*out == NULL && criteria->max_instances > 0)
     {
@@ -709,15 +709,15 @@
 }
 
 void
-pool_probe_finished (pool_t *pool, str_t id, bool reached)
+pool_probe_finished (pool_t *pool, str_t id, bool is_reachable)
 {
   upstream_t *upstream = map_get (pool->by_id, id);
   uint64_t now_ms = clock_ms (pool->clock);
 
   if (upstream == NULL)
     return;
-  upstream->is_unreachable = !reached;
-  if (reached)
+  upstream->is_unreachable = !is_reachable;
+  if (is_reachable)
     upstream->last_probe_ok_ms = now_ms;
   else
     eject (upstream, now_ms);
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -197,10 +197,10 @@
    after the last data.  Return 0 if UPSTREAM is unreachable.  Valid only while
    requests of this gateway run at UPSTREAM.  */
 uint64_t pool_probe_due_ms (const upstream_t *upstream);
-/* Record whether a probe of instance ID could connect.  If REACHED is false,
-   the instance is ejected, and counts as unreachable until it sends data or
-   gets a new request.  */
-void pool_probe_finished (pool_t *pool, str_t id, bool reached);
+/* Record whether a probe of instance ID could connect.  If IS_REACHABLE is
+   false, the instance is ejected, and counts as unreachable until it sends
+   data or gets a new request.  */
+void pool_probe_finished (pool_t *pool, str_t id, bool is_reachable);
 bool upstream_is_unreachable (const upstream_t *upstream);
 /* Record the load that a response of UPSTREAM reported; SLOTS 0 if its number
    of slots was not reported.  */
