--- a/packages/policy/outlier.h
+++ b/packages/policy/outlier.h
@@ -14,7 +14,7 @@
      immediately, without waiting for OUTLIER_EVALUATION_INTERVAL_MS; at an
      error rate of a tenth they occur by chance once in 100,000.
    - OUTLIER_ERROR_RATE_MARGIN 0.3: a member is ejected if its error rate
-     exceeds the pool's median by more than this, over at least
+     exceeds the pool's median by more than this margin, over at least
      OUTLIER_SAMPLES_MIN 10 responses.
    - OUTLIER_LATENCY_FACTOR 3: a member is ejected above 3 times the pool's
      median latency per unit of cost; high load alone adds only a part of that
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -383,8 +383,9 @@
 
   if (pool->gateways != NULL && !allotment_is_loaded (pool->gateways))
     return is_cold ? 0 : 1;
-  /* A warm instance may turn cold at any time, so it is limited too, but only
-     to the higher rate at which a cold instance fails.  */
+  /* A warm instance may turn cold at any time, so the requests to a warm
+     instance are limited too, but only to the higher rate at which a cold
+     instance fails.  */
   double bound = is_cold
                      ? cold_rate_per_s
                      : (cold_rate_per_s * pool->cold_factor + pool->cold_slack)
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -274,6 +274,7 @@
   /* Moments of the new version's values, pooled over the strata; deviations
      are from each stratum's mean.  */
   deviation_moments_t pooled_new;
+  /* Moments of the old version's values, pooled in the same way.  */
   deviation_moments_t pooled_old;
 } stratified_sums_t;
 
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -33,7 +33,8 @@
      other instances would hide that, so answers of loaded instances also count
      in a cell of their own.
    - A version that is still held back by the measurements shortly before the
-     time limit is rolled back: what holds it back is evidence against it.
+     time limit is rolled back, because the measurements that hold the version
+     back count against it.
    - A version is bad when in one cell the share of its answers that failed
      exceeds the old version's by TRIAL_FAILURE_EXCESS and by
      TRIAL_FAILURE_STDERRS standard errors, over TRIAL_ANSWERS_MIN answers; or
