--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -423,7 +423,7 @@
 }
 
 static void
-state_changed (void *arg, rpc_state_t state)
+state_changed (void *arg, rpc_peer_state_t state)
 {
   (void)arg;
   (void)state;
--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -8,11 +8,11 @@
 names_hint (const names_t *names, str_t name, const char *fallback,
             buf_t *hint)
 {
-  nearest_t nearest = nearest_make (name);
+  closest_match_t nearest = closest_match_make (name);
 
   for (size_t i = 0; i < names->count; i++)
-    nearest_offer (&nearest, *(const str_t *)names->items[i]);
-  return nearest_hint (&nearest, fallback, hint);
+    closest_match_add_candidate (&nearest, *(const str_t *)names->items[i]);
+  return closest_match_hint (&nearest, fallback, hint);
 }
 
 /* Give each version its model and each model its versions.  */
--- a/packages/conf/reader.c
+++ b/packages/conf/reader.c
@@ -15,7 +15,8 @@
 } reader_t;
 
 bool
-reader_section (str_t line, str_t *kind, str_t *name, bool *closed)
+reader_parse_section_header (str_t line, str_t *kind, str_t *name,
+                             bool *closed)
 {
   str_t rest;
   str_t inside;
@@ -57,7 +58,7 @@
   bool closed;
 
   reader->line++;
-  if (reader_section (line, &kind, &name, &closed))
+  if (reader_parse_section_header (line, &kind, &name, &closed))
     {
       if (!closed)
         conf_errors_add (reader->errors, reader->line,
--- a/packages/entry/claim.c
+++ b/packages/entry/claim.c
@@ -214,7 +214,8 @@
     }
   char *text = json_dumps (outcome, JSON_COMPACT);
   char *id = make_claim_id (request);
-  claims_record (request->entry->claims, str_from (id), str_from (text));
+  claims_record_outcome (request->entry->claims, str_from (id),
+                         str_from (text));
   free (id);
   free (text);
   json_decref (outcome);
@@ -285,9 +286,9 @@
     return FILTER_CONTINUE;
   char *id = make_claim_id (request);
   request->claim_pending = true;
-  claims_claim (entry->claims, str_from (id),
-                left_ms < CLAIM_TIMEOUT_MS ? left_ms : CLAIM_TIMEOUT_MS,
-                on_claimed, request);
+  claims_acquire (entry->claims, str_from (id),
+                  left_ms < CLAIM_TIMEOUT_MS ? left_ms : CLAIM_TIMEOUT_MS,
+                  on_claimed, request);
   free (id);
   return FILTER_PENDING;
 }
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -505,7 +505,7 @@
   if (!can_fetch (request))
     return;
   if (request->answer_started && request->http != NULL
-      && httpd_buffered (request->http) > CALLER_BACKLOG_MAX_BYTES)
+      && httpd_buffered_bytes (request->http) > CALLER_BACKLOG_MAX_BYTES)
     return;
   send_fetch (request, FETCH_MAX_BYTES,
               left_ms < FETCH_WAIT_MAX_MS ? left_ms
@@ -753,8 +753,8 @@
       const member_t *member = value;
       if (!member->is_entry
           && member_serves (member, str_from (request->pool->name))
-          && snapshot_instance_in (snapshot, str_from (member->name))
-          && snapshot_zone_in (snapshot, str_from (member->zone)))
+          && snapshot_is_instance_enabled (snapshot, str_from (member->name))
+          && snapshot_is_zone_enabled (snapshot, str_from (member->zone)))
         return true;
     }
   return false;
@@ -875,7 +875,7 @@
   rpc_cancel (attempt->call);
   attempt->call = NULL;
   end_attempt (request, true);
-  rpc_peer_fire (attempt->member->peer, WIRE_CANCEL, &args);
+  rpc_peer_notify (attempt->member->peer, WIRE_CANCEL, &args);
 }
 
 void
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -168,7 +168,7 @@
   for (size_t i = 0;
        last != NULL && (version = snapshot_version_at (next, i)) != NULL; i++)
     {
-      const version_t *previous = snapshot_version (last, version->name);
+      const version_t *previous = snapshot_find_version (last, version->name);
       if (previous != NULL && previous->state == VERSION_WITHDRAWN
           && version->state != VERSION_WITHDRAWN)
         degradation_clear_alarm (entry->degradation, version->name,
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -143,10 +143,10 @@
     .last_event_id = relay->sse.last_id,
   };
   forward_write_request (&params, relay->req, &request);
-  relay->call = call_start (state->loop, upstream_address (relay->upstream),
-                            &request, CONNECT_TIMEOUT_MS,
-                            str_eq (httpd_method (relay->req), STR ("HEAD")),
-                            &relay_call_events, relay);
+  relay->call = http_exchange_start (
+      state->loop, upstream_address (relay->upstream), &request,
+      CONNECT_TIMEOUT_MS, str_eq (httpd_method (relay->req), STR ("HEAD")),
+      &relay_call_events, relay);
   if (relay->call == NULL)
     {
       relay_send_failed (relay, "address", false);
@@ -241,7 +241,7 @@
     }
   if (now_ms >= relay->attrs.deadline_ms)
     {
-      if (relay->call != NULL && call_sent (relay->call))
+      if (relay->call != NULL && http_exchange_was_sent (relay->call))
         relay->possible_runs++;
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
@@ -293,7 +293,7 @@
   if (relay->is_paused && relay->call != NULL)
     {
       relay->is_paused = false;
-      call_resume (relay->call);
+      http_exchange_resume (relay->call);
     }
 }
 
@@ -394,7 +394,7 @@
       reject (relay, VH_E_BAD_HEADER);
       return;
     }
-  httpd_watch (req, on_write_drained, on_caller_disconnected, relay);
+  httpd_set_callbacks (req, on_write_drained, on_caller_disconnected, relay);
   admit_when_ready (relay);
 }
 
@@ -406,7 +406,7 @@
   LIST_EACH (at, &state->relays)
     {
       relay_t *relay = CONTAINER_OF (at, relay_t, link);
-      if (relay->call != NULL && call_sent (relay->call))
+      if (relay->call != NULL && http_exchange_was_sent (relay->call))
         relay->possible_runs++;
       relay_fail (relay, VH_E_DRAINING, "stopping", RETRY_AFTER_DRAINING_MS);
       count++;
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -98,7 +98,7 @@
 relay_finish_send (relay_t *relay, send_outcome_t outcome)
 {
   if (relay->call != NULL)
-    call_cancel (relay->call);
+    http_exchange_cancel (relay->call);
   relay->call = NULL;
   if (relay->upstream == NULL)
     return;
@@ -209,7 +209,7 @@
   relay_record_end (relay, not_run ? EVENT_REFUSED : EVENT_FAILED, status,
                     reason, retry_after_ms);
   if (state->stopping_ms != 0)
-    httpd_close_after (relay->req);
+    httpd_disable_keep_alive (relay->req);
   httpd_reply (relay->req, status, headers, count, buf_str (&body));
   buf_free (&retry_after);
   buf_free (&body);
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -157,7 +157,7 @@
 /* Send the request to the best upstream, or fail the request.  */
 void relay_send (relay_t *relay);
 /* Callbacks for the call of a send; the argument is the relay.  */
-extern const call_events_t relay_call_events;
+extern const http_exchange_events_t relay_call_events;
 /* Handle the failure of the current send.  MAY_HAVE_RUN is false only if the
    upstream reported that it did not run the request.  Retries the request if
    allowed, else fails it.  */
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -23,23 +23,23 @@
   if (sidecar->draining)
     return VH_E_DRAINING;
   if (snapshot == NULL
-      || !snapshot_zone_in (snapshot, sidecar->options.settings->zone)
-      || !snapshot_instance_in (snapshot, sidecar->upstream->instance))
+      || !snapshot_is_zone_enabled (snapshot, sidecar->options.settings->zone)
+      || !snapshot_is_instance_enabled (snapshot, sidecar->upstream->instance))
     return VH_E_GATE;
   for (size_t i = 0; i < sidecar->upstream->serves_count; i++)
     served = served || str_eq (sidecar->upstream->serves[i], target);
-  const team_t *team = snapshot_team (snapshot, team_name);
+  const team_t *team = snapshot_find_team (snapshot, team_name);
   if (!served || team == NULL)
     return VH_E_GATE;
   if (sidecar->upstream->is_service)
     {
-      const service_t *service = snapshot_service (snapshot, target);
+      const service_t *service = snapshot_find_service (snapshot, target);
       return service != NULL
                      && snapshot_allows_service (snapshot, team, service)
                  ? VH_OK
                  : VH_E_GATE;
     }
-  const version_t *version = snapshot_version (snapshot, target);
+  const version_t *version = snapshot_find_version (snapshot, target);
   if (version == NULL || !snapshot_allows (snapshot, team, version))
     return VH_E_GATE;
   return VH_OK;
@@ -69,9 +69,9 @@
 attempt_cost (const sidecar_t *sidecar, const attempt_t *attempt)
 {
   const version_t *version
-      = sidecar->snapshot != NULL
-            ? snapshot_version (sidecar->snapshot, str_from (attempt->target))
-            : NULL;
+      = sidecar->snapshot != NULL ? snapshot_find_version (
+            sidecar->snapshot, str_from (attempt->target))
+                                  : NULL;
   double tokens = (double)attempt->tokens_in + attempt->tokens_out;
 
   return version != NULL ? (uint64_t)(version->cost * tokens * 1000.0) : 0;
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -378,8 +378,8 @@
   buf_t text = BUF_NULL;
   bool done = false;
 
-  conf_edit (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
-             str_from (section), str_from (key), str_from (value), &text);
+  conf_set_key (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
+                str_from (section), str_from (key), str_from (value), &text);
   buf_append_char (&text, '\0');
   for (size_t i = 0; i < cluster->entry_count && !done; i++)
     done = cluster_apply (cluster, i, text.ptr, cluster->revision,
