--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  /* Fields of a cell, after the count of additions.  */
+  /* Fields of a cell of crdt.h; field 0 is the number of additions.  */
   FIELD_REQUESTS = 1,
   FIELD_UNANSWERED,
   FIELD_FIRST_TOKENS,
@@ -76,7 +76,8 @@
 #undef X
 };
 
-/* One name of one split of one objective.  */
+/* The sums of one objective for one name in one dimension, such as one
+   team.  */
 typedef struct
 {
   uint64_t hash;
@@ -88,8 +89,8 @@
 
 typedef struct
 {
-  burn_objective_t
-      settings; /* Its strings point to the fields NAME and TEAM below.  */
+  /* The objective; its strings point to NAME and TEAM below.  */
+  burn_objective_t settings;
   char *name;
   char *team;
   uint64_t hash;
@@ -161,8 +162,8 @@
   return map_get (b->by_hash, str_make ((const char *)&hash, sizeof hash));
 }
 
-/* Return the series of NAME, created on first use.  Without room, return that
-   of "other"; NULL if there is none.  */
+/* Return the series of NAME, created on first use.  If all series are in use,
+   return the series of the name "other", or NULL if there is none.  */
 static series_t *
 series_find_or_add (burn_t *b, uint64_t objective, burn_split_t split,
                     str_t name)
@@ -203,7 +204,8 @@
       o->settings.team = str_from (o->team);
       o->hash = str_hash (o->settings.name, 0x62);
       series_find_or_add (b, o->hash, BURN_SPLIT_ALL, STR ("all"));
-      /* Reserved, so that names above the limit have a series.  */
+      /* The series of "other" are created first, for the names that find no
+         room later.  */
       for (int split = BURN_SPLIT_TEAM; split < BURN_SPLIT_COUNT; split++)
         series_find_or_add (b, o->hash, (burn_split_t)split, STR ("other"));
     }
@@ -316,27 +318,29 @@
   switch (kind)
     {
     case BURN_KIND_ANSWERED:
-      return settings->answered > 0 ? fmax (BUDGET_MIN, 1 - settings->answered)
-                                    : 0;
+      return settings->answered_share > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->answered_share)
+                 : 0;
     case BURN_KIND_FIRST_TOKEN:
       return settings->first_token_ms > 0
-                 ? fmax (BUDGET_MIN, 1 - settings->within)
+                 ? fmax (BUDGET_MIN, 1 - settings->timely_share)
                  : 0;
     case BURN_KIND_BETWEEN_TOKENS:
       return settings->between_tokens_ms > 0
-                 ? fmax (BUDGET_MIN, 1 - settings->within)
+                 ? fmax (BUDGET_MIN, 1 - settings->timely_share)
                  : 0;
     case BURN_KIND_QUALITY:
-      return settings->quality > 0 ? fmax (BUDGET_MIN, 1 - settings->quality)
-                                   : 0;
+      return settings->quality_target > 0
+                 ? fmax (BUDGET_MIN, 1 - settings->quality_target)
+                 : 0;
     default:
-      return fmax (0, settings->cost);
+      return fmax (0, settings->cost_budget);
     }
 }
 
 /* Return the harm, count and burn rate for the sums in FIELDS.  */
 static burn_rate_t
-kind_rate (const int64_t *fields, burn_kind_t kind, double budget)
+rate_from_sums (const int64_t *fields, burn_kind_t kind, double budget)
 {
   burn_rate_t r = { 0, 0, 0 };
 
@@ -369,7 +373,7 @@
   return r;
 }
 
-/* Sum the epochs FIRST to LAST of series S in TIER.  */
+/* Add the sums of series S in the epochs FIRST to LAST of TIER to FIELDS.  */
 static void
 sum_epochs (const burn_t *b, const series_t *s, int tier, uint64_t first,
             uint64_t last, int64_t out[FIELDS])
@@ -396,7 +400,7 @@
   /* The current epoch has just begun, so the window includes one epoch
      more.  */
   sum_epochs (b, s, tier, last > length ? last - length : 0, last, fields);
-  return kind_rate (fields, kind, kind_budget (settings, kind));
+  return rate_from_sums (fields, kind, kind_budget (settings, kind));
 }
 
 burn_rate_t
@@ -424,12 +428,12 @@
                .rate;
 }
 
-/* One kind of one objective in the report.  */
+/* A line of the report: one objective and one kind of requirement.  */
 typedef struct
 {
   const objective_entry_t *objective;
   burn_kind_t kind;
-  const series_t *all;
+  const series_t *all_names;
   burn_rate_t rates[BURN_WINDOW_COUNT];
   const char *state;
 } report_line_t;
@@ -445,19 +449,19 @@
     return false;
   line->objective = o;
   line->kind = kind;
-  line->all
+  line->all_names
       = series_find (b, series_hash (o->hash, BURN_SPLIT_ALL, STR ("all")));
-  if (line->all == NULL)
+  if (line->all_names == NULL)
     return false;
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
-    line->rates[w] = series_rate (b, &o->settings, kind, line->all,
+    line->rates[w] = series_rate (b, &o->settings, kind, line->all_names,
                                   (burn_window_t)w, now_ms);
   line->state = "ok";
-  if (line->rates[BURN_6H].rate > BURN_TICKET_RATE
-      && line->rates[BURN_3D].rate > BURN_TICKET_RATE)
+  if (line->rates[BURN_6H].rate > BURN_TICKET_RATE_MIN
+      && line->rates[BURN_3D].rate > BURN_TICKET_RATE_MIN)
     line->state = "ticket";
-  if (line->rates[BURN_5M].rate >= BURN_PAGE_RATE
-      && line->rates[BURN_1H].rate >= BURN_PAGE_RATE)
+  if (line->rates[BURN_5M].rate >= BURN_PAGE_RATE_MIN
+      && line->rates[BURN_1H].rate >= BURN_PAGE_RATE_MIN)
     line->state = "page";
   return true;
 }
@@ -484,9 +488,9 @@
   return strcmp (left->series->name, right->series->name);
 }
 
-/* Collect all names of LINE's objective that were measured in three days,
-   sorted by their harm in the last hour, largest first.  Return their
-   number.  */
+/* Store the names for which the objective of LINE was measured in the last
+   three days, sorted by their harm in the last hour, largest first.  Return
+   their number.  */
 static size_t
 collect_contributors (const burn_t *b, const report_line_t *line,
                       uint64_t now_ms, contributor_t out[BURN_SERIES_MAX])
@@ -686,7 +690,8 @@
               PLOT_LEFT, PLOT_WIDTH, y, y, PLOT_LEFT - 4, y + 4, label);
 }
 
-/* Append a bar chart of the burn rate by hour over the last three days.  */
+/* Append an HTML bar chart of the burn rate in each hour of the last three
+   days.  */
 static void
 append_html_plot (const burn_t *b, const report_line_t *line, uint64_t now_ms,
                   buf_t *out)
@@ -702,10 +707,10 @@
       int64_t fields[FIELDS];
       uint64_t ago = PLOT_HOURS - 1 - h;
       uint64_t epoch = last > ago ? last - ago : 0;
-      sum_epochs (b, line->all, TIER_HOUR, epoch, epoch, fields);
-      hours[h] = kind_rate (fields, line->kind, budget);
-      rate_max
-          = fmax (rate_max, fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE));
+      sum_epochs (b, line->all_names, TIER_HOUR, epoch, epoch, fields);
+      hours[h] = rate_from_sums (fields, line->kind, budget);
+      rate_max = fmax (rate_max,
+                       fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE_MIN));
     }
   buf_printf (out,
               "<svg viewBox='0 0 %d %d' role='img' aria-label='Burn rate of "
@@ -721,9 +726,9 @@
                   "class='%s'><title>%d h ago: %.2f on %.0f</title></rect>\n",
                   PLOT_LEFT + h * step, y, step - 1,
                   plot_y (0, rate_max) - y + 1,
-                  hours[h].rate >= BURN_PAGE_RATE    ? "page"
-                  : hours[h].rate > BURN_TICKET_RATE ? "ticket"
-                                                     : "ok",
+                  hours[h].rate >= BURN_PAGE_RATE_MIN    ? "page"
+                  : hours[h].rate > BURN_TICKET_RATE_MIN ? "ticket"
+                                                         : "ok",
                   PLOT_HOURS - 1 - h, hours[h].rate, hours[h].count);
     }
   append_plot_line (0, rate_max, "0", out);
@@ -731,8 +736,8 @@
   bool has_label_room
       = plot_y (0, rate_max) - plot_y (1, rate_max) >= LABEL_HEIGHT_MAX;
   append_plot_line (1, rate_max, has_label_room ? "1" : "", out);
-  if (rate_max > BURN_PAGE_RATE)
-    append_plot_line (BURN_PAGE_RATE, rate_max, "14.4", out);
+  if (rate_max > BURN_PAGE_RATE_MIN)
+    append_plot_line (BURN_PAGE_RATE_MIN, rate_max, "14.4", out);
   buf_printf (out,
               "<text x='%d' y='%d' class='axis'>3 days ago</text>"
               "<text x='%d' y='%d' class='axis' text-anchor='end'>now</text>"
@@ -740,7 +745,7 @@
               PLOT_LEFT, PLOT_HEIGHT - 4, PLOT_WIDTH, PLOT_HEIGHT - 4);
 }
 
-/* Append a bar of the remaining budget.  */
+/* Append an HTML bar that shows the remaining budget.  */
 static void
 append_html_budget_bar (const report_line_t *line, buf_t *out)
 {
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -435,7 +435,7 @@
 can_run_now (const sidecar_t *sidecar, const attempt_t *attempt)
 {
   const poison_in_flight_t in_flight
-      = { .suspects = sidecar->running_suspect_count,
+      = { .suspect_count = sidecar->running_suspect_count,
           .nonidempotent_count = sidecar->running_nonidempotent_count };
 
   return poison_may_run_beside (attempt->is_suspect ? POISON_SUSPECT
