--- a/packages/cli/explain.c
+++ b/packages/cli/explain.c
@@ -238,7 +238,7 @@
 print_cause (const log_record_t *end, bool json)
 {
   str_t reason = end != NULL ? record_get (end, "reason") : STR ("");
-  const char *cause = log_cause (reason);
+  const char *cause = log_reason_meaning (reason);
   const char *outcome = end != NULL ? end->info->sentence
                                     : "The lines end before the request does";
 
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -49,8 +49,8 @@
 
   (void)signal_number;
   vh_code_t code = settings_load (run->path, &settings, &errors);
-  log_event (EVENT_RELOAD, field_text (FIELD_FILE, str_from (run->path)),
-             field_number (FIELD_CODE, code));
+  log_event (EVENT_RELOAD, log_field_text (FIELD_FILE, str_from (run->path)),
+             log_field_number (FIELD_CODE, code));
   conf_errors_free (&errors);
   settings_destroy (settings);
 }
@@ -60,7 +60,7 @@
 on_loop_prepare (uv_prepare_t *prepare)
 {
   (void)prepare;
-  eventlog_turn ();
+  eventlog_flush_if_due ();
 }
 
 static uint64_t
@@ -127,8 +127,8 @@
   int status = EXIT_FAILURE;
 
   signal (SIGPIPE, SIG_IGN);
-  eventlog_source (settings->name, clock_system ());
-  eventlog_hold (true);
+  eventlog_set_source (settings->name, clock_system ());
+  eventlog_set_buffered (true);
   uv_prepare_init (loop, &prepare);
   uv_prepare_start (&prepare, on_loop_prepare);
   uv_unref ((uv_handle_t *)&prepare);
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -525,7 +525,8 @@
                         affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
-  uint64_t hash = hash_weight (upstream->id_hash, criteria->affinity_key);
+  uint64_t hash
+      = rendezvous_weight (upstream->id_hash, criteria->affinity_key);
 
   if (criteria->affinity_key == 0 || load_of (upstream, now_ms) > max_load)
     return;
--- a/packages/sidecar/attempt.c
+++ b/packages/sidecar/attempt.c
@@ -82,11 +82,11 @@
 {
   if (attempts == NULL)
     return;
-  while (!list_empty (&attempts->active))
+  while (!list_is_empty (&attempts->active))
     free_attempt (CONTAINER_OF (attempts->active.next, attempt_t, link));
-  while (!list_empty (&attempts->ended))
+  while (!list_is_empty (&attempts->ended))
     free_attempt (CONTAINER_OF (attempts->ended.next, attempt_t, link));
-  while (!list_empty (&attempts->ended_short_retention))
+  while (!list_is_empty (&attempts->ended_short_retention))
     free_attempt (
         CONTAINER_OF (attempts->ended_short_retention.next, attempt_t, link));
   map_destroy (attempts->by_id);
@@ -250,12 +250,12 @@
 {
   uint64_t now_ms = clock_ms (attempts->clock);
 
-  while (!list_empty (list))
+  while (!list_is_empty (list))
     {
       attempt_t *oldest = CONTAINER_OF (list->next, attempt_t, link);
       bool is_expired = now_ms - oldest->ended_ms >= keep_ms;
       if ((!is_expired && attempts->bytes <= attempts->bytes_max)
-          || !list_empty (&oldest->pending_fetches))
+          || !list_is_empty (&oldest->pending_fetches))
         return;
       remove_attempt (attempts, oldest);
     }
--- a/packages/sidecar/bill_backup.c
+++ b/packages/sidecar/bill_backup.c
@@ -77,7 +77,7 @@
   while (map_next (backup->entries, &cursor, NULL, &value))
     {
       entry_record_t *entry = value;
-      while (!list_empty (&entry->bills))
+      while (!list_is_empty (&entry->bills))
         free_bill (backup,
                    CONTAINER_OF (entry->bills.next, backup_bill_t, link));
       free (entry);
@@ -234,7 +234,7 @@
   while (map_next (backup->entries, &cursor, &entry_id, &value))
     {
       entry_record_t *entry = value;
-      if (!is_dead (backup, entry) || !list_empty (&entry->bills))
+      if (!is_dead (backup, entry) || !list_is_empty (&entry->bills))
         continue;
       map_remove (backup->entries, entry_id);
       free (entry);
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -57,7 +57,7 @@
 static bool
 is_abandoned (const attempt_t *attempt, uint64_t now_ms)
 {
-  return attempt->idempotent && list_empty (&attempt->pending_fetches)
+  return attempt->idempotent && list_is_empty (&attempt->pending_fetches)
          && now_ms - attempt->last_fetch_ms >= ABANDONED_ATTEMPT_MS;
 }
 
@@ -208,7 +208,7 @@
 bool
 sidecar_is_idle (const sidecar_t *sidecar)
 {
-  return list_empty (attempts_active (sidecar->attempts));
+  return list_is_empty (attempts_active (sidecar->attempts));
 }
 
 static void
