--- a/tests/loop_wait.h
+++ b/tests/loop_wait.h
@@ -1,4 +1,5 @@
-/* Turn a loop until a condition holds, and fail the test after a while.  */
+/* Runs an event loop until a condition holds, and fails the test after a time
+   limit.  */
 
 #ifndef TESTS_LOOP_WAIT_H
 #define TESTS_LOOP_WAIT_H
@@ -11,7 +12,7 @@
 {
   uv_loop_t *loop;
   uv_timer_t timer;
-  uint64_t limit_ms; /* Of one wait.  */
+  uint64_t limit_ms; /* Longest duration of a single wait.  */
   bool expired;
 } loop_wait_t;
 
@@ -24,7 +25,8 @@
   wait->timer.data = wait;
 }
 
-/* The memory is the owner's again on a later turn.  */
+/* Close the timer.  WAIT must stay valid until the loop has closed the timer.
+ */
 static inline void
 loop_wait_close (loop_wait_t *wait)
 {
@@ -32,34 +34,37 @@
 }
 
 static inline void
-loop_wait_expire (uv_timer_t *timer)
+loop_wait_on_timer (uv_timer_t *timer)
 {
   ((loop_wait_t *)timer->data)->expired = true;
 }
 
 static inline void
-loop_wait_begin (loop_wait_t *wait)
+loop_wait_start_timer (loop_wait_t *wait)
 {
   wait->expired = false;
-  uv_timer_start (&wait->timer, loop_wait_expire, wait->limit_ms, 0);
+  uv_timer_start (&wait->timer, loop_wait_on_timer, wait->limit_ms, 0);
 }
 
+/* Run the loop of WAIT until COND holds.  Fail the test after the time limit.
+ */
 #define LOOP_WAIT(wait, cond)                                                 \
   do                                                                          \
     {                                                                         \
-      loop_wait_begin (wait);                                                 \
+      loop_wait_start_timer (wait);                                           \
       while (!(cond) && !(wait)->expired)                                     \
         uv_run ((wait)->loop, UV_RUN_ONCE);                                   \
-      ck_assert_msg (!(wait)->expired, "waited in vain for " #cond);          \
+      ck_assert_msg (!(wait)->expired, "timed out waiting for " #cond);       \
     }                                                                         \
   while (0)
 
+/* Run the loop of WAIT for MS milliseconds.  */
 static inline void
 loop_wait_pass (loop_wait_t *wait, uint64_t ms)
 {
-  uint64_t till = uv_now (wait->loop) + ms;
+  uint64_t end_ms = uv_now (wait->loop) + ms;
 
-  LOOP_WAIT (wait, uv_now (wait->loop) >= till);
+  LOOP_WAIT (wait, uv_now (wait->loop) >= end_ms);
 }
 
 #endif
--- a/tests/suite.h
+++ b/tests/suite.h
@@ -1,4 +1,4 @@
-/* The end of every `check' program: run SUITE, return the exit status.  */
+/* Runs a test suite of the `check' library.  */
 
 #ifndef TESTS_SUITE_H
 #define TESTS_SUITE_H
@@ -6,6 +6,7 @@
 #include <check.h>
 #include <stdlib.h>
 
+/* Run and release SUITE.  Return the exit status for main.  */
 static inline int
 suite_run (Suite *suite)
 {
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -1,4 +1,4 @@
-/* Tests of the base package.  */
+/* Strings, maps, metrics, result codes and mailboxes.  */
 
 #include "base/clock.h"
 #include "base/code.h"
@@ -12,7 +12,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-START_TEST (str_cut_and_parse)
+START_TEST (str_cut_splits_and_u64_rejects_overflow)
 {
   str_t rest;
   str_t head = str_cut (STR ("draft@3"), '@', &rest);
@@ -28,7 +28,7 @@
 }
 END_TEST
 
-START_TEST (str_glob_cases)
+START_TEST (str_glob_matches)
 {
   static const struct
   {
@@ -48,7 +48,7 @@
 }
 END_TEST
 
-START_TEST (map_against_array)
+START_TEST (map_matches_reference_array)
 {
   enum
   {
@@ -63,22 +63,22 @@
 
   for (int step = 0; step < STEPS; step++)
     {
-      size_t k = rng_below (&rng, KEYS);
+      size_t i = rng_below (&rng, KEYS);
       char text[16];
-      int len = snprintf (text, sizeof text, "key%zu", k);
+      int len = snprintf (text, sizeof text, "key%zu", i);
       str_t key = str_make (text, (size_t)len);
-      ck_assert_ptr_eq (map_get (map, key), present[k] ? &values[k] : NULL);
+      ck_assert_ptr_eq (map_get (map, key), present[i] ? &values[i] : NULL);
       if (rng_below (&rng, 2) == 0)
         {
-          map_put (map, key, &values[k]);
-          size += !present[k];
-          present[k] = true;
+          map_put (map, key, &values[i]);
+          size += !present[i];
+          present[i] = true;
         }
       else
         {
           map_remove (map, key);
-          size -= present[k];
-          present[k] = false;
+          size -= present[i];
+          present[i] = false;
         }
       ck_assert_uint_eq (map_size (map), size);
     }
@@ -86,17 +86,18 @@
 }
 END_TEST
 
-START_TEST (histogram_quantiles_are_near)
+START_TEST (histogram_quantiles_are_within_bucket_error)
 {
   metrics_t *metrics = metrics_create ();
-  histogram_t *h = metrics_histogram (metrics, "wait_seconds", "", "Wait.");
+  histogram_t *histogram
+      = metrics_histogram (metrics, "wait_seconds", "", "Wait.");
   buf_t text = BUF_NULL;
 
   for (uint64_t us = 1; us <= 10000; us++)
-    histogram_record (h, us);
-  ck_assert_uint_ge (histogram_quantile (h, 0.5), 4900);
-  ck_assert_uint_le (histogram_quantile (h, 0.5), 6000);
-  ck_assert_uint_ge (histogram_quantile (h, 0.99), 9900);
+    histogram_record (histogram, us);
+  ck_assert_uint_ge (histogram_quantile (histogram, 0.5), 4900);
+  ck_assert_uint_le (histogram_quantile (histogram, 0.5), 6000);
+  ck_assert_uint_ge (histogram_quantile (histogram, 0.99), 9900);
   metrics_write (metrics, &text);
   buf_append_char (&text, '\0');
   ck_assert_ptr_nonnull (strstr (text.ptr, "wait_seconds_count 10000\n"));
@@ -122,7 +123,7 @@
 typedef struct
 {
   mailbox_t *mailbox;
-  int seen[4];
+  int received[4];
   int count;
 } receiver_t;
 
@@ -147,14 +148,15 @@
 {
   receiver_t *receiver = owner;
 
-  receiver->seen[receiver->count++] = ((number_message_t *)message)->number;
+  receiver->received[receiver->count++]
+      = ((number_message_t *)message)->number;
   if (receiver->count == 2)
     post_number (receiver->mailbox, 3);
   if (receiver->count == 3)
     mailbox_destroy (receiver->mailbox);
 }
 
-START_TEST (mailbox_keeps_order_and_defers)
+START_TEST (mailbox_delivers_later_and_in_order)
 {
   uv_loop_t loop;
   receiver_t receiver = { 0 };
@@ -167,7 +169,7 @@
   uv_run (&loop, UV_RUN_DEFAULT);
   ck_assert_int_eq (receiver.count, 3);
   for (int i = 0; i < 3; i++)
-    ck_assert_int_eq (receiver.seen[i], i + 1);
+    ck_assert_int_eq (receiver.received[i], i + 1);
   ck_assert_int_eq (uv_loop_close (&loop), 0);
 }
 END_TEST
@@ -178,12 +180,12 @@
   Suite *suite = suite_create ("base");
   TCase *tcase = tcase_create ("base");
 
-  tcase_add_test (tcase, str_cut_and_parse);
-  tcase_add_test (tcase, str_glob_cases);
-  tcase_add_test (tcase, map_against_array);
-  tcase_add_test (tcase, histogram_quantiles_are_near);
+  tcase_add_test (tcase, str_cut_splits_and_u64_rejects_overflow);
+  tcase_add_test (tcase, str_glob_matches);
+  tcase_add_test (tcase, map_matches_reference_array);
+  tcase_add_test (tcase, histogram_quantiles_are_within_bucket_error);
   tcase_add_test (tcase, codes_are_unique);
-  tcase_add_test (tcase, mailbox_keeps_order_and_defers);
+  tcase_add_test (tcase, mailbox_delivers_later_and_in_order);
   suite_add_tcase (suite, tcase);
   SRunner *runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
--- a/tests/test_bound.c
+++ b/tests/test_bound.c
@@ -1,4 +1,4 @@
-/* Bounds on waits for a peer, at a process that is busy itself.  */
+/* Timeouts on a peer in a process that is itself busy.  */
 
 #include "base/bound.h"
 #include "suite.h"
@@ -7,7 +7,7 @@
 
 enum
 {
-  WAIT_MS = 20,
+  TIMEOUT_MS = 20,
   BUSY_MS = 60
 };
 
@@ -18,20 +18,20 @@
   uv_pipe_t writer;
   uv_write_t write;
   bound_t bound;
-  int fired;
-  int fired_unread; /* The bound came while bytes lay unread.  */
+  int expired;
+  int expired_unread; /* Expiries before the bytes were read.  */
   int reads;
   int closed;
 } fixture_t;
 
 static void
-on_bound (void *arg)
+on_expired (void *arg)
 {
   fixture_t *f = arg;
 
-  f->fired++;
+  f->expired++;
   if (f->reads == 0)
-    f->fired_unread++;
+    f->expired_unread++;
 }
 
 static void
@@ -51,12 +51,12 @@
 }
 
 static void
-on_read (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+on_read (uv_stream_t *stream, ssize_t bytes_read, const uv_buf_t *buf)
 {
   fixture_t *f = stream->data;
 
   (void)buf;
-  if (got <= 0)
+  if (bytes_read <= 0)
     return;
   f->reads++;
   bound_stop (&f->bound);
@@ -65,18 +65,18 @@
 static void
 setup (fixture_t *f)
 {
-  uv_file ends[2];
+  uv_file pipe_fds[2];
 
   memset (f, 0, sizeof *f);
   uv_loop_init (&f->loop);
-  ck_assert_int_eq (uv_pipe (ends, 0, 0), 0);
+  ck_assert_int_eq (uv_pipe (pipe_fds, 0, 0), 0);
   uv_pipe_init (&f->loop, &f->reader, 0);
   uv_pipe_init (&f->loop, &f->writer, 0);
-  uv_pipe_open (&f->reader, ends[0]);
-  uv_pipe_open (&f->writer, ends[1]);
+  uv_pipe_open (&f->reader, pipe_fds[0]);
+  uv_pipe_open (&f->writer, pipe_fds[1]);
   f->reader.data = f;
   uv_read_start ((uv_stream_t *)&f->reader, on_alloc, on_read);
-  bound_init (&f->bound, &f->loop, on_bound, f);
+  bound_init (&f->bound, &f->loop, on_expired, f);
 }
 
 static void
@@ -90,69 +90,70 @@
   ck_assert_int_eq (uv_loop_close (&f->loop), 0);
 }
 
-/* Keep the loop from running, as a long computation or a stop of the process
-   does.  */
+/* Block the loop, as a long computation or a stop of the process does.  */
 static void
-stay_busy (void)
+block_loop (void)
 {
-  struct timespec busy = { .tv_nsec = BUSY_MS * 1000000L };
+  struct timespec duration = { .tv_nsec = BUSY_MS * 1000000L };
 
-  nanosleep (&busy, NULL);
+  nanosleep (&duration, NULL);
 }
 
 static void
-on_enough (uv_timer_t *timer)
+on_run_end (uv_timer_t *timer)
 {
   uv_stop (timer->loop);
 }
 
-/* Turn the loop for MS.  */
+/* Run the loop for MS milliseconds.  */
 static void
-turn (fixture_t *f, uint64_t ms)
+run_loop_for (fixture_t *f, uint64_t ms)
 {
-  uv_timer_t enough;
+  uv_timer_t run_timer;
 
-  uv_timer_init (&f->loop, &enough);
-  uv_timer_start (&enough, on_enough, ms, 0);
+  uv_timer_init (&f->loop, &run_timer);
+  uv_timer_start (&run_timer, on_run_end, ms, 0);
   uv_run (&f->loop, UV_RUN_DEFAULT);
-  uv_close ((uv_handle_t *)&enough, NULL);
+  uv_close ((uv_handle_t *)&run_timer, NULL);
   uv_run (&f->loop, UV_RUN_NOWAIT);
 }
 
-/* A caller's stream is moved away from a sound engine: the entry read a large
-   configuration for longer than it waits for the engine, whose answer came
-   meanwhile and lay unread when the wait was over.  */
-START_TEST (an_answer_that_lies_unread_is_read_first)
+/* Failure: a gateway moves a client's stream away from a healthy engine.  The
+   gateway reads a large configuration for longer than the engine's timeout.
+   The engine answers meanwhile, but the answer is still unread when the
+   timeout expires.  */
+START_TEST (unread_answer_is_read_before_expiry)
 {
   fixture_t f;
-  uv_buf_t byte = uv_buf_init ((char *)"x", 1);
+  uv_buf_t answer = uv_buf_init ((char *)"x", 1);
 
   setup (&f);
-  bound_start (&f.bound, WAIT_MS);
-  ck_assert_int_eq (uv_try_write ((uv_stream_t *)&f.writer, &byte, 1), 1);
-  stay_busy ();
-  turn (&f, WAIT_MS * 3);
+  bound_start (&f.bound, TIMEOUT_MS);
+  ck_assert_int_eq (uv_try_write ((uv_stream_t *)&f.writer, &answer, 1), 1);
+  block_loop ();
+  run_loop_for (&f, TIMEOUT_MS * 3);
   ck_assert_int_eq (f.reads, 1);
-  ck_assert_int_eq (f.fired_unread, 0);
+  ck_assert_int_eq (f.expired_unread, 0);
   teardown (&f);
 }
 END_TEST
 
-/* A peer that says nothing is given up once, about when it was to be.  */
-START_TEST (silence_fires_once)
+/* For a peer that sends nothing, the callback runs once, close to the timeout,
+   and does not run after bound_stop.  */
+START_TEST (silent_peer_expires_once)
 {
   fixture_t f;
 
   setup (&f);
-  bound_start (&f.bound, WAIT_MS);
-  turn (&f, WAIT_MS / 2);
-  ck_assert_int_eq (f.fired, 0);
-  turn (&f, WAIT_MS * 3);
-  ck_assert_int_eq (f.fired, 1);
+  bound_start (&f.bound, TIMEOUT_MS);
+  run_loop_for (&f, TIMEOUT_MS / 2);
+  ck_assert_int_eq (f.expired, 0);
+  run_loop_for (&f, TIMEOUT_MS * 3);
+  ck_assert_int_eq (f.expired, 1);
   bound_start (&f.bound, 0);
   bound_stop (&f.bound);
-  turn (&f, WAIT_MS);
-  ck_assert_int_eq (f.fired, 1);
+  run_loop_for (&f, TIMEOUT_MS);
+  ck_assert_int_eq (f.expired, 1);
   teardown (&f);
 }
 END_TEST
@@ -163,8 +164,8 @@
   Suite *suite = suite_create ("bound");
   TCase *tcase = tcase_create ("bound");
 
-  tcase_add_test (tcase, an_answer_that_lies_unread_is_read_first);
-  tcase_add_test (tcase, silence_fires_once);
+  tcase_add_test (tcase, unread_answer_is_read_before_expiry);
+  tcase_add_test (tcase, silent_peer_expires_once);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -1,4 +1,4 @@
-/* What the platform writes, read; and what it reads, written.  */
+/* Parsing and writing of the platform's rows.  */
 
 #include "platform/platform.h"
 #include "platform/jsonlist.h"
@@ -20,7 +20,7 @@
       "\"limits\":{\"idleTimeoutMs\":15000},\"tenants\":[{\"name\":\"t\","
       "\"apiKeys\":[\"k1\",\"k2\"],\"priority\":2}],\"unheardOf\":1}";
 
-START_TEST (a_configuration_is_read_whole)
+START_TEST (configuration_is_parsed)
 {
   catalog_t *catalog;
 
@@ -57,7 +57,7 @@
 }
 END_TEST
 
-START_TEST (a_spoiled_configuration_is_refused)
+START_TEST (invalid_configuration_is_rejected)
 {
   static const char *const cases[] = {
     "",
@@ -81,7 +81,7 @@
 }
 END_TEST
 
-START_TEST (a_registration_is_read)
+START_TEST (registration_is_parsed)
 {
   const gateway_dialect_t *dialect = platform_dialect ();
   upstream_info_t info;
@@ -105,9 +105,10 @@
 }
 END_TEST
 
-/* Rows by another writer: fields missing or of another type, a state that is
-   not known, bytes that are no JSON.  They name no upstream.  */
-START_TEST (a_spoiled_registration_is_refused)
+/* Failure: an invalid row in the store becomes an upstream.  The rows lack
+   fields, have fields of another type or an unknown state, or are not JSON.
+ */
+START_TEST (invalid_registration_is_rejected)
 {
   static const char *const cases[] = {
     "",
@@ -133,10 +134,10 @@
 }
 END_TEST
 
-START_TEST (orders_are_told_apart)
+START_TEST (operator_rows_are_distinguished)
 {
   const gateway_dialect_t *dialect = platform_dialect ();
-  rollout_spec_t order;
+  rollout_spec_t spec;
   buf_t key = BUF_NULL;
   buf_t value = BUF_NULL;
   void *holder;
@@ -154,13 +155,13 @@
                     OPERATOR_ROW_UNKNOWN);
   ck_assert_int_eq (
       dialect->read_rollout (
-          STR ("{\"service\":\"x\",\"to\":\"v2\",\"withinS\":12}"), &order,
+          STR ("{\"service\":\"x\",\"to\":\"v2\",\"withinS\":12}"), &spec,
           &holder),
       VH_OK);
-  ck_assert_uint_eq (order.within_ms, 12000);
+  ck_assert_uint_eq (spec.within_ms, 12000);
   dialect->free_holder (holder);
   ck_assert_int_ne (
-      dialect->read_rollout (STR ("{\"service\":\"x\"}"), &order, &holder),
+      dialect->read_rollout (STR ("{\"service\":\"x\"}"), &spec, &holder),
       VH_OK);
   dialect->write_rollout_status (STR ("x"), STR ("v2"), ROLLOUT_ROLLED_BACK,
                                  &key, &value);
@@ -172,9 +173,9 @@
 }
 END_TEST
 
-/* Routes are taken out of the text one by one: what stands in strings is no
-   bracket, and every element comes whole.  */
-START_TEST (a_list_is_taken_apart)
+/* Failure: a bracket in a string or in a nested value ends an element of a
+   list too early.  */
+START_TEST (brackets_inside_elements_do_not_split_them)
 {
   static const struct
   {
@@ -208,26 +209,27 @@
 }
 END_TEST
 
-/* A text that is cut or is no JSON ends the search, wherever it is cut.  */
-START_TEST (a_cut_text_ends)
+/* Failure: the search does not end, or reads past the end, in a text that is
+   truncated at any byte or is not JSON.  */
+START_TEST (truncated_list_ends_iteration)
 {
-  static const char whole[]
+  static const char json_text[]
       = "{\"a\":\"x\\\"\",\"list\":[{\"b\":[1,2]},{\"c\":\"]\"}],\"d\":{}}";
 
-  for (size_t len = 0; len < sizeof whole; len++)
+  for (size_t len = 0; len < sizeof json_text; len++)
     {
       str_t list;
       str_t element;
       size_t count = 0;
-      if (!jsonlist_find (str_make (whole, len), STR ("list"), &list))
+      if (!jsonlist_find (str_make (json_text, len), STR ("list"), &list))
         continue;
       str_t rest = jsonlist_inside (list);
       while (jsonlist_next (&rest, &element))
         ck_assert_uint_le (++count, 2);
     }
-  str_t none;
-  ck_assert (!jsonlist_find (STR ("[1]"), STR ("list"), &none));
-  ck_assert (!jsonlist_find (STR ("{\"list\":1}"), STR ("list"), &none));
+  str_t list;
+  ck_assert (!jsonlist_find (STR ("[1]"), STR ("list"), &list));
+  ck_assert (!jsonlist_find (STR ("{\"list\":1}"), STR ("list"), &list));
 }
 END_TEST
 
@@ -237,13 +239,13 @@
   Suite *suite = suite_create ("dialect");
   TCase *tcase = tcase_create ("dialect");
 
-  tcase_add_test (tcase, a_list_is_taken_apart);
-  tcase_add_test (tcase, a_cut_text_ends);
-  tcase_add_test (tcase, a_configuration_is_read_whole);
-  tcase_add_test (tcase, a_spoiled_configuration_is_refused);
-  tcase_add_test (tcase, a_registration_is_read);
-  tcase_add_test (tcase, a_spoiled_registration_is_refused);
-  tcase_add_test (tcase, orders_are_told_apart);
+  tcase_add_test (tcase, brackets_inside_elements_do_not_split_them);
+  tcase_add_test (tcase, truncated_list_ends_iteration);
+  tcase_add_test (tcase, configuration_is_parsed);
+  tcase_add_test (tcase, invalid_configuration_is_rejected);
+  tcase_add_test (tcase, registration_is_parsed);
+  tcase_add_test (tcase, invalid_registration_is_rejected);
+  tcase_add_test (tcase, operator_rows_are_distinguished);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_eventlog.c
+++ b/tests/test_eventlog.c
@@ -1,4 +1,5 @@
-/* Log lines: their form, their budgets, and a reader that stops.  */
+/* Format and rate limits of event log lines, and a reader of the log that
+   stops.  */
 
 #include "base/eventlog.h"
 #include "suite.h"
@@ -9,29 +10,29 @@
 
 enum
 {
-  FLOOD = 2000
+  FLOOD_LINES = 2000
 };
 
-/* Standard output led into a pipe.  */
+/* Standard output is redirected to a pipe.  */
 typedef struct
 {
-  int saved;
-  int read_end;
+  int saved_stdout;
+  int read_fd;
   clock_iface_t *clock;
 } fixture_t;
 
 static void
 setup (fixture_t *f)
 {
-  int ends[2];
+  int pipe_fds[2];
 
   fflush (stdout);
-  ck_assert_int_eq (pipe (ends), 0);
-  f->saved = dup (STDOUT_FILENO);
-  dup2 (ends[1], STDOUT_FILENO);
-  close (ends[1]);
-  f->read_end = ends[0];
-  fcntl (f->read_end, F_SETFL, O_NONBLOCK);
+  ck_assert_int_eq (pipe (pipe_fds), 0);
+  f->saved_stdout = dup (STDOUT_FILENO);
+  dup2 (pipe_fds[1], STDOUT_FILENO);
+  close (pipe_fds[1]);
+  f->read_fd = pipe_fds[0];
+  fcntl (f->read_fd, F_SETFL, O_NONBLOCK);
   f->clock = clock_manual_create (1000);
   eventlog_source (STR ("entry-1"), f->clock);
   eventlog_hold (false);
@@ -42,29 +43,29 @@
 {
   eventlog_hold (false);
   eventlog_flush ();
-  dup2 (f->saved, STDOUT_FILENO);
-  close (f->saved);
-  close (f->read_end);
+  dup2 (f->saved_stdout, STDOUT_FILENO);
+  close (f->saved_stdout);
+  close (f->read_fd);
   eventlog_source (STR (""), NULL);
   clock_manual_destroy (f->clock);
 }
 
 static size_t
-drain (fixture_t *f, char *text, size_t size)
+read_available (fixture_t *f, char *text, size_t size)
 {
   size_t len = 0;
-  ssize_t got;
+  ssize_t bytes_read;
 
   while (len < size - 1
-         && (got = read (f->read_end, text + len, size - 1 - len)) > 0)
-    len += (size_t)got;
+         && (bytes_read = read (f->read_fd, text + len, size - 1 - len)) > 0)
+    len += (size_t)bytes_read;
   text[len] = '\0';
   return len;
 }
 
-/* What a caller chose, an id with blanks and a line's end, stays inside its
-   field.  */
-START_TEST (a_line_is_read_by_a_program)
+/* Failure: an id from a client that contains blanks, quotes and a newline
+   splits the log line or forges fields.  */
+START_TEST (client_text_stays_in_its_field)
 {
   fixture_t f;
   char text[1024];
@@ -73,7 +74,7 @@
   log_event (EVENT_REFUSED, field_text (FIELD_ID, STR ("a b=\"c\"\nx")),
              field_number (FIELD_STATUS, 503),
              field_text (FIELD_REASON, STR ("full")));
-  drain (&f, text, sizeof text);
+  read_available (&f, text, sizeof text);
   teardown (&f);
   ck_assert_str_eq (text,
                     "<6>request: Refused. event=request.refused at=1000.000 "
@@ -82,45 +83,47 @@
 }
 END_TEST
 
-/* A flood of one kind of line: a budget of them comes out, the rest is
-   counted, and a line of another kind is not lost among them.  */
-START_TEST (a_flood_keeps_within_its_budget)
+/* Failure: a flood of one event fills the log.  Lines up to the limit of the
+   event are written, the others are counted, and a line of another event is
+   kept.  */
+START_TEST (flood_of_one_event_is_limited)
 {
   fixture_t f;
   static char text[1 << 20];
   size_t lines = 0;
 
   setup (&f);
-  for (int i = 0; i < FLOOD; i++)
+  for (int i = 0; i < FLOOD_LINES; i++)
     {
       log_event (EVENT_SENT, field_number (FIELD_COUNT, (uint64_t)i));
-      if (i == FLOOD / 2)
+      if (i == FLOOD_LINES / 2)
         log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, STR ("z")));
     }
   clock_manual_advance_us (f.clock, 1000000);
   log_event (EVENT_SENT, field_number (FIELD_COUNT, 0));
-  drain (&f, text, sizeof text);
+  read_available (&f, text, sizeof text);
   teardown (&f);
-  for (const char *at = text; (at = strstr (at, "event=request.sent")) != NULL;
-       at++)
+  for (const char *match = text;
+       (match = strstr (match, "event=request.sent")) != NULL; match++)
     lines++;
   ck_assert_uint_eq (lines, log_event_info (EVENT_SENT)->budget + 1);
   ck_assert_ptr_nonnull (strstr (text, "event=zone.out"));
   ck_assert_ptr_nonnull (strstr (text, "event=log.dropped"));
   char dropped[64];
   snprintf (dropped, sizeof dropped, "kind=request.sent count=%u",
-            FLOOD - log_event_info (EVENT_SENT)->budget);
+            FLOOD_LINES - log_event_info (EVENT_SENT)->budget);
   ck_assert_ptr_nonnull (strstr (text, dropped));
 }
 END_TEST
 
-/* The reader of standard output stops: writing goes on without waiting, what
-   has no room is counted, and lines come again once the reader does.  */
-START_TEST (a_stopped_reader_stops_nothing)
+/* Failure: the reader of standard output stops, and the full pipe blocks the
+   process.  Writes must not block, lines without room are counted, and lines
+   are written again when the reader continues.  */
+START_TEST (stopped_reader_does_not_block_writes)
 {
   fixture_t f;
   static char text[1 << 20];
-  uint64_t before = eventlog_dropped ();
+  uint64_t dropped_before = eventlog_dropped ();
 
   setup (&f);
   for (int second = 0; second < 100; second++)
@@ -130,10 +133,10 @@
                    field_text (FIELD_REASON, STR ("full")));
       clock_manual_advance_us (f.clock, 1000000);
     }
-  uint64_t dropped = eventlog_dropped () - before;
-  ck_assert_uint_gt (drain (&f, text, sizeof text), 4096);
+  uint64_t dropped = eventlog_dropped () - dropped_before;
+  ck_assert_uint_gt (read_available (&f, text, sizeof text), 4096);
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, STR ("z")));
-  drain (&f, text, sizeof text);
+  read_available (&f, text, sizeof text);
   teardown (&f);
   ck_assert_uint_gt (dropped, 1000);
   ck_assert_ptr_nonnull (strstr (text, "event=zone.back"));
@@ -146,9 +149,9 @@
   Suite *suite = suite_create ("eventlog");
   TCase *tcase = tcase_create ("eventlog");
 
-  tcase_add_test (tcase, a_line_is_read_by_a_program);
-  tcase_add_test (tcase, a_flood_keeps_within_its_budget);
-  tcase_add_test (tcase, a_stopped_reader_stops_nothing);
+  tcase_add_test (tcase, client_text_stays_in_its_field);
+  tcase_add_test (tcase, flood_of_one_event_is_limited);
+  tcase_add_test (tcase, stopped_reader_does_not_block_writes);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
