--- a/packages/base/bound.c
+++ b/packages/base/bound.c
@@ -10,53 +10,53 @@
 static void
 on_timer (uv_timer_t *timer)
 {
-  bound_t *bound = timer->data;
+  bound_t *peer_timer = timer->data;
 
-  if (!bound->is_due)
+  if (!peer_timer->awaits_poll)
     {
-      bound->is_due = true;
+      peer_timer->awaits_poll = true;
       uv_timer_start (timer, on_timer, POLL_MS, 0);
       return;
     }
-  bound->is_due = false;
-  bound->cb (bound->arg);
+  peer_timer->awaits_poll = false;
+  peer_timer->cb (peer_timer->arg);
 }
 
 void
-bound_init (bound_t *bound, uv_loop_t *loop, bound_cb_t cb, void *arg)
+bound_init (bound_t *peer_timer, uv_loop_t *loop, bound_cb_t cb, void *arg)
 {
-  uv_timer_init (loop, &bound->timer);
-  bound->timer.data = bound;
-  bound->cb = cb;
-  bound->arg = arg;
-  bound->is_due = false;
-  bound->close_cb = NULL;
+  uv_timer_init (loop, &peer_timer->timer);
+  peer_timer->timer.data = peer_timer;
+  peer_timer->cb = cb;
+  peer_timer->arg = arg;
+  peer_timer->awaits_poll = false;
+  peer_timer->close_cb = NULL;
 }
 
 void
-bound_start (bound_t *bound, uint64_t ms)
+bound_start (bound_t *peer_timer, uint64_t ms)
 {
-  bound->is_due = false;
-  uv_timer_start (&bound->timer, on_timer, ms, 0);
+  peer_timer->awaits_poll = false;
+  uv_timer_start (&peer_timer->timer, on_timer, ms, 0);
 }
 
 void
-bound_stop (bound_t *bound)
+bound_stop (bound_t *peer_timer)
 {
-  uv_timer_stop (&bound->timer);
+  uv_timer_stop (&peer_timer->timer);
 }
 
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  bound_t *bound = handle->data;
+  bound_t *peer_timer = handle->data;
 
-  bound->close_cb (bound->arg);
+  peer_timer->close_cb (peer_timer->arg);
 }
 
 void
-bound_close (bound_t *bound, void (*close_cb) (void *arg))
+bound_close (bound_t *peer_timer, void (*close_cb) (void *arg))
 {
-  bound->close_cb = close_cb;
-  uv_close ((uv_handle_t *)&bound->timer, on_timer_closed);
+  peer_timer->close_cb = close_cb;
+  uv_close ((uv_handle_t *)&peer_timer->timer, on_timer_closed);
 }
--- a/packages/base/bound.h
+++ b/packages/base/bound.h
@@ -1,8 +1,8 @@
-/* Timeout on waiting for a peer.  The callback runs only after the sockets
-   have been read once since the timer was due.
+/* Timer for waits on a peer.  The callback runs only after the sockets have
+   been read once since the timer was due.
 
    libuv runs due timers before it polls the sockets.  If the process was busy
-   or stopped for longer than the timeout, the timer is due while the peer's
+   or stopped for longer than the wait, the timer is due while the peer's
    answer is still unread, and a plain timer would report a healthy peer as
    unresponsive.  With plain timers, a gateway with a tenth of a core that read
    a large configuration closed 517 connections to healthy upstreams in 34 s,
@@ -14,28 +14,30 @@
 #include <stdbool.h>
 #include <uv.h>
 
-typedef struct bound bound_t;
+typedef struct peer_timer bound_t;
 typedef void (*bound_cb_t) (void *arg);
 
 /* Embedded in the struct of its owner.  The members are private.  */
-struct bound
+struct peer_timer
 {
   uv_timer_t timer;
   bound_cb_t cb;
   void *arg;
-  bool is_due; /* The timer was due; the sockets have yet to be polled.  */
+  bool awaits_poll; /* The timer was due, and the sockets are polled next.  */
   void (*close_cb) (void *arg);
 };
 
-/* Initialize BOUND on LOOP.  CB is called with ARG when the timeout expires.
+/* Initialize PEER_TIMER on LOOP.  CB is called with ARG when the timeout
+ * expires.
  */
-void bound_init (bound_t *bound, uv_loop_t *loop, bound_cb_t cb, void *arg);
-/* Start or restart BOUND, to expire MS milliseconds from now.  */
-void bound_start (bound_t *bound, uint64_t ms);
-void bound_stop (bound_t *bound);
-/* Stop BOUND and close its timer.  CLOSE_CB is called with the ARG of
+void bound_init (bound_t *peer_timer, uv_loop_t *loop, bound_cb_t cb,
+                 void *arg);
+/* Start or restart PEER_TIMER, to expire MS milliseconds from now.  */
+void bound_start (bound_t *peer_timer, uint64_t ms);
+void bound_stop (bound_t *peer_timer);
+/* Stop PEER_TIMER and close its timer.  CLOSE_CB is called with the ARG of
    bound_init in a later iteration of the loop; the owner may then release the
-   memory of BOUND.  */
-void bound_close (bound_t *bound, void (*close_cb) (void *arg));
+   memory of PEER_TIMER.  */
+void bound_close (bound_t *peer_timer, void (*close_cb) (void *arg));
 
 #endif
