--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -51,7 +51,7 @@
 static bool
 wanted (const char *name)
 {
-  return str_glob (str_from (pattern), str_from (name));
+  return str_matches_glob (str_from (pattern), str_from (name));
 }
 
 static void
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -242,12 +242,12 @@
   unsigned count = 0;
 
   for (size_t i = 0; pattern_at (i) != NULL; i++)
-    if (str_glob (glob, pattern_at (i)->name))
+    if (str_matches_glob (glob, pattern_at (i)->name))
       {
         bench_pattern (pattern_at (i), seed);
         count++;
       }
-  if (str_glob (glob, STR ("costs")))
+  if (str_matches_glob (glob, STR ("costs")))
     {
       bench_costs (seed);
       count++;
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -712,7 +712,7 @@
         return usage ();
     }
   for (size_t i = 0; i < sizeof parts / sizeof parts[0]; i++)
-    if (str_glob (str_from (pattern), str_from (parts[i].name)))
+    if (str_matches_glob (str_from (pattern), str_from (parts[i].name)))
       parts[i].run ();
   return EXIT_SUCCESS;
 }
--- a/bench/model.c
+++ b/bench/model.c
@@ -429,7 +429,7 @@
 static void
 engine_fill (model_t *m, upstream_t *u)
 {
-  while (!list_empty (&u->waiting)
+  while (!list_is_empty (&u->waiting)
          && u->jobs.count < m->pattern->slots * ENGINE_BATCH)
     {
       request_t *request = CONTAINER_OF (u->waiting.next, request_t, waiting);
--- a/packages/base/bound.c
+++ b/packages/base/bound.c
@@ -10,7 +10,7 @@
 static void
 on_timer (uv_timer_t *timer)
 {
-  bound_t *peer_timer = timer->data;
+  peer_timer_t *peer_timer = timer->data;
 
   if (!peer_timer->awaits_poll)
     {
@@ -23,7 +23,8 @@
 }
 
 void
-bound_init (bound_t *peer_timer, uv_loop_t *loop, bound_cb_t cb, void *arg)
+peer_timer_init (peer_timer_t *peer_timer, uv_loop_t *loop, peer_timer_cb_t cb,
+                 void *arg)
 {
   uv_timer_init (loop, &peer_timer->timer);
   peer_timer->timer.data = peer_timer;
@@ -34,14 +35,14 @@
 }
 
 void
-bound_start (bound_t *peer_timer, uint64_t ms)
+peer_timer_start (peer_timer_t *peer_timer, uint64_t ms)
 {
   peer_timer->awaits_poll = false;
   uv_timer_start (&peer_timer->timer, on_timer, ms, 0);
 }
 
 void
-bound_stop (bound_t *peer_timer)
+peer_timer_stop (peer_timer_t *peer_timer)
 {
   uv_timer_stop (&peer_timer->timer);
 }
@@ -49,13 +50,13 @@
 static void
 on_timer_closed (uv_handle_t *handle)
 {
-  bound_t *peer_timer = handle->data;
+  peer_timer_t *peer_timer = handle->data;
 
   peer_timer->close_cb (peer_timer->arg);
 }
 
 void
-bound_close (bound_t *peer_timer, void (*close_cb) (void *arg))
+peer_timer_close (peer_timer_t *peer_timer, void (*close_cb) (void *arg))
 {
   peer_timer->close_cb = close_cb;
   uv_close ((uv_handle_t *)&peer_timer->timer, on_timer_closed);
--- a/packages/base/bound.h
+++ b/packages/base/bound.h
@@ -14,14 +14,14 @@
 #include <stdbool.h>
 #include <uv.h>
 
-typedef struct peer_timer bound_t;
-typedef void (*bound_cb_t) (void *arg);
+typedef struct peer_timer peer_timer_t;
+typedef void (*peer_timer_cb_t) (void *arg);
 
 /* Embedded in the struct of its owner.  The members are private.  */
 struct peer_timer
 {
   uv_timer_t timer;
-  bound_cb_t cb;
+  peer_timer_cb_t cb;
   void *arg;
   bool awaits_poll; /* The timer was due, and the sockets are polled next.  */
   void (*close_cb) (void *arg);
@@ -30,14 +30,14 @@
 /* Initialize PEER_TIMER on LOOP.  CB is called with ARG when the timeout
  * expires.
  */
-void bound_init (bound_t *peer_timer, uv_loop_t *loop, bound_cb_t cb,
-                 void *arg);
+void peer_timer_init (peer_timer_t *peer_timer, uv_loop_t *loop,
+                      peer_timer_cb_t cb, void *arg);
 /* Start or restart PEER_TIMER, to expire MS milliseconds from now.  */
-void bound_start (bound_t *peer_timer, uint64_t ms);
-void bound_stop (bound_t *peer_timer);
+void peer_timer_start (peer_timer_t *peer_timer, uint64_t ms);
+void peer_timer_stop (peer_timer_t *peer_timer);
 /* Stop PEER_TIMER and close its timer.  CLOSE_CB is called with the ARG of
-   bound_init in a later iteration of the loop; the owner may then release the
-   memory of PEER_TIMER.  */
-void bound_close (bound_t *peer_timer, void (*close_cb) (void *arg));
+   peer_timer_init in a later iteration of the loop; the owner may then release
+   the memory of PEER_TIMER.  */
+void peer_timer_close (peer_timer_t *peer_timer, void (*close_cb) (void *arg));
 
 #endif
--- a/packages/base/clock.h
+++ b/packages/base/clock.h
@@ -23,8 +23,7 @@
   const clock_ops_t *ops;
 };
 
-/* Return the clock of the operating system.  It is static; don't destroy it.
- */
+/* Return the clock of the operating system, which is static.  */
 clock_iface_t *clock_system (void);
 
 /* Create a clock for tests, which changes only by clock_manual_advance_us.
@@ -58,7 +57,7 @@
    state.  The monotonic clock stops while the machine is suspended, so stale
    state would appear fresh after a resume.  */
 static inline uint64_t
-clock_boot_ms (clock_iface_t *clock)
+clock_boottime_ms (clock_iface_t *clock)
 {
   return timespec_us (clock->ops->boottime (clock)) / 1000u;
 }
--- a/packages/base/eventlog.c
+++ b/packages/base/eventlog.c
@@ -83,7 +83,7 @@
 }
 
 const char *
-log_cause (str_t reason)
+log_reason_meaning (str_t reason)
 {
 #define X(name, meaning)                                                      \
   if (str_eq (reason, STR (name)))                                            \
@@ -94,20 +94,20 @@
 }
 
 void
-eventlog_source (str_t process_name, clock_iface_t *clock)
+eventlog_set_source (str_t process_name, clock_iface_t *clock)
 {
   event_log.process_name = process_name;
   event_log.clock = clock;
 }
 
 void
-eventlog_hold (bool is_buffered)
+eventlog_set_buffered (bool is_buffered)
 {
   event_log.is_buffered = is_buffered;
 }
 
 uint64_t
-eventlog_dropped (void)
+eventlog_dropped_lines (void)
 {
   return event_log.dropped;
 }
@@ -141,7 +141,7 @@
       return;
     }
   buf_append_char (out, '"');
-  buf_append_json (out, text);
+  buf_append_json_escaped (out, text);
   buf_append_char (out, '"');
 }
 
@@ -199,8 +199,8 @@
   buf_t name = BUF_NULL;
 
   buf_printf (&name, "%s.%s", info->part, info->name);
-  const log_field_t fields[] = { field_text (FIELD_KIND, buf_str (&name)),
-                                 field_number (FIELD_COUNT, count) };
+  const log_field_t fields[] = { log_field_text (FIELD_KIND, buf_str (&name)),
+                                 log_field_number (FIELD_COUNT, count) };
   append_line (out, EVENT_DROPPED, fields, 2);
   buf_free (&name);
 }
@@ -277,7 +277,7 @@
 }
 
 void
-eventlog_turn (void)
+eventlog_flush_if_due (void)
 {
   if (event_log.buffered.len == 0)
     return;
@@ -290,7 +290,7 @@
 void
 eventlog_write (log_event_t event, const log_field_t *fields, size_t count)
 {
-  if (!log_level_shown (events[event].level))
+  if (!log_level_is_enabled (events[event].level))
     return;
   if (event_log.buffered.len == 0)
     event_log.buffered_since_ms = clock_ms (current_clock ());
--- a/packages/base/eventlog.h
+++ b/packages/base/eventlog.h
@@ -177,7 +177,7 @@
   X ("bad_header", "A header that the request needs is missing or wrong.")
 
 /* Return the meaning of REASON, or NULL if REASON is not in LOG_CAUSES.  */
-const char *log_cause (str_t reason);
+const char *log_reason_meaning (str_t reason);
 
 typedef enum
 {
@@ -204,18 +204,18 @@
 } log_field_t;
 
 static inline log_field_t
-field_text (log_field_name_t name, str_t text)
+log_field_text (log_field_name_t name, str_t text)
 {
   return (log_field_t){ name, true, text, 0 };
 }
 
 static inline log_field_t
-field_number (log_field_name_t name, uint64_t number)
+log_field_number (log_field_name_t name, uint64_t number)
 {
   return (log_field_t){ name, false, STR_NULL, number };
 }
 
-/* Log EVENT with fields that are made by field_text or field_number.  */
+/* Log EVENT with fields from log_field_text and log_field_number.  */
 #define log_event(event, ...)                                                 \
   eventlog_write ((event), (const log_field_t[]){ __VA_ARGS__ },              \
                   sizeof ((const log_field_t[]){ __VA_ARGS__ })               \
@@ -226,19 +226,19 @@
 /* Set the process name for the field `by' of each line, and the clock for time
    stamps.  Both are borrowed.  Until this is called, lines have no field `by',
    and time stamps are from the system clock.  */
-void eventlog_source (str_t process_name, clock_iface_t *clock);
+void eventlog_set_source (str_t process_name, clock_iface_t *clock);
 /* Set whether lines are buffered, so that a single system call writes many
    lines, or written at once (the default).  */
-void eventlog_hold (bool is_buffered);
+void eventlog_set_buffered (bool is_buffered);
 /* Write the buffered lines if 2 KiB are buffered or the oldest line is 100 ms
    old.  To be called at the end of each iteration of the event loop.  */
-void eventlog_turn (void);
+void eventlog_flush_if_due (void);
 /* Write the buffered lines.  Lines for which standard output has no room are
    dropped.  */
 void eventlog_flush (void);
 /* Return the number of lines dropped since the start of the process, by rate
    limits or because standard output had no room.  */
-uint64_t eventlog_dropped (void);
+uint64_t eventlog_dropped_lines (void);
 
 /* Table entry of an event, for the documentation and the command line.  */
 typedef struct
--- a/packages/base/str.h
+++ b/packages/base/str.h
@@ -43,7 +43,7 @@
 }
 
 static inline bool
-str_starts (str_t s, str_t prefix)
+str_starts_with (str_t s, str_t prefix)
 {
   return s.len >= prefix.len
          && (prefix.len == 0 || memcmp (s.ptr, prefix.ptr, prefix.len) == 0);
@@ -74,7 +74,7 @@
 
 /* Return whether S matches GLOB, in which `*' matches any sequence of bytes.
  */
-bool str_glob (str_t glob, str_t s);
+bool str_matches_glob (str_t glob, str_t s);
 
 /* Return a NUL-terminated copy of S, to be released with free.  */
 char *str_dup (str_t s);
@@ -85,7 +85,7 @@
 /* Return the rendezvous hashing weight of node hash A for key hash B.  The key
    is assigned to the node with the highest weight.  */
 static inline uint64_t
-hash_weight (uint64_t a, uint64_t b)
+rendezvous_weight (uint64_t a, uint64_t b)
 {
   uint64_t hash = (a ^ b) * 0x9e3779b97f4a7c15u;
 
@@ -120,7 +120,7 @@
 /* Remove the first LEN bytes, or all if there are fewer.  */
 void buf_consume (buf_t *buf, size_t len);
 /* Append S, escaped for use inside a JSON string, without the quotes.  */
-void buf_append_json (buf_t *buf, str_t s);
+void buf_append_json_escaped (buf_t *buf, str_t s);
 /* Append BYTES in lower-case hexadecimal.  */
 void buf_append_hex (buf_t *buf, const void *bytes, size_t len);
 void buf_free (buf_t *buf);
--- a/packages/base/task.c
+++ b/packages/base/task.c
@@ -26,13 +26,13 @@
   /* Detach the queue first, so that messages posted during delivery are
      delivered in the next iteration of the loop.  */
   list_init (&batch);
-  while (!list_empty (&mailbox->queue))
+  while (!list_is_empty (&mailbox->queue))
     {
       list_t *node = mailbox->queue.next;
       list_remove (node);
       list_append (&batch, node);
     }
-  while (!list_empty (&batch))
+  while (!list_is_empty (&batch))
     {
       message_t *message = CONTAINER_OF (batch.next, message_t, link);
       list_remove (&message->link);
@@ -66,7 +66,7 @@
 {
   if (mailbox == NULL)
     return;
-  while (!list_empty (&mailbox->queue))
+  while (!list_is_empty (&mailbox->queue))
     {
       message_t *message = CONTAINER_OF (mailbox->queue.next, message_t, link);
       list_remove (&message->link);
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -558,7 +558,7 @@
 void
 learn_destroy (entry_t *entry)
 {
-  while (!list_empty (&entry->rollouts))
+  while (!list_is_empty (&entry->rollouts))
     {
       learn_rollout_t *rollout
           = CONTAINER_OF (entry->rollouts.next, learn_rollout_t, link);
@@ -626,7 +626,7 @@
           (unsigned long long)(rollout != NULL
                                    ? rollout_exposed_count (rollout->run)
                                    : 0));
-      buf_append_json (out, buf_str (&reason));
+      buf_append_json_escaped (out, buf_str (&reason));
       buf_printf (out, "\"}");
       buf_free (&reason);
       first = false;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -49,7 +49,7 @@
   size_t model_index;        /* Index into the models of the route.  */
   uint32_t first_confidence; /* Confidence of the smallest model of the route;
                                 valid if MODEL_INDEX > 0.  */
-  bound_t timer;             /* Timer of the next timeout, probe, poll or
+  peer_timer_t timer;        /* Timer of the next timeout, probe, poll or
                                 deadline.  */
 
   /* State of the current send.  */
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -70,11 +70,11 @@
       || numbers[0] != trial_order (trial))
     return;
   trial_set_progress (trial, numbers[1], (uint32_t)numbers[2], numbers[3]);
-  log_event (EVENT_ROLLOUT_STEP, field_text (FIELD_SERVICE, service),
-             field_text (FIELD_VERSION, trial_version (trial)),
-             field_number (FIELD_STEP, numbers[2]),
-             field_number (FIELD_FROM, numbers[3]),
-             field_text (FIELD_PHASE, phase_name));
+  log_event (EVENT_ROLLOUT_STEP, log_field_text (FIELD_SERVICE, service),
+             log_field_text (FIELD_VERSION, trial_version (trial)),
+             log_field_number (FIELD_STEP, numbers[2]),
+             log_field_number (FIELD_FROM, numbers[3]),
+             log_field_text (FIELD_PHASE, phase_name));
   /* The phase `running' in the row does not override a decision of this
      gateway that is not written yet.  */
   bool is_final = false;
@@ -124,8 +124,8 @@
 
   if (code != VH_OK)
     {
-      log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, row->key),
-                 field_number (FIELD_CODE, code));
+      log_event (EVENT_ROLLOUT_BAD, log_field_text (FIELD_KEY, row->key),
+                 log_field_number (FIELD_CODE, code));
       return;
     }
   trial_t *trial = map_get (belief->trials, order.service);
@@ -145,10 +145,10 @@
       trial_set_order_seen_ms (
           trial, table_sync_store_now_ms (belief->operator_rows));
       map_put (belief->trials, order.service, trial);
-      log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
-                 field_text (FIELD_VERSION, order.version),
-                 field_number (FIELD_WITHIN_MS, order.within_ms),
-                 field_number (FIELD_ORDER, row->version));
+      log_event (EVENT_ROLLOUT, log_field_text (FIELD_SERVICE, order.service),
+                 log_field_text (FIELD_VERSION, order.version),
+                 log_field_number (FIELD_WITHIN_MS, order.within_ms),
+                 log_field_number (FIELD_ORDER, row->version));
       apply_state_row (rollouts, order.service);
     }
   belief->dialect->free_holder (holder);
@@ -167,8 +167,8 @@
   trial_t *trial = map_get (rollouts->belief->trials, service);
   if (trial != NULL && !str_eq (gateway, rollouts->belief->options.name)
       && trial_merge (trial, gateway, is_direct, text) != VH_OK)
-    log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, key),
-               field_number (FIELD_CODE, VH_E_PROTOCOL));
+    log_event (EVENT_ROLLOUT_BAD, log_field_text (FIELD_KEY, key),
+               log_field_number (FIELD_CODE, VH_E_PROTOCOL));
 }
 
 static void
@@ -185,7 +185,7 @@
   (void)result;
   rollouts->is_commit_pending = false;
   if (code != VH_OK && code != VH_E_CONFLICT)
-    log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
+    log_event (EVENT_ROLLOUT_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 /* Return whether this gateway gets the evidence of others, and so decides on
@@ -264,7 +264,7 @@
   (void)arg;
   (void)result;
   if (code != VH_OK)
-    log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
+    log_event (EVENT_ROLLOUT_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 static void
@@ -347,11 +347,11 @@
     case TRIAL_FINISH:
       trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
                                                       : TRIAL_ROLLED_BACK);
-      log_event (EVENT_ROLLOUT_END, field_text (FIELD_SERVICE, service),
-                 field_text (FIELD_VERSION, trial_version (trial)),
-                 field_text (FIELD_PHASE, str_from (trial_phase_name (
-                                              trial_phase (trial)))),
-                 field_text (FIELD_WHY, buf_str (&reason)));
+      log_event (EVENT_ROLLOUT_END, log_field_text (FIELD_SERVICE, service),
+                 log_field_text (FIELD_VERSION, trial_version (trial)),
+                 log_field_text (FIELD_PHASE, str_from (trial_phase_name (
+                                                  trial_phase (trial)))),
+                 log_field_text (FIELD_WHY, buf_str (&reason)));
       break;
     }
   buf_free (&reason);
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -596,7 +596,7 @@
       const series_t *s = contributors[i].series;
       buf_printf (out, "%s{\"split\":\"%s\",\"name\":\"", i > 0 ? "," : "",
                   split_names[s->split]);
-      buf_append_json (out, str_from (s->name));
+      buf_append_json_escaped (out, str_from (s->name));
       buf_printf (out, "\",");
       append_json_rates (contributors[i].rates, out);
       buf_append_char (out, '}');
@@ -613,9 +613,9 @@
     {
       const char *comma = "";
       buf_printf (out, "%s{\"name\":\"", i > 0 ? "," : "");
-      buf_append_json (out, b->objectives[i].settings.name);
+      buf_append_json_escaped (out, b->objectives[i].settings.name);
       buf_printf (out, "\",\"team\":\"");
-      buf_append_json (out, b->objectives[i].settings.team);
+      buf_append_json_escaped (out, b->objectives[i].settings.team);
       buf_printf (out, "\",\"kinds\":[");
       for (int kind = 0; kind < BURN_KIND_COUNT; kind++)
         {
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -501,9 +501,9 @@
   *highest = args->fence;
   buf_t body = BUF_NULL;
   buf_printf (&body, "{\"order\":\"");
-  buf_append_json (&body, str_from (args->kind));
+  buf_append_json_escaped (&body, str_from (args->kind));
   buf_printf (&body, "\",\"subject\":\"");
-  buf_append_json (&body, subject);
+  buf_append_json_escaped (&body, subject);
   buf_printf (&body, "\",\"fence\":%llu}", (unsigned long long)args->fence);
   const httpc_header_t type
       = { STR ("content-type"), STR ("application/json") };
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -55,7 +55,7 @@
 static bool
 is_orphan (const attempt_t *attempt, uint64_t now_ms)
 {
-  return attempt->idempotent && list_empty (&attempt->fetchers)
+  return attempt->idempotent && list_is_empty (&attempt->fetchers)
          && now_ms - attempt->touched_ms >= ORPHAN_MS;
 }
 
@@ -201,7 +201,7 @@
 bool
 sidecar_idle (const sidecar_t *sidecar)
 {
-  return list_empty (attempts_live (sidecar->attempts));
+  return list_is_empty (attempts_live (sidecar->attempts));
 }
 
 static void
--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -495,7 +495,7 @@
 {
   http_t *http = (http_t *)platform;
 
-  while (!list_empty (&http->calls))
+  while (!list_is_empty (&http->calls))
     {
       call_t *call = CONTAINER_OF (http->calls.next, call_t, link);
       if (call->out != NULL)
--- a/packages/storage/table.c
+++ b/packages/storage/table.c
@@ -310,12 +310,13 @@
   /* AFTER excludes a row of that very key; the bare prefix does not.  */
   if (past_prefix && after.len == 0 && prefix.len == 0)
     node = table->head->next[0];
-  while (node != NULL && count < limit && str_starts (node_key (node), prefix))
+  while (node != NULL && count < limit
+         && str_starts_with (node_key (node), prefix))
     {
       rows[count++] = node_row (node);
       node = node->next[0];
     }
-  *more = node != NULL && str_starts (node_key (node), prefix);
+  *more = node != NULL && str_starts_with (node_key (node), prefix);
   return count;
 }
 
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -29,7 +29,7 @@
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
-  bound_t connecting;
+  peer_timer_t connecting;
   unsigned open_handles;
   call_events_t events;
   void *arg;
@@ -72,7 +72,7 @@
   if (call->closed)
     return;
   call->closed = true;
-  bound_close (&call->connecting, on_part_closed);
+  peer_timer_close (&call->connecting, on_part_closed);
   uv_close ((uv_handle_t *)&call->tcp, on_closed);
 }
 
@@ -295,7 +295,7 @@
       finish (call, VH_E_CONNECT);
       return;
     }
-  bound_stop (&call->connecting);
+  peer_timer_stop (&call->connecting);
   call->connected = true;
   uv_tcp_nodelay (&call->tcp, 1);
   if (!call->paused)
@@ -333,16 +333,16 @@
   call->request = *request;
   *request = BUF_NULL;
   uv_tcp_init (loop, &call->tcp);
-  bound_init (&call->connecting, loop, on_connect_timeout, call);
+  peer_timer_init (&call->connecting, loop, on_connect_timeout, call);
   call->tcp.data = call;
   call->connect.data = call;
   call->open_handles = 2;
-  bound_start (&call->connecting, connect_ms);
+  peer_timer_start (&call->connecting, connect_ms);
   int status = uv_tcp_connect (&call->connect, &call->tcp,
                                (struct sockaddr *)&addr, on_connected);
   /* Told on a later turn, as every event: by the bound that is there.  */
   if (status != 0)
-    bound_start (&call->connecting, 0);
+    peer_timer_start (&call->connecting, 0);
   return call;
 }
 
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -143,7 +143,7 @@
 {
   size_t count = peer->call_count;
 
-  while (count-- > 0 && !list_empty (&peer->calls))
+  while (count-- > 0 && !list_is_empty (&peer->calls))
     {
       rpc_call_t *call = CONTAINER_OF (peer->calls.next, rpc_call_t, link);
       finish_call (call, call->sent > 0 ? VH_E_CLOSED : VH_E_CONNECT, NULL);
@@ -374,7 +374,7 @@
      the peer itself, or of its neighbour in a sweep.  */
   peer->destroyed = true;
   leave_link (peer);
-  while (!list_empty (&peer->calls))
+  while (!list_is_empty (&peer->calls))
     finish_call (CONTAINER_OF (peer->calls.next, rpc_call_t, link),
                  VH_E_CANCELLED, NULL);
 }
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -593,7 +593,8 @@
       str_t line = str_cut (rest, '\n', &rest);
       const char *space = memrchr (line.ptr, ' ', line.len);
       double value;
-      if (!str_starts (line, want) || line.len == want.len || space == NULL
+      if (!str_starts_with (line, want) || line.len == want.len
+          || space == NULL
           || (line.ptr[want.len] != ' ' && line.ptr[want.len] != '{')
           || !str_to_double (
               str_make (space + 1, (size_t)(line.ptr + line.len - space - 1)),
--- a/tests/loop_wait.h
+++ b/tests/loop_wait.h
@@ -60,7 +60,7 @@
 
 /* Run the loop of WAIT for MS milliseconds.  */
 static inline void
-loop_wait_pass (loop_wait_t *wait, uint64_t ms)
+loop_wait_for_ms (loop_wait_t *wait, uint64_t ms)
 {
   uint64_t end_ms = uv_now (wait->loop) + ms;
 
--- a/tests/test_bound.c
+++ b/tests/test_bound.c
@@ -17,7 +17,7 @@
   uv_pipe_t reader;
   uv_pipe_t writer;
   uv_write_t write;
-  bound_t peer_timer;
+  peer_timer_t peer_timer;
   int expired;
   int expired_unread; /* Expiries before the bytes were read.  */
   int reads;
@@ -59,7 +59,7 @@
   if (bytes_read <= 0)
     return;
   f->reads++;
-  bound_stop (&f->peer_timer);
+  peer_timer_stop (&f->peer_timer);
 }
 
 static void
@@ -76,13 +76,13 @@
   uv_pipe_open (&f->writer, pipe_fds[1]);
   f->reader.data = f;
   uv_read_start ((uv_stream_t *)&f->reader, on_alloc, on_read);
-  bound_init (&f->peer_timer, &f->loop, on_expired, f);
+  peer_timer_init (&f->peer_timer, &f->loop, on_expired, f);
 }
 
 static void
 teardown (fixture_t *f)
 {
-  bound_close (&f->peer_timer, on_closed);
+  peer_timer_close (&f->peer_timer, on_closed);
   uv_close ((uv_handle_t *)&f->reader, NULL);
   uv_close ((uv_handle_t *)&f->writer, NULL);
   uv_run (&f->loop, UV_RUN_DEFAULT);
@@ -128,7 +128,7 @@
   uv_buf_t answer = uv_buf_init ((char *)"x", 1);
 
   setup (&f);
-  bound_start (&f.peer_timer, TIMEOUT_MS);
+  peer_timer_start (&f.peer_timer, TIMEOUT_MS);
   ck_assert_int_eq (uv_try_write ((uv_stream_t *)&f.writer, &answer, 1), 1);
   block_loop ();
   run_loop_for (&f, TIMEOUT_MS * 3);
@@ -139,19 +139,19 @@
 END_TEST
 
 /* For a peer that sends nothing, the callback runs once, close to the timeout,
-   and does not run after bound_stop.  */
+   and does not run after peer_timer_stop.  */
 START_TEST (silent_peer_expires_once)
 {
   fixture_t f;
 
   setup (&f);
-  bound_start (&f.peer_timer, TIMEOUT_MS);
+  peer_timer_start (&f.peer_timer, TIMEOUT_MS);
   run_loop_for (&f, TIMEOUT_MS / 2);
   ck_assert_int_eq (f.expired, 0);
   run_loop_for (&f, TIMEOUT_MS * 3);
   ck_assert_int_eq (f.expired, 1);
-  bound_start (&f.peer_timer, 0);
-  bound_stop (&f.peer_timer);
+  peer_timer_start (&f.peer_timer, 0);
+  peer_timer_stop (&f.peer_timer);
   run_loop_for (&f, TIMEOUT_MS);
   ck_assert_int_eq (f.expired, 1);
   teardown (&f);
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -196,7 +196,7 @@
       str_t element;
       ck_assert (
           jsonlist_find (str_from (cases[i].text), STR ("list"), &list));
-      str_t rest = jsonlist_inside (list);
+      str_t rest = jsonlist_elements (list);
       for (size_t j = 0; j < 4 && cases[i].elements[j] != NULL; j++)
         {
           ck_assert (jsonlist_next (&rest, &element));
@@ -223,7 +223,7 @@
       size_t count = 0;
       if (!jsonlist_find (str_make (json_text, len), STR ("list"), &list))
         continue;
-      str_t rest = jsonlist_inside (list);
+      str_t rest = jsonlist_elements (list);
       while (jsonlist_next (&rest, &element))
         ck_assert_uint_le (++count, 2);
     }
--- a/tests/test_eventlog.c
+++ b/tests/test_eventlog.c
@@ -34,19 +34,19 @@
   f->read_fd = pipe_fds[0];
   fcntl (f->read_fd, F_SETFL, O_NONBLOCK);
   f->clock = clock_manual_create (1000);
-  eventlog_source (STR ("entry-1"), f->clock);
-  eventlog_hold (false);
+  eventlog_set_source (STR ("entry-1"), f->clock);
+  eventlog_set_buffered (false);
 }
 
 static void
 teardown (fixture_t *f)
 {
-  eventlog_hold (false);
+  eventlog_set_buffered (false);
   eventlog_flush ();
   dup2 (f->saved_stdout, STDOUT_FILENO);
   close (f->saved_stdout);
   close (f->read_fd);
-  eventlog_source (STR (""), NULL);
+  eventlog_set_source (STR (""), NULL);
   clock_manual_destroy (f->clock);
 }
 
@@ -71,9 +71,9 @@
   char text[1024];
 
   setup (&f);
-  log_event (EVENT_REFUSED, field_text (FIELD_ID, STR ("a b=\"c\"\nx")),
-             field_number (FIELD_STATUS, 503),
-             field_text (FIELD_REASON, STR ("full")));
+  log_event (EVENT_REFUSED, log_field_text (FIELD_ID, STR ("a b=\"c\"\nx")),
+             log_field_number (FIELD_STATUS, 503),
+             log_field_text (FIELD_REASON, STR ("full")));
   read_available (&f, text, sizeof text);
   teardown (&f);
   ck_assert_str_eq (text,
@@ -95,12 +95,12 @@
   setup (&f);
   for (int i = 0; i < FLOOD_LINES; i++)
     {
-      log_event (EVENT_SENT, field_number (FIELD_COUNT, (uint64_t)i));
+      log_event (EVENT_SENT, log_field_number (FIELD_COUNT, (uint64_t)i));
       if (i == FLOOD_LINES / 2)
-        log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, STR ("z")));
+        log_event (EVENT_ZONE_OUT, log_field_text (FIELD_ZONE, STR ("z")));
     }
   clock_manual_advance_us (f.clock, 1000000);
-  log_event (EVENT_SENT, field_number (FIELD_COUNT, 0));
+  log_event (EVENT_SENT, log_field_number (FIELD_COUNT, 0));
   read_available (&f, text, sizeof text);
   teardown (&f);
   for (const char *match = text;
@@ -123,19 +123,19 @@
 {
   fixture_t f;
   static char text[1 << 20];
-  uint64_t dropped_before = eventlog_dropped ();
+  uint64_t dropped_before = eventlog_dropped_lines ();
 
   setup (&f);
   for (int second = 0; second < 100; second++)
     {
       for (int i = 0; i < 100; i++)
-        log_event (EVENT_REFUSED, field_text (FIELD_ID, STR ("a")),
-                   field_text (FIELD_REASON, STR ("full")));
+        log_event (EVENT_REFUSED, log_field_text (FIELD_ID, STR ("a")),
+                   log_field_text (FIELD_REASON, STR ("full")));
       clock_manual_advance_us (f.clock, 1000000);
     }
-  uint64_t dropped = eventlog_dropped () - dropped_before;
+  uint64_t dropped = eventlog_dropped_lines () - dropped_before;
   ck_assert_uint_gt (read_available (&f, text, sizeof text), 4096);
-  log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, STR ("z")));
+  log_event (EVENT_ZONE_BACK, log_field_text (FIELD_ZONE, STR ("z")));
   read_available (&f, text, sizeof text);
   teardown (&f);
   ck_assert_uint_gt (dropped, 1000);
