--- a/packages/base/eventlog.c
+++ b/packages/base/eventlog.c
@@ -23,11 +23,11 @@
 #define LEVEL_PREFIX_INFO "<6>"
 
 static const log_event_info_t events[] = {
-#define X(symbol, part, name, level, budget, sentence)                        \
+#define X(symbol, part, name, level, lines_per_s_max, sentence)               \
   { part,                                                                     \
     name,                                                                     \
     LOG_LEVEL_##level,                                                        \
-    budget,                                                                   \
+    lines_per_s_max,                                                          \
     sentence,                                                                 \
     LEVEL_PREFIX_##level part ": " sentence ". event=" part "." name          \
                               " at=" },
@@ -220,7 +220,7 @@
         append_dropped_count (out, event, limit->dropped);
       *limit = (rate_limit_t){ .second = second };
     }
-  if (limit->lines >= events[event].budget)
+  if (limit->lines >= events[event].lines_per_s_max)
     {
       limit->dropped++;
       event_log.dropped++;
--- a/packages/base/eventlog.h
+++ b/packages/base/eventlog.h
@@ -181,7 +181,7 @@
 
 typedef enum
 {
-#define X(symbol, part, name, level, budget, sentence) symbol,
+#define X(symbol, part, name, level, lines_per_s_max, sentence) symbol,
   LOG_EVENTS (X)
 #undef X
       LOG_EVENT_COUNT
@@ -246,7 +246,7 @@
   const char *part;
   const char *name;
   log_level_t level;
-  uint32_t budget;
+  uint32_t lines_per_s_max;
   const char *sentence;
   const char *prefix; /* Start of each line of the event, up to its time.  */
 } log_event_info_t;
--- a/packages/cli/explain.c
+++ b/packages/cli/explain.c
@@ -335,7 +335,7 @@
     {
       const log_event_info_t *info = log_event_info ((log_event_t)i);
       printf ("| `%s.%s` | %d | %u | %s |\n", info->part, info->name,
-              (int)info->level, info->budget, info->sentence);
+              (int)info->level, info->lines_per_s_max, info->sentence);
     }
   puts ("\n## Fields\n\n| field | meaning |\n|---|---|");
   for (int i = 0; i < LOG_FIELD_COUNT; i++)
--- a/tests/test_eventlog.c
+++ b/tests/test_eventlog.c
@@ -106,12 +106,12 @@
   for (const char *match = text;
        (match = strstr (match, "event=request.sent")) != NULL; match++)
     lines++;
-  ck_assert_uint_eq (lines, log_event_info (EVENT_SENT)->budget + 1);
+  ck_assert_uint_eq (lines, log_event_info (EVENT_SENT)->lines_per_s_max + 1);
   ck_assert_ptr_nonnull (strstr (text, "event=zone.out"));
   ck_assert_ptr_nonnull (strstr (text, "event=log.dropped"));
   char dropped[64];
   snprintf (dropped, sizeof dropped, "kind=request.sent count=%u",
-            FLOOD_LINES - log_event_info (EVENT_SENT)->budget);
+            FLOOD_LINES - log_event_info (EVENT_SENT)->lines_per_s_max);
   ck_assert_ptr_nonnull (strstr (text, dropped));
 }
 END_TEST
