--- a/packages/base/bound.c
+++ b/packages/base/peertimer.c
@@ -1,4 +1,4 @@
-#include "base/bound.h"
+#include "base/peertimer.h"
 
 enum
 {
--- a/packages/base/bound.h
+++ b/packages/base/peertimer.h
@@ -8,8 +8,8 @@
    a large configuration closed 517 connections to healthy upstreams in 34 s,
    and considered one of these upstreams lost, with all its streams.  */
 
-#ifndef BASE_BOUND_H
-#define BASE_BOUND_H
+#ifndef BASE_PEERTIMER_H
+#define BASE_PEERTIMER_H
 
 #include <stdbool.h>
 #include <uv.h>
--- a/packages/gateway/prober.c
+++ b/packages/gateway/prober.c
@@ -1,7 +1,7 @@
 #include "gateway/prober.h"
 
-#include "base/bound.h"
 #include "base/mem.h"
+#include "base/peertimer.h"
 #include "wire/addr.h"
 
 #include <stdlib.h>
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -14,8 +14,8 @@
 
 #include "gateway/gatewayint.h"
 
-#include "base/bound.h"
 #include "base/eventlog.h"
+#include "base/peertimer.h"
 #include "gateway/sse_filter.h"
 #include "gateway/request_attrsint.h"
 #include "wire/call.h"
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -1,7 +1,7 @@
 #include "wire/call.h"
 
-#include "base/bound.h"
 #include "base/mem.h"
+#include "base/peertimer.h"
 #include "wire/addr.h"
 #include "wire/picohttp.h"
 
--- a/tests/test_bound.c
+++ b/tests/test_bound.c
@@ -1,6 +1,6 @@
 /* Timers for waits on a peer, in a process that is itself busy.  */
 
-#include "base/bound.h"
+#include "base/peertimer.h"
 #include "suite.h"
 
 #include <time.h>
