--- a/packages/base/eventlog.c
+++ b/packages/base/eventlog.c
@@ -52,14 +52,15 @@
   uint32_t dropped;
 } rate_limit_t;
 
-/* Global, as a process has one standard output.  */
+/* Global state, because a process has a single standard output.  */
 static struct
 {
   str_t process_name;
   clock_iface_t *clock;
   bool is_buffered;
   buf_t buffered;
-  uint64_t buffered_since_ms; /* Time of the oldest buffered line.  */
+  uint64_t buffered_since_ms; /* Time at which the oldest buffered line was
+                                 logged; valid if BUFFERED is not empty.  */
   rate_limit_t rate_limits[LOG_EVENT_COUNT];
   uint64_t dropped;
 } event_log;
@@ -128,8 +129,9 @@
   return text.len == 0;
 }
 
-/* Append TEXT as a value, quoted if needed.  TEXT may come from a client, and
-   must neither split the line nor look like further fields.  */
+/* Append TEXT as a value, truncated to VALUE_BYTES_MAX and quoted if needed.
+   TEXT may come from a client, and must neither split the line nor look like
+   further fields.  */
 static void
 append_value (buf_t *out, str_t text)
 {
@@ -263,16 +265,16 @@
     {
       struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
       size_t len = next_write_len ();
-      ssize_t done = -1;
+      ssize_t written = -1;
       if (poll (&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0)
-        done = write (STDOUT_FILENO, event_log.buffered.ptr, len);
-      if (done <= 0)
+        written = write (STDOUT_FILENO, event_log.buffered.ptr, len);
+      if (written <= 0)
         {
           event_log.dropped += count_lines (event_log.buffered.len);
           event_log.buffered.len = 0;
           return;
         }
-      buf_consume (&event_log.buffered, (size_t)done);
+      buf_consume (&event_log.buffered, (size_t)written);
     }
 }
 
--- a/packages/base/eventlog.h
+++ b/packages/base/eventlog.h
@@ -15,8 +15,7 @@
      flood of one event therefore shows in the log and hides no other event.
    - Blocked reader: lines are written only if poll reports room for a block of
      4096 bytes in the pipe.  Otherwise a full pipe would block the event loop,
-     and with it every request.  Lines without room are dropped and counted.
- */
+     and with it every request.  The other lines are dropped and counted.  */
 
 #ifndef BASE_EVENTLOG_H
 #define BASE_EVENTLOG_H
@@ -224,11 +223,12 @@
                      size_t count);
 
 /* Set the process name for the field `by' of each line, and the clock for time
-   stamps.  Both are borrowed.  Until this is called, lines have no field `by',
-   and time stamps are from the system clock.  */
+   stamps.  Both are borrowed.  Before the first call, lines have no field
+   `by', and time stamps are from the system clock.  */
 void eventlog_set_source (str_t process_name, clock_iface_t *clock);
 /* Set whether lines are buffered, so that a single system call writes many
-   lines, or written at once (the default).  */
+   lines, or written at once (the default).  Buffered lines are written by the
+   flush functions, and when more than 64 KiB are buffered.  */
 void eventlog_set_buffered (bool is_buffered);
 /* Write the buffered lines if 2 KiB are buffered or the oldest line is 100 ms
    old.  To be called at the end of each iteration of the event loop.  */
--- a/packages/base/mem.h
+++ b/packages/base/mem.h
@@ -1,6 +1,6 @@
 /* Memory allocation that aborts the process on failure, and intrusive lists.
 
-   A gateway without memory cannot handle its requests correctly, so the
+   A gateway that is out of memory cannot handle its requests correctly, so the
    process aborts and other gateways take over.  Sizes that a client or a peer
    chooses must be checked against a limit before an allocation.  */
 
@@ -10,11 +10,9 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Return SIZE bytes, to be released with free.  Abort if there is no memory.
- */
+/* Return SIZE bytes, to be released with free.  Abort on failure.  */
 void *mem_alloc (size_t size);
-/* Return SIZE zeroed bytes, to be released with free.  Abort if there is no
-   memory.  */
+/* Return SIZE zeroed bytes, to be released with free.  Abort on failure.  */
 void *mem_zalloc (size_t size);
 void *mem_realloc (void *ptr, size_t size);
 
--- a/packages/base/peertimer.h
+++ b/packages/base/peertimer.h
@@ -27,9 +27,7 @@
   void (*close_cb) (void *arg);
 };
 
-/* Initialize PEER_TIMER on LOOP.  CB is called with ARG when the timeout
- * expires.
- */
+/* Initialize PEER_TIMER on LOOP.  CB is called with ARG on expiry.  */
 void peer_timer_init (peer_timer_t *peer_timer, uv_loop_t *loop,
                       peer_timer_cb_t cb, void *arg);
 /* Start or restart PEER_TIMER, to expire MS milliseconds from now.  */
--- a/packages/base/str.h
+++ b/packages/base/str.h
@@ -63,17 +63,16 @@
    part after SEP.  If S has no SEP, return S and set *REST to STR_NULL.  */
 str_t str_cut (str_t s, char sep, str_t *rest);
 
-/* Parse S, which must consist of decimal digits only.  Return false, with
- *VALUE unchanged, if S does not or if the number overflows.  */
+/* Parse S, a number in decimal digits only.  If S has other bytes or the
+   number overflows, return false and leave *VALUE unchanged.  */
 bool str_to_u64 (str_t s, uint64_t *value);
 
-/* Parse S, which must be a number as strtod reads, without leading blanks and
-   shorter than 64 bytes.  Return false, with *VALUE unchanged, if S is not.
-   */
+/* Parse S, a number in the syntax of strtod, without leading blanks and
+   shorter than 64 bytes.  Otherwise return false and leave *VALUE unchanged.
+ */
 bool str_to_double (str_t s, double *value);
 
-/* Return whether S matches GLOB, in which `*' matches any sequence of bytes.
- */
+/* Return whether S matches GLOB, in which `*' matches any bytes, or none.  */
 bool str_matches_glob (str_t glob, str_t s);
 
 /* Return a NUL-terminated copy of S, to be released with free.  */
--- a/tests/loop_wait.h
+++ b/tests/loop_wait.h
@@ -25,8 +25,7 @@
   wait->timer.data = wait;
 }
 
-/* Close the timer.  WAIT must stay valid until the loop has closed the timer.
- */
+/* Close the timer.  WAIT must stay valid until the loop closes the handle.  */
 static inline void
 loop_wait_close (loop_wait_t *wait)
 {
@@ -46,8 +45,7 @@
   uv_timer_start (&wait->timer, loop_wait_on_timer, wait->limit_ms, 0);
 }
 
-/* Run the loop of WAIT until COND holds.  Fail the test after the time limit.
- */
+/* Run the loop of WAIT until COND holds; fail the test on a timeout.  */
 #define LOOP_WAIT(wait, cond)                                                 \
   do                                                                          \
     {                                                                         \
--- a/tests/test_bound.c
+++ b/tests/test_bound.c
@@ -18,8 +18,8 @@
   uv_pipe_t writer;
   uv_write_t write;
   peer_timer_t peer_timer;
-  int expired;
-  int expired_unread; /* Expiries before the bytes were read.  */
+  int expiries;
+  int expiries_before_read; /* Expiries while bytes were unread.  */
   int reads;
   int closed;
 } fixture_t;
@@ -29,9 +29,9 @@
 {
   fixture_t *f = arg;
 
-  f->expired++;
+  f->expiries++;
   if (f->reads == 0)
-    f->expired_unread++;
+    f->expiries_before_read++;
 }
 
 static void
@@ -133,7 +133,7 @@
   block_loop ();
   run_loop_for (&f, TIMEOUT_MS * 3);
   ck_assert_int_eq (f.reads, 1);
-  ck_assert_int_eq (f.expired_unread, 0);
+  ck_assert_int_eq (f.expiries_before_read, 0);
   teardown (&f);
 }
 END_TEST
@@ -147,13 +147,13 @@
   setup (&f);
   peer_timer_start (&f.peer_timer, TIMEOUT_MS);
   run_loop_for (&f, TIMEOUT_MS / 2);
-  ck_assert_int_eq (f.expired, 0);
+  ck_assert_int_eq (f.expiries, 0);
   run_loop_for (&f, TIMEOUT_MS * 3);
-  ck_assert_int_eq (f.expired, 1);
+  ck_assert_int_eq (f.expiries, 1);
   peer_timer_start (&f.peer_timer, 0);
   peer_timer_stop (&f.peer_timer);
   run_loop_for (&f, TIMEOUT_MS);
-  ck_assert_int_eq (f.expired, 1);
+  ck_assert_int_eq (f.expiries, 1);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -106,8 +106,8 @@
 END_TEST
 
 /* Failure: an invalid row in the store becomes an upstream.  The rows lack
-   fields, have fields of another type or an unknown state, or are not JSON.
- */
+   fields, have fields of the wrong type or an unknown state, or are not
+   JSON.  */
 START_TEST (invalid_registration_is_rejected)
 {
   static const char *const cases[] = {
