--- a/packages/base/map.c
+++ b/packages/base/map.c
@@ -123,8 +123,8 @@
   for (size_t i = (hole + 1) & mask; map->slots[i].key != NULL;
        i = (i + 1) & mask)
     {
-      size_t preferred = map->slots[i].hash & mask;
-      if (((i - preferred) & mask) < ((i - hole) & mask))
+      size_t first_probe = map->slots[i].hash & mask;
+      if (((i - first_probe) & mask) < ((i - hole) & mask))
         continue;
       map->slots[hole] = map->slots[i];
       hole = i;
--- a/packages/base/str.h
+++ b/packages/base/str.h
@@ -68,8 +68,8 @@
 bool str_to_u64 (str_t s, uint64_t *value);
 
 /* Parse S, a number in the syntax of strtod, without leading blanks and
-   shorter than 64 bytes.  Otherwise return false and leave *VALUE unchanged.
- */
+   shorter than 64 bytes.  For any other S, return false and leave *VALUE
+   unchanged.  */
 bool str_to_double (str_t s, double *value);
 
 /* Return whether S matches GLOB, in which `*' matches any bytes, or none.  */
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -52,18 +52,18 @@
 {
   enum
   {
-    KEYS = 500,
-    STEPS = 20000
+    KEY_COUNT = 500,
+    STEP_COUNT = 20000
   };
-  static int values[KEYS];
-  bool present[KEYS] = { false };
+  static int values[KEY_COUNT];
+  bool present[KEY_COUNT] = { false };
   map_t *map = map_create ();
   rng_t rng = rng_make (7);
   size_t size = 0;
 
-  for (int step = 0; step < STEPS; step++)
+  for (int step = 0; step < STEP_COUNT; step++)
     {
-      size_t i = rng_below (&rng, KEYS);
+      size_t i = rng_below (&rng, KEY_COUNT);
       char text[16];
       int len = snprintf (text, sizeof text, "key%zu", i);
       str_t key = str_make (text, (size_t)len);
