--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -205,7 +205,8 @@
     {
       name[6] = (char)('0' + i % 10);
       name[5] = (char)('0' + i / 10 % 3);
-      if (admission_decide (admission, str_from (name), 50, QUEUE_NORMAL)
+      if (admission_decide (admission, str_from (name), 50,
+                            QUEUE_PRIORITY_NORMAL)
           == VH_OK)
         admission_record_result (admission, 50, i % 3 != 0);
       if (i % 10 == 0)
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -180,7 +180,7 @@
   waiting_t *waiting = mem_zalloc (sizeof *waiting);
 
   waiting->req = req;
-  httpd_watch (req, NULL, on_operator_gone, waiting);
+  httpd_set_callbacks (req, NULL, on_operator_gone, waiting);
   return waiting;
 }
 
@@ -192,7 +192,7 @@
 
   free (waiting);
   if (req != NULL)
-    httpd_watch (req, NULL, NULL, NULL);
+    httpd_set_callbacks (req, NULL, NULL, NULL);
   return req;
 }
 
@@ -240,14 +240,14 @@
   str_t text = httpd_body (req);
   uint64_t mine = confstore_revision (process->conf);
   uint64_t expected = CONFSTORE_ANY;
-  str_t given = httpd_query_get (req, STR ("if-revision"));
-  str_t who = httpd_query_get (req, STR ("who"));
+  str_t given = httpd_query_param (req, STR ("if-revision"));
+  str_t who = httpd_query_param (req, STR ("who"));
 
   if (given.ptr != NULL && !str_to_u64 (given, &expected))
     reply_error (req, VH_E_BAD_REQUEST, "");
   else if (snapshot_parse (text, mine + 1, &snapshot, &errors) != VH_OK)
     reply_bad_config (req, &errors);
-  else if (str_eq (httpd_query_get (req, STR ("dry-run")), STR ("1")))
+  else if (str_eq (httpd_query_param (req, STR ("dry-run")), STR ("1")))
     {
       if (expected != CONFSTORE_ANY && expected != mine)
         reply_stale (req, mine);
@@ -300,7 +300,7 @@
     HISTORY_MAX = 1000
   };
   uint64_t limit = HISTORY_DEFAULT;
-  str_t given = httpd_query_get (req, STR ("limit"));
+  str_t given = httpd_query_param (req, STR ("limit"));
 
   if (given.ptr != NULL
       && (!str_to_u64 (given, &limit) || limit == 0 || limit > HISTORY_MAX))
@@ -387,7 +387,7 @@
 serve_bill (process_t *process, httpd_req_t *req)
 {
   bill_report_t *report = mem_zalloc (sizeof *report);
-  str_t day = httpd_query_get (req, STR ("day"));
+  str_t day = httpd_query_param (req, STR ("day"));
   time_t now = (time_t)(clock_realtime_ms (process->clock) / 1000);
   struct tm utc;
 
@@ -405,7 +405,7 @@
 static void
 serve_burn (process_t *process, httpd_req_t *req)
 {
-  str_t format = httpd_query_get (req, STR ("format"));
+  str_t format = httpd_query_param (req, STR ("format"));
   buf_t body = BUF_NULL;
 
   if (process->entry == NULL)
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -506,7 +506,7 @@
   if (!can_fetch (request))
     return;
   if (request->answer_started && request->http != NULL
-      && httpd_buffered (request->http) > CALLER_BACKLOG_MAX_BYTES)
+      && httpd_buffered_bytes (request->http) > CALLER_BACKLOG_MAX_BYTES)
     return;
   send_fetch (request, FETCH_MAX_BYTES,
               left_ms < FETCH_WAIT_MAX_MS ? left_ms
@@ -876,7 +876,7 @@
   rpc_cancel (attempt->call);
   attempt->call = NULL;
   end_attempt (request, true);
-  rpc_peer_fire (attempt->member->peer, WIRE_CANCEL, &args);
+  rpc_peer_notify (attempt->member->peer, WIRE_CANCEL, &args);
 }
 
 void
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -367,7 +367,7 @@
   request->snapshot = snapshot_ref (entry->snapshot);
   list_init (&request->recalls);
   list_append (&entry->requests, &request->link);
-  httpd_watch (http, on_writable, on_caller_disconnected, request);
+  httpd_set_callbacks (http, on_writable, on_caller_disconnected, request);
   if (str_eq (httpd_path (http), STR ("/v1/models")))
     {
       if (!str_eq (httpd_method (http), STR ("GET")))
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -147,7 +147,7 @@
 }
 
 static void
-on_peer_state (void *arg, rpc_state_t state)
+on_peer_state (void *arg, rpc_peer_state_t state)
 {
   member_t *member = arg;
 
@@ -162,9 +162,9 @@
     balance_set_mark (member->entry->balance, member->upstream_id,
                       BALANCE_UNREACHABLE, member->unreachable);
   log_info ("entry", "Connection is %s. instance=%s",
-            state == RPC_UP       ? "up"
-            : state == RPC_SILENT ? "silent"
-                                  : "down",
+            state == RPC_UP             ? "up"
+            : state == RPC_UNRESPONSIVE ? "silent"
+                                        : "down",
             member->name);
 }
 
@@ -624,7 +624,7 @@
 member_status (const member_t *member, uint64_t now_ms, buf_t *is_ejected)
 {
   balance_info_t info = { 0 };
-  uint64_t heard_ms = rpc_peer_heard_ms (member->peer);
+  uint64_t heard_ms = rpc_peer_last_reply_ms (member->peer);
 
   if (member->upstream_id != 0)
     balance_info (member->entry->balance, member->upstream_id, &info);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -364,7 +364,7 @@
   if (elapsed_ms >= state->options.drain_timeout_ms)
     gateway->aborted_count = relay_abort_all (state);
   else if (elapsed_ms < DRAIN_NOTICE_MS
-           || httpd_unwritten (gateway->caller_server) > 0)
+           || httpd_unwritten_responses (gateway->caller_server) > 0)
     return;
   else if (billing_queued_count (state->billing) > 0)
     {
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -511,7 +511,7 @@
       pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
       if (pending->rpc_call != NULL && pending->store_state == STORE_NOT_CALLED
           && now_ms >= pending->hedge_at_ms
-          && !rpc_is_carried (pending->rpc_call))
+          && !rpc_call_is_transferring (pending->rpc_call))
         call_store (pending, STR (""));
     }
 }
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -111,7 +111,8 @@
       log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
       log_field_text (FIELD_VERSION, upstream_version (relay->upstream)),
       log_field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
-      log_field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
+      log_field_number (FIELD_RUNNING,
+                        upstream_running_count (relay->upstream)),
       log_field_number (FIELD_SENDS, relay->sends + 1),
       log_field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
       log_field_number (FIELD_REVISION,
@@ -125,7 +126,7 @@
   relay->sent_ms = now_ms;
   relay->last_activity_ms = now_ms;
   relay->send_event_count = 0;
-  relay->upstream_request_count = upstream_running (relay->upstream);
+  relay->upstream_request_count = upstream_running_count (relay->upstream);
   relay->is_upstream_loaded = false;
   relay->is_success = false;
   relay->connection_lost = false;
@@ -144,10 +145,10 @@
     .last_event_id = relay->sse.last_id,
   };
   forward_write_request (&params, relay->req, &request);
-  relay->call = call_start (state->loop, upstream_address (relay->upstream),
-                            &request, CONNECT_TIMEOUT_MS,
-                            str_eq (httpd_method (relay->req), STR ("HEAD")),
-                            &relay_call_events, relay);
+  relay->call = http_exchange_start (
+      state->loop, upstream_address (relay->upstream), &request,
+      CONNECT_TIMEOUT_MS, str_eq (httpd_method (relay->req), STR ("HEAD")),
+      &relay_call_events, relay);
   if (relay->call == NULL)
     {
       relay_send_failed (relay, "address", false);
@@ -242,7 +243,7 @@
     }
   if (now_ms >= relay->attrs.deadline_ms)
     {
-      if (relay->call != NULL && call_sent (relay->call))
+      if (relay->call != NULL && http_exchange_was_sent (relay->call))
         relay->possible_runs++;
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
@@ -294,7 +295,7 @@
   if (relay->is_paused && relay->call != NULL)
     {
       relay->is_paused = false;
-      call_resume (relay->call);
+      http_exchange_resume (relay->call);
     }
 }
 
@@ -395,7 +396,7 @@
       reject (relay, VH_E_BAD_HEADER);
       return;
     }
-  httpd_watch (req, on_write_drained, on_caller_disconnected, relay);
+  httpd_set_callbacks (req, on_write_drained, on_caller_disconnected, relay);
   admit_when_ready (relay);
 }
 
@@ -407,7 +408,7 @@
   LIST_EACH (at, &state->relays)
     {
       relay_t *relay = CONTAINER_OF (at, relay_t, link);
-      if (relay->call != NULL && call_sent (relay->call))
+      if (relay->call != NULL && http_exchange_was_sent (relay->call))
         relay->possible_runs++;
       relay_fail (relay, VH_E_DRAINING, "stopping", RETRY_AFTER_DRAINING_MS);
       count++;
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -78,7 +78,8 @@
   /* The phase `running' in the row does not override a decision of this
      gateway that is not written yet.  */
   bool is_final = false;
-  for (trial_phase_t phase = TRIAL_DONE; phase <= TRIAL_ROLLED_BACK; phase++)
+  for (trial_phase_t phase = TRIAL_PHASE_DONE;
+       phase <= TRIAL_PHASE_ROLLED_BACK; phase++)
     if (str_eq (phase_name, str_from (trial_phase_name (phase))))
       {
         trial_set_phase (trial, phase);
@@ -133,7 +134,7 @@
     {
       /* Instances of a rolled-back version stay registered for a while.  They
          must not count as the old version of the next order.  */
-      if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
+      if (trial != NULL && trial_phase (trial) == TRIAL_PHASE_ROLLED_BACK)
         pool_set_version_withdrawn (belief->pool, order.service,
                                     trial_version (trial), true);
       pool_set_version_withdrawn (belief->pool, order.service, order.version,
@@ -292,7 +293,7 @@
          && map_next (rollouts->belief->trials, &cursor, &service, &value))
     {
       trial_t *trial = value;
-      if (trial_phase (trial) != TRIAL_RUNNING
+      if (trial_phase (trial) != TRIAL_PHASE_RUNNING
           || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
@@ -337,16 +338,17 @@
 
   switch (verdict)
     {
-    case TRIAL_WAIT:
+    case TRIAL_DECISION_WAIT:
       break;
-    case TRIAL_ADVANCE:
+    case TRIAL_DECISION_ADVANCE:
       write_state (rollouts, service, trial, trial_start_ms (trial),
                    trial_step (trial) + 1, now_ms + TRIAL_STEP_NOTICE_MS);
       break;
-    case TRIAL_ROLL_BACK:
-    case TRIAL_FINISH:
-      trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
-                                                      : TRIAL_ROLLED_BACK);
+    case TRIAL_DECISION_ROLL_BACK:
+    case TRIAL_DECISION_FINISH:
+      trial_set_phase (trial, verdict == TRIAL_DECISION_FINISH
+                                  ? TRIAL_PHASE_DONE
+                                  : TRIAL_PHASE_ROLLED_BACK);
       log_event (EVENT_ROLLOUT_END, log_field_text (FIELD_SERVICE, service),
                  log_field_text (FIELD_VERSION, trial_version (trial)),
                  log_field_text (FIELD_PHASE, str_from (trial_phase_name (
@@ -375,18 +377,18 @@
       write_state (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
-  if (trial_phase (trial) == TRIAL_RUNNING)
+  if (trial_phase (trial) == TRIAL_PHASE_RUNNING)
     {
       if (is_second)
         trial_decay (trial);
       evaluate_trial (rollouts, service, trial);
     }
   /* Write the decision until the state row has this or another decision.  */
-  if (trial_phase (trial) != TRIAL_RUNNING
+  if (trial_phase (trial) != TRIAL_PHASE_RUNNING
       && !trial_is_final_phase_stored (trial))
     write_state (rollouts, service, trial, trial_start_ms (trial),
                  trial_step (trial), trial_step_start_ms (trial));
-  else if (is_second && trial_phase (trial) == TRIAL_RUNNING
+  else if (is_second && trial_phase (trial) == TRIAL_PHASE_RUNNING
            && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_decider (rollouts))
     write_evidence (rollouts, service, trial);
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -120,7 +120,7 @@
     }
   cached_row->value.len = 0;
   cached_row->deflated.len = 0;
-  cached_row->is_incompressible = row->value.len < DEFLATE_LEAST;
+  cached_row->is_incompressible = row->value.len < DEFLATE_MIN_BYTES;
   buf_append_str (&cached_row->value, row->value);
   cached_row->version = row->version;
   cached_row->deleted = row->deleted;
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -797,7 +797,7 @@
 }
 
 uint32_t
-upstream_running (const upstream_t *upstream)
+upstream_running_count (const upstream_t *upstream)
 {
   return upstream->running;
 }
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -211,9 +211,9 @@
          const wire_submit_args_t *args)
 {
   static const queue_priority_t priorities[]
-      = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
-          [WIRE_PRIORITY_NORMAL] = QUEUE_NORMAL,
-          [WIRE_PRIORITY_HIGH] = QUEUE_HIGH };
+      = { [WIRE_PRIORITY_LOW] = QUEUE_PRIORITY_LOW,
+          [WIRE_PRIORITY_NORMAL] = QUEUE_PRIORITY_NORMAL,
+          [WIRE_PRIORITY_HIGH] = QUEUE_PRIORITY_HIGH };
   queue_waiter_t *evicted = NULL;
   queue_job_t job
       = { .team = str_from (attempt->team),
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -192,14 +192,14 @@
 }
 
 size_t
-sidecar_in_hand (const sidecar_t *sidecar)
+sidecar_count_unfinished (const sidecar_t *sidecar)
 {
   return sidecar->running + queue_waiting_count (sidecar->queue)
          + attempts_undelivered (sidecar->attempts) + held_left (sidecar);
 }
 
 bool
-sidecar_idle (const sidecar_t *sidecar)
+sidecar_is_idle (const sidecar_t *sidecar)
 {
   return list_is_empty (attempts_live (sidecar->attempts));
 }
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -31,7 +31,7 @@
   uv_write_t write;
   peer_timer_t connecting;
   unsigned open_handles;
-  call_events_t events;
+  http_exchange_events_t events;
   void *arg;
   buf_t request;
   buf_t input; /* Until the head is whole.  */
@@ -67,7 +67,7 @@
 }
 
 void
-call_cancel (call_t *call)
+http_exchange_cancel (call_t *call)
 {
   if (call->closed)
     return;
@@ -81,18 +81,18 @@
 {
   if (call->closed)
     return;
-  call_cancel (call);
+  http_exchange_cancel (call);
   call->events.end (call->arg, code);
 }
 
 bool
-call_sent (const call_t *call)
+http_exchange_was_sent (const call_t *call)
 {
   return call->connected;
 }
 
 str_t
-call_header (const call_head_t *head, str_t name)
+http_exchange_header (const http_exchange_head_t *head, str_t name)
 {
   for (size_t i = 0; i < head->header_count; i++)
     if (str_eq_nocase (head->headers[i].name, name))
@@ -103,7 +103,7 @@
 /* Tell how the body of HEAD is framed.  Return false when the head says two
    things at once, as an answer that was spoiled on its way may.  */
 static bool
-choose_body (call_t *call, const call_head_t *head)
+choose_body (call_t *call, const http_exchange_head_t *head)
 {
   str_t length = STR_NULL;
 
@@ -117,7 +117,7 @@
           length = header->value;
         }
     }
-  str_t coding = call_header (head, STR ("transfer-encoding"));
+  str_t coding = http_exchange_header (head, STR ("transfer-encoding"));
   if (call->no_body || head->status == 204 || head->status == 304)
     call->body = BODY_NONE;
   else if (coding.ptr != NULL)
@@ -181,7 +181,7 @@
 {
   struct phr_header parsed[HEADERS_MAX];
   httpc_header_t headers[HEADERS_MAX];
-  call_head_t head = { 0, headers, HEADERS_MAX };
+  http_exchange_head_t head = { 0, headers, HEADERS_MAX };
   const char *reason;
   size_t reason_len;
   int minor;
@@ -314,9 +314,9 @@
 }
 
 call_t *
-call_start (uv_loop_t *loop, str_t address, buf_t *request,
-            uint64_t connect_ms, bool no_body, const call_events_t *events,
-            void *arg)
+http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
+                     uint64_t connect_ms, bool no_body,
+                     const http_exchange_events_t *events, void *arg)
 {
   struct sockaddr_storage addr;
   socklen_t addr_len;
@@ -347,7 +347,7 @@
 }
 
 void
-call_pause (call_t *call)
+http_exchange_pause (call_t *call)
 {
   call->paused = true;
   if (call->connected && !call->closed)
@@ -355,7 +355,7 @@
 }
 
 void
-call_resume (call_t *call)
+http_exchange_resume (call_t *call)
 {
   call->paused = false;
   if (call->connected && !call->closed)
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -385,7 +385,7 @@
 }
 
 vh_code_t
-rpc_decode_probe (rpc_node_t *node, str_t record)
+rpc_decode_and_discard (rpc_node_t *node, str_t record)
 {
   char *copy = str_dup (record);
   rpc_head_t head;
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -324,9 +324,10 @@
   fixture_t f;
 
   setup (&f, LARGE_BYTES);
-  narrow_link_stop_after (f.link, BYTES_PASSED);
+  narrow_link_stall_after (f.link, BYTES_PASSED);
   f.rows->ops->read (f.rows, ROWS_ORDERS, STR (""), TIMEOUT_MS, on_result, &f);
-  WAIT_FOR (&f, narrow_link_passed (f.link) == BYTES_PASSED || f.is_done);
+  WAIT_FOR (&f,
+            narrow_link_forwarded_bytes (f.link) == BYTES_PASSED || f.is_done);
   uint64_t stopped_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.is_done);
   ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
