--- a/packages/gateway/prober.c
+++ b/packages/gateway/prober.c
@@ -1,6 +1,6 @@
 #include "gateway/prober.h"
 
-#include "base/bound.h"
+#include "base/peertimer.h"
 #include "base/mem.h"
 #include "wire/addr.h"
 
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -14,7 +14,7 @@
 
 #include "gateway/gatewayint.h"
 
-#include "base/bound.h"
+#include "base/peertimer.h"
 #include "base/eventlog.h"
 #include "gateway/sse_filter.h"
 #include "gateway/request_attrsint.h"
--- a/packages/wire/http_exchange.c
+++ b/packages/wire/http_exchange.c
@@ -1,6 +1,6 @@
 #include "wire/http_exchange.h"
 
-#include "base/bound.h"
+#include "base/peertimer.h"
 #include "base/mem.h"
 #include "wire/addr.h"
 #include "wire/picohttp.h"
