--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -24,8 +24,8 @@
   rows_t *rows;
   char *name;
   uint64_t epoch;
-  uint64_t sequence; /* Sequence number of the next new batch, or of
-                        the newest batch while that accepts bills.  */
+  uint64_t sequence; /* Sequence number of the newest batch while bills can be
+                        added to it, else of the next batch.  */
   uv_timer_t timer;
   list_t batches; /* Oldest first; new bills are added to the last
                         one.  */
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -1,22 +1,23 @@
-/* Writes billing records of answered requests to the store.
+/* Writes billing records to the store, for requests to which an upstream
+   responded.
 
    Load pattern: a store that is unavailable for some time, and write replies
    that are lost.  Bills are queued in batches.  Each batch is one row whose
    key only this process writes, created on the condition that the row does not
    exist, so that a repeated write bills no request twice.  A request has one
-   bill, because only one gateway process receives it; the bill contains its
-   attempt id.
+   bill, which contains its attempt id, because only one gateway process
+   receives the request.
 
-   A process that is killed loses the bills of the last BILLING_INTERVAL_MS, or
-   all those since the store became unavailable.
+   A process that is killed loses the bills of the last BILLING_INTERVAL_MS; in
+   an outage of the store, all bills since the outage began.
 
    - BILLING_INTERVAL_MS 15000: each gateway process makes four writes a
    minute; 730 processes make 49 of the 400 writes a second that the store can
    take.
    - BILLING_BATCH_BILLS 400: about 40 KB, below the size limit of a row.
    - BILLING_QUEUED_BILLS_MAX 20000, about 2 MB: 20 s of an outage at one
-   request a millisecond.  Beyond this the oldest bills are dropped and
-   counted.  */
+   request a millisecond.  When the queue is full, the oldest bills are dropped
+   and counted.  */
 
 #ifndef GATEWAY_BILLING_H
 #define GATEWAY_BILLING_H
@@ -34,16 +35,16 @@
 
 typedef struct billing billing_t;
 
-/* Billing record of one request that an upstream answered.  */
+/* Billing record of one request to which an upstream responded.  */
 typedef struct
 {
   str_t attempt_id;
   str_t team;
   str_t route;
-  str_t model; /* Model that answered; empty for a plain service.  */
+  str_t model; /* Model that ran the request; empty for a plain service.  */
   uint32_t prompt_tokens;
   uint64_t events;        /* Events of the stream sent to the caller.  */
-  uint32_t possible_runs; /* Upstreams that may have run the request.  */
+  uint32_t possible_runs; /* Number of sends that an upstream may have run.  */
   bool is_complete;       /* The caller received the whole response.  */
 } bill_t;
 
--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -18,13 +18,14 @@
   uint64_t revision;
   client_limits_t limits;
   map_t *services;
-  map_t *routes; /* Host, a NUL byte and prefix to route_t.  */
+  map_t *routes; /* Map of host, NUL byte and prefix to route_t.  */
   map_t *teams;
-  map_t *keys;               /* Key to the team_t that holds it.  */
-  allocation_t *allocations; /* Memory of all values of the maps.  */
+  map_t *keys;               /* Map of API key to team_t.  */
+  allocation_t *allocations; /* List of the memory blocks that are freed with
+                                the catalog.  */
 };
 
-/* Allocate SIZE zeroed bytes, released with CATALOG.  */
+/* Allocate SIZE zeroed bytes that are freed with CATALOG.  */
 static void *
 alloc_owned (catalog_t *catalog, size_t size)
 {
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -14,8 +14,8 @@
 {
   ROUTE_IDEMPOTENT,   /* Requests may be executed more than once.  */
   ROUTE_AT_MOST_ONCE, /* Requests are executed at most once.  */
-  /* Answers are event streams.  Requests are executed at most once, unless
-     streams of the route can be resumed.  */
+  /* Responses are event streams.  Requests are executed at most once, unless
+     the route is resumable.  */
   ROUTE_STREAM
 } route_kind_t;
 
@@ -39,12 +39,12 @@
   str_t health_path;
   /* Connections allowed to one instance, from all gateways together.  */
   uint32_t connections_max;
-  /* Time for which a new instance counts as cold.  */
+  /* Time for which a new instance is treated as cold, in seconds.  */
   double cold_start_s;
-  /* Requests a second that a cold instance can take; 0: no bound.  */
+  /* Requests a second that a cold instance can handle; 0: no limit.  */
   double cold_requests_per_s;
   bool is_engine; /* Whether the instances are inference engines.  */
-  /* Capacity of an engine's KV cache; 0: unknown.  */
+  /* Capacity of an engine's KV cache, in tokens; 0: unknown.  */
   uint64_t kv_cache_tokens;
   service_model_t models[SERVICE_MODELS_MAX];
   size_t model_count;
@@ -62,19 +62,22 @@
   str_t host;
   str_t prefix; /* Path prefix; begins and ends with a slash.  */
   route_kind_t kind;
-  uint64_t timeout_ms; /* Longest time for which a client may wait.  */
-  /* Latency objective of the answer, or of the first event of a stream.  */
+  uint64_t timeout_ms; /* Maximum time from the arrival of a request to the end
+                          of its response.  */
+  /* Latency objective of a response, or of the first event of a stream.  */
   uint64_t objective_ms;
-  /* Longest time between two events of a stream that meets the objective.  */
+  /* Latency objective of each further event of a stream: maximum time since
+     the event before.  */
   uint64_t event_gap_max_ms;
-  uint32_t attempts_max; /* Upstreams on which one request may be executed.  */
+  uint32_t attempts_max; /* Maximum number of upstreams that may execute one
+                            request.  */
   uint32_t priority;     /* 0 is the highest.  */
   bool is_public;        /* Whether clients need no key.  */
-  /* Whether a broken stream may go on at another upstream.  */
+  /* Whether an interrupted stream may be resumed at another upstream.  */
   bool is_resumable;
   route_split_t splits[ROUTE_SPLITS_MAX];
   size_t split_count;
-  /* Models to choose from, in ascending order of size.  */
+  /* Names of the models that may run a request, smallest first.  */
   str_t models[ROUTE_MODELS_MAX];
   size_t model_count;
 } route_t;
@@ -86,27 +89,29 @@
   bool has_priority; /* Whether PRIORITY overrides that of the route.  */
 } team_t;
 
-/* Limits on the requests of clients.  */
+/* Limits on the requests of clients, as configured.  The gateway does not
+   enforce them.  */
 typedef struct
 {
   uint64_t header_bytes;
   uint64_t body_bytes;
-  /* Time in which a request's headers must arrive.  */
+  /* Time limit for the arrival of a request's headers.  */
   uint64_t header_timeout_ms;
   /* Time after which an idle connection is closed.  */
   uint64_t idle_timeout_ms;
 } client_limits_t;
 
-/* REVISION grows with each configuration.  The caller owns the only reference
-   to the result.  */
+/* Create an empty catalog, to which the caller owns the only reference.
+   REVISION is higher for each newer configuration.  */
 catalog_t *catalog_create (uint64_t revision);
 void catalog_ref (catalog_t *catalog);
 /* Drop a reference; NULL is accepted.  */
 void catalog_unref (catalog_t *catalog);
 
-/* Add to a catalog that is being filled; arguments are copied.  Return
-   VH_E_BAD_CONFIG and add nothing when the name, the prefix at this host or a
-   key is already present.  */
+/* Add an element to a catalog that is being filled; arguments are copied.
+   Return VH_E_BAD_CONFIG and add nothing if CATALOG already has a service of
+   the same name, a route with the same host and prefix, or a team with the
+   same name or one of KEYS.  */
 vh_code_t catalog_add_service (catalog_t *catalog, const service_t *service);
 vh_code_t catalog_add_route (catalog_t *catalog, const route_t *route);
 vh_code_t catalog_add_team (catalog_t *catalog, const team_t *team,
@@ -115,15 +120,15 @@
 
 uint64_t catalog_revision (const catalog_t *catalog);
 const client_limits_t *catalog_limits (const catalog_t *catalog);
-/* The service NAME, or NULL.  */
+/* Return the service NAME, or NULL if there is none.  */
 const service_t *catalog_find_service (const catalog_t *catalog, str_t name);
-/* The route of HOST with the longest prefix of PATH, or NULL.  A port in HOST
-   is ignored.  */
+/* Return the route of HOST with the longest prefix of PATH, or NULL if none
+   matches.  A port in HOST is ignored.  */
 const route_t *catalog_match_route (const catalog_t *catalog, str_t host,
                                     str_t path);
 /* Return whether the catalog has teams; without any, clients need no key.  */
 bool catalog_has_teams (const catalog_t *catalog);
-/* The team that holds KEY, or NULL.  */
+/* Return the team that holds the API key KEY, or NULL if there is none.  */
 const team_t *catalog_find_team (const catalog_t *catalog, str_t key);
 
 #endif
--- a/packages/gateway/forward.h
+++ b/packages/gateway/forward.h
@@ -19,9 +19,11 @@
   str_t upstream_id; /* Only instance that is allowed to run the request.  */
   str_t team;        /* STR_NULL: no team header is sent.  */
   str_t model;       /* STR_NULL: no model header is sent.  */
-  uint64_t remaining_ms; /* Time left until the deadline of the response.  */
-  uint32_t urgency;      /* From 0 (first) to FORWARD_URGENCY_MAX (last).  */
-  bool is_resume;        /* Resume an event stream after LAST_EVENT_ID.  */
+  uint64_t remaining_ms; /* Time until the deadline of the response.  */
+  uint32_t urgency;      /* Scheduling order at the engine, from 0 (first) to
+                            FORWARD_URGENCY_MAX (last).  */
+  bool is_resume;        /* The request resumes an event stream after
+                            LAST_EVENT_ID.  */
   uint64_t last_event_id;
 } forward_params_t;
 
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -8,18 +8,19 @@
 {
   DRAIN_POLL_MS = 100, /* Interval at which a planned stop checks whether the
                           requests have ended.  */
-  /* Size limit of a request body.  Requests contain some KB of JSON; the limit
-     of the configuration is checked once a configuration is known.  */
+  /* Size limit of a request body.  Requests contain some KB of JSON.  The
+     limit in the configuration, client_limits_t.body_bytes, is not
+     enforced.  */
   BODY_BYTES_MAX = 8 << 20,
-  /* Read timeout of a connection; longer than callers keep an idle
-     connection.  */
-  IDLE_TIMEOUT_MS = 120000,
+  /* Read timeout of connections to the listeners; longer than callers keep an
+     idle connection.  */
+  LISTENER_READ_TIMEOUT_MS = 120000,
   CONNECTIONS_MAX = 3500,
   ADMIN_CONNECTIONS_MAX = 64,
-  /* Least duration of a planned stop, in which the platform's load balancer
-     notices it.  The balancer checks readiness once a second, removes a
-     gateway process after two failures, and may have directed a caller here
-     just before.  */
+  /* Shortest duration of a planned stop, within which the platform's load
+     balancer detects the failing readiness check.  The balancer checks
+     readiness once a second, removes a gateway process after two failures, and
+     may have directed a caller here just before.  */
   DRAIN_NOTICE_MS = 3200,
   MS_PER_S = 1000
 };
@@ -30,8 +31,8 @@
   httpd_t *caller_server;
   httpd_t *ready_server;
   httpd_t *admin_server;
-  peer_rows_t
-      *peer_rows; /* NULL if each gateway process reads the store itself.  */
+  peer_rows_t *peer_rows; /* NULL if this process does not share reads of the
+                             store with others.  */
   store_sync_t *store_sync;
   uv_timer_t drain_timer;
   bool is_stopped;
@@ -40,20 +41,20 @@
 };
 
 send_budget_t *
-gateway_service_allowance (gateway_state_t *state, str_t service)
+gateway_service_retry_budget (gateway_state_t *state, str_t service)
 {
-  send_budget_t *allowance = map_get (state->allowances, service);
+  send_budget_t *budget = map_get (state->retry_budgets, service);
   send_budget_options_t options
       = { .ratio = state->options.retry_ratio,
           .slack = state->options.retry_fixed_budget,
           .window_ms = state->options.retry_window_ms };
 
-  if (allowance != NULL)
-    return allowance;
-  allowance = send_budget_create (state->clock, &options);
-  send_budget_set_gateway_count (allowance, state->gateway_count);
-  map_put (state->allowances, service, allowance);
-  return allowance;
+  if (budget != NULL)
+    return budget;
+  budget = send_budget_create (state->clock, &options);
+  send_budget_set_gateway_count (budget, state->gateway_count);
+  map_put (state->retry_budgets, service, budget);
+  return budget;
 }
 
 escalation_t *
@@ -69,7 +70,7 @@
 }
 
 uint64_t
-gateway_config_load_ms (const gateway_state_t *state)
+gateway_config_load_elapsed_ms (const gateway_state_t *state)
 {
   return state->config_load_started_ms == 0
              ? 0
@@ -85,7 +86,7 @@
     return false;
   /* The configuration that is being loaded may revoke a key, so the one in
      force is outdated from the time at which the newer one arrived.  */
-  if (gateway_config_load_ms (state) > max_age_ms / 2)
+  if (gateway_config_load_elapsed_ms (state) > max_age_ms / 2)
     return false;
   return table_sync_age_ms (state->operator_rows) <= max_age_ms;
 }
@@ -126,7 +127,7 @@
     reply_text (req, 503, STR ("not ready\n"));
 }
 
-/* LABELS is copied.  */
+/* Set the gauge NAME with LABELS, which are copied, to VALUE.  */
 static void
 set_gauge (gateway_t *gateway, const char *name, const char *labels,
            const char *help, double value)
@@ -145,7 +146,7 @@
   void *value;
 
   set_gauge (gateway, "vanillahook_gateway_in_flight", "",
-             "Requests under way.",
+             "Requests in progress.",
              (double)httpd_in_flight (gateway->caller_server));
   set_gauge (gateway, "vanillahook_gateway_connections", "",
              "Connections of callers.",
@@ -158,29 +159,29 @@
              state->catalog != NULL ? (double)catalog_revision (state->catalog)
                                     : 0);
   set_gauge (gateway, "vanillahook_gateway_revision_reading_seconds", "",
-             "For how long a later revision has been read; 0: none is.",
-             (double)gateway_config_load_ms (state) / MS_PER_S);
+             "Time for which a newer revision has been loading; 0: none is.",
+             (double)gateway_config_load_elapsed_ms (state) / MS_PER_S);
   set_gauge (gateway, "vanillahook_gateway_entries", "",
-             "Entries that share the allowances.", state->gateway_count);
+             "Gateway processes that share the retry budgets.",
+             state->gateway_count);
   set_gauge (gateway, "vanillahook_gateway_ready", "",
-             "1: the balancer is told to send callers here.",
-             is_ready (gateway));
+             "1: the readiness check succeeds.", is_ready (gateway));
   set_gauge (gateway, "vanillahook_gateway_bills_waiting", "",
              "Bills not yet written.",
              (double)billing_queued_count (state->billing));
   set_gauge (gateway, "vanillahook_gateway_bills_dropped", "",
-             "Bills dropped for want of room.",
+             "Bills dropped because the queue was full.",
              (double)billing_dropped_count (state->billing));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
-             "Log lines left out for want of budget or room.",
+             "Log lines dropped by the rate limit or a full buffer.",
              (double)eventlog_dropped ());
-  while (map_next (state->allowances, &cursor, &service, &value))
+  while (map_next (state->retry_budgets, &cursor, &service, &value))
     {
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
       set_gauge (gateway, "vanillahook_gateway_extra_sends_left", labels.ptr,
-                 "Sends beyond the first that may be made now.",
+                 "Extra sends that the retry budget allows now.",
                  send_budget_remaining (value));
       buf_free (&labels);
     }
@@ -192,7 +193,7 @@
       buf_append_char (&labels, '\0');
       set_gauge (
           gateway, "vanillahook_gateway_rollout_share", labels.ptr,
-          "Share of the requests for the ordered version.",
+          "Share of the requests that the new version gets.",
           trial_share (value, table_sync_store_now_ms (state->operator_rows)));
       buf_free (&labels);
     }
@@ -251,12 +252,13 @@
 {
   gateway_state_t *state = &gateway->state;
   const gateway_options_t *options = &state->options;
-  httpd_options_t caller_options = { .body_limit = BODY_BYTES_MAX,
-                                     .read_timeout_ms = IDLE_TIMEOUT_MS,
-                                     .connections_max = CONNECTIONS_MAX };
+  httpd_options_t caller_options
+      = { .body_limit = BODY_BYTES_MAX,
+          .read_timeout_ms = LISTENER_READ_TIMEOUT_MS,
+          .connections_max = CONNECTIONS_MAX };
   httpd_options_t internal_options
       = { .body_limit = 4096,
-          .read_timeout_ms = IDLE_TIMEOUT_MS,
+          .read_timeout_ms = LISTENER_READ_TIMEOUT_MS,
           .connections_max = ADMIN_CONNECTIONS_MAX };
   vh_code_t code
       = httpd_create (state->loop, options->listen, &caller_options,
@@ -271,8 +273,8 @@
   return code;
 }
 
-/* If the options name an RPC listener, replace *ROWS by rows that are shared
-   with other gateway processes.  */
+/* If the options name an RPC listener, replace *ROWS by an interface that
+   shares reads of the store with other gateway processes.  */
 static vh_code_t
 start_sharing (gateway_t *gateway, rows_t **rows)
 {
@@ -320,9 +322,9 @@
     trial_destroy (value);
   map_destroy (state->trials);
   cursor = 0;
-  while (map_next (state->allowances, &cursor, &key, &value))
+  while (map_next (state->retry_budgets, &cursor, &key, &value))
     send_budget_destroy (value);
-  map_destroy (state->allowances);
+  map_destroy (state->retry_budgets);
   cursor = 0;
   while (map_next (state->escalations, &cursor, &key, &value))
     escalation_destroy (value);
@@ -351,8 +353,9 @@
   return nothing_aborted;
 }
 
-/* End the planned stop after DRAIN_NOTICE_MS once all responses and bills are
-   written.  At the time limit, abort the remaining requests.  */
+/* End the planned stop when all responses and bills are written, but not
+   before DRAIN_NOTICE_MS.  At the time limit, abort the remaining
+   requests.  */
 static void
 on_drain_timer (uv_timer_t *timer)
 {
@@ -445,7 +448,7 @@
   state->pool = pool_create (clock, rng_u64 (&state->rng), &pool_options);
   state->prober = prober_create (loop, on_probe_done, state);
   state->trials = map_create ();
-  state->allowances = map_create ();
+  state->retry_budgets = map_create ();
   state->escalations = map_create ();
   state->gateway_count = 1;
   state->started_ms = clock_ms (clock);
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -33,7 +33,7 @@
 {
   str_t service;
   str_t version;
-  uint64_t within_ms; /* Time limit of the roll-out.  */
+  uint64_t within_ms; /* Time within which the roll-out must finish.  */
 } rollout_spec_t;
 
 typedef enum
@@ -50,11 +50,11 @@
   const header_names_t *names;
   str_t ready_path; /* Path of the readiness check by the platform's load
                        balancer.  */
-  /* Return the kind of the row KEY of ROWS_ORDERS.  *NAME is set to the
+  /* Return the kind of the row KEY in table ROWS_ORDERS.  Set *NAME to the
      availability zone or service in the key.  */
   operator_row_kind_t (*operator_row_kind) (str_t key, str_t *name);
-  /* Parse a configuration.  Callable from any thread.  PAUSE is called after
-     each half millisecond of work; it may be NULL.  */
+  /* Parse a configuration.  Callable from any thread.  PAUSE, which may be
+     NULL, is called after each half millisecond of work.  */
   vh_code_t (*read_catalog) (str_t value, void (*pause) (void),
                              catalog_t **out);
   /* Parse a roll-out.  Strings of SPEC are stored in *HOLDER, which the
@@ -78,7 +78,7 @@
   str_t ready_listen; /* HOST:PORT for the readiness check.  */
   str_t admin_listen; /* HOST:PORT for metrics; empty: no such listener.  */
   str_t rpc_listen;   /* HOST:PORT for other gateway processes; empty: each
-                  process   reads the store itself.  */
+                  process reads the store itself.  */
   const str_t *rpc_keys;
   size_t rpc_key_count;
   double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
@@ -88,23 +88,30 @@
   uint64_t drain_timeout_ms;  /* Time after which a planned stop aborts the
                                remaining requests.  */
   uint64_t config_max_age_ms; /* Age of the last confirmation of the
-                              configuration above which API keys are refused,
-                              because a key may have been revoked since.  */
-  uint64_t registration_grace_ms; /* Time after an outage of the store in which
-                        registrations that expired during the outage
-                        remain usable.  */
-  double retry_ratio;        /* Retries per request that all gateway processes
-                              may make together.  */
-  double retry_fixed_budget; /* Retries per window that are allowed in
-                                 addition, however few requests arrive.  */
+                                 configuration above which API keys are
+                                 refused, because a key may have been revoked
+                                 since then.  */
+  uint64_t registration_grace_ms; /* Time after the end of a store outage for
+                                     which registrations that expired in the
+                                     outage remain usable.  */
+  double retry_ratio;        /* Number of retries that all gateway processes
+                                together may make for each request they
+                                receive; 0.1 allows one retry for ten
+                                requests.  */
+  double retry_fixed_budget; /* Further retries that all gateway processes
+                                together may make in each window of
+                                RETRY_WINDOW_MS, even if no requests
+                                arrive.  */
   uint64_t retry_window_ms;
-  double cold_factor; /* A cold instance, one that is still warming up, gets at
-                         most rate * cold_factor + cold_slack requests a
-                         second.  */
+  /* All gateway processes together send an instance that is still warming up
+     at most service_t.cold_requests_per_s * cold_factor + cold_slack requests
+     a second.  */
+  double cold_factor;
   escalation_options_t escalation;
-  double cold_slack;
-  double rollout_share_max; /* Largest part of a service's requests that a
-                      version in roll-out may get within the time limit.  */
+  double cold_slack;        /* In requests a second; see cold_factor.  */
+  double rollout_share_max; /* Largest part, 0 to 1, of the requests that a
+                               service gets within rollout_spec_t.within_ms
+                               that may be sent to the new version.  */
 } gateway_options_t;
 
 /* Start a gateway on LOOP.  ROWS and DIALECT must outlive the gateway; the
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -22,16 +22,16 @@
 
 /* X (field, help): counters of a gateway without labels.  */
 #define GATEWAY_COUNTERS(X)                                                   \
-  X (requests, "Requests read whole.")                                        \
-  X (answered, "Answers of upstreams passed on whole.")                       \
-  X (refused, "Requests refused as not run.")                                 \
+  X (requests, "Requests received completely.")                               \
+  X (answered, "Upstream responses forwarded completely.")                    \
+  X (refused, "Requests refused; no upstream ran them.")                      \
   X (failed, "Requests that failed or whose outcome is unknown.")             \
-  X (left, "Callers that left before their answer was whole.")                \
+  X (left, "Callers that disconnected before the end of their response.")     \
   X (sends, "Requests sent to upstreams.")                                    \
   X (resends, "Sends beyond the first of a request.")                         \
-  X (resumes, "Streams that went on at another upstream.")                    \
-  X (escalations, "Answers dropped for one of a larger model.")               \
-  X (events, "Events of streams passed on.")
+  X (resumes, "Interrupted streams resumed by another send.")                 \
+  X (escalations, "Responses discarded to escalate to a larger model.")       \
+  X (events, "Events of streams forwarded to callers.")
 
 typedef struct
 {
@@ -50,32 +50,36 @@
   gateway_options_t options;
   rng_t rng;
   pool_t *pool;
-  prober_t *prober;   /* Probes instances of POOL that stopped sending.  */
+  prober_t *prober;   /* Probes instances of POOL that have sent no data for
+                         some time.  */
   catalog_t *catalog; /* Configuration in force; NULL if none is known.  */
-  uint64_t config_load_started_ms; /* Boot time at which the loading of a newer
-                          configuration began; 0 if none is being loaded.  */
+  uint64_t config_load_started_ms; /* Time at which the loading of a newer
+                                      configuration began, in ms of the boot
+                                      clock; 0 if none is being loaded.  */
   map_t *trials;                   /* Map of service name to trial_t.  */
-  map_t *allowances;               /* Map of service name to send_budget_t.  */
+  map_t *retry_budgets;            /* Map of service name to send_budget_t.  */
   map_t *escalations;              /* Map of service name to escalation_t.  */
-  allotment_t *allotment; /* Gateway processes among which fleet-wide limits
-                         are  divided.  */
-  uint32_t gateway_count; /* Number of gateway processes that share the retry
-                       budgets.  */
-  table_sync_t *operator_rows; /* Follower of the table that operators write,
-                             which contains the configuration.  */
+  /* Gateway processes among which limits of the whole fleet are divided.  */
+  allotment_t *allotment;
+  /* Number of gateway processes that share the retry budgets.  */
+  uint32_t gateway_count;
+  table_sync_t *operator_rows; /* Synchronises table ROWS_ORDERS, which
+                                  contains the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   request_metrics_t *request_metrics;
   billing_t *billing;
   list_t relays;
   uint64_t started_ms;
-  bool is_initialized;  /* All tables that requests need were read once.  */
-  uint64_t stopping_ms; /* Start of the planned stop; 0 if there is none.  */
+  bool is_initialized;  /* All tables that are needed to process requests were
+                           read at least once.  */
+  uint64_t stopping_ms; /* Monotonic time at which the planned stop began, in
+                           ms; 0 if none has begun.  */
 } gateway_state_t;
 
 /* Request path.  */
 
-/* Start processing REQ, which is answered on this or a later loop
+/* Start processing REQ.  The response is sent on this or a later loop
    iteration.  */
 void relay_start (gateway_state_t *state, httpd_req_t *req);
 /* Abort all requests at the end of a planned stop.  Return their number.  */
@@ -100,27 +104,29 @@
   return kind;
 }
 
-/* Background tasks: follow the tables of the store and coordinate with the
-   other gateway processes.  */
+/* Background tasks: synchronise the tables of the store and coordinate with
+   the other gateway processes.  */
 typedef struct store_sync store_sync_t;
 
-/* PEER_ROWS may be NULL.  */
+/* Start the background tasks.  PEER_ROWS is NULL if this process does not
+   share reads of the store with other gateway processes.  */
 store_sync_t *store_sync_create (gateway_state_t *state, rows_t *rows,
                                  peer_rows_t *peer_rows);
-/* Begin the planned stop: withdraw this process from those among which limits
-   are divided.  */
+/* Begin the planned stop: delete the registration of this process, so that the
+   shared limits are divided among the others.  */
 void store_sync_stop (store_sync_t *sync);
 void store_sync_destroy (store_sync_t *sync);
 
-/* Return the retry budget of SERVICE, created on first use.  */
-send_budget_t *gateway_service_allowance (gateway_state_t *state,
-                                          str_t service);
+/* Return the retry budget of SERVICE, which also covers resumed streams and
+   escalations.  The budget is created on first use.  */
+send_budget_t *gateway_service_retry_budget (gateway_state_t *state,
+                                             str_t service);
 /* Return the model escalation state of SERVICE, created on first use.  */
 escalation_t *gateway_service_escalation (gateway_state_t *state,
                                           str_t service);
-/* Return for how many milliseconds a newer configuration than the one in force
-   has been loading; 0 if none is being loaded.  */
-uint64_t gateway_config_load_ms (const gateway_state_t *state);
+/* Return the time since the loading of a configuration newer than the one in
+   force began, in ms; 0 if none is being loaded.  */
+uint64_t gateway_config_load_elapsed_ms (const gateway_state_t *state);
 /* Return whether a configuration is known and was confirmed by the store
    recently enough to accept its API keys.  */
 bool gateway_has_fresh_config (const gateway_state_t *state);
--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  /* Lets the event loop run for at least one turn.  */
+  /* Long enough for the event loop to run one iteration.  */
   PAUSE_MS = 1
 };
 
@@ -19,10 +19,10 @@
   bool is_destroyed; /* loader_destroy was called while a text was parsed.  */
   bool is_parsing;
   uv_work_t work;
-  buf_t text;         /* The text that is being parsed.  */
+  buf_t text;         /* Text that is being parsed.  */
   catalog_t *catalog; /* Result for TEXT; NULL if it is invalid.  */
   vh_code_t code;
-  buf_t next; /* The text to parse after TEXT; empty: none.  */
+  buf_t next_text; /* Text to parse after TEXT; empty: none.  */
 };
 
 static void parse_next (loader_t *loader);
@@ -31,7 +31,7 @@
 loader_free (loader_t *loader)
 {
   buf_free (&loader->text);
-  buf_free (&loader->next);
+  buf_free (&loader->next_text);
   free (loader);
 }
 
@@ -41,8 +41,8 @@
   uv_sleep (PAUSE_MS);
 }
 
-/* Run on a thread of the pool.  The loop does not access these fields before
-   on_work_done.  */
+/* Parse the text on a thread of the pool.  The loop does not access these
+   fields before on_work_done.  */
 static void
 on_work (uv_work_t *work)
 {
@@ -71,7 +71,7 @@
       return;
     }
   loader->cb (loader->arg, loader->code, catalog, loader->text.len);
-  if (loader->next.len > 0)
+  if (loader->next_text.len > 0)
     parse_next (loader);
 }
 
@@ -81,16 +81,16 @@
 {
   buf_t text = loader->text;
 
-  loader->text = loader->next;
-  loader->next = text;
-  loader->next.len = 0;
+  loader->text = loader->next_text;
+  loader->next_text = text;
+  loader->next_text.len = 0;
   loader->catalog = NULL;
   loader->is_parsing = true;
   loader->work.data = loader;
   if (uv_queue_work (loader->loop, &loader->work, on_work, on_work_done) == 0)
     return;
-  /* Without the pool, delaying streams is better than keeping an old
-     configuration.  */
+  /* The thread pool is unavailable.  Parsing on the loop delays streams, but
+     is better than keeping an old configuration.  */
   on_work (&loader->work);
   on_work_done (&loader->work, 0);
 }
@@ -106,8 +106,8 @@
       loader->cb (loader->arg, code, catalog, text.len);
       return;
     }
-  loader->next.len = 0;
-  buf_append_str (&loader->next, text);
+  loader->next_text.len = 0;
+  buf_append_str (&loader->next_text, text);
   if (!loader->is_parsing)
     parse_next (loader);
 }
@@ -115,7 +115,7 @@
 bool
 loader_is_busy (const loader_t *loader)
 {
-  return loader->is_parsing || loader->next.len > 0;
+  return loader->is_parsing || loader->next_text.len > 0;
 }
 
 loader_t *
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -14,24 +14,26 @@
 {
   TABLE_COUNT = ROWS_SHARED + 1,
   TICK_MS = 100,
-  /* Longest time that a reader holds a watch call of a gateway.  Short against
-     the age up to which a confirmation is trusted.  */
+  /* Longest time that a reader holds a watch call of a gateway before
+     replying.  Short compared with gateway_options_t.config_max_age_ms, up to
+     which a confirmation is accepted.  */
   WATCH_WAIT_MS = 700,
-  /* Longest time that a reader holds a watch call of a gateway that serves
-     other gateways in turn.  Shorter, because the wait of its own callers is
-     added.  */
-  RELAYED_WATCH_WAIT_MS = 350,
-  /* A call that a reader has not answered this long after the watch time is
-     sent to the store as well.  Covers the round trip and one turn of the
-     event loop on a slow machine.  */
+  /* Longest time that a reader holds a watch call of an intermediate reader.
+     Shorter than WATCH_WAIT_MS, because the callers of the intermediate reader
+     wait for both.  */
+  INTERMEDIATE_WATCH_WAIT_MS = 350,
+  /* Time after the end of the watch time at which a call without a reply from
+     the reader is sent to the store as well.  Covers the round trip and one
+     iteration of the event loop on a slow machine.  */
   HEDGE_DELAY_MS = 350,
-  /* Time after HEDGE_DELAY_MS in which a reader's answer is still accepted,
-     unless the store answers first: a reader that applies a large table is
+  /* Time after HEDGE_DELAY_MS in which a reader's reply is still accepted,
+     unless the store replies first: a reader that applies a large table is
      busy for some tenths of a second.  */
   BUSY_READER_MS = 1000,
-  /* Readers called for one answer, one after the other.  */
+  /* Maximum number of readers that are tried, one after the other, for one
+     call.  */
   READERS_TRIED_MAX = 3,
-  /* Longest time that the store may hold a watch call of a reader.  Bounds the
+  /* Longest time that the store may hold a watch call of a reader.  Limits the
      age of the confirmation that the reader's callers get.  */
   STORE_WATCH_WAIT_MS = 800
 };
@@ -43,7 +45,8 @@
   rpc_peer_t *peer; /* NULL before the first call to this gateway.  */
 } gateway_peer_t;
 
-/* A call of this gateway to a reader, to the store, or to both.  */
+/* A read or watch by this gateway, sent to a reader, to the store, or to
+   both.  */
 typedef struct
 {
   list_t link;
@@ -54,22 +57,23 @@
   uint64_t after;   /* Store version after which changes are awaited.  */
   uint64_t wait_ms; /* Longest wait for changes; 0 for a read.  */
   uint64_t timeout_ms;
-  /* Time of the last call to a reader, in ms of the boot clock; before the
-     first such call, time at which this struct was created.  */
+  /* Time of the last call to a reader, in ms of the boot clock; if no reader
+     was called, the time at which this struct was created.  */
   uint64_t sent_ms;
   /* Time of the call to the store, in ms of the boot clock.  */
   uint64_t store_sent_ms;
-  char *reader_name;      /* Name of the reader called last; NULL: none.  */
+  char *reader_name;      /* Name of the reader called last; NULL if none was
+                             called.  */
   unsigned readers_tried; /* Number of readers called.  */
-  /* Unanswered call to the reader READER_NAME; NULL: none.  */
+  /* Call to reader READER_NAME that has no reply yet; NULL: none.  */
   rpc_call_t *rpc_call;
-  /* Monotonic time from which the store is called too, in ms.  */
+  /* Monotonic time from which the store is called as well, in ms.  */
   uint64_t hedge_at_ms;
   enum
   {
     STORE_NOT_CALLED,
     STORE_CALLED,
-    STORE_ANSWERED
+    STORE_REPLIED
   } store_state;
   rows_cb_t cb;
   void *arg;
@@ -81,8 +85,9 @@
   list_t link;
   rpc_request_t *request;
   rows_table_t table;
-  uint64_t after;      /* Changes after this store version are awaited.  */
-  uint64_t expires_ms; /* Monotonic time at which the call is answered.  */
+  uint64_t after;      /* Store version after which changes are awaited.  */
+  uint64_t expires_ms; /* Monotonic time at which a reply is sent even without
+                          changes, in ms.  */
 } watch_request_t;
 
 struct peer_rows
@@ -94,12 +99,14 @@
   rpc_node_t *node;
   rpc_server_t *server;
   fanout_t *readers;
-  map_t *gateways; /* Name to gateway_peer_t, without this gateway.  */
+  map_t *gateways; /* Map of name to gateway_peer_t, without this gateway.  */
   peer_rows_piggyback_t piggyback;
   void *piggyback_arg;
   rowcache_t *caches[TABLE_COUNT]; /* Indexed by rows_table_t.  */
-  list_t pending;                  /* Calls of this gateway.  */
-  list_t watches;                  /* Watch calls of other gateways.  */
+  list_t pending;                  /* Pending calls of this gateway; list of
+                                      pending_call_t.  */
+  list_t watches;                  /* Watch calls of other gateways; list of
+                                      watch_request_t.  */
   uv_timer_t tick;
   bool is_stopping;
 };
@@ -110,23 +117,23 @@
   return clock_boot_ms (peer_rows->clock);
 }
 
-static void answer_watches (peer_rows_t *peer_rows, rows_table_t table);
+static void reply_to_watches (peer_rows_t *peer_rows, rows_table_t table);
 
-/* Apply RESULT, the answer of the store or of a reader to the call PENDING
-   sent at boot time SENT_MS, to the cache of its table.  */
+/* Apply RESULT, the reply of the store or of a reader to PENDING, to the cache
+   of the table.  SENT_MS is the time of the call, in ms of the boot clock.  */
 static void
-apply_result (const pending_call_t *pending, uint64_t sent_ms,
-              const rows_result_t *result)
+apply_to_cache (const pending_call_t *pending, uint64_t sent_ms,
+                const rows_result_t *result)
 {
   peer_rows_t *peer_rows = pending->peer_rows;
   rowcache_t *cache = peer_rows->caches[pending->table];
-  const rowcache_call_t answer = { .is_read = pending->is_read,
-                                   .is_first_page = pending->is_first_page,
-                                   .sent_ms = sent_ms };
+  const rowcache_call_t call = { .is_read = pending->is_read,
+                                 .is_first_page = pending->is_first_page,
+                                 .sent_ms = sent_ms };
 
-  rowcache_apply_answer (cache, &answer, result);
+  rowcache_apply_result (cache, &call, result);
   if (rowcache_is_complete (cache))
-    answer_watches (peer_rows, pending->table);
+    reply_to_watches (peer_rows, pending->table);
 }
 
 bool
@@ -139,9 +146,9 @@
                 == FANOUT_READS_STORE;
 }
 
-/* Answering other gateways.  */
+/* Replies to other gateways.  */
 
-/* Answer REQUEST with the rows of TABLE that changed after version AFTER, or
+/* Reply to REQUEST with the rows of TABLE that changed after version AFTER, or
    with all live rows if IS_WHOLE.  */
 static void
 reply_rows (peer_rows_t *peer_rows, rpc_request_t *request, rows_table_t table,
@@ -178,7 +185,7 @@
 }
 
 static void
-answer_watches (peer_rows_t *peer_rows, rows_table_t table)
+reply_to_watches (peer_rows_t *peer_rows, rows_table_t table)
 {
   LIST_EACH (at, &peer_rows->watches)
     {
@@ -189,11 +196,11 @@
     }
 }
 
-/* Return whether this gateway answers a call.  IS_RELAY: the caller serves
-   other gateways in turn.  At most two gateways relay an answer of the store,
-   because rows age on the way.  */
+/* Return whether this gateway serves a call.  IS_INTERMEDIATE: the caller is
+   itself a reader for other gateways.  Rows of the store pass through at most
+   two gateways, because they age at each.  */
 static bool
-may_answer (peer_rows_t *peer_rows, bool is_relay)
+may_serve (peer_rows_t *peer_rows, bool is_intermediate)
 {
   void *owner;
 
@@ -206,24 +213,24 @@
     case FANOUT_READS_STORE:
       return true;
     case FANOUT_READS_ROOT:
-      return !is_relay;
+      return !is_intermediate;
     case FANOUT_READS_HEAD:
       break;
     }
   return false;
 }
 
-/* Pass on the data piggybacked on CALL.  */
+/* Pass the items piggybacked on CALL to the piggyback receiver.  */
 static void
 receive_piggyback (const peer_rows_t *peer_rows, const wire_rows_args_t *call)
 {
   for (u_int i = 0;
        i < call->news.news_len && peer_rows->piggyback.receive != NULL; i++)
     {
-      const wire_news_t *news = &call->news.news_val[i];
+      const wire_news_t *item = &call->news.news_val[i];
       peer_rows->piggyback.receive (
-          peer_rows->piggyback_arg, str_from (news->key),
-          str_make (news->value.value_val, news->value.value_len));
+          peer_rows->piggyback_arg, str_from (item->key),
+          str_make (item->value.value_val, item->value.value_len));
     }
 }
 
@@ -239,11 +246,10 @@
       return;
     }
   const rowcache_t *cache = peer_rows->caches[call->table];
-  bool is_answering = may_answer (peer_rows, call->tells);
-  if (is_answering)
+  bool is_serving = may_serve (peer_rows, call->tells);
+  if (is_serving)
     receive_piggyback (peer_rows, call);
-  if (!rowcache_is_complete (cache) || rowcache_is_down (cache)
-      || !is_answering)
+  if (!rowcache_is_complete (cache) || rowcache_is_down (cache) || !is_serving)
     reply_code (request, VH_E_STORE_DOWN);
   else if (call->whole)
     reply_rows (peer_rows, request, call->table, 0, true);
@@ -280,7 +286,7 @@
     }
 }
 
-/* Calling readers and the store.  */
+/* Calls to readers and to the store.  */
 
 /* Release PENDING and cancel its calls without calling its callback.  */
 static void
@@ -307,8 +313,8 @@
   cb (arg, code, result);
 }
 
-/* Record that the reader called for PENDING failed, so that it is not called
-   for a while.  IS_SILENT: the reader did not answer.  */
+/* Record that the reader called for PENDING failed, so that this reader is not
+   called for a while.  IS_SILENT: the reader did not reply.  */
 static void
 record_reader_failure (const pending_call_t *pending, vh_code_t code,
                        bool is_silent)
@@ -324,15 +330,15 @@
 }
 
 static void
-on_store_answer (void *arg, vh_code_t code, const rows_result_t *result)
+on_store_reply (void *arg, vh_code_t code, const rows_result_t *result)
 {
   pending_call_t *pending = arg;
   peer_rows_t *peer_rows = pending->peer_rows;
   rowcache_t *cache = peer_rows->caches[pending->table];
 
-  pending->store_state = STORE_ANSWERED;
+  pending->store_state = STORE_REPLIED;
   if (code == VH_OK)
-    apply_result (pending, pending->store_sent_ms, result);
+    apply_to_cache (pending, pending->store_sent_ms, result);
   else if (code == VH_E_NOT_FOUND)
     rowcache_set_incomplete (cache);
   else
@@ -349,7 +355,7 @@
   finish_call (pending, code, result);
 }
 
-/* Call the store itself, from key FROM on if PENDING is a read.  */
+/* Call the store.  If PENDING is a read, rows from key FROM on are read.  */
 static void
 call_store (pending_call_t *pending, str_t from)
 {
@@ -358,19 +364,18 @@
 
   pending->store_state = STORE_CALLED;
   pending->store_sent_ms = boot_ms (peer_rows);
-  /* Wait shorter, so that the orders at a reader are confirmed often and a
-     gateway whose reader failed soon calls a reader again.  */
+  /* Use a shorter wait, so that ROWS_ORDERS is confirmed often at a reader,
+     and a gateway whose reader failed soon calls a reader again.  */
   if ((pending->table == ROWS_ORDERS || pending->reader_name != NULL)
       && map_size (peer_rows->gateways) > 0 && wait_ms > STORE_WATCH_WAIT_MS)
     wait_ms = STORE_WATCH_WAIT_MS;
   if (pending->is_read)
     peer_rows->store->ops->read (peer_rows->store, pending->table, from,
-                                 pending->timeout_ms, on_store_answer,
-                                 pending);
+                                 pending->timeout_ms, on_store_reply, pending);
   else
     peer_rows->store->ops->watch (
         peer_rows->store, pending->table, pending->after, wait_ms,
-        pending->timeout_ms - (pending->wait_ms - wait_ms), on_store_answer,
+        pending->timeout_ms - (pending->wait_ms - wait_ms), on_store_reply,
         pending);
 }
 
@@ -396,10 +401,10 @@
   return code;
 }
 
-/* End PENDING with the COUNT rows WIRE_ROWS of a reader's ANSWER.  Return
-   an error, with PENDING unchanged, when a row is invalid.  */
+/* Finish PENDING with the COUNT rows WIRE_ROWS of a reader's REPLY.  Return an
+   error and leave PENDING unchanged if a row is invalid.  */
 static vh_code_t
-deliver_rows (pending_call_t *pending, const wire_rows_res_t *answer,
+deliver_rows (pending_call_t *pending, const wire_rows_res_t *reply,
               const wire_row_t *wire_rows, u_int count)
 {
   vh_code_t code = VH_OK;
@@ -407,16 +412,16 @@
   buf_t *plain = mem_zalloc ((count + 1) * sizeof *plain);
   rows_result_t result = { .rows = rows,
                            .count = count,
-                           .version = answer->newest,
-                           .store_now_ms = answer->now_ms,
-                           .age_ms = answer->age_ms,
-                           .store_confirmed_ms = answer->said_ms };
+                           .version = reply->newest,
+                           .store_now_ms = reply->now_ms,
+                           .age_ms = reply->age_ms,
+                           .store_confirmed_ms = reply->said_ms };
 
   for (u_int i = 0; i < count && code == VH_OK; i++)
     code = decode_row (&wire_rows[i], &plain[i], &rows[i]);
   if (code == VH_OK)
     {
-      apply_result (pending, pending->sent_ms, &result);
+      apply_to_cache (pending, pending->sent_ms, &result);
       finish_call (pending, VH_OK, &result);
     }
   for (u_int i = 0; i < count; i++)
@@ -426,30 +431,32 @@
   return code;
 }
 
-/* End PENDING with a reader's ANSWER, as deliver_rows does.  */
+/* Finish PENDING with a reader's REPLY, whose rows may be packed.  Return an
+   error and leave PENDING unchanged if the rows are invalid.  */
 static vh_code_t
-deliver_answer (pending_call_t *pending, const wire_rows_res_t *answer)
+deliver_reply (pending_call_t *pending, const wire_rows_res_t *reply)
 {
   wire_row_list_t list;
 
-  if (answer->plain_len == 0)
-    return deliver_rows (pending, answer, answer->rows.rows_val,
-                         answer->rows.rows_len);
+  if (reply->plain_len == 0)
+    return deliver_rows (pending, reply, reply->rows.rows_val,
+                         reply->rows.rows_len);
   vh_code_t code = rowcache_unpack (
-      str_make (answer->packed.packed_val, answer->packed.packed_len),
-      answer->plain_len, &list);
+      str_make (reply->packed.packed_val, reply->packed.packed_len),
+      reply->plain_len, &list);
   if (code == VH_OK)
-    code = deliver_rows (pending, answer, list.rows.rows_val,
+    code = deliver_rows (pending, reply, list.rows.rows_val,
                          list.rows.rows_len);
   xdr_free ((xdrproc_t)xdr_wire_row_list_t, (char *)&list);
   return code;
 }
 
 static void call_reader (pending_call_t *pending, gateway_peer_t *gateway,
-                         bool is_relay);
+                         bool is_intermediate);
 
-/* Call another reader for PENDING, whose reader answered that it cannot serve
-   the call, or else the store.  Fail when neither is to be called now.  */
+/* Call another reader for PENDING after a reader replied that it cannot serve
+   the call.  If there is no other reader, call the store, or fail if the store
+   is not to be probed now.  */
 static void
 call_next_reader (pending_call_t *pending)
 {
@@ -472,18 +479,18 @@
 }
 
 static void
-on_reader_answer (void *arg, vh_code_t code, void *result, unsigned sent)
+on_reader_reply (void *arg, vh_code_t code, void *result, unsigned sent)
 {
   pending_call_t *pending = arg;
-  const wire_rows_res_t *answer = result;
+  const wire_rows_res_t *reply = result;
 
   (void)sent;
   pending->rpc_call = NULL;
   bool is_silent = code != VH_OK;
   if (code == VH_OK)
-    code = (vh_code_t)answer->code;
+    code = (vh_code_t)reply->code;
   if (code == VH_OK)
-    code = deliver_answer (pending, answer);
+    code = deliver_reply (pending, reply);
   if (code == VH_OK)
     return;
   if (code == VH_E_NOT_FOUND)
@@ -496,12 +503,11 @@
     call_store (pending, STR (""));
   else if (pending->store_state == STORE_NOT_CALLED)
     call_next_reader (pending);
-  else if (pending->store_state == STORE_ANSWERED)
+  else if (pending->store_state == STORE_REPLIED)
     finish_call (pending, VH_E_STORE_DOWN, NULL);
 }
 
-/* Call the store too for each call that its reader should have answered by
-   now.  */
+/* Call the store as well for each pending call whose reader is late.  */
 static void
 hedge_late_calls (peer_rows_t *peer_rows, uint64_t now_ms)
 {
@@ -515,17 +521,20 @@
     }
 }
 
-/* Call GATEWAY.  IS_RELAY: this gateway serves other gateways in turn.  */
+/* Call the reader GATEWAY for PENDING.  IS_INTERMEDIATE: this gateway is
+   itself a reader for other gateways.  */
 static void
-call_reader (pending_call_t *pending, gateway_peer_t *gateway, bool is_relay)
+call_reader (pending_call_t *pending, gateway_peer_t *gateway,
+             bool is_intermediate)
 {
   static const rpc_peer_events_t no_events = { NULL, NULL };
   peer_rows_t *peer_rows = pending->peer_rows;
-  uint64_t wait_max_ms = is_relay ? RELAYED_WATCH_WAIT_MS : WATCH_WAIT_MS;
+  uint64_t wait_max_ms
+      = is_intermediate ? INTERMEDIATE_WATCH_WAIT_MS : WATCH_WAIT_MS;
   uint64_t wait_ms
       = pending->wait_ms < wait_max_ms ? pending->wait_ms : wait_max_ms;
   peer_rows_item_t items[WIRE_NEWS_MAX] = { 0 };
-  wire_news_t news[WIRE_NEWS_MAX];
+  wire_news_t wire_items[WIRE_NEWS_MAX];
   size_t count = 0;
 
   if (gateway->peer == NULL)
@@ -537,21 +546,21 @@
       return;
     }
   if (pending->table == ROWS_SHARED && peer_rows->piggyback.list != NULL)
-    count = peer_rows->piggyback.list (peer_rows->piggyback_arg, is_relay,
-                                       items, WIRE_NEWS_MAX);
+    count = peer_rows->piggyback.list (peer_rows->piggyback_arg,
+                                       is_intermediate, items, WIRE_NEWS_MAX);
   for (size_t i = 0; i < count; i++)
     {
       buf_append_char (&items[i].key, '\0');
-      news[i] = (wire_news_t){ .key = items[i].key.ptr,
-                               .value = { (u_int)items[i].value.len,
-                                          items[i].value.ptr } };
+      wire_items[i] = (wire_news_t){ .key = items[i].key.ptr,
+                                     .value = { (u_int)items[i].value.len,
+                                                items[i].value.ptr } };
     }
   wire_rows_args_t args = { .table = pending->table,
                             .after = pending->after,
                             .wait_ms = (u_int)wait_ms,
                             .whole = pending->is_read,
-                            .tells = is_relay,
-                            .news = { (u_int)count, news } };
+                            .tells = is_intermediate,
+                            .news = { (u_int)count, wire_items } };
   free (pending->reader_name);
   pending->reader_name = str_dup (str_from (gateway->name));
   pending->readers_tried++;
@@ -560,7 +569,7 @@
       = clock_ms (peer_rows->clock) + wait_ms + HEDGE_DELAY_MS;
   pending->rpc_call = rpc_peer_call (gateway->peer, WIRE_ROWS, &args,
                                      wait_ms + HEDGE_DELAY_MS + BUSY_READER_MS,
-                                     on_reader_answer, pending);
+                                     on_reader_reply, pending);
   for (size_t i = 0; i < count; i++)
     {
       buf_free (&items[i].key);
@@ -568,8 +577,8 @@
     }
 }
 
-/* Call the reader or the store for PENDING, from key FROM on if PENDING is a
-   read.  */
+/* Call the reader or the store for PENDING.  If PENDING is a read, rows from
+   key FROM on are read.  */
 static void
 start_call (pending_call_t *pending, str_t from)
 {
@@ -577,7 +586,7 @@
   fanout_role_t role
       = fanout_choose_source (pending->peer_rows->readers, &gateway);
 
-  /* Only the store answers in pages, so the next page must come from the
+  /* Only the store replies in pages, so the next page must come from the
      store.  */
   if (role == FANOUT_READS_STORE
       || (pending->is_read && !pending->is_first_page))
@@ -653,7 +662,8 @@
   peer_rows->store->ops->cancel (peer_rows->store, arg);
 }
 
-/* The interface is part of peer_rows_t and is released with it.  */
+/* Do nothing: the interface is part of peer_rows_t and is freed by
+   peer_rows_destroy.  */
 static void
 peer_rows_release (rows_t *rows)
 {
@@ -726,7 +736,7 @@
   return rpc_server_port (peer_rows->server);
 }
 
-/* The context of these messages is neither filled nor read.  */
+/* The context of RPC messages between gateways is neither filled nor read.  */
 static void
 on_outgoing (void *arg, wire_context_t *context)
 {
--- a/packages/gateway/peerrows.h
+++ b/packages/gateway/peerrows.h
@@ -1,26 +1,26 @@
 /* Reads of the platform's store through peer gateways.
 
-   Answers: many gateways that each watch the tables of a store which charges
-   for every call and limits the rate of calls.  One gateway, the reader, calls
-   the store.  The others call the reader, or in a large fleet the reader of
-   their availability zone, over ONC RPC with the same reads and watches.
-   Without this the number of calls grows with the number of gateways: 730
-   gateways would make 3,000 calls a second where the store allows 2,000.
-   policy/readers.h decides which gateway calls which.
+   Load pattern: many gateways that each watch the tables of a store, which
+   charges for every call and limits the rate of calls.  One gateway, the
+   reader, calls the store.  The others call the reader, or in a large fleet
+   the reader of their availability zone, over ONC RPC with the same reads and
+   watches.  Without readers the number of calls grows with the number of
+   gateways: 730 gateways would make 3,000 calls a second, while the store
+   allows 2,000.  policy/fanout.h decides which gateway calls which.
 
-   A gateway whose reader does not answer in time calls the store as well and
-   uses the first answer of the two.  So a reader that crashed or hangs costs
+   A gateway whose reader does not reply in time calls the store as well and
+   uses the first of the two replies.  So a reader that crashed or hangs costs
    its callers one timeout, and the gateways need not agree on the reader.  A
-   gateway that cannot reach the store is served by a gateway that can.
+   gateway that cannot reach the store calls a gateway that can.
 
    Data that gateways exchange and operators do not read is piggybacked on the
    calls, from each gateway to its reader and on to the gateway that calls the
-   store.  As rows of the store the data would cost a write for each gateway,
-   and every row would be sent to every gateway.
+   store.  If the data were stored as rows, each gateway would have to write a
+   row, and every row would be sent to every gateway.
 
-   An answer carries the time since the store confirmed it to the reader.  The
-   caller adds the time since it sent its call, so rows never look more recent
-   than they are.  */
+   A reply contains the time since the store confirmed the rows to the reader.
+   The caller adds the time since it sent its call, so the age of rows is never
+   underestimated.  */
 
 #ifndef GATEWAY_PEERROWS_H
 #define GATEWAY_PEERROWS_H
@@ -34,12 +34,13 @@
 
 typedef struct
 {
-  str_t name;   /* Of this gateway.  */
+  str_t name;   /* Name of this gateway.  */
   str_t zone;   /* Availability zone of this gateway.  */
   str_t listen; /* HOST:PORT on which the RPC server listens.  */
   const str_t *keys;
   size_t key_count;
-  uint32_t link_mbps; /* Bandwidth of this gateway's link; 0: unknown.  */
+  uint32_t link_mbps; /* Bandwidth of this gateway's network link; 0:
+                         unknown.  */
 } peer_rows_options_t;
 
 /* A key and value piggybacked on a call to the reader.  */
@@ -52,11 +53,11 @@
 typedef struct
 {
   /* Fill at most ITEMS_MAX ITEMS, whose buffers the caller frees; return their
-     number.  IS_RELAY: this gateway serves other gateways in turn, so the
-     items include what those sent.  */
-  size_t (*list) (void *arg, bool is_relay, peer_rows_item_t *items,
+     number.  IS_INTERMEDIATE: this gateway is itself a reader for other
+     gateways, so the items include the data that those sent.  */
+  size_t (*list) (void *arg, bool is_intermediate, peer_rows_item_t *items,
                   size_t items_max);
-  /* Another gateway sent KEY with VALUE; both are borrowed.  */
+  /* Called when another gateway sent KEY with VALUE; both are borrowed.  */
   void (*receive) (void *arg, str_t key, str_t value);
 } peer_rows_piggyback_t;
 
@@ -66,10 +67,11 @@
                             uint64_t seed, rows_t *store,
                             const peer_rows_options_t *options,
                             peer_rows_t **out);
-/* NULL is accepted.  */
+/* Free PEER_ROWS, which may be NULL, without calling the callbacks of pending
+   calls.  */
 void peer_rows_destroy (peer_rows_t *peer_rows);
 
-/* The interface through which this gateway reads tables; valid until
+/* Return the interface through which this gateway reads tables; valid until
    PEER_ROWS is destroyed.  */
 rows_t *peer_rows_iface (peer_rows_t *peer_rows);
 uint16_t peer_rows_port (const peer_rows_t *peer_rows);
@@ -79,15 +81,15 @@
 void peer_rows_add_gateway (peer_rows_t *peer_rows, str_t name, str_t zone,
                             str_t address, uint32_t link_mbps);
 void peer_rows_remove_gateway (peer_rows_t *peer_rows, str_t name);
-/* Set the source and the receiver of the data piggybacked on calls for table
-   ROWS_SHARED.  PIGGYBACK is copied.  */
+/* Set the functions that list and receive the items piggybacked on calls for
+   table ROWS_SHARED.  PIGGYBACK is copied.  */
 void peer_rows_set_piggyback (peer_rows_t *peer_rows,
                               const peer_rows_piggyback_t *piggyback,
                               void *arg);
-/* Stop serving other gateways for good, because a planned stop began.  */
+/* Stop serving other gateways, because a planned stop began.  */
 void peer_rows_stop_serving (peer_rows_t *peer_rows);
-/* Return whether this gateway calls the store itself, and so receives the
-   piggybacked data of all gateways that it serves.  */
+/* Return whether this gateway calls the store itself and so receives the
+   piggybacked items of all gateways that it serves.  */
 bool peer_rows_is_reader (peer_rows_t *peer_rows);
 
 #endif
--- a/packages/gateway/prober.h
+++ b/packages/gateway/prober.h
@@ -1,12 +1,13 @@
-/* Connection probes: test whether an instance still accepts TCP connections.
+/* Connection probes, which test whether an instance still accepts TCP
+   connections.
 
    Load pattern: an engine that has sent nothing for some time.  An engine that
    is busy with the prompts of other requests and one that lost power look the
-   same to a client that waits for an event.  Abandoning a busy engine repeats
-   the work that it has done, on engines that are as busy; waiting for a dead
-   one makes its streams miss their objective.  A TCP connection tells the two
-   apart within a round trip, because the kernel of a running machine accepts
-   it however busy the engine is.
+   same to a client that waits for an event.  Moving a stream from a busy
+   engine to another, equally busy engine repeats the work done so far; waiting
+   for a dead engine makes the stream miss its latency objective.  A TCP
+   connection distinguishes the two cases within a round trip, because the
+   kernel of a running machine accepts connections even if the engine is busy.
 
    At most one probe of an instance is in progress at a time.  A probe sends no
    request.  */
@@ -21,7 +22,8 @@
 
 typedef struct prober prober_t;
 
-/* Result of a probe: IS_REACHABLE if instance ID accepted the connection.  */
+/* Called with the result of a probe.  IS_REACHABLE: instance ID accepted the
+   connection.  */
 typedef void (*prober_cb_t) (void *arg, str_t id, bool is_reachable);
 
 prober_t *prober_create (uv_loop_t *loop, prober_cb_t cb, void *arg);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -14,27 +14,30 @@
 
 enum
 {
-  /* The kernel repeats a lost SYN after a second; another upstream is tried
-     long before.  Network latency is at most some milliseconds.  */
+  /* Timeout of connecting to an upstream.  Network latency is at most some
+     milliseconds, and the kernel would repeat a lost SYN only after a second,
+     so another upstream is tried first.  */
   CONNECT_TIMEOUT_MS = 250,
   /* Timeout of the first event of a stream, in multiples of the route's
      objective.  Callers disconnect after about four objectives.  */
   FIRST_EVENT_TIMEOUT_OBJECTIVES = 2,
   /* Timeout between two events of a stream whose engine accepts connections,
-     in multiples of the route's longest pause that is on time.  The remaining
-     cause of such a silence is a single dead connection.  Callers disconnect
-     after eight pauses.  */
-  EVENT_TIMEOUT_PAUSES = 3,
+     in multiples of route_t.event_gap_max_ms.  At a reachable engine, the
+     remaining cause of a longer gap is that this one connection is dead.
+     Callers disconnect after a gap of eight times event_gap_max_ms.  */
+  EVENT_TIMEOUT_GAPS = 3,
   /* Timeout of a connection probe.  Network latency is at most some
      milliseconds, and the kernel of a busy machine accepts connections at
      once.  */
   PROBE_TIMEOUT_MS = 250,
-  /* Margin after the timeout of a probe in which its result arrives.  */
+  /* Time after PROBE_TIMEOUT_MS within which the result of the probe is
+     reported.  */
   PROBE_RESULT_DELAY_MS = 10,
-  /* Urgency of requests of priority 0.  Engines give a request without an
-     urgency header the urgency 5.  */
+  /* Urgency sent for requests of priority 0.  Engines assume urgency 5 for a
+     request without the header.  */
   URGENCY_HIGHEST = 3,
-  /* Time that a response takes to reach the caller.  */
+  /* Time that a response takes to reach the caller; closer to the deadline no
+     upstream is tried.  */
   RESPONSE_TRANSIT_MS = 5,
   /* Time after the start of the process in which requests wait for the first
      read of the store.  The read takes a tenth of a second; if it takes longer
@@ -47,18 +50,17 @@
   RETRY_AFTER_DRAINING_MS = 50
 };
 
-/* Part of the route's objective after which a request to a plain service that
-   has not answered is sent to another instance, if the request is
-   repeatable.  */
+/* Part of the route's latency objective after which a repeatable request to a
+   plain service that has not responded is sent to another instance.  */
 static const double first_response_timeout_part = 0.7;
 
 /* Set the timer to the next timeout, probe or deadline.  */
 static void arm_timer (relay_t *relay, uint64_t now_ms);
 
-/* Return the urgency with which engines order the request.  Engines read one
-   prompt at a time: without an urgency a short request waits behind the long
-   prompts that arrived before it.  Most installations use few priorities, from
-   0 on.  */
+/* Return the urgency, by which engines order waiting requests.  Engines
+   process one prompt at a time, so without an urgency a short request waits
+   for the long prompts that arrived before it.  Most installations use few
+   priorities, starting at 0.  */
 static uint32_t
 request_urgency (const relay_t *relay)
 {
@@ -75,7 +77,7 @@
   pool_criteria_t criteria;
   buf_t request = BUF_NULL;
 
-  if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_ms)
+  if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_at_ms)
     {
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
@@ -85,7 +87,7 @@
   if (code == VH_E_NO_UPSTREAM && relay->tried_count > 0)
     {
       /* All upstreams were tried.  An upstream that was full is assumed to be
-         full still, and each refused send loads it further; an upstream that
+         still full, and each refused send adds to its load.  An upstream that
          failed may succeed on a second send.  */
       if (relay->was_refused)
         {
@@ -113,7 +115,7 @@
       field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
       field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
       field_number (FIELD_SENDS, relay->sends + 1),
-      field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
+      field_number (FIELD_LEFT_MS, relay->attrs.deadline_at_ms - now_ms),
       field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
   relay->trial_sends.was_sent = true;
   relay->trial_sends.arm = relay_trial_arm (relay);
@@ -137,7 +139,7 @@
     .team = relay->attrs.team != NULL ? relay->attrs.team->name : STR_NULL,
     .model
     = relay_model_name (relay, httpd_header (relay->req, state->names->model)),
-    .remaining_ms = relay->attrs.deadline_ms - now_ms,
+    .remaining_ms = relay->attrs.deadline_at_ms - now_ms,
     .urgency = request_urgency (relay),
     .is_resume = relay->sse.has_last_id,
     .last_event_id = relay->sse.last_id,
@@ -182,15 +184,16 @@
              ? relay->sent_ms
                    + route->objective_ms * FIRST_EVENT_TIMEOUT_OBJECTIVES
              : relay->last_activity_ms
-                   + route->event_gap_max_ms * EVENT_TIMEOUT_PAUSES;
+                   + route->event_gap_max_ms * EVENT_TIMEOUT_GAPS;
 }
 
-/* Return the time at which an upstream that sends nothing is to be probed or
-   abandoned; UINT64_MAX if never.
+/* Return the time at which an upstream that sends no data is to be probed, or
+   the send to be abandoned; UINT64_MAX if never.
 
-   A stream stays at an engine that is reachable until the event timeout,
-   because another engine, equally full, would have to repeat the work done so
-   far.  Streams of an unreachable engine move to another at once.  */
+   A stream stays at a reachable engine until the event timeout, because
+   another engine, which is as loaded, would have to repeat the work done so
+   far.  Streams of an unreachable engine are moved to another engine at
+   once.  */
 static uint64_t
 silence_check_due_ms (const relay_t *relay)
 {
@@ -203,8 +206,7 @@
   return probe_ms < timeout_at_ms ? probe_ms : timeout_at_ms;
 }
 
-/* Return whether the upstream is to be probed before the send is
-   abandoned.  */
+/* Return whether to probe the upstream instead of abandoning the send.  */
 static bool
 should_probe (const relay_t *relay, uint64_t now_ms)
 {
@@ -219,7 +221,7 @@
 probe_upstream (relay_t *relay, uint64_t now_ms)
 {
   uint64_t probe_ms = PROBE_TIMEOUT_MS + PROBE_RESULT_DELAY_MS;
-  uint64_t left_ms = relay->attrs.deadline_ms - now_ms;
+  uint64_t left_ms = relay->attrs.deadline_at_ms - now_ms;
 
   prober_start (relay->state->prober, upstream_id (relay->upstream),
                 upstream_address (relay->upstream), PROBE_TIMEOUT_MS);
@@ -239,7 +241,7 @@
       admit_when_ready (relay);
       return;
     }
-  if (now_ms >= relay->attrs.deadline_ms)
+  if (now_ms >= relay->attrs.deadline_at_ms)
     {
       if (relay->call != NULL && call_sent (relay->call))
         relay->possible_runs++;
@@ -278,8 +280,8 @@
 {
   uint64_t due_ms = silence_check_due_ms (relay);
 
-  if (due_ms > relay->attrs.deadline_ms)
-    due_ms = relay->attrs.deadline_ms;
+  if (due_ms > relay->attrs.deadline_at_ms)
+    due_ms = relay->attrs.deadline_at_ms;
   bound_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
 }
 
@@ -347,14 +349,14 @@
   relay->sse.has_last_id = attrs->is_resume;
   relay->sse.last_id = attrs->last_event_id;
   send_budget_count_request (
-      gateway_service_allowance (state, attrs->service->name));
+      gateway_service_retry_budget (state, attrs->service->name));
   relay_send (relay);
 }
 
 /* Return whether the request waits for the first read of the store by this
-   process.  After a crash of all gateway processes the callers return at the
-   same time, each for its last retry: a rejection during the tenth of a second
-   that the first read takes would be final.  After STARTUP_WAIT_MS the
+   process.  After a crash of all gateway processes, callers reconnect at the
+   same time, each with its last retry, so a rejection during the tenth of a
+   second that the first read takes would be final.  After STARTUP_WAIT_MS the
    process rejects requests at once if it still has no configuration.  */
 static bool
 should_wait_for_startup (const relay_t *relay)
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -50,7 +50,7 @@
              : TRIAL_OLD;
 }
 
-/* Return the hash of the route's name, under which a roll-out groups its
+/* Return the hash of the route's name, by which a roll-out groups its
    samples.  */
 static uint64_t
 route_hash (const relay_t *relay)
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -4,20 +4,20 @@
 
 enum
 {
-  /* Bytes buffered for a slow caller above which reading from the upstream is
-     paused.  */
+  /* Number of bytes buffered for a slow caller above which reading from the
+     upstream is paused.  */
   CALLER_BUFFER_BYTES_HIGH = 65536,
-  /* Most sends for one request, whatever the route allows.  */
+  /* Maximum number of sends of one request, independent of the route.  */
   SENDS_MAX = POOL_TRIED_MAX,
   /* Size limit of a response body that is not streamed, which is buffered.  */
   RESPONSE_BODY_BYTES_MAX = 8 << 20,
-  /* Events after the first over which the mean interval of a stream is
-     measured, because events arrive in bursts.  */
+  /* Number of events after the first over which the mean interval between
+     events is measured.  A mean is needed because events arrive in bursts.  */
   INTERVAL_SAMPLE_EVENTS = 8,
   /* Response headers beyond this number are not forwarded.  */
   RESPONSE_HEADERS_MAX = 64,
-  /* Interval of the search for an upstream that resumes an interrupted stream:
-     a few searches within the longest pause that is on time.  */
+  /* Interval at which an interrupted stream looks for an upstream that can
+     resume it.  Allows a few attempts within route_t.event_gap_max_ms.  */
   RESUME_POLL_MS = 150
 };
 
@@ -32,7 +32,8 @@
 static send_budget_t *
 service_retry_budget (const relay_t *relay)
 {
-  return gateway_service_allowance (relay->state, relay->attrs.service->name);
+  return gateway_service_retry_budget (relay->state,
+                                       relay->attrs.service->name);
 }
 
 bool
@@ -41,13 +42,14 @@
   return send_budget_remaining (service_retry_budget (relay)) >= 1;
 }
 
-/* Take one send from the retry budget.  Return false if none is left.  */
+/* Take one retry from the retry budget of the service.  Return false if none
+   is left.  */
 static bool
 take_retry (relay_t *relay)
 {
-  send_budget_t *allowance = service_retry_budget (relay);
+  send_budget_t *budget = service_retry_budget (relay);
 
-  if (!send_budget_try_take (allowance, 0))
+  if (!send_budget_try_take (budget, 0))
     return false;
   counter_add (relay->state->counters.resends, 1);
   return true;
@@ -220,23 +222,25 @@
 is_valid_response (const relay_t *relay, const call_head_t *head)
 {
   const header_names_t *names = relay->state->names;
-  str_t echoed = call_header (head, names->attempt_id);
+  str_t echoed_attempt_id = call_header (head, names->attempt_id);
 
-  if (echoed.ptr != NULL && !str_eq (echoed, str_from (relay->attempt_id)))
+  if (echoed_attempt_id.ptr != NULL
+      && !str_eq (echoed_attempt_id, str_from (relay->attempt_id)))
     return false;
   if (head->status < 200 || head->status > 599)
     return false;
-  /* Callers do not accept encoded bodies, so an encoded body does not come
-     from the upstream.  A success has a message authentication code.  */
+  /* Requests do not offer a content encoding, so an encoded body was not
+     produced for this request.  Successful responses must have a message
+     authentication code.  */
   if (call_header (head, STR ("content-encoding")).ptr != NULL)
     return false;
   return head->status >= 300
          || call_header (head, names->answer_mac).ptr != NULL;
 }
 
-/* Escalate to a larger model if the confidence of the current one is too low
-   and the caller has received no part of its answer.  Return true if the
-   answer was dropped and the request sent to a larger model.  */
+/* Escalate to a larger model if the confidence of the current model is too low
+   and the caller has received no part of its response.  Return true if the
+   response was discarded and the request sent to a larger model.  */
 static bool
 escalate (relay_t *relay, const call_head_t *head)
 {
@@ -378,8 +382,8 @@
   relay->call = NULL;
   if (code == VH_E_CONNECT)
     {
-      /* No byte of the request was sent, so the next send is not charged to
-         the retry budget.  */
+      /* No byte of the request was sent, so the next send does not count
+         against the retry budget.  */
       relay->failure_reason = "connect";
       relay->connect_failed = true;
       add_tried_upstream (relay);
@@ -413,8 +417,8 @@
   counter_add (relay->state->counters.answered, 1);
   relay_record_end (relay, EVENT_ANSWERED, relay->response_status,
                     relay->failure_reason, 0);
-  /* The last bytes may still wait in the write queue.  The caller may
-     disconnect before they are written, and that callback must not use the
+  /* The last bytes may still be in the write queue.  If the caller disconnects
+     before they are written, the disconnect callback must not use the
      destroyed relay.  */
   httpd_watch (relay->req, NULL, NULL, NULL);
   httpd_send (relay->req, STR (""), true);
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -4,9 +4,9 @@
 
 enum
 {
-  /* Least number of instances that get the requests of a new version.  A
-     single instance may have a queue by chance and would then stand for the
-     whole version.  */
+  /* Minimum number of instances that get the requests of a new version.  A
+     single instance may have a queue by chance, and the version would be
+     judged by that.  */
   NEW_VERSION_INSTANCES_MIN = 2
 };
 
@@ -28,7 +28,7 @@
                                     : 0;
 }
 
-/* Return whether an instance in service runs VERSION of the request's
+/* Return whether the pool has an instance that runs VERSION of the request's
    service.  */
 static bool
 has_instance_of_version (const relay_t *relay, str_t version)
@@ -39,8 +39,8 @@
 }
 
 /* Load of the instances that get the requests of a new version, relative to
-   the load of the old version's instances.  It is above 1 so that the new
-   version is tested with more load than it will get at normal traffic.  */
+   the load of the old version's instances.  The ratio is above 1, so that the
+   new version is tested with more load than it will get at normal traffic.  */
 static const double new_version_load_ratio = 1.25;
 
 /* Return how many instances of the version in TRIAL get its share of the
@@ -139,9 +139,9 @@
    to now for the model at INDEX in the route's list.  Without such an engine,
    return the number of slots of the current upstream.
 
-   The engine is the one that caches the shared parts of the prompt, also for a
-   long prompt: if long prompts went to the least loaded engine, they would
-   slow down all engines.  */
+   The engine is the one that caches the shared parts of the prompt, even for a
+   long prompt: if long prompts were sent to the least loaded engine, they
+   would slow down all engines.  */
 static double
 load_for_model (const relay_t *relay, size_t index)
 {
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -5,9 +5,10 @@
    relay_response.c  response of the upstream, retries and escalation
    relay_end.c       response to the caller, log line, metrics and bill
 
-   A request passes through the files in this order; relay_send and
-   relay_send_failed return to the first for another send.  A send is one
-   transmission of the request to an upstream.  */
+   A request passes through the files in this order.  A send is one
+   transmission of the request to an upstream.  After a failed send,
+   relay_send_failed in relay_response.c calls relay_send in relay.c for the
+   next send.  */
 
 #ifndef GATEWAY_RELAYINT_H
 #define GATEWAY_RELAYINT_H
@@ -22,19 +23,20 @@
 
 enum
 {
-  /* Mean Retry-After of a refusal because all upstreams are full, with a
-     jitter of half of it: some slots become free in this time.  */
+  /* Mean Retry-After when all upstreams are full; the actual value is 50% to
+     150% of the mean.  Some slots become free within this time.  */
   RETRY_AFTER_FULL_MS = 400,
-  /* Mean Retry-After without a configuration or an instance: both return
-     within seconds.  */
+  /* Mean Retry-After when no configuration or no instance is known, which
+     usually lasts only seconds.  */
   RETRY_AFTER_UNAVAILABLE_MS = 700
 };
 
 typedef enum
 {
-  PHASE_AWAITING_CONFIG,   /* This process has no configuration yet.  */
-  PHASE_AWAITING_UPSTREAM, /* Interrupted stream waits for an upstream with
-                              room.  */
+  PHASE_AWAITING_CONFIG,   /* Waits for the first read of the store by this
+                              process.  */
+  PHASE_AWAITING_UPSTREAM, /* Interrupted stream waits for an upstream with a
+                              free slot.  */
   PHASE_AWAITING_RESPONSE, /* Request sent; no response head received yet.  */
   PHASE_RECEIVING_RESPONSE /* Response head received.  */
 } relay_phase_t;
@@ -47,8 +49,9 @@
   request_attrs_t attrs;
   char *attempt_id;
   size_t model_index;        /* Index into the models of the route.  */
-  uint32_t first_confidence; /* Confidence of the smallest model of the route;
-                                valid if MODEL_INDEX > 0.  */
+  uint32_t first_confidence; /* Confidence, 0 to 100, of the smallest model of
+                                the route in its response; valid if MODEL_INDEX
+                                > 0.  */
   bound_t timer;             /* Timer of the next timeout, probe, poll or
                                 deadline.  */
 
@@ -56,23 +59,26 @@
   call_t *call;
   upstream_t *upstream;
   relay_phase_t phase;
-  uint64_t sent_ms; /* Reset when a timeout is postponed because no
-                       retry is possible.  */
+  uint64_t sent_ms; /* Monotonic time of the send, in ms.  Set to the current
+                       time when a timeout is postponed because no retry is
+                       possible.  */
   uint64_t head_received_ms;
-  uint64_t last_activity_ms; /* Time of the last bytes received from the
-                                upstream; at first and when a timeout is
-                                postponed, SENT_MS.  */
+  uint64_t last_activity_ms; /* Monotonic time of the last bytes received from
+                                the upstream, in ms.  Equal to SENT_MS before
+                                the first bytes and when a timeout is
+                                postponed.  */
   uint64_t send_event_count; /* Events received by this send.  */
-  uint32_t
-      upstream_request_count; /* Requests that ran or waited at the upstream,
-                        by its response or else as known to the pool.  */
-  bool is_upstream_loaded;    /* Half or more of the upstream's slots were in
-                                 use when it answered.  */
-  uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has yet to
-                                    read.  */
+  uint32_t upstream_request_count; /* Requests running or waiting at the
+                                      upstream, as reported in its response;
+                                      before the response, requests that this
+                                      process knows to be running there.  */
+  bool is_upstream_loaded; /* At least half of the upstream's slots were in
+                              use at the time of its response.  */
+  uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has not
+                                    processed yet.  */
   bool is_success;               /* The response status is 2xx.  */
-  bool connection_lost; /* The connection ended early, or the upstream is
-                           unreachable.  */
+  bool connection_lost; /* The connection was closed before the end of the
+                           response, or the upstream is unreachable.  */
   bool connect_failed;  /* No connection was established.  */
 
   /* State of all sends.  */
@@ -84,16 +90,19 @@
   sse_filter_t sse;
   uint64_t event_count; /* Events sent to the caller.  */
 
-  /* Response head, and the body of a response that is not streamed.  */
+  /* Response of the current send.  The body is stored only if the response is
+     not streamed.  */
   int response_status;
   buf_t response_headers; /* Headers, each as NAME NUL VALUE NUL.  */
   buf_t response_body;
+
+  /* Further state of all sends.  */
   bool is_paused;   /* Reading from the upstream is paused, because the caller
                        reads slowly.  */
   bool was_refused; /* The last upstream reported that it did not run the
                        request.  */
-  trial_send_history_t
-      trial_sends;            /* Sends of the request during a roll-out.  */
+  trial_send_history_t trial_sends; /* Sends of the request during a roll-out,
+                                       by version.  */
   const char *failure_reason; /* Reason of the last failed send, for the log;
                                  NULL if no send failed.  */
 } relay_t;
@@ -109,14 +118,14 @@
    and one log line.  */
 void relay_record_end (const relay_t *relay, log_event_t event, int status,
                        const char *reason, uint64_t retry_ms);
-/* Send an error response of the gateway and destroy RELAY.  A response that
-   has already started is aborted instead.  RETRY_MS is the mean Retry-After;
-   0 sends no such header.  */
+/* Send an error response of the gateway and destroy RELAY.  If the response
+   has already started, it is aborted instead.  RETRY_MS is the mean
+   Retry-After; if it is 0, the header is not sent.  */
 void relay_reply_error (relay_t *relay, int status, vh_code_t code,
                         const char *reason, uint64_t retry_ms);
 /* Fail the request and destroy RELAY.  The status is 502 or 504 if an upstream
-   may have run the request, else 503 with a mean Retry-After of RETRY_MS; 0
-   stands for RETRY_AFTER_FULL_MS.  */
+   may have run the request, else 503 with a mean Retry-After of RETRY_MS.  If
+   RETRY_MS is 0, the mean is RETRY_AFTER_FULL_MS.  */
 void relay_fail (relay_t *relay, vh_code_t code, const char *reason,
                  uint64_t retry_ms);
 /* Return the name of the current model, or FALLBACK if the route lists no
@@ -131,25 +140,26 @@
    is being rolled out, else TRIAL_OLD.  */
 trial_arm_t relay_trial_arm (const relay_t *relay);
 /* Record in the running roll-out of the service that TIMING of the current
-   send took MS.  */
+   send took DURATION_MS.  */
 void relay_record_timing (const relay_t *relay, trial_timing_t timing,
-                          double ms);
+                          double duration_ms);
 
 /* Selection of the upstream.  */
 
 /* Fill CRITERIA for the upstream of the next send.  */
 void relay_selection_criteria (const relay_t *relay,
                                pool_criteria_t *criteria);
-/* Return whether an upstream other than the current one has room for the
-   request.  Also true if no other upstream exists: a new connection to the
-   current one may succeed.  */
+/* Return whether an upstream other than the current one can take the request.
+   Also return true if no other upstream exists, because a new connection to
+   the current one may succeed.  */
 bool relay_has_alternative (const relay_t *relay);
 /* Return the index in the service's list of the model at INDEX in the route's
    list, or SERVICE_MODELS_MAX if the service does not list the model.  */
 size_t relay_service_model_index (const relay_t *relay, size_t index);
-/* Return the index in the route's list of the larger model that is to answer
-   instead of the current one, whose CONFIDENCE in its answer is 0 to 100; the
-   index of the current model if its answer is kept.  */
+/* Return the index in the route's list of the larger model to which the
+   request is escalated, or the index of the current model if its response is
+   kept.  CONFIDENCE, 0 to 100, is that of the current model in its
+   response.  */
 size_t relay_choose_larger_model (relay_t *relay, uint64_t confidence);
 
 /* Sending and receiving.  */
@@ -162,14 +172,16 @@
    upstream reported that it did not run the request.  Retries the request if
    allowed, else fails it.  */
 void relay_send_failed (relay_t *relay, const char *reason, bool may_have_run);
-/* Resume an interrupted stream at another upstream, as soon as one has room
-   and the retry budget allows another send.
+/* Resume an interrupted stream at another upstream, as soon as an upstream has
+   a free slot and the retry budget allows another send.
 
-   The caller has part of the response and loses it if the stream ends here.
-   When a gateway process took a healthy upstream for lost, all streams to it
-   were aborted because the other upstreams were full at that moment.  */
+   The stream waits, because the caller has received part of the response,
+   which an abort would waste.  Without waiting, a gateway process that wrongly
+   considered a healthy upstream lost aborted all its streams, as the other
+   upstreams were full at that moment.  */
 void relay_resume_stream (relay_t *relay);
-/* Return whether the request may be run once more.  */
+/* Return whether the request may be sent once more although an upstream may
+   have run it.  */
 bool relay_may_retry (const relay_t *relay);
 /* Return whether the retry budget of the service in this process allows
    another send.  */
--- a/packages/gateway/request_attrs.c
+++ b/packages/gateway/request_attrs.c
@@ -33,7 +33,8 @@
   if (!attrs->route->is_public && catalog_has_teams (attrs->catalog))
     {
       /* A gateway process without a recent confirmation of its configuration
-         may have missed that a key was revoked, so it accepts no key.  */
+         may have missed that a key was revoked, so the process rejects
+         requests that need a key.  */
       if (!gateway_has_fresh_config (state))
         return VH_E_STORE_DOWN;
       if (!str_starts (bearer, STR ("Bearer ")))
@@ -47,8 +48,8 @@
   return VH_OK;
 }
 
-/* Choose the service by the weights of the route's split, the same for all
-   requests of a session.  */
+/* Choose the service by the weights of the route's traffic split.  All
+   requests of a session get the same service.  */
 static void
 choose_service (request_attrs_t *attrs)
 {
@@ -90,7 +91,7 @@
       if (number < timeout_ms || timeout_ms == 0)
         timeout_ms = number;
     }
-  attrs->deadline_ms = attrs->arrived_ms + timeout_ms;
+  attrs->deadline_at_ms = attrs->arrived_ms + timeout_ms;
   if (token_counts.ptr != NULL
       && str_to_u64 (str_trim (str_cut (token_counts, ',', &rest)),
                      &prompt_tokens))
--- a/packages/gateway/request_attrsint.h
+++ b/packages/gateway/request_attrsint.h
@@ -12,17 +12,22 @@
   catalog_t *catalog; /* Counted reference, held until the request ends.  */
   const route_t *route;
   const service_t *service;
-  const team_t *team; /* NULL if the route needs no API key.  */
-  uint64_t arrived_ms;
-  uint64_t deadline_ms;   /* Latest time of the response.  */
-  uint64_t prefix_hash;   /* Hash of the shared prompt parts; 0: none.  */
-  uint64_t session_hash;  /* Hash of the session id, or of the attempt id if
-                             the request has no session.  */
-  uint32_t prompt_tokens; /* 0: unknown.  */
-  uint32_t output_tokens_max; /* Most tokens of the answer; 0: unknown.  */
-  uint32_t priority;  /* Of the team or else the route; 0 is the highest.  */
+  const team_t *team;      /* NULL if the route needs no API key.  */
+  uint64_t arrived_ms;     /* Monotonic time of arrival, in ms.  */
+  uint64_t deadline_at_ms; /* Monotonic time by which the response must be
+                           complete, in ms.  */
+  uint64_t prefix_hash;    /* Hash of the prompt parts that other requests may
+                              share; 0: none.  */
+  uint64_t session_hash;   /* Hash of the session id, or of the attempt id if
+                              the request has no session.  */
+  uint32_t prompt_tokens;  /* Number of tokens of the prompt; 0: unknown.  */
+  uint32_t output_tokens_max; /* Maximum number of tokens of the response; 0:
+                                 unknown.  */
+  uint32_t priority;  /* Priority of the team if it has one, else of the route;
+                         0 is the highest.  */
   bool is_repeatable; /* The request may be run more than once.  */
-  bool is_resume;     /* The caller has the events up to LAST_EVENT_ID.  */
+  bool is_resume;     /* The request resumes a stream of which the caller
+                         already has the events up to LAST_EVENT_ID.  */
   uint64_t last_event_id;
 } request_attrs_t;
 
--- a/packages/gateway/request_metrics.c
+++ b/packages/gateway/request_metrics.c
@@ -52,7 +52,7 @@
   buf_append_char (&labels, '\0');
   histogram = metrics_histogram (
       request_metrics->metrics, "vanillahook_gateway_request_seconds",
-      labels.ptr, "Time from a request's arrival to the end of its answer.");
+      labels.ptr, "Time from a request's arrival to the end of its response.");
   if (map_size (request_metrics->histograms) < REQUEST_METRICS_ROUTES_MAX)
     map_put (request_metrics->histograms, route, histogram);
   buf_free (&labels);
--- a/packages/gateway/request_metrics.h
+++ b/packages/gateway/request_metrics.h
@@ -19,7 +19,7 @@
 
 typedef struct request_metrics request_metrics_t;
 
-/* METRICS is borrowed.  */
+/* Create the metrics in METRICS, which is borrowed.  */
 request_metrics_t *request_metrics_create (metrics_t *metrics);
 void request_metrics_destroy (request_metrics_t *request_metrics);
 /* Count a request of TEAM on ROUTE that ended with OUTCOME for REASON,
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -6,12 +6,13 @@
 
 enum
 {
-  /* Delay after which any gateway writes a step of a roll-out.  The gateway
-     that reads the store for others writes sooner unless it is lost.  */
+  /* Time after which any gateway writes a step of a roll-out that is due.
+     Normally a gateway that reads the store for others writes the step
+     earlier.  */
   WRITER_TIMEOUT_MS = 1200
 };
 
-/* The state row of a roll-out as it was read last.  */
+/* The state row of a roll-out, as last read from the store.  */
 typedef struct
 {
   uint64_t version; /* Version of the row in the store.  */
@@ -20,40 +21,43 @@
 
 struct rollouts
 {
-  gateway_state_t *belief;
+  gateway_state_t *state;
   rows_t *rows;
   peer_rows_t *peer_rows;
-  bool is_commit_pending; /* A write of a state row has no answer yet.  */
-  /* Monotonic time since which a state row is due to be written; 0: none.  */
+  bool is_commit_pending; /* A write of a state row has no reply yet.  */
+  /* Monotonic time, in ms, since which a state row is due to be written; 0 if
+     none is due.  */
   uint64_t write_due_ms;
-  map_t *state_rows; /* Service to state_row_t.  */
+  map_t *state_rows; /* Map of service name to state_row_t.  */
 };
 
-/* Withdraw the versions of SERVICE that TEXT lists, separated by spaces.  They
-   were rolled back earlier, maybe before this gateway started.  */
+/* Withdraw the versions of SERVICE that TEXT lists, separated by spaces.
+   These versions were rolled back earlier, perhaps before this gateway
+   started.  */
 static void
 apply_withdrawn_versions (rollouts_t *rollouts, str_t service, str_t text)
 {
-  const trial_t *trial = map_get (rollouts->belief->trials, service);
+  const trial_t *trial = map_get (rollouts->state->trials, service);
 
   while (text.ptr != NULL && text.len > 0)
     {
       str_t version = str_cut (text, ' ', &text);
       if (trial == NULL || !str_eq (version, trial_version (trial)))
-        pool_set_version_withdrawn (rollouts->belief->pool, service, version,
+        pool_set_version_withdrawn (rollouts->state->pool, service, version,
                                     true);
     }
 }
 
-/* Apply the state row of SERVICE's roll-out, if there is one.  Its text is
-   ORDER START STEP FROM PHASE VERSION...: the store version of the order, the
-   store time at which the order was first read, the step in force, the store
-   time from which that step is in force, the phase, and the versions that were
-   rolled back earlier.  The row may be read before the order.  */
+/* Apply the state row of SERVICE's roll-out, if there is one.  The text of the
+   row is ORDER START STEP FROM PHASE VERSION...: the store version of the
+   operator's request, the store time at which the request was first read, the
+   step in force, the store time from which the step is in force, the phase,
+   and the versions that were rolled back earlier.  The state row may be read
+   before the operator's request.  */
 static void
 apply_state_row (rollouts_t *rollouts, str_t service)
 {
-  trial_t *trial = map_get (rollouts->belief->trials, service);
+  trial_t *trial = map_get (rollouts->state->trials, service);
   const state_row_t *row = map_get (rollouts->state_rows, service);
   uint64_t numbers[4];
 
@@ -105,7 +109,8 @@
   apply_state_row (rollouts, service);
 }
 
-/* Version of the state row of SERVICE's roll-out in the store; 0: no row.  */
+/* Return the store version of the state row of SERVICE's roll-out; 0 if there
+   is no row.  */
 static uint64_t
 state_row_version (const rollouts_t *rollouts, str_t service)
 {
@@ -115,12 +120,12 @@
 }
 
 void
-rollouts_apply_order (rollouts_t *rollouts, const rows_row_t *row)
+rollouts_apply_request (rollouts_t *rollouts, const rows_row_t *row)
 {
-  gateway_state_t *belief = rollouts->belief;
-  rollout_spec_t order;
+  gateway_state_t *state = rollouts->state;
+  rollout_spec_t spec;
   void *holder = NULL;
-  vh_code_t code = belief->dialect->read_rollout (row->value, &order, &holder);
+  vh_code_t code = state->dialect->read_rollout (row->value, &spec, &holder);
 
   if (code != VH_OK)
     {
@@ -128,30 +133,29 @@
                  field_number (FIELD_CODE, code));
       return;
     }
-  trial_t *trial = map_get (belief->trials, order.service);
+  trial_t *trial = map_get (state->trials, spec.service);
   if (trial == NULL || trial_order (trial) != row->version)
     {
-      /* Instances of a rolled-back version stay registered for a while.  They
-         must not count as the old version of the next order.  */
+      /* Instances of a rolled-back version stay registered for some time.
+         They must not count as the old version of the next roll-out.  */
       if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
-        pool_set_version_withdrawn (belief->pool, order.service,
+        pool_set_version_withdrawn (state->pool, spec.service,
                                     trial_version (trial), true);
-      pool_set_version_withdrawn (belief->pool, order.service, order.version,
+      pool_set_version_withdrawn (state->pool, spec.service, spec.version,
                                   false);
-      trial_destroy (map_remove (belief->trials, order.service));
-      trial
-          = trial_create (order.service, order.version, row->version,
-                          order.within_ms, belief->options.rollout_share_max);
-      trial_set_order_seen_ms (
-          trial, table_sync_store_now_ms (belief->operator_rows));
-      map_put (belief->trials, order.service, trial);
-      log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
-                 field_text (FIELD_VERSION, order.version),
-                 field_number (FIELD_WITHIN_MS, order.within_ms),
+      trial_destroy (map_remove (state->trials, spec.service));
+      trial = trial_create (spec.service, spec.version, row->version,
+                            spec.within_ms, state->options.rollout_share_max);
+      trial_set_order_seen_ms (trial,
+                               table_sync_store_now_ms (state->operator_rows));
+      map_put (state->trials, spec.service, trial);
+      log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, spec.service),
+                 field_text (FIELD_VERSION, spec.version),
+                 field_number (FIELD_WITHIN_MS, spec.within_ms),
                  field_number (FIELD_ORDER, row->version));
-      apply_state_row (rollouts, order.service);
+      apply_state_row (rollouts, spec.service);
     }
-  belief->dialect->free_holder (holder);
+  state->dialect->free_holder (holder);
 }
 
 void
@@ -164,8 +168,8 @@
   if (!str_eq (row_key_prefix (key, &rest), STR ("evidence")))
     return;
   str_t service = str_cut (rest, '/', &gateway);
-  trial_t *trial = map_get (rollouts->belief->trials, service);
-  if (trial != NULL && !str_eq (gateway, rollouts->belief->options.name)
+  trial_t *trial = map_get (rollouts->state->trials, service);
+  if (trial != NULL && !str_eq (gateway, rollouts->state->options.name)
       && trial_merge (trial, gateway, is_direct, text) != VH_OK)
     log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, key),
                field_number (FIELD_CODE, VH_E_PROTOCOL));
@@ -188,8 +192,8 @@
     log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
 }
 
-/* Return whether this gateway gets the evidence of others, and so decides on
-   roll-outs.  */
+/* Return whether this gateway gets the evidence of other gateways, and so
+   decides on roll-outs.  */
 static bool
 is_decider (const rollouts_t *rollouts)
 {
@@ -200,12 +204,12 @@
 /* Return whether this gateway is to write a state row now.  All gateways come
    to the same decision at the same time.  When each gateway wrote the
    decision, 22 gateways made 114 calls to the store in a day, of which five
-   had an effect.  The first call since a state row was read starts
-   WRITER_TIMEOUT_MS.  */
+   had an effect.  WRITER_TIMEOUT_MS counts from the first call of this
+   function after a state row was read.  */
 static bool
-is_writer (rollouts_t *rollouts)
+should_write_state (rollouts_t *rollouts)
 {
-  uint64_t now_ms = clock_ms (rollouts->belief->clock);
+  uint64_t now_ms = clock_ms (rollouts->state->clock);
 
   if (rollouts->write_due_ms == 0)
     rollouts->write_due_ms = now_ms;
@@ -214,8 +218,9 @@
 }
 
 /* Write the state of TRIAL, with STEP in force from FROM_MS on, to the state
-   row and to the operators' status row.  Both are written in one transaction,
-   and only if the state row was not changed since it was read.  */
+   row and to the operators' status row.  Both rows are written in one
+   transaction, and only if the state row has not changed since this gateway
+   read it.  */
 static void
 write_state (rollouts_t *rollouts, str_t service, const trial_t *trial,
              uint64_t start_ms, uint32_t step, uint64_t from_ms)
@@ -229,7 +234,7 @@
   buf_t status_key = BUF_NULL;
   buf_t status = BUF_NULL;
 
-  if (rollouts->is_commit_pending || !is_writer (rollouts))
+  if (rollouts->is_commit_pending || !should_write_state (rollouts))
     return;
   buf_append_str (&key, STR ("rollout/"));
   buf_append_str (&key, service);
@@ -237,8 +242,8 @@
               (unsigned long long)trial_order (trial),
               (unsigned long long)start_ms, step, (unsigned long long)from_ms,
               trial_phase_name (phase));
-  pool_append_withdrawn_versions (rollouts->belief->pool, service, &value);
-  rollouts->belief->dialect->write_rollout_status (
+  pool_append_withdrawn_versions (rollouts->state->pool, service, &value);
+  rollouts->state->dialect->write_rollout_status (
       service, trial_version (trial), states[phase], &status_key, &status);
   writes[0].table = ROWS_SHARED;
   writes[0].key = buf_str (&key);
@@ -273,13 +278,14 @@
   buf_append_str (out, STR ("evidence/"));
   buf_append_str (out, service);
   buf_append_char (out, '/');
-  buf_append_str (out, rollouts->belief->options.name);
+  buf_append_str (out, rollouts->state->options.name);
 }
 
-/* List the evidence on running roll-outs that is sent to the reader.  With
-   IS_RELAY it includes the evidence that other gateways sent to this one.  */
+/* List the evidence on running roll-outs that is sent to the reader.  If
+   IS_INTERMEDIATE, the evidence that other gateways sent to this gateway is
+   included.  */
 static size_t
-list_evidence (void *arg, bool is_relay, peer_rows_item_t *items,
+list_evidence (void *arg, bool is_intermediate, peer_rows_item_t *items,
                size_t items_max)
 {
   rollouts_t *rollouts = arg;
@@ -289,20 +295,20 @@
   void *value;
 
   while (count < items_max
-         && map_next (rollouts->belief->trials, &cursor, &service, &value))
+         && map_next (rollouts->state->trials, &cursor, &service, &value))
     {
       trial_t *trial = value;
       if (trial_phase (trial) != TRIAL_RUNNING
           || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
-      trial_write (trial, is_relay, &items[count++].value);
+      trial_write (trial, is_intermediate, &items[count++].value);
     }
   return count;
 }
 
 /* Write the evidence on TRIAL to the store, for other gateways that read the
-   store, such as those in zones that this gateway cannot reach.  */
+   store, such as those in zones that have no connection to this gateway.  */
 static void
 write_evidence (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
@@ -325,11 +331,11 @@
 static void
 evaluate_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->operator_rows);
-  bool is_isolated = table_sync_is_down (rollouts->belief->operator_rows);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->state->operator_rows);
+  bool is_isolated = table_sync_is_down (rollouts->state->operator_rows);
   buf_t reason = BUF_NULL;
 
-  /* A gateway that cannot reach the store judges its own evidence.  */
+  /* A gateway that cannot reach the store decides on its own evidence.  */
   if (!is_isolated && !is_decider (rollouts))
     return;
   trial_decision_t verdict
@@ -357,18 +363,19 @@
   buf_free (&reason);
 }
 
-/* Take the step of TRIAL that is due.  IS_SECOND: a second has passed since
-   the last call with IS_SECOND.  */
+/* Carry out the step of TRIAL that is due, if any.  IS_SECOND is true in one
+   call a second.  */
 static void
-tick_trial (rollouts_t *rollouts, str_t service, trial_t *trial,
-            bool is_second)
+run_trial_step (rollouts_t *rollouts, str_t service, trial_t *trial,
+                bool is_second)
 {
-  uint64_t now_ms = table_sync_store_now_ms (rollouts->belief->operator_rows);
+  uint64_t now_ms = table_sync_store_now_ms (rollouts->state->operator_rows);
 
   if (trial_start_ms (trial) == 0)
     {
-      /* The order's time limit runs from when this gateway read the order,
-         even if the state row is written late.  */
+      /* The time limit of the roll-out counts from the time at which this
+         gateway read the operator's request, even if the state row is written
+         late.  */
       uint64_t start_ms = trial_order_seen_ms (trial) != 0
                               ? trial_order_seen_ms (trial)
                               : now_ms;
@@ -381,7 +388,8 @@
         trial_decay (trial);
       evaluate_trial (rollouts, service, trial);
     }
-  /* Write the decision until the state row has this or another decision.  */
+  /* Repeat the write until the state row has a decision, of this or another
+     gateway.  */
   if (trial_phase (trial) != TRIAL_RUNNING
       && !trial_is_final_phase_stored (trial))
     write_state (rollouts, service, trial, trial_start_ms (trial),
@@ -399,18 +407,18 @@
   str_t service;
   void *value;
 
-  while (map_next (rollouts->belief->trials, &cursor, &service, &value))
-    tick_trial (rollouts, service, value, is_second);
+  while (map_next (rollouts->state->trials, &cursor, &service, &value))
+    run_trial_step (rollouts, service, value, is_second);
 }
 
 rollouts_t *
-rollouts_create (gateway_state_t *belief, rows_t *rows, peer_rows_t *peer_rows)
+rollouts_create (gateway_state_t *state, rows_t *rows, peer_rows_t *peer_rows)
 {
   static const peer_rows_piggyback_t piggyback
       = { list_evidence, on_evidence_received };
   rollouts_t *rollouts = mem_zalloc (sizeof *rollouts);
 
-  rollouts->belief = belief;
+  rollouts->state = state;
   rollouts->rows = rows;
   rollouts->peer_rows = peer_rows;
   rollouts->state_rows = map_create ();
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -12,56 +12,62 @@
   /* Time for which a deleted row is kept for callers that do not know of the
      deletion.  A caller that asks later must read the whole table.  */
   TOMBSTONE_TTL_MS = 30000,
-  /* Rows with fewer bytes of values in total are sent unpacked.  */
+  /* Minimum total size of the values above which rows are packed into one
+     deflated string.  */
   PACK_BYTES_MIN = 2048,
-  /* Time for which a packed answer with the whole table is reused.  The next
-     watch call returns the changes since then.  Gateways that start together
-     each read the whole table, and packing it for each takes longer than their
-     calls wait.  */
-  WHOLE_ANSWER_TTL_MS = 1000
+  /* Time for which a packed reply with the whole table is reused.  The next
+     watch call of a caller returns the changes since the reply was packed.
+     Gateways that start together each read the whole table, and packing the
+     table for each of them takes longer than the timeout of their calls.  */
+  WHOLE_TABLE_REPLY_TTL_MS = 1000
 };
 
 typedef struct
 {
   char *key;
   buf_t value;
-  buf_t deflated; /* VALUE deflated; empty before the row is first sent.  */
-  bool is_incompressible; /* VALUE is sent plain: deflating does not help.  */
+  buf_t deflated; /* VALUE deflated; empty until the row is first sent.  */
+  bool is_incompressible; /* VALUE is sent plain, because deflating does not
+                             shorten it.  */
   uint64_t version;
   bool deleted;
   uint64_t deleted_ms; /* Time of the deletion, in ms of the boot clock.  */
 } cached_row_t;
 
-/* A packed answer of many rows, kept for further callers.  */
+/* A packed reply with many rows, kept for further callers.  */
 typedef struct
 {
-  uint64_t after;     /* Version after which the rows changed.  */
-  uint64_t version;   /* Store version of the rows; 0: no answer is kept.  */
+  uint64_t after;     /* The reply contains the rows that changed after this
+                         version.  */
+  uint64_t version;   /* Store version of the rows; 0: no reply is kept.  */
   uint64_t packed_ms; /* Time of packing, in ms of the boot clock.  */
-  /* The same fields of the cache at the time of packing.  */
+  /* Values of the fields of the same names in rowcache at the time of
+     packing.  */
   uint64_t confirmed_ms;
   uint64_t store_confirmed_ms;
   buf_t bytes;
   size_t plain_len;
-} packed_answer_t;
+} packed_reply_t;
 
 struct rowcache
 {
   clock_iface_t *clock;
-  map_t *rows;            /* Key to cached_row_t.  */
+  map_t *rows;            /* Map of key to cached_row_t.  */
   bool is_complete;       /* All rows of the table are known.  */
-  bool is_down;           /* The store did not answer the last call.  */
+  bool is_down;           /* The store did not reply to the last call.  */
   uint64_t version;       /* Store version of the rows.  */
-  uint64_t read_version;  /* Store version of the first page of a read.  */
+  uint64_t read_version;  /* Store version of the first page of the current
+                             read.  */
   uint64_t history_floor; /* Deletions up to this version are unknown.  */
   /* Time at which the store confirmed the rows, in ms of the boot clock.  */
   uint64_t confirmed_ms;
-  uint64_t store_now_ms;      /* Store clock in the last answer.  */
-  uint64_t store_received_ms; /* Boot clock at the last answer.  */
-  /* Store clock when the store confirmed the rows.  */
+  uint64_t store_now_ms;      /* Store clock in the last reply, in ms.  */
+  uint64_t store_received_ms; /* Boot clock at the time of the last reply, in
+                                 ms.  */
+  /* Store clock at the time when the store confirmed the rows, in ms.  */
   uint64_t store_confirmed_ms;
-  packed_answer_t whole;
-  packed_answer_t changes;
+  packed_reply_t whole;
+  packed_reply_t changes;
 };
 
 static void
@@ -127,7 +133,8 @@
   cached_row->deleted_ms = clock_boot_ms (cache->clock);
 }
 
-/* Drop the deleted rows older than TOMBSTONE_TTL_MS, and raise the floor.  */
+/* Drop the rows that were deleted TOMBSTONE_TTL_MS ago or earlier, and raise
+   the history floor.  */
 static void
 expire_tombstones (rowcache_t *cache)
 {
@@ -151,7 +158,7 @@
 }
 
 void
-rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *call,
+rowcache_apply_result (rowcache_t *cache, const rowcache_call_t *call,
                        const rows_result_t *result)
 {
   if (call->is_read && call->is_first_page)
@@ -245,18 +252,18 @@
   row->deleted = cached_row->deleted;
 }
 
-/* The kept answer with the changes after version AFTER, or with the whole
-   table if IS_WHOLE; NULL if there is none that is still valid.  */
-static const packed_answer_t *
-find_packed_answer (const rowcache_t *cache, uint64_t after, bool is_whole)
+/* Return the kept reply with the changes after version AFTER, or with the
+   whole table if IS_WHOLE; NULL if no such reply is kept or still valid.  */
+static const packed_reply_t *
+find_packed_reply (const rowcache_t *cache, uint64_t after, bool is_whole)
 {
-  const packed_answer_t *packed = is_whole ? &cache->whole : &cache->changes;
+  const packed_reply_t *packed = is_whole ? &cache->whole : &cache->changes;
   uint64_t age_ms = clock_boot_ms (cache->clock) - packed->packed_ms;
 
   if (packed->version == 0)
     return NULL;
   if (is_whole)
-    return age_ms < WHOLE_ANSWER_TTL_MS
+    return age_ms < WHOLE_TABLE_REPLY_TTL_MS
                    && packed->version >= cache->history_floor
                ? packed
                : NULL;
@@ -264,16 +271,16 @@
                                                                      : NULL;
 }
 
-/* Pack the answer ROWS with the changes after version AFTER, or with the whole
-   table if IS_WHOLE.  Deflating many rows together shortens registrations
-   well, because they are much alike.  Return NULL if the rows are to be sent
-   unpacked: if they are few, do not get shorter, include a value deflated by
-   itself, or have more bytes than a caller accepts.  */
-static const packed_answer_t *
+/* Pack and keep ROWS, which are the changes after version AFTER, or the whole
+   table if IS_WHOLE.  Deflating many rows together is effective for
+   registrations, because they are similar.  Return NULL if the rows are to be
+   sent unpacked: if they are few, do not get shorter, include a value that is
+   already deflated, or have more bytes than a caller accepts.  */
+static const packed_reply_t *
 pack_rows (rowcache_t *cache, wire_row_list_t *rows, uint64_t after,
            bool is_whole)
 {
-  packed_answer_t *packed = is_whole ? &cache->whole : &cache->changes;
+  packed_reply_t *packed = is_whole ? &cache->whole : &cache->changes;
   size_t bytes = 0;
 
   for (u_int i = 0; i < rows->rows.rows_len; i++)
@@ -307,8 +314,8 @@
   return packed->version != 0 ? packed : NULL;
 }
 
-/* The rows that changed after version AFTER, or all live rows if IS_WHOLE. The
-   caller frees the array, whose strings are borrowed.  */
+/* Return the rows that changed after version AFTER, or all live rows if
+   IS_WHOLE.  The caller frees the array, whose strings are borrowed.  */
 static wire_row_list_t
 list_rows (rowcache_t *cache, uint64_t after, bool is_whole)
 {
@@ -334,7 +341,7 @@
                      wire_rows_res_t *result)
 {
   uint64_t boot_ms = clock_boot_ms (cache->clock);
-  const packed_answer_t *packed = find_packed_answer (cache, after, is_whole);
+  const packed_reply_t *packed = find_packed_reply (cache, after, is_whole);
   wire_row_list_t list = { { 0, NULL } };
 
   if (packed == NULL)
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -1,9 +1,10 @@
-/* A copy of one table of the platform's store from which a gateway answers
-   other gateways: the live rows, recently deleted rows, and the age of both.
+/* A copy of one table of the platform's store, from which a gateway replies to
+   other gateways.  The copy contains the live rows, recently deleted rows, and
+   the time at which the store confirmed them.
 
-   Versions are those of the store.  Deletions up to the floor version are no
-   longer known, so a caller that asks for changes after a lower version must
-   read the whole table.  */
+   Versions are those of the store.  Deletions are known only after a certain
+   version, the history floor, so a caller that asks for changes after a lower
+   version must read the whole table.  */
 
 #ifndef GATEWAY_ROWCACHE_H
 #define GATEWAY_ROWCACHE_H
@@ -15,30 +16,33 @@
 struct wire_row_list_t;
 typedef struct rowcache rowcache_t;
 
-/* The call that an answer of the store or of a reader belongs to.  */
+/* A call to the store or to a reader.  */
 typedef struct
 {
-  bool is_read;       /* A read of rows; false: a watch for changes.  */
-  bool is_first_page; /* The first page of a read of the whole table.  */
-  uint64_t sent_ms;   /* Time of the call, in ms of the boot clock.  */
+  bool is_read;       /* Whether the call is a read of rows, not a watch for
+                         changes.  */
+  bool is_first_page; /* Whether the call reads the first page of the whole
+                         table.  */
+  uint64_t sent_ms;   /* Time at which the call was sent, in ms of the boot
+                         clock.  */
 } rowcache_call_t;
 
 rowcache_t *rowcache_create (clock_iface_t *clock);
-/* NULL is accepted.  */
+/* Free CACHE, which may be NULL.  */
 void rowcache_destroy (rowcache_t *cache);
 
-/* Apply the answer RESULT to CALL.  Changes of a store version lower than the
-   cached one are ignored.  */
-void rowcache_apply_answer (rowcache_t *cache, const rowcache_call_t *call,
+/* Apply RESULT, the reply to CALL.  The reply to a watch is ignored if its
+   store version is lower than the cached version.  */
+void rowcache_apply_result (rowcache_t *cache, const rowcache_call_t *call,
                             const rows_result_t *result);
-/* Record that the store did not answer.  The next applied answer records that
-   the store answers again.  */
+/* Record that the store did not reply to the last call.  The next call of
+   rowcache_apply_result clears the record.  */
 void rowcache_set_down (rowcache_t *cache);
 /* Mark the table as incomplete until the next read of the whole table, because
    the store no longer has the history of changes.  */
 void rowcache_set_incomplete (rowcache_t *cache);
 
-/* Return whether the store did not answer the last call.  */
+/* Return whether the store did not reply to the last call.  */
 bool rowcache_is_down (const rowcache_t *cache);
 /* Return whether all rows of the table are known.  */
 bool rowcache_is_complete (const rowcache_t *cache);
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -2,16 +2,17 @@
    table, watches for changes, and conditional writes.
 
    Calls are asynchronous.  Each calls its callback exactly once, on a later
-   turn of the loop, unless the call is cancelled or the store is destroyed.
-   Results are borrowed for the duration of the callback.  A call fails when
-   the store was silent for TIMEOUT_MS.  There is no bound on the time for a
-   whole answer, which depends on its size and on the link: an answer that is
-   requested again for taking long may never arrive.
+   iteration of the loop, unless the call is cancelled or the store is
+   destroyed.  Results are borrowed for the duration of the callback.  A call
+   fails when the store has sent no data for TIMEOUT_MS.  The time for a
+   complete reply is not limited, because it depends on the size of the reply
+   and on the link: if slow calls were aborted and repeated, a large reply over
+   a slow link would never arrive.
 
    Codes: VH_OK; VH_E_CONFLICT, a condition of a write did not hold;
-   VH_E_NOT_FOUND, the store no longer has the history of changes asked for;
-   VH_E_STORE_BUSY and VH_E_STORE_DOWN, nothing was written; VH_E_STORE_LATE, a
-   write may have been applied or may still be.  */
+   VH_E_NOT_FOUND, the store no longer has all changes after the version given
+   in a watch; VH_E_STORE_BUSY and VH_E_STORE_DOWN, nothing was written;
+   VH_E_STORE_LATE, a write may have been applied or may still be applied.  */
 
 #ifndef GATEWAY_ROWS_H
 #define GATEWAY_ROWS_H
@@ -21,7 +22,8 @@
 
 typedef enum
 {
-  ROWS_ORDERS,    /* Configuration and operators' orders; read only.  */
+  ROWS_ORDERS,    /* Configuration and other rows written by operators; read
+                     only.  */
   ROWS_INSTANCES, /* Registrations of upstream instances; read only.  */
   ROWS_STATUS,    /* Status reports of gateways to operators.  */
   ROWS_SHARED,    /* Rows that gateways share with each other.  */
@@ -33,7 +35,8 @@
   str_t key;
   str_t value; /* Decoded bytes.  */
   uint64_t version;
-  bool deleted; /* Set only in answers to watches.  */
+  bool deleted; /* Whether the row was deleted; set only in replies to
+                   watches.  */
 } rows_row_t;
 
 typedef struct
@@ -42,12 +45,14 @@
   size_t count;
   bool has_more;    /* The table has rows after the last row of this page.  */
   uint64_t version; /* Highest version in the whole store.  */
-  uint64_t store_now_ms; /* The store's steady clock at this answer, in ms.  */
-  /* Age of the store's confirmation of these rows at this answer, in ms; 0 in
-     an answer of the store itself.  */
+  uint64_t store_now_ms; /* Steady clock of the store at the time of this
+                            reply, in ms.  */
+  /* Time between the store's confirmation of these rows and this reply, in ms;
+     0 in a reply of the store itself.  */
   uint64_t age_ms;
-  bool is_direct; /* Answered by the store itself, not by a peer gateway.  */
-  /* The store's steady clock at its confirmation of these rows, in ms.  */
+  bool is_direct; /* Whether the reply is from the store itself, not from a
+                     peer gateway.  */
+  /* Steady clock of the store when it confirmed these rows, in ms.  */
   uint64_t store_confirmed_ms;
 } rows_result_t;
 
@@ -59,19 +64,22 @@
   rows_table_t table;
   str_t key;
   str_t value;
-  bool remove;         /* Delete the row.  */
-  bool is_conditional; /* Write only if the row has version EXPECTED.  */
-  uint64_t expected;   /* 0: the row must not exist.  */
+  bool remove;         /* Whether to delete the row.  */
+  bool is_conditional; /* Whether to write only if the row has version
+                          EXPECTED.  */
+  uint64_t expected;   /* Version that the row must have; 0: the row must not
+                          exist.  */
 } rows_write_t;
 
 typedef struct rows rows_t;
 
 typedef struct
 {
-  /* Read TABLE, starting at key FROM.  */
+  /* Read a page of TABLE, starting at key FROM; an empty FROM reads the first
+     page.  */
   void (*read) (rows_t *rows, rows_table_t table, str_t from,
                 uint64_t timeout_ms, rows_cb_t cb, void *arg);
-  /* Wait up to WAIT_MS for changes after version AFTER.  */
+  /* Wait up to WAIT_MS for changes of TABLE after version AFTER.  */
   void (*watch) (rows_t *rows, rows_table_t table, uint64_t after,
                  uint64_t wait_ms, uint64_t timeout_ms, rows_cb_t cb,
                  void *arg);
--- a/packages/gateway/sse_filter.c
+++ b/packages/gateway/sse_filter.c
@@ -23,7 +23,7 @@
 
 /* Set *ID to the id of EVENT.  Return false if EVENT has no numeric id.  */
 static bool
-event_id (str_t event, uint64_t *id)
+parse_event_id (str_t event, uint64_t *id)
 {
   bool found = false;
 
@@ -37,13 +37,14 @@
   return found;
 }
 
-/* Append the complete EVENT to OUT unless its id was already passed.  */
+/* Append the complete EVENT to OUT and count it, unless its id was already
+   passed.  */
 static vh_code_t
 pass_event (sse_filter_t *filter, str_t event, buf_t *out, size_t *count)
 {
   uint64_t id;
 
-  if (event_id (event, &id))
+  if (parse_event_id (event, &id))
     {
       if (filter->has_last_id && id <= filter->last_id)
         return VH_OK;
--- a/packages/gateway/sse_filter.h
+++ b/packages/gateway/sse_filter.h
@@ -1,5 +1,6 @@
 /* Filter for a stream of server-sent events.  It passes only complete events,
-   drops events whose id was already passed, and detects a gap in the ids.
+   drops events whose id is not higher than that of the last event, and detects
+   a gap in the ids.
 
    An upstream may fail in the middle of an event, and the upstream that
    resumes the stream may repeat or skip events.  */
@@ -29,7 +30,7 @@
                            size_t *count);
 /* Discard an incomplete event, before another upstream resumes the stream.  */
 void sse_filter_discard_partial (sse_filter_t *filter);
-/* Return whether the stream is between two events.  */
+/* Return whether the bytes received so far end with a complete event.  */
 bool sse_filter_at_boundary (const sse_filter_t *filter);
 void sse_filter_free (sse_filter_t *filter);
 
--- a/packages/gateway/storeclock.c
+++ b/packages/gateway/storeclock.c
@@ -1,6 +1,7 @@
 #include "gateway/storeclock.h"
 
-/* Upper bound on store clock minus local clock, at local time NOW_MS.  */
+/* Return the upper bound on store clock minus local clock, at local time
+   NOW_MS.  */
 static int64_t
 ahead_bound_at (const store_clock_t *clock, uint64_t now_ms)
 {
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -1,6 +1,7 @@
-/* Synchronises a gateway with the platform's store: reads the configuration,
-   the operators' orders, the upstream instances and the other gateways, and
-   registers this gateway.  Roll-outs are carried out in rollouts.c.  */
+/* Synchronises a gateway with the platform's store: reads the configuration
+   and other rows written by operators (ROWS_ORDERS), the upstream instances
+   and the other gateways, and registers this gateway.  Roll-outs are carried
+   out in rollouts.c.  */
 
 #include "gateway/gatewayint.h"
 
@@ -13,40 +14,41 @@
 enum
 {
   /* Interval at which roll-out steps are checked.  A step may be late by one
-     interval, as a good version reaches all requests some seconds before its
-     time limit.  */
+     interval, because a working version gets all requests some seconds before
+     its time limit.  */
   TICK_MS = 250,
   TICKS_PER_S = 4,
-  /* Longest time that the store holds a watch for orders.  A revoked key must
-     be refused within seconds, and a confirmation gets as old as two such
-     waits and a timeout.  */
+  /* Longest time that the store holds a watch call for ROWS_ORDERS.  A revoked
+     key must be refused within seconds, and a confirmation gets as old as two
+     such waits and a timeout.  */
   ORDERS_WAIT_MS = 1500,
   ORDERS_TIMEOUT_SLACK_MS = 500,
-  /* The store reports a removed instance at once, so this wait only bounds how
-     long a silent connection goes undetected.  */
+  /* Longest time that the store holds a watch call for ROWS_INSTANCES.  The
+     store reports a removed instance at once, so this wait only limits the
+     time until a dead connection is detected.  */
   INSTANCES_WAIT_MS = 2500,
   INSTANCES_TIMEOUT_SLACK_MS = 600,
-  /* Instances register in bursts, and a removed instance may get requests for
-     up to 2 s.  */
+  /* Pause between watch calls for ROWS_INSTANCES.  Instances register in
+     bursts, and a removed instance may get requests for up to 2 s.  */
   INSTANCES_CALL_GAP_MS = 300,
-  /* Calls for the rows that gateways share: registrations and roll-out states.
-     Roll-out evidence is piggybacked on these calls, so the gap bounds the age
-     of the evidence.  */
+  /* Calls for ROWS_SHARED, which contains the registrations of gateways and
+     the states of roll-outs.  Roll-out evidence is piggybacked on these calls,
+     so the gap limits the age of the evidence.  */
   SHARED_WAIT_MS = 8000,
   SHARED_TIMEOUT_SLACK_MS = 1000,
   SHARED_CALL_GAP_MS = 150,
-  /* Longest retry delay for the other tables.  In an outage only the calls for
-     orders probe the store: 22 gateways that retried all three tables made 120
-     calls a second.  */
+  /* Longest retry delay for tables other than ROWS_ORDERS.  In an outage only
+     the calls for ROWS_ORDERS probe the store: 22 gateways that retried all
+     three tables made 120 calls a second.  */
   OTHER_TABLES_RETRY_MAX_MS = 4000,
-  /* Delay before a failed registration is repeated.  Until it is registered, a
-     gateway only lacks its part of the limits that gateways share.  */
+  /* Delay before a failed registration is repeated.  A gateway that is not
+     registered only lacks its part of the limits that gateways share.  */
   REGISTRATION_RETRY_MS = 2000
 };
 
 struct store_sync
 {
-  gateway_state_t *belief;
+  gateway_state_t *state;
   rows_t *rows;
   peer_rows_t *peer_rows;
   loader_t *loader;
@@ -58,86 +60,88 @@
   bool has_read_instances;   /* The instances were read at least once.  */
   /* The last write of this gateway's registration succeeded.  */
   bool is_registered;
-  /* A write of this gateway's registration has no answer yet.  */
+  /* A write of this gateway's registration has no reply yet.  */
   bool is_registration_pending;
-  /* Earliest monotonic time at which a failed registration is repeated.  */
+  /* Earliest monotonic time at which a failed registration is repeated, in
+     ms.  */
   uint64_t registration_retry_ms;
-  /* Whether the store was reported as down last, by any table.  */
+  /* Whether the last report of any table was that the store is down.  */
   bool is_store_down;
-  /* Monotonic time at which the store answered again after an outage; 0: there
-     was no outage.  */
-  uint64_t store_back_ms;
+  /* Monotonic time at which the store replied again after the last outage, in
+     ms; 0 if there was no outage.  */
+  uint64_t store_recovered_ms;
   rollouts_t *rollouts;
 };
 
-/* Orders.  */
+/* Rows written by operators (ROWS_ORDERS).  */
 
-/* A configuration text of LEN bytes was parsed.  */
+/* Put the parsed configuration in force, whose text had LEN bytes.  Called by
+   the loader.  */
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
   store_sync_t *sync = arg;
-  gateway_state_t *belief = sync->belief;
-  uint64_t parse_ms = gateway_config_load_ms (belief);
+  gateway_state_t *state = sync->state;
+  uint64_t parse_ms = gateway_config_load_elapsed_ms (state);
 
-  /* While a later configuration waits to be parsed, the confirmation of the
+  /* While a newer configuration waits to be parsed, the confirmation of the
      keys in force continues to age.  */
   if (!loader_is_busy (sync->loader))
-    belief->config_load_started_ms = 0;
+    state->config_load_started_ms = 0;
   if (code != VH_OK)
     {
       log_event (EVENT_CONFIG_BAD, field_number (FIELD_CODE, code),
                  field_number (FIELD_BYTES, len));
       return;
     }
-  if (belief->catalog != NULL
-      && catalog_revision (catalog) <= catalog_revision (belief->catalog))
+  if (state->catalog != NULL
+      && catalog_revision (catalog) <= catalog_revision (state->catalog))
     {
       catalog_unref (catalog);
       return;
     }
   log_event (
       EVENT_CONFIG, field_number (FIELD_REVISION, catalog_revision (catalog)),
-      field_number (FIELD_BEFORE, belief->catalog != NULL
-                                      ? catalog_revision (belief->catalog)
+      field_number (FIELD_BEFORE, state->catalog != NULL
+                                      ? catalog_revision (state->catalog)
                                       : 0),
       field_number (FIELD_READ_MS, parse_ms));
-  catalog_unref (belief->catalog);
-  belief->catalog = catalog;
+  catalog_unref (state->catalog);
+  state->catalog = catalog;
 }
 
-/* Parse the configuration in ROW.  Until it is parsed, the configuration in
-   force counts as confirmed before ROW was read.  */
+/* Parse the configuration in ROW.  Until the parsing ends, the confirmation of
+   the configuration in force ages from the time at which ROW was read.  */
 static void
 parse_catalog (store_sync_t *sync, const rows_row_t *row)
 {
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
 
   log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
              field_number (FIELD_BYTES, row->value.len));
-  if (belief->config_load_started_ms == 0)
-    belief->config_load_started_ms = clock_boot_ms (belief->clock);
-  loader_submit (sync->loader, row->value, belief->catalog == NULL);
+  if (state->config_load_started_ms == 0)
+    state->config_load_started_ms = clock_boot_ms (state->clock);
+  loader_submit (sync->loader, row->value, state->catalog == NULL);
 }
 
 static void
-on_order_put (void *arg, const rows_row_t *row)
+on_operator_row_put (void *arg, const rows_row_t *row)
 {
   store_sync_t *sync = arg;
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
   str_t name;
 
-  switch (belief->dialect->operator_row_kind (row->key, &name))
+  switch (state->dialect->operator_row_kind (row->key, &name))
     {
     case OPERATOR_ROW_CATALOG:
       parse_catalog (sync, row);
       break;
     case OPERATOR_ROW_ROLLOUT:
-      rollouts_apply_order (sync->rollouts, row);
+      rollouts_apply_request (sync->rollouts, row);
       break;
     case OPERATOR_ROW_ZONE_EXCLUSION:
       log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
-      pool_set_zone_disabled (belief->pool, name, true);
+      pool_set_zone_disabled (state->pool, name, true);
       break;
     case OPERATOR_ROW_UNKNOWN:
       break;
@@ -145,16 +149,16 @@
 }
 
 static void
-on_order_removed (void *arg, str_t key)
+on_operator_row_removed (void *arg, str_t key)
 {
   store_sync_t *sync = arg;
   str_t name;
 
-  if (sync->belief->dialect->operator_row_kind (key, &name)
+  if (sync->state->dialect->operator_row_kind (key, &name)
       != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
   log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
-  pool_set_zone_disabled (sync->belief->pool, name, false);
+  pool_set_zone_disabled (sync->state->pool, name, false);
 }
 
 /* Instances.  */
@@ -163,11 +167,11 @@
 on_instance_put (void *arg, const rows_row_t *row)
 {
   store_sync_t *sync = arg;
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
   upstream_info_t info;
   void *holder = NULL;
   vh_code_t code
-      = belief->dialect->read_instance (row->key, row->value, &info, &holder);
+      = state->dialect->read_instance (row->key, row->value, &info, &holder);
 
   if (code != VH_OK)
     {
@@ -181,33 +185,35 @@
              field_text (FIELD_ZONE, info.zone),
              field_number (FIELD_DRAINING, info.draining),
              field_number (FIELD_COLD_MS, info.cold_ms));
-  pool_put (belief->pool, &info);
-  belief->dialect->free_holder (holder);
+  pool_put (state->pool, &info);
+  state->dialect->free_holder (holder);
 }
 
 static void
 on_instance_removed (void *arg, str_t key)
 {
   store_sync_t *sync = arg;
-  gateway_state_t *belief = sync->belief;
-  uint64_t now_ms = clock_ms (belief->clock);
+  gateway_state_t *state = sync->state;
+  uint64_t now_ms = clock_ms (state->clock);
   uint64_t keep_ms = 0;
 
-  if (sync->store_back_ms != 0
-      && now_ms - sync->store_back_ms < belief->options.registration_grace_ms)
-    keep_ms = belief->options.registration_grace_ms
-              - (now_ms - sync->store_back_ms);
+  if (sync->store_recovered_ms != 0
+      && now_ms - sync->store_recovered_ms
+             < state->options.registration_grace_ms)
+    keep_ms = state->options.registration_grace_ms
+              - (now_ms - sync->store_recovered_ms);
   log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
              field_number (FIELD_KEEP_MS, keep_ms));
-  pool_remove (belief->pool, key, keep_ms);
+  pool_remove (state->pool, key, keep_ms);
 }
 
-/* Allow requests to be served once all tables were read.  */
+/* Set is_initialized, which allows requests to be processed, once all tables
+   were read.  */
 static void
-update_prepared (store_sync_t *sync)
+update_initialized (store_sync_t *sync)
 {
   if (sync->has_read_shared_rows && sync->has_read_instances)
-    sync->belief->is_initialized = true;
+    sync->state->is_initialized = true;
 }
 
 static void
@@ -217,20 +223,21 @@
 
   (void)is_full_read;
   sync->has_read_instances = true;
-  update_prepared (sync);
+  update_initialized (sync);
 }
 
-/* Record that the store stopped answering calls for a table (IS_DOWN) or
-   answers again.  Registrations that expired during an outage are kept for
-   options.lapse_ms from the first answer for any table.  The instances may
-   be read seconds after the orders, if their call hung on a broken connection.
-   Counted from the read of the instances, an instance that had left 13 s
-   before got a request.  */
+/* Record that the store stopped replying to calls for a table (IS_DOWN) or
+   replies again.  Registrations that expired during an outage are kept for
+   gateway_options_t.registration_grace_ms from the first reply for any table.
+   The reply for ROWS_INSTANCES may arrive seconds after that for ROWS_ORDERS,
+   if the call hung on a broken connection.  When the grace period counted from
+   the reply for ROWS_INSTANCES, an instance that had stopped 13 s before got a
+   request.  */
 static void
 record_reachability (store_sync_t *sync, bool is_down)
 {
   if (!is_down && sync->is_store_down)
-    sync->store_back_ms = clock_ms (sync->belief->clock);
+    sync->store_recovered_ms = clock_ms (sync->state->clock);
   sync->is_store_down = is_down;
 }
 
@@ -240,10 +247,10 @@
   record_reachability (arg, is_down);
 }
 
-/* Rows that gateways share.  */
+/* Rows that gateways share (ROWS_SHARED).  */
 
 /* Add the gateway NAME with the registration TEXT, which is ZONE ADDRESS LINK.
-   LINK is the bandwidth of its link in Mbit/s.  */
+   LINK is the bandwidth of the gateway's network link in Mbit/s.  */
 static void
 add_gateway (peer_rows_t *peer_rows, str_t name, str_t text)
 {
@@ -274,7 +281,7 @@
   else if (str_eq (kind, STR ("entry")) && rest.len > 0)
     {
       str_t after_zone;
-      allotment_put (sync->belief->allotment, rest,
+      allotment_put (sync->state->allotment, rest,
                      str_cut (row->value, ' ', &after_zone));
       if (sync->peer_rows != NULL)
         add_gateway (sync->peer_rows, rest, row->value);
@@ -289,7 +296,7 @@
 
   if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
     {
-      allotment_remove (sync->belief->allotment, rest);
+      allotment_remove (sync->state->allotment, rest);
       if (sync->peer_rows != NULL)
         peer_rows_remove_gateway (sync->peer_rows, rest);
     }
@@ -300,19 +307,19 @@
 static void
 divide_limits (store_sync_t *sync)
 {
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
   size_t cursor = 0;
   str_t key;
   void *value;
 
-  allotment_expire (belief->allotment);
-  uint32_t gateways = (uint32_t)allotment_gateway_count (belief->allotment);
-  if (gateways == belief->gateway_count)
+  allotment_expire (state->allotment);
+  uint32_t gateways = (uint32_t)allotment_gateway_count (state->allotment);
+  if (gateways == state->gateway_count)
     return;
   log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, gateways),
-             field_number (FIELD_BEFORE, belief->gateway_count));
-  belief->gateway_count = gateways;
-  while (map_next (belief->allowances, &cursor, &key, &value))
+             field_number (FIELD_BEFORE, state->gateway_count));
+  state->gateway_count = gateways;
+  while (map_next (state->retry_budgets, &cursor, &key, &value))
     send_budget_set_gateway_count (value, gateways);
 }
 
@@ -323,12 +330,12 @@
 
   (void)is_full_read;
   sync->has_read_shared_rows = true;
-  update_prepared (sync);
-  allotment_set_loaded (sync->belief->allotment);
+  update_initialized (sync);
+  allotment_set_loaded (sync->state->allotment);
   divide_limits (sync);
 }
 
-/* Writing.  */
+/* Registration of this gateway, and the timer.  */
 
 static void
 on_registration_written (void *arg, vh_code_t code,
@@ -342,12 +349,12 @@
   if (code == VH_OK)
     return;
   sync->registration_retry_ms
-      = clock_ms (sync->belief->clock) + REGISTRATION_RETRY_MS;
+      = clock_ms (sync->state->clock) + REGISTRATION_RETRY_MS;
   log_event (EVENT_ENTRY_WRITE, field_number (FIELD_CODE, code));
 }
 
-/* Write the row that registers this gateway with the others, or delete it if
-   IS_LEAVING.  */
+/* Write the row that registers this gateway with the others, or delete the row
+   if IS_LEAVING.  */
 static void
 write_registration (store_sync_t *sync, bool is_leaving)
 {
@@ -355,10 +362,10 @@
   buf_t value = BUF_NULL;
 
   buf_append_str (&key, STR ("entry/"));
-  buf_append_str (&key, sync->belief->options.name);
-  buf_printf (&value, "%.*s %.*s %u", STR_ARG (sync->belief->options.zone),
-              STR_ARG (sync->belief->options.rpc_listen),
-              (unsigned)sync->belief->options.link_mbps);
+  buf_append_str (&key, sync->state->options.name);
+  buf_printf (&value, "%.*s %.*s %u", STR_ARG (sync->state->options.zone),
+              STR_ARG (sync->state->options.rpc_listen),
+              (unsigned)sync->state->options.link_mbps);
   rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value),
@@ -374,25 +381,26 @@
 on_tick (uv_timer_t *timer)
 {
   store_sync_t *sync = timer->data;
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
   bool is_second = ++sync->ticks % TICKS_PER_S == 0;
 
-  if (belief->stopping_ms != 0 || !sync->has_read_shared_rows)
+  if (state->stopping_ms != 0 || !sync->has_read_shared_rows)
     return;
   if (!sync->is_registered && !sync->is_registration_pending
-      && clock_ms (belief->clock) >= sync->registration_retry_ms)
+      && clock_ms (state->clock) >= sync->registration_retry_ms)
     write_registration (sync, false);
   if (is_second)
     divide_limits (sync);
   rollouts_tick (sync->rollouts, is_second);
 }
 
-/* Creation and destruction.  */
+/* Start of the synchronisation of each table, and its end.  */
 
-/* Start to read instances, now that the orders for roll-outs are known: an
-   instance of a new version must not be taken for one of the old version.  */
+/* Start to synchronise the instances after the first read of ROWS_ORDERS.  If
+   the requests for roll-outs were not known yet, instances of a new version
+   would be treated as those of the old version.  */
 static void
-on_orders_synced (void *arg, bool is_full_read)
+on_operator_rows_synced (void *arg, bool is_full_read)
 {
   static const table_sync_options_t instances
       = { .table = ROWS_INSTANCES,
@@ -405,18 +413,18 @@
       = { on_instance_put, on_instance_removed, on_instances_synced,
           on_instances_reachability };
   store_sync_t *sync = arg;
-  gateway_state_t *belief = sync->belief;
+  gateway_state_t *state = sync->state;
 
   (void)is_full_read;
   if (sync->instances == NULL)
-    sync->instances = table_sync_create (belief->loop, belief->clock,
-                                         sync->rows, rng_u64 (&belief->rng),
-                                         &instances, &events, sync);
+    sync->instances
+        = table_sync_create (state->loop, state->clock, sync->rows,
+                             rng_u64 (&state->rng), &instances, &events, sync);
 }
 
-/* Retry the other tables at once when the store answers again.  */
+/* Retry the other tables at once when the store replies again.  */
 static void
-on_orders_reachability (void *arg, bool is_down)
+on_operator_rows_reachability (void *arg, bool is_down)
 {
   store_sync_t *sync = arg;
 
@@ -429,7 +437,7 @@
 }
 
 store_sync_t *
-store_sync_create (gateway_state_t *belief, rows_t *rows,
+store_sync_create (gateway_state_t *state, rows_t *rows,
                    peer_rows_t *peer_rows)
 {
   static const table_sync_options_t orders
@@ -438,8 +446,8 @@
           .wait_ms = ORDERS_WAIT_MS,
           .timeout_slack_ms = ORDERS_TIMEOUT_SLACK_MS };
   static const table_sync_events_t order_events
-      = { on_order_put, on_order_removed, on_orders_synced,
-          on_orders_reachability };
+      = { on_operator_row_put, on_operator_row_removed,
+          on_operator_rows_synced, on_operator_rows_reachability };
   static const table_sync_options_t shared_rows
       = { .table = ROWS_SHARED,
           .name = "own",
@@ -451,23 +459,23 @@
       = { on_shared_put, on_shared_removed, on_shared_synced, NULL };
   store_sync_t *sync = mem_zalloc (sizeof *sync);
 
-  sync->belief = belief;
+  sync->state = state;
   sync->rows = rows;
   sync->peer_rows = peer_rows;
-  sync->rollouts = rollouts_create (belief, rows, peer_rows);
-  sync->loader = loader_create (belief->loop, belief->dialect->read_catalog,
+  sync->rollouts = rollouts_create (state, rows, peer_rows);
+  sync->loader = loader_create (state->loop, state->dialect->read_catalog,
                                 on_catalog, sync);
-  belief->operator_rows = table_sync_create (belief->loop, belief->clock, rows,
-                                             rng_u64 (&belief->rng), &orders,
-                                             &order_events, sync);
-  /* Read together with the orders: this table lists the gateways among which
-     is the reader of the orders.  */
-  sync->shared_rows = table_sync_create (belief->loop, belief->clock, rows,
-                                         rng_u64 (&belief->rng), &shared_rows,
+  state->operator_rows = table_sync_create (state->loop, state->clock, rows,
+                                            rng_u64 (&state->rng), &orders,
+                                            &order_events, sync);
+  /* Read at the same time as ROWS_ORDERS: this table lists the gateways, one
+     of which is the reader through which ROWS_ORDERS is read.  */
+  sync->shared_rows = table_sync_create (state->loop, state->clock, rows,
+                                         rng_u64 (&state->rng), &shared_rows,
                                          &shared_events, sync);
-  uv_timer_init (belief->loop, &sync->tick);
+  uv_timer_init (state->loop, &sync->tick);
   sync->tick.data = sync;
-  uv_timer_start (&sync->tick, on_tick, rng_below (&belief->rng, TICK_MS) + 1,
+  uv_timer_start (&sync->tick, on_tick, rng_below (&state->rng, TICK_MS) + 1,
                   TICK_MS);
   return sync;
 }
@@ -492,8 +500,8 @@
 {
   if (sync == NULL)
     return;
-  table_sync_destroy (sync->belief->operator_rows);
-  sync->belief->operator_rows = NULL;
+  table_sync_destroy (sync->state->operator_rows);
+  sync->state->operator_rows = NULL;
   loader_destroy (sync->loader);
   table_sync_destroy (sync->instances);
   table_sync_destroy (sync->shared_rows);
--- a/packages/gateway/tablesync.c
+++ b/packages/gateway/tablesync.c
@@ -9,12 +9,12 @@
 
 enum
 {
-  /* Delay before the first retry; short, for the case that only one reply was
+  /* Delay before the first retry; short, because often only one reply was
      lost.  */
   RETRY_MIN_MS = 100,
   READ_TIMEOUT_MS = 1500,
-  /* Shortest pause between watch calls.  Keeps watches that the store answers
-     at once without changes from becoming a busy loop.  */
+  /* Shortest pause between watch calls.  Prevents a busy loop if the store
+     replies to watches at once without changes.  */
   WATCH_GAP_MS = 20
 };
 
@@ -27,24 +27,31 @@
   void *arg;
   rng_t rng;
   uv_timer_t timer;
-  /* Key of each known row to READ_NUMBER when the row was put.  */
-  map_t *row_marks;
+  /* Map of the key of each known row to the value of READ_NUMBER when the row
+     was last returned.  */
+  map_t *row_read_numbers;
   uintptr_t read_number; /* Number of the last read of the whole table.  */
-  buf_t next_key; /* First key of the next page; empty: the first page.  */
+  buf_t next_key; /* First key of the next page of a read; empty: the first
+                     page.  */
   bool is_reading;
   bool is_down;
-  uint64_t version;      /* Highest store version that was applied.  */
-  uint64_t read_version; /* Store version of the first page of a read.  */
-  /* Time of the last call, in ms of the boot clock.  */
+  uint64_t version;      /* Store version of the last reply that was
+                            applied.  */
+  uint64_t read_version; /* Store version of the first page of the current
+                            read.  */
+  /* Time at which the last call was sent, in ms of the boot clock.  */
   uint64_t sent_ms;
-  /* Time of the call for a read's first page, in ms of the boot clock.  */
+  /* Time at which the call for the first page of the current read was sent, in
+     ms of the boot clock.  */
   uint64_t read_sent_ms;
   bool is_confirmed;
   /* Time of the last confirmation, in ms of the boot clock.  */
   uint64_t confirmed_ms;
-  store_clock_t store_clock;  /* Converts store time to boot time.  */
-  uint64_t store_ms;          /* Store clock in the last answer; 0: none.  */
-  uint64_t store_received_ms; /* Boot clock when STORE_MS was received.  */
+  store_clock_t store_clock;  /* Converts store time to boot clock time.  */
+  uint64_t store_ms;          /* Store clock in the last reply, in ms; 0: no
+                                 reply yet.  */
+  uint64_t store_received_ms; /* Time at which STORE_MS was received, in ms of
+                                 the boot clock.  */
   uint64_t retry_delay_ms;
 };
 
@@ -101,25 +108,27 @@
                              : sync->options.retry_max_ms;
 }
 
-/* Report ROW and mark it as returned by the current read.  */
+/* Pass ROW to the put callback and mark the row as returned by the current
+   read.  */
 static void
 apply_row (table_sync_t *sync, const rows_row_t *row)
 {
-  map_put (sync->row_marks, row->key, (void *)sync->read_number);
+  map_put (sync->row_read_numbers, row->key, (void *)sync->read_number);
   sync->events.put (sync->arg, row);
 }
 
-/* Report the rows that the completed read did not return as removed.  */
+/* Remove the rows that the completed read did not return, and pass their keys
+   to the removed callback.  */
 static void
-report_removed (table_sync_t *sync)
+remove_missing_rows (table_sync_t *sync)
 {
   buf_t removed_keys = BUF_NULL;
   size_t cursor = 0;
   str_t key;
-  void *mark;
+  void *row_read_number;
 
-  while (map_next (sync->row_marks, &cursor, &key, &mark))
-    if ((uintptr_t)mark != sync->read_number)
+  while (map_next (sync->row_read_numbers, &cursor, &key, &row_read_number))
+    if ((uintptr_t)row_read_number != sync->read_number)
       {
         buf_append_str (&removed_keys, key);
         buf_append_char (&removed_keys, '\0');
@@ -128,7 +137,7 @@
     {
       str_t removed_key = str_from (removed_keys.ptr + at);
       at += removed_key.len + 1;
-      map_remove (sync->row_marks, removed_key);
+      map_remove (sync->row_read_numbers, removed_key);
       sync->events.removed (sync->arg, removed_key);
     }
   buf_free (&removed_keys);
@@ -149,7 +158,7 @@
       &sync->store_clock, result->store_confirmed_ms, now_ms);
   sync->is_confirmed = true;
   sync->confirmed_ms = sent_ms > result->age_ms ? sent_ms - result->age_ms : 0;
-  /* The table is confirmed as of both times, so the later one counts.  */
+  /* The table is confirmed for both times, so the later time counts.  */
   if (confirmed_local_ms > sync->confirmed_ms)
     sync->confirmed_ms = confirmed_local_ms;
   sync->store_ms = result->store_now_ms;
@@ -171,13 +180,14 @@
   sync->next_key.len = 0;
   if (result->has_more && result->count > 0)
     {
-      /* The smallest key after the last one of this page.  */
+      /* Start the next page at the smallest key after the last key of this
+         page.  */
       buf_append_str (&sync->next_key, result->rows[result->count - 1].key);
       buf_append_char (&sync->next_key, '\x01');
       send_call (sync);
       return;
     }
-  report_removed (sync);
+  remove_missing_rows (sync);
   sync->is_reading = false;
   sync->version = sync->read_version;
   record_confirmation (sync, result, sync->read_sent_ms);
@@ -193,7 +203,7 @@
       const rows_row_t *row = &result->rows[i];
       if (!row->deleted)
         apply_row (sync, row);
-      else if (map_remove (sync->row_marks, row->key) != NULL)
+      else if (map_remove (sync->row_read_numbers, row->key) != NULL)
         sync->events.removed (sync->arg, row->key);
     }
   sync->version = result->version;
@@ -216,7 +226,7 @@
     }
   if (result->version < sync->version)
     {
-      /* Applying older rows would undo changes that are in force.  */
+      /* Rows of an older version would undo changes that are in force.  */
       log_event (EVENT_STORE_STALE,
                  field_text (FIELD_TABLE, str_from (sync->options.name)),
                  field_number (FIELD_ORDER, result->version),
@@ -225,8 +235,8 @@
       schedule_call (sync, rng_jitter (&sync->rng, TABLE_SYNC_RETRY_MAX_MS));
       return;
     }
-  /* Report the end of an outage before the rows, because the callee treats
-     rows removed right after an outage differently.  */
+  /* Report the end of an outage before passing on the rows, because the
+     callbacks treat rows removed shortly after an outage differently.  */
   set_down (sync, false, VH_OK);
   if (sync->is_reading)
     apply_page (sync, result);
@@ -245,8 +255,8 @@
                            on_result, sync);
   else
     {
-      /* After a failure the store answers without waiting for changes, so that
-         the table is confirmed at once.  */
+      /* After a failure do not wait for changes, so that the store replies and
+         confirms the table at once.  */
       uint64_t wait_ms = sync->is_down ? 0 : sync->options.wait_ms;
       sync->rows->ops->watch (
           sync->rows, sync->options.table, sync->version, wait_ms,
@@ -269,7 +279,7 @@
   sync->events = *events;
   sync->arg = arg;
   sync->rng = rng_make (seed);
-  sync->row_marks = map_create ();
+  sync->row_read_numbers = map_create ();
   sync->is_reading = true;
   sync->retry_delay_ms = RETRY_MIN_MS;
   uv_timer_init (loop, &sync->timer);
@@ -295,7 +305,7 @@
 {
   table_sync_t *sync = handle->data;
 
-  map_destroy (sync->row_marks);
+  map_destroy (sync->row_read_numbers);
   buf_free (&sync->next_key);
   free (sync);
 }
--- a/packages/gateway/tablesync.h
+++ b/packages/gateway/tablesync.h
@@ -2,17 +2,18 @@
    whole table, then watches for changes, and reads the whole table again when
    the store no longer has the history of changes that is needed.
 
-   Answers: a store that is down, slow, reset or silent, for all processes or
-   only for this one.  Every call has a bound on silence and a connection of
-   its own, so a connection that went silent costs one timeout, and a large
-   answer may take as long as the link needs.  Failed calls are repeated after
-   a jittered delay that doubles with each failure, so that gateways do not
-   retry in step.
+   Load pattern: a store that is unreachable, slow, restarted without its
+   history, or silent, for all processes or only for this process.  Every call
+   has its own connection and fails only if no data arrives for a timeout.  So
+   a dead connection costs one timeout, and a large reply may take as long as
+   the link needs.  Failed calls are repeated after a jittered delay that
+   doubles with each failure, so that gateways do not retry in step.
 
-   A confirmation is the time at which a call was sent whose answer shows the
-   table as of that time or later.  An answer whose store version is lower than
-   one already seen is stale: its rows are not applied, and it does not count
-   as a confirmation.  */
+   A confirmation is a time for which the table in this process is known to be
+   up to date: the time at which the call was sent whose reply was applied.  A
+   reply whose store version is lower than that of an earlier reply is stale:
+   its rows are not applied, and the reply does not count as a
+   confirmation.  */
 
 #ifndef GATEWAY_TABLESYNC_H
 #define GATEWAY_TABLESYNC_H
@@ -27,8 +28,9 @@
 
 enum
 {
-  /* Default of retry_max_ms.  Long enough not to load a store that is down:
-     every call is charged for, refused calls too.  */
+  /* Default of table_sync_options_t.retry_max_ms.  Long enough not to overload
+     a store that is down; every call is charged for, including refused
+     calls.  */
   TABLE_SYNC_RETRY_MAX_MS = 800
 };
 
@@ -37,26 +39,29 @@
   rows_table_t table;
   const char *name; /* Table name in log lines.  */
   uint64_t wait_ms; /* Longest time that the store may hold one watch call.  */
-  /* Silence of the store beyond WAIT_MS that ends a watch call.  */
+  /* Time after WAIT_MS in which the store may send no data before a watch call
+     fails.  */
   uint64_t timeout_slack_ms;
-  /* Shortest pause between watch calls, in which changes accumulate; 0: the
-     default.  */
+  /* Shortest pause between watch calls, in which changes accumulate; 0: 20
+     ms.  */
   uint64_t call_gap_ms;
-  /* Longest delay between calls while the store does not answer; 0:
+  /* Longest delay between calls while the store does not reply; 0:
      TABLE_SYNC_RETRY_MAX_MS.  */
   uint64_t retry_max_ms;
 } table_sync_options_t;
 
 typedef struct
 {
-  /* ROW was read, and may be new, changed or unchanged.  */
+  /* Called for each row read, which may be new, changed or unchanged.  */
   void (*put) (void *arg, const rows_row_t *row);
+  /* Called for each row that was deleted from the table.  */
   void (*removed) (void *arg, str_t key);
-  /* All rows of an answer were passed to put and removed.  IS_FULL_READ: the
-     answer completed a read of the whole table, and each row that the read did
-     not return was passed to removed.  */
+  /* Called after all rows of a reply were passed to put and removed.
+     IS_FULL_READ: the reply completed a read of the whole table, and each row
+     that the read did not return was passed to removed.  */
   void (*synced) (void *arg, bool is_full_read);
-  /* The store stopped answering (IS_DOWN) or answers again; may be NULL.  */
+  /* Called when the store stopped replying (IS_DOWN) or replies again; may be
+     NULL.  */
   void (*reachability) (void *arg, bool is_down);
 } table_sync_events_t;
 
@@ -65,19 +70,20 @@
                                  rows_t *rows, uint64_t seed,
                                  const table_sync_options_t *options,
                                  const table_sync_events_t *events, void *arg);
-/* NULL is accepted.  */
+/* Free SYNC, which may be NULL, and cancel its pending call.  */
 void table_sync_destroy (table_sync_t *sync);
-/* Send the next call at once if calls are failing, because the store was seen
-   to answer other calls.  */
+/* If the last call failed, send the next call at once.  To be called when the
+   store is known to be reachable again.  */
 void table_sync_retry_now (table_sync_t *sync);
 
-/* Milliseconds since the last confirmation, by a clock that also runs while
-   the machine is suspended; UINT64_MAX before the first confirmation.  */
+/* Return the time since the last confirmation in ms, by a clock that also runs
+   while the machine is suspended; UINT64_MAX before the first
+   confirmation.  */
 uint64_t table_sync_age_ms (const table_sync_t *sync);
 /* Return whether the last call failed.  */
 bool table_sync_is_down (const table_sync_t *sync);
-/* Estimate of the store's steady clock now, in ms; 0 before the first
-   answer.  */
+/* Return an estimate of the store's steady clock at this moment, in ms; 0
+   before the first reply.  */
 uint64_t table_sync_store_now_ms (const table_sync_t *sync);
 
 #endif
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -45,7 +45,8 @@
   stored_row_t rows[ROWS_MAX];
   size_t count;
   uint64_t version;
-  uint64_t stale_version; /* Version that answers show; 0: newest.  */
+  uint64_t stale_version; /* Version of the rows in replies; 0: the newest
+                             version.  */
   /* Watches after a version lower than this end with VH_E_NOT_FOUND.  */
   uint64_t history_floor;
   uint64_t advanced_ms; /* Time that was added by fake_rows_advance_clock.  */
@@ -85,9 +86,9 @@
   uv_close ((uv_handle_t *)&call->timer, on_call_closed);
 }
 
-/* Answer CALL with the rows of its table that changed after its version.  */
+/* Reply to CALL with the rows of its table that changed after its version.  */
 static void
-call_answer (fake_call_t *call)
+call_reply (fake_call_t *call)
 {
   fake_rows_t *fake = call->fake;
   rows_row_t rows[ROWS_MAX];
@@ -125,7 +126,7 @@
   fake_call_t *call = timer->data;
 
   if (!call->fake->is_stalled[call->table])
-    call_answer (call);
+    call_reply (call);
 }
 
 static fake_call_t *
@@ -172,9 +173,9 @@
             arg);
 }
 
-/* Answer the watches on TABLE on a later turn.  */
+/* Reply to the watches on TABLE on a later iteration of the loop.  */
 static void
-answer_watches (fake_rows_t *fake, rows_table_t table)
+reply_to_watches (fake_rows_t *fake, rows_table_t table)
 {
   LIST_EACH (at, &fake->pending)
     {
@@ -201,7 +202,7 @@
   row->value = str_dup (value);
   row->deleted = deleted;
   row->version = fake->version;
-  answer_watches (fake, table);
+  reply_to_watches (fake, table);
 }
 
 static void
@@ -322,7 +323,7 @@
 fake_rows_set_stalled (fake_rows_t *fake, rows_table_t table, bool is_stalled)
 {
   fake->is_stalled[table] = is_stalled;
-  answer_watches (fake, table);
+  reply_to_watches (fake, table);
 }
 
 void
@@ -330,7 +331,7 @@
 {
   fake->stale_version = version;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
-    answer_watches (fake, table);
+    reply_to_watches (fake, table);
 }
 
 uint64_t
@@ -345,7 +346,7 @@
   fake->version++;
   fake->history_floor = fake->version;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
-    answer_watches (fake, table);
+    reply_to_watches (fake, table);
 }
 
 void
@@ -353,7 +354,7 @@
 {
   fake->advanced_ms += ms;
   for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
-    answer_watches (fake, table);
+    reply_to_watches (fake, table);
 }
 
 size_t
--- a/tests/fake_rows.h
+++ b/tests/fake_rows.h
@@ -16,17 +16,18 @@
 void fake_rows_put (fake_rows_t *fake, rows_table_t table, const char *key,
                     const char *value);
 void fake_rows_remove (fake_rows_t *fake, rows_table_t table, const char *key);
-/* The value under KEY, or NULL.  */
+/* Return the value under KEY, or NULL if there is no such row.  */
 const char *fake_rows_get (const fake_rows_t *fake, rows_table_t table,
                            const char *key);
 /* Set whether all calls fail with VH_E_STORE_DOWN.  */
 void fake_rows_set_down (fake_rows_t *fake, bool is_down);
 /* Set whether all writes fail with VH_E_STORE_DOWN.  */
 void fake_rows_set_refusing_writes (fake_rows_t *fake, bool is_refusing);
-/* Set whether calls on TABLE get no answer, as on a broken connection.  */
+/* Set whether calls on TABLE get no reply, as on a broken connection.  */
 void fake_rows_set_stalled (fake_rows_t *fake, rows_table_t table,
                             bool is_stalled);
-/* Answer reads and watches with the rows as of VERSION; 0: as of now.  */
+/* Reply to reads and watches with the rows as of VERSION; 0: with the current
+   rows.  */
 void fake_rows_set_stale_version (fake_rows_t *fake, uint64_t version);
 uint64_t fake_rows_version (const fake_rows_t *fake);
 /* Drop the history of changes: watches after an older version end with
@@ -34,9 +35,9 @@
 void fake_rows_drop_history (fake_rows_t *fake);
 /* Advance the store's clock by MS.  */
 void fake_rows_advance_clock (fake_rows_t *fake, uint64_t ms);
-/* The store's clock, in ms.  */
+/* Return the store's clock, in ms.  */
 uint64_t fake_rows_now_ms (const fake_rows_t *fake);
-/* The number of calls since the store was created.  */
+/* Return the number of calls since the store was created.  */
 size_t fake_rows_call_count (const fake_rows_t *fake);
 
 #endif
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -26,8 +26,9 @@
 
 enum
 {
-  /* Time to parse a configuration of LOADER_ASYNC_BYTES_MIN bytes or more.  It
-     exceeds half of the age of a confirmation at which keys are refused.  */
+  /* Time to parse a configuration of LOADER_ASYNC_BYTES_MIN bytes or more.
+     Longer than half of gateway_options_t.config_max_age_ms, the time of
+     loading after which keys are refused.  */
   GATEWAY_FIXTURE_PARSE_MS = 2600
 };
 
@@ -41,8 +42,9 @@
   loop_wait_t wait;
 } gateway_fixture_t;
 
-/* Start a gateway with COUNT instances of the service `app' and of the
-   engine `llm', all of which answer normally, and wait until it is ready.  */
+/* Start a gateway with COUNT instances of the service `app' and of the engine
+   `llm', all of which respond normally, and wait until the gateway is
+   ready.  */
 void gateway_fixture_setup (gateway_fixture_t *f, size_t count);
 /* Start a gateway with the same upstreams while the store is unavailable,
    until fake_rows_set_down (f->rows, false).  */
--- a/tests/test_billing.c
+++ b/tests/test_billing.c
@@ -11,7 +11,8 @@
   FLUSH_TIMEOUT_MS = 9000
 };
 
-/* Store that applies writes but loses the reply, or refuses writes.  */
+/* Simulated store that applies writes but loses the reply, or refuses
+   writes.  */
 typedef struct
 {
   rows_t base;
@@ -160,8 +161,9 @@
 }
 END_TEST
 
-/* The store is unavailable.  Bills must be queued up to the limit, written in
-   batches once the store is back, and be dropped and counted beyond it.  */
+/* The store is unavailable.  Bills must be queued up to the limit and written
+   in batches when the store is available again; bills beyond the limit must be
+   dropped and counted.  */
 START_TEST (bills_are_queued_during_outage)
 {
   fixture_t f;
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -175,7 +175,8 @@
 
 /* An idempotent request fails at one upstream by an error status, a reset, a
    truncated response, a response to another request or a response without a
-   message authentication code.  The other upstream must answer.  */
+   message authentication code.  The response must then come from the other
+   upstream.  */
 START_TEST (idempotent_request_is_retried)
 {
   static const act_t acts[]
@@ -377,9 +378,9 @@
 }
 END_TEST
 
-/* The small model has low confidence in its answer: the caller must receive
-   only the answer of the large model.  A confident answer of the small model
-   must not cause a second send.  */
+/* The small model has low confidence in its response: the caller must receive
+   only the response of the large model.  A confident response of the small
+   model must not cause a second send.  */
 START_TEST (low_confidence_escalates_to_larger_model)
 {
   static const act_t acts[] = { ACT_STREAM_DOUBT, ACT_STREAM };
@@ -488,10 +489,10 @@
       caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
       gateway_fixture_wait (&f, count_upstream_requests (&f) == i + 1);
       caller_disconnect (&caller);
-      uint64_t left_ms = uv_now (&f.loop);
+      uint64_t disconnected_ms = uv_now (&f.loop);
       gateway_fixture_wait (&f,
                             fake_upstream_abandoned (f.upstreams[0]) == i + 1);
-      ck_assert_uint_lt (uv_now (&f.loop) - left_ms, 400);
+      ck_assert_uint_lt (uv_now (&f.loop) - disconnected_ms, 400);
       caller_free (&f, &caller);
     }
   gateway_fixture_teardown (&f);
@@ -522,9 +523,9 @@
 }
 END_TEST
 
-/* An upstream never answers a request that must not run twice.  The caller
-   must receive 504 at the route's timeout, because the request may have run.
- */
+/* An upstream never responds to a request that must not run twice.  The caller
+   must receive 504 at the route's timeout, because the request may have
+   run.  */
 START_TEST (silent_upstream_times_out)
 {
   gateway_fixture_t f;
@@ -590,9 +591,9 @@
 END_TEST
 
 /* The store is unavailable for longer than the configuration's confirmation is
-   valid, and a key may have been revoked since.  Requests with a key must get
-   503 as not run, public routes must work, the readiness check must fail, and
-   the gateway must become ready again once the store is back.  */
+   valid, and a key may have been revoked since then.  Requests with a key must
+   get 503 as not run, public routes must work, the readiness check must fail,
+   and the gateway must become ready again once the store is back.  */
 START_TEST (keys_are_refused_without_recent_confirmation)
 {
   gateway_fixture_t f;
@@ -672,9 +673,9 @@
 END_TEST
 
 /* A key is revoked by a configuration that takes seconds to load.  Meanwhile
-   the store confirms its newest state, which is not in force here yet.  The
-   confirmations must not keep the key valid, and the key must be rejected once
-   the configuration is in force.  */
+   the store confirms its newest state, which is not yet in force at the
+   gateway.  The confirmations must not keep the key valid, and the key must be
+   rejected once the configuration is in force.  */
 START_TEST (loading_configuration_ages_keys)
 {
   static const char head[] = "2 key-2 ";
--- a/tests/test_loader.c
+++ b/tests/test_loader.c
@@ -20,10 +20,11 @@
   uint64_t revisions[8]; /* Revisions of the parsed catalogs, in order.  */
   size_t count;
   size_t failed;
-  bool was_busy; /* Whether the loader was busy at the last callback.  */
+  bool was_busy; /* Whether loader_is_busy was true in the last callback.  */
   uv_timer_t tick;
-  uint64_t last_turn_ms;
-  uint64_t turn_max_ms; /* Longest time between two turns of the loop.  */
+  uint64_t last_iteration_ms;
+  uint64_t
+      iteration_max_ms; /* Longest time between two iterations of the loop.  */
 } fixture_t;
 
 /* The first byte of TEXT is the revision; `x' is invalid.  A long text takes
@@ -64,9 +65,10 @@
   fixture_t *f = timer->data;
   uint64_t now_ms = uv_hrtime () / 1000000;
 
-  if (f->last_turn_ms != 0 && now_ms - f->last_turn_ms > f->turn_max_ms)
-    f->turn_max_ms = now_ms - f->last_turn_ms;
-  f->last_turn_ms = now_ms;
+  if (f->last_iteration_ms != 0
+      && now_ms - f->last_iteration_ms > f->iteration_max_ms)
+    f->iteration_max_ms = now_ms - f->last_iteration_ms;
+  f->last_iteration_ms = now_ms;
 }
 
 static void
@@ -99,8 +101,8 @@
   free (text);
 }
 
-/* Parsing a large configuration on the event loop delays all streams.  Of two
-   more texts that arrive meanwhile, only the newest is parsed.  */
+/* Parsing a large configuration on the event loop delays all streams.  If two
+   more texts arrive during the parsing, only the newest must be parsed.  */
 START_TEST (long_text_does_not_block_the_loop)
 {
   fixture_t f;
@@ -121,7 +123,7 @@
   ck_assert_uint_eq (f.revisions[0], 1);
   ck_assert_uint_eq (f.revisions[1], 3);
   ck_assert (!loader_is_busy (f.loader));
-  ck_assert_uint_lt (f.turn_max_ms, WORK_MS / 2);
+  ck_assert_uint_lt (f.iteration_max_ms, WORK_MS / 2);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_rowcache.c
+++ b/tests/test_rowcache.c
@@ -1,4 +1,4 @@
-/* Answers to other gateways from the cached rows of a table.  */
+/* Replies to other gateways from the cached rows of a table.  */
 
 #include "gateway/rowcache.h"
 #include "suite.h"
@@ -20,12 +20,12 @@
   rows_row_t rows[ROWS];
 } fixture_t;
 
-/* Apply COUNT rows with VERSION to the cache, as the answer to a read or to a
+/* Apply COUNT rows with VERSION to the cache, as the reply to a read or to a
    watch.  */
 static void
 apply_rows (fixture_t *f, size_t count, uint64_t version, bool is_read)
 {
-  const rowcache_call_t answer
+  const rowcache_call_t call
       = { .is_read = is_read, .is_first_page = is_read };
   rows_result_t result
       = { .rows = f->rows, .count = count, .version = version };
@@ -42,7 +42,7 @@
                                  .value = str_from (f->values[i]),
                                  .version = version };
     }
-  rowcache_apply_answer (f->cache, &answer, &result);
+  rowcache_apply_result (f->cache, &call, &result);
 }
 
 static void
@@ -60,8 +60,8 @@
   clock_manual_destroy (f->clock);
 }
 
-/* A reader that sends each registration in full to each caller sends bytes
-   that grow with the product of their numbers.  */
+/* If a reader sends each registration uncompressed to each caller, its traffic
+   grows with the product of both numbers.  */
 START_TEST (many_rows_are_packed)
 {
   static fixture_t f;
@@ -93,9 +93,9 @@
 }
 END_TEST
 
-/* A packed answer that is kept for further callers must not be sent to a
-   caller with another version, nor after a change.  */
-START_TEST (kept_answer_is_not_sent_to_other_calls)
+/* A packed reply that is kept for further callers must not be sent to a caller
+   with another version, nor after a change.  */
+START_TEST (kept_reply_is_not_sent_to_other_calls)
 {
   static fixture_t f;
   wire_rows_res_t reply;
@@ -107,7 +107,7 @@
     u_int count;
     uint64_t newest;
   } cases[] = {
-    /* Answered with the packed table that is kept.  */
+    /* Served with the packed table that is kept.  */
     { 0, true, ROWS, 5 }, { 5, false, 20, 6 }, { 4, false, ROWS, 6 },
     { 6, false, 0, 6 },   { 5, false, 20, 6 },
   };
@@ -154,7 +154,7 @@
   static char value[VALUE_BYTES + 1];
   static char keys[LARGE_ROWS][32];
   static rows_row_t rows[LARGE_ROWS];
-  const rowcache_call_t answer = { .is_read = true, .is_first_page = true };
+  const rowcache_call_t call = { .is_read = true, .is_first_page = true };
   const rows_result_t result
       = { .rows = rows, .count = LARGE_ROWS, .version = 5 };
   clock_iface_t *clock = clock_manual_create (0);
@@ -169,7 +169,7 @@
                               .value = str_from (value),
                               .version = 5 };
     }
-  rowcache_apply_answer (cache, &answer, &result);
+  rowcache_apply_result (cache, &call, &result);
   rowcache_fill_reply (cache, 0, true, &reply);
   ck_assert_uint_eq (reply.plain_len, 0);
   ck_assert_uint_eq (reply.rows.rows_len, LARGE_ROWS);
@@ -206,7 +206,7 @@
   TCase *tcase = tcase_create ("rowcache");
 
   tcase_add_test (tcase, many_rows_are_packed);
-  tcase_add_test (tcase, kept_answer_is_not_sent_to_other_calls);
+  tcase_add_test (tcase, kept_reply_is_not_sent_to_other_calls);
   tcase_add_test (tcase, table_too_large_to_unpack_is_sent_unpacked);
   tcase_add_test (tcase, invalid_packed_rows_are_rejected);
   suite_add_tcase (suite, tcase);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -1,5 +1,5 @@
-/* The client of the platform's store, over HTTP and a slow link: large answers
-   must arrive, and answers that stop must time out.  */
+/* The client of the platform's store, over HTTP and a slow link: large replies
+   must arrive, and replies that stop must time out.  */
 
 #include "base/mem.h"
 #include "gateway/tablesync.h"
@@ -17,8 +17,8 @@
 {
   WAIT_LIMIT_MS = 12000,
   BYTES_PER_S = 200000,
-  /* The link needs 2 s to carry this in base64, which is longer than any
-     single timeout of a table sync.  */
+  /* The link needs 2 s to transmit a value of this size in base64, which is
+     longer than any timeout of a table sync.  */
   LARGE_BYTES = 300000
 };
 
@@ -79,9 +79,9 @@
   uv_close ((uv_handle_t *)&conn->timer, on_conn_closed);
 }
 
-/* Answer with the row, unless the client already has its version.  */
+/* Reply with the row, unless the client already has its version.  */
 static void
-conn_answer (conn_t *conn)
+conn_reply (conn_t *conn)
 {
   fixture_t *f = conn->f;
   buf_t body = BUF_NULL;
@@ -109,10 +109,11 @@
 static void
 on_watch_timer (uv_timer_t *timer)
 {
-  conn_answer (timer->data);
+  conn_reply (timer->data);
 }
 
-/* The number after NAME in CONN's request; 0 without NAME.  */
+/* Return the number after NAME in CONN's request; 0 if NAME does not
+   occur.  */
 static uint64_t
 query_number (const conn_t *conn, const char *name)
 {
@@ -149,7 +150,7 @@
   conn->f->calls++;
   conn->known_version = query_number (conn, "after=");
   if (conn->known_version < conn->f->version)
-    conn_answer (conn);
+    conn_reply (conn);
   else
     uv_timer_start (&conn->timer, on_watch_timer,
                     query_number (conn, "waitMs="), 0);
@@ -173,7 +174,7 @@
   uv_read_start ((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
-/* Store a value of LEN bytes and answer the waiting calls.  */
+/* Store a value of LEN bytes and reply to the waiting calls.  */
 static void
 store_put (fixture_t *f, size_t len)
 {
@@ -193,7 +194,7 @@
       if (conn->request.len > 0 && !conn->is_answered)
         {
           uv_timer_stop (&conn->timer);
-          conn_answer (conn);
+          conn_reply (conn);
         }
     }
 }
@@ -278,8 +279,8 @@
     f->value_len = result->rows[0].value.len;
 }
 
-/* A configuration that the link carries in more time than the sync waits was
-   requested again and again, and the previous one stayed in force.  */
+/* A configuration whose transmission took longer than the timeout was
+   requested repeatedly, and the previous configuration stayed in force.  */
 START_TEST (large_configuration_arrives_over_a_slow_link)
 {
   fixture_t f;
@@ -298,8 +299,8 @@
 }
 END_TEST
 
-/* A gateway never became ready if its first configuration took the link longer
-   than one timeout.  */
+/* A gateway never became ready if the transmission of its first configuration
+   took longer than one timeout.  */
 START_TEST (first_read_completes_over_a_slow_link)
 {
   fixture_t f;
@@ -312,9 +313,9 @@
 }
 END_TEST
 
-/* A connection goes silent in the middle of an answer.  The call must fail
-   once nothing arrived for the caller's timeout.  */
-START_TEST (answer_that_stops_times_out)
+/* No more data arrives in the middle of a reply.  The call must fail once no
+   data has arrived for the caller's timeout.  */
+START_TEST (reply_that_stops_times_out)
 {
   enum
   {
@@ -345,7 +346,7 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_test (tcase, large_configuration_arrives_over_a_slow_link);
   tcase_add_test (tcase, first_read_completes_over_a_slow_link);
-  tcase_add_test (tcase, answer_that_stops_times_out);
+  tcase_add_test (tcase, reply_that_stops_times_out);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -1,6 +1,6 @@
 /* Gateways that read the store through peer gateways, over real RPC and with a
-   store in memory: which gateway calls the store, what happens when the reader
-   is lost, and the age of the rows at each gateway.  */
+   store in memory: which gateway calls the store, how the reader is replaced
+   when it fails, and the age of the rows at each gateway.  */
 
 #include "fake_rows.h"
 #include "gateway/peerrows.h"
@@ -209,8 +209,9 @@
   return -1;
 }
 
-/* Without shared reads each gateway calls the store.  With them, a change must
-   still reach each gateway at once.  */
+/* Without shared reads each gateway calls the store.  With shared reads one
+   gateway must call the store, and a change must still reach each gateway at
+   once.  */
 START_TEST (one_gateway_calls_the_store_for_all)
 {
   fixture_t f;
@@ -293,10 +294,10 @@
 }
 END_TEST
 
-/* A reader that needs longer to send a large configuration than its callers
-   wait counted as lost: each caller dropped the part that had arrived and read
-   the whole text from the store.  */
-START_TEST (slow_answer_of_a_reader_is_not_abandoned)
+/* A reader that needed longer to send a large configuration than its callers
+   waited was considered lost: each caller dropped the part that had arrived
+   and read the whole text from the store.  */
+START_TEST (slow_reply_of_a_reader_is_not_abandoned)
 {
   enum
   {
@@ -331,8 +332,8 @@
 END_TEST
 
 /* A reader that was busy with a large table for longer than its callers waited
-   counted as lost, and its answer a moment later was dropped.  */
-START_TEST (late_answer_of_a_busy_reader_is_used)
+   was considered lost, and its reply a moment later was dropped.  */
+START_TEST (late_reply_of_a_busy_reader_is_used)
 {
   enum
   {
@@ -390,9 +391,10 @@
 }
 END_TEST
 
-/* The store is down for all gateways.  No gateway's rows may look more recent
-   than the store's last answer, whichever gateway passed it on.  */
-START_TEST (age_counts_from_the_answer_of_the_store)
+/* The store is down for all gateways.  The age of the rows at each gateway
+   must count from the last reply of the store, even if another gateway passed
+   the rows on.  */
+START_TEST (age_counts_from_the_reply_of_the_store)
 {
   fixture_t f;
 
@@ -446,10 +448,10 @@
   tcase_add_test (tcase, one_gateway_calls_the_store_for_all);
   tcase_add_test (tcase, few_gateways_use_one_reader_across_zones);
   tcase_add_test (tcase, gateway_with_the_widest_link_is_reader);
-  tcase_add_test (tcase, slow_answer_of_a_reader_is_not_abandoned);
-  tcase_add_test (tcase, late_answer_of_a_busy_reader_is_used);
+  tcase_add_test (tcase, slow_reply_of_a_reader_is_not_abandoned);
+  tcase_add_test (tcase, late_reply_of_a_busy_reader_is_used);
   tcase_add_test (tcase, crashed_reader_is_replaced);
-  tcase_add_test (tcase, age_counts_from_the_answer_of_the_store);
+  tcase_add_test (tcase, age_counts_from_the_reply_of_the_store);
   tcase_add_test (tcase, stopping_reader_is_replaced_at_once);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -19,7 +19,7 @@
   WAIT_LIMIT_MS = 8000,
   /* Age from which a confirmation no longer suffices to accept keys.  */
   TRUSTED_AGE_MS = 4500,
-  /* Time for which a received sum counts.  */
+  /* Time for which a received sum is included in the sum of the receiver.  */
   SUM_TTL_MS = 3000
 };
 
@@ -121,8 +121,8 @@
   (void)is_full_read;
 }
 
-/* The sum of the numbers of GATEWAY and of those that sent theirs to GATEWAY
-   recently.  */
+/* Return the sum of the number of GATEWAY and of the sums that other gateways
+   sent to GATEWAY within SUM_TTL_MS.  */
 static uint32_t
 sum_at (const fleet_gateway_t *gateway)
 {
@@ -135,14 +135,15 @@
 }
 
 static size_t
-list_sums (void *arg, bool is_relay, peer_rows_item_t *items, size_t items_max)
+list_sums (void *arg, bool is_intermediate, peer_rows_item_t *items,
+           size_t items_max)
 {
   const fleet_gateway_t *gateway = arg;
 
   ck_assert_uint_ge (items_max, 1);
   buf_append_str (&items[0].key, str_from (gateway->name));
   buf_printf (&items[0].value, "%u",
-              is_relay ? sum_at (gateway) : gateway->number);
+              is_intermediate ? sum_at (gateway) : gateway->number);
   return 1;
 }
 
@@ -181,7 +182,8 @@
       = { .name = str_from (gateway->name),
           .zone = str_from (zones[index % ZONES]),
           .listen = STR ("127.0.0.1:0"),
-          /* Makes the order of readers known: gateway 0 is the root.  */
+          /* Makes the choice of readers predictable: gateway 0 is the
+             root.  */
           .link_mbps = (uint32_t)(GATEWAYS - index) * 10 };
   ck_assert_int_eq (peer_rows_create (&f->loop, clock_system (),
                                       (uint64_t)index + 1,
@@ -271,8 +273,8 @@
   ck_assert_int_eq (uv_loop_close (&f->loop), 0);
 }
 
-/* Write VALUE and wait until all running gateways have it; return the time
-   that took, in ms.  */
+/* Write VALUE and wait until all running gateways have read it.  Return the
+   time until then, in ms.  */
 static uint64_t
 propagate (fixture_t *f, const char *value)
 {
@@ -299,7 +301,8 @@
     }
 }
 
-/* With a reader in each zone, the calls grow with the number of zones.  */
+/* If the reader of each zone called the store, the number of calls would grow
+   with the number of zones.  */
 START_TEST (one_gateway_calls_the_store_for_a_large_fleet)
 {
   fixture_t f;
@@ -365,7 +368,7 @@
 END_TEST
 
 /* The store refuses the calls of the root and of the reader of one zone, and
-   answers all other gateways.  */
+   serves all other gateways.  */
 START_TEST (readers_refused_by_the_store_are_bypassed)
 {
   fixture_t f;
@@ -383,7 +386,7 @@
 }
 END_TEST
 
-/* The total of the sums at the gateways that call the store.  */
+/* Return the total of the sums at the gateways that call the store.  */
 static uint32_t
 sum_at_readers (const fixture_t *f)
 {
--- a/tests/test_storeclock.c
+++ b/tests/test_storeclock.c
@@ -8,10 +8,10 @@
   AHEAD_MS = 50000 /* Store clock minus local clock.  */
 };
 
-/* A watch call is answered after a wait of a second.  Gateways that counted
-   the wait as part of the answer's age refused clients a second too soon in an
-   outage.  */
-START_TEST (wait_of_a_watch_does_not_age_its_answer)
+/* The store replies to a watch call after a wait of a second.  Gateways that
+   added the wait to the age of the confirmation refused clients a second too
+   soon in an outage.  */
+START_TEST (wait_of_a_watch_does_not_age_its_reply)
 {
   store_clock_t clock = { 0 };
 
@@ -24,9 +24,9 @@
 }
 END_TEST
 
-/* An answer is delayed for three seconds on the network.  It must not count as
-   recent, because a key may have been revoked meanwhile.  */
-START_TEST (delayed_answer_does_not_count_as_recent)
+/* A reply is delayed for three seconds on the network.  Its confirmation must
+   not count as recent, because a key may have been revoked meanwhile.  */
+START_TEST (delayed_reply_does_not_count_as_recent)
 {
   store_clock_t clock = { 0 };
 
@@ -34,7 +34,7 @@
   store_clock_add_sample (&clock, AHEAD_MS + 5002, 5000, 8000);
   ck_assert_uint_le (store_clock_to_local (&clock, AHEAD_MS + 5002, 8000),
                      5002);
-  /* The late answer is the first sample.  */
+  /* The late reply is the first sample.  */
   store_clock_t fresh_clock = { 0 };
   store_clock_add_sample (&fresh_clock, AHEAD_MS + 5002, 5000, 8000);
   ck_assert_uint_le (
@@ -43,7 +43,7 @@
 END_TEST
 
 /* The store restarts with another clock, ahead or behind.  Samples of the old
-   clock must make no answer look more recent than it is.  */
+   clock must not make a confirmation appear more recent than it is.  */
 START_TEST (samples_of_a_clock_that_jumped_are_dropped)
 {
   static const int64_t jumps[] = { -40000, 40000 };
@@ -60,7 +60,7 @@
 END_TEST
 
 /* An hour after the last sample, two steady clocks may have drifted apart, so
-   answers passed on by other gateways must count as older.  */
+   confirmations passed on by other gateways must count as older.  */
 START_TEST (drift_widens_the_bound_over_time)
 {
   store_clock_t clock = { 0 };
@@ -79,8 +79,8 @@
   Suite *suite = suite_create ("storeclock");
   TCase *tcase = tcase_create ("storeclock");
 
-  tcase_add_test (tcase, wait_of_a_watch_does_not_age_its_answer);
-  tcase_add_test (tcase, delayed_answer_does_not_count_as_recent);
+  tcase_add_test (tcase, wait_of_a_watch_does_not_age_its_reply);
+  tcase_add_test (tcase, delayed_reply_does_not_count_as_recent);
   tcase_add_test (tcase, samples_of_a_clock_that_jumped_are_dropped);
   tcase_add_test (tcase, drift_widens_the_bound_over_time);
   suite_add_tcase (suite, tcase);
