--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -229,8 +229,8 @@
     return false;
   if (head->status < 200 || head->status > 599)
     return false;
-  /* Requests do not offer a content encoding, so an encoded body was not
-     produced for this request.  Successful responses must have a message
+  /* Callers accept no content encoding, so a response with an encoded body was
+     not produced for this request.  A successful response must have a message
      authentication code.  */
   if (call_header (head, STR ("content-encoding")).ptr != NULL)
     return false;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -96,7 +96,7 @@
   buf_t response_headers; /* Headers, each as NAME NUL VALUE NUL.  */
   buf_t response_body;
 
-  /* Further state of all sends.  */
+  /* Further state.  */
   bool is_paused;   /* Reading from the upstream is paused, because the caller
                        reads slowly.  */
   bool was_refused; /* The last upstream reported that it did not run the
