--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -91,9 +91,9 @@
     = settings->revoke_ms > 0
           ? settings->revoke_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
           : settings->confirm_ms,
-    .registration_grace_ms = settings->lapse_ms,
-    .retry_ratio = settings->extra_ratio,
-    .retry_fixed_budget = settings->extra_slack,
+    .expired_registration_grace_ms = settings->lapse_ms,
+    .retries_per_request = settings->extra_ratio,
+    .fixed_retries_per_window = settings->extra_slack,
     .retry_window_ms = (uint64_t)(settings->extra_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -93,7 +93,7 @@
    enforce them.  */
 typedef struct
 {
-  uint64_t header_bytes;
+  uint64_t header_bytes_max;
   uint64_t body_bytes;
   /* Time limit for the arrival of a request's headers.  */
   uint64_t header_timeout_ms;
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -45,8 +45,8 @@
 {
   send_budget_t *budget = map_get (state->retry_budgets, service);
   send_budget_options_t options
-      = { .ratio = state->options.retry_ratio,
-          .slack = state->options.retry_fixed_budget,
+      = { .ratio = state->options.retries_per_request,
+          .slack = state->options.fixed_retries_per_window,
           .window_ms = state->options.retry_window_ms };
 
   if (budget != NULL)
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -91,15 +91,15 @@
                                  configuration above which API keys are
                                  refused, because a key may have been revoked
                                  since then.  */
-  uint64_t registration_grace_ms; /* Time after the end of a store outage for
-                                     which registrations that expired in the
-                                     outage remain usable.  */
-  double retry_ratio;        /* Number of retries that all gateway processes
-                                together may make for each request they
-                                receive; 0.1 allows one retry for ten
-                                requests.  */
-  double retry_fixed_budget; /* Further retries that all gateway processes
-                                together may make in each window of
+  uint64_t expired_registration_grace_ms; /* Time after the end of a store
+                                     outage for which registrations that
+                                     expired in the outage remain usable.  */
+  double retries_per_request; /* Number of retries that all gateway processes
+                         together may make for each request they
+                         receive; 0.1 allows one retry for ten
+                         requests.  */
+  double fixed_retries_per_window; /* Further retries that all gateway
+                                processes together may make in each window of
                                 RETRY_WINDOW_MS, even if no requests
                                 arrive.  */
   uint64_t retry_window_ms;
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -199,8 +199,8 @@
 
   if (sync->store_recovered_ms != 0
       && now_ms - sync->store_recovered_ms
-             < state->options.registration_grace_ms)
-    keep_ms = state->options.registration_grace_ms
+             < state->options.expired_registration_grace_ms)
+    keep_ms = state->options.expired_registration_grace_ms
               - (now_ms - sync->store_recovered_ms);
   log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
              field_number (FIELD_KEEP_MS, keep_ms));
@@ -228,11 +228,11 @@
 
 /* Record that the store stopped replying to calls for a table (IS_DOWN) or
    replies again.  Registrations that expired during an outage are kept for
-   gateway_options_t.registration_grace_ms from the first reply for any table.
-   The reply for ROWS_INSTANCES may arrive seconds after that for ROWS_ORDERS,
-   if the call hung on a broken connection.  When the grace period counted from
-   the reply for ROWS_INSTANCES, an instance that had stopped 13 s before got a
-   request.  */
+   gateway_options_t.expired_registration_grace_ms from the first reply for any
+   table. The reply for ROWS_INSTANCES may arrive seconds after that for
+   ROWS_ORDERS, if the call hung on a broken connection.  When the grace period
+   counted from the reply for ROWS_INSTANCES, an instance that had stopped 13 s
+   before got a request.  */
 static void
 record_reachability (store_sync_t *sync, bool is_down)
 {
