--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -94,7 +94,7 @@
 typedef struct
 {
   uint64_t header_bytes_max;
-  uint64_t body_bytes;
+  uint64_t body_bytes_max;
   /* Time limit for the arrival of a request's headers.  */
   uint64_t header_timeout_ms;
   /* Time after which an idle connection is closed.  */
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -9,7 +9,7 @@
   DRAIN_POLL_MS = 100, /* Interval at which a planned stop checks whether the
                           requests have ended.  */
   /* Size limit of a request body.  Requests contain some KB of JSON.  The
-     limit in the configuration, client_limits_t.body_bytes, is not
+     limit in the configuration, client_limits_t.body_bytes_max, is not
      enforced.  */
   BODY_BYTES_MAX = 8 << 20,
   /* Read timeout of connections to the listeners; longer than callers keep an
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -249,7 +249,7 @@
   writes[0].key = buf_str (&key);
   writes[0].value = buf_str (&value);
   writes[0].is_conditional = true;
-  writes[0].expected = state_row_version (rollouts, service);
+  writes[0].expected_version = state_row_version (rollouts, service);
   writes[1].table = ROWS_STATUS;
   writes[1].key = buf_str (&status_key);
   writes[1].value = buf_str (&status);
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -64,11 +64,11 @@
   rows_table_t table;
   str_t key;
   str_t value;
-  bool remove;         /* Whether to delete the row.  */
-  bool is_conditional; /* Whether to write only if the row has version
-                          EXPECTED.  */
-  uint64_t expected;   /* Version that the row must have; 0: the row must not
-                          exist.  */
+  bool is_delete;            /* Whether to delete the row.  */
+  bool is_conditional;       /* Whether to write only if the row has version
+                                EXPECTED_VERSION.  */
+  uint64_t expected_version; /* Version that the row must have; 0 if the row
+                                must not exist.  */
 } rows_write_t;
 
 typedef struct rows rows_t;
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -369,7 +369,7 @@
   rows_write_t write = { .table = ROWS_SHARED,
                          .key = buf_str (&key),
                          .value = buf_str (&value),
-                         .remove = is_leaving };
+                         .is_delete = is_leaving };
   sync->is_registration_pending = true;
   sync->rows->ops->commit (sync->rows, &write, 1, STORE_SYNC_COMMIT_TIMEOUT_MS,
                            on_registration_written, sync);
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -222,7 +222,7 @@
       const stored_row_t *row
           = find_row (fake, writes[i].table, writes[i].key);
       uint64_t version = row == NULL || row->deleted ? 0 : row->version;
-      if (writes[i].is_conditional && version != writes[i].expected)
+      if (writes[i].is_conditional && version != writes[i].expected_version)
         call->code = VH_E_CONFLICT;
     }
   if (call->code != VH_OK)
@@ -230,7 +230,7 @@
   fake->version++;
   for (size_t i = 0; i < count; i++)
     store_row (fake, writes[i].table, writes[i].key, writes[i].value,
-               writes[i].remove);
+               writes[i].is_delete);
 }
 
 static void
--- a/tests/test_billing.c
+++ b/tests/test_billing.c
@@ -48,7 +48,7 @@
 
   (void)timeout_ms;
   ck_assert_uint_eq (count, 1);
-  ck_assert (writes->is_conditional && writes->expected == 0);
+  ck_assert (writes->is_conditional && writes->expected_version == 0);
   snprintf (key, sizeof key, "%.*s", STR_ARG (writes->key));
   for (size_t i = 0; i < store->row_count; i++)
     exists = exists || strcmp (store->keys[i], key) == 0;
