--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -28,7 +28,7 @@
                         added to it, else of the next batch.  */
   uv_timer_t timer;
   list_t batches; /* Oldest first; new bills are added to the last
-                        one.  */
+                     one.  */
   size_t queued_count;
   uint64_t dropped_count;
   bool write_pending; /* A write of the oldest batch is in progress.  */
@@ -92,8 +92,8 @@
 
   if (batch == NULL || billing->write_pending)
     return;
-  /* No bills may be added to a batch once a write of it was started, because
-     that write may be applied even if it fails here.  */
+  /* No bills may be added to a batch once a write of the batch was started,
+     because the store may apply a write that is reported as failed.  */
   if (batch->link.next == &billing->batches)
     billing->sequence++;
   buf_printf (&key, "bill/%s/%016llx/%llu", billing->name,
@@ -155,7 +155,7 @@
       buf_append_str (out, STR ("\","));
     }
   buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt_tokens,
-              (unsigned long long)bill->events, bill->possible_runs,
+              (unsigned long long)bill->events, bill->possible_run_count,
               bill->is_complete);
 }
 
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -43,9 +43,10 @@
   str_t route;
   str_t model; /* Model that ran the request; empty for a plain service.  */
   uint32_t prompt_tokens;
-  uint64_t events;        /* Events of the stream sent to the caller.  */
-  uint32_t possible_runs; /* Number of sends that an upstream may have run.  */
-  bool is_complete;       /* The caller received the whole response.  */
+  uint64_t events; /* Events of the stream sent to the caller.  */
+  /* Number of sends that an upstream may have run.  */
+  uint32_t possible_run_count;
+  bool is_complete; /* The caller received the whole response.  */
 } bill_t;
 
 /* NAME identifies this process in row keys; EPOCH is unique to each start of
--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -188,7 +188,7 @@
   size_t host_len = key.len - path.len;
   while (route == NULL && key.len > host_len)
     {
-      /* Prefixes end with a slash: cut the path after the previous one.  */
+      /* Prefixes end with a slash: cut the path after the previous slash.  */
       while (key.len > host_len && key.ptr[key.len - 1] != '/')
         key.len--;
       if (key.len == host_len)
--- a/packages/gateway/forward.c
+++ b/packages/gateway/forward.c
@@ -3,7 +3,7 @@
 enum
 {
   HEAD_BYTES_INITIAL = 1024 /* Initial buffer size; most request heads are
-                                   smaller.  */
+                               smaller.  */
 };
 
 bool
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -21,7 +21,7 @@
      balancer detects the failing readiness check.  The balancer checks
      readiness once a second, removes a gateway process after two failures, and
      may have directed a caller here just before.  */
-  DRAIN_NOTICE_MS = 3200,
+  DRAIN_DURATION_MIN_MS = 3200,
   MS_PER_S = 1000
 };
 
@@ -84,11 +84,12 @@
 
   if (state->catalog == NULL)
     return false;
-  /* The configuration that is being loaded may revoke a key, so the one in
-     force is outdated from the time at which the newer one arrived.  */
+  /* The configuration that is being loaded may revoke a key, so the
+     configuration in force is outdated from the time at which the newer one
+     arrived.  */
   if (gateway_config_load_elapsed_ms (state) > max_age_ms / 2)
     return false;
-  return table_sync_age_ms (state->operator_rows) <= max_age_ms;
+  return table_sync_age_ms (state->operator_rows_sync) <= max_age_ms;
 }
 
 static void
@@ -140,7 +141,7 @@
 set_gauges (gateway_t *gateway)
 {
   gateway_state_t *state = &gateway->state;
-  uint64_t age_ms = table_sync_age_ms (state->operator_rows);
+  uint64_t age_ms = table_sync_age_ms (state->operator_rows_sync);
   size_t cursor = 0;
   str_t service;
   void *value;
@@ -191,10 +192,10 @@
       buf_t labels = BUF_NULL;
       buf_printf (&labels, "service=\"%.*s\"", STR_ARG (service));
       buf_append_char (&labels, '\0');
-      set_gauge (
-          gateway, "vanillahook_gateway_rollout_share", labels.ptr,
-          "Share of the requests that the new version gets.",
-          trial_share (value, table_sync_store_now_ms (state->operator_rows)));
+      set_gauge (gateway, "vanillahook_gateway_rollout_share", labels.ptr,
+                 "Share of the requests that the new version gets.",
+                 trial_share (value, table_sync_store_now_ms (
+                                         state->operator_rows_sync)));
       buf_free (&labels);
     }
 }
@@ -354,7 +355,7 @@
 }
 
 /* End the planned stop when all responses and bills are written, but not
-   before DRAIN_NOTICE_MS.  At the time limit, abort the remaining
+   before DRAIN_DURATION_MIN_MS.  At the time limit, abort the remaining
    requests.  */
 static void
 on_drain_timer (uv_timer_t *timer)
@@ -365,7 +366,7 @@
 
   if (elapsed_ms >= state->options.drain_timeout_ms)
     gateway->aborted_count = relay_abort_all (state);
-  else if (elapsed_ms < DRAIN_NOTICE_MS
+  else if (elapsed_ms < DRAIN_DURATION_MIN_MS
            || httpd_unwritten (gateway->caller_server) > 0)
     return;
   else if (billing_queued_count (state->billing) > 0)
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -22,7 +22,7 @@
 typedef enum
 {
   OPERATOR_ROW_UNKNOWN,       /* Unknown to this version; ignored.  */
-  OPERATOR_ROW_CATALOG,       /* Configuration.  */
+  OPERATOR_ROW_CATALOG,       /* The configuration.  */
   OPERATOR_ROW_ROLLOUT,       /* Roll-out of a version of a service.  */
   OPERATOR_ROW_ZONE_EXCLUSION /* Availability zone whose instances get no
                                  requests.  */
@@ -78,7 +78,7 @@
   str_t ready_listen; /* HOST:PORT for the readiness check.  */
   str_t admin_listen; /* HOST:PORT for metrics; empty: no such listener.  */
   str_t rpc_listen;   /* HOST:PORT for other gateway processes; empty: each
-                  process reads the store itself.  */
+                         process reads the store itself.  */
   const str_t *rpc_keys;
   size_t rpc_key_count;
   double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
@@ -86,22 +86,23 @@
   uint64_t drain_grace_ms;    /* Time in which new requests are still accepted
                                  after a planned stop begins.  */
   uint64_t drain_timeout_ms;  /* Time after which a planned stop aborts the
-                               remaining requests.  */
+                                 remaining requests.  */
   uint64_t config_max_age_ms; /* Age of the last confirmation of the
                                  configuration above which API keys are
                                  refused, because a key may have been revoked
                                  since then.  */
-  uint64_t expired_registration_grace_ms; /* Time after the end of a store
-                                     outage for which registrations that
-                                     expired in the outage remain usable.  */
+  uint64_t
+      expired_registration_grace_ms; /* Time after the end of a store
+                                        outage for which registrations that
+                                        expired in the outage remain usable. */
   double retries_per_request; /* Number of retries that all gateway processes
-                         together may make for each request they
-                         receive; 0.1 allows one retry for ten
-                         requests.  */
+                                 together may make for each request they
+                                 receive; 0.1 allows one retry for ten
+                                 requests.  */
   double fixed_retries_per_window; /* Further retries that all gateway
-                                processes together may make in each window of
-                                RETRY_WINDOW_MS, even if no requests
-                                arrive.  */
+                                      processes together may make in each
+                                      window of RETRY_WINDOW_MS, even if no
+                                      requests arrive.  */
   uint64_t retry_window_ms;
   /* All gateway processes together send an instance that is still warming up
      at most service_t.cold_requests_per_s * cold_factor + cold_slack requests
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -63,8 +63,8 @@
   allotment_t *allotment;
   /* Number of gateway processes that share the retry budgets.  */
   uint32_t gateway_count;
-  table_sync_t *operator_rows; /* Synchronises table ROWS_ORDERS, which
-                                  contains the configuration.  */
+  table_sync_t *operator_rows_sync; /* Synchronises table ROWS_ORDERS, which
+                                       contains the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
   request_metrics_t *request_metrics;
--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -96,11 +96,12 @@
 }
 
 void
-loader_submit (loader_t *loader, str_t text, bool is_first)
+loader_submit (loader_t *loader, str_t text, bool is_first_text)
 {
   catalog_t *catalog = NULL;
 
-  if (!loader->is_parsing && (is_first || text.len < LOADER_ASYNC_BYTES_MIN))
+  if (!loader->is_parsing
+      && (is_first_text || text.len < LOADER_ASYNC_BYTES_MIN))
     {
       vh_code_t code = loader->parse (text, NULL, &catalog);
       loader->cb (loader->arg, code, catalog, text.len);
--- a/packages/gateway/loader.h
+++ b/packages/gateway/loader.h
@@ -46,9 +46,9 @@
 /* Destroy LOADER, which may be NULL, without calling the callback again.  */
 void loader_destroy (loader_t *loader);
 /* Parse TEXT, which is copied if needed later.  Unless another text is being
-   parsed, a text that is short, or the first text (IS_FIRST), is parsed before
-   the function returns.  */
-void loader_submit (loader_t *loader, str_t text, bool is_first);
+   parsed, a text that is short, or the first text (IS_FIRST_TEXT), is parsed
+   before the function returns.  */
+void loader_submit (loader_t *loader, str_t text, bool is_first_text);
 /* Return whether a text is being parsed or waits to be parsed.  May be called
    from the callback.  */
 bool loader_is_busy (const loader_t *loader);
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -29,7 +29,7 @@
   /* Time after HEDGE_DELAY_MS in which a reader's reply is still accepted,
      unless the store replies first: a reader that applies a large table is
      busy for some tenths of a second.  */
-  BUSY_READER_MS = 1000,
+  BUSY_READER_TIMEOUT_MS = 1000,
   /* Maximum number of readers that are tried, one after the other, for one
      call.  */
   READERS_TRIED_MAX = 3,
@@ -42,7 +42,8 @@
 {
   char *name;
   char *address;
-  rpc_peer_t *peer; /* NULL before the first call to this gateway.  */
+  rpc_peer_t *peer; /* RPC connection to the gateway; NULL before the first
+                       call.  */
 } gateway_peer_t;
 
 /* A read or watch by this gateway, sent to a reader, to the store, or to
@@ -62,9 +63,10 @@
   uint64_t sent_ms;
   /* Time of the call to the store, in ms of the boot clock.  */
   uint64_t store_sent_ms;
-  char *reader_name;      /* Name of the reader called last; NULL if none was
-                             called.  */
-  unsigned readers_tried; /* Number of readers called.  */
+  char *reader_name; /* Name of the reader called last; NULL if none was
+                        called.  */
+  /* Number of readers called so far for this call.  */
+  unsigned tried_reader_count;
   /* Call to reader READER_NAME that has no reply yet; NULL: none.  */
   rpc_call_t *rpc_call;
   /* Monotonic time from which the store is called as well, in ms.  */
@@ -102,7 +104,8 @@
   map_t *gateways; /* Map of name to gateway_peer_t, without this gateway.  */
   peer_rows_piggyback_t piggyback;
   void *piggyback_arg;
-  rowcache_t *caches[TABLE_COUNT]; /* Indexed by rows_table_t.  */
+  rowcache_t *caches[TABLE_COUNT]; /* Cached copies of the tables, indexed by
+                                      rows_table_t.  */
   list_t pending;                  /* Pending calls of this gateway; list of
                                       pending_call_t.  */
   list_t watches;                  /* Watch calls of other gateways; list of
@@ -463,7 +466,7 @@
   peer_rows_t *peer_rows = pending->peer_rows;
   gateway_peer_t *next = fanout_next_source (peer_rows->readers);
 
-  if (next != NULL && pending->readers_tried < READERS_TRIED_MAX
+  if (next != NULL && pending->tried_reader_count < READERS_TRIED_MAX
       && strcmp (next->name, pending->reader_name) != 0)
     {
       call_reader (pending, next, true);
@@ -563,13 +566,14 @@
                             .news = { (u_int)count, wire_items } };
   free (pending->reader_name);
   pending->reader_name = str_dup (str_from (gateway->name));
-  pending->readers_tried++;
+  pending->tried_reader_count++;
   pending->sent_ms = boot_ms (peer_rows);
   pending->hedge_at_ms
       = clock_ms (peer_rows->clock) + wait_ms + HEDGE_DELAY_MS;
-  pending->rpc_call = rpc_peer_call (gateway->peer, WIRE_ROWS, &args,
-                                     wait_ms + HEDGE_DELAY_MS + BUSY_READER_MS,
-                                     on_reader_reply, pending);
+  pending->rpc_call
+      = rpc_peer_call (gateway->peer, WIRE_ROWS, &args,
+                       wait_ms + HEDGE_DELAY_MS + BUSY_READER_TIMEOUT_MS,
+                       on_reader_reply, pending);
   for (size_t i = 0; i < count; i++)
     {
       buf_free (&items[i].key);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -2,9 +2,9 @@
    disconnection of the caller.
 
    The status of a failure tells the caller whether the request may have run.
-   If no byte of the request was sent, or each upstream that received it
-   reported that it did not run it, the response is 503 with Retry-After.
-   Otherwise it is the upstream's own response, 502 or 504.  */
+   If no byte of the request was sent, or each upstream that received the
+   request reported not having run the request, the response is 503 with
+   Retry-After.  Otherwise it is the upstream's own response, 502 or 504.  */
 
 #include "gateway/relayint.h"
 
@@ -44,9 +44,8 @@
      than this limit, the store is unavailable.  */
   STARTUP_WAIT_MS = 800,
   STARTUP_POLL_MS = 10,
-  /* Mean Retry-After during a planned stop.  It is short because the
-     platform's load balancer already directs callers to other gateway
-     processes.  */
+  /* Mean Retry-After during a planned stop.  Short, because the platform's
+     load balancer already directs callers to other gateway processes.  */
   RETRY_AFTER_DRAINING_MS = 50
 };
 
@@ -114,7 +113,7 @@
       field_text (FIELD_VERSION, upstream_version (relay->upstream)),
       field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
       field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
-      field_number (FIELD_SENDS, relay->sends + 1),
+      field_number (FIELD_SENDS, relay->send_count + 1),
       field_number (FIELD_LEFT_MS, relay->attrs.deadline_at_ms - now_ms),
       field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
   relay->trial_sends.was_sent = true;
@@ -131,7 +130,7 @@
   relay->is_success = false;
   relay->connection_lost = false;
   relay->connect_failed = false;
-  relay->sends++;
+  relay->send_count++;
   counter_add (state->counters.sends, 1);
   const forward_params_t params = {
     .names = state->names,
@@ -165,7 +164,7 @@
 may_switch_upstream (const relay_t *relay)
 {
   return relay_may_retry (relay)
-         && relay->possible_runs + 1 < relay->attrs.route->attempts_max
+         && relay->possible_run_count + 1 < relay->attrs.route->attempts_max
          && !relay->is_paused;
 }
 
@@ -221,11 +220,12 @@
 probe_upstream (relay_t *relay, uint64_t now_ms)
 {
   uint64_t probe_ms = PROBE_TIMEOUT_MS + PROBE_RESULT_DELAY_MS;
-  uint64_t left_ms = relay->attrs.deadline_at_ms - now_ms;
+  uint64_t remaining_ms = relay->attrs.deadline_at_ms - now_ms;
 
   prober_start (relay->state->prober, upstream_id (relay->upstream),
                 upstream_address (relay->upstream), PROBE_TIMEOUT_MS);
-  bound_start (&relay->timer, probe_ms < left_ms ? probe_ms : left_ms);
+  bound_start (&relay->timer,
+               probe_ms < remaining_ms ? probe_ms : remaining_ms);
 }
 
 static void admit_when_ready (relay_t *relay);
@@ -244,7 +244,7 @@
   if (now_ms >= relay->attrs.deadline_at_ms)
     {
       if (relay->call != NULL && call_sent (relay->call))
-        relay->possible_runs++;
+        relay->possible_run_count++;
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
     }
@@ -312,7 +312,7 @@
   relay_destroy (relay);
 }
 
-/* Arrival.  */
+/* Arrival of requests.  */
 
 static void
 reject (relay_t *relay, vh_code_t code)
@@ -409,7 +409,7 @@
     {
       relay_t *relay = CONTAINER_OF (at, relay_t, link);
       if (relay->call != NULL && call_sent (relay->call))
-        relay->possible_runs++;
+        relay->possible_run_count++;
       relay_fail (relay, VH_E_DRAINING, "stopping", RETRY_AFTER_DRAINING_MS);
       count++;
     }
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -90,7 +90,7 @@
     trial_observe_timing (
         trial, relay_trial_arm (relay), route_hash (relay), timing,
         relay->upstream_request_count, duration_ms,
-        table_sync_store_now_ms (relay->state->operator_rows));
+        table_sync_store_now_ms (relay->state->operator_rows_sync));
 }
 
 void
@@ -133,7 +133,7 @@
     .model = relay_model_name (relay, STR ("")),
     .prompt_tokens = relay->attrs.prompt_tokens,
     .events = relay->event_count,
-    .possible_runs = (uint32_t)relay->possible_runs + 1,
+    .possible_run_count = (uint32_t)relay->possible_run_count + 1,
     .is_complete = is_complete,
   };
   billing_add (relay->state->billing, &bill);
@@ -145,7 +145,7 @@
 {
   gateway_state_t *state = relay->state;
   const log_event_info_t *info = log_event_info (event);
-  uint64_t age_ms = table_sync_age_ms (state->operator_rows);
+  uint64_t age_ms = table_sync_age_ms (state->operator_rows_sync);
   str_t route
       = relay->attrs.route != NULL ? relay->attrs.route->name : STR ("-");
   str_t team = relay->attrs.team != NULL ? relay->attrs.team->name : STR ("-");
@@ -160,8 +160,8 @@
              field_text (FIELD_ROUTE, route), field_text (FIELD_TEAM, team),
              field_number (FIELD_STATUS, (uint64_t)status),
              field_text (FIELD_REASON, str_from (reason)),
-             field_number (FIELD_SENDS, relay->sends),
-             field_number (FIELD_RUNS, relay->possible_runs),
+             field_number (FIELD_SENDS, relay->send_count),
+             field_number (FIELD_RUNS, relay->possible_run_count),
              field_number (FIELD_EVENTS, relay->event_count),
              field_number (FIELD_MS, duration_ms),
              field_number (FIELD_RETRY_MS, retry_ms),
@@ -219,7 +219,7 @@
 relay_fail (relay_t *relay, vh_code_t code, const char *reason,
             uint64_t retry_ms)
 {
-  if (relay->possible_runs > 0)
+  if (relay->possible_run_count > 0)
     relay_reply_error (relay, code == VH_E_DEADLINE ? 504 : 502,
                        code == VH_E_DEADLINE ? code : VH_E_UNKNOWN, reason, 0);
   else
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -9,7 +9,8 @@
   CALLER_BUFFER_BYTES_HIGH = 65536,
   /* Maximum number of sends of one request, independent of the route.  */
   SENDS_MAX = POOL_TRIED_MAX,
-  /* Size limit of a response body that is not streamed, which is buffered.  */
+  /* Size limit of the body of a response that is not streamed and therefore
+     buffered.  */
   RESPONSE_BODY_BYTES_MAX = 8 << 20,
   /* Number of events after the first over which the mean interval between
      events is measured.  A mean is needed because events arrive in bursts.  */
@@ -25,8 +26,8 @@
 relay_may_retry (const relay_t *relay)
 {
   return relay->attrs.is_repeatable
-         && relay->possible_runs < relay->attrs.route->attempts_max
-         && relay->sends < SENDS_MAX;
+         && relay->possible_run_count < relay->attrs.route->attempts_max
+         && relay->send_count < SENDS_MAX;
 }
 
 static send_budget_t *
@@ -59,9 +60,9 @@
 static uint64_t
 retries_left (const relay_t *relay)
 {
-  double left = send_budget_remaining (service_retry_budget (relay));
+  double remaining = send_budget_remaining (service_retry_budget (relay));
 
-  return left > 0 ? (uint64_t)left : 0;
+  return remaining > 0 ? (uint64_t)remaining : 0;
 }
 
 static void
@@ -100,7 +101,7 @@
              field_number (FIELD_EXTRA, retries_left (relay)));
   relay->failure_reason = reason;
   if (may_have_run)
-    relay->possible_runs++;
+    relay->possible_run_count++;
   add_tried_upstream (relay);
   relay->was_refused = !may_have_run;
   if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
@@ -110,7 +111,7 @@
   relay->response_body.len = 0;
   sse_filter_discard_partial (&relay->sse);
   bool may_resend
-      = may_have_run ? relay_may_retry (relay) : relay->sends < SENDS_MAX;
+      = may_have_run ? relay_may_retry (relay) : relay->send_count < SENDS_MAX;
   if (may_resend && relay->response_started)
     relay_resume_stream (relay);
   else if (may_resend && take_retry (relay))
@@ -255,7 +256,7 @@
       || !str_to_u64 (confidence_header, &confidence)
       || (larger_model = relay_choose_larger_model (relay, confidence))
              == relay->model_index
-      || relay->possible_runs + 1 >= relay->attrs.route->attempts_max
+      || relay->possible_run_count + 1 >= relay->attrs.route->attempts_max
       || !take_retry (relay))
     return false;
   counter_add (relay->state->counters.escalations, 1);
@@ -263,7 +264,7 @@
              field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
              field_number (FIELD_CONFIDENCE, confidence),
              field_number (FIELD_EXTRA, retries_left (relay)));
-  relay->possible_runs++;
+  relay->possible_run_count++;
   relay->model_index = larger_model;
   relay_finish_send (relay, SEND_CANCELLED);
   relay_send (relay);
@@ -387,7 +388,7 @@
       relay->failure_reason = "connect";
       relay->connect_failed = true;
       add_tried_upstream (relay);
-      relay->sends--;
+      relay->send_count--;
       relay_finish_send (relay, SEND_FAILED);
       if (relay->tried_count < POOL_TRIED_MAX)
         relay_send (relay);
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -49,8 +49,8 @@
 new_version_instance_count (const relay_t *relay, const trial_t *trial)
 {
   const gateway_state_t *state = relay->state;
-  double share
-      = trial_share (trial, table_sync_store_now_ms (state->operator_rows));
+  double share = trial_share (
+      trial, table_sync_store_now_ms (state->operator_rows_sync));
   size_t old_instances = pool_count_instances (
       state->pool, relay->attrs.service->name, VERSION_ARM_OLD,
       trial_version (trial), SIZE_MAX);
@@ -81,9 +81,10 @@
         criteria->arm = VERSION_ARM_NEW;
       break;
     case TRIAL_RUNNING:
-      if (trial_choose_arm (trial, relay->attrs.session_hash,
-                            table_sync_store_now_ms (state->operator_rows),
-                            &relay->trial_sends)
+      if (trial_choose_arm (
+              trial, relay->attrs.session_hash,
+              table_sync_store_now_ms (state->operator_rows_sync),
+              &relay->trial_sends)
               == TRIAL_NEW
           && has_instance_of_version (relay, criteria->version))
         {
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -84,9 +84,9 @@
   /* State of all sends.  */
   const upstream_t *tried[POOL_TRIED_MAX];
   size_t tried_count;
-  size_t sends;
-  size_t possible_runs;  /* Sends that the upstream may have run.  */
-  bool response_started; /* The response head was sent to the caller.  */
+  size_t send_count;
+  size_t possible_run_count; /* Sends that an upstream may have run.  */
+  bool response_started;     /* The response head was sent to the caller.  */
   sse_filter_t sse;
   uint64_t event_count; /* Events sent to the caller.  */
 
@@ -166,7 +166,7 @@
 
 /* Send the request to the best upstream, or fail the request.  */
 void relay_send (relay_t *relay);
-/* Callbacks for the call of a send; the argument is the relay.  */
+/* Callbacks for the HTTP call of a send; their argument is the relay_t.  */
 extern const call_events_t relay_call_events;
 /* Handle the failure of the current send.  MAY_HAVE_RUN is false only if the
    upstream reported that it did not run the request.  Retries the request if
--- a/packages/gateway/request_attrsint.h
+++ b/packages/gateway/request_attrsint.h
@@ -15,7 +15,7 @@
   const team_t *team;      /* NULL if the route needs no API key.  */
   uint64_t arrived_ms;     /* Monotonic time of arrival, in ms.  */
   uint64_t deadline_at_ms; /* Monotonic time by which the response must be
-                           complete, in ms.  */
+                              complete, in ms.  */
   uint64_t prefix_hash;    /* Hash of the prompt parts that other requests may
                               share; 0: none.  */
   uint64_t session_hash;   /* Hash of the session id, or of the attempt id if
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -146,8 +146,8 @@
       trial_destroy (map_remove (state->trials, spec.service));
       trial = trial_create (spec.service, spec.version, row->version,
                             spec.within_ms, state->options.rollout_share_max);
-      trial_set_order_seen_ms (trial,
-                               table_sync_store_now_ms (state->operator_rows));
+      trial_set_order_seen_ms (
+          trial, table_sync_store_now_ms (state->operator_rows_sync));
       map_put (state->trials, spec.service, trial);
       log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, spec.service),
                  field_text (FIELD_VERSION, spec.version),
@@ -331,8 +331,9 @@
 static void
 evaluate_trial (rollouts_t *rollouts, str_t service, trial_t *trial)
 {
-  uint64_t now_ms = table_sync_store_now_ms (rollouts->state->operator_rows);
-  bool is_isolated = table_sync_is_down (rollouts->state->operator_rows);
+  uint64_t now_ms
+      = table_sync_store_now_ms (rollouts->state->operator_rows_sync);
+  bool is_isolated = table_sync_is_down (rollouts->state->operator_rows_sync);
   buf_t reason = BUF_NULL;
 
   /* A gateway that cannot reach the store decides on its own evidence.  */
@@ -363,13 +364,14 @@
   buf_free (&reason);
 }
 
-/* Carry out the step of TRIAL that is due, if any.  IS_SECOND is true in one
-   call a second.  */
+/* Carry out the step of TRIAL that is due, if any.  HAS_SECOND_ELAPSED is true
+   in one call a second.  */
 static void
 run_trial_step (rollouts_t *rollouts, str_t service, trial_t *trial,
-                bool is_second)
+                bool has_second_elapsed)
 {
-  uint64_t now_ms = table_sync_store_now_ms (rollouts->state->operator_rows);
+  uint64_t now_ms
+      = table_sync_store_now_ms (rollouts->state->operator_rows_sync);
 
   if (trial_start_ms (trial) == 0)
     {
@@ -384,7 +386,7 @@
     }
   if (trial_phase (trial) == TRIAL_RUNNING)
     {
-      if (is_second)
+      if (has_second_elapsed)
         trial_decay (trial);
       evaluate_trial (rollouts, service, trial);
     }
@@ -394,21 +396,21 @@
       && !trial_is_final_phase_stored (trial))
     write_state (rollouts, service, trial, trial_start_ms (trial),
                  trial_step (trial), trial_step_start_ms (trial));
-  else if (is_second && trial_phase (trial) == TRIAL_RUNNING
+  else if (has_second_elapsed && trial_phase (trial) == TRIAL_RUNNING
            && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_decider (rollouts))
     write_evidence (rollouts, service, trial);
 }
 
 void
-rollouts_tick (rollouts_t *rollouts, bool is_second)
+rollouts_tick (rollouts_t *rollouts, bool has_second_elapsed)
 {
   size_t cursor = 0;
   str_t service;
   void *value;
 
   while (map_next (rollouts->state->trials, &cursor, &service, &value))
-    run_trial_step (rollouts, service, value, is_second);
+    run_trial_step (rollouts, service, value, has_second_elapsed);
 }
 
 rollouts_t *
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -33,7 +33,7 @@
 void rollouts_apply_evidence (rollouts_t *rollouts, str_t key, bool is_direct,
                               str_t text);
 /* Carry out the steps of roll-outs that are due.  Called several times a
-   second; IS_SECOND is true in one call a second.  */
-void rollouts_tick (rollouts_t *rollouts, bool is_second);
+   second; HAS_SECOND_ELAPSED is true in one call a second.  */
+void rollouts_tick (rollouts_t *rollouts, bool has_second_elapsed);
 
 #endif
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -12,8 +12,8 @@
   /* Time for which a deleted row is kept for callers that do not know of the
      deletion.  A caller that asks later must read the whole table.  */
   TOMBSTONE_TTL_MS = 30000,
-  /* Minimum total size of the values above which rows are packed into one
-     deflated string.  */
+  /* Minimum total size of the values, in bytes, from which rows are packed
+     into one deflated string.  */
   PACK_BYTES_MIN = 2048,
   /* Time for which a packed reply with the whole table is reused.  The next
      watch call of a caller returns the changes since the reply was packed.
@@ -66,8 +66,8 @@
                                  ms.  */
   /* Store clock at the time when the store confirmed the rows, in ms.  */
   uint64_t store_confirmed_ms;
-  packed_reply_t whole;
-  packed_reply_t changes;
+  packed_reply_t whole_table_reply;
+  packed_reply_t changes_reply;
 };
 
 static void
@@ -107,8 +107,8 @@
   if (cache == NULL)
     return;
   free_rows (cache);
-  buf_free (&cache->whole.bytes);
-  buf_free (&cache->changes.bytes);
+  buf_free (&cache->whole_table_reply.bytes);
+  buf_free (&cache->changes_reply.bytes);
   free (cache);
 }
 
@@ -257,7 +257,8 @@
 static const packed_reply_t *
 find_packed_reply (const rowcache_t *cache, uint64_t after, bool is_whole)
 {
-  const packed_reply_t *packed = is_whole ? &cache->whole : &cache->changes;
+  const packed_reply_t *packed
+      = is_whole ? &cache->whole_table_reply : &cache->changes_reply;
   uint64_t age_ms = clock_boot_ms (cache->clock) - packed->packed_ms;
 
   if (packed->version == 0)
@@ -280,7 +281,8 @@
 pack_rows (rowcache_t *cache, wire_row_list_t *rows, uint64_t after,
            bool is_whole)
 {
-  packed_reply_t *packed = is_whole ? &cache->whole : &cache->changes;
+  packed_reply_t *packed
+      = is_whole ? &cache->whole_table_reply : &cache->changes_reply;
   size_t bytes = 0;
 
   for (u_int i = 0; i < rows->rows.rows_len; i++)
--- a/packages/gateway/sse_filter.c
+++ b/packages/gateway/sse_filter.c
@@ -25,22 +25,22 @@
 static bool
 parse_event_id (str_t event, uint64_t *id)
 {
-  bool found = false;
+  bool has_id = false;
 
   while (event.ptr != NULL && event.len > 0)
     {
       str_t line = str_cut (event, '\n', &event);
       if (str_starts (line, STR ("id:")))
-        found = str_to_u64 (str_trim (str_make (line.ptr + 3, line.len - 3)),
-                            id);
+        has_id = str_to_u64 (str_trim (str_make (line.ptr + 3, line.len - 3)),
+                             id);
     }
-  return found;
+  return has_id;
 }
 
 /* Append the complete EVENT to OUT and count it, unless its id was already
    passed.  */
 static vh_code_t
-pass_event (sse_filter_t *filter, str_t event, buf_t *out, size_t *count)
+append_new_event (sse_filter_t *filter, str_t event, buf_t *out, size_t *count)
 {
   uint64_t id;
 
@@ -72,7 +72,7 @@
       size_t len = first_event_length (unread);
       if (len == 0 || code != VH_OK)
         break;
-      code = pass_event (filter, str_make (unread.ptr, len), out, count);
+      code = append_new_event (filter, str_make (unread.ptr, len), out, count);
       offset += len;
     }
   buf_consume (&filter->partial, offset);
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -52,8 +52,8 @@
   rows_t *rows;
   peer_rows_t *peer_rows;
   loader_t *loader;
-  table_sync_t *instances;
-  table_sync_t *shared_rows;
+  table_sync_t *instances_sync;
+  table_sync_t *shared_rows_sync;
   uv_timer_t tick;
   uint64_t ticks;
   bool has_read_shared_rows; /* The shared rows were read at least once.  */
@@ -382,16 +382,16 @@
 {
   store_sync_t *sync = timer->data;
   gateway_state_t *state = sync->state;
-  bool is_second = ++sync->ticks % TICKS_PER_S == 0;
+  bool has_second_elapsed = ++sync->ticks % TICKS_PER_S == 0;
 
   if (state->stopping_ms != 0 || !sync->has_read_shared_rows)
     return;
   if (!sync->is_registered && !sync->is_registration_pending
       && clock_ms (state->clock) >= sync->registration_retry_ms)
     write_registration (sync, false);
-  if (is_second)
+  if (has_second_elapsed)
     divide_limits (sync);
-  rollouts_tick (sync->rollouts, is_second);
+  rollouts_tick (sync->rollouts, has_second_elapsed);
 }
 
 /* Start of the synchronisation of each table, and its end.  */
@@ -416,8 +416,8 @@
   gateway_state_t *state = sync->state;
 
   (void)is_full_read;
-  if (sync->instances == NULL)
-    sync->instances
+  if (sync->instances_sync == NULL)
+    sync->instances_sync
         = table_sync_create (state->loop, state->clock, sync->rows,
                              rng_u64 (&state->rng), &instances, &events, sync);
 }
@@ -431,9 +431,9 @@
   record_reachability (sync, is_down);
   if (is_down)
     return;
-  table_sync_retry_now (sync->shared_rows);
-  if (sync->instances != NULL)
-    table_sync_retry_now (sync->instances);
+  table_sync_retry_now (sync->shared_rows_sync);
+  if (sync->instances_sync != NULL)
+    table_sync_retry_now (sync->instances_sync);
 }
 
 store_sync_t *
@@ -465,14 +465,14 @@
   sync->rollouts = rollouts_create (state, rows, peer_rows);
   sync->loader = loader_create (state->loop, state->dialect->read_catalog,
                                 on_catalog, sync);
-  state->operator_rows = table_sync_create (state->loop, state->clock, rows,
-                                            rng_u64 (&state->rng), &orders,
-                                            &order_events, sync);
+  state->operator_rows_sync = table_sync_create (state->loop, state->clock,
+                                                 rows, rng_u64 (&state->rng),
+                                                 &orders, &order_events, sync);
   /* Read at the same time as ROWS_ORDERS: this table lists the gateways, one
      of which is the reader through which ROWS_ORDERS is read.  */
-  sync->shared_rows = table_sync_create (state->loop, state->clock, rows,
-                                         rng_u64 (&state->rng), &shared_rows,
-                                         &shared_events, sync);
+  sync->shared_rows_sync = table_sync_create (
+      state->loop, state->clock, rows, rng_u64 (&state->rng), &shared_rows,
+      &shared_events, sync);
   uv_timer_init (state->loop, &sync->tick);
   sync->tick.data = sync;
   uv_timer_start (&sync->tick, on_tick, rng_below (&state->rng, TICK_MS) + 1,
@@ -500,11 +500,11 @@
 {
   if (sync == NULL)
     return;
-  table_sync_destroy (sync->state->operator_rows);
-  sync->state->operator_rows = NULL;
+  table_sync_destroy (sync->state->operator_rows_sync);
+  sync->state->operator_rows_sync = NULL;
   loader_destroy (sync->loader);
-  table_sync_destroy (sync->instances);
-  table_sync_destroy (sync->shared_rows);
+  table_sync_destroy (sync->instances_sync);
+  table_sync_destroy (sync->shared_rows_sync);
   rollouts_destroy (sync->rollouts);
   sync->rows->ops->cancel (sync->rows, sync);
   uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
--- a/packages/gateway/tablesync.h
+++ b/packages/gateway/tablesync.h
@@ -65,7 +65,8 @@
   void (*reachability) (void *arg, bool is_down);
 } table_sync_events_t;
 
-/* ROWS must outlive the result; OPTIONS and EVENTS are copied.  */
+/* Start to synchronise a table.  ROWS must outlive the result; OPTIONS and
+   EVENTS are copied.  */
 table_sync_t *table_sync_create (uv_loop_t *loop, clock_iface_t *clock,
                                  rows_t *rows, uint64_t seed,
                                  const table_sync_options_t *options,
