--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -53,13 +53,15 @@
    the process.  */
 billing_t *billing_create (uv_loop_t *loop, rows_t *rows, str_t name,
                            uint64_t epoch);
-/* Bills that are not yet written are lost.  BILLING may be NULL.  */
+/* Destroy BILLING.  Bills that are not yet written are lost.  BILLING may be
+   NULL.  */
 void billing_destroy (billing_t *billing);
 void billing_add (billing_t *billing, const bill_t *bill);
 /* Write the queued bills now instead of at the next interval, for a planned
    stop.  */
 void billing_flush (billing_t *billing);
-/* Number of bills that are queued, and number of bills dropped so far.  */
+/* Return the number of bills that are queued, and the number of bills dropped
+   so far.  */
 size_t billing_queued_count (const billing_t *billing);
 uint64_t billing_dropped_count (const billing_t *billing);
 
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -37,7 +37,8 @@
 {
   str_t name;
   str_t health_path;
-  /* Connections allowed to one instance, from all gateways together.  */
+  /* Maximum number of connections to one instance, from all gateways
+     together.  */
   uint32_t connections_max;
   /* Time for which a new instance is treated as cold, in seconds.  */
   double cold_start_s;
@@ -71,8 +72,9 @@
   uint64_t event_gap_max_ms;
   uint32_t attempts_max; /* Maximum number of upstreams that may execute one
                             request.  */
-  uint32_t priority;     /* 0 is the highest.  */
-  bool is_public;        /* Whether clients need no key.  */
+  uint32_t priority;     /* Priority of requests on the route; 0 is the
+                            highest.  */
+  bool is_public;        /* Whether clients need no API key.  */
   /* Whether an interrupted stream may be resumed at another upstream.  */
   bool is_resumable;
   route_split_t splits[ROUTE_SPLITS_MAX];
@@ -105,15 +107,19 @@
    REVISION is higher for each newer configuration.  */
 catalog_t *catalog_create (uint64_t revision);
 void catalog_ref (catalog_t *catalog);
-/* Drop a reference; NULL is accepted.  */
+/* Drop a reference to CATALOG, which may be NULL.  */
 void catalog_unref (catalog_t *catalog);
 
-/* Add an element to a catalog that is being filled; arguments are copied.
-   Return VH_E_BAD_CONFIG and add nothing if CATALOG already has a service of
-   the same name, a route with the same host and prefix, or a team with the
-   same name or one of KEYS.  */
+/* Add a copy of SERVICE to a catalog that is being filled.  Return
+   VH_E_BAD_CONFIG if CATALOG already has a service of the same name.  */
 vh_code_t catalog_add_service (catalog_t *catalog, const service_t *service);
+/* Add a copy of ROUTE to a catalog that is being filled.  Return
+   VH_E_BAD_CONFIG if CATALOG already has a route with the same host and
+   prefix.  */
 vh_code_t catalog_add_route (catalog_t *catalog, const route_t *route);
+/* Add a copy of TEAM, which holds the API keys KEYS, to a catalog that is
+   being filled.  Return VH_E_BAD_CONFIG and add nothing if CATALOG already has
+   a team of the same name or a team that holds one of KEYS.  */
 vh_code_t catalog_add_team (catalog_t *catalog, const team_t *team,
                             const str_t *keys, size_t key_count);
 void catalog_set_limits (catalog_t *catalog, const client_limits_t *limits);
@@ -126,7 +132,7 @@
    matches.  A port in HOST is ignored.  */
 const route_t *catalog_match_route (const catalog_t *catalog, str_t host,
                                     str_t path);
-/* Return whether the catalog has teams; without any, clients need no key.  */
+/* Return whether the catalog has teams; if not, clients need no API key.  */
 bool catalog_has_teams (const catalog_t *catalog);
 /* Return the team that holds the API key KEY, or NULL if there is none.  */
 const team_t *catalog_find_team (const catalog_t *catalog, str_t key);
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -1,7 +1,7 @@
 /* Gateway process: receives requests from callers on the routes of the
    accepted configuration and forwards each to an instance of an upstream.
-   Gateway processes share state only through rows of the platform's store;
-   they have no other persistent state.  */
+   Gateway processes keep persistent state only in rows of the platform's
+   store.  */
 
 #ifndef GATEWAY_GATEWAY_H
 #define GATEWAY_GATEWAY_H
@@ -81,7 +81,8 @@
                          process reads the store itself.  */
   const str_t *rpc_keys;
   size_t rpc_key_count;
-  double link_mbps; /* Network bandwidth of this instance; 0: unknown.  */
+  double link_mbps; /* Network bandwidth of this gateway process, in Mbit/s; 0:
+                       unknown.  */
   uint64_t seed;
   uint64_t drain_grace_ms;    /* Time in which new requests are still accepted
                                  after a planned stop begins.  */
--- a/packages/gateway/storeclock.h
+++ b/packages/gateway/storeclock.h
@@ -27,7 +27,8 @@
 {
   bool is_known;       /* Whether a sample was added.  */
   int64_t ahead_ms;    /* Upper bound on store clock minus local clock.  */
-  uint64_t sampled_ms; /* Local time of the sample behind AHEAD_MS.  */
+  uint64_t sampled_ms; /* Local time at which the reply that gave AHEAD_MS
+                          arrived.  */
 } store_clock_t;
 
 /* Add the clock value STORE_MS from a reply of the store itself.  The call was
