--- a/bench/model.c
+++ b/bench/model.c
@@ -429,7 +429,7 @@
 static void
 engine_fill (model_t *m, upstream_t *u)
 {
-  while (!list_empty (&u->waiting)
+  while (!list_is_empty (&u->waiting)
          && u->jobs.count < m->pattern->slots * ENGINE_BATCH)
     {
       request_t *request = CONTAINER_OF (u->waiting.next, request_t, waiting);
@@ -478,7 +478,7 @@
 sidecar_submit (model_t *m, upstream_t *u, request_t *request)
 {
   queue_job_t job = { .cost = request->estimate,
-                      .priority = QUEUE_NORMAL,
+                      .priority = QUEUE_PRIORITY_NORMAL,
                       .deadline_us = request->deadline_us };
   char team[] = { 't', (char)('0' + request->team) };
   queue_waiter_t *evicted;
@@ -852,7 +852,7 @@
   team[1] = (char)('0' + request->team);
   if (m->ours
       && admission_decide (request->entry->admission, str_make (team, 2),
-                           request->estimate, QUEUE_NORMAL)
+                           request->estimate, QUEUE_PRIORITY_NORMAL)
              != VH_OK)
     {
       finish_refused (m, request);
--- a/packages/cli/configuration.c
+++ b/packages/cli/configuration.c
@@ -75,7 +75,7 @@
   str_t name;
   bool closed;
 
-  if (!reader_section (line, &kind, &name, &closed))
+  if (!reader_parse_section_header (line, &kind, &name, &closed))
     return false;
   *section = str_trim (line);
   return true;
--- a/packages/cli/edits.c
+++ b/packages/cli/edits.c
@@ -6,7 +6,7 @@
 /* Tell whether the lists TEXT have a section [KIND NAME]; offer the names
    of that kind to NEAREST.  */
 static bool
-text_has (str_t text, str_t kind, str_t name, nearest_t *nearest)
+text_has (str_t text, str_t kind, str_t name, closest_match_t *nearest)
 {
   str_t rest = text;
   str_t found_kind;
@@ -16,19 +16,21 @@
   while (rest.ptr != NULL)
     {
       str_t line = str_cut (rest, '\n', &rest);
-      if (!reader_section (line, &found_kind, &found_name, &closed)
+      if (!reader_parse_section_header (line, &found_kind, &found_name,
+                                        &closed)
           || !str_eq (kind, found_kind))
         continue;
       if (str_eq (name, found_name))
         return true;
-      nearest_offer (nearest, found_name);
+      closest_match_add_candidate (nearest, found_name);
     }
   return false;
 }
 
 /* The same for member KEY of each object of the JSON array LIST.  */
 static bool
-list_has (const json_t *list, const char *key, str_t name, nearest_t *nearest)
+list_has (const json_t *list, const char *key, str_t name,
+          closest_match_t *nearest)
 {
   const json_t *item;
   size_t index;
@@ -38,7 +40,7 @@
     str_t found = json_str (item, key);
     if (str_eq (found, name))
       return true;
-    nearest_offer (nearest, found);
+    closest_match_add_candidate (nearest, found);
   }
   return false;
 }
@@ -50,7 +52,7 @@
 check_known (change_t *change, const configuration_t *current,
              const char *kind, str_t name, bool status)
 {
-  nearest_t nearest = nearest_make (name);
+  closest_match_t nearest = closest_match_make (name);
   buf_t hint = BUF_NULL;
   buf_t fallback = BUF_NULL;
   reply_t reply = { 0 };
@@ -74,7 +76,8 @@
   buf_printf (&fallback, "add `[%s %.*s]' to the lists and apply them", kind,
               STR_ARG (name));
   cli_complain ("there is no %s `%.*s'; nothing changed (%s)", kind,
-                STR_ARG (name), nearest_hint (&nearest, fallback.ptr, &hint));
+                STR_ARG (name),
+                closest_match_hint (&nearest, fallback.ptr, &hint));
   code = CLI_REFUSED;
 
 free_reply:
@@ -93,8 +96,8 @@
   buf_t edited = BUF_NULL;
 
   buf_printf (&section, "%s %.*s", kind, STR_ARG (name));
-  conf_edit (buf_str (text), buf_str (&section), str_from (key), value,
-             &edited);
+  conf_set_key (buf_str (text), buf_str (&section), str_from (key), value,
+                &edited);
   buf_free (&section);
   buf_free (text);
   *text = edited;
@@ -104,8 +107,8 @@
 static cli_exit_t
 check_name (const char *name, bool versioned)
 {
-  bool valid = versioned ? schema_version_valid (str_from (name))
-                         : schema_name_valid (str_from (name));
+  bool valid = versioned ? schema_is_valid_version (str_from (name))
+                         : schema_is_valid_name (str_from (name));
 
   if (valid)
     return CLI_DONE;
--- a/packages/cli/options.c
+++ b/packages/cli/options.c
@@ -167,7 +167,7 @@
 static bool
 add_entry (cli_t *cli, str_t address)
 {
-  if (!schema_address_valid (address))
+  if (!schema_is_valid_address (address))
     {
       cli_complain ("the entry `%.*s' is not HOST:PORT by IP number",
                     STR_ARG (address));
--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -8,11 +8,11 @@
 names_hint (const names_t *names, str_t name, const char *fallback,
             buf_t *hint)
 {
-  nearest_t nearest = nearest_make (name);
+  closest_match_t nearest = closest_match_make (name);
 
   for (size_t i = 0; i < names->count; i++)
-    nearest_offer (&nearest, *(const str_t *)names->items[i]);
-  return nearest_hint (&nearest, fallback, hint);
+    closest_match_add_candidate (&nearest, *(const str_t *)names->items[i]);
+  return closest_match_hint (&nearest, fallback, hint);
 }
 
 /* Give each version its model and each model its versions.  */
@@ -74,13 +74,13 @@
   static const str_t prefix = { "service:", 8 };
   bool found = false;
 
-  if (str_starts (glob, prefix))
+  if (str_starts_with (glob, prefix))
     {
       glob = str_make (glob.ptr + prefix.len, glob.len - prefix.len);
       for (size_t i = 0; i < snapshot->services.count; i++)
         {
           const service_item_t *service = snapshot->services.items[i];
-          if (!str_glob (glob, service->pub.name))
+          if (!str_matches_glob (glob, service->pub.name))
             continue;
           found = true;
           bit_set (snapshot->allows_service
@@ -92,7 +92,7 @@
   for (size_t i = 0; i < snapshot->versions.count; i++)
     {
       const version_item_t *version = snapshot->versions.items[i];
-      if (!str_glob (glob, version->pub.name))
+      if (!str_matches_glob (glob, version->pub.name))
         continue;
       found = true;
       if (version->pub.state != VERSION_WITHDRAWN)
@@ -108,7 +108,7 @@
   str_t version;
   str_t model = str_cut (glob, '@', &version);
 
-  if (str_starts (glob, STR ("service:")))
+  if (str_starts_with (glob, STR ("service:")))
     return names_hint (&snapshot->services,
                        str_make (glob.ptr + 8, glob.len - 8),
                        "add a [service] of this name", hint);
--- a/packages/conf/edit.c
+++ b/packages/conf/edit.c
@@ -24,7 +24,7 @@
   bool closed;
   str_t wanted_kind = str_cut (section, ' ', &wanted_name);
 
-  return reader_section (line, &kind, &name, &closed)
+  return reader_parse_section_header (line, &kind, &name, &closed)
          && str_eq (kind, wanted_kind)
          && str_eq (name, str_trim (wanted_name));
 }
@@ -36,7 +36,7 @@
   str_t name;
   bool closed;
 
-  return reader_section (line, &kind, &name, &closed);
+  return reader_parse_section_header (line, &kind, &name, &closed);
 }
 
 /* Tell whether LINE gives KEY; *AT is then where its value starts and *END
@@ -136,7 +136,7 @@
 }
 
 void
-conf_edit (str_t text, str_t section, str_t key, str_t value, buf_t *out)
+conf_set_key (str_t text, str_t section, str_t key, str_t value, buf_t *out)
 {
   str_t rest = text;
   bool found = false;
--- a/packages/conf/reader.c
+++ b/packages/conf/reader.c
@@ -15,7 +15,8 @@
 } reader_t;
 
 bool
-reader_section (str_t line, str_t *kind, str_t *name, bool *closed)
+reader_parse_section_header (str_t line, str_t *kind, str_t *name,
+                             bool *closed)
 {
   str_t rest;
   str_t inside;
@@ -57,7 +58,7 @@
   bool closed;
 
   reader->line++;
-  if (reader_section (line, &kind, &name, &closed))
+  if (reader_parse_section_header (line, &kind, &name, &closed))
     {
       if (!closed)
         conf_errors_add (reader->errors, reader->line,
@@ -195,7 +196,7 @@
 
   if (!reader_check_bytes (text, errors))
     return;
-  if (str_starts (text, STR ("\xef\xbb\xbf")))
+  if (str_starts_with (text, STR ("\xef\xbb\xbf")))
     reader.rest = str_make (text.ptr + 3, text.len - 3);
   /* Lines of any length, one line a key.  */
   ini_use_stack = false;
--- a/packages/conf/reader.h
+++ b/packages/conf/reader.h
@@ -28,6 +28,7 @@
 
 /* If LINE is a section header return true and its KIND and NAME; *CLOSED
    tells whether it ends in `]' and at most a comment.  */
-bool reader_section (str_t line, str_t *kind, str_t *name, bool *closed);
+bool reader_parse_section_header (str_t line, str_t *kind, str_t *name,
+                                  bool *closed);
 
 #endif
--- a/packages/conf/schema.c
+++ b/packages/conf/schema.c
@@ -37,7 +37,7 @@
 } checker_t;
 
 bool
-schema_name_valid (str_t s)
+schema_is_valid_name (str_t s)
 {
   if (s.len == 0 || s.len > NAME_BYTES_MAX)
     return false;
@@ -52,16 +52,16 @@
 }
 
 bool
-schema_version_valid (str_t s)
+schema_is_valid_version (str_t s)
 {
   str_t version;
   str_t model = str_cut (s, '@', &version);
 
-  return schema_name_valid (model) && schema_name_valid (version);
+  return schema_is_valid_name (model) && schema_is_valid_name (version);
 }
 
 bool
-schema_address_valid (str_t s)
+schema_is_valid_address (str_t s)
 {
   char host[INET6_ADDRSTRLEN];
   struct in6_addr parsed;
@@ -112,14 +112,14 @@
   return row[b.len];
 }
 
-nearest_t
-nearest_make (str_t wanted)
+closest_match_t
+closest_match_make (str_t wanted)
 {
-  return (nearest_t){ wanted, STR_NULL, SIZE_MAX };
+  return (closest_match_t){ wanted, STR_NULL, SIZE_MAX };
 }
 
 void
-nearest_offer (nearest_t *nearest, str_t candidate)
+closest_match_add_candidate (closest_match_t *nearest, str_t candidate)
 {
   size_t distance;
   size_t bound = nearest->wanted.len / 3 > 2 ? nearest->wanted.len / 3 : 2;
@@ -137,7 +137,8 @@
 }
 
 const char *
-nearest_hint (const nearest_t *nearest, const char *fallback, buf_t *buf)
+closest_match_hint (const closest_match_t *nearest, const char *fallback,
+                    buf_t *buf)
 {
   buf->len = 0;
   if (nearest->best.ptr == NULL)
@@ -179,7 +180,7 @@
 static const schema_section_t *
 checker_find_section (checker_t *checker, str_t kind, int line)
 {
-  nearest_t nearest = nearest_make (kind);
+  closest_match_t nearest = closest_match_make (kind);
   buf_t hint = BUF_NULL;
   buf_t known = BUF_NULL;
 
@@ -191,11 +192,11 @@
           buf_free (&known);
           return section;
         }
-      nearest_offer (&nearest, str_from (section->kind));
+      closest_match_add_candidate (&nearest, str_from (section->kind));
       buf_printf (&known, "%s%s", i == 0 ? "known are " : ", ", section->kind);
     }
   conf_errors_add (checker->errors, line,
-                   nearest_hint (&nearest, known.ptr, &hint),
+                   closest_match_hint (&nearest, known.ptr, &hint),
                    "unknown section `%.*s'", STR_ARG (kind));
   buf_free (&hint);
   buf_free (&known);
@@ -217,14 +218,14 @@
       buf_printf (&hint, "write `[%s]'", section->kind);
       break;
     case SECTION_NAMED:
-      fits = schema_name_valid (name);
+      fits = schema_is_valid_name (name);
       buf_printf (&hint,
                   "write `[%s NAME]', the name of letters, digits, "
                   "`.', `_' and `-'",
                   section->kind);
       break;
     case SECTION_VERSION:
-      fits = schema_version_valid (name);
+      fits = schema_is_valid_version (name);
       buf_printf (&hint, "write `[%s MODEL@VERSION]'", section->kind);
       break;
     }
@@ -286,7 +287,7 @@
 checker_find_key (checker_t *checker, str_t name, int line)
 {
   const schema_section_t *section = checker->section;
-  nearest_t nearest = nearest_make (name);
+  closest_match_t nearest = closest_match_make (name);
   buf_t hint = BUF_NULL;
   buf_t other = BUF_NULL;
 
@@ -294,7 +295,7 @@
     {
       if (str_eq (name, str_from (section->keys[i].name)))
         return &section->keys[i];
-      nearest_offer (&nearest, str_from (section->keys[i].name));
+      closest_match_add_candidate (&nearest, str_from (section->keys[i].name));
     }
   for (size_t i = 0; i < checker->schema->section_count; i++)
     for (size_t k = 0; k < checker->schema->sections[i].key_count; k++)
@@ -309,7 +310,7 @@
         buf_printf (&other, "%s%s", i == 0 ? "" : ", ", section->keys[i].name);
     }
   conf_errors_add (
-      checker->errors, line, nearest_hint (&nearest, other.ptr, &hint),
+      checker->errors, line, closest_match_hint (&nearest, other.ptr, &hint),
       "unknown key `%.*s' in [%s]", STR_ARG (name), section->kind);
   buf_free (&hint);
   buf_free (&other);
@@ -452,7 +453,7 @@
       wanted = text.len > 0 ? NULL : "give a value or remove the key";
       break;
     case VALUE_NAME:
-      wanted = schema_name_valid (text)
+      wanted = schema_is_valid_name (text)
                    ? NULL
                    : "letters, digits, `.', `_' and `-' only";
       break;
@@ -466,7 +467,7 @@
                    : "64 hexadecimal digits, as by `sha256sum'";
       break;
     case VALUE_ADDRESS:
-      wanted = schema_address_valid (text)
+      wanted = schema_is_valid_address (text)
                    ? NULL
                    : "HOST:PORT by IP number, such as 127.0.0.1:8080";
       break;
--- a/packages/conf/schema.h
+++ b/packages/conf/schema.h
@@ -79,11 +79,11 @@
                  arena_t *scratch, conf_errors_t *errors);
 
 /* Tell whether S may be the name of something.  */
-bool schema_name_valid (str_t s);
+bool schema_is_valid_name (str_t s);
 /* Tell whether S is MODEL@VERSION.  */
-bool schema_version_valid (str_t s);
+bool schema_is_valid_version (str_t s);
 /* Tell whether S is HOST:PORT with a numeric host.  */
-bool schema_address_valid (str_t s);
+bool schema_is_valid_address (str_t s);
 
 /* The nearest known word to one that is not, by edit distance.  */
 typedef struct
@@ -91,14 +91,14 @@
   str_t wanted;
   str_t best;
   size_t distance;
-} nearest_t;
+} closest_match_t;
 
-nearest_t nearest_make (str_t wanted);
-void nearest_offer (nearest_t *nearest, str_t candidate);
+closest_match_t closest_match_make (str_t wanted);
+void closest_match_add_candidate (closest_match_t *nearest, str_t candidate);
 /* Write "did you mean `X'?" to BUF when something is near, else FALLBACK,
    and return what stands there; FALLBACK may be NULL.  */
-const char *nearest_hint (const nearest_t *nearest, const char *fallback,
-                          buf_t *buf);
+const char *closest_match_hint (const closest_match_t *nearest,
+                                const char *fallback, buf_t *buf);
 
 /* Put ERRORS in the order of their lines.  */
 void schema_sort_errors (conf_errors_t *errors);
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -440,8 +440,8 @@
   for (size_t i = 0; i < item->serves.count; i++)
     {
       str_t name = item->serves.items[i];
-      bool fits = item->pub.is_service ? schema_name_valid (name)
-                                       : schema_version_valid (name);
+      bool fits = item->pub.is_service ? schema_is_valid_name (name)
+                                       : schema_is_valid_version (name);
       if (!fits)
         conf_errors_add (parser->errors, item->serves.line,
                          item->pub.is_service
@@ -452,24 +452,25 @@
   for (size_t i = 0; i < item->features.count; i++)
     {
       str_t name = item->features.items[i];
-      nearest_t nearest = nearest_make (name);
+      closest_match_t nearest = closest_match_make (name);
       buf_t hint = BUF_NULL;
       size_t bit = 0;
       for (; feature_words[bit] != NULL; bit++)
         {
           if (str_eq (name, str_from (feature_words[bit])))
             break;
-          nearest_offer (&nearest, str_from (feature_words[bit]));
+          closest_match_add_candidate (&nearest,
+                                       str_from (feature_words[bit]));
         }
       if (feature_words[bit] != NULL)
         item->pub.features |= 1u << bit;
       else
         conf_errors_add (
             parser->errors, item->features.line,
-            nearest_hint (&nearest,
-                          "known are load-report, cache-events, resume, "
-                          "priority, orders, fencing, kv",
-                          &hint),
+            closest_match_hint (&nearest,
+                                "known are load-report, cache-events, resume, "
+                                "priority, orders, fencing, kv",
+                                &hint),
             "unknown feature `%.*s'", STR_ARG (name));
       buf_free (&hint);
     }
--- a/packages/conf/snapshot.c
+++ b/packages/conf/snapshot.c
@@ -100,31 +100,32 @@
 }
 
 const team_t *
-snapshot_team_by_key (const snapshot_t *snapshot, const uint8_t *key_sha256)
+snapshot_find_team_by_key (const snapshot_t *snapshot,
+                           const uint8_t *key_sha256)
 {
   return snapshot_key_slot (snapshot, key_sha256)->team;
 }
 
 const team_t *
-snapshot_team (const snapshot_t *snapshot, str_t name)
+snapshot_find_team (const snapshot_t *snapshot, str_t name)
 {
   return names_get (&snapshot->teams, name);
 }
 
 const model_t *
-snapshot_model (const snapshot_t *snapshot, str_t name)
+snapshot_find_model (const snapshot_t *snapshot, str_t name)
 {
   return names_get (&snapshot->models, name);
 }
 
 const version_t *
-snapshot_version (const snapshot_t *snapshot, str_t name)
+snapshot_find_version (const snapshot_t *snapshot, str_t name)
 {
   return names_get (&snapshot->versions, name);
 }
 
 const service_t *
-snapshot_service (const snapshot_t *snapshot, str_t name)
+snapshot_find_service (const snapshot_t *snapshot, str_t name)
 {
   return names_get (&snapshot->services, name);
 }
@@ -152,7 +153,7 @@
 }
 
 bool
-snapshot_zone_in (const snapshot_t *snapshot, str_t zone)
+snapshot_is_zone_enabled (const snapshot_t *snapshot, str_t zone)
 {
   const zone_item_t *item = names_get (&snapshot->zones, zone);
 
@@ -160,7 +161,7 @@
 }
 
 bool
-snapshot_instance_in (const snapshot_t *snapshot, str_t instance)
+snapshot_is_instance_enabled (const snapshot_t *snapshot, str_t instance)
 {
   return map_get (snapshot->instances_out, instance) == NULL;
 }
--- a/packages/conf/snapshot.h
+++ b/packages/conf/snapshot.h
@@ -121,13 +121,15 @@
 
 /* Return the team whose key has SHA-256 digest KEY_SHA256 (32 bytes), or
    NULL.  Digests are compared in constant time.  */
-const team_t *snapshot_team_by_key (const snapshot_t *snapshot,
-                                    const uint8_t *key_sha256);
-const team_t *snapshot_team (const snapshot_t *snapshot, str_t name);
-const model_t *snapshot_model (const snapshot_t *snapshot, str_t name);
+const team_t *snapshot_find_team_by_key (const snapshot_t *snapshot,
+                                         const uint8_t *key_sha256);
+const team_t *snapshot_find_team (const snapshot_t *snapshot, str_t name);
+const model_t *snapshot_find_model (const snapshot_t *snapshot, str_t name);
 /* NAME is MODEL@VERSION.  */
-const version_t *snapshot_version (const snapshot_t *snapshot, str_t name);
-const service_t *snapshot_service (const snapshot_t *snapshot, str_t name);
+const version_t *snapshot_find_version (const snapshot_t *snapshot,
+                                        str_t name);
+const service_t *snapshot_find_service (const snapshot_t *snapshot,
+                                        str_t name);
 
 /* Tell whether TEAM's plan allows VERSION and it is not withdrawn.  */
 bool snapshot_allows (const snapshot_t *snapshot, const team_t *team,
@@ -136,8 +138,8 @@
                               const service_t *service);
 
 /* Zones and instances not named in the text are in.  */
-bool snapshot_zone_in (const snapshot_t *snapshot, str_t zone);
-bool snapshot_instance_in (const snapshot_t *snapshot, str_t instance);
+bool snapshot_is_zone_enabled (const snapshot_t *snapshot, str_t zone);
+bool snapshot_is_instance_enabled (const snapshot_t *snapshot, str_t instance);
 
 /* Step through the lists: entry INDEX, or NULL past the end.  */
 const team_t *snapshot_team_at (const snapshot_t *snapshot, size_t index);
@@ -164,6 +166,7 @@
 /* Append to OUT a copy of TEXT in which KEY of [SECTION] reads VALUE; the
    section or key is added at need, all else (comments too) stays.  A VALUE
    of STR_NULL removes the key.  */
-void conf_edit (str_t text, str_t section, str_t key, str_t value, buf_t *out);
+void conf_set_key (str_t text, str_t section, str_t key, str_t value,
+                   buf_t *out);
 
 #endif
--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -177,14 +177,14 @@
   json_t *json = json_object ();
 
   json_object_set_new (json, "state", json_string (row_states[item->state]));
-  json_put_str (json, "writer", buf_str (&claims->writer));
+  json_put_bytes (json, "writer", buf_str (&claims->writer));
   json_object_set_new (
       json, "at_ms",
       json_integer ((json_int_t)clock_realtime_ms (claims->env.clock)));
-  json_put_str (json, "token", token);
+  json_put_bytes (json, "token", token);
   if (item->state == ROW_DONE)
-    json_put_str (json, "outcome", buf_str (&item->outcome));
-  json_write (json, out);
+    json_put_bytes (json, "outcome", buf_str (&item->outcome));
+  json_write_and_free (json, out);
 }
 
 /* A transaction while it is put together; the strings are owned by BUFS.  */
@@ -342,7 +342,7 @@
 static row_state_t
 parse_row (const json_t *json)
 {
-  str_t state = json_get_plain (json, "state");
+  str_t state = json_get_utf8 (json, "state");
 
   if (str_eq (state, str_from (row_states[ROW_DONE])))
     return ROW_DONE;
@@ -383,7 +383,7 @@
   if (code == VH_OK)
     json = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
   row_state_t state = parse_row (json);
-  str_t writer = json_get_plain (json, "writer");
+  str_t writer = json_get_utf8 (json, "writer");
   bool again = code == VH_E_NOT_FOUND || may_take_over (item, state, writer);
   if (again && !item->answered)
     {
@@ -398,7 +398,7 @@
     {
       const claim_info_t info
           = { true, state == ROW_DONE, writer, json_get_u64 (json, "at_ms"),
-              json_get_str (json, "outcome", &scratch) };
+              json_get_bytes (json, "outcome", &scratch) };
       answer_and_free (item, VH_E_CLAIMED, &info);
     }
   json_decref (json);
@@ -535,7 +535,7 @@
   draft_t *draft = mem_zalloc (sizeof *draft);
   buf_t token = BUF_NULL;
 
-  store_token (claims->store, &token);
+  store_append_token (claims->store, &token);
   for (size_t i = 0; i < batch->count; i++)
     if (batch->items[i]->is_claim)
       draft_claim (draft, batch->items[i], buf_str (&token));
@@ -651,7 +651,7 @@
     if (str_cmp (rows[i].key, buf_str (&keep)) < 0)
       writes[write_count++] = (txn_write_t){ rows[i].key, STR_NULL, true };
   buf_free (&keep);
-  if (write_count == 0 || !lease_held (claims->options.lease))
+  if (write_count == 0 || !lease_is_held (claims->options.lease))
     {
       claims->sweeping = false;
       return;
@@ -679,7 +679,7 @@
     return;
   claims->next_sweep_ms
       = now + rng_jitter (store_rng (claims->store), claims->options.sweep_ms);
-  if (lease_held (claims->options.lease))
+  if (lease_is_held (claims->options.lease))
     sweep (claims);
 }
 
@@ -766,8 +766,8 @@
 }
 
 void
-claims_claim (claims_t *claims, str_t id, uint64_t wait_ms, claims_cb_t cb,
-              void *arg)
+claims_acquire (claims_t *claims, str_t id, uint64_t wait_ms, claims_cb_t cb,
+                void *arg)
 {
   item_t *item = mem_zalloc (sizeof *item);
 
@@ -803,7 +803,7 @@
 }
 
 vh_code_t
-claims_record (claims_t *claims, str_t id, str_t outcome)
+claims_record_outcome (claims_t *claims, str_t id, str_t outcome)
 {
   return settle (claims, id, ROW_DONE, outcome);
 }
--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -63,12 +63,12 @@
    accepted.  */
 void claims_destroy (claims_t *claims);
 /* Claim request ID within WAIT_MS.  */
-void claims_claim (claims_t *claims, str_t id, uint64_t wait_ms,
-                   claims_cb_t cb, void *arg);
+void claims_acquire (claims_t *claims, str_t id, uint64_t wait_ms,
+                     claims_cb_t cb, void *arg);
 /* Record OUTCOME for ID, which is held; written with the next batch and
    again until the store has it.  Return VH_OK, VH_E_NOT_FOUND when the id is
    not held, or VH_E_FULL when too many wait for the store.  */
-vh_code_t claims_record (claims_t *claims, str_t id, str_t outcome);
+vh_code_t claims_record_outcome (claims_t *claims, str_t id, str_t outcome);
 /* ID is held and was surely never dispatched: let others claim it.  */
 vh_code_t claims_release (claims_t *claims, str_t id);
 /* Claims and outcomes that the store does not have yet.  */
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -239,7 +239,7 @@
       json_t *json = json_loadb (rows[i].value.ptr, rows[i].value.len,
                                  JSON_ALLOW_NUL, NULL);
       code = adopt_delta (conf, json_get_u64 (json, "revision"),
-                          json_get_str (json, "delta", &scratch));
+                          json_get_bytes (json, "delta", &scratch));
       json_decref (json);
       buf_free (&scratch);
     }
@@ -392,7 +392,7 @@
 }
 
 void
-confstore_set_polls (confstore_t *conf, bool polls)
+confstore_set_polling (confstore_t *conf, bool polls)
 {
   conf->options.polls = polls;
 }
@@ -454,13 +454,13 @@
   conf_delta_make (buf_str (&apply->conf->text), buf_str (&apply->text),
                    &delta);
   json_object_set_new (json, "revision", json_integer ((json_int_t)revision));
-  json_put_str (json, "who", buf_str (&apply->who));
+  json_put_bytes (json, "who", buf_str (&apply->who));
   json_object_set_new (
       json, "when_ms",
       json_integer ((json_int_t)clock_realtime_ms (apply->conf->env.clock)));
-  json_put_str (json, "token", token);
-  json_put_str (json, "delta", buf_str (&delta));
-  json_write (json, out);
+  json_put_bytes (json, "token", token);
+  json_put_bytes (json, "delta", buf_str (&delta));
+  json_write_and_free (json, out);
   buf_free (&delta);
 }
 
@@ -501,7 +501,7 @@
       start_apply (apply);
       return;
     }
-  store_token (conf->store, &token);
+  store_append_token (conf->store, &token);
   write_delta_row (apply, revision, buf_str (&token), &row);
   snprintf (number, sizeof number, "%llu", (unsigned long long)revision);
   txn_write_t writes[5]
@@ -584,7 +584,7 @@
 
 static void
 history_end (history_t *history, vh_code_t code,
-             const confstore_entry_t *entries, size_t count)
+             const confstore_history_entry_t *entries, size_t count)
 {
   list_remove (&history->link);
   history->cb (history->arg, code, entries, count);
@@ -596,7 +596,8 @@
                  bool more)
 {
   history_t *history = arg;
-  confstore_entry_t *entries = mem_zalloc ((count + 1) * sizeof *entries);
+  confstore_history_entry_t *entries
+      = mem_zalloc ((count + 1) * sizeof *entries);
   json_t **json = mem_zalloc ((count + 1) * sizeof (json_t *));
   buf_t *scratch = mem_zalloc ((2 * count + 1) * sizeof *scratch);
 
@@ -606,11 +607,11 @@
       const row_t *row = &rows[count - 1 - i];
       json[i]
           = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
-      entries[i] = (confstore_entry_t){
+      entries[i] = (confstore_history_entry_t){
         .revision = json_get_u64 (json[i], "revision"),
-        .who = json_get_str (json[i], "who", &scratch[2 * i]),
+        .who = json_get_bytes (json[i], "who", &scratch[2 * i]),
         .when_ms = json_get_u64 (json[i], "when_ms"),
-        .delta = json_get_str (json[i], "delta", &scratch[2 * i + 1]),
+        .delta = json_get_bytes (json[i], "delta", &scratch[2 * i + 1]),
       };
     }
   history_end (history, code, entries, count);
@@ -664,7 +665,8 @@
 }
 
 void
-confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms)
+confstore_record_confirmation (confstore_t *conf, uint64_t revision,
+                               uint64_t age_ms)
 {
   uint64_t now = now_ms (conf);
 
@@ -673,7 +675,7 @@
 }
 
 bool
-confstore_delta_from (const confstore_t *conf, uint64_t have, buf_t *buf)
+confstore_write_update (const confstore_t *conf, uint64_t have, buf_t *buf)
 {
   size_t bytes = 0;
   bool linked = have > 0 && conf->revision - have <= CHAIN_MAX;
@@ -704,7 +706,7 @@
 }
 
 vh_code_t
-confstore_learn_update (confstore_t *conf, str_t update)
+confstore_receive_update (confstore_t *conf, str_t update)
 {
   while (update.len > 0)
     {
--- a/packages/control/confstore.h
+++ b/packages/control/confstore.h
@@ -43,12 +43,12 @@
   str_t who;
   uint64_t when_ms; /* Since the epoch.  */
   str_t delta;
-} confstore_entry_t;
+} confstore_history_entry_t;
 
 /* ENTRIES live for the callback, newest first.  */
-typedef void (*confstore_history_cb_t) (void *arg, vh_code_t code,
-                                        const confstore_entry_t *entries,
-                                        size_t count);
+typedef void (*confstore_history_cb_t) (
+    void *arg, vh_code_t code, const confstore_history_entry_t *entries,
+    size_t count);
 
 confstore_t *confstore_create (const control_env_t *env,
                                const confstore_options_t *options);
@@ -61,7 +61,7 @@
 /* Milliseconds since the revision here was known to be the head; UINT64_MAX
    when it never was.  */
 uint64_t confstore_confirmed_age_ms (const confstore_t *conf);
-void confstore_set_polls (confstore_t *conf, bool polls);
+void confstore_set_polling (confstore_t *conf, bool polls);
 /* Look at the head now.  */
 void confstore_poll (confstore_t *conf);
 /* Make TEXT, which the caller has checked, the next revision if IF_REVISION
@@ -75,14 +75,16 @@
 /* A peer holds TEXT as REVISION.  Return true when it came into force.  */
 bool confstore_learn (confstore_t *conf, uint64_t revision, str_t text);
 /* A peer had REVISION confirmed AGE_MS ago.  */
-void confstore_confirm (confstore_t *conf, uint64_t revision, uint64_t age_ms);
+void confstore_record_confirmation (confstore_t *conf, uint64_t revision,
+                                    uint64_t age_ms);
 /* Append what a peer at revision HAVE lacks: the deltas since, or the whole
    text when that is shorter or the deltas are not kept.  Return false when
    it lacks nothing.  */
-bool confstore_delta_from (const confstore_t *conf, uint64_t have, buf_t *buf);
-/* Take what confstore_delta_from made elsewhere.  Return VH_OK,
+bool confstore_write_update (const confstore_t *conf, uint64_t have,
+                             buf_t *buf);
+/* Take what confstore_write_update made elsewhere.  Return VH_OK,
    VH_E_PROTOCOL when it is malformed, or VH_E_STALE_REVISION when it starts
    past the revision here: then ask again from revision 0.  */
-vh_code_t confstore_learn_update (confstore_t *conf, str_t update);
+vh_code_t confstore_receive_update (confstore_t *conf, str_t update);
 
 #endif
--- a/packages/control/lease.c
+++ b/packages/control/lease.c
@@ -43,7 +43,7 @@
 }
 
 bool
-lease_held (lease_t *lease)
+lease_is_held (lease_t *lease)
 {
   if (lease->held && clock_ms (lease->env.clock) >= lease->valid_until_ms)
     set_held (lease, false);
@@ -77,7 +77,7 @@
     }
   else if (code == VH_E_CONFLICT)
     set_held (lease, false);
-  lease_held (lease);
+  lease_is_held (lease);
 }
 
 static void
@@ -88,7 +88,7 @@
       = { buf_str (&lease->beat_key), buf_str (&lease->holder), false };
   buf_t token = BUF_NULL;
 
-  store_token (lease->store, &token);
+  store_append_token (lease->store, &token);
   const txn_t txn = { &condition, 1, &write, 1, buf_str (&token) };
   store_txn (lease->store, &txn, lease->options.term_ms / BEATS_A_TERM,
              on_renewed, lease);
@@ -123,7 +123,7 @@
           { buf_str (&lease->fence_key), buf_str (&lease->holder), false } };
   buf_t token = BUF_NULL;
 
-  store_token (lease->store, &token);
+  store_append_token (lease->store, &token);
   const txn_t txn = { &condition, 1, writes, 2, buf_str (&token) };
   lease->sent_ms = clock_ms (lease->env.clock);
   store_txn (lease->store, &txn, lease->options.term_ms / BEATS_A_TERM,
@@ -158,7 +158,7 @@
     return;
   lease->busy = true;
   lease->sent_ms = clock_ms (lease->env.clock);
-  if (lease_held (lease))
+  if (lease_is_held (lease))
     renew (lease);
   else
     store_get (lease->store, buf_str (&lease->beat_key), on_beat, lease);
@@ -231,7 +231,7 @@
 {
   if (lease == NULL)
     return;
-  if (lease_held (lease))
+  if (lease_is_held (lease))
     give_up (lease);
   store_destroy (lease->store);
   uv_close ((uv_handle_t *)&lease->timer, on_closed);
--- a/packages/control/lease.h
+++ b/packages/control/lease.h
@@ -37,7 +37,7 @@
 void lease_poll (lease_t *lease);
 /* Tell whether the holder may still begin work.  Only a hint: what protects
    the table is the condition.  */
-bool lease_held (lease_t *lease);
+bool lease_is_held (lease_t *lease);
 /* The condition that every write under the lease must bear; its key lives as
    long as the lease.  Only while held.  */
 txn_condition_t lease_condition (const lease_t *lease);
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -228,7 +228,7 @@
     }
   ledger->sent_count = count;
   ledger->figures.txns++;
-  store_token (ledger->store, &token);
+  store_append_token (ledger->store, &token);
   const txn_t txn = { conditions, count, writes, count, buf_str (&token) };
   store_txn (ledger->store, &txn, PATIENCE_MS, on_sent, ledger);
   for (size_t i = 0; i < count; i++)
@@ -241,7 +241,7 @@
 static void
 seal_due (ledger_t *ledger)
 {
-  bool store_keeps_up = list_empty (&ledger->sealed);
+  bool store_keeps_up = list_is_empty (&ledger->sealed);
   uint64_t now = now_ms (ledger);
 
   LIST_EACH (at, &ledger->open)
@@ -262,7 +262,7 @@
   ledger_t *ledger = timer->data;
 
   seal_due (ledger);
-  if (ledger->sent_count == 0 && !list_empty (&ledger->sealed)
+  if (ledger->sent_count == 0 && !list_is_empty (&ledger->sealed)
       && now_ms (ledger) >= ledger->not_before_ms)
     send_rows (ledger);
   compact (ledger);
@@ -295,7 +295,7 @@
   buf_append_str (&ledger->writer, options->writer);
   buf_printf (&ledger->epoch, "%013llu-",
               (unsigned long long)clock_realtime_ms (env->clock));
-  store_token (ledger->store, &ledger->epoch);
+  store_append_token (ledger->store, &ledger->epoch);
   list_init (&ledger->open);
   list_init (&ledger->sealed);
   list_init (&ledger->reports);
@@ -410,7 +410,7 @@
 }
 
 size_t
-ledger_pending (const ledger_t *ledger)
+ledger_pending_count (const ledger_t *ledger)
 {
   return ledger->pending;
 }
@@ -426,8 +426,9 @@
 }
 
 void
-ledger_each_pending (const ledger_t *ledger,
-                     void (*each) (void *arg, const bill_t *bill), void *arg)
+ledger_foreach_pending (const ledger_t *ledger,
+                        void (*each) (void *arg, const bill_t *bill),
+                        void *arg)
 {
   for (size_t i = 0; i < ledger->sent_count; i++)
     each_bill (ledger->sent[i], each, arg);
@@ -446,8 +447,8 @@
 static int
 compare_lines (const void *left, const void *right)
 {
-  const ledger_line_t *a = left;
-  const ledger_line_t *b = right;
+  const ledger_report_line_t *a = left;
+  const ledger_report_line_t *b = right;
   int order = str_cmp (a->team, b->team);
 
   if (order == 0)
@@ -458,15 +459,15 @@
 /* Add up BILLS, one line to each team, model and version, into LINES, which
    has room for all; return their number.  */
 static size_t
-add_up (const billset_t *bills, ledger_line_t *lines)
+add_up (const billset_t *bills, ledger_report_line_t *lines)
 {
   const bill_t *items = billset_items (bills);
   size_t count = 0;
 
   for (size_t i = 0; i < billset_size (bills); i++)
-    lines[i] = (ledger_line_t){ items[i].team,    items[i].model,
-                                items[i].version, 1,
-                                items[i].tokens,  items[i].cost };
+    lines[i] = (ledger_report_line_t){ items[i].team,    items[i].model,
+                                       items[i].version, 1,
+                                       items[i].tokens,  items[i].cost };
   qsort (lines, billset_size (bills), sizeof *lines, compare_lines);
   for (size_t i = 0; i < billset_size (bills); i++)
     {
@@ -485,7 +486,7 @@
 static void
 report_end (report_t *report, vh_code_t code)
 {
-  ledger_line_t *lines
+  ledger_report_line_t *lines
       = mem_zalloc ((billset_size (report->bills) + 1) * sizeof *lines);
   size_t count = code == VH_OK ? add_up (report->bills, lines) : 0;
 
@@ -693,7 +694,7 @@
   ledger_t *ledger = arg;
   compaction_t *compaction = &ledger->compaction;
 
-  if (code != VH_OK || !lease_held (ledger->options.lease))
+  if (code != VH_OK || !lease_is_held (ledger->options.lease))
     {
       compaction->busy = false;
       return;
@@ -724,7 +725,7 @@
   buf_t prefix = BUF_NULL;
 
   if (ledger->options.lease == NULL || compaction->busy
-      || now < compaction->next_ms || !lease_held (ledger->options.lease))
+      || now < compaction->next_ms || !lease_is_held (ledger->options.lease))
     return;
   compaction->busy = true;
   compaction->next_ms = now + ledger->options.compact_ms;
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -63,11 +63,11 @@
 /* Let a bill wait for others so long from now on.  */
 void ledger_set_flush_ms (ledger_t *ledger, uint64_t flush_ms);
 /* Bills that the store is not known to have.  */
-size_t ledger_pending (const ledger_t *ledger);
+size_t ledger_pending_count (const ledger_t *ledger);
 /* Call EACH for every one of them.  */
-void ledger_each_pending (const ledger_t *ledger,
-                          void (*each) (void *arg, const bill_t *bill),
-                          void *arg);
+void ledger_foreach_pending (const ledger_t *ledger,
+                             void (*each) (void *arg, const bill_t *bill),
+                             void *arg);
 
 typedef struct
 {
@@ -89,12 +89,13 @@
   uint64_t requests;
   uint64_t tokens;
   double cost;
-} ledger_line_t;
+} ledger_report_line_t;
 
 /* LINES, one a team, model and version, in that order, live for the
    callback.  */
 typedef void (*ledger_report_cb_t) (void *arg, vh_code_t code,
-                                    const ledger_line_t *lines, size_t count);
+                                    const ledger_report_line_t *lines,
+                                    size_t count);
 
 /* Report DAY (YYYY-MM-DD) as the store has it.  */
 void ledger_report (ledger_t *ledger, str_t day, ledger_report_cb_t cb,
--- a/packages/control/qualitystore.c
+++ b/packages/control/qualitystore.c
@@ -54,8 +54,8 @@
   json_object_set_new (
       json, "at_ms",
       json_integer ((json_int_t)clock_realtime_ms (quality->env.clock)));
-  json_put_str (json, "bytes", buf_str (&part->bytes));
-  json_write (json, out);
+  json_put_bytes (json, "bytes", buf_str (&part->bytes));
+  json_write_and_free (json, out);
 }
 
 static void
@@ -99,7 +99,7 @@
   if (count == 0)
     return;
   buf_t token = BUF_NULL;
-  store_token (quality->store, &token);
+  store_append_token (quality->store, &token);
   const txn_t txn = { NULL, 0, writes, count, buf_str (&token) };
   quality->busy = true;
   store_txn (quality->store, &txn, PATIENCE_MS, on_saved, quality);
@@ -229,7 +229,7 @@
   quality_row_t quality_row;
 
   quality_row.writer = str_cut (key, '/', &quality_row.part);
-  quality_row.bytes = json_get_str (json, "bytes", &scratch);
+  quality_row.bytes = json_get_bytes (json, "bytes", &scratch);
   quality_row.at_ms = json_get_u64 (json, "at_ms");
   /* A row that cannot be read is no evidence.  */
   if (json != NULL)
--- a/packages/control/roster.c
+++ b/packages/control/roster.c
@@ -124,7 +124,7 @@
 state_of (const member_t *member)
 {
   if (member->seen == SEEN_SILENT)
-    return ROSTER_SILENT;
+    return ROSTER_UNRESPONSIVE;
   if (member->draining || member->listed == LISTED_LEAVING
       || member->listed == LISTED_GONE)
     return ROSTER_DRAINING;
@@ -355,7 +355,7 @@
 }
 
 void
-roster_sighted (roster_t *roster, const instance_row_t *row)
+roster_report_instance (roster_t *roster, const instance_row_t *row)
 {
   member_t *member = find (roster, row->name);
 
@@ -371,7 +371,7 @@
 }
 
 void
-roster_heard (roster_t *roster, str_t name)
+roster_report_responsive (roster_t *roster, str_t name)
 {
   member_t *member = find (roster, name);
 
@@ -383,7 +383,7 @@
 }
 
 void
-roster_silent (roster_t *roster, str_t name)
+roster_report_unresponsive (roster_t *roster, str_t name)
 {
   member_t *member = find (roster, name);
 
@@ -394,7 +394,7 @@
 }
 
 void
-roster_draining (roster_t *roster, str_t name, bool draining)
+roster_report_draining (roster_t *roster, str_t name, bool draining)
 {
   member_t *member = find (roster, name);
 
--- a/packages/control/roster.h
+++ b/packages/control/roster.h
@@ -25,7 +25,7 @@
 {
   ROSTER_UP,
   ROSTER_DRAINING,
-  ROSTER_SILENT
+  ROSTER_UNRESPONSIVE
 } roster_state_t;
 
 typedef enum
@@ -66,13 +66,13 @@
 uint64_t roster_age_ms (const roster_t *roster);
 
 /* A process that the list may not have yet has shown itself.  */
-void roster_sighted (roster_t *roster, const instance_row_t *row);
+void roster_report_instance (roster_t *roster, const instance_row_t *row);
 /* NAME answered, or a heartbeat of it came.  */
-void roster_heard (roster_t *roster, str_t name);
+void roster_report_responsive (roster_t *roster, str_t name);
 /* NAME does not answer.  */
-void roster_silent (roster_t *roster, str_t name);
+void roster_report_unresponsive (roster_t *roster, str_t name);
 /* NAME said that it is, or is not, draining.  */
-void roster_draining (roster_t *roster, str_t name, bool draining);
+void roster_report_draining (roster_t *roster, str_t name, bool draining);
 
 size_t roster_count (const roster_t *roster);
 /* Entry INDEX, in no order, until the next change; NULL past the end.  */
--- a/packages/control/store.c
+++ b/packages/control/store.c
@@ -232,7 +232,7 @@
 }
 
 void
-store_token (store_t *store, buf_t *out)
+store_append_token (store_t *store, buf_t *out)
 {
   buf_printf (out, "%016llx-%llx", (unsigned long long)store->nonce,
               (unsigned long long)++store->tokens);
--- a/packages/control/store.h
+++ b/packages/control/store.h
@@ -47,7 +47,7 @@
 void store_instances (store_t *store, uint64_t after, instances_cb_t cb,
                       void *arg);
 /* Append a token that no other call of any process bears.  */
-void store_token (store_t *store, buf_t *out);
+void store_append_token (store_t *store, buf_t *out);
 
 /* A wait that doubles from MIN_MS to MAX_MS, for timers of tasks.  */
 typedef struct
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -25,7 +25,7 @@
 
   if (hex.len == 0)
     return httpd_peer_is_loopback (req);
-  if (!str_starts (header, STR ("Bearer "))
+  if (!str_starts_with (header, STR ("Bearer "))
       || !str_unhex (hex, expected, sizeof expected))
     return false;
   str_t key = str_trim (str_make (header.ptr + 7, header.len - 7));
@@ -134,7 +134,7 @@
               "{\"revision\":%llu,\"confirmed_ms_ago\":%lld,\"text\":\"",
               (unsigned long long)confstore_revision (process->conf),
               confirmed_ms_ago (process));
-  buf_append_json (&body, confstore_text (process->conf));
+  buf_append_json_escaped (&body, confstore_text (process->conf));
   buf_printf (&body, "\"}\n");
   httpd_reply_json (req, 200, buf_str (&body));
   buf_free (&body);
@@ -151,9 +151,9 @@
       const conf_error_t *error = &errors->items[i];
       buf_printf (&extra, "%s{\"line\":%d,\"message\":\"", i > 0 ? "," : "",
                   error->line);
-      buf_append_json (&extra, str_from (error->message));
+      buf_append_json_escaped (&extra, str_from (error->message));
       buf_printf (&extra, "\",\"hint\":\"");
-      buf_append_json (&extra, str_from (error->hint));
+      buf_append_json_escaped (&extra, str_from (error->hint));
       buf_printf (&extra, "\"}");
     }
   buf_printf (&extra, "]");
@@ -180,7 +180,7 @@
   waiting_t *waiting = mem_zalloc (sizeof *waiting);
 
   waiting->req = req;
-  httpd_watch (req, NULL, on_operator_gone, waiting);
+  httpd_set_callbacks (req, NULL, on_operator_gone, waiting);
   return waiting;
 }
 
@@ -192,7 +192,7 @@
 
   free (waiting);
   if (req != NULL)
-    httpd_watch (req, NULL, NULL, NULL);
+    httpd_set_callbacks (req, NULL, NULL, NULL);
   return req;
 }
 
@@ -240,14 +240,14 @@
   str_t text = httpd_body (req);
   uint64_t mine = confstore_revision (process->conf);
   uint64_t expected = CONFSTORE_ANY;
-  str_t given = httpd_query_get (req, STR ("if-revision"));
-  str_t who = httpd_query_get (req, STR ("who"));
+  str_t given = httpd_query_param (req, STR ("if-revision"));
+  str_t who = httpd_query_param (req, STR ("who"));
 
   if (given.ptr != NULL && !str_to_u64 (given, &expected))
     reply_error (req, VH_E_BAD_REQUEST, "");
   else if (snapshot_parse (text, mine + 1, &snapshot, &errors) != VH_OK)
     reply_bad_config (req, &errors);
-  else if (str_eq (httpd_query_get (req, STR ("dry-run")), STR ("1")))
+  else if (str_eq (httpd_query_param (req, STR ("dry-run")), STR ("1")))
     {
       if (expected != CONFSTORE_ANY && expected != mine)
         reply_stale (req, mine);
@@ -262,8 +262,8 @@
 }
 
 static void
-on_history (void *arg, vh_code_t code, const confstore_entry_t *entries,
-            size_t count)
+on_history (void *arg, vh_code_t code,
+            const confstore_history_entry_t *entries, size_t count)
 {
   httpd_req_t *req = end_wait (arg);
   buf_t body = BUF_NULL;
@@ -280,10 +280,10 @@
     {
       buf_printf (&body, "%s{\"revision\":%llu,\"who\":\"", i > 0 ? "," : "",
                   (unsigned long long)entries[i].revision);
-      buf_append_json (&body, entries[i].who);
+      buf_append_json_escaped (&body, entries[i].who);
       buf_printf (&body, "\",\"when_ms\":%llu,\"delta\":\"",
                   (unsigned long long)entries[i].when_ms);
-      buf_append_json (&body, entries[i].delta);
+      buf_append_json_escaped (&body, entries[i].delta);
       buf_printf (&body, "\"}");
     }
   buf_append_str (&body, STR ("]\n"));
@@ -300,7 +300,7 @@
     HISTORY_MAX = 1000
   };
   uint64_t limit = HISTORY_DEFAULT;
-  str_t given = httpd_query_get (req, STR ("limit"));
+  str_t given = httpd_query_param (req, STR ("limit"));
 
   if (given.ptr != NULL
       && (!str_to_u64 (given, &limit) || limit == 0 || limit > HISTORY_MAX))
@@ -355,7 +355,7 @@
 } bill_report_t;
 
 static void
-on_bill_report (void *arg, vh_code_t code, const ledger_line_t *lines,
+on_bill_report (void *arg, vh_code_t code, const ledger_report_line_t *lines,
                 size_t count)
 {
   bill_report_t *report = arg;
@@ -387,7 +387,7 @@
 serve_bill (process_t *process, httpd_req_t *req)
 {
   bill_report_t *report = mem_zalloc (sizeof *report);
-  str_t day = httpd_query_get (req, STR ("day"));
+  str_t day = httpd_query_param (req, STR ("day"));
   time_t now = (time_t)(clock_realtime_ms (process->clock) / 1000);
   struct tm utc;
 
@@ -405,7 +405,7 @@
 static void
 serve_burn (process_t *process, httpd_req_t *req)
 {
-  str_t format = httpd_query_get (req, STR ("format"));
+  str_t format = httpd_query_param (req, STR ("format"));
   buf_t body = BUF_NULL;
 
   if (process->entry == NULL)
--- a/packages/daemon/bills.c
+++ b/packages/daemon/bills.c
@@ -164,11 +164,11 @@
 void
 bills_home_lost (process_t *process, str_t instance)
 {
-  if (process->ledger == NULL || ledger_pending (process->ledger) == 0
+  if (process->ledger == NULL || ledger_pending_count (process->ledger) == 0
       || !has_home (process, instance))
     return;
   gathered_t *gathered = mem_zalloc (sizeof *gathered);
-  ledger_each_pending (process->ledger, gather, gathered);
+  ledger_foreach_pending (process->ledger, gather, gathered);
   entry_transfer_bills (process->entry, gathered->bills, gathered->count,
                         ignore_copy, NULL);
   free_gathered (gathered);
@@ -190,7 +190,7 @@
 bills_settled (process_t *process)
 {
   if (process->entry == NULL || process->handed_over
-      || ledger_pending (process->ledger) == 0)
+      || ledger_pending_count (process->ledger) == 0)
     return true;
   uint64_t waited_ms = clock_ms (process->clock) - process->drained_ms;
   if (waited_ms >= BILLS_GIVE_UP_MS)
@@ -198,7 +198,7 @@
       log_warning ("process",
                    "Neither store nor peer took the last bills; the sidecars "
                    "keep their copies. bills=%zu",
-                   ledger_pending (process->ledger));
+                   ledger_pending_count (process->ledger));
       process->handed_over = true;
       return true;
     }
@@ -208,7 +208,7 @@
   if (waited_ms < BILLS_FLUSH_MS)
     return false;
   gathered_t *gathered = mem_zalloc (sizeof *gathered);
-  ledger_each_pending (process->ledger, gather, gathered);
+  ledger_foreach_pending (process->ledger, gather, gathered);
   process->handing_over
       = entry_transfer_bills (process->entry, gathered->bills, gathered->count,
                               on_handed_over, process);
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -26,20 +26,20 @@
 static bool
 host_delta_from (void *arg, uint64_t have, buf_t *update)
 {
-  return confstore_delta_from (((process_t *)arg)->conf, have, update);
+  return confstore_write_update (((process_t *)arg)->conf, have, update);
 }
 
 static vh_code_t
 host_learn (void *arg, str_t update)
 {
-  return confstore_learn_update (((process_t *)arg)->conf, update);
+  return confstore_receive_update (((process_t *)arg)->conf, update);
 }
 
 static void
 host_confirm (void *arg, uint64_t revision, uint64_t age_ms)
 {
   if (age_ms < UINT32_MAX)
-    confstore_confirm (((process_t *)arg)->conf, revision, age_ms);
+    confstore_record_confirmation (((process_t *)arg)->conf, revision, age_ms);
 }
 
 static uint32_t
@@ -73,7 +73,8 @@
   .flush_bills = host_write_bills,
   .on_instance_event = host_seen,
 };
-static const sidecar_host_t sidecar_host = { host_learn, host_delta_from };
+static const sidecar_callbacks_t sidecar_host
+    = { host_learn, host_delta_from };
 
 /* Put TEXT in force in every role of this process.  */
 static void
@@ -133,12 +134,12 @@
   if (sight == INSTANCE_EVENT_UNREACHABLE || sight == INSTANCE_EVENT_RESTARTED)
     bills_home_lost (process, name);
   if (sight == INSTANCE_EVENT_ALIVE || sight == INSTANCE_EVENT_RESTARTED)
-    roster_heard (process->roster, name);
+    roster_report_responsive (process->roster, name);
   else if (sight == INSTANCE_EVENT_UNREACHABLE)
-    roster_silent (process->roster, name);
+    roster_report_unresponsive (process->roster, name);
   else
-    roster_draining (process->roster, name,
-                     sight == INSTANCE_EVENT_DRAINING_STARTED);
+    roster_report_draining (process->roster, name,
+                            sight == INSTANCE_EVENT_DRAINING_STARTED);
 }
 
 static void
@@ -166,7 +167,7 @@
         .zone = peer->zone,
         .address = peer->address,
       };
-      roster_sighted (process->roster, &row);
+      roster_report_instance (process->roster, &row);
     }
 }
 
@@ -180,7 +181,7 @@
   if (process->entry != NULL)
     count += entry_count_unfinished_requests (process->entry);
   for (size_t i = 0; i < process->sidecar_count; i++)
-    count += sidecar_in_hand (process->sidecars[i]);
+    count += sidecar_count_unfinished (process->sidecars[i]);
   return count;
 }
 
@@ -313,8 +314,8 @@
 
   if (process->entry != NULL && !process->over)
     {
-      confstore_set_polls (process->conf,
-                           entry_zone_rank (process->entry) < POLLERS);
+      confstore_set_polling (process->conf,
+                             entry_zone_rank (process->entry) < POLLERS);
       ledger_set_flush_ms (process->ledger, flush_ms (process));
     }
   /* Without the list the settings' peers are all there is to try.  */
--- a/packages/entry/answer.c
+++ b/packages/entry/answer.c
@@ -55,7 +55,7 @@
 
   if (http != NULL)
     {
-      httpd_watch (http, NULL, NULL, NULL);
+      httpd_set_callbacks (http, NULL, NULL, NULL);
       answer_error (http, code, outcome, id, request->retry_after_ms);
     }
   request_destroy (request);
@@ -225,7 +225,7 @@
   if (request->http != NULL)
     {
       build_headers (request, &headers);
-      httpd_watch (request->http, NULL, NULL, NULL);
+      httpd_set_callbacks (request->http, NULL, NULL, NULL);
       httpd_reply (request->http, request->attempt.http_status, headers.list,
                    headers.count, buf_str (&request->attempt.body));
       free_headers (&headers);
@@ -244,8 +244,8 @@
   if (!request->answer_started)
     {
       build_headers (request, &headers);
-      httpd_start (request->http, request->attempt.http_status, headers.list,
-                   headers.count);
+      httpd_start_response (request->http, request->attempt.http_status,
+                            headers.list, headers.count);
       free_headers (&headers);
       request->answer_started = true;
       histogram_record (request->entry->first_byte_latency,
@@ -253,7 +253,7 @@
                             - request->received_us);
     }
   if (last)
-    httpd_watch (request->http, NULL, NULL, NULL);
+    httpd_set_callbacks (request->http, NULL, NULL, NULL);
   httpd_send (request->http, bytes, last);
   if (last)
     request->http = NULL;
@@ -269,7 +269,7 @@
   counter_add (request->entry->counters.unknown_outcomes, 1);
   if (http != NULL)
     {
-      httpd_watch (http, NULL, NULL, NULL);
+      httpd_set_callbacks (http, NULL, NULL, NULL);
       if (request->stream)
         {
           /* A client that ignores the error event still detects the missing
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -57,8 +57,8 @@
 {
   const snapshot_t *snapshot = request->snapshot;
   str_t name = str_from (request->target_name);
-  const version_t *version = snapshot_version (snapshot, name);
-  const model_t *model = snapshot_model (snapshot, name);
+  const version_t *version = snapshot_find_version (snapshot, name);
+  const model_t *model = snapshot_find_model (snapshot, name);
 
   if (version != NULL && version->state == VERSION_WITHDRAWN)
     return answer_refuse (request, VH_E_WITHDRAWN);
@@ -121,7 +121,7 @@
   buf_free (&expected);
   if (!is_valid)
     return false;
-  request->session_version = snapshot_version (request->snapshot, target);
+  request->session_version = snapshot_find_version (request->snapshot, target);
   request->session_instance = str_dup (instance);
   return true;
 }
--- a/packages/entry/claim.c
+++ b/packages/entry/claim.c
@@ -55,7 +55,7 @@
 void
 claim_cancel_recalls (request_t *request)
 {
-  while (!list_empty (&request->recalls))
+  while (!list_is_empty (&request->recalls))
     free_recall (CONTAINER_OF (request->recalls.next, recall_t, link));
 }
 
@@ -102,7 +102,7 @@
       claim_cancel_recalls (request);
       answer_refuse (request, VH_E_KEY_REUSED);
     }
-  else if (list_empty (&request->recalls))
+  else if (list_is_empty (&request->recalls))
     handle_no_recall_match (request);
 }
 
@@ -135,7 +135,7 @@
                            on_recall_result, recall);
     }
   free (team);
-  if (!list_empty (&request->recalls))
+  if (!list_is_empty (&request->recalls))
     return FILTER_PENDING;
   handle_no_recall_match (request);
   return FILTER_DONE;
@@ -214,7 +214,8 @@
     }
   char *text = json_dumps (outcome, JSON_COMPACT);
   char *id = make_claim_id (request);
-  claims_record (request->entry->claims, str_from (id), str_from (text));
+  claims_record_outcome (request->entry->claims, str_from (id),
+                         str_from (text));
   free (id);
   free (text);
   json_decref (outcome);
@@ -285,9 +286,9 @@
     return FILTER_CONTINUE;
   char *id = make_claim_id (request);
   request->claim_pending = true;
-  claims_claim (entry->claims, str_from (id),
-                left_ms < CLAIM_TIMEOUT_MS ? left_ms : CLAIM_TIMEOUT_MS,
-                on_claimed, request);
+  claims_acquire (entry->claims, str_from (id),
+                  left_ms < CLAIM_TIMEOUT_MS ? left_ms : CLAIM_TIMEOUT_MS,
+                  on_claimed, request);
   free (id);
   return FILTER_PENDING;
 }
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -307,8 +307,9 @@
             || (i > 1 && text.ptr[i - 1] == '\r' && text.ptr[i - 2] == '\n');
       if (text.ptr[i] != '\n' || !is_blank_line)
         continue;
-      if (str_starts (str_make (text.ptr + complete_len, i - complete_len),
-                      STR ("data: {")))
+      if (str_starts_with (
+              str_make (text.ptr + complete_len, i - complete_len),
+              STR ("data: {")))
         ++*events;
       complete_len = i + 1;
     }
@@ -505,7 +506,7 @@
   if (!can_fetch (request))
     return;
   if (request->answer_started && request->http != NULL
-      && httpd_buffered (request->http) > CALLER_BACKLOG_MAX_BYTES)
+      && httpd_buffered_bytes (request->http) > CALLER_BACKLOG_MAX_BYTES)
     return;
   send_fetch (request, FETCH_MAX_BYTES,
               left_ms < FETCH_WAIT_MAX_MS ? left_ms
@@ -679,7 +680,7 @@
                      && httpd_header_at (request->http, i, &header);
        i++)
     {
-      bool is_dropped = str_starts (header.name, STR ("vanillahook-"));
+      bool is_dropped = str_starts_with (header.name, STR ("vanillahook-"));
       for (size_t j = 0;
            j < sizeof excluded_headers / sizeof excluded_headers[0]; j++)
         is_dropped
@@ -753,8 +754,8 @@
       const member_t *member = value;
       if (!member->is_entry
           && member_serves (member, str_from (request->pool->name))
-          && snapshot_instance_in (snapshot, str_from (member->name))
-          && snapshot_zone_in (snapshot, str_from (member->zone)))
+          && snapshot_is_instance_enabled (snapshot, str_from (member->name))
+          && snapshot_is_zone_enabled (snapshot, str_from (member->zone)))
         return true;
     }
   return false;
@@ -875,7 +876,7 @@
   rpc_cancel (attempt->call);
   attempt->call = NULL;
   end_attempt (request, true);
-  rpc_peer_fire (attempt->member->peer, WIRE_CANCEL, &args);
+  rpc_peer_notify (attempt->member->peer, WIRE_CANCEL, &args);
 }
 
 void
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -41,7 +41,7 @@
 request_destroy (request_t *request)
 {
   if (request->http != NULL)
-    httpd_watch (request->http, NULL, NULL, NULL);
+    httpd_set_callbacks (request->http, NULL, NULL, NULL);
   request->http = NULL;
   request->ended = true;
   claim_cancel_recalls (request);
@@ -136,7 +136,7 @@
 {
   entry_t *entry = mem_zalloc (sizeof *entry);
   const settings_t *settings = options->settings;
-  const quality_sampling_t sampling = QUALITY_SAMPLING_DEFAULT;
+  const quality_sampling_t sampling = QUALITY_SAMPLING_DEFAULTS;
 
   *out = NULL;
   entry->options = *options;
@@ -239,7 +239,8 @@
 size_t
 entry_count_unfinished_requests (const entry_t *entry)
 {
-  size_t count = entry->http != NULL ? httpd_unwritten (entry->http) : 0;
+  size_t count
+      = entry->http != NULL ? httpd_unwritten_responses (entry->http) : 0;
 
   for (const list_t *at = entry->requests.next; at != &entry->requests;
        at = at->next)
@@ -299,7 +300,8 @@
        i++)
     buf_printf (out, "%s{\"name\":\"%.*s\",\"state\":\"%s\"}",
                 i > 0 ? "," : "", STR_ARG (zone),
-                snapshot_zone_in (entry->snapshot, zone) ? "in" : "out");
+                snapshot_is_zone_enabled (entry->snapshot, zone) ? "in"
+                                                                 : "out");
   buf_printf (out, "]");
 }
 
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -195,7 +195,7 @@
   uint32_t event_count; /* Complete events sent to the caller.  */
   bool is_suspect;      /* In flight during a crash, not yet refused.  */
   bool fence_pending;
-  bool claim_pending;    /* The callback of claims_claim is outstanding.  */
+  bool claim_pending;    /* The callback of claims_acquire is outstanding.  */
   bool holds_claim;      /* The claim is held and its outcome not recorded.  */
   vh_code_t claim_error; /* Answered if no sidecar has the attempt.  */
   list_t recalls;        /* WIRE_RECALL calls in flight.  */
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -89,7 +89,7 @@
       vh_code_t code = parse_chat_body (request);
       return code == VH_OK ? FILTER_CONTINUE : answer_refuse (request, code);
     }
-  if (str_starts (path, STR (services_path)))
+  if (str_starts_with (path, STR (services_path)))
     {
       str_t rest = str_make (path.ptr + sizeof services_path - 1,
                              path.len - (sizeof services_path - 1));
@@ -116,12 +116,12 @@
 
   if (header.ptr == NULL)
     return answer_refuse (request, VH_E_NO_AUTH);
-  if (!str_starts (header, STR ("Bearer ")))
+  if (!str_starts_with (header, STR ("Bearer ")))
     return answer_refuse (request, VH_E_NO_AUTH);
   str_t key = str_trim (str_make (header.ptr + 7, header.len - 7));
   if (EVP_Digest (key.ptr, key.len, digest, NULL, EVP_sha256 (), NULL) != 1)
     return answer_refuse (request, VH_E_INTERNAL);
-  request->team = snapshot_team_by_key (request->snapshot, digest);
+  request->team = snapshot_find_team_by_key (request->snapshot, digest);
   return request->team != NULL ? FILTER_CONTINUE
                                : answer_refuse (request, VH_E_BAD_KEY);
 }
@@ -213,7 +213,7 @@
   const snapshot_t *snapshot = request->snapshot;
 
   request->service
-      = snapshot_service (snapshot, str_from (request->target_name));
+      = snapshot_find_service (snapshot, str_from (request->target_name));
   if (request->service == NULL)
     return answer_refuse (request, VH_E_NO_MODEL);
   if (!snapshot_allows_service (snapshot, request->team, request->service))
@@ -367,7 +367,7 @@
   request->snapshot = snapshot_ref (entry->snapshot);
   list_init (&request->recalls);
   list_append (&entry->requests, &request->link);
-  httpd_watch (http, on_writable, on_caller_disconnected, request);
+  httpd_set_callbacks (http, on_writable, on_caller_disconnected, request);
   if (str_eq (httpd_path (http), STR ("/v1/models")))
     {
       if (!str_eq (httpd_method (http), STR ("GET")))
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -146,7 +146,7 @@
 }
 
 static void
-on_peer_state (void *arg, rpc_state_t state)
+on_peer_state (void *arg, rpc_peer_state_t state)
 {
   member_t *member = arg;
 
@@ -161,9 +161,9 @@
     balance_set_mark (member->entry->balance, member->upstream_id,
                       BALANCE_UNREACHABLE, member->unreachable);
   log_info ("entry", "Connection is %s. instance=%s",
-            state == RPC_UP       ? "up"
-            : state == RPC_SILENT ? "silent"
-                                  : "down",
+            state == RPC_UP             ? "up"
+            : state == RPC_UNRESPONSIVE ? "silent"
+                                        : "down",
             member->name);
 }
 
@@ -208,10 +208,10 @@
                     member->draining || member->leaving);
   balance_set_mark (entry->balance, member->upstream_id, BALANCE_UNREACHABLE,
                     member->unreachable);
-  balance_set_mark (
-      entry->balance, member->upstream_id, BALANCE_DISABLED,
-      snapshot != NULL
-          && !snapshot_instance_in (snapshot, str_from (member->name)));
+  balance_set_mark (entry->balance, member->upstream_id, BALANCE_DISABLED,
+                    snapshot != NULL
+                        && !snapshot_is_instance_enabled (
+                            snapshot, str_from (member->name)));
 }
 
 /* Process the reply to a ping.  The targets reported by a sidecar take
@@ -285,7 +285,7 @@
   while (rest.len > 0 && count < WIRE_SERVES_MAX)
     {
       str_t target = str_trim (str_cut (rest, ',', &rest));
-      if (str_starts (target, STR ("service:")))
+      if (str_starts_with (target, STR ("service:")))
         target = str_make (target.ptr + 8, target.len - 8);
       if (target.len > 0)
         list[count++] = target;
@@ -430,8 +430,9 @@
 
   for (size_t i = 0;
        (zone = snapshot_zone_at (entry->snapshot, i)).ptr != NULL; i++)
-    balance_set_zone_enabled (entry->balance, zone,
-                              snapshot_zone_in (entry->snapshot, zone));
+    balance_set_zone_enabled (
+        entry->balance, zone,
+        snapshot_is_zone_enabled (entry->snapshot, zone));
   while (map_next (entry->members, &cursor, NULL, &value))
     {
       member_t *member = value;
@@ -622,7 +623,7 @@
 member_status (const member_t *member, uint64_t now_ms, buf_t *is_ejected)
 {
   balance_info_t info = { 0 };
-  uint64_t heard_ms = rpc_peer_heard_ms (member->peer);
+  uint64_t heard_ms = rpc_peer_last_reply_ms (member->peer);
 
   if (member->upstream_id != 0)
     balance_info (member->entry->balance, member->upstream_id, &info);
--- a/packages/entry/leader.c
+++ b/packages/entry/leader.c
@@ -233,7 +233,7 @@
   buf_printf (&key, "%s%s", rollout_row_prefix, rollout->version);
   buf_printf (&value, "%llu ", (unsigned long long)rollout->start_ms);
   buf_append_hex (&value, state.ptr, state.len);
-  store_token (leader->store, &token);
+  store_append_token (leader->store, &token);
   const txn_condition_t condition = lease_condition (leader->lease);
   const txn_write_t write
       = { .key = buf_str (&key), .value = buf_str (&value) };
@@ -339,7 +339,7 @@
     load_state (leader, now_ms);
   if (now_ms - leader->last_step_ms < ROLLOUT_STEP_INTERVAL_MS
       || !leader->rollouts_loaded || entry->snapshot == NULL
-      || !lease_held (leader->lease))
+      || !lease_is_held (leader->lease))
     return;
   leader->last_step_ms = now_ms;
   for (size_t i = 0;
--- a/packages/entry/peering.c
+++ b/packages/entry/peering.c
@@ -121,7 +121,7 @@
   for (size_t i = 0; i < count; i++)
     ids[i] = str_dup (bill_ids[i]);
   wire_bills_drop_args_t args = { .bill_ids = { (u_int)count, ids } };
-  rpc_peer_fire (member->peer, WIRE_BILLS_DROP, &args);
+  rpc_peer_notify (member->peer, WIRE_BILLS_DROP, &args);
   for (size_t i = 0; i < count; i++)
     free (ids[i]);
   free (ids);
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -74,7 +74,8 @@
 {
   return state->config_load_started_ms == 0
              ? 0
-             : clock_boot_ms (state->clock) - state->config_load_started_ms;
+             : clock_boottime_ms (state->clock)
+                   - state->config_load_started_ms;
 }
 
 bool
@@ -175,7 +176,7 @@
              (double)billing_dropped_count (state->billing));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
              "Log lines dropped by the rate limit or a full buffer.",
-             (double)eventlog_dropped ());
+             (double)eventlog_dropped_lines ());
   while (map_next (state->retry_budgets, &cursor, &service, &value))
     {
       buf_t labels = BUF_NULL;
@@ -367,7 +368,7 @@
   if (elapsed_ms >= state->options.drain_timeout_ms)
     gateway->aborted_count = relay_abort_all (state);
   else if (elapsed_ms < DRAIN_DURATION_MIN_MS
-           || httpd_unwritten (gateway->caller_server) > 0)
+           || httpd_unwritten_responses (gateway->caller_server) > 0)
     return;
   else if (billing_queued_count (state->billing) > 0)
     {
@@ -375,8 +376,8 @@
       billing_flush (state->billing);
       return;
     }
-  log_event (EVENT_STOPPED, field_number (FIELD_MS, elapsed_ms),
-             field_number (FIELD_CUT, gateway->aborted_count));
+  log_event (EVENT_STOPPED, log_field_number (FIELD_MS, elapsed_ms),
+             log_field_number (FIELD_CUT, gateway->aborted_count));
   uv_timer_stop (timer);
   gateway->is_stopped = true;
   uv_stop (state->loop);
@@ -392,8 +393,8 @@
   state->stopping_ms = clock_ms (state->clock);
   store_sync_stop (gateway->store_sync);
   log_event (EVENT_STOP,
-             field_number (FIELD_IN_FLIGHT,
-                           httpd_in_flight (gateway->caller_server)));
+             log_field_number (FIELD_IN_FLIGHT,
+                               httpd_in_flight (gateway->caller_server)));
   uv_timer_start (&gateway->drain_timer, on_drain_timer, DRAIN_POLL_MS,
                   DRAIN_POLL_MS);
 }
@@ -421,8 +422,8 @@
 {
   gateway_state_t *state = arg;
 
-  log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
-             field_number (FIELD_REACHED, is_reachable));
+  log_event (EVENT_LOOKED, log_field_text (FIELD_UPSTREAM, id),
+             log_field_number (FIELD_REACHED, is_reachable));
   pool_probe_finished (state->pool, id, is_reachable);
 }
 
@@ -475,8 +476,8 @@
       gateway_destroy (gateway);
       return code;
     }
-  log_event (EVENT_START, field_text (FIELD_ZONE, options->zone),
-             field_text (FIELD_LISTEN, options->listen));
+  log_event (EVENT_START, log_field_text (FIELD_ZONE, options->zone),
+             log_field_text (FIELD_LISTEN, options->listen));
   *out = gateway;
   return VH_OK;
 }
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -117,7 +117,7 @@
 static uint64_t
 boot_ms (const peer_rows_t *peer_rows)
 {
-  return clock_boot_ms (peer_rows->clock);
+  return clock_boottime_ms (peer_rows->clock);
 }
 
 static void reply_to_watches (peer_rows_t *peer_rows, rows_table_t table);
@@ -324,10 +324,11 @@
 {
   peer_rows_t *peer_rows = pending->peer_rows;
 
-  log_event (
-      EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
-      field_number (FIELD_CODE, code),
-      field_number (FIELD_TOOK_MS, boot_ms (peer_rows) - pending->sent_ms));
+  log_event (EVENT_READER,
+             log_field_text (FIELD_READER, str_from (pending->reader_name)),
+             log_field_number (FIELD_CODE, code),
+             log_field_number (FIELD_TOOK_MS,
+                               boot_ms (peer_rows) - pending->sent_ms));
   fanout_source_failed (peer_rows->readers, str_from (pending->reader_name),
                         is_silent);
 }
@@ -519,7 +520,7 @@
       pending_call_t *pending = CONTAINER_OF (at, pending_call_t, link);
       if (pending->rpc_call != NULL && pending->store_state == STORE_NOT_CALLED
           && now_ms >= pending->hedge_at_ms
-          && !rpc_is_carried (pending->rpc_call))
+          && !rpc_call_is_transferring (pending->rpc_call))
         call_store (pending, STR (""));
     }
 }
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -83,7 +83,7 @@
       return;
     }
   relay->phase = PHASE_AWAITING_UPSTREAM;
-  bound_start (&relay->timer, RESUME_POLL_MS);
+  peer_timer_start (&relay->timer, RESUME_POLL_MS);
 }
 
 void
@@ -92,19 +92,19 @@
   uint64_t now_ms = clock_ms (relay->state->clock);
 
   log_event (EVENT_SEND_FAILED,
-             field_text (FIELD_ID, str_from (relay->attempt_id)),
-             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
-             field_text (FIELD_REASON, str_from (reason)),
-             field_number (FIELD_RAN, may_have_run),
-             field_number (FIELD_EVENTS, relay->event_count),
-             field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
-             field_number (FIELD_EXTRA, retries_left (relay)));
+             log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+             log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             log_field_text (FIELD_REASON, str_from (reason)),
+             log_field_number (FIELD_RAN, may_have_run),
+             log_field_number (FIELD_EVENTS, relay->event_count),
+             log_field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
+             log_field_number (FIELD_EXTRA, retries_left (relay)));
   relay->failure_reason = reason;
   if (may_have_run)
     relay->possible_run_count++;
   add_tried_upstream (relay);
   relay->was_refused = !may_have_run;
-  if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
+  if (may_have_run && relay_trial_arm (relay) == TRIAL_ARM_NEW)
     relay->trial_sends.failed_on_new = true;
   relay_finish_send (relay, may_have_run ? SEND_FAILED : SEND_REFUSED);
   relay->response_headers.len = 0;
@@ -123,7 +123,7 @@
 
 /* Copy the status of HEAD and the headers to forward into RELAY.  */
 static void
-store_response_head (relay_t *relay, const call_head_t *head)
+store_response_head (relay_t *relay, const http_exchange_head_t *head)
 {
   relay->response_status = head->status;
   relay->response_headers.len = 0;
@@ -167,8 +167,8 @@
 
   relay->response_started = true;
   if (relay->state->stopping_ms != 0)
-    httpd_close_after (relay->req);
-  httpd_start (relay->req, relay->response_status, headers, count);
+    httpd_disable_keep_alive (relay->req);
+  httpd_start_response (relay->req, relay->response_status, headers, count);
 }
 
 /* Send the buffered response to the caller and destroy RELAY.  */
@@ -183,7 +183,7 @@
       relay, relay->response_status >= 500 ? EVENT_PASSED : EVENT_ANSWERED,
       relay->response_status, relay->failure_reason, 0);
   if (relay->state->stopping_ms != 0)
-    httpd_close_after (relay->req);
+    httpd_disable_keep_alive (relay->req);
   httpd_reply (relay->req, relay->response_status, headers, count,
                buf_str (&relay->response_body));
   relay_destroy (relay);
@@ -191,11 +191,11 @@
 
 /* Update the pool with the load and the warm-up time in HEAD.  */
 static void
-update_upstream_load (relay_t *relay, const call_head_t *head)
+update_upstream_load (relay_t *relay, const http_exchange_head_t *head)
 {
   const header_names_t *names = relay->state->names;
-  str_t load_header = call_header (head, names->load);
-  str_t cold_header = call_header (head, names->cold_ms);
+  str_t load_header = http_exchange_header (head, names->load);
+  str_t cold_header = http_exchange_header (head, names->cold_ms);
   uint64_t load_values[3] = { 0, 0, 0 };
   uint64_t cold_ms;
   size_t count = 0;
@@ -220,10 +220,10 @@
 
 /* Return whether HEAD is a valid response of an upstream to this request.  */
 static bool
-is_valid_response (const relay_t *relay, const call_head_t *head)
+is_valid_response (const relay_t *relay, const http_exchange_head_t *head)
 {
   const header_names_t *names = relay->state->names;
-  str_t echoed_attempt_id = call_header (head, names->attempt_id);
+  str_t echoed_attempt_id = http_exchange_header (head, names->attempt_id);
 
   if (echoed_attempt_id.ptr != NULL
       && !str_eq (echoed_attempt_id, str_from (relay->attempt_id)))
@@ -233,20 +233,20 @@
   /* Callers accept no content encoding, so a response with an encoded body was
      not produced for this request.  A successful response must have a message
      authentication code.  */
-  if (call_header (head, STR ("content-encoding")).ptr != NULL)
+  if (http_exchange_header (head, STR ("content-encoding")).ptr != NULL)
     return false;
   return head->status >= 300
-         || call_header (head, names->answer_mac).ptr != NULL;
+         || http_exchange_header (head, names->answer_mac).ptr != NULL;
 }
 
 /* Escalate to a larger model if the confidence of the current model is too low
    and the caller has received no part of its response.  Return true if the
    response was discarded and the request sent to a larger model.  */
 static bool
-escalate (relay_t *relay, const call_head_t *head)
+escalate (relay_t *relay, const http_exchange_head_t *head)
 {
   str_t confidence_header
-      = call_header (head, relay->state->names->confidence);
+      = http_exchange_header (head, relay->state->names->confidence);
   uint64_t confidence;
   size_t larger_model;
 
@@ -260,10 +260,11 @@
       || !take_retry (relay))
     return false;
   counter_add (relay->state->counters.escalations, 1);
-  log_event (EVENT_LARGER, field_text (FIELD_ID, str_from (relay->attempt_id)),
-             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
-             field_number (FIELD_CONFIDENCE, confidence),
-             field_number (FIELD_EXTRA, retries_left (relay)));
+  log_event (EVENT_LARGER,
+             log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+             log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             log_field_number (FIELD_CONFIDENCE, confidence),
+             log_field_number (FIELD_EXTRA, retries_left (relay)));
   relay->possible_run_count++;
   relay->model_index = larger_model;
   relay_finish_send (relay, SEND_CANCELLED);
@@ -272,7 +273,7 @@
 }
 
 static void
-on_head (void *arg, const call_head_t *head)
+on_head (void *arg, const http_exchange_head_t *head)
 {
   relay_t *relay = arg;
   const header_names_t *names = relay->state->names;
@@ -291,7 +292,8 @@
         relay_service_model_index (relay, relay->model_index),
         relay->attrs.prompt_tokens, relay->last_activity_ms - relay->sent_ms,
         relay->attrs.route->objective_ms);
-  if (head->status == 421 || call_header (head, names->not_run).ptr != NULL)
+  if (head->status == 421
+      || http_exchange_header (head, names->not_run).ptr != NULL)
     {
       relay_send_failed (relay, head->status == 421 ? "misdirected" : "shed",
                          false);
@@ -349,10 +351,10 @@
       counter_add (relay->state->counters.events, count);
       httpd_send (relay->req, buf_str (&out), false);
       if (!relay->is_paused
-          && httpd_buffered (relay->req) > CALLER_BUFFER_BYTES_HIGH)
+          && httpd_buffered_bytes (relay->req) > CALLER_BUFFER_BYTES_HIGH)
         {
           relay->is_paused = true;
-          call_pause (relay->call);
+          http_exchange_pause (relay->call);
         }
     }
   buf_free (&out);
@@ -421,9 +423,9 @@
   /* The last bytes may still be in the write queue.  If the caller disconnects
      before they are written, the disconnect callback must not use the
      destroyed relay.  */
-  httpd_watch (relay->req, NULL, NULL, NULL);
+  httpd_set_callbacks (relay->req, NULL, NULL, NULL);
   httpd_send (relay->req, STR (""), true);
   relay_destroy (relay);
 }
 
-const call_events_t relay_call_events = { on_head, on_body, on_end };
+const http_exchange_events_t relay_call_events = { on_head, on_body, on_end };
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -52,8 +52,8 @@
   uint32_t first_confidence; /* Confidence, 0 to 100, of the smallest model of
                                 the route in its response; valid if MODEL_INDEX
                                 > 0.  */
-  bound_t timer;             /* Timer of the next timeout, probe, poll or
-                                deadline.  */
+  peer_timer_t timer;        /* Timer of the next timeout, probe, poll or
+                           deadline.  */
 
   /* State of the current send.  */
   call_t *call;
@@ -136,8 +136,8 @@
 
 /* Return the roll-out of the request's service in any phase, or NULL.  */
 trial_t *relay_trial (const relay_t *relay);
-/* Return TRIAL_NEW if the upstream of the current send runs the version that
-   is being rolled out, else TRIAL_OLD.  */
+/* Return TRIAL_ARM_NEW if the upstream of the current send runs the version
+   that is being rolled out, else TRIAL_ARM_OLD.  */
 trial_arm_t relay_trial_arm (const relay_t *relay);
 /* Record in the running roll-out of the service that TIMING of the current
    send took DURATION_MS.  */
@@ -167,7 +167,7 @@
 /* Send the request to the best upstream, or fail the request.  */
 void relay_send (relay_t *relay);
 /* Callbacks for the HTTP call of a send; their argument is the relay_t.  */
-extern const call_events_t relay_call_events;
+extern const http_exchange_events_t relay_call_events;
 /* Handle the failure of the current send.  MAY_HAVE_RUN is false only if the
    upstream reported that it did not run the request.  Retries the request if
    allowed, else fails it.  */
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -126,11 +126,11 @@
     }
   cached_row->value.len = 0;
   cached_row->deflated.len = 0;
-  cached_row->is_incompressible = row->value.len < DEFLATE_LEAST;
+  cached_row->is_incompressible = row->value.len < DEFLATE_MIN_BYTES;
   buf_append_str (&cached_row->value, row->value);
   cached_row->version = row->version;
   cached_row->deleted = row->deleted;
-  cached_row->deleted_ms = clock_boot_ms (cache->clock);
+  cached_row->deleted_ms = clock_boottime_ms (cache->clock);
 }
 
 /* Drop the rows that were deleted TOMBSTONE_TTL_MS ago or earlier, and raise
@@ -146,7 +146,7 @@
     {
       cached_row_t *cached_row = value;
       if (!cached_row->deleted
-          || clock_boot_ms (cache->clock) - cached_row->deleted_ms
+          || clock_boottime_ms (cache->clock) - cached_row->deleted_ms
                  < TOMBSTONE_TTL_MS)
         continue;
       if (cached_row->version > cache->history_floor)
@@ -179,7 +179,7 @@
   cache->confirmed_ms
       = call->sent_ms > result->age_ms ? call->sent_ms - result->age_ms : 0;
   cache->store_now_ms = result->store_now_ms;
-  cache->store_received_ms = clock_boot_ms (cache->clock);
+  cache->store_received_ms = clock_boottime_ms (cache->clock);
   cache->store_confirmed_ms = result->store_confirmed_ms;
   cache->is_down = false;
   expire_tombstones (cache);
@@ -259,7 +259,7 @@
 {
   const packed_reply_t *packed
       = is_whole ? &cache->whole_table_reply : &cache->changes_reply;
-  uint64_t age_ms = clock_boot_ms (cache->clock) - packed->packed_ms;
+  uint64_t age_ms = clock_boottime_ms (cache->clock) - packed->packed_ms;
 
   if (packed->version == 0)
     return NULL;
@@ -306,7 +306,7 @@
     {
       packed->after = after;
       packed->version = cache->version;
-      packed->packed_ms = clock_boot_ms (cache->clock);
+      packed->packed_ms = clock_boottime_ms (cache->clock);
       packed->confirmed_ms = cache->confirmed_ms;
       packed->store_confirmed_ms = cache->store_confirmed_ms;
       packed->plain_len = plain_bytes;
@@ -342,7 +342,7 @@
 rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool is_whole,
                      wire_rows_res_t *result)
 {
-  uint64_t boot_ms = clock_boot_ms (cache->clock);
+  uint64_t boot_ms = clock_boottime_ms (cache->clock);
   const packed_reply_t *packed = find_packed_reply (cache, after, is_whole);
   wire_row_list_t list = { { 0, NULL } };
 
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -90,8 +90,8 @@
     state->config_load_started_ms = 0;
   if (code != VH_OK)
     {
-      log_event (EVENT_CONFIG_BAD, field_number (FIELD_CODE, code),
-                 field_number (FIELD_BYTES, len));
+      log_event (EVENT_CONFIG_BAD, log_field_number (FIELD_CODE, code),
+                 log_field_number (FIELD_BYTES, len));
       return;
     }
   if (state->catalog != NULL
@@ -101,11 +101,12 @@
       return;
     }
   log_event (
-      EVENT_CONFIG, field_number (FIELD_REVISION, catalog_revision (catalog)),
-      field_number (FIELD_BEFORE, state->catalog != NULL
-                                      ? catalog_revision (state->catalog)
-                                      : 0),
-      field_number (FIELD_READ_MS, parse_ms));
+      EVENT_CONFIG,
+      log_field_number (FIELD_REVISION, catalog_revision (catalog)),
+      log_field_number (FIELD_BEFORE, state->catalog != NULL
+                                          ? catalog_revision (state->catalog)
+                                          : 0),
+      log_field_number (FIELD_READ_MS, parse_ms));
   catalog_unref (state->catalog);
   state->catalog = catalog;
 }
@@ -117,10 +118,10 @@
 {
   gateway_state_t *state = sync->state;
 
-  log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
-             field_number (FIELD_BYTES, row->value.len));
+  log_event (EVENT_CONFIG_TEXT, log_field_number (FIELD_ORDER, row->version),
+             log_field_number (FIELD_BYTES, row->value.len));
   if (state->config_load_started_ms == 0)
-    state->config_load_started_ms = clock_boot_ms (state->clock);
+    state->config_load_started_ms = clock_boottime_ms (state->clock);
   loader_submit (sync->loader, row->value, state->catalog == NULL);
 }
 
@@ -140,7 +141,7 @@
       rollouts_apply_request (sync->rollouts, row);
       break;
     case OPERATOR_ROW_ZONE_EXCLUSION:
-      log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
+      log_event (EVENT_ZONE_OUT, log_field_text (FIELD_ZONE, name));
       pool_set_zone_disabled (state->pool, name, true);
       break;
     case OPERATOR_ROW_UNKNOWN:
@@ -157,7 +158,7 @@
   if (sync->state->dialect->operator_row_kind (key, &name)
       != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
-  log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
+  log_event (EVENT_ZONE_BACK, log_field_text (FIELD_ZONE, name));
   pool_set_zone_disabled (sync->state->pool, name, false);
 }
 
@@ -175,16 +176,16 @@
 
   if (code != VH_OK)
     {
-      log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, row->key),
-                 field_number (FIELD_CODE, code));
+      log_event (EVENT_LISTING_BAD, log_field_text (FIELD_UPSTREAM, row->key),
+                 log_field_number (FIELD_CODE, code));
       return;
     }
-  log_event (EVENT_LISTED, field_text (FIELD_UPSTREAM, info.id),
-             field_text (FIELD_SERVICE, info.service),
-             field_text (FIELD_VERSION, info.version),
-             field_text (FIELD_ZONE, info.zone),
-             field_number (FIELD_DRAINING, info.draining),
-             field_number (FIELD_COLD_MS, info.cold_ms));
+  log_event (EVENT_LISTED, log_field_text (FIELD_UPSTREAM, info.id),
+             log_field_text (FIELD_SERVICE, info.service),
+             log_field_text (FIELD_VERSION, info.version),
+             log_field_text (FIELD_ZONE, info.zone),
+             log_field_number (FIELD_DRAINING, info.draining),
+             log_field_number (FIELD_COLD_MS, info.cold_ms));
   pool_put (state->pool, &info);
   state->dialect->free_holder (holder);
 }
@@ -202,8 +203,8 @@
              < state->options.expired_registration_grace_ms)
     keep_ms = state->options.expired_registration_grace_ms
               - (now_ms - sync->store_recovered_ms);
-  log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
-             field_number (FIELD_KEEP_MS, keep_ms));
+  log_event (EVENT_UNLISTED, log_field_text (FIELD_UPSTREAM, key),
+             log_field_number (FIELD_KEEP_MS, keep_ms));
   pool_remove (state->pool, key, keep_ms);
 }
 
@@ -262,8 +263,8 @@
     return;
   str_t address = str_cut (rest, ' ', &rest);
   if (rest.ptr != NULL && !str_to_u64 (rest, &link_mbps))
-    log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, name),
-               field_number (FIELD_CODE, VH_E_BAD_FIELD));
+    log_event (EVENT_LISTING_BAD, log_field_text (FIELD_UPSTREAM, name),
+               log_field_number (FIELD_CODE, VH_E_BAD_FIELD));
   peer_rows_add_gateway (peer_rows, name, zone, address, (uint32_t)link_mbps);
 }
 
@@ -316,8 +317,8 @@
   uint32_t gateways = (uint32_t)allotment_gateway_count (state->allotment);
   if (gateways == state->gateway_count)
     return;
-  log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, gateways),
-             field_number (FIELD_BEFORE, state->gateway_count));
+  log_event (EVENT_ENTRIES, log_field_number (FIELD_COUNT, gateways),
+             log_field_number (FIELD_BEFORE, state->gateway_count));
   state->gateway_count = gateways;
   while (map_next (state->retry_budgets, &cursor, &key, &value))
     send_budget_set_gateway_count (value, gateways);
@@ -350,7 +351,7 @@
     return;
   sync->registration_retry_ms
       = clock_ms (sync->state->clock) + REGISTRATION_RETRY_MS;
-  log_event (EVENT_ENTRY_WRITE, field_number (FIELD_CODE, code));
+  log_event (EVENT_ENTRY_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 /* Write the row that registers this gateway with the others, or delete the row
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -23,23 +23,23 @@
   if (sidecar->draining)
     return VH_E_DRAINING;
   if (snapshot == NULL
-      || !snapshot_zone_in (snapshot, sidecar->options.settings->zone)
-      || !snapshot_instance_in (snapshot, sidecar->upstream->instance))
+      || !snapshot_is_zone_enabled (snapshot, sidecar->options.settings->zone)
+      || !snapshot_is_instance_enabled (snapshot, sidecar->upstream->instance))
     return VH_E_GATE;
   for (size_t i = 0; i < sidecar->upstream->serves_count; i++)
     served = served || str_eq (sidecar->upstream->serves[i], target);
-  const team_t *team = snapshot_team (snapshot, team_name);
+  const team_t *team = snapshot_find_team (snapshot, team_name);
   if (!served || team == NULL)
     return VH_E_GATE;
   if (sidecar->upstream->is_service)
     {
-      const service_t *service = snapshot_service (snapshot, target);
+      const service_t *service = snapshot_find_service (snapshot, target);
       return service != NULL
                      && snapshot_allows_service (snapshot, team, service)
                  ? VH_OK
                  : VH_E_GATE;
     }
-  const version_t *version = snapshot_version (snapshot, target);
+  const version_t *version = snapshot_find_version (snapshot, target);
   if (version == NULL || !snapshot_allows (snapshot, team, version))
     return VH_E_GATE;
   return VH_OK;
@@ -69,9 +69,9 @@
 attempt_cost (const sidecar_t *sidecar, const attempt_t *attempt)
 {
   const version_t *version
-      = sidecar->snapshot != NULL
-            ? snapshot_version (sidecar->snapshot, str_from (attempt->target))
-            : NULL;
+      = sidecar->snapshot != NULL ? snapshot_find_version (
+            sidecar->snapshot, str_from (attempt->target))
+                                  : NULL;
   double tokens = (double)attempt->tokens_in + attempt->tokens_out;
 
   return version != NULL ? (uint64_t)(version->cost * tokens * 1000.0) : 0;
@@ -211,9 +211,9 @@
          const wire_submit_args_t *args)
 {
   static const queue_priority_t priorities[]
-      = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
-          [WIRE_PRIORITY_NORMAL] = QUEUE_NORMAL,
-          [WIRE_PRIORITY_HIGH] = QUEUE_HIGH };
+      = { [WIRE_PRIORITY_LOW] = QUEUE_PRIORITY_LOW,
+          [WIRE_PRIORITY_NORMAL] = QUEUE_PRIORITY_NORMAL,
+          [WIRE_PRIORITY_HIGH] = QUEUE_PRIORITY_HIGH };
   queue_waiter_t *evicted = NULL;
   queue_job_t job
       = { .team = str_from (attempt->team),
@@ -500,9 +500,9 @@
   *highest = args->fence;
   buf_t body = BUF_NULL;
   buf_printf (&body, "{\"order\":\"");
-  buf_append_json (&body, str_from (args->kind));
+  buf_append_json_escaped (&body, str_from (args->kind));
   buf_printf (&body, "\",\"subject\":\"");
-  buf_append_json (&body, subject);
+  buf_append_json_escaped (&body, subject);
   buf_printf (&body, "\",\"fence\":%llu}", (unsigned long long)args->fence);
   const httpc_header_t type
       = { STR ("content-type"), STR ("application/json") };
--- a/packages/wire/call.c
+++ b/packages/wire/call.c
@@ -29,9 +29,9 @@
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
-  bound_t connecting;
+  peer_timer_t connecting;
   unsigned open_handles;
-  call_events_t events;
+  http_exchange_events_t events;
   void *arg;
   buf_t request;
   buf_t input; /* Until the head is whole.  */
@@ -67,12 +67,12 @@
 }
 
 void
-call_cancel (call_t *call)
+http_exchange_cancel (call_t *call)
 {
   if (call->closed)
     return;
   call->closed = true;
-  bound_close (&call->connecting, on_part_closed);
+  peer_timer_close (&call->connecting, on_part_closed);
   uv_close ((uv_handle_t *)&call->tcp, on_closed);
 }
 
@@ -81,18 +81,18 @@
 {
   if (call->closed)
     return;
-  call_cancel (call);
+  http_exchange_cancel (call);
   call->events.end (call->arg, code);
 }
 
 bool
-call_sent (const call_t *call)
+http_exchange_was_sent (const call_t *call)
 {
   return call->connected;
 }
 
 str_t
-call_header (const call_head_t *head, str_t name)
+http_exchange_header (const http_exchange_head_t *head, str_t name)
 {
   for (size_t i = 0; i < head->header_count; i++)
     if (str_eq_nocase (head->headers[i].name, name))
@@ -103,7 +103,7 @@
 /* Tell how the body of HEAD is framed.  Return false when the head says two
    things at once, as an answer that was spoiled on its way may.  */
 static bool
-choose_body (call_t *call, const call_head_t *head)
+choose_body (call_t *call, const http_exchange_head_t *head)
 {
   str_t length = STR_NULL;
 
@@ -117,7 +117,7 @@
           length = header->value;
         }
     }
-  str_t coding = call_header (head, STR ("transfer-encoding"));
+  str_t coding = http_exchange_header (head, STR ("transfer-encoding"));
   if (call->no_body || head->status == 204 || head->status == 304)
     call->body = BODY_NONE;
   else if (coding.ptr != NULL)
@@ -181,7 +181,7 @@
 {
   struct phr_header parsed[HEADERS_MAX];
   httpc_header_t headers[HEADERS_MAX];
-  call_head_t head = { 0, headers, HEADERS_MAX };
+  http_exchange_head_t head = { 0, headers, HEADERS_MAX };
   const char *reason;
   size_t reason_len;
   int minor;
@@ -295,7 +295,7 @@
       finish (call, VH_E_CONNECT);
       return;
     }
-  bound_stop (&call->connecting);
+  peer_timer_stop (&call->connecting);
   call->connected = true;
   uv_tcp_nodelay (&call->tcp, 1);
   if (!call->paused)
@@ -314,9 +314,9 @@
 }
 
 call_t *
-call_start (uv_loop_t *loop, str_t address, buf_t *request,
-            uint64_t connect_ms, bool no_body, const call_events_t *events,
-            void *arg)
+http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
+                     uint64_t connect_ms, bool no_body,
+                     const http_exchange_events_t *events, void *arg)
 {
   struct sockaddr_storage addr;
   socklen_t addr_len;
@@ -333,21 +333,21 @@
   call->request = *request;
   *request = BUF_NULL;
   uv_tcp_init (loop, &call->tcp);
-  bound_init (&call->connecting, loop, on_connect_timeout, call);
+  peer_timer_init (&call->connecting, loop, on_connect_timeout, call);
   call->tcp.data = call;
   call->connect.data = call;
   call->open_handles = 2;
-  bound_start (&call->connecting, connect_ms);
+  peer_timer_start (&call->connecting, connect_ms);
   int status = uv_tcp_connect (&call->connect, &call->tcp,
                                (struct sockaddr *)&addr, on_connected);
   /* Told on a later turn, as every event: by the bound that is there.  */
   if (status != 0)
-    bound_start (&call->connecting, 0);
+    peer_timer_start (&call->connecting, 0);
   return call;
 }
 
 void
-call_pause (call_t *call)
+http_exchange_pause (call_t *call)
 {
   call->paused = true;
   if (call->connected && !call->closed)
@@ -355,7 +355,7 @@
 }
 
 void
-call_resume (call_t *call)
+http_exchange_resume (call_t *call)
 {
   call->paused = false;
   if (call->connected && !call->closed)
--- a/packages/wire/call.h
+++ b/packages/wire/call.h
@@ -25,7 +25,7 @@
   int status;
   const httpc_header_t *headers;
   size_t header_count;
-} call_head_t;
+} http_exchange_head_t;
 
 /* Events of one call, in order: at most one head, any number of body pieces,
    one end, after which the call is gone.  What is borrowed lives for the
@@ -34,28 +34,28 @@
    connection ended early; VH_E_PROTOCOL that the server sent no HTTP.  */
 typedef struct
 {
-  void (*head) (void *arg, const call_head_t *head);
+  void (*head) (void *arg, const http_exchange_head_t *head);
   void (*body) (void *arg, str_t bytes);
   void (*end) (void *arg, vh_code_t code);
-} call_events_t;
+} http_exchange_events_t;
 
 /* Send REQUEST, a whole HTTP/1.1 request that the call takes over, to ADDRESS
    (HOST:PORT, numeric).  A connection that is not there within CONNECT_MS ends
    with VH_E_CONNECT.  NO_BODY says that the answer has none (HEAD).  Events
    come on later turns.  Return NULL when ADDRESS is not valid; REQUEST is
    released then too.  */
-call_t *call_start (uv_loop_t *loop, str_t address, buf_t *request,
-                    uint64_t connect_ms, bool no_body,
-                    const call_events_t *events, void *arg);
+call_t *http_exchange_start (uv_loop_t *loop, str_t address, buf_t *request,
+                             uint64_t connect_ms, bool no_body,
+                             const http_exchange_events_t *events, void *arg);
 /* Close the connection; no further events.  Also inside an event.  */
-void call_cancel (call_t *call);
+void http_exchange_cancel (call_t *call);
 /* Tell whether any byte of the request may have reached the server.  */
-bool call_sent (const call_t *call);
+bool http_exchange_was_sent (const call_t *call);
 /* Stop and go on reading, so that a slow reader holds back the server.  */
-void call_pause (call_t *call);
-void call_resume (call_t *call);
+void http_exchange_pause (call_t *call);
+void http_exchange_resume (call_t *call);
 
 /* Return the value of header NAME (any case) of HEAD, or STR_NULL.  */
-str_t call_header (const call_head_t *head, str_t name);
+str_t http_exchange_header (const http_exchange_head_t *head, str_t name);
 
 #endif
--- a/packages/wire/deflate.h
+++ b/packages/wire/deflate.h
@@ -9,7 +9,7 @@
 enum
 {
   /* Shorter texts gain less than their packet costs.  */
-  DEFLATE_LEAST = 4096
+  DEFLATE_MIN_BYTES = 4096
 };
 
 /* Append PLAIN, made smaller, to OUT.  Return false with nothing appended when
--- a/packages/wire/httpc.c
+++ b/packages/wire/httpc.c
@@ -393,7 +393,7 @@
   buf_t body;
   size_t limit;
   bool too_large;
-  httpc_whole_cb_t cb;
+  httpc_fetch_cb_t cb;
   void *arg;
 } whole_t;
 
@@ -441,7 +441,7 @@
 
 httpc_call_t *
 httpc_fetch (httpc_t *client, const httpc_request_t *request, size_t limit,
-             httpc_whole_cb_t cb, void *arg)
+             httpc_fetch_cb_t cb, void *arg)
 {
   whole_t *whole = mem_zalloc (sizeof *whole);
 
--- a/packages/wire/httpc.h
+++ b/packages/wire/httpc.h
@@ -56,9 +56,9 @@
 void httpc_resume (httpc_call_t *call);
 
 /* A call whose whole body, up to LIMIT bytes, is gathered first.  */
-typedef void (*httpc_whole_cb_t) (void *arg, vh_code_t code, int status,
+typedef void (*httpc_fetch_cb_t) (void *arg, vh_code_t code, int status,
                                   str_t body);
 httpc_call_t *httpc_fetch (httpc_t *client, const httpc_request_t *request,
-                           size_t limit, httpc_whole_cb_t cb, void *arg);
+                           size_t limit, httpc_fetch_cb_t cb, void *arg);
 
 #endif
--- a/packages/wire/httpd.c
+++ b/packages/wire/httpd.c
@@ -631,7 +631,7 @@
 }
 
 size_t
-httpd_unwritten (const httpd_t *server)
+httpd_unwritten_responses (const httpd_t *server)
 {
   return server->unwritten;
 }
@@ -682,7 +682,7 @@
 }
 
 str_t
-httpd_query_get (const httpd_req_t *req, str_t name)
+httpd_query_param (const httpd_req_t *req, str_t name)
 {
   str_t rest = httpd_query (req);
 
@@ -725,7 +725,7 @@
 }
 
 bool
-httpd_peer (const httpd_req_t *req, char *buf, size_t size)
+httpd_peer_address (const httpd_req_t *req, char *buf, size_t size)
 {
   struct sockaddr_storage addr;
   h2o_conn_t *conn = req->h2o->conn;
@@ -746,7 +746,7 @@
 {
   char host[NI_MAXHOST];
 
-  if (!httpd_peer (req, host, sizeof host))
+  if (!httpd_peer_address (req, host, sizeof host))
     return false;
   return strncmp (host, "127.", 4) == 0 || strcmp (host, "::1") == 0;
 }
@@ -773,8 +773,8 @@
 }
 
 void
-httpd_start (httpd_req_t *req, int status, const httpc_header_t *headers,
-             size_t header_count)
+httpd_start_response (httpd_req_t *req, int status,
+                      const httpc_header_t *headers, size_t header_count)
 {
   set_head (req, status, headers, header_count);
   req->started = true;
@@ -794,12 +794,12 @@
              size_t header_count, str_t body)
 {
   req->h2o->res.content_length = body.len;
-  httpd_start (req, status, headers, header_count);
+  httpd_start_response (req, status, headers, header_count);
   httpd_send (req, body, true);
 }
 
 void
-httpd_close_after (httpd_req_t *req)
+httpd_disable_keep_alive (httpd_req_t *req)
 {
   req->h2o->http1_is_persistent = 0;
 }
@@ -850,14 +850,14 @@
 }
 
 size_t
-httpd_buffered (const httpd_req_t *req)
+httpd_buffered_bytes (const httpd_req_t *req)
 {
   return req->pending.len + (req->sending ? req->in_flight.len : 0);
 }
 
 void
-httpd_watch (httpd_req_t *req, void (*drained) (void *arg),
-             void (*stopped) (void *arg), void *arg)
+httpd_set_callbacks (httpd_req_t *req, void (*drained) (void *arg),
+                     void (*stopped) (void *arg), void *arg)
 {
   req->drained = drained;
   req->stopped = stopped;
--- a/packages/wire/httpd.h
+++ b/packages/wire/httpd.h
@@ -45,7 +45,7 @@
 size_t httpd_in_flight (const httpd_t *server);
 /* Requests whose answer has not left this process whole, or that are not
    answered yet.  */
-size_t httpd_unwritten (const httpd_t *server);
+size_t httpd_unwritten_responses (const httpd_t *server);
 size_t httpd_connections (const httpd_t *server);
 
 str_t httpd_method (const httpd_req_t *req);
@@ -56,7 +56,7 @@
 /* What follows '?', or STR_NULL.  */
 str_t httpd_query (const httpd_req_t *req);
 /* Value of parameter NAME of the query, not decoded, or STR_NULL.  */
-str_t httpd_query_get (const httpd_req_t *req, str_t name);
+str_t httpd_query_param (const httpd_req_t *req, str_t name);
 /* Value of header NAME (lower case), or STR_NULL.  */
 str_t httpd_header (const httpd_req_t *req, str_t name);
 /* Header INDEX; false past the end.  */
@@ -64,7 +64,7 @@
                       httpc_header_t *header);
 str_t httpd_body (const httpd_req_t *req);
 /* Numeric address of the peer, in BUF; false when unknown.  */
-bool httpd_peer (const httpd_req_t *req, char *buf, size_t size);
+bool httpd_peer_address (const httpd_req_t *req, char *buf, size_t size);
 /* Tell whether the peer's address is a loopback one.  */
 bool httpd_peer_is_loopback (const httpd_req_t *req);
 
@@ -72,24 +72,24 @@
 void httpd_reply (httpd_req_t *req, int status, const httpc_header_t *headers,
                   size_t header_count, str_t body);
 /* End the connection of REQ with its answer.  */
-void httpd_close_after (httpd_req_t *req);
+void httpd_disable_keep_alive (httpd_req_t *req);
 /* Answer with BODY as application/json.  */
 void httpd_reply_json (httpd_req_t *req, int status, str_t body);
 
 /* Streamed answer: start, then send until LAST.  What cannot be written yet
    is buffered; the caller keeps the buffer small with the drained call.  */
-void httpd_start (httpd_req_t *req, int status, const httpc_header_t *headers,
-                  size_t header_count);
+void httpd_start_response (httpd_req_t *req, int status,
+                           const httpc_header_t *headers, size_t header_count);
 void httpd_send (httpd_req_t *req, str_t bytes, bool last);
 /* End a started answer without its proper end, so that the peer sees it was
    cut.  */
 void httpd_abort (httpd_req_t *req);
 /* Bytes handed over and not yet taken by the socket.  */
-size_t httpd_buffered (const httpd_req_t *req);
+size_t httpd_buffered_bytes (const httpd_req_t *req);
 
 /* DRAINED: the buffer ran empty.  STOPPED: the peer went away; REQ is gone
    after it.  Either may be NULL.  */
-void httpd_watch (httpd_req_t *req, void (*drained) (void *arg),
-                  void (*stopped) (void *arg), void *arg);
+void httpd_set_callbacks (httpd_req_t *req, void (*drained) (void *arg),
+                          void (*stopped) (void *arg), void *arg);
 
 #endif
--- a/packages/wire/proto/wire.x
+++ b/packages/wire/proto/wire.x
@@ -172,7 +172,7 @@
   unsigned hyper digest;
 };
 
-/* UPDATE is what confstore_delta_from makes.  */
+/* UPDATE is what confstore_write_update makes.  */
 struct wire_config_push_args_t
 {
   opaque update<WIRE_TEXT_MAX>;
--- a/packages/wire/rpc.h
+++ b/packages/wire/rpc.h
@@ -118,12 +118,12 @@
 {
   RPC_DOWN,
   RPC_UP,
-  RPC_SILENT
-} rpc_state_t;
+  RPC_UNRESPONSIVE
+} rpc_peer_state_t;
 
 typedef struct
 {
-  void (*state) (void *arg, rpc_state_t state);
+  void (*state) (void *arg, rpc_peer_state_t state);
   void (*pong) (void *arg, const wire_ping_res_t *pong);
 } rpc_peer_events_t;
 
@@ -134,12 +134,12 @@
 /* Drop the connection; calls in flight end with VH_E_CANCELLED before this
    returns.  NULL is accepted.  */
 void rpc_peer_destroy (rpc_peer_t *peer);
-rpc_state_t rpc_peer_state (const rpc_peer_t *peer);
+rpc_peer_state_t rpc_peer_state (const rpc_peer_t *peer);
 void *rpc_peer_arg (const rpc_peer_t *peer);
 /* Epoch of the process last heard, 0 before.  */
 uint64_t rpc_peer_epoch (const rpc_peer_t *peer);
 /* Milliseconds (monotonic) when the peer was last heard, 0 before.  */
-uint64_t rpc_peer_heard_ms (const rpc_peer_t *peer);
+uint64_t rpc_peer_last_reply_ms (const rpc_peer_t *peer);
 /* Ping now, connecting at need.  */
 void rpc_peer_ping (rpc_peer_t *peer);
 
@@ -157,14 +157,14 @@
                            uint64_t timeout_ms, rpc_cb_t cb, void *arg);
 /* Tell whether CALL is one of those that may be large, and its connection
    carries it or its reply now, or what stands before them.  */
-bool rpc_is_carried (const rpc_call_t *call);
+bool rpc_call_is_transferring (const rpc_call_t *call);
 /* Call PROC and drop whatever comes of it.  */
-void rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args);
+void rpc_peer_notify (rpc_peer_t *peer, uint32_t proc, void *args);
 /* Forget CALL: its reply, if any, is dropped.  NULL is accepted.  */
 void rpc_cancel (rpc_call_t *call);
 
 /* Decode one record as a call or a reply and throw it away: the entry point
    of the fuzz test.  Return VH_OK when it was well formed.  */
-vh_code_t rpc_decode_probe (rpc_node_t *node, str_t record);
+vh_code_t rpc_decode_and_discard (rpc_node_t *node, str_t record);
 
 #endif
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -385,7 +385,7 @@
 }
 
 vh_code_t
-rpc_decode_probe (rpc_node_t *node, str_t record)
+rpc_decode_and_discard (rpc_node_t *node, str_t record)
 {
   char *copy = str_dup (record);
   rpc_head_t head;
@@ -537,7 +537,7 @@
   buf_append (&stream->out, record, len);
   stream->queued += len;
   stream->node->stats.bytes_out += len;
-  if (list_empty (&stream->dirty))
+  if (list_is_empty (&stream->dirty))
     list_append (&stream->node->dirty, &stream->dirty);
 }
 
@@ -615,7 +615,7 @@
 {
   rpc_node_t *node = flusher->data;
 
-  while (!list_empty (&node->dirty))
+  while (!list_is_empty (&node->dirty))
     {
       rpc_stream_t *stream
           = CONTAINER_OF (node->dirty.next, rpc_stream_t, dirty);
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -31,7 +31,7 @@
   char *address;
   struct sockaddr_storage addr;
   link_t *current; /* Connecting or up; NULL: none.  */
-  rpc_state_t state;
+  rpc_peer_state_t state;
   const rpc_peer_events_t *events;
   void *arg;
   list_t calls;       /* In flight, oldest first.  */
@@ -143,7 +143,7 @@
 {
   size_t count = peer->call_count;
 
-  while (count-- > 0 && !list_empty (&peer->calls))
+  while (count-- > 0 && !list_is_empty (&peer->calls))
     {
       rpc_call_t *call = CONTAINER_OF (peer->calls.next, rpc_call_t, link);
       finish_call (call, call->sent > 0 ? VH_E_CLOSED : VH_E_CONNECT, NULL);
@@ -151,7 +151,7 @@
 }
 
 static void
-set_state (rpc_peer_t *peer, rpc_state_t state)
+set_state (rpc_peer_t *peer, rpc_peer_state_t state)
 {
   if (peer->state == state)
     return;
@@ -203,14 +203,14 @@
     {
       peer->silent_moves = 0;
       peer->retry_at_ms = clock_ms (peer->node->clock) + BACKOFF_FIRST_MS;
-      set_state (peer, RPC_SILENT);
+      set_state (peer, RPC_UNRESPONSIVE);
       fail_calls (peer);
       return;
     }
   if (peer->call_count > 0)
     start_link (peer);
   else
-    set_state (peer, was_silent ? RPC_SILENT : RPC_DOWN);
+    set_state (peer, was_silent ? RPC_UNRESPONSIVE : RPC_DOWN);
 }
 
 static void
@@ -374,12 +374,12 @@
      the peer itself, or of its neighbour in a sweep.  */
   peer->destroyed = true;
   leave_link (peer);
-  while (!list_empty (&peer->calls))
+  while (!list_is_empty (&peer->calls))
     finish_call (CONTAINER_OF (peer->calls.next, rpc_call_t, link),
                  VH_E_CANCELLED, NULL);
 }
 
-rpc_state_t
+rpc_peer_state_t
 rpc_peer_state (const rpc_peer_t *peer)
 {
   return peer->state;
@@ -398,7 +398,7 @@
 }
 
 uint64_t
-rpc_peer_heard_ms (const rpc_peer_t *peer)
+rpc_peer_last_reply_ms (const rpc_peer_t *peer)
 {
   return peer->heard_ms;
 }
@@ -447,7 +447,7 @@
 }
 
 void
-rpc_peer_fire (rpc_peer_t *peer, uint32_t proc, void *args)
+rpc_peer_notify (rpc_peer_t *peer, uint32_t proc, void *args)
 {
   rpc_peer_call (peer, proc, args, 4 * SILENCE_MS, ignore_result, NULL);
 }
@@ -526,7 +526,7 @@
 }
 
 bool
-rpc_is_carried (const rpc_call_t *call)
+rpc_call_is_transferring (const rpc_call_t *call)
 {
   uint64_t now_ms = clock_ms (call->peer->node->clock);
   link_t *link = call->peer->current;
@@ -554,7 +554,7 @@
     {
       rpc_call_t *call = CONTAINER_OF (at, rpc_call_t, link);
       if (!call->failed_at_once
-          && (now_ms < call->deadline_ms || rpc_is_carried (call)))
+          && (now_ms < call->deadline_ms || rpc_call_is_transferring (call)))
         continue;
       finish_call (call, call->sent > 0 ? VH_E_TIMEOUT : VH_E_CONNECT, NULL);
       return true;
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -424,7 +424,7 @@
       if (result->wrong)
         violate (chaos, WHOLE, "%.*s", STR_ARG (result->key));
       if (result->whole && !result->is_service
-          && !str_starts (result->version, STR ("draft-small@")))
+          && !str_starts_with (result->version, STR ("draft-small@")))
         violate (chaos, PERMITTED, "%.*s", STR_ARG (result->version));
       if (!result->is_service)
         continue;
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -378,8 +378,8 @@
   buf_t text = BUF_NULL;
   bool done = false;
 
-  conf_edit (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
-             str_from (section), str_from (key), str_from (value), &text);
+  conf_set_key (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
+                str_from (section), str_from (key), str_from (value), &text);
   buf_append_char (&text, '\0');
   for (size_t i = 0; i < cluster->entry_count && !done; i++)
     done = cluster_apply (cluster, i, text.ptr, cluster->revision,
@@ -593,7 +593,8 @@
       str_t line = str_cut (rest, '\n', &rest);
       const char *space = memrchr (line.ptr, ' ', line.len);
       double value;
-      if (!str_starts (line, want) || line.len == want.len || space == NULL
+      if (!str_starts_with (line, want) || line.len == want.len
+          || space == NULL
           || (line.ptr[want.len] != ' ' && line.ptr[want.len] != '{')
           || !str_to_double (
               str_make (space + 1, (size_t)(line.ptr + line.len - space - 1)),
--- a/tests/fuzz_conf.c
+++ b/tests/fuzz_conf.c
@@ -95,8 +95,8 @@
   int refused = 0;
 
   read_corpus ("examples/lists.ini", &old_text);
-  conf_edit (buf_str (&old_text), STR ("team coast-office"), STR ("weight"),
-             STR ("9"), &new_text);
+  conf_set_key (buf_str (&old_text), STR ("team coast-office"), STR ("weight"),
+                STR ("9"), &new_text);
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   for (int i = 0; i < ROUNDS; i++)
     {
@@ -131,8 +131,8 @@
     {
       mutate (&rng, buf_str (&corpus), &damaged);
       out.len = 0;
-      conf_edit (buf_str (&damaged), STR ("availability-zone nairobi-b"),
-                 STR ("state"), STR ("out"), &out);
+      conf_set_key (buf_str (&damaged), STR ("availability-zone nairobi-b"),
+                    STR ("state"), STR ("out"), &out);
       try_lists (buf_str (&out));
     }
   buf_free (&corpus);
--- a/tests/narrow_link.c
+++ b/tests/narrow_link.c
@@ -268,13 +268,13 @@
 }
 
 void
-narrow_link_stop_after (narrow_link_t *link, size_t bytes)
+narrow_link_stall_after (narrow_link_t *link, size_t bytes)
 {
   link->left = bytes;
 }
 
 size_t
-narrow_link_passed (const narrow_link_t *link)
+narrow_link_forwarded_bytes (const narrow_link_t *link)
 {
   return link->passed;
 }
--- a/tests/narrow_link.h
+++ b/tests/narrow_link.h
@@ -21,8 +21,8 @@
 uint16_t narrow_link_port (const narrow_link_t *link);
 /* Pass on BYTES more of what servers send, then nothing; the connections stay
    open.  */
-void narrow_link_stop_after (narrow_link_t *link, size_t bytes);
+void narrow_link_stall_after (narrow_link_t *link, size_t bytes);
 /* Bytes of servers that were passed on.  */
-size_t narrow_link_passed (const narrow_link_t *link);
+size_t narrow_link_forwarded_bytes (const narrow_link_t *link);
 
 #endif
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -277,7 +277,7 @@
   if (index == 0)
     buf_append_str (out, STR ("\"role\":\"assistant\","));
   buf_append_str (out, STR ("\"content\":\""));
-  buf_append_json (out, buf_str (&text));
+  buf_append_json_escaped (out, buf_str (&text));
   buf_append_str (out, STR ("\"},\"finish_reason\":null}]}\n\n"));
   buf_free (&text);
 }
@@ -300,7 +300,7 @@
   append_id (run, out);
   buf_append_str (out, STR (",\"choices\":[{\"index\":0,\"message\":{"
                             "\"role\":\"assistant\",\"content\":\""));
-  buf_append_json (out, buf_str (&run->text));
+  buf_append_json_escaped (out, buf_str (&run->text));
   buf_append_str (out, STR ("\"},\"finish_reason\":\"stop\"}],"));
   append_usage (run, out);
   buf_append_char (out, '}');
@@ -331,7 +331,7 @@
   httpd_req_t *req = run->req;
 
   if (last)
-    httpd_watch (req, NULL, NULL, NULL);
+    httpd_set_callbacks (req, NULL, NULL, NULL);
   if (run->stream)
     httpd_send (req, buf_str (out), last);
   else if (last)
@@ -349,9 +349,9 @@
     _exit (EXIT_CRASH);
   if (engine.cut_after == 0 || run->next < engine.cut_after)
     return false;
-  httpd_watch (run->req, NULL, NULL, NULL);
+  httpd_set_callbacks (run->req, NULL, NULL, NULL);
   if (!run->stream)
-    httpd_start (run->req, 200, NULL, 0);
+    httpd_start_response (run->req, 200, NULL, 0);
   httpd_abort (run->req);
   run_destroy (run);
   return true;
@@ -392,7 +392,7 @@
 static void
 run_advance (run_t *run, double step_ms, double token_ms)
 {
-  if (run->stream && httpd_buffered (run->req) > BUFFERED_MAX)
+  if (run->stream && httpd_buffered_bytes (run->req) > BUFFERED_MAX)
     return;
   /* Prompts are computed in the shared batch, so they slow down too.  */
   double rate = engine.token_ms > 0 ? engine.token_ms / token_ms : 1;
@@ -506,9 +506,9 @@
       = engine.prompt_ms * (double)cache_miss (buf_str (&prompt)) / 1000;
   buf_free (&prompt);
   enlist (run);
-  httpd_watch (req, NULL, on_departure, run);
+  httpd_set_callbacks (req, NULL, on_departure, run);
   if (run->stream)
-    httpd_start (req, 200, &events, 1);
+    httpd_start_response (req, 200, &events, 1);
   if (engine.token_ms == 0 && run->prompt_left_ms <= 0 && !engine.hang)
     run_step (run, 0);
   else
@@ -603,7 +603,8 @@
   json_t *list = json_array ();
   uint64_t after = 0;
   uint64_t now = now_ms ();
-  bool from_start = !str_to_u64 (httpd_query_get (req, STR ("after")), &after);
+  bool from_start
+      = !str_to_u64 (httpd_query_param (req, STR ("after")), &after);
   uint64_t oldest = engine.event_seq > CACHE_EVENTS_KEPT
                         ? engine.event_seq - CACHE_EVENTS_KEPT
                         : 0;
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -168,7 +168,7 @@
     _exit (EXIT_CRASH);
   if (service.die == DIE_CUT)
     {
-      httpd_start (req, 200, &type, 1);
+      httpd_start_response (req, 200, &type, 1);
       httpd_send (req, str_make (body.ptr, body.len / 2), false);
       httpd_abort (req);
     }
@@ -194,7 +194,7 @@
 
   if (run->req != NULL)
     {
-      httpd_watch (run->req, NULL, NULL, NULL);
+      httpd_set_callbacks (run->req, NULL, NULL, NULL);
       answer (run->req, buf_str (&run->body));
     }
   uv_close ((uv_handle_t *)timer, on_run_closed);
@@ -232,7 +232,7 @@
   run->body = body;
   run->timer.data = run;
   uv_timer_init (service.loop, &run->timer);
-  httpd_watch (req, NULL, on_run_stopped, run);
+  httpd_set_callbacks (req, NULL, on_run_stopped, run);
   if (!service.hang)
     uv_timer_start (&run->timer, on_run_due, service.delay_ms, 0);
 }
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -28,7 +28,7 @@
 } fixture_t;
 
 static void
-on_head (void *arg, const call_head_t *head)
+on_head (void *arg, const http_exchange_head_t *head)
 {
   fixture_t *f = arg;
 
@@ -103,7 +103,7 @@
 static void
 play (fixture_t *f, const char *answer, bool reset)
 {
-  static const call_events_t events = { on_head, on_body, on_end };
+  static const http_exchange_events_t events = { on_head, on_body, on_end };
   char address[32];
   buf_t request = BUF_NULL;
 
@@ -118,8 +118,8 @@
   if (answer != NULL)
     uv_listen ((uv_stream_t *)&f->listener, 8, on_accept);
   buf_append_str (&request, STR ("GET / HTTP/1.1\r\nhost: a\r\n\r\n"));
-  call_t *call = call_start (&f->loop, str_from (address), &request, 500,
-                             false, &events, f);
+  call_t *call = http_exchange_start (&f->loop, str_from (address), &request,
+                                      500, false, &events, f);
   ck_assert_ptr_nonnull (call);
   while (!f->done)
     uv_run (&f->loop, UV_RUN_ONCE);
--- a/tests/test_claims.c
+++ b/tests/test_claims.c
@@ -83,7 +83,7 @@
 {
   result_t result = { 0 };
 
-  claims_claim (f->claims[task], str_from (id), WAIT_MS, on_claim, &result);
+  claims_acquire (f->claims[task], str_from (id), WAIT_MS, on_claim, &result);
   ck_assert (!result.done);
   control_run_until (&f->base, &result.done);
   return result;
@@ -113,14 +113,16 @@
   ck_assert_str_eq (result.writer, "entry-0.1");
   ck_assert_int_eq (claim (&f, 0, "pay-1").code, VH_E_CLAIMED);
   ck_assert_int_eq (
-      claims_record (f.claims[0], STR ("pay-1"), STR ("paid 100")), VH_OK);
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("paid 100")),
+      VH_OK);
   drain (&f, 0);
   result = claim (&f, 1, "pay-1");
   ck_assert_int_eq (result.code, VH_E_CLAIMED);
   ck_assert (result.recorded);
   ck_assert_str_eq (result.outcome, "paid 100");
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("x")),
-                    VH_E_NOT_FOUND);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("x")),
+      VH_E_NOT_FOUND);
   teardown (&f);
 }
 END_TEST
@@ -135,9 +137,9 @@
   result_t b = { 0 };
 
   setup (&f, 2);
-  claims_claim (f.claims[0], STR ("other"), WAIT_MS, on_claim, &first);
-  claims_claim (f.claims[0], STR ("pay-1"), WAIT_MS, on_claim, &a);
-  claims_claim (f.claims[0], STR ("pay-1"), WAIT_MS, on_claim, &b);
+  claims_acquire (f.claims[0], STR ("other"), WAIT_MS, on_claim, &first);
+  claims_acquire (f.claims[0], STR ("pay-1"), WAIT_MS, on_claim, &a);
+  claims_acquire (f.claims[0], STR ("pay-1"), WAIT_MS, on_claim, &b);
   control_run_until (&f.base, &a.done);
   control_run_until (&f.base, &b.done);
   ck_assert_int_eq (a.code, VH_OK);
@@ -170,7 +172,7 @@
   for (int i = 0; i < BURST; i++)
     {
       snprintf (id, sizeof id, "book-%d", i);
-      claims_claim (f.claims[0], str_from (id), 5000, on_claim, &results[i]);
+      claims_acquire (f.claims[0], str_from (id), 5000, on_claim, &results[i]);
     }
   for (int i = 0; i < BURST; i++)
     {
@@ -205,8 +207,9 @@
     {
       snprintf (id, sizeof id, "book-%d", i);
       ck_assert_int_eq (claim (&f, 0, id).code, VH_OK);
-      ck_assert_int_eq (claims_record (f.claims[0], str_from (id), STR ("x")),
-                        VH_OK);
+      ck_assert_int_eq (
+          claims_record_outcome (f.claims[0], str_from (id), STR ("x")),
+          VH_OK);
     }
   drain (&f, 0);
   claims_figures (f.claims[0], &batches, &items);
@@ -248,8 +251,8 @@
     {
       snprintf (id, sizeof id, "id-%d", i);
       for (int t = 0; t < TASKS; t++)
-        claims_claim (f.claims[t], str_from (id), WAIT_MS, on_claim,
-                      &results[i][t]);
+        claims_acquire (f.claims[t], str_from (id), WAIT_MS, on_claim,
+                        &results[i][t]);
       control_run_for (&f.base, 4);
     }
   for (int i = 0; i < IDS; i++)
@@ -292,8 +295,9 @@
   faulty_knobs_t *knobs = faulty_knobs (f.base.faulty);
   *knobs = (faulty_knobs_t){ .late_effect_share = 1, .late_effect_ms = 100 };
   ck_assert_int_eq (claim (&f, 0, "pay-1").code, VH_E_STORE_LATE);
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("x")),
-                    VH_E_NOT_FOUND);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("x")),
+      VH_E_NOT_FOUND);
   *knobs = (faulty_knobs_t){ 0 };
   drain (&f, 0);
   control_settle (&f.base);
@@ -320,8 +324,8 @@
   drain (&f, 0);
   control_settle (&f.base);
   ck_assert_int_eq (claim (&f, 1, "pay-1").code, VH_E_CLAIMED);
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("pay-1"), STR ("paid")),
-                    VH_OK);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("pay-1"), STR ("paid")), VH_OK);
   drain (&f, 0);
   ck_assert_str_eq (claim (&f, 1, "pay-1").outcome, "paid");
   teardown (&f);
@@ -337,8 +341,8 @@
   setup (&f, 6);
   ck_assert_int_eq (claim (&f, 0, "early").code, VH_OK);
   faulty_knobs (f.base.faulty)->down = true;
-  ck_assert_int_eq (claims_record (f.claims[0], STR ("early"), STR ("ran")),
-                    VH_OK);
+  ck_assert_int_eq (
+      claims_record_outcome (f.claims[0], STR ("early"), STR ("ran")), VH_OK);
   uint64_t start_ms = clock_ms (f.base.clock);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (claim (&f, 0, "later").code, VH_E_STORE_DOWN);
@@ -432,7 +436,7 @@
     {
       snprintf (id, sizeof id, "old-%d", i);
       result_t result = { 0 };
-      claims_claim (f.claims[1], str_from (id), 5000, on_claim, &result);
+      claims_acquire (f.claims[1], str_from (id), 5000, on_claim, &result);
       control_run_until (&f.base, &result.done);
     }
   clock_manual_advance_us (f.base.clock, 2ull * DAY_S * 1000000ull);
--- a/tests/test_cli.c
+++ b/tests/test_cli.c
@@ -480,8 +480,8 @@
   server_start (&second);
   first.fault = FAULT_LOSE_REPLY;
   second.text.len = 0;
-  conf_edit (buf_str (&first.text), STR ("availability-zone nairobi-a"),
-             STR ("state"), STR ("out"), &second.text);
+  conf_set_key (buf_str (&first.text), STR ("availability-zone nairobi-a"),
+                STR ("state"), STR ("out"), &second.text);
   second.revision = 13;
   snprintf (entries, sizeof entries, "%s,%s", first.address, second.address);
   run_at ("zone out nairobi-a", entries, KEY, &result);
@@ -685,8 +685,8 @@
   buf_t edited = BUF_NULL;
 
   server_start (&server);
-  conf_edit (buf_str (&server.text), STR ("plan drafts"), STR ("prefer"),
-             STR ("cost"), &edited);
+  conf_set_key (buf_str (&server.text), STR ("plan drafts"), STR ("prefer"),
+                STR ("cost"), &edited);
   buf_free (&server.text);
   server.text = edited;
   check_success ("diff " LISTS, &server,
--- a/tests/test_confstore.c
+++ b/tests/test_confstore.c
@@ -174,8 +174,8 @@
 } history_t;
 
 static void
-on_history (void *arg, vh_code_t code, const confstore_entry_t *entries,
-            size_t count)
+on_history (void *arg, vh_code_t code,
+            const confstore_history_entry_t *entries, size_t count)
 {
   history_t *history = arg;
 
@@ -383,14 +383,14 @@
   char extra[32];
 
   setup (&f, 8);
-  confstore_set_polls (f.b, false);
+  confstore_set_polling (f.b, false);
   for (int i = 0; i < 200; i++)
     buf_printf (&text, "line = %d\n", i);
   buf_append_char (&text, '\0');
   apply (&f, f.a, text.ptr, "amina", 0);
-  ck_assert (confstore_delta_from (f.a, 0, &update));
-  ck_assert (str_starts (buf_str (&update), STR ("text 1 ")));
-  ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
+  ck_assert (confstore_write_update (f.a, 0, &update));
+  ck_assert (str_starts_with (buf_str (&update), STR ("text 1 ")));
+  ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   size_t whole = update.len;
   text.len--;
   for (int i = 0; i < 3; i++)
@@ -401,25 +401,25 @@
       text.len--;
     }
   update.len = 0;
-  ck_assert (confstore_delta_from (f.a, 1, &update));
-  ck_assert (str_starts (buf_str (&update), STR ("delta 2 ")));
+  ck_assert (confstore_write_update (f.a, 1, &update));
+  ck_assert (str_starts_with (buf_str (&update), STR ("delta 2 ")));
   ck_assert_uint_lt (update.len, whole / 4);
-  ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
+  ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   ck_assert_uint_eq (confstore_revision (f.b), 4);
   ck_assert (str_eq (confstore_text (f.b), confstore_text (f.a)));
-  ck_assert (!confstore_delta_from (f.a, 4, &update));
+  ck_assert (!confstore_write_update (f.a, 4, &update));
   /* Told again, and told out of order.  */
-  ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)), VH_OK);
+  ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   confstore_destroy (f.b);
   f.b = make (&f, false, false);
-  ck_assert_int_eq (confstore_learn_update (f.b, buf_str (&update)),
+  ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)),
                     VH_E_STALE_REVISION);
-  ck_assert_int_eq (confstore_learn_update (f.b, STR ("text 5 999\nshort")),
+  ck_assert_int_eq (confstore_receive_update (f.b, STR ("text 5 999\nshort")),
                     VH_E_PROTOCOL);
-  ck_assert_int_eq (confstore_learn_update (f.b, STR ("nonsense")),
+  ck_assert_int_eq (confstore_receive_update (f.b, STR ("nonsense")),
                     VH_E_PROTOCOL);
   ck_assert_uint_eq (confstore_revision (f.b), 0);
-  confstore_confirm (f.a, 4, 0);
+  confstore_record_confirmation (f.a, 4, 0);
   ck_assert_uint_lt (confstore_confirmed_age_ms (f.a), PERIOD_MS);
   buf_free (&update);
   buf_free (&text);
@@ -440,7 +440,7 @@
   char text[64];
 
   setup (&f, 9);
-  confstore_set_polls (f.b, false);
+  confstore_set_polling (f.b, false);
   uint64_t txns = faulty_counts (f.base.faulty)->txns;
   uint64_t writes = faulty_counts (f.base.faulty)->writes;
   for (int i = 0; i < CHANGES; i++)
@@ -456,7 +456,7 @@
                      CHANGES);
   ck_assert_uint_eq (texts, 64 + 1);
   ck_assert_uint_eq (txns, CHANGES);
-  confstore_set_polls (f.b, true);
+  confstore_set_polling (f.b, true);
   run_until_revision (&f, f.b, CHANGES);
   ck_assert (str_eq (confstore_text (f.b), confstore_text (f.a)));
   printf ("figures: %d changes: %llu transactions, %llu row writes, %zu text "
--- a/tests/test_delta.c
+++ b/tests/test_delta.c
@@ -199,10 +199,10 @@
   new_text.len = 0;
   made.len = 0;
   delta.len = 0;
-  conf_edit (buf_str (&old_text), STR ("instance runner-5"), STR ("state"),
-             STR ("out"), &made);
-  conf_edit (buf_str (&made), STR ("instance runner-10995"), STR ("state"),
-             STR ("out"), &new_text);
+  conf_set_key (buf_str (&old_text), STR ("instance runner-5"), STR ("state"),
+                STR ("out"), &made);
+  conf_set_key (buf_str (&made), STR ("instance runner-10995"), STR ("state"),
+                STR ("out"), &new_text);
   conf_delta_make (buf_str (&old_text), buf_str (&new_text), &delta);
   ck_assert_uint_lt (delta.len, 200);
   made.len = 0;
@@ -252,9 +252,10 @@
   buf_t out = BUF_NULL;
   const char *value = edit_cases[_i].value;
 
-  conf_edit (str_from (edit_cases[_i].text), str_from (edit_cases[_i].section),
-             str_from (edit_cases[_i].key),
-             value != NULL ? str_from (value) : STR_NULL, &out);
+  conf_set_key (str_from (edit_cases[_i].text),
+                str_from (edit_cases[_i].section),
+                str_from (edit_cases[_i].key),
+                value != NULL ? str_from (value) : STR_NULL, &out);
   buf_append_char (&out, '\0');
   ck_assert_str_eq (out.ptr, edit_cases[_i].result);
   buf_free (&out);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -47,7 +47,7 @@
   const httpc_header_t header = { STR ("x-test"), STR ("yes") };
 
   memset (bytes, 'b', BIG);
-  httpd_start (req, 200, &header, 1);
+  httpd_start_response (req, 200, &header, 1);
   httpd_send (req, str_make (bytes, BIG / 2), false);
   httpd_send (req, str_make (bytes, BIG / 2), true);
   free (bytes);
@@ -62,30 +62,30 @@
   if (str_eq (path, STR ("/echo")))
     httpd_reply (req, 201, NULL, 0, httpd_body (req));
   else if (str_eq (path, STR ("/query")))
-    httpd_reply (req, 200, NULL, 0, httpd_query_get (req, STR ("b")));
+    httpd_reply (req, 200, NULL, 0, httpd_query_param (req, STR ("b")));
   else if (str_eq (path, STR ("/big")))
     send_big (req);
   else if (str_eq (path, STR ("/cut")))
     {
-      httpd_start (req, 200, NULL, 0);
+      httpd_start_response (req, 200, NULL, 0);
       httpd_send (req, STR ("half"), false);
       f->held = req;
     }
   else if (str_eq (path, STR ("/cut-at-head")))
     {
-      httpd_start (req, 200, NULL, 0);
+      httpd_start_response (req, 200, NULL, 0);
       httpd_abort (req);
     }
   else if (str_eq (path, STR ("/cut-at-chunk")))
     {
-      httpd_start (req, 200, NULL, 0);
+      httpd_start_response (req, 200, NULL, 0);
       httpd_send (req, STR ("half"), false);
       httpd_abort (req);
     }
   else
     {
       f->held = req;
-      httpd_watch (req, NULL, on_stopped, f);
+      httpd_set_callbacks (req, NULL, on_stopped, f);
     }
 }
 
@@ -356,8 +356,8 @@
   drip->all = all;
   drip->req = req;
   all->held[all->held_count++] = req;
-  httpd_watch (req, NULL, on_drip_stopped, drip);
-  httpd_start (req, 200, NULL, 0);
+  httpd_set_callbacks (req, NULL, on_drip_stopped, drip);
+  httpd_start_response (req, 200, NULL, 0);
   httpd_send (req, STR ("first"), false);
 }
 
--- a/tests/test_lease.c
+++ b/tests/test_lease.c
@@ -139,13 +139,13 @@
   control_run_until (&f.base, &f.b_held);
   ck_assert_int_eq (write_under (&f, lease_condition (f.b), STR ("b")), VH_OK);
   ck_assert_int_eq (write_under (&f, stale, STR ("a")), VH_E_CONFLICT);
-  ck_assert (!lease_held (f.a));
+  ck_assert (!lease_is_held (f.a));
   ck_assert (f.a_lost);
   /* Awake again, it learns that the lease has passed on.  */
   faulty_knobs (f.base.faulty)->down = false;
   control_run_for (&f.base, 2 * TERM_MS);
-  ck_assert (!lease_held (f.a));
-  ck_assert (lease_held (f.b));
+  ck_assert (!lease_is_held (f.a));
+  ck_assert (lease_is_held (f.b));
   buf_t value = BUF_NULL;
   ck_assert (control_read (&f.base, STR ("work"), &value));
   ck_assert (str_eq (buf_str (&value), STR ("b")));
@@ -161,9 +161,9 @@
   fixture_t f;
 
   setup (&f);
-  ck_assert (lease_held (f.a));
+  ck_assert (lease_is_held (f.a));
   clock_manual_advance_us (f.base.clock, TERM_MS * 1000);
-  ck_assert (!lease_held (f.a));
+  ck_assert (!lease_is_held (f.a));
   teardown (&f);
 }
 END_TEST
@@ -227,7 +227,7 @@
       control_run_for (&f.base, 20);
       if (i % 10 == 9)
         clock_manual_advance_us (f.base.clock, TERM_MS * 1000);
-      if (!lease_held (f.a) || !lease_held (f.b))
+      if (!lease_is_held (f.a) || !lease_is_held (f.b))
         continue;
       vh_code_t a = write_under (&f, lease_condition (f.a), STR ("a"));
       vh_code_t b = write_under (&f, lease_condition (f.b), STR ("b"));
@@ -235,7 +235,7 @@
     }
   knobs->lost_share = knobs->vanish_share = knobs->late_effect_share = 0;
   control_run_for (&f.base, 2 * TERM_MS);
-  ck_assert (lease_held (f.a) != lease_held (f.b));
+  ck_assert (lease_is_held (f.a) != lease_is_held (f.b));
   teardown (&f);
 }
 END_TEST
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -89,9 +89,9 @@
 drain (fixture_t *f, int task)
 {
   ledger_flush (f->ledgers[task]);
-  for (int i = 0; i < 1000 && ledger_pending (f->ledgers[task]) > 0; i++)
+  for (int i = 0; i < 1000 && ledger_pending_count (f->ledgers[task]) > 0; i++)
     control_run_for (&f->base, 10);
-  ck_assert_uint_eq (ledger_pending (f->ledgers[task]), 0);
+  ck_assert_uint_eq (ledger_pending_count (f->ledgers[task]), 0);
 }
 
 typedef struct
@@ -106,7 +106,8 @@
 } report_t;
 
 static void
-on_report (void *arg, vh_code_t code, const ledger_line_t *lines, size_t count)
+on_report (void *arg, vh_code_t code, const ledger_report_line_t *lines,
+           size_t count)
 {
   report_t *report = arg;
 
@@ -147,7 +148,7 @@
   setup (&f, 1);
   for (int i = 0; i < 95; i++)
     ck_assert_int_eq (add (&f, 0, i), VH_OK);
-  ck_assert_uint_eq (ledger_pending (f.ledgers[0]), 95);
+  ck_assert_uint_eq (ledger_pending_count (f.ledgers[0]), 95);
   /* The last five wait for their age.  */
   for (int i = 0; i < 100 && f.written < 95; i++)
     control_run_for (&f.base, 10);
@@ -240,7 +241,7 @@
   faulty_knobs (f.base.faulty)->lost_share = 1;
   control_run_for (&f.base, 60);
   ck_assert_uint_gt (faulty_counts (f.base.faulty)->lost, 0);
-  ledger_each_pending (f.ledgers[0], collect, held);
+  ledger_foreach_pending (f.ledgers[0], collect, held);
   ck_assert_uint_eq (billset_size (held), 25);
   ledger_destroy (f.ledgers[0]);
   faulty_knobs (f.base.faulty)->lost_share = 0;
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -41,7 +41,7 @@
                                .address = STR ("127.0.0.1:1"),
                                .state = state };
 
-  platform_memory_instance (f->base.memory, &row);
+  platform_memory_put_instance (f->base.memory, &row);
 }
 
 /* Let the roster read the list, then compare and forget the events.  */
@@ -104,16 +104,16 @@
   fixture_t f;
 
   setup (&f);
-  roster_silent (f.roster, STR ("r-1"));
+  roster_report_unresponsive (f.roster, STR ("r-1"));
   expect (&f, STR ("~r-1:silent "));
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   expect (&f, STR ("~r-1:up "));
-  roster_draining (f.roster, STR ("r-1"), true);
+  roster_report_draining (f.roster, STR ("r-1"), true);
   /* The list, which still says live, does not undo it.  */
   expect (&f, STR ("~r-1:draining "));
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   expect (&f, STR (""));
-  roster_draining (f.roster, STR ("r-1"), false);
+  roster_report_draining (f.roster, STR ("r-1"), false);
   expect (&f, STR ("~r-1:up "));
   teardown (&f);
 }
@@ -126,7 +126,7 @@
   fixture_t f;
 
   setup (&f);
-  roster_heard (f.roster, STR ("r-1"));
+  roster_report_responsive (f.roster, STR ("r-1"));
   list (&f, "r-1", "a", INSTANCE_GONE);
   expect (&f, STR ("~r-1:draining "));
   clock_manual_advance_us (f.base.clock, (LINGER_MS + 1) * 1000);
@@ -146,7 +146,7 @@
                                .address = STR ("127.0.0.1:1") };
 
   setup (&f);
-  roster_sighted (f.roster, &row);
+  roster_report_instance (f.roster, &row);
   expect (&f, STR ("+r-9:up "));
   list (&f, "r-9", "a", INSTANCE_LIVE);
   expect (&f, STR (""));
@@ -169,8 +169,8 @@
                                .state = INSTANCE_LIVE };
 
   setup (&f);
-  roster_draining (f.roster, STR ("r-1"), true);
-  platform_memory_instance (f.base.memory, &row);
+  roster_report_draining (f.roster, STR ("r-1"), true);
+  platform_memory_put_instance (f.base.memory, &row);
   expect (&f, STR ("~r-1:draining ~r-1:up "));
   ck_assert (str_eq (roster_find (f.roster, STR ("r-1"))->address,
                      STR ("127.0.0.2:1")));
@@ -257,7 +257,7 @@
       last = rank[i] == 0 ? i : last;
     }
   snprintf (name, sizeof name, "e-%d", last);
-  roster_silent (f.roster, str_from (name));
+  roster_report_unresponsive (f.roster, str_from (name));
   for (int i = 0; i < MEMBERS; i++)
     {
       snprintf (name, sizeof name, "e-%d", i);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -289,7 +289,7 @@
   start_sync (&f);
   WAIT_FOR (&f, f.value_len == 100);
   /* Reach the end of the wait of a watch call.  */
-  loop_wait_pass (&f.wait, 1200);
+  loop_wait_for_ms (&f.wait, 1200);
   store_put (&f, LARGE_BYTES);
   uint64_t start_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
@@ -325,9 +325,10 @@
   fixture_t f;
 
   setup (&f, LARGE_BYTES);
-  narrow_link_stop_after (f.link, BYTES_PASSED);
+  narrow_link_stall_after (f.link, BYTES_PASSED);
   f.rows->ops->read (f.rows, ROWS_ORDERS, STR (""), TIMEOUT_MS, on_result, &f);
-  WAIT_FOR (&f, narrow_link_passed (f.link) == BYTES_PASSED || f.is_done);
+  WAIT_FOR (&f,
+            narrow_link_forwarded_bytes (f.link) == BYTES_PASSED || f.is_done);
   uint64_t stopped_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.is_done);
   ck_assert_int_eq (f.code, VH_E_STORE_DOWN);
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -275,7 +275,7 @@
   fetch (&f, 1, 9000);
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[1], VH_E_CLOSED);
-  ck_assert_int_eq (rpc_peer_state (f.peer), RPC_SILENT);
+  ck_assert_int_eq (rpc_peer_state (f.peer), RPC_UNRESPONSIVE);
   teardown (&f);
 }
 END_TEST
@@ -359,7 +359,7 @@
   run_until_done (&f, 1);
   ck_assert_int_eq (f.codes[0], VH_OK);
   ck_assert_int_eq (f.echoed[0], BYTES);
-  narrow_link_stop_after (f.link, BYTES / 3);
+  narrow_link_stall_after (f.link, BYTES / 3);
   uint64_t begin_ms = clock_ms (clock_system ());
   tag_t broken = { &f, 1 };
   rpc_peer_call (f.peer, WIRE_CONFIG_PULL, &args, TIMEOUT_MS, on_pulled,
@@ -494,7 +494,7 @@
           memcpy (bytes, head, sizeof head);
           bytes[23] = (char)rng_below (&rng, 15);
         }
-      rpc_decode_probe (f.node, str_make (bytes, len));
+      rpc_decode_and_discard (f.node, str_make (bytes, len));
     }
   teardown (&f);
 }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -71,7 +71,7 @@
 static void
 run_for (fixture_t *f, uint64_t ms)
 {
-  loop_wait_pass (&f->wait, ms);
+  loop_wait_for_ms (&f->wait, ms);
 }
 
 static void
@@ -348,12 +348,12 @@
   start_all (&f);
   int reader = wait_for_reader (&f);
   run_for (&f, 1000);
-  narrow_link_stop_after (f.narrow_links[reader], 0);
+  narrow_link_stall_after (f.narrow_links[reader], 0);
   fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
   WAIT_FOR (&f, strcmp (f.gateways[reader].value, "two") == 0);
   fake_rows_set_stalled (f.store, ROWS_ORDERS, true);
   run_for (&f, BUSY_MS);
-  narrow_link_stop_after (f.narrow_links[reader], SIZE_MAX);
+  narrow_link_stall_after (f.narrow_links[reader], SIZE_MAX);
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
     WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
--- a/tests/test_snapshot.c
+++ b/tests/test_snapshot.c
@@ -54,14 +54,15 @@
   uint8_t digest[SHA256_DIGEST_LENGTH];
 
   SHA256 ((const uint8_t *)key.ptr, key.len, digest);
-  return snapshot_team_by_key (snapshot, digest);
+  return snapshot_find_team_by_key (snapshot, digest);
 }
 
 static bool
 allows (const snapshot_t *snapshot, const char *team, const char *version)
 {
-  return snapshot_allows (snapshot, snapshot_team (snapshot, str_from (team)),
-                          snapshot_version (snapshot, str_from (version)));
+  return snapshot_allows (
+      snapshot, snapshot_find_team (snapshot, str_from (team)),
+      snapshot_find_version (snapshot, str_from (version)));
 }
 
 START_TEST (example_compiles)
@@ -76,7 +77,8 @@
 
   const team_t *coast = team_of_key (snapshot, STR ("coast-office-demo-key"));
   ck_assert_ptr_nonnull (coast);
-  ck_assert_ptr_eq (coast, snapshot_team (snapshot, STR ("coast-office")));
+  ck_assert_ptr_eq (coast,
+                    snapshot_find_team (snapshot, STR ("coast-office")));
   ck_assert_uint_eq (coast->weight, 4);
   ck_assert (str_eq (coast->plan->name, STR ("grants")));
   ck_assert_double_eq (coast->plan->quality_target, 0.9);
@@ -87,20 +89,21 @@
   ck_assert (allows (snapshot, "coast-office", "draft-large@7"));
   ck_assert (allows (snapshot, "mosque-fund", "draft-small@4"));
   ck_assert (!allows (snapshot, "mosque-fund", "draft-large@7"));
-  const service_t *pay = snapshot_service (snapshot, STR ("disbursements"));
+  const service_t *pay
+      = snapshot_find_service (snapshot, STR ("disbursements"));
   ck_assert (!pay->idempotent);
   ck_assert_uint_eq (pay->timeout_ms, 20000);
   ck_assert (snapshot_allows_service (snapshot, coast, pay));
   ck_assert (!snapshot_allows_service (
-      snapshot, snapshot_team (snapshot, STR ("auditors")), pay));
+      snapshot, snapshot_find_team (snapshot, STR ("auditors")), pay));
 
-  const model_t *small = snapshot_model (snapshot, STR ("draft-small"));
+  const model_t *small = snapshot_find_model (snapshot, STR ("draft-small"));
   ck_assert_uint_eq (small->version_count, 2);
   ck_assert (str_eq (small->versions[1]->name, STR ("draft-small@4")));
   ck_assert_int_eq (small->versions[1]->state, VERSION_ROLLING_OUT);
   ck_assert_ptr_eq (small->versions[1]->model, small);
   ck_assert_double_eq (
-      snapshot_version (snapshot, STR ("draft-large@7"))->cost, 8.0);
+      snapshot_find_version (snapshot, STR ("draft-large@7"))->cost, 8.0);
 
   const rollout_t *rollout = snapshot_rollout_at (snapshot, 0);
   ck_assert (str_eq (rollout->version->name, STR ("draft-small@4")));
@@ -144,12 +147,12 @@
                     "[availability-zone y]\nstate = in\n"
                     "[instance i]\nstate = out\n[instance j]\n"));
 
-  ck_assert (!snapshot_zone_in (snapshot, STR ("x")));
-  ck_assert (snapshot_zone_in (snapshot, STR ("y")));
-  ck_assert (snapshot_zone_in (snapshot, STR ("other")));
-  ck_assert (!snapshot_instance_in (snapshot, STR ("i")));
-  ck_assert (snapshot_instance_in (snapshot, STR ("j")));
-  ck_assert (snapshot_instance_in (snapshot, STR ("k")));
+  ck_assert (!snapshot_is_zone_enabled (snapshot, STR ("x")));
+  ck_assert (snapshot_is_zone_enabled (snapshot, STR ("y")));
+  ck_assert (snapshot_is_zone_enabled (snapshot, STR ("other")));
+  ck_assert (!snapshot_is_instance_enabled (snapshot, STR ("i")));
+  ck_assert (snapshot_is_instance_enabled (snapshot, STR ("j")));
+  ck_assert (snapshot_is_instance_enabled (snapshot, STR ("k")));
   snapshot_unref (snapshot);
 }
 END_TEST
@@ -164,12 +167,12 @@
   uint8_t digest[SHA256_DIGEST_LENGTH];
 
   memset (digest, 0xaa, sizeof digest);
-  ck_assert_ptr_nonnull (snapshot_team_by_key (snapshot, digest));
+  ck_assert_ptr_nonnull (snapshot_find_team_by_key (snapshot, digest));
   memset (digest, 0xbb, sizeof digest);
-  ck_assert_ptr_nonnull (snapshot_team_by_key (snapshot, digest));
+  ck_assert_ptr_nonnull (snapshot_find_team_by_key (snapshot, digest));
   /* Equal but for the last byte is not equal.  */
   digest[SHA256_DIGEST_LENGTH - 1] = 0;
-  ck_assert_ptr_null (snapshot_team_by_key (snapshot, digest));
+  ck_assert_ptr_null (snapshot_find_team_by_key (snapshot, digest));
   snapshot_unref (snapshot);
 }
 END_TEST
@@ -190,7 +193,7 @@
   snapshot_unref (again);
   snapshot_unref (NULL);
   snapshot = parse (STR (""));
-  ck_assert_ptr_null (snapshot_team (snapshot, STR ("a")));
+  ck_assert_ptr_null (snapshot_find_team (snapshot, STR ("a")));
   snapshot_unref (snapshot);
 }
 END_TEST
@@ -465,9 +468,9 @@
   double looked = seconds ();
   ck_assert_uint_gt (allowed, 0);
   ck_assert_ptr_eq (team_of_key (snapshot, STR ("key-4999")),
-                    snapshot_team (snapshot, STR ("team-4999")));
-  ck_assert (!snapshot_instance_in (snapshot, STR ("runner-100")));
-  ck_assert (snapshot_instance_in (snapshot, STR ("runner-101")));
+                    snapshot_find_team (snapshot, STR ("team-4999")));
+  ck_assert (!snapshot_is_instance_enabled (snapshot, STR ("runner-100")));
+  ck_assert (snapshot_is_instance_enabled (snapshot, STR ("runner-101")));
   printf ("%d teams, %d versions, %d instances: text %zu bytes, parsed in "
           "%.1f ms, %zu bytes held, %.1f ns a permission\n",
           TEAMS, VERSIONS, INSTANCES, text.len, (parsed - start) * 1e3, bytes,
