--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -2,9 +2,9 @@
    disconnection of the caller.
 
    The status of a failure tells the caller whether the request may have run.
-   If no byte of the request was sent, or each upstream that received it
-   reported that it did not run it, the response is 503 with Retry-After.
-   Otherwise it is the upstream's own response, 502 or 504.  */
+   If no byte of the request was sent, or each upstream that received the
+   request reported not having run the request, the response is 503 with
+   Retry-After.  Otherwise it is the upstream's own response, 502 or 504.  */
 
 #include "gateway/relayint.h"
 
@@ -14,51 +14,52 @@
 
 enum
 {
-  /* The kernel repeats a lost SYN after a second; another upstream is tried
-     long before.  Network latency is at most some milliseconds.  */
+  /* Timeout of connecting to an upstream.  Network latency is at most some
+     milliseconds, and the kernel would repeat a lost SYN only after a second,
+     so another upstream is tried first.  */
   CONNECT_TIMEOUT_MS = 250,
   /* Timeout of the first event of a stream, in multiples of the route's
      objective.  Callers disconnect after about four objectives.  */
   FIRST_EVENT_TIMEOUT_OBJECTIVES = 2,
   /* Timeout between two events of a stream whose engine accepts connections,
-     in multiples of the route's longest pause that is on time.  The remaining
-     cause of such a silence is a single dead connection.  Callers disconnect
-     after eight pauses.  */
-  EVENT_TIMEOUT_PAUSES = 3,
+     in multiples of route_t.event_gap_max_ms.  At a reachable engine, the
+     remaining cause of a longer gap is that this one connection is dead.
+     Callers disconnect after a gap of eight times event_gap_max_ms.  */
+  EVENT_TIMEOUT_GAPS = 3,
   /* Timeout of a connection probe.  Network latency is at most some
      milliseconds, and the kernel of a busy machine accepts connections at
      once.  */
   PROBE_TIMEOUT_MS = 250,
-  /* Margin after the timeout of a probe in which its result arrives.  */
+  /* Time after PROBE_TIMEOUT_MS within which the result of the probe is
+     reported.  */
   PROBE_RESULT_DELAY_MS = 10,
-  /* Urgency of requests of priority 0.  Engines give a request without an
-     urgency header the urgency 5.  */
+  /* Urgency sent for requests of priority 0.  Engines assume urgency 5 for a
+     request without the header.  */
   URGENCY_HIGHEST = 3,
-  /* Time that a response takes to reach the caller.  */
+  /* Time that a response takes to reach the caller; closer to the deadline no
+     upstream is tried.  */
   RESPONSE_TRANSIT_MS = 5,
   /* Time after the start of the process in which requests wait for the first
      read of the store.  The read takes a tenth of a second; if it takes longer
      than this limit, the store is unavailable.  */
   STARTUP_WAIT_MS = 800,
   STARTUP_POLL_MS = 10,
-  /* Mean Retry-After during a planned stop.  It is short because the
-     platform's load balancer already directs callers to other gateway
-     processes.  */
+  /* Mean Retry-After during a planned stop.  Short, because the platform's
+     load balancer already directs callers to other gateway processes.  */
   RETRY_AFTER_DRAINING_MS = 50
 };
 
-/* Part of the route's objective after which a request to a plain service that
-   has not answered is sent to another instance, if the request is
-   repeatable.  */
+/* Part of the route's latency objective after which a repeatable request to a
+   plain service that has not responded is sent to another instance.  */
 static const double first_response_timeout_part = 0.7;
 
 /* Set the timer to the next timeout, probe or deadline.  */
 static void arm_timer (relay_t *relay, uint64_t now_ms);
 
-/* Return the urgency with which engines order the request.  Engines read one
-   prompt at a time: without an urgency a short request waits behind the long
-   prompts that arrived before it.  Most installations use few priorities, from
-   0 on.  */
+/* Return the urgency, by which engines order waiting requests.  Engines
+   process one prompt at a time, so without an urgency a short request waits
+   for the long prompts that arrived before it.  Most installations use few
+   priorities, starting at 0.  */
 static uint32_t
 request_urgency (const relay_t *relay)
 {
@@ -75,7 +76,7 @@
   pool_criteria_t criteria;
   buf_t request = BUF_NULL;
 
-  if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_ms)
+  if (now_ms + RESPONSE_TRANSIT_MS >= relay->attrs.deadline_at_ms)
     {
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
@@ -85,7 +86,7 @@
   if (code == VH_E_NO_UPSTREAM && relay->tried_count > 0)
     {
       /* All upstreams were tried.  An upstream that was full is assumed to be
-         full still, and each refused send loads it further; an upstream that
+         still full, and each refused send adds to its load.  An upstream that
          failed may succeed on a second send.  */
       if (relay->was_refused)
         {
@@ -113,8 +114,8 @@
       log_field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
       log_field_number (FIELD_RUNNING,
                         upstream_running_count (relay->upstream)),
-      log_field_number (FIELD_SENDS, relay->sends + 1),
-      log_field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
+      log_field_number (FIELD_SENDS, relay->send_count + 1),
+      log_field_number (FIELD_LEFT_MS, relay->attrs.deadline_at_ms - now_ms),
       log_field_number (FIELD_REVISION,
                         catalog_revision (relay->attrs.catalog)));
   relay->trial_sends.was_sent = true;
@@ -131,7 +132,7 @@
   relay->is_success = false;
   relay->connection_lost = false;
   relay->connect_failed = false;
-  relay->sends++;
+  relay->send_count++;
   counter_add (state->counters.sends, 1);
   const forward_params_t params = {
     .names = state->names,
@@ -139,7 +140,7 @@
     .team = relay->attrs.team != NULL ? relay->attrs.team->name : STR_NULL,
     .model
     = relay_model_name (relay, httpd_header (relay->req, state->names->model)),
-    .remaining_ms = relay->attrs.deadline_ms - now_ms,
+    .remaining_ms = relay->attrs.deadline_at_ms - now_ms,
     .urgency = request_urgency (relay),
     .is_resume = relay->sse.has_last_id,
     .last_event_id = relay->sse.last_id,
@@ -165,7 +166,7 @@
 may_switch_upstream (const relay_t *relay)
 {
   return relay_may_retry (relay)
-         && relay->possible_runs + 1 < relay->attrs.route->attempts_max
+         && relay->possible_run_count + 1 < relay->attrs.route->attempts_max
          && !relay->is_paused;
 }
 
@@ -184,15 +185,16 @@
              ? relay->sent_ms
                    + route->objective_ms * FIRST_EVENT_TIMEOUT_OBJECTIVES
              : relay->last_activity_ms
-                   + route->event_gap_max_ms * EVENT_TIMEOUT_PAUSES;
+                   + route->event_gap_max_ms * EVENT_TIMEOUT_GAPS;
 }
 
-/* Return the time at which an upstream that sends nothing is to be probed or
-   abandoned; UINT64_MAX if never.
+/* Return the time at which an upstream that sends no data is to be probed, or
+   the send to be abandoned; UINT64_MAX if never.
 
-   A stream stays at an engine that is reachable until the event timeout,
-   because another engine, equally full, would have to repeat the work done so
-   far.  Streams of an unreachable engine move to another at once.  */
+   A stream stays at a reachable engine until the event timeout, because
+   another engine, which is as loaded, would have to repeat the work done so
+   far.  Streams of an unreachable engine are moved to another engine at
+   once.  */
 static uint64_t
 silence_check_due_ms (const relay_t *relay)
 {
@@ -205,8 +207,7 @@
   return probe_ms < timeout_at_ms ? probe_ms : timeout_at_ms;
 }
 
-/* Return whether the upstream is to be probed before the send is
-   abandoned.  */
+/* Return whether to probe the upstream instead of abandoning the send.  */
 static bool
 should_probe (const relay_t *relay, uint64_t now_ms)
 {
@@ -221,11 +222,12 @@
 probe_upstream (relay_t *relay, uint64_t now_ms)
 {
   uint64_t probe_ms = PROBE_TIMEOUT_MS + PROBE_RESULT_DELAY_MS;
-  uint64_t left_ms = relay->attrs.deadline_ms - now_ms;
+  uint64_t remaining_ms = relay->attrs.deadline_at_ms - now_ms;
 
   prober_start (relay->state->prober, upstream_id (relay->upstream),
                 upstream_address (relay->upstream), PROBE_TIMEOUT_MS);
-  peer_timer_start (&relay->timer, probe_ms < left_ms ? probe_ms : left_ms);
+  peer_timer_start (&relay->timer,
+                    probe_ms < remaining_ms ? probe_ms : remaining_ms);
 }
 
 static void admit_when_ready (relay_t *relay);
@@ -241,10 +243,10 @@
       admit_when_ready (relay);
       return;
     }
-  if (now_ms >= relay->attrs.deadline_ms)
+  if (now_ms >= relay->attrs.deadline_at_ms)
     {
       if (relay->call != NULL && http_exchange_was_sent (relay->call))
-        relay->possible_runs++;
+        relay->possible_run_count++;
       relay_fail (relay, VH_E_DEADLINE, "deadline", 0);
       return;
     }
@@ -280,8 +282,8 @@
 {
   uint64_t due_ms = silence_check_due_ms (relay);
 
-  if (due_ms > relay->attrs.deadline_ms)
-    due_ms = relay->attrs.deadline_ms;
+  if (due_ms > relay->attrs.deadline_at_ms)
+    due_ms = relay->attrs.deadline_at_ms;
   peer_timer_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
 }
 
@@ -312,7 +314,7 @@
   relay_destroy (relay);
 }
 
-/* Arrival.  */
+/* Arrival of requests.  */
 
 static void
 reject (relay_t *relay, vh_code_t code)
@@ -349,14 +351,14 @@
   relay->sse.has_last_id = attrs->is_resume;
   relay->sse.last_id = attrs->last_event_id;
   send_budget_count_request (
-      gateway_service_allowance (state, attrs->service->name));
+      gateway_service_retry_budget (state, attrs->service->name));
   relay_send (relay);
 }
 
 /* Return whether the request waits for the first read of the store by this
-   process.  After a crash of all gateway processes the callers return at the
-   same time, each for its last retry: a rejection during the tenth of a second
-   that the first read takes would be final.  After STARTUP_WAIT_MS the
+   process.  After a crash of all gateway processes, callers reconnect at the
+   same time, each with its last retry, so a rejection during the tenth of a
+   second that the first read takes would be final.  After STARTUP_WAIT_MS the
    process rejects requests at once if it still has no configuration.  */
 static bool
 should_wait_for_startup (const relay_t *relay)
@@ -409,7 +411,7 @@
     {
       relay_t *relay = CONTAINER_OF (at, relay_t, link);
       if (relay->call != NULL && http_exchange_was_sent (relay->call))
-        relay->possible_runs++;
+        relay->possible_run_count++;
       relay_fail (relay, VH_E_DRAINING, "stopping", RETRY_AFTER_DRAINING_MS);
       count++;
     }
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -4,20 +4,21 @@
 
 enum
 {
-  /* Bytes buffered for a slow caller above which reading from the upstream is
-     paused.  */
+  /* Number of bytes buffered for a slow caller above which reading from the
+     upstream is paused.  */
   CALLER_BUFFER_BYTES_HIGH = 65536,
-  /* Most sends for one request, whatever the route allows.  */
+  /* Maximum number of sends of one request, independent of the route.  */
   SENDS_MAX = POOL_TRIED_MAX,
-  /* Size limit of a response body that is not streamed, which is buffered.  */
+  /* Size limit of the body of a response that is not streamed and therefore
+     buffered.  */
   RESPONSE_BODY_BYTES_MAX = 8 << 20,
-  /* Events after the first over which the mean interval of a stream is
-     measured, because events arrive in bursts.  */
+  /* Number of events after the first over which the mean interval between
+     events is measured.  A mean is needed because events arrive in bursts.  */
   INTERVAL_SAMPLE_EVENTS = 8,
   /* Response headers beyond this number are not forwarded.  */
   RESPONSE_HEADERS_MAX = 64,
-  /* Interval of the search for an upstream that resumes an interrupted stream:
-     a few searches within the longest pause that is on time.  */
+  /* Interval at which an interrupted stream looks for an upstream that can
+     resume it.  Allows a few attempts within route_t.event_gap_max_ms.  */
   RESUME_POLL_MS = 150
 };
 
@@ -25,14 +26,15 @@
 relay_may_retry (const relay_t *relay)
 {
   return relay->attrs.is_repeatable
-         && relay->possible_runs < relay->attrs.route->attempts_max
-         && relay->sends < SENDS_MAX;
+         && relay->possible_run_count < relay->attrs.route->attempts_max
+         && relay->send_count < SENDS_MAX;
 }
 
 static send_budget_t *
 service_retry_budget (const relay_t *relay)
 {
-  return gateway_service_allowance (relay->state, relay->attrs.service->name);
+  return gateway_service_retry_budget (relay->state,
+                                       relay->attrs.service->name);
 }
 
 bool
@@ -41,13 +43,14 @@
   return send_budget_remaining (service_retry_budget (relay)) >= 1;
 }
 
-/* Take one send from the retry budget.  Return false if none is left.  */
+/* Take one retry from the retry budget of the service.  Return false if none
+   is left.  */
 static bool
 take_retry (relay_t *relay)
 {
-  send_budget_t *allowance = service_retry_budget (relay);
+  send_budget_t *budget = service_retry_budget (relay);
 
-  if (!send_budget_try_take (allowance, 0))
+  if (!send_budget_try_take (budget, 0))
     return false;
   counter_add (relay->state->counters.resends, 1);
   return true;
@@ -57,9 +60,9 @@
 static uint64_t
 retries_left (const relay_t *relay)
 {
-  double left = send_budget_remaining (service_retry_budget (relay));
+  double remaining = send_budget_remaining (service_retry_budget (relay));
 
-  return left > 0 ? (uint64_t)left : 0;
+  return remaining > 0 ? (uint64_t)remaining : 0;
 }
 
 static void
@@ -98,7 +101,7 @@
              log_field_number (FIELD_EXTRA, retries_left (relay)));
   relay->failure_reason = reason;
   if (may_have_run)
-    relay->possible_runs++;
+    relay->possible_run_count++;
   add_tried_upstream (relay);
   relay->was_refused = !may_have_run;
   if (may_have_run && relay_trial_arm (relay) == TRIAL_ARM_NEW)
@@ -108,7 +111,7 @@
   relay->response_body.len = 0;
   sse_filter_discard_partial (&relay->sse);
   bool may_resend
-      = may_have_run ? relay_may_retry (relay) : relay->sends < SENDS_MAX;
+      = may_have_run ? relay_may_retry (relay) : relay->send_count < SENDS_MAX;
   if (may_resend && relay->response_started)
     relay_resume_stream (relay);
   else if (may_resend && take_retry (relay))
@@ -220,23 +223,25 @@
 is_valid_response (const relay_t *relay, const http_exchange_head_t *head)
 {
   const header_names_t *names = relay->state->names;
-  str_t echoed = http_exchange_header (head, names->attempt_id);
+  str_t echoed_attempt_id = http_exchange_header (head, names->attempt_id);
 
-  if (echoed.ptr != NULL && !str_eq (echoed, str_from (relay->attempt_id)))
+  if (echoed_attempt_id.ptr != NULL
+      && !str_eq (echoed_attempt_id, str_from (relay->attempt_id)))
     return false;
   if (head->status < 200 || head->status > 599)
     return false;
-  /* Callers do not accept encoded bodies, so an encoded body does not come
-     from the upstream.  A success has a message authentication code.  */
+  /* Callers accept no content encoding, so a response with an encoded body was
+     not produced for this request.  A successful response must have a message
+     authentication code.  */
   if (http_exchange_header (head, STR ("content-encoding")).ptr != NULL)
     return false;
   return head->status >= 300
          || http_exchange_header (head, names->answer_mac).ptr != NULL;
 }
 
-/* Escalate to a larger model if the confidence of the current one is too low
-   and the caller has received no part of its answer.  Return true if the
-   answer was dropped and the request sent to a larger model.  */
+/* Escalate to a larger model if the confidence of the current model is too low
+   and the caller has received no part of its response.  Return true if the
+   response was discarded and the request sent to a larger model.  */
 static bool
 escalate (relay_t *relay, const http_exchange_head_t *head)
 {
@@ -251,7 +256,7 @@
       || !str_to_u64 (confidence_header, &confidence)
       || (larger_model = relay_choose_larger_model (relay, confidence))
              == relay->model_index
-      || relay->possible_runs + 1 >= relay->attrs.route->attempts_max
+      || relay->possible_run_count + 1 >= relay->attrs.route->attempts_max
       || !take_retry (relay))
     return false;
   counter_add (relay->state->counters.escalations, 1);
@@ -260,7 +265,7 @@
              log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
              log_field_number (FIELD_CONFIDENCE, confidence),
              log_field_number (FIELD_EXTRA, retries_left (relay)));
-  relay->possible_runs++;
+  relay->possible_run_count++;
   relay->model_index = larger_model;
   relay_finish_send (relay, SEND_CANCELLED);
   relay_send (relay);
@@ -380,12 +385,12 @@
   relay->call = NULL;
   if (code == VH_E_CONNECT)
     {
-      /* No byte of the request was sent, so the next send is not charged to
-         the retry budget.  */
+      /* No byte of the request was sent, so the next send does not count
+         against the retry budget.  */
       relay->failure_reason = "connect";
       relay->connect_failed = true;
       add_tried_upstream (relay);
-      relay->sends--;
+      relay->send_count--;
       relay_finish_send (relay, SEND_FAILED);
       if (relay->tried_count < POOL_TRIED_MAX)
         relay_send (relay);
@@ -415,8 +420,8 @@
   counter_add (relay->state->counters.answered, 1);
   relay_record_end (relay, EVENT_ANSWERED, relay->response_status,
                     relay->failure_reason, 0);
-  /* The last bytes may still wait in the write queue.  The caller may
-     disconnect before they are written, and that callback must not use the
+  /* The last bytes may still be in the write queue.  If the caller disconnects
+     before they are written, the disconnect callback must not use the
      destroyed relay.  */
   httpd_set_callbacks (relay->req, NULL, NULL, NULL);
   httpd_send (relay->req, STR (""), true);
--- a/tests/test_billing.c
+++ b/tests/test_billing.c
@@ -11,7 +11,8 @@
   FLUSH_TIMEOUT_MS = 9000
 };
 
-/* Store that applies writes but loses the reply, or refuses writes.  */
+/* Simulated store that applies writes but loses the reply, or refuses
+   writes.  */
 typedef struct
 {
   rows_t base;
@@ -47,7 +48,7 @@
 
   (void)timeout_ms;
   ck_assert_uint_eq (count, 1);
-  ck_assert (writes->is_conditional && writes->expected == 0);
+  ck_assert (writes->is_conditional && writes->expected_version == 0);
   snprintf (key, sizeof key, "%.*s", STR_ARG (writes->key));
   for (size_t i = 0; i < store->row_count; i++)
     exists = exists || strcmp (store->keys[i], key) == 0;
@@ -160,8 +161,9 @@
 }
 END_TEST
 
-/* The store is unavailable.  Bills must be queued up to the limit, written in
-   batches once the store is back, and be dropped and counted beyond it.  */
+/* The store is unavailable.  Bills must be queued up to the limit and written
+   in batches when the store is available again; bills beyond the limit must be
+   dropped and counted.  */
 START_TEST (bills_are_queued_during_outage)
 {
   fixture_t f;
