--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -1,4 +1,6 @@
-/* How the cost of a gateway's parts grows.  Rows as of bench_slopes.  */
+/* Measures how the processor time and memory of the gateway's parts grow with
+   the number of instances, routes and entries.  Prints rows in the format of
+   bench_slopes, and one `bench' row for the cost of a decision.  */
 
 #include "points.h"
 
@@ -20,23 +22,25 @@
   START_S = 1700000000
 };
 
-/* The gateway: choose one of KNOWN instances of one service in ten zones.  */
+/* Selection of an instance.  */
 
+/* Return a new pool of KNOWN instances of one service in ten zones; the caller
+   destroys it.  */
 static pool_t *
-make_pool (clock_iface_t *clock, int known)
+create_pool (clock_iface_t *clock, int instance_count)
 {
   const pool_options_t options = { .zone = STR ("zone-0") };
   pool_t *pool = pool_create (clock, 7, &options);
   char name[32];
   char zone[32];
 
-  for (int i = 0; i < known; i++)
+  for (int i = 0; i < instance_count; i++)
     {
       const upstream_info_t info
-          = { .id = name_of (name, sizeof name, "runner", i),
+          = { .id = format_name (name, sizeof name, "runner", i),
               .service = STR ("drafts"),
               .address = STR ("10.0.0.1:80"),
-              .zone = name_of (zone, sizeof zone, "zone", i % ZONES),
+              .zone = format_name (zone, sizeof zone, "zone", i % ZONES),
               .version = STR ("v1"),
               .slots = 128 };
       pool_put (pool, &info);
@@ -44,23 +48,25 @@
   return pool;
 }
 
+/* Return the mean processor time of a selection, in ns.  Every second
+   selection has an affinity key.  */
 static double
-time_choices (pool_t *pool, rng_t *rng, int choices)
+time_selections (pool_t *pool, rng_t *rng, int selections)
 {
-  double begin = cpu_ns ();
+  double begin = cpu_time_ns ();
 
-  for (int i = 0; i < choices; i++)
+  for (int i = 0; i < selections; i++)
     {
-      const pool_criteria_t want
+      const pool_criteria_t criteria
           = { .service = STR ("drafts"),
               .affinity_key = i % 2 == 0 ? rng_u64 (rng) | 1 : 0 };
       upstream_t *upstream;
-      if (pool_select (pool, &want, &upstream) != VH_OK)
+      if (pool_select (pool, &criteria, &upstream) != VH_OK)
         abort ();
       pool_request_started (pool, upstream, 1000);
       pool_request_finished (pool, upstream, 1000, SEND_OK);
     }
-  return (cpu_ns () - begin) / choices;
+  return (cpu_time_ns () - begin) / selections;
 }
 
 static void
@@ -74,21 +80,22 @@
     {
       clock_iface_t *clock = clock_manual_create (START_S);
       rng_t rng = rng_make (7);
-      double heap = heap_bytes ();
-      pool_t *pool = make_pool (clock, sizes[s]);
-      points_add (&memory, sizes[s], heap_bytes () - heap);
-      double best = INFINITY;
+      double heap_before = heap_used_bytes ();
+      pool_t *pool = create_pool (clock, sizes[s]);
+      points_add (&memory, sizes[s], heap_used_bytes () - heap_before);
+      double best_ns = INFINITY;
       for (int run = 0; run < RUNS; run++)
-        best = fmin (best, time_choices (pool, &rng, 200));
-      points_add (&cpu, sizes[s], best);
+        best_ns = fmin (best_ns, time_selections (pool, &rng, 200));
+      points_add (&cpu, sizes[s], best_ns);
       pool_destroy (pool);
       clock_manual_destroy (clock);
     }
-  points_print (&cpu, "gateway-choose-cpu", "ns/instance");
-  points_print (&memory, "gateway-pool-memory", "bytes/instance");
+  points_print_fit (&cpu, "gateway-choose-cpu", "ns/instance");
+  points_print_fit (&memory, "gateway-pool-memory", "bytes/instance");
 }
 
-/* Routes of one configuration: the time to find one, and their memory.  */
+/* Print the time to match a route, and the memory of the routes, by the
+   number of routes in the catalog.  */
 static void
 bench_catalog (void)
 {
@@ -98,7 +105,7 @@
 
   for (size_t s = 0; s < sizeof sizes / sizeof sizes[0]; s++)
     {
-      double heap = heap_bytes ();
+      double heap_before = heap_used_bytes ();
       catalog_t *catalog = catalog_create (1);
       char prefix[32];
       for (int i = 0; i < sizes[s]; i++)
@@ -109,8 +116,8 @@
                                   .prefix = str_from (prefix) };
           catalog_add_route (catalog, &route);
         }
-      points_add (&memory, sizes[s], heap_bytes () - heap);
-      double begin = cpu_ns ();
+      points_add (&memory, sizes[s], heap_used_bytes () - heap_before);
+      double begin = cpu_time_ns ();
       for (int i = 0; i < 20000; i++)
         {
           snprintf (prefix, sizeof prefix, "/r%d/a/b", i % sizes[s]);
@@ -119,14 +126,15 @@
               == NULL)
             abort ();
         }
-      points_add (&cpu, sizes[s], (cpu_ns () - begin) / 20000);
+      points_add (&cpu, sizes[s], (cpu_time_ns () - begin) / 20000);
       catalog_unref (catalog);
     }
-  points_print (&cpu, "gateway-route-cpu", "ns/route");
-  points_print (&memory, "gateway-route-memory", "bytes/route");
+  points_print_fit (&cpu, "gateway-route-cpu", "ns/route");
+  points_print_fit (&memory, "gateway-route-memory", "bytes/route");
 }
 
-/* Evidence of a roll-out from many entries: the time to judge it.  */
+/* Print the time to decide on a roll-out, by the number of entries whose
+   samples are merged.  */
 static void
 bench_trial (void)
 {
@@ -138,28 +146,28 @@
       trial_t *trial
           = trial_create (STR ("drafts"), STR ("v2"), 1, 60000, 0.15);
       buf_t text = BUF_NULL;
-      buf_t why = BUF_NULL;
+      buf_t reason = BUF_NULL;
       char name[32];
       trial_set_progress (trial, 1, 1, 1);
       trial_observe (trial, TRIAL_ARM_NEW, 1, false, 100, false);
       trial_write (trial, true, &text);
       for (int i = 0; i < sizes[s]; i++)
-        trial_merge (trial, name_of (name, sizeof name, "entry", i), false,
+        trial_merge (trial, format_name (name, sizeof name, "entry", i), false,
                      buf_str (&text));
-      double begin = cpu_ns ();
+      double begin = cpu_time_ns ();
       for (int i = 0; i < 200; i++)
-        if (trial_decide (trial, 2, false, &why) == TRIAL_DECISION_FINISH)
+        if (trial_decide (trial, 2, false, &reason) == TRIAL_DECISION_FINISH)
           abort ();
-      points_add (&cpu, sizes[s], (cpu_ns () - begin) / 200 / 1e3);
+      points_add (&cpu, sizes[s], (cpu_time_ns () - begin) / 200 / 1e3);
       buf_free (&text);
-      buf_free (&why);
+      buf_free (&reason);
       trial_destroy (trial);
     }
-  points_print (&cpu, "gateway-judge-cpu", "us/entry");
+  points_print_fit (&cpu, "gateway-judge-cpu", "us/entry");
 }
 
 static int
-compare_ns (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -167,46 +175,48 @@
   return x < y ? -1 : x > y;
 }
 
-/* What it costs to decide on one answer among 45 instances: where a second
-   send would go, and whether it is worth it.  The baseline is the bound.  */
+/* Print the median time of a decision among 45 instances whether to send a
+   request again: select the instance for the second send and compute the gain
+   from it.  The baseline is the upper bound that the decision must keep.  */
 static void
 bench_decision (void)
 {
   enum
   {
     INSTANCES = 45,
-    ROUNDS = 1000,
-    BATCH = 20 /* Decisions between two looks at the clock.  */
+    SAMPLES = 1000,
+    DECISIONS_PER_SAMPLE = 20 /* Decisions timed together.  */
   };
-  static const double bound_ns = 2000;
+  static const double decision_bound_ns = 2000;
   static const escalation_options_t options = { .value_per_1k_tokens = 0.55,
                                                 .priority_value_ratio = 0.5,
                                                 .late_value_ratio = 0.3,
                                                 .poor_value_ratio = 0.05,
                                                 .confidence_stddev = 5 };
-  static double costs[ROUNDS];
+  static double sample_ns[SAMPLES];
   clock_iface_t *clock = clock_manual_create (START_S);
   rng_t rng = rng_make (7);
-  pool_t *pool = make_pool (clock, INSTANCES);
+  pool_t *pool = create_pool (clock, INSTANCES);
   escalation_t *escalation = escalation_create (&options);
-  double gained = 0;
+  double total_gain = 0;
 
   for (int i = 0; i < 200; i++)
     for (size_t model = 0; model < 2; model++)
       escalation_record_wait (escalation, model,
                               (uint32_t)rng_below (&rng, 20000),
                               100 + rng_below (&rng, 500), 2000);
-  for (int round = 0; round < ROUNDS; round++)
+  for (int sample = 0; sample < SAMPLES; sample++)
     {
-      double begin = cpu_ns ();
-      for (int i = 0; i < BATCH; i++)
+      double begin = cpu_time_ns ();
+      for (int i = 0; i < DECISIONS_PER_SAMPLE; i++)
         {
-          const pool_criteria_t want = { .service = STR ("drafts"),
-                                         .affinity_key = rng_u64 (&rng) | 1 };
+          const pool_criteria_t criteria
+              = { .service = STR ("drafts"),
+                  .affinity_key = rng_u64 (&rng) | 1 };
           upstream_t *upstream;
-          if (pool_select (pool, &want, &upstream) != VH_OK)
+          if (pool_select (pool, &criteria, &upstream) != VH_OK)
             abort ();
-          const escalation_candidate_t choice
+          const escalation_candidate_t candidate
               = { .model = 1,
                   .cost = 0.25,
                   .running_requests
@@ -218,17 +228,18 @@
                   .confidence = (uint32_t)rng_below (&rng, 101),
                   .objective_ms = 2000,
                   .max_pause_ms = 1200,
-                  .candidates = &choice,
+                  .candidates = &candidate,
                   .candidate_count = 1 };
-          gained += escalation_gain (escalation, &request, 0);
+          total_gain += escalation_gain (escalation, &request, 0);
         }
-      costs[round] = (cpu_ns () - begin) / BATCH;
+      sample_ns[sample] = (cpu_time_ns () - begin) / DECISIONS_PER_SAMPLE;
     }
-  qsort (costs, ROUNDS, sizeof *costs, compare_ns);
-  if (isnan (gained))
+  qsort (sample_ns, SAMPLES, sizeof *sample_ns, compare_doubles);
+  if (isnan (total_gain))
     abort ();
   printf ("bench decision-cost baseline=%.3f ours=%.3f ratio=%.3f unit=ns\n",
-          bound_ns, costs[ROUNDS / 2], costs[ROUNDS / 2] / bound_ns);
+          decision_bound_ns, sample_ns[SAMPLES / 2],
+          sample_ns[SAMPLES / 2] / decision_bound_ns);
   escalation_destroy (escalation);
   pool_destroy (pool);
   clock_manual_destroy (clock);
--- a/bench/model.c
+++ b/bench/model.c
@@ -15,45 +15,60 @@
 
 enum
 {
-  ENTRIES = MODEL_ZONES,
-  TRIES = 3,
-  /* An engine takes this many times its slots.  */
-  ENGINE_BATCH = 4,
+  ENTRY_COUNT = MODEL_ZONES,
+  ATTEMPTS_MAX = 3,
+  /* Ratio of the jobs that an engine runs at most to its slots.  */
+  BATCH_PER_SLOT = 4,
   COLD_SLOTS = 2,
   SHORT_COST_MIN = 20,
   SHORT_COST_MAX = 80,
-  LONG_DEADLINES = 20,
-  CACHED = 32,
-  FAIL_US = 1000,
-  REPORT_US = 250000,
-  OBSERVE_US = 200000,
-  SECOND_US = 1000000,
-  /* Work is counted in 2^20ths of a unit.  */
-  WORK_SHIFT = 20,
+  LONG_DEADLINE_FACTOR = 20,
+  CACHED_PREFIXES = 32,
+  FAILURE_DELAY_US = 1000,
+  REPORT_INTERVAL_US = 250000,
+  OBSERVE_INTERVAL_US = 200000,
+  US_PER_S = 1000000,
+  /* Binary digits of the fraction of fixed-point work: work is counted in
+     2^20ths of a unit.  */
+  WORK_FRACTION_BITS = 20,
+  /* The team that sends half of its fair share.  */
   QUIET_TEAM = MODEL_TEAMS - 1,
-  NO_SAMPLE = -1
+  NO_RECOVERY = -1
 };
 
-#define COLD_SPEED 0.2
-#define SLOW_SPEED 0.2
-#define CACHE_SAVING 0.4
+/* Lists of the waiting times of short jobs.  */
+enum
+{
+  WAITS_ALL,
+  WAITS_QUIET_TEAM,
+  WAITS_AFTER_EVENT,
+  WAIT_LISTS
+};
+
+/* Fractions of the full speed.  */
+#define COLD_SPEED_FACTOR 0.2
+#define SLOW_SPEED_FACTOR 0.2
+/* Fraction of a request's cost that a cached prefix saves.  */
+#define CACHED_PREFIX_SAVING 0.4
+/* Largest relative error of a cost estimate.  */
 #define ESTIMATE_ERROR 0.3
-#define EVENTS_LOST 0.2
-/* An engine is in full use again at this part of the mean, as the load of each
-   varies by about the rest.  */
-#define FULL_USE 0.75
+/* Fraction of the cache events that are lost.  */
+#define CACHE_EVENT_LOSS 0.2
+/* An engine counts as recovered when it runs this fraction of the mean number
+   of jobs.  The remainder allows for the usual variation between engines.  */
+#define RECOVERED_LOAD_SHARE 0.75
 
 typedef enum
 {
-  ARRIVAL,
-  ENGINE,   /* A job of an engine ends.  */
-  LAPSE,    /* A waiter of a sidecar cannot make its deadline.  */
-  DEADLINE, /* The caller of a request leaves.  */
-  STEP,     /* A request fails, or is tried again.  */
-  REPORT,
-  HEARD, /* An entry hears a report or cache event.  */
-  OBSERVE,
-  SCRIPT
+  EVENT_ARRIVAL,
+  EVENT_ENGINE,       /* A job or an engine's cold phase ends.  */
+  EVENT_QUEUE_EXPIRY, /* A request in a sidecar's queue expires.  */
+  EVENT_DEADLINE,     /* The caller of a request disconnects.  */
+  EVENT_RETRY_STEP,   /* An attempt fails, or a retry is due.  */
+  EVENT_REPORT,
+  EVENT_DELIVERY, /* A load report or cache event reaches the entries.  */
+  EVENT_OBSERVE,
+  EVENT_SCRIPT
 } event_type_t;
 
 typedef struct
@@ -67,58 +82,64 @@
 
 typedef enum
 {
-  BACKING_OFF,
-  QUEUED,
-  RUNNING,
-  FAILING
+  REQUEST_BACKING_OFF,
+  REQUEST_QUEUED,
+  REQUEST_RUNNING,
+  REQUEST_FAILING
 } request_state_t;
 
 typedef struct
 {
   event_t deadline;
-  event_t step;
+  event_t retry_step;
   queue_waiter_t waiter;
-  heap_node_t job; /* Its key is the engine's work at which it ends.  */
-  list_t waiting;  /* In the engine's own queue.  */
+  heap_node_t job;   /* Its key is the value of the engine's work
+                        at which the job ends.  */
+  list_t queue_link; /* Member of the engine's queue (baseline only).  */
   request_state_t state;
   entry_t *entry;
-  upstream_t *at;
+  upstream_t *upstream; /* Of the latest attempt.  */
   int team;
   uint32_t cost;
-  uint32_t work; /* What the cache leaves of the cost.  */
-  uint32_t estimate;
+  uint32_t work;     /* Units to compute: the cost less what a cached prefix
+                        saves.  */
+  uint32_t estimate; /* The cost that the policy package is given.  */
   bool is_long;
-  bool counted; /* Came after the warm-up.  */
+  bool is_counted; /* Arrived after the warm-up.  */
   uint64_t affinity;
   uint64_t arrived_us;
   uint64_t deadline_us;
   uint64_t started_us;
-  int tries;
-  upstream_id_t tried[TRIES];
+  int attempt_count;
+  upstream_id_t tried_ids[ATTEMPTS_MAX];
 } request_t;
 
 struct upstream
 {
   event_t engine;
-  event_t lapse;
+  event_t queue_expiry;
   event_t report;
   event_t observe;
   int number;
   int zone;
   bool exists;
-  bool slow;
-  bool failing;
+  bool is_slow;
+  bool is_failing;
   uint64_t cold_until_us;
-  bool was_full; /* Carried its part since it was last cold.  */
+  /* Whether the engine has run RECOVERED_LOAD_SHARE of the mean number of jobs
+     since its last cold phase.  */
+  bool has_recovered;
 
   heap_t jobs;
-  uint64_t work;    /* That each job running all along would have had.  */
-  uint64_t work_us; /* When WORK was true.  */
+  /* Work that a job running since the start would have received, in 2^20ths of
+     a unit.  */
+  uint64_t work;
+  uint64_t work_us; /* Time up to which WORK is computed.  */
   uint64_t observed_work;
-  list_t waiting;
-  uint32_t waiting_count;
-  uint64_t cached[CACHED];
-  uint32_t cache_next;
+  list_t engine_queue; /* Requests queued in the engine (baseline only).  */
+  uint32_t queued_count;
+  uint64_t cached_prefixes[CACHED_PREFIXES];
+  uint32_t next_cache_slot;
 
   limit_t *limit;
   queue_t *queue;
@@ -130,53 +151,56 @@
   outlier_t *outlier;
   admission_t *admission;
   retry_t *retry;
-  upstream_id_t ids[MODEL_UPSTREAMS_MAX];
-  outlier_member_t *members[MODEL_UPSTREAMS_MAX];
-  double reported[MODEL_UPSTREAMS_MAX];
-  int turn;
+  upstream_id_t upstream_ids[MODEL_UPSTREAMS_MAX];
+  outlier_member_t *outlier_members[MODEL_UPSTREAMS_MAX];
+  /* Number of requests at each upstream by its latest report.  */
+  double reported_load[MODEL_UPSTREAMS_MAX];
+  /* Index of the upstream that round robin selected last.  */
+  int last_selected;
 };
 
-/* A report or cache event on its way to all entries.  */
+/* A load report or cache event that will be delivered to all entries.  */
 typedef struct
 {
   event_t event;
-  upstream_t *from;
+  upstream_t *upstream; /* The sender.  */
   uint64_t sent_us;
   balance_load_t load;
-  uint64_t affinity; /* BALANCE_NO_AFFINITY for a report.  */
-} heard_t;
+  uint64_t affinity; /* The cached prefix; BALANCE_NO_AFFINITY for a load
+                        report.  */
+} notification_t;
 
 typedef struct
 {
   const pattern_t *pattern;
-  bool ours;
-  rng_t rng;        /* Of the load.  */
-  rng_t policy_rng; /* Of the decisions, so that both sides see one load.  */
+  bool uses_policy;
+  rng_t rng;        /* Generates the load.  */
+  rng_t policy_rng; /* Random numbers of the decisions; separate, so that the
+                       baseline and the policy package get the same load.  */
   clock_iface_t *clock;
-  uint64_t now;
-  uint64_t begin;
+  uint64_t now_us;
+  uint64_t start_us;
   heap_t events;
   uint64_t sequence;
   event_t arrival;
   event_t script;
-  int script_step;
+  int script_done; /* Bit N is set once line N of the script has run.  */
   upstream_t upstreams[MODEL_UPSTREAMS_MAX];
   int upstream_count;
   bool zone_in[MODEL_ZONES];
-  entry_t entries[ENTRIES];
+  entry_t entries[ENTRY_COUNT];
   pool_id_t pool;
 
   outcome_t out;
-  double asked[MODEL_TEAMS];
-  double served[MODEL_TEAMS];
-  double served_sum;
+  double requested_work[MODEL_TEAMS];
+  double served_work[MODEL_TEAMS];
+  double served_work_sum;
   uint64_t bad_attempts;
-  double
-      *waits[3]; /* Of short jobs: all, the quiet team's, after the event.  */
-  size_t wait_counts[3];
-  size_t wait_caps[3];
-  double crowd_sum;
-  uint64_t crowd_count;
+  double *waits[WAIT_LISTS]; /* In ms.  */
+  size_t wait_counts[WAIT_LISTS];
+  size_t wait_caps[WAIT_LISTS];
+  double imbalance_sum;
+  uint64_t imbalance_count;
 } model_t;
 
 static void dispatch (model_t *m, request_t *request);
@@ -186,14 +210,14 @@
 static uint64_t
 seconds_us (double seconds)
 {
-  return (uint64_t)(seconds * SECOND_US);
+  return (uint64_t)(seconds * US_PER_S);
 }
 
-/* Return the seconds since the run began.  */
+/* Return the time since the start of the run, in seconds.  */
 static double
-elapsed (const model_t *m)
+elapsed_s (const model_t *m)
 {
-  return (double)(m->now - m->begin) / SECOND_US;
+  return (double)(m->now_us - m->start_us) / US_PER_S;
 }
 
 static void
@@ -214,7 +238,7 @@
   heap_remove (&m->events, &event->node);
 }
 
-/* What callers receive.  */
+/* Outcomes of requests.  */
 
 static void
 add_wait (model_t *m, int list, double wait_ms)
@@ -228,9 +252,10 @@
   m->waits[list][m->wait_counts[list]++] = wait_ms;
 }
 
-/* Return when the event of the pattern is over, in seconds.  */
+/* Return the time at which the pattern's event (return of a zone, start of a
+   cold engine, burst, errors) is over, in seconds.  */
 static double
-event_end (const pattern_t *p)
+event_end_s (const pattern_t *p)
 {
   if (p->zone_in >= 0)
     return p->zone_in;
@@ -243,28 +268,28 @@
   return p->fail_from;
 }
 
-/* Record how long the caller of REQUEST waited, if it was a short job.  */
+/* Record the time since REQUEST arrived, if it is a counted short job.  */
 static void
 record_wait (model_t *m, const request_t *request)
 {
-  double wait_ms = (double)(m->now - request->arrived_us) / 1000;
-  double arrived = (double)(request->arrived_us - m->begin) / SECOND_US;
-  double end = event_end (m->pattern);
+  double wait_ms = (double)(m->now_us - request->arrived_us) / 1000;
+  double arrived = (double)(request->arrived_us - m->start_us) / US_PER_S;
+  double end = event_end_s (m->pattern);
 
-  if (request->is_long || !request->counted)
+  if (request->is_long || !request->is_counted)
     return;
-  add_wait (m, 0, wait_ms);
+  add_wait (m, WAITS_ALL, wait_ms);
   if (request->team == QUIET_TEAM)
-    add_wait (m, 1, wait_ms);
+    add_wait (m, WAITS_QUIET_TEAM, wait_ms);
   if (arrived >= end + 5 && arrived < end + 10)
-    add_wait (m, 2, wait_ms);
+    add_wait (m, WAITS_AFTER_EVENT, wait_ms);
 }
 
 static void
 finish (model_t *m, request_t *request)
 {
   unschedule (m, &request->deadline);
-  unschedule (m, &request->step);
+  unschedule (m, &request->retry_step);
   free (request);
 }
 
@@ -272,13 +297,13 @@
 finish_answered (model_t *m, request_t *request)
 {
   record_wait (m, request);
-  if (m->now > request->deadline_us)
+  if (m->now_us > request->deadline_us)
     m->out.late++;
-  else if (request->counted)
+  else if (request->is_counted)
     {
       m->out.answered++;
-      m->served[request->team] += request->cost;
-      m->served_sum += request->cost;
+      m->served_work[request->team] += request->cost;
+      m->served_work_sum += request->cost;
     }
   finish (m, request);
 }
@@ -286,11 +311,11 @@
 static void
 finish_refused (model_t *m, request_t *request)
 {
-  if (m->now == request->arrived_us)
-    m->out.refused += request->counted;
+  if (m->now_us == request->arrived_us)
+    m->out.refused += request->is_counted;
   else
     {
-      m->out.lapsed += request->counted;
+      m->out.lapsed += request->is_counted;
       record_wait (m, request);
     }
   finish (m, request);
@@ -299,7 +324,7 @@
 static void
 finish_failed (model_t *m, request_t *request)
 {
-  m->out.errors += request->counted;
+  m->out.errors += request->is_counted;
   record_wait (m, request);
   finish (m, request);
 }
@@ -309,7 +334,7 @@
 static bool
 is_cold (const model_t *m, const upstream_t *u)
 {
-  return m->now < u->cold_until_us;
+  return m->now_us < u->cold_until_us;
 }
 
 static double
@@ -318,7 +343,7 @@
   return is_cold (m, u) ? COLD_SLOTS : m->pattern->slots;
 }
 
-/* Return the units a second that each running job gets.  */
+/* Return the speed of each running job, in units per second.  */
 static double
 engine_speed (const model_t *m, const upstream_t *u)
 {
@@ -326,66 +351,70 @@
   double speed = MODEL_SPEED;
 
   if (is_cold (m, u))
-    speed *= COLD_SPEED;
-  if (u->slow)
-    speed *= SLOW_SPEED;
+    speed *= COLD_SPEED_FACTOR;
+  if (u->is_slow)
+    speed *= SLOW_SPEED_FACTOR;
   if (u->jobs.count > slots)
     speed *= pow (slots / u->jobs.count, 1 + m->pattern->thrash);
   return speed;
 }
 
-/* Bring the engine's work up to now, before anything changes its speed.  */
+/* Advance U's work to the present.  Called before each change of the engine's
+   speed.  */
 static void
-engine_work (model_t *m, upstream_t *u)
+engine_advance (model_t *m, upstream_t *u)
 {
-  double done = (double)(m->now - u->work_us) / SECOND_US * engine_speed (m, u)
-                * (1 << WORK_SHIFT);
+  double done = (double)(m->now_us - u->work_us) / US_PER_S
+                * engine_speed (m, u) * (1 << WORK_FRACTION_BITS);
 
   u->work += (uint64_t)done;
-  u->work_us = m->now;
+  u->work_us = m->now_us;
 }
 
-/* Set the event of the next job that ends, or of the end of coldness.  */
+/* Schedule the engine's event for the end of its next job or of its cold
+   phase, whichever comes first.  */
 static void
 engine_schedule (model_t *m, upstream_t *u)
 {
   heap_node_t *next = heap_top (&u->jobs);
-  double left;
+  double remaining;
   uint64_t at_us;
 
   unschedule (m, &u->engine);
   if (next == NULL)
     return;
-  left = next->key > u->work ? (double)(next->key - u->work) : 0;
-  at_us = m->now + 1
-          + (uint64_t)(left / (1 << WORK_SHIFT) / engine_speed (m, u)
-                       * SECOND_US);
+  remaining = next->key > u->work ? (double)(next->key - u->work) : 0;
+  at_us = m->now_us + 1
+          + (uint64_t)(remaining / (1 << WORK_FRACTION_BITS)
+                       / engine_speed (m, u) * US_PER_S);
   if (is_cold (m, u) && u->cold_until_us < at_us)
     at_us = u->cold_until_us;
-  schedule (m, &u->engine, ENGINE, at_us);
+  schedule (m, &u->engine, EVENT_ENGINE, at_us);
 }
 
-/* Return the units that the cached prefix of REQUEST leaves to do, and cache
-   the prefix.  */
+/* Return the units that U must compute for REQUEST: less than the cost if the
+   request's prefix is cached.  Cache the prefix.  */
 static double
-engine_cost (model_t *m, upstream_t *u, const request_t *request)
+engine_start_cost (model_t *m, upstream_t *u, const request_t *request)
 {
-  heard_t *heard;
+  notification_t *notification;
 
   if (request->affinity == BALANCE_NO_AFFINITY)
     return request->cost;
-  for (int i = 0; i < CACHED; i++)
-    if (u->cached[i] == request->affinity)
-      return request->cost * (1 - CACHE_SAVING);
-  u->cached[u->cache_next++ % CACHED] = request->affinity;
-  /* The event of it comes late, or never.  */
-  if (m->ours && rng_double (&m->policy_rng) > EVENTS_LOST)
+  for (int i = 0; i < CACHED_PREFIXES; i++)
+    if (u->cached_prefixes[i] == request->affinity)
+      return request->cost * (1 - CACHED_PREFIX_SAVING);
+  u->cached_prefixes[u->next_cache_slot++ % CACHED_PREFIXES]
+      = request->affinity;
+  /* The cache event is delivered one to two seconds later; a fraction of
+    CACHE_EVENT_LOSS is lost.  */
+  if (m->uses_policy && rng_double (&m->policy_rng) > CACHE_EVENT_LOSS)
     {
-      heard = mem_zalloc (sizeof *heard);
-      heard->from = u;
-      heard->affinity = request->affinity;
-      schedule (m, &heard->event, HEARD,
-                m->now + SECOND_US + rng_below (&m->policy_rng, SECOND_US));
+      notification = mem_zalloc (sizeof *notification);
+      notification->upstream = u;
+      notification->affinity = request->affinity;
+      schedule (m, &notification->event, EVENT_DELIVERY,
+                m->now_us + US_PER_S + rng_below (&m->policy_rng, US_PER_S));
     }
   return request->cost;
 }
@@ -394,66 +423,74 @@
 engine_start (model_t *m, upstream_t *u, request_t *request)
 {
 
-  request->started_us = m->now;
-  if (u->failing)
+  request->started_us = m->now_us;
+  if (u->is_failing)
     {
-      request->state = FAILING;
-      schedule (m, &request->step, STEP, m->now + FAIL_US);
+      request->state = REQUEST_FAILING;
+      schedule (m, &request->retry_step, EVENT_RETRY_STEP,
+                m->now_us + FAILURE_DELAY_US);
       return;
     }
-  request->state = RUNNING;
-  request->work = (uint32_t)engine_cost (m, u, request);
-  engine_work (m, u);
-  request->job.key = u->work + ((uint64_t)request->work << WORK_SHIFT);
+  request->state = REQUEST_RUNNING;
+  request->work = (uint32_t)engine_start_cost (m, u, request);
+  engine_advance (m, u);
+  request->job.key = u->work + ((uint64_t)request->work << WORK_FRACTION_BITS);
   request->job.tie = ++m->sequence;
   heap_push (&u->jobs, &request->job);
   engine_schedule (m, u);
 }
 
-/* Take a running request off its engine; return the units done, less than its
-   cost.  */
+/* Stop a running request; return the units computed for it, fewer than its
+   work.  */
 static uint32_t
 engine_stop (model_t *m, upstream_t *u, request_t *request)
 {
-  double left;
+  double remaining;
 
-  engine_work (m, u);
-  left = request->job.key > u->work ? (double)(request->job.key - u->work) : 0;
-  left /= 1 << WORK_SHIFT;
+  engine_advance (m, u);
+  remaining
+      = request->job.key > u->work ? (double)(request->job.key - u->work) : 0;
+  remaining /= 1 << WORK_FRACTION_BITS;
   heap_remove (&u->jobs, &request->job);
   engine_schedule (m, u);
-  return left + 1 < request->work ? request->work - (uint32_t)left - 1 : 0;
+  return remaining + 1 < request->work
+             ? request->work - (uint32_t)remaining - 1
+             : 0;
 }
 
-/* Start what waits inside the engine, on the plain side.  */
+/* Start queued requests of the engine's queue, up to its batch limit (baseline
+   only).  */
 static void
-engine_fill (model_t *m, upstream_t *u)
+engine_start_queued (model_t *m, upstream_t *u)
 {
-  while (!list_is_empty (&u->waiting)
-         && u->jobs.count < m->pattern->slots * ENGINE_BATCH)
+  while (!list_is_empty (&u->engine_queue)
+         && u->jobs.count < m->pattern->slots * BATCH_PER_SLOT)
     {
-      request_t *request = CONTAINER_OF (u->waiting.next, request_t, waiting);
+      request_t *request
+          = CONTAINER_OF (u->engine_queue.next, request_t, queue_link);
 
-      list_remove (&request->waiting);
-      u->waiting_count--;
+      list_remove (&request->queue_link);
+      u->queued_count--;
       engine_start (m, u, request);
     }
 }
 
-/* Sidecars, of ours.  */
+/* Sidecars (policy package only).  */
 
+/* Refuse expired requests of U's queue, start as many others as the limit
+   allows, and schedule the next expiry.  */
 static void
-sidecar_pump (model_t *m, upstream_t *u)
+sidecar_start_queued (model_t *m, upstream_t *u)
 {
   queue_waiter_t *waiter;
-  uint64_t lapse_us;
+  uint64_t expiry_us;
 
   while ((waiter = queue_pop_expired (u->queue)) != NULL)
     {
       request_t *request = CONTAINER_OF (waiter, request_t, waiter);
 
       balance_request_ended (request->entry->balance,
-                             request->entry->ids[u->number], true);
+                             request->entry->upstream_ids[u->number], true);
       finish_refused (m, request);
     }
   queue_set_slots (u->queue, limit_slots (u->limit));
@@ -467,13 +504,15 @@
         }
       engine_start (m, u, CONTAINER_OF (waiter, request_t, waiter));
     }
-  lapse_us = queue_next_expiry_us (u->queue);
-  unschedule (m, &u->lapse);
-  if (lapse_us != QUEUE_NO_DEADLINE)
-    schedule (m, &u->lapse, LAPSE, lapse_us > m->now ? lapse_us : m->now);
+  expiry_us = queue_next_expiry_us (u->queue);
+  unschedule (m, &u->queue_expiry);
+  if (expiry_us != QUEUE_NO_DEADLINE)
+    schedule (m, &u->queue_expiry, EVENT_QUEUE_EXPIRY,
+              expiry_us > m->now_us ? expiry_us : m->now_us);
 }
 
-/* Return whether the sidecar of U took REQUEST.  */
+/* Submit REQUEST to the sidecar of U; return whether the sidecar accepted
+   it.  */
 static bool
 sidecar_submit (model_t *m, upstream_t *u, request_t *request)
 {
@@ -492,13 +531,13 @@
       request_t *other = CONTAINER_OF (evicted, request_t, waiter);
 
       balance_request_ended (other->entry->balance,
-                             other->entry->ids[u->number], true);
+                             other->entry->upstream_ids[u->number], true);
       finish_refused (m, other);
     }
   if (code != VH_OK)
     return false;
-  request->state = QUEUED;
-  sidecar_pump (m, u);
+  request->state = REQUEST_QUEUED;
+  sidecar_start_queued (m, u);
   return true;
 }
 
@@ -511,50 +550,52 @@
   upstream_t *u;
 
   while ((u = outlier_next_change (entry->outlier, &state)) != NULL)
-    balance_set_mark (entry->balance, entry->ids[u->number], BALANCE_EJECTED,
-                      state == OUTLIER_EJECTED);
+    balance_set_mark (entry->balance, entry->upstream_ids[u->number],
+                      BALANCE_EJECTED, state == OUTLIER_EJECTED);
 }
 
 static void
-count_attempt (model_t *m, const upstream_t *u, bool counted)
+count_attempt (model_t *m, const upstream_t *u, bool is_counted)
 {
-  if (!counted)
+  if (!is_counted)
     return;
   m->out.attempts++;
-  m->bad_attempts += u->slow || u->failing || is_cold (m, u);
+  m->bad_attempts += u->is_slow || u->is_failing || is_cold (m, u);
 }
 
 static void
-dispatch_ours (model_t *m, request_t *request)
+dispatch_by_policy (model_t *m, request_t *request)
 {
   entry_t *entry = request->entry;
-  upstream_id_t *tried = request->tried;
+  upstream_id_t *tried_ids = request->tried_ids;
   uint32_t estimate = request->estimate;
-  bool counted = request->counted;
+  bool is_counted = request->is_counted;
 
-  while (request->tries < TRIES)
+  while (request->attempt_count < ATTEMPTS_MAX)
     {
-      balance_request_t wish = { .pool = m->pool,
-                                 .affinity = request->affinity,
-                                 .tried = tried,
-                                 .tried_count = (size_t)request->tries };
+      balance_request_t criteria
+          = { .pool = m->pool,
+              .affinity = request->affinity,
+              .tried = tried_ids,
+              .tried_count = (size_t)request->attempt_count };
       balance_info_t info;
       upstream_id_t id;
       uint64_t number = 0;
 
-      if (balance_pick (entry->balance, &wish, &id) != VH_OK)
+      if (balance_pick (entry->balance, &criteria, &id) != VH_OK)
         break;
-      tried[request->tries++] = id;
+      tried_ids[request->attempt_count++] = id;
       balance_info (entry->balance, id, &info);
       str_to_u64 (info.name, &number);
-      request->at = &m->upstreams[number];
+      request->upstream = &m->upstreams[number];
       balance_request_started (entry->balance, id);
-      m->out.dispatched += counted;
-      if (sidecar_submit (m, request->at, request))
+      m->out.dispatched += is_counted;
+      if (sidecar_submit (m, request->upstream, request))
         {
-          /* The request may be gone already, refused as lapsed.  */
+          /* sidecar_submit may have refused and freed the request as expired.
+           */
           admission_record_result (entry->admission, estimate, true);
-          count_attempt (m, &m->upstreams[number], counted);
+          count_attempt (m, &m->upstreams[number], is_counted);
           return;
         }
       balance_request_ended (entry->balance, id, true);
@@ -564,13 +605,13 @@
 }
 
 static bool
-in_service (const model_t *m, int number)
+is_in_service (const model_t *m, int number)
 {
   return m->upstreams[number].exists && m->zone_in[m->upstreams[number].zone];
 }
 
 static upstream_t *
-pick_plain (model_t *m, request_t *request)
+select_by_baseline (model_t *m, request_t *request)
 {
   entry_t *entry = request->entry;
   int n = m->upstream_count;
@@ -578,107 +619,112 @@
 
   if (m->pattern->plain == PLAIN_ROUND_ROBIN || request->affinity == 0)
     do
-      entry->turn = (entry->turn + 1) % n;
-    while (!in_service (m, entry->turn));
+      entry->last_selected = (entry->last_selected + 1) % n;
+    while (!is_in_service (m, entry->last_selected));
   if (m->pattern->plain == PLAIN_ROUND_ROBIN)
-    return &m->upstreams[entry->turn];
+    return &m->upstreams[entry->last_selected];
   if (m->pattern->plain == PLAIN_HASH && request->affinity != 0)
     return &m->upstreams[(request->affinity * 0x9e3779b97f4a7c15u >> 32)
                          % (uint64_t)n];
   if (m->pattern->plain == PLAIN_HASH)
-    return &m->upstreams[entry->turn];
+    return &m->upstreams[entry->last_selected];
   for (int k = 0; k < n; k++)
     {
-      int i = (entry->turn + k) % n;
+      int i = (entry->last_selected + k) % n;
 
-      if (in_service (m, i)
-          && (best < 0 || entry->reported[i] < entry->reported[best]))
+      if (is_in_service (m, i)
+          && (best < 0
+              || entry->reported_load[i] < entry->reported_load[best]))
         best = i;
     }
   return &m->upstreams[best];
 }
 
 static void
-dispatch_plain (model_t *m, request_t *request)
+dispatch_by_baseline (model_t *m, request_t *request)
 {
-  upstream_t *u = pick_plain (m, request);
+  upstream_t *u = select_by_baseline (m, request);
 
-  m->out.dispatched += request->counted;
-  request->tries++;
-  request->at = u;
-  request->state = QUEUED;
-  list_append (&u->waiting, &request->waiting);
-  u->waiting_count++;
-  count_attempt (m, u, request->counted);
-  engine_fill (m, u);
+  m->out.dispatched += request->is_counted;
+  request->attempt_count++;
+  request->upstream = u;
+  request->state = REQUEST_QUEUED;
+  list_append (&u->engine_queue, &request->queue_link);
+  u->queued_count++;
+  count_attempt (m, u, request->is_counted);
+  engine_start_queued (m, u);
 }
 
 static void
 dispatch (model_t *m, request_t *request)
 {
-  if (m->ours)
-    dispatch_ours (m, request);
+  if (m->uses_policy)
+    dispatch_by_policy (m, request);
   else
-    dispatch_plain (m, request);
+    dispatch_by_baseline (m, request);
 }
 
-/* The attempt of REQUEST has left its engine with UNITS done: after its
-   answer, an error, or its caller's departure, which is no failure of the
-   upstream's.  */
+/* End the attempt of REQUEST on its engine, which computed UNITS.  OK is false
+   after an error of the upstream; it is true after an answer, and after a
+   disconnect of the caller, which is no failure of the upstream.  */
 static void
-attempt_ended (model_t *m, request_t *request, uint32_t units, bool ok)
+end_attempt (model_t *m, request_t *request, uint32_t units, bool ok)
 {
-  upstream_t *u = request->at;
+  upstream_t *u = request->upstream;
   entry_t *entry = request->entry;
-  uint64_t took_us = m->now - request->started_us;
+  uint64_t took_us = m->now_us - request->started_us;
 
-  if (!m->ours)
+  if (!m->uses_policy)
     {
-      engine_fill (m, u);
+      engine_start_queued (m, u);
       return;
     }
   limit_release (u->limit, took_us, units, ok);
   if (ok && units == request->work)
     {
       queue_done (u->queue, &request->waiter, took_us, units);
-      retry_record_latency (entry->retry, m->now - request->arrived_us);
+      retry_record_latency (entry->retry, m->now_us - request->arrived_us);
     }
   else
     queue_cancel (u->queue, &request->waiter);
-  balance_request_ended (entry->balance, entry->ids[u->number], ok);
-  if (entry->members[u->number] != NULL)
-    outlier_record (entry->outlier, entry->members[u->number], ok,
+  balance_request_ended (entry->balance, entry->upstream_ids[u->number], ok);
+  if (entry->outlier_members[u->number] != NULL)
+    outlier_record (entry->outlier, entry->outlier_members[u->number], ok,
                     limit_is_warming_up (u->limit) ? 0 : took_us, units);
   apply_ejections (entry);
-  sidecar_pump (m, u);
+  sidecar_start_queued (m, u);
 }
 
-/* An engine failed REQUEST: try again, if that is allowed.  */
+/* End a failed attempt of REQUEST.  Retry if attempts and retry budget are
+   left; otherwise, the request fails.  */
 static void
-attempt_failed (model_t *m, request_t *request)
+fail_attempt (model_t *m, request_t *request)
 {
   retry_t *retry = request->entry->retry;
 
-  attempt_ended (m, request, 0, false);
-  request->state = BACKING_OFF;
-  if (request->tries >= TRIES || (m->ours && retry_spend (retry) != VH_OK))
+  end_attempt (m, request, 0, false);
+  request->state = REQUEST_BACKING_OFF;
+  if (request->attempt_count >= ATTEMPTS_MAX
+      || (m->uses_policy && retry_spend (retry) != VH_OK))
     {
       finish_failed (m, request);
       return;
     }
-  if (!m->ours)
+  if (!m->uses_policy)
     dispatch (m, request);
   else
-    schedule (m, &request->step, STEP,
-              m->now
-                  + 1000 * retry_backoff_ms (retry, (uint32_t)request->tries));
+    schedule (m, &request->retry_step, EVENT_RETRY_STEP,
+              m->now_us
+                  + 1000
+                        * retry_backoff_ms (retry,
+                                            (uint32_t)request->attempt_count));
 }
 
 static void
-on_step (model_t *m, request_t *request)
+on_retry_step (model_t *m, request_t *request)
 {
-  if (request->state == FAILING)
-    attempt_failed (m, request);
+  if (request->state == REQUEST_FAILING)
+    fail_attempt (m, request);
   else
     dispatch (m, request);
 }
@@ -688,13 +734,13 @@
 {
   heap_node_t *node;
 
-  engine_work (m, u);
+  engine_advance (m, u);
   while ((node = heap_top (&u->jobs)) != NULL && node->key <= u->work + 1)
     {
       request_t *request = CONTAINER_OF (node, request_t, job);
 
       heap_remove (&u->jobs, node);
-      attempt_ended (m, request, request->work, true);
+      end_attempt (m, request, request->work, true);
       finish_answered (m, request);
     }
   engine_schedule (m, u);
@@ -703,30 +749,31 @@
 static void
 on_deadline (model_t *m, request_t *request)
 {
-  upstream_t *u = request->at;
+  upstream_t *u = request->upstream;
 
-  m->out.lapsed += request->counted;
+  m->out.lapsed += request->is_counted;
   record_wait (m, request);
   switch (request->state)
     {
-    case RUNNING:
-      attempt_ended (m, request, engine_stop (m, u, request), true);
+    case REQUEST_RUNNING:
+      end_attempt (m, request, engine_stop (m, u, request), true);
       break;
-    case FAILING:
-      attempt_ended (m, request, 0, false);
+    case REQUEST_FAILING:
+      end_attempt (m, request, 0, false);
       break;
-    case QUEUED:
-      if (m->ours)
+    case REQUEST_QUEUED:
+      if (m->uses_policy)
         {
           queue_cancel (u->queue, &request->waiter);
           balance_request_ended (request->entry->balance,
-                                 request->entry->ids[u->number], true);
+                                 request->entry->upstream_ids[u->number],
+                                 true);
           break;
         }
-      list_remove (&request->waiting);
-      u->waiting_count--;
+      list_remove (&request->queue_link);
+      u->queued_count--;
       break;
-    case BACKING_OFF:
+    case REQUEST_BACKING_OFF:
       break;
     }
   finish (m, request);
@@ -744,34 +791,35 @@
 current_load (const model_t *m)
 {
   const pattern_t *p = m->pattern;
-  double t = elapsed (m);
+  double t = elapsed_s (m);
 
   return p->burst > 0 && t >= p->burst_from && t < p->burst_to ? p->burst
                                                                : p->load;
 }
 
 static double
-short_mean (void)
+short_cost_mean (void)
 {
   return (SHORT_COST_MIN + SHORT_COST_MAX) / 2.0;
 }
 
-/* Return the part of the requests that are long, from that of the work.  */
+/* Return the fraction of the requests that are long, computed from the
+   fraction of the work that is in long jobs.  */
 static double
-long_part (const pattern_t *p)
+long_request_share (const pattern_t *p)
 {
-  double longs = p->long_work / p->long_cost;
-  double shorts = (1 - p->long_work) / short_mean ();
+  double long_rate = p->long_work / p->long_cost;
+  double short_rate = (1 - p->long_work) / short_cost_mean ();
 
-  return longs / (longs + shorts);
+  return long_rate / (long_rate + short_rate);
 }
 
 static double
 mean_cost (const pattern_t *p)
 {
-  double part = long_part (p);
+  double long_share = long_request_share (p);
 
-  return part * p->long_cost + (1 - part) * short_mean ();
+  return long_share * p->long_cost + (1 - long_share) * short_cost_mean ();
 }
 
 static void
@@ -781,8 +829,8 @@
   double rate = current_load (m) * p->upstreams * p->slots * MODEL_SPEED
                 / mean_cost (p);
 
-  schedule (m, &m->arrival, ARRIVAL,
-            m->now + 1 + seconds_us (exponential (&m->rng, 1 / rate)));
+  schedule (m, &m->arrival, EVENT_ARRIVAL,
+            m->now_us + 1 + seconds_us (exponential (&m->rng, 1 / rate)));
 }
 
 static int
@@ -812,10 +860,10 @@
   request_t *request = mem_zalloc (sizeof *request);
   double cost;
 
-  request->entry = &m->entries[rng_below (&m->rng, ENTRIES)];
+  request->entry = &m->entries[rng_below (&m->rng, ENTRY_COUNT)];
   request->team = draw_team (m);
   request->affinity = draw_affinity (m);
-  request->is_long = rng_double (&m->rng) < long_part (p);
+  request->is_long = rng_double (&m->rng) < long_request_share (p);
   cost = SHORT_COST_MIN
          + rng_double (&m->rng) * (SHORT_COST_MAX - SHORT_COST_MIN);
   if (request->is_long)
@@ -824,12 +872,13 @@
   request->estimate
       = (uint32_t)(cost
                    * (1 + ESTIMATE_ERROR * (2 * rng_double (&m->rng) - 1)));
-  request->arrived_us = m->now;
-  request->counted = elapsed (m) >= p->warm_up;
+  request->arrived_us = m->now_us;
+  request->is_counted = elapsed_s (m) >= p->warm_up;
   request->deadline_us
-      = m->now
-        + seconds_us (p->deadline * (request->is_long ? LONG_DEADLINES : 1));
-  list_init (&request->waiting);
+      = m->now_us
+        + seconds_us (p->deadline
+                      * (request->is_long ? LONG_DEADLINE_FACTOR : 1));
+  list_init (&request->queue_link);
   return request;
 }
 
@@ -839,18 +888,18 @@
   request_t *request;
   char team[2] = "t";
 
-  if (elapsed (m) >= m->pattern->duration)
+  if (elapsed_s (m) >= m->pattern->duration)
     return;
   request = draw_request (m);
   schedule_arrival (m);
-  schedule (m, &request->deadline, DEADLINE, request->deadline_us);
-  if (request->counted)
+  schedule (m, &request->deadline, EVENT_DEADLINE, request->deadline_us);
+  if (request->is_counted)
     {
       m->out.requests++;
-      m->asked[request->team] += request->cost;
+      m->requested_work[request->team] += request->cost;
     }
   team[1] = (char)('0' + request->team);
-  if (m->ours
+  if (m->uses_policy
       && admission_decide (request->entry->admission, str_make (team, 2),
                            request->estimate, QUEUE_PRIORITY_NORMAL)
              != VH_OK)
@@ -861,85 +910,87 @@
   dispatch (m, request);
 }
 
-/* Reports.  */
+/* Load reports and cache events.  */
 
 static void
 on_report (model_t *m, upstream_t *u)
 {
-  heard_t *heard = mem_zalloc (sizeof *heard);
+  notification_t *notification = mem_zalloc (sizeof *notification);
   double lag = m->pattern->lag * rng_double (&m->policy_rng);
 
-  heard->from = u;
-  heard->sent_us = m->now;
-  heard->load.in_flight = u->jobs.count + u->waiting_count;
-  heard->load.slots = (uint32_t)m->pattern->slots;
-  if (m->ours)
+  notification->upstream = u;
+  notification->sent_us = m->now_us;
+  notification->load.in_flight = u->jobs.count + u->queued_count;
+  notification->load.slots = (uint32_t)m->pattern->slots;
+  if (m->uses_policy)
     {
-      heard->load.in_flight
+      notification->load.in_flight
           = limit_in_flight (u->limit) + queue_load (u->queue);
-      heard->load.slots = limit_slots (u->limit);
+      notification->load.slots = limit_slots (u->limit);
     }
-  schedule (m, &heard->event, HEARD, m->now + seconds_us (lag));
-  if (elapsed (m) < m->pattern->duration)
-    schedule (m, &u->report, REPORT, m->now + REPORT_US);
+  schedule (m, &notification->event, EVENT_DELIVERY,
+            m->now_us + seconds_us (lag));
+  if (elapsed_s (m) < m->pattern->duration)
+    schedule (m, &u->report, EVENT_REPORT, m->now_us + REPORT_INTERVAL_US);
 }
 
 static void
-on_heard (model_t *m, heard_t *heard)
+on_notification (model_t *m, notification_t *notification)
 {
-  upstream_t *u = heard->from;
+  upstream_t *u = notification->upstream;
 
-  for (int e = 0; e < ENTRIES; e++)
+  for (int e = 0; e < ENTRY_COUNT; e++)
     {
       entry_t *entry = &m->entries[e];
 
-      if (!m->ours)
+      if (!m->uses_policy)
         {
-          entry->reported[u->number] = heard->load.in_flight;
+          entry->reported_load[u->number] = notification->load.in_flight;
           continue;
         }
-      if (heard->affinity != BALANCE_NO_AFFINITY)
+      if (notification->affinity != BALANCE_NO_AFFINITY)
         {
-          balance_cache_event (entry->balance, entry->ids[u->number],
-                               heard->affinity, true);
+          balance_cache_event (entry->balance, entry->upstream_ids[u->number],
+                               notification->affinity, true);
           continue;
         }
-      balance_record_load (entry->balance, entry->ids[u->number], &heard->load,
-                           (m->now - heard->sent_us) / 1000);
+      balance_record_load (entry->balance, entry->upstream_ids[u->number],
+                           &notification->load,
+                           (m->now_us - notification->sent_us) / 1000);
       admission_set_pressure (entry->admission,
                               balance_pressure (entry->balance, m->pool));
     }
-  free (heard);
+  free (notification);
 }
 
-/* Note how much more than the mean the fullest engine has.  */
+/* Record the ratio of the most loaded engine's load to the mean load.  */
 static void
-note_crowding (model_t *m)
+record_imbalance (model_t *m)
 {
-  double most = 0;
+  double highest = 0;
   double sum = 0;
   int count = 0;
 
   for (int i = 0; i < m->upstream_count; i++)
     {
       upstream_t *u = &m->upstreams[i];
-      double load = u->jobs.count + u->waiting_count;
+      double load = u->jobs.count + u->queued_count;
 
-      if (!in_service (m, i))
+      if (!is_in_service (m, i))
         continue;
-      if (m->ours)
+      if (m->uses_policy)
         load = limit_in_flight (u->limit) + queue_waiting_count (u->queue);
-      most = load > most ? load : most;
+      highest = load > highest ? load : highest;
       sum += load;
       count++;
     }
   if (sum == 0)
     return;
-  m->crowd_sum += most * count / sum;
-  m->crowd_count++;
+  m->imbalance_sum += highest * count / sum;
+  m->imbalance_count++;
 }
 
-/* Return the mean number of jobs at an engine in service.  */
+/* Return the mean number of running jobs over the engines in service.  */
 static double
 mean_jobs (const model_t *m)
 {
@@ -947,7 +998,7 @@
   int count = 0;
 
   for (int i = 0; i < m->upstream_count; i++)
-    if (in_service (m, i))
+    if (is_in_service (m, i))
       {
         sum += m->upstreams[i].jobs.count;
         count++;
@@ -955,26 +1006,29 @@
   return sum / count;
 }
 
-/* Note when engines that were cold carry their part again.  */
+/* Record the recovery time of engines that reached RECOVERED_LOAD_SHARE of the
+   mean number of jobs after a cold phase.  */
 static void
-note_full_use (model_t *m)
+record_recovery (model_t *m)
 {
-  double enough = mean_jobs (m) * FULL_USE;
+  double recovered_jobs = mean_jobs (m) * RECOVERED_LOAD_SHARE;
 
   for (int i = 0; i < m->upstream_count; i++)
     {
       upstream_t *u = &m->upstreams[i];
 
-      if (u->cold_until_us == 0 || is_cold (m, u) || u->was_full
-          || u->jobs.count < enough)
+      if (u->cold_until_us == 0 || is_cold (m, u) || u->has_recovered
+          || u->jobs.count < recovered_jobs)
         continue;
-      u->was_full = true;
-      m->out.full_use_s = fmax (
-          m->out.full_use_s, (double)(m->now - u->cold_until_us) / SECOND_US);
+      u->has_recovered = true;
+      m->out.full_use_s
+          = fmax (m->out.full_use_s,
+                  (double)(m->now_us - u->cold_until_us) / US_PER_S);
     }
 }
 
-/* The sidecar sees how the running jobs get on.  */
+/* Report the progress of U's running jobs to its limit, and sample the load of
+   all engines once for each interval.  */
 static void
 on_observe (model_t *m, upstream_t *u)
 {
@@ -982,27 +1036,28 @@
 
   if (u->number == 0)
     {
-      note_crowding (m);
-      note_full_use (m);
+      record_imbalance (m);
+      record_recovery (m);
     }
-  engine_work (m, u);
-  units = (double)(u->work - u->observed_work) / (1 << WORK_SHIFT);
+  engine_advance (m, u);
+  units = (double)(u->work - u->observed_work) / (1 << WORK_FRACTION_BITS);
   u->observed_work = u->work;
-  if (m->ours)
+  if (m->uses_policy)
     {
       for (uint32_t n = u->jobs.count; n > 0; n--)
-        limit_report_progress (u->limit, OBSERVE_US, (uint32_t)units);
-      sidecar_pump (m, u);
-      for (int e = 0; e < ENTRIES; e++)
+        limit_report_progress (u->limit, OBSERVE_INTERVAL_US, (uint32_t)units);
+      sidecar_start_queued (m, u);
+      for (int e = 0; e < ENTRY_COUNT; e++)
         apply_ejections (&m->entries[e]);
     }
-  if (elapsed (m) < m->pattern->duration)
-    schedule (m, &u->observe, OBSERVE, m->now + OBSERVE_US);
+  if (elapsed_s (m) < m->pattern->duration)
+    schedule (m, &u->observe, EVENT_OBSERVE, m->now_us + OBSERVE_INTERVAL_US);
 }
 
-/* What operators and fate do.  */
+/* Scripted events: changes by operators and faults.  */
 
-/* Make engine NUMBER known to all entries.  */
+/* Register engine NUMBER with all entries.  RETURNING is passed on to
+   balance_update.  */
 static void
 add_upstream (model_t *m, int number, bool returning)
 {
@@ -1014,89 +1069,93 @@
   int len = snprintf (name, sizeof name, "%d", number);
 
   u->exists = true;
-  u->work_us = m->now;
-  for (int e = 0; m->ours && e < ENTRIES; e++)
+  u->work_us = m->now_us;
+  for (int e = 0; m->uses_policy && e < ENTRY_COUNT; e++)
     {
       entry_t *entry = &m->entries[e];
 
-      entry->ids[number]
+      entry->upstream_ids[number]
           = balance_update (entry->balance, str_make (name, (size_t)len),
                             zones[u->zone], &pool, 1, returning);
-      entry->members[number] = outlier_add_member (entry->outlier, u);
+      entry->outlier_members[number] = outlier_add_member (entry->outlier, u);
     }
-  schedule (m, &u->report, REPORT, m->now + rng_below (&m->rng, REPORT_US));
-  schedule (m, &u->observe, OBSERVE, m->now + OBSERVE_US);
+  schedule (m, &u->report, EVENT_REPORT,
+            m->now_us + rng_below (&m->rng, REPORT_INTERVAL_US));
+  schedule (m, &u->observe, EVENT_OBSERVE, m->now_us + OBSERVE_INTERVAL_US);
 }
 
+/* Make U cold: slow, with few slots and an empty prefix cache.  RESTARTED:
+   reset the learned concurrency limit too.  */
 static void
-turn_cold (model_t *m, upstream_t *u, bool restarted)
-{
-  engine_work (m, u);
-  u->cold_until_us = m->now + seconds_us (m->pattern->cold_for);
-  u->was_full = false;
-  for (int i = 0; i < CACHED; i++)
-    u->cached[i] = 0;
-  if (restarted && m->ours)
+make_cold (model_t *m, upstream_t *u, bool restarted)
+{
+  engine_advance (m, u);
+  u->cold_until_us = m->now_us + seconds_us (m->pattern->cold_for);
+  u->has_recovered = false;
+  for (int i = 0; i < CACHED_PREFIXES; i++)
+    u->cached_prefixes[i] = 0;
+  if (restarted && m->uses_policy)
     limit_reset (u->limit);
   engine_schedule (m, u);
 }
 
 static void
-set_zone (model_t *m, bool in)
+set_zone_in_service (model_t *m, bool is_in)
 {
-  m->zone_in[0] = in;
-  for (int e = 0; m->ours && e < ENTRIES; e++)
-    balance_set_zone_enabled (m->entries[e].balance, STR ("zone-a"), in);
-  for (int i = 0; in && i < m->upstream_count; i++)
+  m->zone_in[0] = is_in;
+  for (int e = 0; m->uses_policy && e < ENTRY_COUNT; e++)
+    balance_set_zone_enabled (m->entries[e].balance, STR ("zone-a"), is_in);
+  for (int i = 0; is_in && i < m->upstream_count; i++)
     if (m->upstreams[i].zone == 0)
-      turn_cold (m, &m->upstreams[i], m->upstreams[i].jobs.count == 0);
+      make_cold (m, &m->upstreams[i], m->upstreams[i].jobs.count == 0);
 }
 
 static void
-set_failing (model_t *m, bool failing)
+set_engines_failing (model_t *m, bool is_failing)
 {
   for (int i = 0; i < m->pattern->failing; i++)
-    m->upstreams[i + (int)m->pattern->slow].failing = failing;
+    m->upstreams[i + (int)m->pattern->slow].is_failing = is_failing;
 }
 
-/* X (when, what happens).  */
-#define SCRIPT_LINES(X)                                                       \
-  X (p->fail_from, set_failing (m, true))                                     \
-  X (p->fail_to, set_failing (m, false))                                      \
-  X (p->cold_at, turn_cold (m, &m->upstreams[1], false))                      \
+/* X (time in seconds, action).  */
+#define SCRIPT_ACTIONS(X)                                                     \
+  X (p->fail_from, set_engines_failing (m, true))                             \
+  X (p->fail_to, set_engines_failing (m, false))                              \
+  X (p->cold_at, make_cold (m, &m->upstreams[1], false))                      \
   X (p->new_at, (add_upstream (m, m->upstream_count, true),                   \
-                 turn_cold (m, &m->upstreams[m->upstream_count++], true)))    \
-  X (p->zone_out, set_zone (m, false))                                        \
-  X (p->zone_in, set_zone (m, true))
+                 make_cold (m, &m->upstreams[m->upstream_count++], true)))    \
+  X (p->zone_out, set_zone_in_service (m, false))                             \
+  X (p->zone_in, set_zone_in_service (m, true))
 
-/* Do what is due by now, and wait for the next.  */
+/* Run the script lines that are due; schedule an event for the next one.  */
 static void
 on_script (model_t *m)
 {
   const pattern_t *p = m->pattern;
-  double t = elapsed (m);
+  double t = elapsed_s (m);
   double next = 1e9;
   int line = 0;
 
 #define X(when, action)                                                       \
   line++;                                                                     \
-  if ((when) >= 0 && (m->script_step & 1 << line) == 0)                       \
+  if ((when) >= 0 && (m->script_done & 1 << line) == 0)                       \
     {                                                                         \
       if ((when) <= t + 1e-9)                                                 \
         {                                                                     \
-          m->script_step |= 1 << line;                                        \
+          m->script_done |= 1 << line;                                        \
           action;                                                             \
         }                                                                     \
       else if ((when) < next)                                                 \
         next = (when);                                                        \
     }
-  SCRIPT_LINES (X)
+  SCRIPT_ACTIONS (X)
 #undef X
   if (next < 1e9)
-    schedule (m, &m->script, SCRIPT, m->begin + seconds_us (next) + 1);
+    schedule (m, &m->script, EVENT_SCRIPT,
+              m->start_us + seconds_us (next) + 1);
 }
 
-/* Set-up and results.  */
+/* Setup and results.  */
 
 static void
 create_entry (model_t *m, int e)
@@ -1106,8 +1165,9 @@
   entry_t *entry = &m->entries[e];
   char name[] = { 'e', (char)('0' + e) };
 
-  entry->turn = (int)rng_below (&m->policy_rng, (uint64_t)m->upstream_count);
-  if (!m->ours)
+  entry->last_selected
+      = (int)rng_below (&m->policy_rng, (uint64_t)m->upstream_count);
+  if (!m->uses_policy)
     return;
   entry->balance = balance_create (str_make (name, sizeof name), zones[e],
                                    m->clock, &m->policy_rng);
@@ -1124,23 +1184,23 @@
 
   u->number = number;
   u->zone = number % MODEL_ZONES;
-  u->slow = number < m->pattern->slow;
-  list_init (&u->waiting);
-  if (!m->ours)
+  u->is_slow = number < m->pattern->slow;
+  list_init (&u->engine_queue);
+  if (!m->uses_policy)
     return;
   u->limit = limit_create (NULL, m->clock);
   u->queue = queue_create (NULL, m->clock);
 }
 
 static void
-create (model_t *m)
+model_create (model_t *m)
 {
   m->clock = clock_manual_create (0);
-  m->begin = m->now = clock_us (m->clock);
+  m->start_us = m->now_us = clock_us (m->clock);
   m->upstream_count = (int)m->pattern->upstreams;
   for (int z = 0; z < MODEL_ZONES; z++)
     m->zone_in[z] = true;
-  for (int e = 0; e < ENTRIES; e++)
+  for (int e = 0; e < ENTRY_COUNT; e++)
     create_entry (m, e);
   for (int i = 0; i < MODEL_UPSTREAMS_MAX; i++)
     create_upstream (m, i);
@@ -1149,9 +1209,9 @@
 }
 
 static void
-destroy (model_t *m)
+model_destroy (model_t *m)
 {
-  for (int e = 0; e < ENTRIES; e++)
+  for (int e = 0; e < ENTRY_COUNT; e++)
     {
       balance_destroy (m->entries[e].balance);
       outlier_destroy (m->entries[e].outlier);
@@ -1164,7 +1224,7 @@
       queue_destroy (m->upstreams[i].queue);
       heap_free (&m->upstreams[i].jobs);
     }
-  for (int list = 0; list < 3; list++)
+  for (int list = 0; list < WAIT_LISTS; list++)
     free (m->waits[list]);
   heap_free (&m->events);
   clock_manual_destroy (m->clock);
@@ -1190,53 +1250,58 @@
   return m->waits[list][(size_t)((double)(n - 1) * q)];
 }
 
-/* Return the shortfall of the team worst off against its max-min fair share
-   of what was served.  */
+/* Return the shortfall of the worst-served team against its max-min fair share
+   of the served work, as a fraction of that share.  */
 static double
-unfairness (const model_t *m)
+compute_unfairness (const model_t *m)
 {
-  double level = 0;
-  double high = m->served_sum + 1;
-  double worst = 0;
+  double fair_share = 0;
+  double upper = m->served_work_sum + 1;
+  double worst_shortfall = 0;
 
-  /* Find the level at which the entitlements add up to what was served.  */
+  /* Find by bisection the fair share at which the entitlements add up to the
+     served work.  */
   for (int i = 0; i < 60; i++)
     {
-      double middle = (level + high) / 2;
+      double middle = (fair_share + upper) / 2;
       double sum = 0;
 
       for (int t = 0; t < MODEL_TEAMS; t++)
-        sum += fmin (m->asked[t], middle);
-      if (sum <= m->served_sum)
-        level = middle;
+        sum += fmin (m->requested_work[t], middle);
+      if (sum <= m->served_work_sum)
+        fair_share = middle;
       else
-        high = middle;
+        upper = middle;
     }
   for (int t = 0; t < MODEL_TEAMS; t++)
-    if (m->asked[t] > 0)
-      worst = fmax (worst, 1 - m->served[t] / fmin (m->asked[t], level));
-  return worst;
+    if (m->requested_work[t] > 0)
+      worst_shortfall = fmax (
+          worst_shortfall,
+          1 - m->served_work[t] / fmin (m->requested_work[t], fair_share));
+  return worst_shortfall;
 }
 
 static void
-sum_up (model_t *m)
+compute_result (model_t *m)
 {
   outcome_t *out = &m->out;
 
-  out->goodput = m->served_sum / (m->pattern->duration - m->pattern->warm_up);
-  out->short_p50_ms = quantile (m, 0, 0.5);
-  out->short_p99_ms = quantile (m, 0, 0.99);
-  out->quiet_p99_ms = quantile (m, 1, 0.99);
-  if (m->asked[QUIET_TEAM] > 0)
-    out->quiet_answered = m->served[QUIET_TEAM] / m->asked[QUIET_TEAM];
-  out->after_p99_ms = quantile (m, 2, 0.99);
-  out->unfairness = unfairness (m);
+  out->goodput
+      = m->served_work_sum / (m->pattern->duration - m->pattern->warm_up);
+  out->short_p50_ms = quantile (m, WAITS_ALL, 0.5);
+  out->short_p99_ms = quantile (m, WAITS_ALL, 0.99);
+  out->quiet_p99_ms = quantile (m, WAITS_QUIET_TEAM, 0.99);
+  if (m->requested_work[QUIET_TEAM] > 0)
+    out->quiet_answered
+        = m->served_work[QUIET_TEAM] / m->requested_work[QUIET_TEAM];
+  out->after_p99_ms = quantile (m, WAITS_AFTER_EVENT, 0.99);
+  out->unfairness = compute_unfairness (m);
   if (out->attempts > 0)
     out->bad_share = (double)m->bad_attempts / (double)out->attempts;
-  if (out->full_use_s == NO_SAMPLE)
+  if (out->full_use_s == NO_RECOVERY)
     out->full_use_s = m->pattern->duration;
-  if (m->crowd_count > 0)
-    out->crowding = m->crowd_sum / (double)m->crowd_count;
+  if (m->imbalance_count > 0)
+    out->crowding = m->imbalance_sum / (double)m->imbalance_count;
 }
 
 static void
@@ -1244,63 +1309,63 @@
 {
   switch (event->type)
     {
-    case ARRIVAL:
+    case EVENT_ARRIVAL:
       on_arrival (m);
       break;
-    case ENGINE:
+    case EVENT_ENGINE:
       on_engine (m, CONTAINER_OF (event, upstream_t, engine));
       break;
-    case LAPSE:
-      sidecar_pump (m, CONTAINER_OF (event, upstream_t, lapse));
+    case EVENT_QUEUE_EXPIRY:
+      sidecar_start_queued (m, CONTAINER_OF (event, upstream_t, queue_expiry));
       break;
-    case DEADLINE:
+    case EVENT_DEADLINE:
       on_deadline (m, CONTAINER_OF (event, request_t, deadline));
       break;
-    case STEP:
-      on_step (m, CONTAINER_OF (event, request_t, step));
+    case EVENT_RETRY_STEP:
+      on_retry_step (m, CONTAINER_OF (event, request_t, retry_step));
       break;
-    case REPORT:
+    case EVENT_REPORT:
       on_report (m, CONTAINER_OF (event, upstream_t, report));
       break;
-    case HEARD:
-      on_heard (m, CONTAINER_OF (event, heard_t, event));
+    case EVENT_DELIVERY:
+      on_notification (m, CONTAINER_OF (event, notification_t, event));
       break;
-    case OBSERVE:
+    case EVENT_OBSERVE:
       on_observe (m, CONTAINER_OF (event, upstream_t, observe));
       break;
-    case SCRIPT:
+    case EVENT_SCRIPT:
       on_script (m);
       break;
     }
 }
 
 outcome_t
-model_run (const pattern_t *pattern, uint64_t seed, bool ours)
+model_run (const pattern_t *pattern, uint64_t seed, bool uses_policy)
 {
   model_t *m = mem_zalloc (sizeof *m);
   heap_node_t *node;
   outcome_t out;
 
   m->pattern = pattern;
-  m->ours = ours;
+  m->uses_policy = uses_policy;
   m->rng = rng_make (seed);
   m->policy_rng = rng_make (~seed);
-  m->out.full_use_s = NO_SAMPLE;
-  create (m);
+  m->out.full_use_s = NO_RECOVERY;
+  model_create (m);
   on_script (m);
   schedule_arrival (m);
   while ((node = heap_top (&m->events)) != NULL)
     {
       event_t *event = CONTAINER_OF (node, event_t, node);
 
-      clock_manual_advance_us (m->clock, node->key - m->now);
-      m->now = node->key;
+      clock_manual_advance_us (m->clock, node->key - m->now_us);
+      m->now_us = node->key;
       unschedule (m, event);
       run_event (m, event);
     }
-  sum_up (m);
+  compute_result (m);
   out = m->out;
-  destroy (m);
+  model_destroy (m);
   free (m);
   return out;
 }
--- a/bench/model.h
+++ b/bench/model.h
@@ -1,17 +1,20 @@
-/* A queueing model of entries, sidecars and engines, to judge the decisions of
-   the policy package by what callers receive.  Time is simulated; the same
-   seed gives the same run.
+/* A discrete-event queueing model of entries, sidecars and engines.  It judges
+   the decisions of the policy package by the latency and the success of
+   requests.  Time is simulated; the same seed gives the same run.
 
-   An engine works at all its running jobs at the same speed.  Up to its slots
-   each runs at full speed; beyond them the total falls with a power of the
-   excess (its square root, unless the pattern sets another), as batches that
-   no longer fit its memory are evicted and computed again.  It takes four
-   times its slots at most and lets the rest wait in order.  A cold engine has
-   two slots and a fifth of the speed.
+   An engine processes all its running jobs at the same speed.  Up to its
+   number of slots each job runs at full speed.  Beyond that number the total
+   speed falls with a power of the excess (its square root, unless the pattern
+   sets another power), because batches that no longer fit the engine's memory
+   are evicted and computed again.  An engine runs at most four times its slots
+   and queues further jobs in order of arrival.  A cold engine has two slots
+   and a fifth of the speed.
 
-   The plain side is round robin (or what the pattern names), no limit, first
-   come first served, three tries at once.  Both sides give up a request when
-   its caller leaves at the deadline.  */
+   The baseline selects upstreams by round robin (or by the algorithm that the
+   pattern names), has no concurrency limit, serves requests first come, first
+   served, and makes up to three attempts without a delay between them.  With
+   the baseline and with the policy package alike, a request ends when its
+   caller disconnects at the deadline.  */
 
 #ifndef BENCH_MODEL_H
 #define BENCH_MODEL_H
@@ -23,46 +26,48 @@
   MODEL_TEAMS = 10,
   MODEL_UPSTREAMS_MAX = 64,
   MODEL_ZONES = 3,
-  /* Units of cost that a warm slot does in a second.  */
+  /* Units of cost that one slot of a warm engine processes in a second.  */
   MODEL_SPEED = 100
 };
 
-/* How the plain side chooses.  */
+/* Algorithm by which the baseline selects an upstream.  */
 typedef enum
 {
   PLAIN_ROUND_ROBIN,
+  /* The lowest number of requests in the latest load reports.  */
   PLAIN_LEAST_REPORTED,
+  /* Hash of the prompt prefix; round robin for a request without a prefix.  */
   PLAIN_HASH
 } plain_t;
 
-/* X (field, default, what it says).  Times are in seconds.  */
+/* X (field, default, help text).  Times are in seconds.  */
 #define PATTERN_FIELDS(X)                                                     \
-  X (duration, 60, "how long requests arrive")                                \
-  X (warm_up, 5, "how long before requests are counted")                      \
-  X (upstreams, 20, "engines, in turn over three zones")                      \
-  X (slots, 8, "jobs an engine runs at full speed")                           \
-  X (thrash, 0.5, "power of the excess with which an engine slows, 0 none")   \
-  X (load, 0.7, "work that arrives, as a part of what all engines do")        \
-  X (burst, 0, "load between burst_from and burst_to instead")                \
-  X (burst_from, 10, "")                                                      \
-  X (burst_to, 20, "")                                                        \
-  X (hot_team, 0.1, "part of the requests that one team of ten sends")        \
+  X (duration, 60, "time during which requests arrive")                       \
+  X (warm_up, 5, "time before requests are counted")                          \
+  X (upstreams, 20, "number of engines, spread over three zones")             \
+  X (slots, 8, "jobs that an engine runs at full speed")                      \
+  X (thrash, 0.5, "power of the excess with which an engine slows, 0: none")  \
+  X (load, 0.7, "offered work as a fraction of the engines' capacity")        \
+  X (burst, 0, "load between burst_from and burst_to; 0: no burst")           \
+  X (burst_from, 10, "start of the burst")                                    \
+  X (burst_to, 20, "end of the burst")                                        \
+  X (hot_team, 0.1, "fraction of the requests sent by the busiest team")      \
   X (quiet, 0.05, "load of a team that sends half of its fair share")         \
-  X (hot_prefix, 0, "part of the requests that share one prompt prefix")      \
-  X (prefixes, 200, "other prefixes; an engine caches 32")                    \
-  X (long_work, 0, "part of the work that is in long jobs")                   \
+  X (hot_prefix, 0, "fraction of the requests with the same prompt prefix")   \
+  X (prefixes, 200, "number of other prefixes; an engine caches 32")          \
+  X (long_work, 0, "fraction of the work that is in long jobs")               \
   X (long_cost, 6000, "mean units of a long job")                             \
-  X (slow, 0, "engines that are five times slower")                           \
-  X (failing, 0, "engines that answer errors at once")                        \
-  X (fail_from, 0, "when they do")                                            \
-  X (fail_to, 1e9, "")                                                        \
-  X (cold_at, -1, "when one engine turns cold")                               \
-  X (cold_for, 5, "for how long a cold engine stays cold")                    \
-  X (new_at, -1, "when one engine more starts, cold")                         \
-  X (zone_out, -1, "when a zone is taken out")                                \
-  X (zone_in, -1, "when it is brought back, with cold engines")               \
-  X (lag, 0.1, "most that a load report is late")                             \
-  X (deadline, 5, "of a short job; a long one has twenty times that")
+  X (slow, 0, "number of engines that are five times slower")                 \
+  X (failing, 0, "number of engines that return errors at once")              \
+  X (fail_from, 0, "start of the errors")                                     \
+  X (fail_to, 1e9, "end of the errors")                                       \
+  X (cold_at, -1, "time when one engine becomes cold, -1: never")             \
+  X (cold_for, 5, "time for which a cold engine stays cold")                  \
+  X (new_at, -1, "time when one more engine starts, cold, -1: never")         \
+  X (zone_out, -1, "time when a zone is taken out of service, -1: never")     \
+  X (zone_in, -1, "time when the zone returns with cold engines, -1: never")  \
+  X (lag, 0.1, "longest delay of a load report")                              \
+  X (deadline, 5, "deadline of a short job; a long job has 20 times as much")
 
 typedef struct
 {
@@ -73,41 +78,54 @@
 #undef X
 } pattern_t;
 
+/* Counts and statistics of a run.  Requests that arrive during the warm-up are
+   not counted, except in LATE.  */
 typedef struct
 {
   uint64_t requests;
-  uint64_t attempts;   /* Sent to an upstream that took them.  */
-  uint64_t dispatched; /* Sent at all; the others were refused there.  */
-  uint64_t answered;   /* In time.  */
-  uint64_t errors;     /* Ended by an error of an upstream.  */
-  uint64_t refused;    /* Without waiting.  */
-  uint64_t lapsed;     /* Refused after waiting, or left at the deadline.  */
-  uint64_t late;       /* Answered after the deadline.  */
-  double goodput;      /* Units a second answered in time.  */
+  uint64_t attempts;   /* Attempts that an upstream accepted.  */
+  uint64_t dispatched; /* Attempts sent, those that an upstream refused
+                          included.  */
+  uint64_t answered;   /* Requests answered within their deadline.  */
+  uint64_t errors;     /* Requests that ended with an upstream's error.  */
+  uint64_t refused;    /* Requests refused on arrival, without waiting.  */
+  uint64_t lapsed;     /* Requests refused after a wait, or abandoned by the
+                          caller at the deadline.  */
+  uint64_t late;       /* Requests answered after their deadline.  */
+  double goodput;      /* Units of work per second answered in time.  */
+  /* Quantiles of the time until a short job ended; jobs refused on arrival
+     are left out.  */
   double short_p50_ms;
-  double short_p99_ms;   /* Of short jobs that were not refused at once.  */
-  double quiet_p99_ms;   /* The same of the quiet team.  */
-  double quiet_answered; /* Part of its requests.  */
-  double after_p99_ms;   /* The same of those that came from five to ten
-                            seconds after the event of the pattern.  */
-  double unfairness;     /* Shortfall of the team worst off against its max-min
-                            fair share: 0 none, 1 nothing served.  */
-  double bad_share;  /* Of the attempts, at slow, failing or cold engines.  */
-  double crowding;   /* Most that one engine had, to the mean, of its load.  */
-  double full_use_s; /* From the end of coldness until the engine carries
-                        three quarters of the mean of all; the duration for
-                        never.  */
+  double short_p99_ms;
+  double quiet_p99_ms;   /* 99th percentile for short jobs of the team that
+                            sends half of its fair share.  */
+  double quiet_answered; /* Fraction of that team's work that was answered in
+                            time.  */
+  double after_p99_ms;   /* 99th percentile for short jobs that arrived from
+                            five to ten seconds after the pattern's event (end
+                            of a burst, restart, return of a zone).  */
+  double unfairness;     /* Shortfall of the worst-served team against its
+                            max-min fair share: 0 none, 1 nothing served.  */
+  double bad_share;  /* Fraction of the attempts that went to slow, failing or
+                        cold engines.  */
+  double crowding;   /* Mean ratio of the most loaded engine's load to the mean
+                        load.  */
+  double full_use_s; /* Longest time from the end of an engine's cold phase
+                        until the engine runs three quarters of the mean number
+                        of jobs; the pattern's duration if none did.  */
 } outcome_t;
 
-/* Run PATTERN with SEED, by the plain side or by the policy package.  */
+/* Run PATTERN with SEED, with the policy package if OURS and with the baseline
+   otherwise.  */
 outcome_t model_run (const pattern_t *pattern, uint64_t seed, bool ours);
 
 /* Patterns of bench/patterns.c.  */
 
-/* Return the committed pattern INDEX, or NULL past the end.  */
+/* Return the built-in pattern INDEX, or NULL past the end.  */
 const pattern_t *pattern_at (size_t index);
-/* Parse "NAME[,FIELD=VALUE...]" into PATTERN.  NAME is a committed pattern or
-   "plain", the defaults.  Return false when it names something unknown.  */
+/* Parse "NAME[,FIELD=VALUE...]" into PATTERN.  NAME is a built-in pattern, or
+   "plain" for the defaults.  Return false for an unknown name or field and for
+   a value that is out of range.  */
 bool pattern_parse (str_t text, pattern_t *pattern);
 
 #endif
--- a/bench/patterns.c
+++ b/bench/patterns.c
@@ -1,11 +1,12 @@
-/* The load patterns that the policy package is judged by.  */
+/* The load patterns on which the policy package is compared with the
+   baseline.  */
 
 #include "model.h"
 
 #define DEFAULTS .plain = PLAIN_ROUND_ROBIN, PATTERN_FIELDS (X)
 #define X(field, value, text) .field = (value),
 
-/* Later designators take the place of the defaults.  */
+/* A pattern's own designators override those of DEFAULTS.  */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Woverride-init"
 #ifdef __clang__
@@ -35,7 +36,7 @@
     .plain = PLAIN_LEAST_REPORTED },
 };
 
-static const pattern_t plain = { DEFAULTS.name = STR ("plain") };
+static const pattern_t default_pattern = { DEFAULTS.name = STR ("plain") };
 
 #pragma GCC diagnostic pop
 #undef X
@@ -50,14 +51,15 @@
 static bool
 find_pattern (str_t name, pattern_t *pattern)
 {
-  *pattern = plain;
+  *pattern = default_pattern;
   for (size_t i = 0; i < sizeof patterns / sizeof patterns[0]; i++)
     if (str_eq (patterns[i].name, name))
       *pattern = patterns[i];
   return str_eq (pattern->name, name);
 }
 
-/* Set the field that TEXT, "FIELD=VALUE", names.  */
+/* Set a field of PATTERN from TEXT, "FIELD=VALUE".  Return false if the field
+   is unknown or the value is no number.  */
 static bool
 set_field (str_t text, pattern_t *pattern)
 {
--- a/bench/points.c
+++ b/bench/points.c
@@ -12,16 +12,15 @@
   points->count++;
 }
 
-/* Fit and print POINTS.  */
 void
-points_print (const points_t *points, const char *name, const char *unit)
+points_print_fit (const points_t *points, const char *name, const char *unit)
 {
   double n = points->count;
   double mean_x = 0;
   double mean_y = 0;
-  double xx = 0;
-  double xy = 0;
-  double yy = 0;
+  double sum_xx = 0;
+  double sum_xy = 0;
+  double sum_yy = 0;
 
   for (int i = 0; i < points->count; i++)
     {
@@ -32,12 +31,13 @@
     {
       double dx = points->x[i] - mean_x;
       double dy = points->y[i] - mean_y;
-      xx += dx * dx;
-      xy += dx * dy;
-      yy += dy * dy;
+      sum_xx += dx * dx;
+      sum_xy += dx * dy;
+      sum_yy += dy * dy;
     }
-  double slope = xx > 0 ? xy / xx : 0;
-  double r2 = xx > 0 && yy > 0 ? xy * xy / (xx * yy) : 1;
+  double slope = sum_xx > 0 ? sum_xy / sum_xx : 0;
+  double r2
+      = sum_xx > 0 && sum_yy > 0 ? sum_xy * sum_xy / (sum_xx * sum_yy) : 1;
   printf ("slope %s unit=%s intercept=%.6g slope=%.6g r2=%.3f points=%d\n",
           name, unit, mean_y - slope * mean_x, slope, r2, points->count);
   for (int i = 0; i < points->count; i++)
@@ -45,9 +45,8 @@
   fflush (stdout);
 }
 
-/* Processor time of this process.  */
 double
-cpu_ns (void)
+cpu_time_ns (void)
 {
   struct timespec t;
 
@@ -55,9 +54,8 @@
   return (double)t.tv_sec * 1e9 + (double)t.tv_nsec;
 }
 
-/* Bytes in use of the heap.  */
 double
-heap_bytes (void)
+heap_used_bytes (void)
 {
   struct mallinfo2 info = mallinfo2 ();
 
@@ -65,7 +63,7 @@
 }
 
 str_t
-name_of (char *buf, size_t size, const char *kind, int i)
+format_name (char *buf, size_t size, const char *kind, int i)
 {
   int len = snprintf (buf, size, "%s-%d", kind, i);
 
--- a/bench/points.h
+++ b/bench/points.h
@@ -1,5 +1,5 @@
-/* Points of a measurement, the straight line through them, and what is
-   measured.  */
+/* Points of a measurement, a straight line fitted to them, and the processor
+   time and memory that benchmarks measure.  */
 
 #ifndef BENCH_POINTS_H
 #define BENCH_POINTS_H
@@ -19,13 +19,16 @@
 } points_t;
 
 void points_add (points_t *points, double x, double y);
-/* Fit a straight line of least squares and print it and the points.  */
-void points_print (const points_t *points, const char *name, const char *unit);
-/* Processor time of this process.  */
-double cpu_ns (void);
-/* Bytes in use of the heap.  */
-double heap_bytes (void);
-/* Write KIND-I into BUF.  */
-str_t name_of (char *buf, size_t size, const char *kind, int i);
+/* Fit a straight line to POINTS by least squares; print the line and the
+   points under NAME.  UNIT is that of the slope, as "ns/team".  */
+void points_print_fit (const points_t *points, const char *name,
+                       const char *unit);
+/* Return the processor time that this process has used, in ns.  */
+double cpu_time_ns (void);
+/* Return the number of bytes allocated on the heap and in separate
+   mappings.  */
+double heap_used_bytes (void);
+/* Write "KIND-I" into BUF, of SIZE bytes, and return a reference to it.  */
+str_t format_name (char *buf, size_t size, const char *kind, int i);
 
 #endif
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -1,6 +1,7 @@
-/* Uses the decisions under load in a program of one's own: admission takes
-   or refuses a request, balance chooses its upstream, limit says whether that
-   can carry one more.  The upstreams are timers here.
+/* Uses the policy library in a program without the vanillahook daemon:
+   `admission' accepts or refuses a request, `balance' selects its upstream,
+   and `limit' decides whether that upstream may run one request more.  Timers
+   stand in for the upstreams.  Build with
      cc embed.c $(pkg-config --cflags --libs vanillahook) -o embed  */
 
 #include "policy/admission.h"
@@ -24,15 +25,15 @@
 static upstream_t upstreams[UPSTREAMS] = { { .name = "a", .service_ms = 5 },
                                            { .name = "b", .service_ms = 5 },
                                            { .name = "c", .service_ms = 20 } };
-static uv_timer_t calls[REQUESTS]; /* One a request.  */
+static uv_timer_t call_timers[REQUESTS]; /* One timer per request.  */
 static unsigned arrived, refused;
 static admission_t *admission;
 static balance_t *balance;
 
 static void
-on_answered (uv_timer_t *call)
+on_answered (uv_timer_t *call_timer)
 {
-  upstream_t *upstream = call->data;
+  upstream_t *upstream = call_timer->data;
 
   limit_release (upstream->limit, upstream->service_ms * 1000, 1, true);
   balance_request_ended (balance, upstream->id, true);
@@ -40,16 +41,16 @@
 }
 
 static void
-on_arrival (uv_timer_t *arrivals)
+on_arrival (uv_timer_t *arrival_timer)
 {
   balance_request_t request
       = { .pool = balance_find_or_add_pool (balance, STR ("m@1")) };
-  uv_timer_t *call = &calls[arrived++];
+  uv_timer_t *call_timer = &call_timers[arrived++];
   upstream_t *chosen = upstreams;
   upstream_id_t id;
 
   if (arrived == REQUESTS)
-    uv_timer_stop (arrivals);
+    uv_timer_stop (arrival_timer);
   if (admission_decide (admission, STR ("team"), 1, QUEUE_PRIORITY_NORMAL)
           != VH_OK
       || balance_pick (balance, &request, &id) != VH_OK)
@@ -59,22 +60,22 @@
     }
   while (chosen->id != id)
     chosen++;
-  bool taken = limit_acquire (chosen->limit) == VH_OK;
-  admission_record_result (admission, 1, taken);
-  refused += !taken;
-  if (!taken)
+  bool is_accepted = limit_acquire (chosen->limit) == VH_OK;
+  admission_record_result (admission, 1, is_accepted);
+  refused += !is_accepted;
+  if (!is_accepted)
     return;
   balance_request_started (balance, id);
-  uv_timer_init (arrivals->loop, call);
-  call->data = chosen;
-  uv_timer_start (call, on_answered, chosen->service_ms, 0);
+  uv_timer_init (arrival_timer->loop, call_timer);
+  call_timer->data = chosen;
+  uv_timer_start (call_timer, on_answered, chosen->service_ms, 0);
 }
 
 int
 main (void)
 {
   rng_t rng = rng_make (1);
-  uv_timer_t arrivals;
+  uv_timer_t arrival_timer;
 
   admission = admission_create (clock_system (), &rng);
   balance = balance_create (STR ("embed"), STR ("z"), clock_system (), &rng);
@@ -84,8 +85,8 @@
       u->id = balance_update (balance, str_from (u->name), STR ("z"),
                               &STR ("m@1"), 1, false);
     }
-  uv_timer_init (uv_default_loop (), &arrivals);
-  uv_timer_start (&arrivals, on_arrival, 0, 2);
+  uv_timer_init (uv_default_loop (), &arrival_timer);
+  uv_timer_start (&arrival_timer, on_arrival, 0, 2);
   uv_run (uv_default_loop (), UV_RUN_DEFAULT);
   for (upstream_t *u = upstreams; u < upstreams + UPSTREAMS; u++)
     {
