--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -1,6 +1,8 @@
-/* Cost at the quality target, and exposure to bad versions, each against
-   what an operator would do without the modules, in one run of the same
-   requests.  See docs/CASCADE.md and docs/ROLLOUT.md.  */
+/* Measures the cost of a cascade that reaches a quality target, and the
+   requests answered by a bad version.  Each is compared with a fixed procedure
+   that an operator would use without the modules (a fixed threshold, stages,
+   an hourly check), on the same sequence of random seeds.  See docs/CASCADE.md
+   and docs/ROLLOUT.md.  */
 
 #include "base/rng.h"
 #include "base/str.h"
@@ -13,49 +15,51 @@
 #include <stdlib.h>
 
 #define START_MS ((uint64_t)1700000000000)
-/* Ten requests a second.  */
-#define GAP_MS 100
+/* Interval between requests: ten per second.  */
+#define REQUEST_INTERVAL_MS 100
 
 enum
 {
   COST_REQUESTS = 40000,
-  /* Each row is the mean of so many runs from knowing nothing.  */
+  /* Number of runs in the mean of a row; each run starts without samples.  */
   COST_SEEDS = 5,
   EXPOSURE_SEEDS = 40,
-  HALT_SEEDS = 400,
+  FALSE_HALT_SEEDS = 400,
   ROLLOUT_REQUESTS_MAX = 200000,
   VERSIONS = 3,
-  CHECKS = 20,
-  /* A fixed roll-out stays this long at 10%, then at 50%, and looks at the
-     means at the end of each.  */
+  RATING_CHECKS = 20,
+  /* Requests in each stage (10%, 50%, 100%) of the fixed roll-out, which
+     compares means at the end of the first two stages.  */
   STAGE_REQUESTS = 10000,
-  HORIZON = 3 * STAGE_REQUESTS
+  /* Requests over which exposure is counted: all stages together.  */
+  EXPOSURE_REQUESTS = 3 * STAGE_REQUESTS
 };
 
-/* Price of one rating; an answer of the three versions costs 1, 4 and 15.  */
+/* Price of one rating, in the unit of the versions' prices (1, 4 and 15 per
+   answer).  */
 #define RATING_COST 0.3
 #define FIXED_THRESHOLD 0.8
 
-static const double costs[VERSIONS] = { 1, 4, 15 };
+static const double answer_costs[VERSIONS] = { 1, 4, 15 };
 /* Mean quality of the answers to a hard and to an easy request.  */
-static const double means[VERSIONS][2]
+static const double quality_means[VERSIONS][2]
     = { { 0.55, 0.93 }, { 0.8, 0.95 }, { 0.92, 0.96 } };
-static const double priors[VERSIONS] = { 0.6, 0.7, 0.8 };
+static const double quality_priors[VERSIONS] = { 0.6, 0.7, 0.8 };
 static const double latencies_ms[VERSIONS] = { 400, 900, 2000 };
-static const char *const names[VERSIONS]
+static const char *const version_names[VERSIONS]
     = { "small@1", "medium@1", "large@1" };
 
 static uint64_t base_seed = 1;
-static const char *pattern = "*";
+static const char *row_pattern = "*";
 
 static bool
-wanted (const char *name)
+is_wanted (const char *name)
 {
-  return str_matches_glob (str_from (pattern), str_from (name));
+  return str_matches_glob (str_from (row_pattern), str_from (name));
 }
 
 static void
-row (const char *name, double baseline, double ours, const char *unit)
+print_row (const char *name, double baseline, double ours, const char *unit)
 {
   printf ("bench %s baseline=%.6g ours=%.6g ratio=%.4f unit=%s\n", name,
           baseline, ours, baseline != 0 ? ours / baseline : 0, unit);
@@ -63,7 +67,7 @@
 }
 
 static double
-normal (rng_t *rng)
+draw_normal (rng_t *rng)
 {
   double u = 1 - rng_double (rng);
 
@@ -71,29 +75,30 @@
 }
 
 static double
-answer_quality (rng_t *rng, size_t version, bool easy)
+draw_answer_quality (rng_t *rng, size_t version, bool is_easy)
 {
-  return means[version][easy] + 0.06 * (rng_double (rng) - 0.5);
+  return quality_means[version][is_easy] + 0.06 * (rng_double (rng) - 0.5);
 }
 
-/* The rating service checks CHECKS points, each met with chance TRUTH: right
-   on average, with a spread of 0.05 at 0.95 and 0.11 at 0.55.  */
+/* Return a simulated rating of an answer of quality TRUTH.  Each of
+   RATING_CHECKS criteria passes with probability TRUTH, so that the rating is
+   unbiased, with a standard deviation of 0.05 at 0.95 and 0.11 at 0.55.  */
 static double
-rate (rng_t *rng, double truth)
+draw_rating (rng_t *rng, double truth)
 {
-  int met = 0;
+  int passed = 0;
 
-  for (int i = 0; i < CHECKS; i++)
-    met += rng_double (rng) < truth;
-  return (double)met / CHECKS;
+  for (int i = 0; i < RATING_CHECKS; i++)
+    passed += rng_double (rng) < truth;
+  return (double)passed / RATING_CHECKS;
 }
 
 typedef struct
 {
   double cost;
   double quality;
-  double error; /* Standard error of the quality.  */
-} total_t;
+  double error; /* Standard error of QUALITY.  */
+} cost_summary_t;
 
 typedef struct
 {
@@ -112,25 +117,27 @@
   s->count++;
 }
 
-static total_t
-sums_total (const sums_t *s)
+static cost_summary_t
+sums_summary (const sums_t *s)
 {
   double mean = s->quality / s->count;
   double variance = s->squares / s->count - mean * mean;
 
-  return (total_t){ s->cost / s->count, mean, sqrt (variance / s->count) };
+  return (cost_summary_t){ s->cost / s->count, mean,
+                           sqrt (variance / s->count) };
 }
 
-/* Add RUN, one of COST_SEEDS, to their mean.  */
+/* Add RUN, one of COST_SEEDS runs, to MEAN.  */
 static void
-total_add (total_t *mean, total_t run)
+summary_add (cost_summary_t *mean, cost_summary_t run)
 {
   mean->cost += run.cost / COST_SEEDS;
   mean->quality += run.quality / COST_SEEDS;
   mean->error = hypot (mean->error, run.error / COST_SEEDS);
 }
 
-static total_t
+/* Send every request to the strongest version.  */
+static cost_summary_t
 run_strongest (double easy_share, uint64_t seed)
 {
   rng_t rng = rng_make (seed);
@@ -138,33 +145,33 @@
 
   for (int i = 0; i < COST_REQUESTS; i++)
     {
-      bool easy = rng_double (&rng) < easy_share;
-      sums_add (&s, costs[2], answer_quality (&rng, 2, easy));
+      bool is_easy = rng_double (&rng) < easy_share;
+      sums_add (&s, answer_costs[2], draw_answer_quality (&rng, 2, is_easy));
     }
-  return sums_total (&s);
+  return sums_summary (&s);
 }
 
-/* The usual cascade: small first, large when rated under a threshold set by
-   hand.  */
-static total_t
-run_fixed (double easy_share, uint64_t seed)
+/* Run a conventional cascade: the small version answers first, and the large
+   one too if the rating is below a fixed threshold.  */
+static cost_summary_t
+run_fixed_threshold (double easy_share, uint64_t seed)
 {
   rng_t rng = rng_make (seed);
   sums_t s = { 0 };
 
   for (int i = 0; i < COST_REQUESTS; i++)
     {
-      bool easy = rng_double (&rng) < easy_share;
-      double got = answer_quality (&rng, 0, easy);
-      double paid = costs[0] + RATING_COST;
-      if (rate (&rng, got) < FIXED_THRESHOLD)
+      bool is_easy = rng_double (&rng) < easy_share;
+      double answer_quality = draw_answer_quality (&rng, 0, is_easy);
+      double cost = answer_costs[0] + RATING_COST;
+      if (draw_rating (&rng, answer_quality) < FIXED_THRESHOLD)
         {
-          got = answer_quality (&rng, 2, easy);
-          paid += costs[2];
+          answer_quality = draw_answer_quality (&rng, 2, is_easy);
+          cost += answer_costs[2];
         }
-      sums_add (&s, paid, got);
+      sums_add (&s, cost, answer_quality);
     }
-  return sums_total (&s);
+  return sums_summary (&s);
 }
 
 typedef struct
@@ -175,48 +182,53 @@
   uint64_t now_ms;
 } router_t;
 
-/* Run one request by PLAN; return what it cost and set *GOT.  */
+/* Run one request by PLAN.  Return its cost, ratings included; store the
+   quality of its answer in *ANSWER_QUALITY.  */
 static double
-run_plan (router_t *r, const cascade_plan_t *plan, bool easy, double *got)
+run_plan (router_t *r, const cascade_plan_t *plan, bool is_easy,
+          double *answer_quality)
 {
   str_t task = STR ("draft");
-  str_t first = str_from (names[plan->first]);
-  double paid = costs[plan->first];
+  str_t first = str_from (version_names[plan->first]);
+  double cost = answer_costs[plan->first];
 
-  *got = answer_quality (&r->rng, plan->first, easy);
+  *answer_quality = draw_answer_quality (&r->rng, plan->first, is_easy);
   if (plan->kind == CASCADE_DIRECT)
     {
       if (plan->is_audited
           || quality_should_rate (r->quality, &r->rng, task, first, r->now_ms))
         {
-          quality_add_rating (r->quality, task, first, rate (&r->rng, *got),
+          quality_add_rating (r->quality, task, first,
+                              draw_rating (&r->rng, *answer_quality),
                               r->now_ms);
-          paid += RATING_COST;
+          cost += RATING_COST;
         }
-      return paid;
+      return cost;
     }
-  double rating = rate (&r->rng, *got);
-  double audit = plan->is_audited ? rate (&r->rng, *got) : NAN;
-  paid += plan->is_audited ? 2 * RATING_COST : RATING_COST;
+  double rating = draw_rating (&r->rng, *answer_quality);
+  double audit
+      = plan->is_audited ? draw_rating (&r->rng, *answer_quality) : NAN;
+  cost += plan->is_audited ? 2 * RATING_COST : RATING_COST;
   cascade_record_first (r->cascade, task, first, rating, audit, r->now_ms);
   quality_add_rating (r->quality, task, first, rating, r->now_ms);
   if (rating >= plan->threshold)
-    return paid;
-  *got = answer_quality (&r->rng, plan->second, easy);
-  paid += costs[plan->second];
+    return cost;
+  *answer_quality = draw_answer_quality (&r->rng, plan->second, is_easy);
+  cost += answer_costs[plan->second];
   if (plan->is_audited)
     {
-      cascade_record_second (r->cascade, task, first,
-                             str_from (names[plan->second]), rating,
-                             rate (&r->rng, *got), r->now_ms);
-      paid += RATING_COST;
+      cascade_record_second (
+          r->cascade, task, first, str_from (version_names[plan->second]),
+          rating, draw_rating (&r->rng, *answer_quality), r->now_ms);
+      cost += RATING_COST;
     }
-  return paid;
+  return cost;
 }
 
-/* From knowing nothing; what is learned on the way is paid for.  */
-static total_t
-run_ours (double easy_share, double target, uint64_t seed)
+/* Run the cascade module without prior samples; the cost of exploration is
+   included.  */
+static cost_summary_t
+run_cascade (double easy_share, double target, uint64_t seed)
 {
   router_t r
       = { .rng = rng_make (seed),
@@ -225,16 +237,17 @@
           .now_ms = START_MS };
   sums_t s = { 0 };
 
-  for (int i = 0; i < COST_REQUESTS; i++, r.now_ms += GAP_MS)
+  for (int i = 0; i < COST_REQUESTS; i++, r.now_ms += REQUEST_INTERVAL_MS)
     {
-      bool easy = rng_double (&r.rng) < easy_share;
+      bool is_easy = rng_double (&r.rng) < easy_share;
       cascade_candidate_t candidates[VERSIONS];
-      double got;
+      double answer_quality;
       for (size_t v = 0; v < VERSIONS; v++)
         candidates[v] = (cascade_candidate_t){
-          str_from (names[v]), costs[v],
-          quality_estimate (r.quality, STR ("draft"), str_from (names[v]),
-                            priors[v], r.now_ms),
+          str_from (version_names[v]), answer_costs[v],
+          quality_estimate (r.quality, STR ("draft"),
+                            str_from (version_names[v]), quality_priors[v],
+                            r.now_ms),
           latencies_ms[v]
         };
       const cascade_request_t request
@@ -249,66 +262,67 @@
               .explore_cost_share = CASCADE_EXPLORE_COST_SHARE };
       cascade_plan_t plan
           = cascade_plan (r.cascade, &r.rng, &request, r.now_ms);
-      double paid = run_plan (&r, &plan, easy, &got);
-      sums_add (&s, paid, got);
+      double cost = run_plan (&r, &plan, is_easy, &answer_quality);
+      sums_add (&s, cost, answer_quality);
     }
   cascade_destroy (r.cascade);
   quality_destroy (r.quality);
-  return sums_total (&s);
+  return sums_summary (&s);
 }
 
 static void
-bench_cost (const char *mix, double easy_share, double part)
+bench_cost (const char *mix, double easy_share, double target_fraction)
 {
   char name[80];
-  double strongest_mean
-      = easy_share * means[2][1] + (1 - easy_share) * means[2][0];
-  double target = part * strongest_mean;
-  int percent = (int)lround (part * 100);
+  double strongest_mean = easy_share * quality_means[2][1]
+                          + (1 - easy_share) * quality_means[2][0];
+  double target = target_fraction * strongest_mean;
+  int percent = (int)lround (target_fraction * 100);
 
   snprintf (name, sizeof name, "cost-at-quality-%s-%d", mix, percent);
-  if (!wanted (name))
+  if (!is_wanted (name))
     return;
-  total_t strongest = { 0 };
-  total_t fixed = { 0 };
-  total_t ours = { 0 };
-  double dearest = 0;
+  cost_summary_t strongest = { 0 };
+  cost_summary_t fixed = { 0 };
+  cost_summary_t ours = { 0 };
+  double highest_cost = 0;
   for (uint64_t i = 0; i < COST_SEEDS; i++)
     {
       uint64_t seed = base_seed * 1000003 + i;
-      total_t run = run_ours (easy_share, target, seed);
-      total_add (&strongest, run_strongest (easy_share, seed));
-      total_add (&fixed, run_fixed (easy_share, seed));
-      total_add (&ours, run);
-      dearest = fmax (dearest, run.cost);
+      cost_summary_t run = run_cascade (easy_share, target, seed);
+      summary_add (&strongest, run_strongest (easy_share, seed));
+      summary_add (&fixed, run_fixed_threshold (easy_share, seed));
+      summary_add (&ours, run);
+      highest_cost = fmax (highest_cost, run.cost);
     }
-  row (name, strongest.cost, ours.cost, "price/request");
+  print_row (name, strongest.cost, ours.cost, "price/request");
   snprintf (name, sizeof name, "cost-at-quality-%s-%d-vs-fixed-threshold", mix,
             percent);
-  row (name, fixed.cost, ours.cost, "price/request");
+  print_row (name, fixed.cost, ours.cost, "price/request");
   snprintf (name, sizeof name, "quality-reached-%s-%d", mix, percent);
-  row (name, target, ours.quality, "mean-quality");
-  bool met = ours.quality + QUALITY_Z_ONE_SIDED_95 * ours.error >= target;
-  bool fixed_met
+  print_row (name, target, ours.quality, "mean-quality");
+  bool is_met = ours.quality + QUALITY_Z_ONE_SIDED_95 * ours.error >= target;
+  bool is_fixed_met
       = fixed.quality + QUALITY_Z_ONE_SIDED_95 * fixed.error >= target;
   printf ("# %s: target %.4f ours %.4f (+-%.4f, %s) fixed-threshold %.4f "
           "(%s) strongest %.4f; dearest run %.4f\n",
           name, target, ours.quality, QUALITY_Z_ONE_SIDED_95 * ours.error,
-          met ? "met" : "MISSED", fixed.quality, fixed_met ? "met" : "missed",
-          strongest.quality, dearest / strongest.cost);
+          is_met ? "met" : "MISSED", fixed.quality,
+          is_fixed_met ? "met" : "missed", strongest.quality,
+          highest_cost / strongest.cost);
 }
 
-/* How the new version differs, and for which task class (-1: all).  */
+/* Difference of a bad version from the old one.  */
 typedef struct
 {
   const char *name;
-  double rating;
-  double error;
-  double latency;
-  int task;
-} fault_t;
+  double rating;  /* Reduction of the mean rating.  */
+  double error;   /* Increase of the error rate.  */
+  double latency; /* Factor of the latency.  */
+  int task;       /* Index of the only affected task class; -1: all.  */
+} regression_t;
 
-static const fault_t faults[] = {
+static const regression_t regressions[] = {
   { "clearly-worse", 0.3, 0, 1, -1 },  { "slightly-worse", 0.05, 0, 1, -1 },
   { "one-task-worse", 0.25, 0, 1, 2 }, { "only-slower", 0, 0, 1.5, -1 },
   { "only-erring", 0, 0.2, 1, -1 },
@@ -330,22 +344,24 @@
 }
 
 static rollout_sample_t
-draw_sample (rng_t *rng, const fault_t *fault, bool fresh, int task,
-             double rate_share)
+draw_sample (rng_t *rng, const regression_t *regression, bool is_new, int task,
+             double rating_share)
 {
   static const double task_means[TASKS] = { 0.9, 0.8, 0.6 };
-  bool hit = fresh && (fault->task < 0 || fault->task == task);
+  bool is_affected
+      = is_new && (regression->task < 0 || regression->task == task);
   rollout_sample_t s = { .finished = true };
 
-  s.failed = rng_double (rng) < 0.005 + (hit ? fault->error : 0);
-  s.latency_ms = 800 * exp (0.4 * normal (rng)) * (hit ? fault->latency : 1);
-  s.rating
-      = task_means[task] + 0.15 * normal (rng) - (hit ? fault->rating : 0);
-  s.rated = !s.failed && rng_double (rng) < rate_share;
+  s.failed = rng_double (rng) < 0.005 + (is_affected ? regression->error : 0);
+  s.latency_ms = 800 * exp (0.4 * draw_normal (rng))
+                 * (is_affected ? regression->latency : 1);
+  s.rating = task_means[task] + 0.15 * draw_normal (rng)
+             - (is_affected ? regression->rating : 0);
+  s.rated = !s.failed && rng_double (rng) < rating_share;
   return s;
 }
 
-/* An answer is rated RATING_DELAY requests after it was sent.  */
+/* Number of requests between the end of an answer and its rating.  */
 enum
 {
   RATING_DELAY = 20
@@ -356,58 +372,58 @@
   rollout_sample_t sample;
   rollout_arm_t arm;
   int task;
-} pending_t;
+} pending_rating_t;
 
 typedef struct
 {
-  uint64_t shown;
+  uint64_t exposed_count; /* Requests sent to the new version.  */
   uint64_t requests;
-  bool halted;
-  bool complete;
-} outcome_t;
+  bool is_halted;
+  bool is_complete;
+} rollout_result_t;
 
-static outcome_t
-run_rollout (const fault_t *fault, uint64_t seed)
+static rollout_result_t
+run_rollout (const regression_t *regression, uint64_t seed)
 {
   rollout_run_t *run = rollout_create (seed + 1, STR ("small@2"), START_MS);
   rng_t rng = rng_make (seed);
-  pending_t pending[RATING_DELAY] = { 0 };
-  uint64_t now = START_MS;
-  outcome_t out = { 0 };
+  pending_rating_t pending[RATING_DELAY] = { 0 };
+  uint64_t now_ms = START_MS;
+  rollout_result_t result = { 0 };
 
-  for (; out.requests < ROLLOUT_REQUESTS_MAX; now += GAP_MS)
+  for (; result.requests < ROLLOUT_REQUESTS_MAX; now_ms += REQUEST_INTERVAL_MS)
     {
-      pending_t *late = &pending[out.requests++ % RATING_DELAY];
-      if (late->sample.rated)
+      pending_rating_t *slot = &pending[result.requests++ % RATING_DELAY];
+      if (slot->sample.rated)
         {
-          late->sample.finished = false;
-          rollout_observe (run, late->arm, str_from (tasks[late->task]),
-                           &late->sample, now);
+          slot->sample.finished = false;
+          rollout_observe (run, slot->arm, str_from (tasks[slot->task]),
+                           &slot->sample, now_ms);
         }
-      bool fresh = rollout_is_assigned (run, rng_u64 (&rng));
-      late->arm = fresh ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
-      late->task = draw_task (&rng);
-      late->sample = draw_sample (&rng, fault, fresh, late->task,
-                                  rollout_rating_share (run, late->arm));
-      rollout_count_exposure (run, late->arm, now);
-      rollout_sample_t ended = late->sample;
+      bool is_new = rollout_is_assigned (run, rng_u64 (&rng));
+      slot->arm = is_new ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
+      slot->task = draw_task (&rng);
+      slot->sample = draw_sample (&rng, regression, is_new, slot->task,
+                                  rollout_rating_share (run, slot->arm));
+      rollout_count_exposure (run, slot->arm, now_ms);
+      rollout_sample_t ended = slot->sample;
       ended.rated = false;
-      rollout_observe (run, late->arm, str_from (tasks[late->task]), &ended,
-                       now);
-      if (out.requests % 10 == 0)
-        rollout_decide (run, now);
-      out.halted = rollout_phase (run) == ROLLOUT_PHASE_HALTED;
-      out.complete = rollout_phase (run) == ROLLOUT_PHASE_COMPLETE;
-      if (out.halted || out.complete)
+      rollout_observe (run, slot->arm, str_from (tasks[slot->task]), &ended,
+                       now_ms);
+      if (result.requests % 10 == 0)
+        rollout_decide (run, now_ms);
+      result.is_halted = rollout_phase (run) == ROLLOUT_PHASE_HALTED;
+      result.is_complete = rollout_phase (run) == ROLLOUT_PHASE_COMPLETE;
+      if (result.is_halted || result.is_complete)
         break;
     }
-  out.shown = rollout_exposed_count (run);
-  /* What went through is shown to everyone as long as the fixed roll-out is
-     counted.  */
-  if (out.complete && out.requests < HORIZON)
-    out.shown += HORIZON - out.requests;
+  result.exposed_count = rollout_exposed_count (run);
+  /* A version whose roll-out is complete gets all further requests, up to the
+     number that the fixed roll-out sends.  */
+  if (result.is_complete && result.requests < EXPOSURE_REQUESTS)
+    result.exposed_count += EXPOSURE_REQUESTS - result.requests;
   rollout_destroy (run);
-  return out;
+  return result;
 }
 
 typedef struct
@@ -429,193 +445,208 @@
   m->rating += s->rated ? s->rating : 0;
 }
 
-/* What an operator sees on a dashboard at the end of a stage: means that lie
-   clearly apart.  */
+/* Return whether the means differ so much that an operator would notice on a
+   dashboard: rating lower by 0.05, error rate higher by 0.02, or latency
+   higher by a quarter.  */
 static bool
-looks_bad (const means_t *fresh, const means_t *old)
-{
-  return old->rating / old->ratings - fresh->rating / fresh->ratings > 0.05
-         || fresh->failed / fresh->count - old->failed / old->count > 0.02
-         || fresh->latency / fresh->count > 1.25 * old->latency / old->count;
+is_clearly_worse (const means_t *new_means, const means_t *old_means)
+{
+  return old_means->rating / old_means->ratings
+                 - new_means->rating / new_means->ratings
+             > 0.05
+         || new_means->failed / new_means->count
+                    - old_means->failed / old_means->count
+                > 0.02
+         || new_means->latency / new_means->count
+                > 1.25 * old_means->latency / old_means->count;
 }
 
-/* 10%, 50%, 100%, with one answer in ten rated and a look at the end of each
-   stage; what passes the look at 100% stays.  */
-static outcome_t
-run_fixed_rollout (const fault_t *fault, uint64_t seed)
+/* Run a roll-out in stages of 10%, 50% and 100%, with one answer in ten rated.
+   The means are compared at the end of the first two stages; a version that
+   reaches 100% stays.  */
+static rollout_result_t
+run_fixed_rollout (const regression_t *regression, uint64_t seed)
 {
   static const double shares[] = { 0.1, 0.5, 1 };
   rng_t rng = rng_make (seed);
-  outcome_t out = { 0 };
+  rollout_result_t result = { 0 };
 
-  for (size_t stage = 0; stage < 3 && !out.halted; stage++)
+  for (size_t stage = 0; stage < 3 && !result.is_halted; stage++)
     {
-      means_t fresh = { 0 };
-      means_t old = { 0 };
+      means_t new_means = { 0 };
+      means_t old_means = { 0 };
       for (int i = 0; i < STAGE_REQUESTS; i++)
         {
           bool to_new = rng_double (&rng) < shares[stage];
           rollout_sample_t s
-              = draw_sample (&rng, fault, to_new, draw_task (&rng), 0.1);
-          means_add (to_new ? &fresh : &old, &s);
-          out.shown += to_new;
-          out.requests++;
+              = draw_sample (&rng, regression, to_new, draw_task (&rng), 0.1);
+          means_add (to_new ? &new_means : &old_means, &s);
+          result.exposed_count += to_new;
+          result.requests++;
         }
-      out.halted = stage < 2 && looks_bad (&fresh, &old);
+      result.is_halted
+          = stage < 2 && is_clearly_worse (&new_means, &old_means);
     }
-  return out;
+  return result;
 }
 
 static void
-bench_exposure (const fault_t *fault)
+bench_exposure (const regression_t *regression)
 {
   char name[80];
   double baseline = 0;
   double ours = 0;
   double fixed_requests = 0;
   double requests = 0;
-  int halted = 0;
-  int complete = 0;
-  int fixed_halted = 0;
+  int halted_count = 0;
+  int complete_count = 0;
+  int fixed_halted_count = 0;
 
-  snprintf (name, sizeof name, "bad-version-exposure-%s", fault->name);
-  if (!wanted (name))
+  snprintf (name, sizeof name, "bad-version-exposure-%s", regression->name);
+  if (!is_wanted (name))
     return;
   for (uint64_t i = 0; i < EXPOSURE_SEEDS; i++)
     {
       uint64_t seed = base_seed * 1000003 + i;
-      outcome_t fixed = run_fixed_rollout (fault, seed);
-      outcome_t mine = run_rollout (fault, seed);
-      baseline += (double)fixed.shown / EXPOSURE_SEEDS;
-      ours += (double)mine.shown / EXPOSURE_SEEDS;
+      rollout_result_t fixed = run_fixed_rollout (regression, seed);
+      rollout_result_t rollout = run_rollout (regression, seed);
+      baseline += (double)fixed.exposed_count / EXPOSURE_SEEDS;
+      ours += (double)rollout.exposed_count / EXPOSURE_SEEDS;
       fixed_requests += (double)fixed.requests / EXPOSURE_SEEDS;
-      requests += (double)mine.requests / EXPOSURE_SEEDS;
-      halted += mine.halted;
-      complete += mine.complete;
-      fixed_halted += fixed.halted;
+      requests += (double)rollout.requests / EXPOSURE_SEEDS;
+      halted_count += rollout.is_halted;
+      complete_count += rollout.is_complete;
+      fixed_halted_count += fixed.is_halted;
     }
-  row (name, baseline, ours, "requests-shown");
-  snprintf (name, sizeof name, "time-to-halt-%s", fault->name);
-  row (name, fixed_requests * GAP_MS / 1000, requests * GAP_MS / 1000,
-       "seconds");
+  print_row (name, baseline, ours, "requests-shown");
+  snprintf (name, sizeof name, "time-to-halt-%s", regression->name);
+  print_row (name, fixed_requests * REQUEST_INTERVAL_MS / 1000,
+             requests * REQUEST_INTERVAL_MS / 1000, "seconds");
   printf ("# %s: halted %d of %d (%d went through), fixed %d of %d\n",
-          fault->name, halted, EXPOSURE_SEEDS, complete, fixed_halted,
-          EXPOSURE_SEEDS);
+          regression->name, halted_count, EXPOSURE_SEEDS, complete_count,
+          fixed_halted_count, EXPOSURE_SEEDS);
 }
 
 static void
 bench_false_halts (void)
 {
-  static const fault_t none = { "none", 0, 0, 1, -1 };
+  static const regression_t none = { "none", 0, 0, 1, -1 };
   double fixed = 0;
   double ours = 0;
   double requests = 0;
-  int complete = 0;
+  int complete_count = 0;
 
-  if (!wanted ("false-halts"))
+  if (!is_wanted ("false-halts"))
     return;
-  for (uint64_t i = 0; i < HALT_SEEDS; i++)
+  for (uint64_t i = 0; i < FALSE_HALT_SEEDS; i++)
     {
       uint64_t seed = base_seed * 1000033 + i;
-      outcome_t mine = run_rollout (&none, seed);
-      fixed += (double)run_fixed_rollout (&none, seed).halted / HALT_SEEDS;
-      ours += (double)mine.halted / HALT_SEEDS;
-      complete += mine.complete;
-      requests += mine.complete ? (double)mine.requests : 0;
+      rollout_result_t rollout = run_rollout (&none, seed);
+      fixed += (double)run_fixed_rollout (&none, seed).is_halted
+               / FALSE_HALT_SEEDS;
+      ours += (double)rollout.is_halted / FALSE_HALT_SEEDS;
+      complete_count += rollout.is_complete;
+      requests += rollout.is_complete ? (double)rollout.requests : 0;
     }
-  row ("false-halts", fixed, ours, "share-of-good-rollouts");
+  print_row ("false-halts", fixed, ours, "share-of-good-rollouts");
   printf ("# false-halts: complete %d of %d, after %.0f requests on average\n",
-          complete, HALT_SEEDS, requests / complete);
+          complete_count, FALSE_HALT_SEEDS, requests / complete_count);
 }
 
-/* A version that has served for an hour turns bad: requests it answers until
-   its share is gone, against an operator who looks at the last hour's means
-   each hour.  */
+/* Return the number of requests that a version answers from the time it
+   degrades, after one hour of good service, until the degradation module has
+   reduced its traffic weight to 0.  */
 static double
-run_watch (const fault_t *fault, uint64_t seed)
+run_degradation (const regression_t *regression, uint64_t seed)
 {
   enum
   {
-    QUIET = 36000,
-    BAD_MAX = 72000
+    GOOD_REQUESTS = 36000,
+    BAD_REQUESTS_MAX = 72000
   };
-  static const fault_t none = { "none", 0, 0, 1, -1 };
-  degradation_t *watch = degradation_create (seed + 1);
+  static const regression_t none = { "none", 0, 0, 1, -1 };
+  degradation_t *degradation = degradation_create (seed + 1);
   rng_t rng = rng_make (seed);
-  uint64_t now = START_MS;
-  double shown = 0;
+  uint64_t now_ms = START_MS;
+  double exposed_count = 0;
 
-  for (int i = 0; i < QUIET + BAD_MAX; i++, now += GAP_MS)
+  for (int i = 0; i < GOOD_REQUESTS + BAD_REQUESTS_MAX;
+       i++, now_ms += REQUEST_INTERVAL_MS)
     {
-      const fault_t *at = i < QUIET ? &none : fault;
-      double weight = degradation_traffic_weight (watch, STR ("small@1"), now);
-      bool small = rng_double (&rng) < 0.8 * weight;
+      const regression_t *current = i < GOOD_REQUESTS ? &none : regression;
+      double weight
+          = degradation_traffic_weight (degradation, STR ("small@1"), now_ms);
+      bool is_small = rng_double (&rng) < 0.8 * weight;
       int task = draw_task (&rng);
-      rollout_sample_t s = draw_sample (&rng, at, small, task, 0.1);
-      degradation_observe (watch, small ? STR ("small@1") : STR ("large@1"),
-                           str_from (tasks[task]), &s, now);
-      if (i >= QUIET)
-        shown += small;
+      rollout_sample_t s = draw_sample (&rng, current, is_small, task, 0.1);
+      degradation_observe (degradation,
+                           is_small ? STR ("small@1") : STR ("large@1"),
+                           str_from (tasks[task]), &s, now_ms);
+      if (i >= GOOD_REQUESTS)
+        exposed_count += is_small;
       if (i % 10 == 0)
-        degradation_check (watch, now);
+        degradation_check (degradation, now_ms);
       if (weight == 0)
         break;
     }
-  degradation_destroy (watch);
-  return shown;
+  degradation_destroy (degradation);
+  return exposed_count;
 }
 
+/* Return the number of requests that a degraded version answers if an operator
+   compares the means of each hour, for two hours at most.  */
 static double
-run_hourly_look (const fault_t *fault, uint64_t seed)
+run_hourly_check (const regression_t *regression, uint64_t seed)
 {
   enum
   {
-    HOUR = 36000
+    HOUR_REQUESTS = 36000
   };
-  static const fault_t none = { "none", 0, 0, 1, -1 };
+  static const regression_t none = { "none", 0, 0, 1, -1 };
   rng_t rng = rng_make (seed);
-  double shown = 0;
+  double exposed_count = 0;
 
   for (int hour = 0; hour < 2; hour++)
     {
       means_t before = { 0 };
       means_t after = { 0 };
-      for (int i = 0; i < HOUR; i++)
+      for (int i = 0; i < HOUR_REQUESTS; i++)
         {
-          bool small = rng_double (&rng) < 0.8;
-          rollout_sample_t s
-              = draw_sample (&rng, fault, small, draw_task (&rng), 0.1);
+          bool is_small = rng_double (&rng) < 0.8;
+          rollout_sample_t s = draw_sample (&rng, regression, is_small,
+                                            draw_task (&rng), 0.1);
           rollout_sample_t t
-              = draw_sample (&rng, &none, small, draw_task (&rng), 0.1);
-          if (!small)
+              = draw_sample (&rng, &none, is_small, draw_task (&rng), 0.1);
+          if (!is_small)
             continue;
           means_add (&after, &s);
           means_add (&before, &t);
-          shown++;
+          exposed_count++;
         }
-      if (looks_bad (&after, &before))
+      if (is_clearly_worse (&after, &before))
         break;
     }
-  return shown;
+  return exposed_count;
 }
 
 static void
-bench_watch (const fault_t *fault)
+bench_degradation (const regression_t *regression)
 {
   char name[80];
   double baseline = 0;
   double ours = 0;
 
-  snprintf (name, sizeof name, "bad-version-exposure-later-%s", fault->name);
-  if (!wanted (name))
+  snprintf (name, sizeof name, "bad-version-exposure-later-%s",
+            regression->name);
+  if (!is_wanted (name))
     return;
   for (uint64_t i = 0; i < EXPOSURE_SEEDS; i++)
     {
       uint64_t seed = base_seed * 1000039 + i;
-      baseline += run_hourly_look (fault, seed) / EXPOSURE_SEEDS;
-      ours += run_watch (fault, seed) / EXPOSURE_SEEDS;
+      baseline += run_hourly_check (regression, seed) / EXPOSURE_SEEDS;
+      ours += run_degradation (regression, seed) / EXPOSURE_SEEDS;
     }
-  row (name, baseline, ours, "requests-shown");
+  print_row (name, baseline, ours, "requests-shown");
 }
 
 static int
@@ -634,7 +665,7 @@
   static const struct
   {
     const char *name;
-    double easy;
+    double easy_share;
   } mixes[]
       = { { "mostly-hard", 0.2 }, { "even", 0.5 }, { "mostly-easy", 0.8 } };
   static const double parts[] = { 0.9, 0.95, 0.98 };
@@ -648,7 +679,7 @@
       if (i + 1 == argc)
         return usage (stderr, EXIT_FAILURE);
       if (strcmp (argv[i], "--pattern") == 0)
-        pattern = argv[i + 1];
+        row_pattern = argv[i + 1];
       else if (strcmp (argv[i], "--seconds") == 0
                && str_to_u64 (str_from (argv[i + 1]), &seconds))
         continue;
@@ -658,11 +689,11 @@
     }
   for (size_t m = 0; m < sizeof mixes / sizeof mixes[0]; m++)
     for (size_t p = 0; p < sizeof parts / sizeof parts[0]; p++)
-      bench_cost (mixes[m].name, mixes[m].easy, parts[p]);
-  for (size_t f = 0; f < sizeof faults / sizeof faults[0]; f++)
-    bench_exposure (&faults[f]);
-  for (size_t f = 0; f < sizeof faults / sizeof faults[0]; f++)
-    bench_watch (&faults[f]);
+      bench_cost (mixes[m].name, mixes[m].easy_share, parts[p]);
+  for (size_t f = 0; f < sizeof regressions / sizeof regressions[0]; f++)
+    bench_exposure (&regressions[f]);
+  for (size_t f = 0; f < sizeof regressions / sizeof regressions[0]; f++)
+    bench_degradation (&regressions[f]);
   bench_false_halts ();
   return EXIT_SUCCESS;
 }
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -1,6 +1,7 @@
-/* How soon a change is in force in a fleet of 3 entries and 26 sidecars in
-   three zones, how soon a silent connection is left, and what the processes
-   cost at rest.  docs/BENCH.md says what each baseline is.  */
+/* Measures, in a fleet of 3 entries and 26 sidecars in three zones, the time
+   until a change is in force in all processes, the time until a stream whose
+   connection falls silent continues, and the traffic and processor time of
+   idle processes.  docs/BENCH.md describes the baseline of each row.  */
 
 #include "base/mem.h"
 #include "base/rng.h"
@@ -22,17 +23,20 @@
   HEAD_POLL_MS = 1000,
   LIST_POLL_MS = 2000,
   HEALTH_POLL_MS = 1000,
-  LIMIT_MS = 10000, /* Of a wait; also what a baseline without end shows.  */
-  CALL_MS = 3000,
-  STEP_MS = 2,
-  SETTLE_MS = 3000,
-  CHECK_CALLS = 20, /* Through each entry, after a zone or version went.  */
+  /* Longest wait; also printed for a baseline that never finishes.  */
+  WAIT_LIMIT_MS = 10000,
+  CALL_TIMEOUT_MS = 3000,
+  LOOP_INTERVAL_MS = 2,
+  SETTLE_TIME_MS = 3000,
+  /* Calls through each entry after the removal of a zone, version or
+     upstream.  */
+  CHECK_CALLS = 20,
   STREAM_TOKENS = 200,
   SECONDS_MAX = 120
 };
 
-#define CHAT "/v1/chat/completions"
-#define AUTH                                                                  \
+#define CHAT_PATH "/v1/chat/completions"
+#define REQUEST_HEADERS                                                       \
   "authorization: Bearer " CLUSTER_KEY "\r\n"                                 \
   "content-type: application/json\r\n"
 
@@ -41,21 +45,23 @@
   cluster_t *cluster;
   rng_t rng;
   str_t pattern;
-  uint64_t rest_ms;
-  uint64_t revision;           /* That the race waits for.  */
-  cluster_upstream_t *leaving; /* The upstream it waits for.  */
-  bool failed;
+  uint64_t idle_time_ms;
+  uint64_t revision;             /* Expected configuration revision.  */
+  cluster_upstream_t *departing; /* The departing upstream.  */
+  bool has_failed;
 } bench_t;
 
-/* A race: OURS tells whether the fleet is there; POLL makes one look of
-   poller INDEX of the plain alternative and tells whether it saw the news.  */
+/* A comparison of the fleet's propagation of a change with simulated pollers.
+   IS_IN_FORCE returns whether the change is in force in the whole fleet.
+   POLL_ONCE makes one request of poller INDEX and returns whether the answer
+   shows the change.  */
 typedef struct
 {
-  bool (*ours) (bench_t *bench);
-  bool (*poll) (bench_t *bench, size_t index);
-  size_t pollers;
+  bool (*is_in_force) (bench_t *bench);
+  bool (*poll_once) (bench_t *bench, size_t index);
+  size_t poller_count;
   uint64_t period_ms;
-} race_t;
+} comparison_t;
 
 static const char *const rows[] = {
   "rest-entry-bytes",
@@ -78,7 +84,7 @@
 };
 
 static bool
-wanted (const bench_t *bench, const char *name)
+is_wanted (const bench_t *bench, const char *name)
 {
   return str_matches_glob (bench->pattern, str_from (name));
 }
@@ -87,7 +93,7 @@
 print_row (const bench_t *bench, const char *name, double baseline,
            double ours, const char *unit)
 {
-  if (wanted (bench, name))
+  if (is_wanted (bench, name))
     printf ("bench %s baseline=%.3f ours=%.3f ratio=%.3f unit=%s\n", name,
             baseline, ours, baseline > 0 ? ours / baseline : 0, unit);
   fflush (stdout);
@@ -97,70 +103,74 @@
 fail (bench_t *bench, const char *name, const char *what)
 {
   fprintf (stderr, "bench_fleet: %s: %s\n", name, what);
-  bench->failed = true;
+  bench->has_failed = true;
 }
 
-/* Run RACE and print row NAME in seconds; who is not there in time has
-   LIMIT_MS, which for ours is a failure.  */
+/* Run COMPARISON and print row NAME in seconds.  A side that does not finish
+   within LIMIT_MS is printed as LIMIT_MS; for the fleet, this is a failure of
+   the benchmark.  */
 static void
-run_race (bench_t *bench, const char *name, const race_t *race)
+run_comparison (bench_t *bench, const char *name,
+                const comparison_t *comparison)
 {
   uint64_t start_ms = harness_now_ms ();
   uint64_t due_ms[PROCESSES];
-  bool saw[PROCESSES] = { false };
-  size_t missing = race->pollers;
-  uint64_t baseline_ms = LIMIT_MS;
-  uint64_t ours_ms = LIMIT_MS;
-  bool there = false;
-
-  for (size_t i = 0; i < race->pollers; i++)
-    due_ms[i] = start_ms + rng_below (&bench->rng, race->period_ms);
-  while ((!there || missing > 0) && harness_now_ms () - start_ms < LIMIT_MS)
+  bool has_seen[PROCESSES] = { false };
+  size_t remaining = comparison->poller_count;
+  uint64_t baseline_ms = WAIT_LIMIT_MS;
+  uint64_t ours_ms = WAIT_LIMIT_MS;
+  bool is_everywhere = false;
+
+  for (size_t i = 0; i < comparison->poller_count; i++)
+    due_ms[i] = start_ms + rng_below (&bench->rng, comparison->period_ms);
+  while ((!is_everywhere || remaining > 0)
+         && harness_now_ms () - start_ms < WAIT_LIMIT_MS)
     {
-      if (!there && (there = race->ours (bench)))
+      if (!is_everywhere && (is_everywhere = comparison->is_in_force (bench)))
         ours_ms = harness_now_ms () - start_ms;
-      for (size_t i = 0; i < race->pollers; i++)
+      for (size_t i = 0; i < comparison->poller_count; i++)
         {
-          if (saw[i] || harness_now_ms () < due_ms[i])
+          if (has_seen[i] || harness_now_ms () < due_ms[i])
             continue;
-          due_ms[i] += race->period_ms;
-          if (!(saw[i] = race->poll (bench, i)))
+          due_ms[i] += comparison->period_ms;
+          if (!(has_seen[i] = comparison->poll_once (bench, i)))
             continue;
-          if (--missing == 0)
+          if (--remaining == 0)
             baseline_ms = harness_now_ms () - start_ms;
         }
-      harness_sleep_ms (STEP_MS);
+      harness_sleep_ms (LOOP_INTERVAL_MS);
     }
-  if (!there)
+  if (!is_everywhere)
     fail (bench, name, "not in force everywhere in time");
   print_row (bench, name, (double)baseline_ms / 1000, (double)ours_ms / 1000,
              "s");
 }
 
 static bool
-in_force (bench_t *bench)
+is_revision_in_force (bench_t *bench)
 {
   return cluster_in_force (bench->cluster, bench->revision);
 }
 
 static rawhttp_t
-get_head (const bench_t *bench)
+get_store_head (const bench_t *bench)
 {
   return rawhttp_call (bench->cluster->host, bench->cluster->platform_port,
                        "POST", "/v1/get", "content-type: application/json\r\n",
-                       STR ("{\"key\":\"conf/head\"}"), CALL_MS);
+                       STR ("{\"key\":\"conf/head\"}"), CALL_TIMEOUT_MS);
 }
 
-/* The store's head has the revision, so this poller would have it now.  */
+/* Return whether the store's head has the expected revision, so that a process
+   polling the store would read it now.  */
 static bool
-poll_head (bench_t *bench, size_t index)
+poll_store_head (bench_t *bench, size_t index)
 {
-  rawhttp_t http = get_head (bench);
+  rawhttp_t http = get_store_head (bench);
   json_t *root = http.status == 200
                      ? json_loadb (http.body.ptr, http.body.len, 0, NULL)
                      : NULL;
   const char *value = json_string_value (json_object_get (root, "value"));
-  /* The row begins with the number of the revision.  */
+  /* The value starts with the revision's number.  */
   uint64_t revision = value != NULL ? strtoull (value, NULL, 10) : 0;
 
   (void)index;
@@ -170,54 +180,57 @@
 }
 
 static void
-store_outage (bench_t *bench, bool gone)
+set_store_outage (bench_t *bench, bool store_down)
 {
   if (!cluster_fault (bench->cluster, bench->cluster->platform_port, "/faults",
-                      gone ? "{\"outage\":\"refuse\"}"
-                           : "{\"outage\":\"none\"}"))
-    fail (bench, "store", "the platform takes no faults");
+                      store_down ? "{\"outage\":\"refuse\"}"
+                                 : "{\"outage\":\"none\"}"))
+    fail (bench, "store", "the platform did not accept the fault setting");
 }
 
-/* Put KEY of SECTION to VALUE, with the store gone right after when GONE,
-   and measure until it is in force everywhere.  */
+/* Set KEY of SECTION to VALUE, start a store outage right afterwards if
+   STORE_DOWN, and measure the time until the change is in force in all
+   processes.  */
 static void
-race_change (bench_t *bench, const char *name, bool gone, const char *section,
-             const char *key, const char *value)
+compare_change (bench_t *bench, const char *name, bool store_down,
+                const char *section, const char *key, const char *value)
 {
-  const race_t race = { in_force, poll_head, PROCESSES, HEAD_POLL_MS };
+  const comparison_t comparison
+      = { is_revision_in_force, poll_store_head, PROCESSES, HEAD_POLL_MS };
 
   if (!cluster_edit (bench->cluster, section, key, value))
     {
       fail (bench, name, "the change was not accepted");
       return;
     }
-  if (gone)
-    store_outage (bench, true);
+  if (store_down)
+    set_store_outage (bench, true);
   bench->revision = bench->cluster->revision;
-  run_race (bench, name, &race);
-  if (gone)
-    store_outage (bench, false);
+  run_comparison (bench, name, &comparison);
+  if (store_down)
+    set_store_outage (bench, false);
 }
 
-/* Undo a change and wait for that.  */
+/* Set KEY of SECTION back to VALUE, and wait until the change is in force.  */
 static void
-put_back (bench_t *bench, const char *section, const char *key,
-          const char *value)
+revert_change (bench_t *bench, const char *section, const char *key,
+               const char *value)
 {
-  bool held;
+  bool is_reverted;
 
-  WAIT_UNTIL (cluster_edit (bench->cluster, section, key, value), LIMIT_MS,
-              &held);
-  if (held)
+  WAIT_UNTIL (cluster_edit (bench->cluster, section, key, value),
+              WAIT_LIMIT_MS, &is_reverted);
+  if (is_reverted)
     WAIT_UNTIL (cluster_in_force (bench->cluster, bench->cluster->revision),
-                LIMIT_MS, &held);
-  if (!held)
-    fail (bench, section, "was not put back");
+                WAIT_LIMIT_MS, &is_reverted);
+  if (!is_reverted)
+    fail (bench, section, "the change could not be reverted");
 }
 
-/* Sum of the calls that the upstreams of ZONE (NULL: all) ever got.  */
+/* Return the number of calls that the engines in ZONE (NULL: in all zones)
+   have received since they started.  */
 static json_int_t
-total_in_zone (const bench_t *bench, const char *zone)
+count_zone_calls (const bench_t *bench, const char *zone)
 {
   json_int_t total = 0;
 
@@ -230,21 +243,23 @@
   return total;
 }
 
-/* Call MODEL through each entry; return how many answers had STATUS.  */
+/* Call MODEL CHECK_CALLS times through each entry; return the number of
+   answers with STATUS.  */
 static unsigned
-call_all (const bench_t *bench, const char *model, int status)
+count_answers (const bench_t *bench, const char *model, int status)
 {
   char body[160];
   unsigned count = 0;
 
   for (size_t i = 0; i < ENTRIES; i++)
-    for (int k = 0; k < CHECK_CALLS; k++)
+    for (int call = 0; call < CHECK_CALLS; call++)
       {
         snprintf (body, sizeof body,
                   "{\"model\":\"%s\",\"max_tokens\":1,\"messages\":[{"
                   "\"role\":\"user\",\"content\":\"roof %zu %d\"}]}",
-                  model, i, k);
-        rawhttp_t http = cluster_chat (bench->cluster, i, NULL, body, CALL_MS);
+                  model, i, call);
+        rawhttp_t http
+            = cluster_chat (bench->cluster, i, NULL, body, CALL_TIMEOUT_MS);
         count += http.status == status;
         rawhttp_close (&http);
       }
@@ -252,7 +267,7 @@
 }
 
 static void
-bench_changes (bench_t *bench, bool gone)
+bench_changes (bench_t *bench, bool store_down)
 {
   const char *const names[2][3]
       = { { "fleet-revision", "fleet-zone-out", "fleet-withdrawal" },
@@ -261,34 +276,36 @@
   const char *const zone = "nairobi-c";
   const char *const section = "availability-zone nairobi-c";
 
-  if (wanted (bench, names[gone][0]))
+  if (is_wanted (bench, names[store_down][0]))
     {
-      race_change (bench, names[gone][0], gone, "team mosque-fund", "weight",
-                   "3");
-      put_back (bench, "team mosque-fund", "weight", "1");
+      compare_change (bench, names[store_down][0], store_down,
+                      "team mosque-fund", "weight", "3");
+      revert_change (bench, "team mosque-fund", "weight", "1");
     }
-  if (wanted (bench, names[gone][1]))
+  if (is_wanted (bench, names[store_down][1]))
     {
-      race_change (bench, names[gone][1], gone, section, "state", "out");
-      json_int_t before = total_in_zone (bench, zone);
-      call_all (bench, "draft-small@3", 200);
-      if (total_in_zone (bench, zone) != before)
-        fail (bench, names[gone][1], "the zone got new work");
-      put_back (bench, section, "state", "in");
+      compare_change (bench, names[store_down][1], store_down, section,
+                      "state", "out");
+      json_int_t before = count_zone_calls (bench, zone);
+      count_answers (bench, "draft-small@3", 200);
+      if (count_zone_calls (bench, zone) != before)
+        fail (bench, names[store_down][1], "the zone received new requests");
+      revert_change (bench, section, "state", "in");
     }
-  if (wanted (bench, names[gone][2]))
+  if (is_wanted (bench, names[store_down][2]))
     {
-      race_change (bench, names[gone][2], gone, "version draft-small@4",
-                   "state", "withdrawn");
-      if (call_all (bench, "draft-small@4", 200) > 0)
-        fail (bench, names[gone][2], "the version got new work");
-      put_back (bench, "version draft-small@4", "state", "serving");
+      compare_change (bench, names[store_down][2], store_down,
+                      "version draft-small@4", "state", "withdrawn");
+      if (count_answers (bench, "draft-small@4", 200) > 0)
+        fail (bench, names[store_down][2],
+              "the version received new requests");
+      revert_change (bench, "version draft-small@4", "state", "serving");
     }
 }
 
-/* Tell whether every entry holds the leaving upstream for not live.  */
+/* Return whether no entry lists the departing upstream as live.  */
 static bool
-departure_known (bench_t *bench)
+is_departure_known (bench_t *bench)
 {
   for (size_t i = 0; i < ENTRIES; i++)
     {
@@ -303,7 +320,7 @@
         const char *name = json_string_value (json_object_get (peer, "name"));
         const char *state
             = json_string_value (json_object_get (peer, "state"));
-        if (name != NULL && strcmp (name, bench->leaving->name) == 0)
+        if (name != NULL && strcmp (name, bench->departing->name) == 0)
           live = state == NULL || strcmp (state, "live") == 0;
       }
       json_decref (root);
@@ -314,14 +331,14 @@
 }
 
 static bool
-poll_list (bench_t *bench, size_t index)
+poll_instance_list (bench_t *bench, size_t index)
 {
   json_t *root
       = rawhttp_json (bench->cluster->host, bench->cluster->platform_port,
                       "/v1/instances?after=0", NULL);
   const json_t *instance;
   size_t at;
-  bool left = false;
+  bool has_departed = false;
 
   (void)index;
   json_array_foreach (json_object_get (root, "instances"), at, instance)
@@ -330,60 +347,64 @@
     const char *state
         = json_string_value (json_object_get (instance, "state"));
     if (name != NULL && state != NULL
-        && strcmp (name, bench->leaving->name) == 0)
-      left = strcmp (state, "live") != 0;
+        && strcmp (name, bench->departing->name) == 0)
+      has_departed = strcmp (state, "live") != 0;
   }
   json_decref (root);
-  return left;
+  return has_departed;
 }
 
-/* One look of an entry at the upstream's health page.  */
+/* Make one health check of the departing upstream; return whether the check
+   failed.  */
 static bool
 poll_health (bench_t *bench, size_t index)
 {
-  rawhttp_t http = rawhttp_call (bench->cluster->host, bench->leaving->admin,
-                                 "GET", "/healthz", NULL, STR_NULL, CALL_MS);
-  bool left = http.status != 200;
+  rawhttp_t http
+      = rawhttp_call (bench->cluster->host, bench->departing->admin, "GET",
+                      "/healthz", NULL, STR_NULL, CALL_TIMEOUT_MS);
+  bool has_departed = http.status != 200;
 
   (void)index;
   rawhttp_close (&http);
-  return left;
+  return has_departed;
 }
 
-/* Measure a departure that the platform lists, or a SIGTERM.  Each takes an
-   engine for good.  */
+/* Measure the departure of an upstream that the platform lists as leaving
+   (LISTED) or whose sidecar gets SIGTERM.  The upstream does not return, so
+   each call needs another one.  */
 static void
-bench_departure (bench_t *bench, const char *name, bool listed, bool gone,
-                 size_t upstream)
+bench_departure (bench_t *bench, const char *name, bool is_listed,
+                 bool store_down, size_t upstream)
 {
-  const race_t list_race
-      = { departure_known, poll_list, PROCESSES, LIST_POLL_MS };
-  const race_t health_race
-      = { departure_known, poll_health, ENTRIES, HEALTH_POLL_MS };
+  const comparison_t list_comparison
+      = { is_departure_known, poll_instance_list, PROCESSES, LIST_POLL_MS };
+  const comparison_t health_comparison
+      = { is_departure_known, poll_health, ENTRIES, HEALTH_POLL_MS };
 
-  if (!wanted (bench, name))
+  if (!is_wanted (bench, name))
     return;
-  bench->leaving = &bench->cluster->upstreams[upstream];
-  if (gone)
-    store_outage (bench, true);
-  if (listed)
-    cluster_list_upstream (bench->cluster, bench->leaving, "leaving");
+  bench->departing = &bench->cluster->upstreams[upstream];
+  if (store_down)
+    set_store_outage (bench, true);
+  if (is_listed)
+    cluster_list_upstream (bench->cluster, bench->departing, "leaving");
   else
-    proc_signal (bench->leaving->sidecar, SIGTERM);
-  run_race (bench, name, listed ? &list_race : &health_race);
-  if (gone)
-    store_outage (bench, false);
+    proc_signal (bench->departing->sidecar, SIGTERM);
+  run_comparison (bench, name,
+                  is_listed ? &list_comparison : &health_comparison);
+  if (store_down)
+    set_store_outage (bench, false);
   json_int_t before
-      = cluster_stat (bench->cluster, bench->leaving->port, "total");
-  call_all (bench, "draft-small@3", 200);
-  if (cluster_stat (bench->cluster, bench->leaving->port, "total") != before)
-    fail (bench, name, "the departing upstream got new work");
+      = cluster_stat (bench->cluster, bench->departing->port, "total");
+  count_answers (bench, "draft-small@3", 200);
+  if (cluster_stat (bench->cluster, bench->departing->port, "total") != before)
+    fail (bench, name, "the departing upstream received new requests");
 }
 
-/* Silence every connection between the entries and the upstream that runs
-   something.  */
+/* Stop all traffic between the entries and the first engine that is running a
+   request, without closing connections.  Return false if there is none.  */
 static bool
-silence_busy (bench_t *bench)
+silence_running_stream (bench_t *bench)
 {
   for (size_t i = 0; i < bench->cluster->upstream_count; i++)
     {
@@ -396,15 +417,15 @@
   return false;
 }
 
-/* A stream is being read when its upstream's connection falls silent; the
-   longest wait for its next piece is what the caller sees of it.  */
+/* Silence the upstream's connection while a stream is read, and print the
+   longest pause in the stream that the caller sees.  */
 static void
 bench_silence (bench_t *bench, const char *name)
 {
   char body[160];
   uint64_t longest_ms = 0;
 
-  if (!wanted (bench, name))
+  if (!is_wanted (bench, name))
     return;
   snprintf (body, sizeof body,
             "{\"model\":\"draft-large@7\",\"stream\":true,\"max_tokens\":%d,"
@@ -412,75 +433,80 @@
             STREAM_TOKENS);
   rawhttp_t http
       = rawhttp_start (bench->cluster->host, bench->cluster->entries[0].port,
-                       "POST", CHAT, AUTH, str_from (body));
-  if (!rawhttp_read_body (&http, 1000, CALL_MS) || !silence_busy (bench))
-    fail (bench, name, "no stream to silence");
-  while (!http.is_complete && !http.has_ended && longest_ms < LIMIT_MS)
+                       "POST", CHAT_PATH, REQUEST_HEADERS, str_from (body));
+  if (!rawhttp_read_body (&http, 1000, CALL_TIMEOUT_MS)
+      || !silence_running_stream (bench))
+    fail (bench, name, "no running stream to interrupt");
+  while (!http.is_complete && !http.has_ended && longest_ms < WAIT_LIMIT_MS)
     {
       uint64_t start_ms = harness_now_ms ();
-      rawhttp_read_body (&http, http.body.len + 1, LIMIT_MS);
+      rawhttp_read_body (&http, http.body.len + 1, WAIT_LIMIT_MS);
       uint64_t wait_ms = harness_now_ms () - start_ms;
       longest_ms = wait_ms > longest_ms ? wait_ms : longest_ms;
     }
   if (!http.is_complete)
-    fail (bench, name, "the stream was cut");
+    fail (bench, name, "the stream ended before it was complete");
   rawhttp_close (&http);
-  print_row (bench, name, LIMIT_MS / 1000.0, (double)longest_ms / 1000, "s");
+  print_row (bench, name, WAIT_LIMIT_MS / 1000.0, (double)longest_ms / 1000,
+             "s");
 }
 
-/* What a process has used so far.  */
+/* Resources used by processes.  */
 typedef struct
 {
-  double bytes; /* All of RPC, both ways.  */
+  double bytes; /* RPC bytes in both directions.  */
   double control_bytes;
   double cpu_us;
-} use_t;
+} usage_t;
 
+/* Add SIGN times the totals of one process to USAGE.  */
 static void
-add_use (const bench_t *bench, const proc_t *proc, uint16_t admin, double sign,
-         use_t *use)
+add_usage (const bench_t *bench, const proc_t *proc, uint16_t admin,
+           double sign, usage_t *usage)
 {
   const cluster_t *cluster = bench->cluster;
 
-  use->bytes
+  usage->bytes
       += sign
          * (cluster_metric (cluster, admin, "vanillahook_rpc_bytes_out_total")
             + cluster_metric (cluster, admin,
                               "vanillahook_rpc_bytes_in_total"));
-  use->control_bytes
+  usage->control_bytes
       += sign
          * cluster_metric (cluster, admin,
                            "vanillahook_rpc_control_bytes_out_total");
-  use->cpu_us += sign * (double)proc_cpu_us (proc);
+  usage->cpu_us += sign * (double)proc_cpu_us (proc);
 }
 
-/* Add SIGN times what entries, sidecars and engines have used.  */
+/* Add SIGN times the totals of all entries, sidecars and engines; a call with
+   -1 and a later one with 1 give the usage between them.  */
 static void
-add_uses (const bench_t *bench, double sign, use_t *entries, use_t *sidecars,
-          use_t *engines)
+add_fleet_usage (const bench_t *bench, double sign, usage_t *entries,
+                 usage_t *sidecars, usage_t *engines)
 {
   const cluster_t *cluster = bench->cluster;
 
   for (size_t i = 0; i < cluster->entry_count; i++)
-    add_use (bench, cluster->entries[i].proc, cluster->entries[i].admin, sign,
-             entries);
+    add_usage (bench, cluster->entries[i].proc, cluster->entries[i].admin,
+               sign, entries);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     {
       const cluster_upstream_t *up = &cluster->upstreams[i];
-      add_use (bench, up->sidecar, up->admin, sign, sidecars);
+      add_usage (bench, up->sidecar, up->admin, sign, sidecars);
       engines->cpu_us += sign * (double)proc_cpu_us (up->proc);
     }
 }
 
-/* Bytes of one look at the store's head, both ways, heads included.  */
+/* Return the bytes of one read of the store's head, in both directions, with
+   HTTP headers.  */
 static double
-poll_bytes (const bench_t *bench)
+measure_poll_bytes (const bench_t *bench)
 {
   enum
   {
     REQUEST_BYTES = 150
   };
-  rawhttp_t http = get_head (bench);
+  rawhttp_t http = get_store_head (bench);
   double bytes = (double)(REQUEST_BYTES + http.head.len + http.body.len);
 
   rawhttp_close (&http);
@@ -488,40 +514,40 @@
 }
 
 static void
-bench_rest (bench_t *bench)
+bench_idle (bench_t *bench)
 {
-  use_t entries = { 0 };
-  use_t sidecars = { 0 };
-  use_t engines = { 0 };
+  usage_t entries = { 0 };
+  usage_t sidecars = { 0 };
+  usage_t engines = { 0 };
 
   bool any = false;
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     any = any
           || (str_starts_with (str_from (rows[i]), STR ("rest-"))
-              && wanted (bench, rows[i]));
+              && is_wanted (bench, rows[i]));
   if (!any)
     return;
-  harness_sleep_ms (SETTLE_MS);
-  double polled = poll_bytes (bench) * 1000 / HEAD_POLL_MS;
+  harness_sleep_ms (SETTLE_TIME_MS);
+  double polled_bytes_per_s = measure_poll_bytes (bench) * 1000 / HEAD_POLL_MS;
   uint64_t start_ms = harness_now_ms ();
-  add_uses (bench, -1, &entries, &sidecars, &engines);
-  harness_sleep_ms (bench->rest_ms);
-  add_uses (bench, 1, &entries, &sidecars, &engines);
+  add_fleet_usage (bench, -1, &entries, &sidecars, &engines);
+  harness_sleep_ms (bench->idle_time_ms);
+  add_fleet_usage (bench, 1, &entries, &sidecars, &engines);
   double seconds = (double)(harness_now_ms () - start_ms) / 1000;
   double entry_s = seconds * ENTRIES;
   double sidecar_s = seconds * (PROCESSES - ENTRIES);
-  double idle = engines.cpu_us / 1e4 / sidecar_s;
-  print_row (bench, "rest-entry-bytes", polled, entries.bytes / entry_s,
-             "bytes/s");
-  print_row (bench, "rest-sidecar-bytes", polled, sidecars.bytes / sidecar_s,
-             "bytes/s");
-  print_row (bench, "rest-entry-control-out", polled,
+  double engine_cpu_percent = engines.cpu_us / 1e4 / sidecar_s;
+  print_row (bench, "rest-entry-bytes", polled_bytes_per_s,
+             entries.bytes / entry_s, "bytes/s");
+  print_row (bench, "rest-sidecar-bytes", polled_bytes_per_s,
+             sidecars.bytes / sidecar_s, "bytes/s");
+  print_row (bench, "rest-entry-control-out", polled_bytes_per_s,
              entries.control_bytes / entry_s, "bytes/s");
-  print_row (bench, "rest-sidecar-control-out", polled,
+  print_row (bench, "rest-sidecar-control-out", polled_bytes_per_s,
              sidecars.control_bytes / sidecar_s, "bytes/s");
-  print_row (bench, "rest-entry-cpu", idle, entries.cpu_us / 1e4 / entry_s,
-             "%-of-core");
-  print_row (bench, "rest-sidecar-cpu", idle,
+  print_row (bench, "rest-entry-cpu", engine_cpu_percent,
+             entries.cpu_us / 1e4 / entry_s, "%-of-core");
+  print_row (bench, "rest-sidecar-cpu", engine_cpu_percent,
              sidecars.cpu_us / 1e4 / sidecar_s, "%-of-core");
 }
 
@@ -538,7 +564,7 @@
   bench->cluster = cluster_create (&options);
   if (bench->cluster == NULL)
     return EXIT_FAILURE;
-  bench_rest (bench);
+  bench_idle (bench);
   bench_silence (bench, "fleet-silent-connection");
   bench_changes (bench, false);
   bench_departure (bench, "fleet-departure-listed", true, false, 0);
@@ -548,8 +574,8 @@
   bench_departure (bench, "fleet-departure-sigterm", false, false, 1);
   bench_departure (bench, "fleet-departure-sigterm-store-gone", false, true,
                    2);
-  cluster_destroy (bench->cluster, bench->failed);
-  return bench->failed ? EXIT_FAILURE : EXIT_SUCCESS;
+  cluster_destroy (bench->cluster, bench->has_failed);
+  return bench->has_failed ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
 int
@@ -576,10 +602,10 @@
     }
   bench_t bench = { .rng = rng_make ((uint64_t)seed->ival[0]),
                     .pattern = str_from (pattern->sval[0]),
-                    .rest_ms = (uint64_t)seconds->ival[0] * 1000 };
+                    .idle_time_ms = (uint64_t)seconds->ival[0] * 1000 };
   bool any = false;
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
-    any = any || wanted (&bench, rows[i]);
+    any = any || is_wanted (&bench, rows[i]);
   int status = any ? run (&bench) : EXIT_SUCCESS;
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -1,5 +1,6 @@
-/* Measures the policy package: what callers receive under each load pattern,
-   against the plain baseline, and what one decision costs.  */
+/* Measures the policy package: the simulated outcome of requests under each
+   load pattern, compared with the baseline of model.h, and the processor time
+   and memory of its decisions.  */
 
 #include "model.h"
 
@@ -19,22 +20,22 @@
   EXIT_USAGE = 2
 };
 
-/* Print one row.  Two of nothing are equal; against nothing the ratio is
-   infinite.  */
+/* Print one row.  The ratio is 1 if both values are 0, and infinite if only
+   the baseline is 0.  */
 static void
-print_row (str_t pattern, const char *what, double baseline, double ours,
+print_row (str_t pattern, const char *row_name, double baseline, double ours,
            const char *unit)
 {
   double ratio = ours == baseline ? 1 : ours / baseline;
 
   printf ("bench %.*s%s%s baseline=%.3f ours=%.3f ratio=%.3f unit=%s\n",
-          STR_ARG (pattern), pattern.len > 0 ? "-" : "", what, baseline, ours,
-          ratio, unit);
+          STR_ARG (pattern), pattern.len > 0 ? "-" : "", row_name, baseline,
+          ours, ratio, unit);
   fflush (stdout);
 }
 
 static double
-part (uint64_t count, uint64_t all)
+fraction (uint64_t count, uint64_t all)
 {
   return all > 0 ? (double)count / (double)all : 0;
 }
@@ -42,35 +43,47 @@
 static void
 bench_pattern (const pattern_t *p, uint64_t seed)
 {
-  outcome_t a = model_run (p, seed, false);
-  outcome_t b = model_run (p, seed, true);
-
-  print_row (p->name, "goodput", a.goodput, b.goodput, "units/s");
-  print_row (p->name, "answered", part (a.answered, a.requests),
-             part (b.answered, b.requests), "share");
-  print_row (p->name, "p50-short", a.short_p50_ms, b.short_p50_ms, "ms");
-  print_row (p->name, "p99-short", a.short_p99_ms, b.short_p99_ms, "ms");
-  print_row (p->name, "p99-quiet-team", a.quiet_p99_ms, b.quiet_p99_ms, "ms");
-  print_row (p->name, "answered-quiet-team", a.quiet_answered,
-             b.quiet_answered, "share");
-  print_row (p->name, "unfairness", a.unfairness, b.unfairness, "share");
-  print_row (p->name, "refused-at-once", part (a.refused, a.requests),
-             part (b.refused, b.requests), "share");
+  outcome_t baseline = model_run (p, seed, false);
+  outcome_t policy = model_run (p, seed, true);
+
+  print_row (p->name, "goodput", baseline.goodput, policy.goodput, "units/s");
+  print_row (p->name, "answered",
+             fraction (baseline.answered, baseline.requests),
+             fraction (policy.answered, policy.requests), "share");
+  print_row (p->name, "p50-short", baseline.short_p50_ms, policy.short_p50_ms,
+             "ms");
+  print_row (p->name, "p99-short", baseline.short_p99_ms, policy.short_p99_ms,
+             "ms");
+  print_row (p->name, "p99-quiet-team", baseline.quiet_p99_ms,
+             policy.quiet_p99_ms, "ms");
+  print_row (p->name, "answered-quiet-team", baseline.quiet_answered,
+             policy.quiet_answered, "share");
+  print_row (p->name, "unfairness", baseline.unfairness, policy.unfairness,
+             "share");
+  print_row (p->name, "refused-at-once",
+             fraction (baseline.refused, baseline.requests),
+             fraction (policy.refused, policy.requests), "share");
   print_row (p->name, "failed-after-wait",
-             part (a.lapsed + a.errors, a.requests),
-             part (b.lapsed + b.errors, b.requests), "share");
-  print_row (p->name, "attempts", part (a.attempts, a.requests),
-             part (b.attempts, b.requests), "per-request");
-  print_row (p->name, "dispatches", part (a.dispatched, a.requests),
-             part (b.dispatched, b.requests), "per-request");
+             fraction (baseline.lapsed + baseline.errors, baseline.requests),
+             fraction (policy.lapsed + policy.errors, policy.requests),
+             "share");
+  print_row (p->name, "attempts",
+             fraction (baseline.attempts, baseline.requests),
+             fraction (policy.attempts, policy.requests), "per-request");
+  print_row (p->name, "dispatches",
+             fraction (baseline.dispatched, baseline.requests),
+             fraction (policy.dispatched, policy.requests), "per-request");
   if (p->slow + p->failing > 0 || p->cold_at >= 0 || p->new_at >= 0)
-    print_row (p->name, "sent-to-bad", a.bad_share, b.bad_share, "share");
+    print_row (p->name, "sent-to-bad", baseline.bad_share, policy.bad_share,
+               "share");
   if (p->zone_in >= 0 || p->cold_at >= 0 || p->new_at >= 0 || p->burst > 0)
-    print_row (p->name, "p99-5-to-10s-after", a.after_p99_ms, b.after_p99_ms,
-               "ms");
+    print_row (p->name, "p99-5-to-10s-after", baseline.after_p99_ms,
+               policy.after_p99_ms, "ms");
   if (p->zone_in >= 0 || p->cold_at >= 0 || p->new_at >= 0)
-    print_row (p->name, "full-use-after", a.full_use_s, b.full_use_s, "s");
-  print_row (p->name, "crowding", a.crowding, b.crowding, "max/mean");
+    print_row (p->name, "full-use-after", baseline.full_use_s,
+               policy.full_use_s, "s");
+  print_row (p->name, "crowding", baseline.crowding, policy.crowding,
+             "max/mean");
 }
 
 static double
@@ -82,25 +95,28 @@
   return (double)t.tv_sec * 1e9 + (double)t.tv_nsec;
 }
 
-/* Return the bytes allocated, in the heap and in mappings of their own.  */
+/* Return the number of bytes allocated on the heap and in separate
+   mappings.  */
 static size_t
-allocated (void)
+allocated_bytes (void)
 {
   struct mallinfo2 info = mallinfo2 ();
 
   return info.uordblks + info.hblkhd;
 }
 
-/* Make N upstreams known in three zones, with half of the slots in use.  */
+/* Return a new balance with UPSTREAM_COUNT upstreams in three zones, with half
+   of the slots in use on average; the caller destroys it.  */
 static balance_t *
-fill_balance (int n, clock_iface_t *clock, rng_t *rng, upstream_id_t ids[])
+create_balance (int upstream_count, clock_iface_t *clock, rng_t *rng,
+                upstream_id_t ids[])
 {
   static const str_t zones[]
       = { STR ("zone-a"), STR ("zone-b"), STR ("zone-c") };
   str_t pool = STR ("draft@1");
   balance_t *balance = balance_create (STR ("entry-1"), zones[0], clock, rng);
 
-  for (int i = 0; i < n; i++)
+  for (int i = 0; i < upstream_count; i++)
     {
       char name[24];
       int len = snprintf (name, sizeof name, "runner-%d", i);
@@ -114,83 +130,84 @@
   return balance;
 }
 
-/* Return the nanoseconds of a choice with its count of what is in flight; one
-   in four has an affinity.  */
+/* Return the mean time of a selection with the start and end of its request,
+   in ns.  One request in four has an affinity.  */
 static double
-time_choice (balance_t *balance, clock_iface_t *clock, rng_t *rng)
+time_selection (balance_t *balance, clock_iface_t *clock, rng_t *rng)
 {
   balance_request_t request
       = { .pool = balance_find_or_add_pool (balance, STR ("draft@1")) };
-  upstream_id_t held[64] = { 0 };
-  double begin = now_ns ();
+  upstream_id_t selected_ids[64] = { 0 };
+  double begin_ns = now_ns ();
 
   for (int i = 0; i < DECISIONS; i++)
     {
-      upstream_id_t *slot = &held[i % 64];
+      upstream_id_t *selected_id = &selected_ids[i % 64];
 
       request.affinity = i % 4 == 0 ? rng_u64 (rng) | 1 : BALANCE_NO_AFFINITY;
-      if (balance_pick (balance, &request, slot) != VH_OK)
+      if (balance_pick (balance, &request, selected_id) != VH_OK)
         abort ();
-      balance_request_started (balance, *slot);
-      balance_request_ended (balance, held[(i + 1) % 64], true);
+      balance_request_started (balance, *selected_id);
+      balance_request_ended (balance, selected_ids[(i + 1) % 64], true);
       if (i % 64 == 0)
         clock_manual_advance_us (clock, 1000);
     }
-  return (now_ns () - begin) / DECISIONS;
+  return (now_ns () - begin_ns) / DECISIONS;
 }
 
-/* Return the nanoseconds of the plain side's choice: the next in turn.  */
+/* Return the mean time of a selection by round robin, the baseline, in ns.  */
 static double
-time_round_robin (int n, upstream_id_t ids[])
+time_round_robin (int upstream_count, upstream_id_t ids[])
 {
-  volatile uint32_t sink = 0;
-  volatile int turn = 0;
-  double begin = now_ns ();
+  volatile uint32_t checksum = 0;
+  volatile int next_index = 0;
+  double begin_ns = now_ns ();
 
   for (int i = 0; i < DECISIONS; i++)
     {
-      turn = turn + 1 < n ? turn + 1 : 0;
-      sink = sink + ids[turn];
+      next_index = next_index + 1 < upstream_count ? next_index + 1 : 0;
+      checksum = checksum + ids[next_index];
     }
-  return (now_ns () - begin) / DECISIONS;
+  return (now_ns () - begin_ns) / DECISIONS;
 }
 
 static void
-bench_choice (int n, uint64_t seed)
+bench_selection (int upstream_count, uint64_t seed)
 {
   clock_iface_t *clock = clock_manual_create (0);
-  upstream_id_t *ids = mem_zalloc ((size_t)n * sizeof *ids);
+  upstream_id_t *ids = mem_zalloc ((size_t)upstream_count * sizeof *ids);
   rng_t rng = rng_make (seed);
-  size_t before = allocated ();
-  balance_t *balance = fill_balance (n, clock, &rng, ids);
-  double bytes = (double)(allocated () - before) / n;
-  char what[48];
-
-  snprintf (what, sizeof what, "choice-%d", n);
-  time_choice (balance, clock, &rng);
-  print_row (STR_NULL, what, time_round_robin (n, ids),
-             time_choice (balance, clock, &rng), "ns");
-  snprintf (what, sizeof what, "memory-%d", n);
-  print_row (STR_NULL, what, (double)sizeof *ids, bytes, "bytes/upstream");
+  size_t bytes_before = allocated_bytes ();
+  balance_t *balance = create_balance (upstream_count, clock, &rng, ids);
+  double bytes = (double)(allocated_bytes () - bytes_before) / upstream_count;
+  char row_name[48];
+
+  snprintf (row_name, sizeof row_name, "choice-%d", upstream_count);
+  time_selection (balance, clock, &rng);
+  print_row (STR_NULL, row_name, time_round_robin (upstream_count, ids),
+             time_selection (balance, clock, &rng), "ns");
+  snprintf (row_name, sizeof row_name, "memory-%d", upstream_count);
+  print_row (STR_NULL, row_name, (double)sizeof *ids, bytes, "bytes/upstream");
   balance_destroy (balance);
   free (ids);
   clock_manual_destroy (clock);
 }
 
-/* Return the nanoseconds of the plain side's admission: none is refused.  */
+/* Return the mean time of the baseline's admission, which only counts requests
+   and refuses none, in ns.  */
 static double
 time_no_admission (void)
 {
   volatile uint64_t admitted = 0;
-  double begin = now_ns ();
+  double begin_ns = now_ns ();
 
   for (int i = 0; i < DECISIONS; i++)
     admitted = admitted + 1;
-  return (now_ns () - begin) / DECISIONS;
+  return (now_ns () - begin_ns) / DECISIONS;
 }
 
-/* Print the cost of a decision with its result, for thirty teams in
-   overload.  */
+/* Print the time of an admission decision with the record of its result, for
+   thirty teams under overload.  */
 static void
 bench_admission (uint64_t seed)
 {
@@ -198,8 +215,8 @@
   rng_t rng = rng_make (seed);
   admission_t *admission = admission_create (clock, &rng);
   char name[] = "team-00";
-  double begin = now_ns ();
-  double spent;
+  double begin_ns = now_ns ();
+  double decision_ns;
 
   for (int i = 0; i < DECISIONS; i++)
     {
@@ -212,8 +229,8 @@
       if (i % 10 == 0)
         clock_manual_advance_us (clock, 1000);
     }
-  spent = (now_ns () - begin) / DECISIONS;
-  print_row (STR_NULL, "admission-30-teams", time_no_admission (), spent,
+  decision_ns = (now_ns () - begin_ns) / DECISIONS;
+  print_row (STR_NULL, "admission-30-teams", time_no_admission (), decision_ns,
              "ns");
   admission_destroy (admission);
   clock_manual_destroy (clock);
@@ -222,9 +239,9 @@
 static void
 bench_costs (uint64_t seed)
 {
-  bench_choice (20, seed);
-  bench_choice (1000, seed);
-  bench_choice (11000, seed);
+  bench_selection (20, seed);
+  bench_selection (1000, seed);
+  bench_selection (11000, seed);
   bench_admission (seed);
 }
 
@@ -236,7 +253,8 @@
   bench_costs (seed);
 }
 
-/* Run the patterns and costs whose rows GLOB may match; return how many.  */
+/* Run the patterns whose name GLOB matches, and the costs of decisions if it
+   matches "costs"; return the number of matches.  */
 static unsigned
 bench_matching (str_t glob, uint64_t seed)
 {
@@ -285,8 +303,8 @@
   struct arg_end *end = arg_end (8);
   void *table[] = { seed, pattern, seconds, help, version, end };
   int status = EXIT_SUCCESS;
-  uint64_t number = 1;
-  pattern_t wanted;
+  uint64_t seed_value = 1;
+  pattern_t selected_pattern;
 
   if (arg_parse (argc, argv, table) > 0)
     {
@@ -295,18 +313,18 @@
       goto out;
     }
   if (seed->count > 0)
-    number = (uint64_t)seed->ival[0];
+    seed_value = (uint64_t)seed->ival[0];
   if (help->count > 0)
     print_help (table);
   else if (version->count > 0)
     printf ("bench_load (vanillahook) %s\n", VH_VERSION);
   else if (pattern->count == 0)
-    bench_all (number);
+    bench_all (seed_value);
   else if (str_eq (str_from (pattern->sval[0]), STR ("costs")))
-    bench_costs (number);
-  else if (pattern_parse (str_from (pattern->sval[0]), &wanted))
-    bench_pattern (&wanted, number);
-  else if (bench_matching (str_from (pattern->sval[0]), number) == 0
+    bench_costs (seed_value);
+  else if (pattern_parse (str_from (pattern->sval[0]), &selected_pattern))
+    bench_pattern (&selected_pattern, seed_value);
+  else if (bench_matching (str_from (pattern->sval[0]), seed_value) == 0
            && strpbrk (pattern->sval[0], ",=") != NULL)
     {
       fprintf (stderr, "bench_load: unknown pattern or field: %s\n",
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -1,14 +1,14 @@
-/* What the path through entry and sidecar adds, against straight to the
-   engine, in the same run.  Prints
+/* Measures the overhead of the path through entry and sidecar, compared with
+   direct calls to the engine in the same run.  Prints
 
-     path-latency-p50, path-latency-p99  microseconds of a small answer, at
-                       half of the rate that the path carried at the most
-     path-throughput   small answers a second per core: of the engine
-                       stand-in's processor time straight, of the entry's
-                       through the path
+     path-latency-p50, path-latency-p99  latency of a small answer in
+                       microseconds, at half of the path's maximum rate
+     path-throughput   small answers per second of processor time: that of the
+                       engine stand-in for direct calls, that of the entry for
+                       the path
 
-   Both sides take turns in short slices, so that what else the machine does
-   falls on both.  */
+   Direct calls and the path alternate in short slices, so that other load on
+   the machine affects both alike.  */
 
 #include "cluster.h"
 #include "standins/common.h"
@@ -22,9 +22,10 @@
 
 enum
 {
-  SLICES = 4, /* Of each side.  */
-  FULL_CONCURRENCY = 64,
-  HALF_CONCURRENCY = 256, /* A bound; the rate decides.  */
+  SLICES = 4, /* Number of slices for direct calls and for the path each.  */
+  MAX_RATE_CONCURRENCY = 64,
+  /* An upper bound only: at half rate, the rate limits the load.  */
+  HALF_RATE_CONCURRENCY = 256,
   WARM_UP_MS = 300,
   ANSWER_TOKENS = 4,
   SECONDS_MAX = 120
@@ -37,50 +38,53 @@
   uint64_t finished;
   uint64_t failed;
   uint64_t wrong;
-  bool over;
-} side_t;
+  bool is_over;
+} target_load_t;
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_request_finished (void *arg, const load_result_t *result)
 {
-  side_t *side = arg;
+  target_load_t *target_load = arg;
 
-  side->finished++;
-  side->failed += !result->whole;
-  side->wrong += result->wrong;
-  samples_add (&side->latency, result->total_us);
+  target_load->finished++;
+  target_load->failed += !result->whole;
+  target_load->wrong += result->wrong;
+  samples_add (&target_load->latency, result->total_us);
 }
 
 static void
-on_over (void *arg)
+on_load_over (void *arg)
 {
-  ((side_t *)arg)->over = true;
+  ((target_load_t *)arg)->is_over = true;
 }
 
-/* Load SIDE for MS at RATE a second (0: as fast as it goes).  */
+/* Send requests to TARGET_LOAD's address for DURATION_MS at RATE per second
+   (0: as many as the concurrency allows).  */
 static void
-run_load (side_t *side, uint64_t ms, double rate, uint64_t seed)
+generate_load (target_load_t *target_load, uint64_t duration_ms, double rate,
+               uint64_t seed)
 {
   const load_options_t options
-      = { .targets = &side->target,
+      = { .targets = &target_load->target,
           .target_count = 1,
-          .concurrency = rate > 0 ? HALF_CONCURRENCY : FULL_CONCURRENCY,
+          .concurrency
+          = rate > 0 ? HALF_RATE_CONCURRENCY : MAX_RATE_CONCURRENCY,
           .rate = rate,
-          .duration_ms = ms,
+          .duration_ms = duration_ms,
           .seed = seed,
           .api_key = STR (CLUSTER_KEY),
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
-          .finished = on_finished,
-          .over = on_over,
-          .arg = side };
+          .finished = on_request_finished,
+          .over = on_load_over,
+          .arg = target_load };
   uv_loop_t loop;
 
-  side->over = false;
+  target_load->is_over = false;
   uv_loop_init (&loop);
   load_t *load = load_create (&loop, &options);
-  while (!side->over)
+  while (!target_load->is_over)
     uv_run (&loop, UV_RUN_ONCE);
   load_destroy (load);
   uv_run (&loop, UV_RUN_DEFAULT);
@@ -88,16 +92,16 @@
 }
 
 static void
-side_reset (side_t *side)
+reset_load (target_load_t *target_load)
 {
-  samples_free (&side->latency);
-  side->finished = 0;
+  samples_free (&target_load->latency);
+  target_load->finished = 0;
 }
 
 static str_t row_pattern;
 
 static bool
-any_wanted (void)
+is_any_row_wanted (void)
 {
   return str_matches_glob (row_pattern, STR ("path-latency-p50"))
          || str_matches_glob (row_pattern, STR ("path-latency-p99"))
@@ -113,66 +117,67 @@
           baseline, ours, baseline > 0 ? ours / baseline : 0, unit);
 }
 
-/* Requests a second per core that PROC used, loading SIDE for MS in all;
- *RATE is what it carried by the clock.  */
+/* Load TARGET_LOAD's address for DURATION_MS.  Return the requests finished
+   per second of PROC's processor time; store the requests per second of real
+   time in *RATE.  */
 static double
-measure_throughput (side_t *side, const proc_t *proc, uint64_t ms,
-                    uint64_t seed, double *rate)
+measure_throughput (target_load_t *target_load, const proc_t *proc,
+                    uint64_t duration_ms, uint64_t seed, double *rate)
 {
-  uint64_t cpu = proc_cpu_us (proc);
-  uint64_t began = harness_now_ms ();
-
-  side_reset (side);
-  run_load (side, ms, 0, seed);
-  double seconds = (double)(harness_now_ms () - began) / 1000;
-  double busy = (double)(proc_cpu_us (proc) - cpu) / 1e6;
-  *rate = (double)side->finished / seconds;
-  return busy > 0 ? (double)side->finished / busy : 0;
+  uint64_t cpu_before_us = proc_cpu_us (proc);
+  uint64_t began_ms = harness_now_ms ();
+
+  reset_load (target_load);
+  generate_load (target_load, duration_ms, 0, seed);
+  double seconds = (double)(harness_now_ms () - began_ms) / 1000;
+  double cpu_s = (double)(proc_cpu_us (proc) - cpu_before_us) / 1e6;
+  *rate = (double)target_load->finished / seconds;
+  return cpu_s > 0 ? (double)target_load->finished / cpu_s : 0;
 }
 
 static void
-measure (cluster_t *cluster, uint64_t ms, uint64_t seed, side_t *straight,
-         side_t *path)
+measure (cluster_t *cluster, uint64_t duration_ms, uint64_t seed,
+         target_load_t *direct, target_load_t *path)
 {
   const cluster_upstream_t *engine = &cluster->upstreams[0];
-  uint64_t slice = ms / (4 * (uint64_t)SLICES);
-  double straight_rate = 0;
+  uint64_t slice_ms = duration_ms / (4 * (uint64_t)SLICES);
+  double direct_rate = 0;
   double path_rate = 0;
-  double straight_core = 0;
-  double path_core = 0;
+  double direct_core_rate = 0;
+  double path_core_rate = 0;
 
-  run_load (straight, WARM_UP_MS, 0, seed);
-  run_load (path, WARM_UP_MS, 0, seed);
+  generate_load (direct, WARM_UP_MS, 0, seed);
+  generate_load (path, WARM_UP_MS, 0, seed);
   for (int i = 0; i < SLICES; i++)
     {
       double rate;
-      straight_core += measure_throughput (straight, engine->proc, slice,
-                                           seed + 1, &rate);
-      straight_rate += rate;
-      path_core += measure_throughput (path, cluster->entries[0].proc, slice,
-                                       seed + 2, &rate);
+      direct_core_rate += measure_throughput (direct, engine->proc, slice_ms,
+                                              seed + 1, &rate);
+      direct_rate += rate;
+      path_core_rate += measure_throughput (path, cluster->entries[0].proc,
+                                            slice_ms, seed + 2, &rate);
       path_rate += rate;
     }
-  side_reset (straight);
-  side_reset (path);
-  double half = path_rate / SLICES / 2;
+  reset_load (direct);
+  reset_load (path);
+  double half_rate = path_rate / SLICES / 2;
   for (int i = 0; i < SLICES; i++)
     {
-      run_load (straight, slice, half, seed + 3);
-      run_load (path, slice, half, seed + 4);
+      generate_load (direct, slice_ms, half_rate, seed + 3);
+      generate_load (path, slice_ms, half_rate, seed + 4);
     }
   print_row ("path-latency-p50",
-             (double)samples_quantile (&straight->latency, 0.5),
+             (double)samples_quantile (&direct->latency, 0.5),
              (double)samples_quantile (&path->latency, 0.5), "us");
   print_row ("path-latency-p99",
-             (double)samples_quantile (&straight->latency, 0.99),
+             (double)samples_quantile (&direct->latency, 0.99),
              (double)samples_quantile (&path->latency, 0.99), "us");
-  print_row ("path-throughput", straight_core / SLICES, path_core / SLICES,
-             "requests/s/core");
+  print_row ("path-throughput", direct_core_rate / SLICES,
+             path_core_rate / SLICES, "requests/s/core");
   fprintf (stderr,
-           "bench_path: by the clock %.0f/s straight, %.0f/s through the "
+           "bench_path: real-time rate %.0f/s direct, %.0f/s through the "
            "path; latency at %.0f/s\n",
-           straight_rate / SLICES, path_rate / SLICES, half);
+           direct_rate / SLICES, path_rate / SLICES, half_rate);
 }
 
 static int
@@ -188,7 +193,7 @@
                           "queue-max = 4096\n" };
   cluster_t *cluster = cluster_create (&options);
   char addresses[2][40];
-  side_t sides[2] = { { .over = false }, { .over = false } };
+  target_load_t loads[2] = { { .is_over = false }, { .is_over = false } };
 
   if (cluster == NULL)
     return EXIT_FAILURE;
@@ -197,20 +202,20 @@
   snprintf (addresses[1], sizeof addresses[1], "%s:%u", cluster->host,
             cluster->entries[0].port);
   for (size_t i = 0; i < 2; i++)
-    sides[i].target = str_from (addresses[i]);
-  measure (cluster, seconds * 1000, seed, &sides[0], &sides[1]);
+    loads[i].target = str_from (addresses[i]);
+  measure (cluster, seconds * 1000, seed, &loads[0], &loads[1]);
   bool failed = false;
   for (size_t i = 0; i < 2; i++)
     {
-      if (sides[i].failed + sides[i].wrong > 0)
+      if (loads[i].failed + loads[i].wrong > 0)
         {
           fprintf (stderr,
                    "bench_path: %s: %" PRIu64 " failed, %" PRIu64 " wrong\n",
-                   i == 0 ? "straight" : "path", sides[i].failed,
-                   sides[i].wrong);
+                   i == 0 ? "direct" : "path", loads[i].failed,
+                   loads[i].wrong);
           failed = true;
         }
-      samples_free (&sides[i].latency);
+      samples_free (&loads[i].latency);
     }
   cluster_destroy (cluster, failed);
   return failed ? EXIT_FAILURE : EXIT_SUCCESS;
@@ -232,7 +237,7 @@
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
   standin_args (argc, argv, argtable,
-                "Measures what the path adds to straight calls.");
+                "Measures the overhead of the path over direct calls.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_path: 1 to %d seconds\n", SECONDS_MAX);
@@ -240,7 +245,7 @@
     }
   row_pattern = str_from (pattern->sval[0]);
   int status = EXIT_SUCCESS;
-  if (any_wanted ())
+  if (is_any_row_wanted ())
     status = run ((uint64_t)seconds->ival[0], (uint64_t)seed->ival[0]);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
--- a/bench/model.h
+++ b/bench/model.h
@@ -51,7 +51,7 @@
   X (burst, 0, "load between burst_from and burst_to; 0: no burst")           \
   X (burst_from, 10, "start of the burst")                                    \
   X (burst_to, 20, "end of the burst")                                        \
-  X (hot_team, 0.1, "fraction of the requests sent by the busiest team")      \
+  X (hot_team, 0.1, "fraction of the requests sent by one team of ten")       \
   X (quiet, 0.05, "load of a team that sends half of its fair share")         \
   X (hot_prefix, 0, "fraction of the requests with the same prompt prefix")   \
   X (prefixes, 200, "number of other prefixes; an engine caches 32")          \
