--- a/bench/model.h
+++ b/bench/model.h
@@ -27,18 +27,18 @@
   MODEL_UPSTREAMS_MAX = 64,
   MODEL_ZONES = 3,
   /* Units of cost that one slot of a warm engine processes in a second.  */
-  MODEL_SPEED = 100
+  MODEL_SLOT_UNITS_PER_S = 100
 };
 
 /* Algorithm by which the baseline selects an upstream.  */
 typedef enum
 {
-  PLAIN_ROUND_ROBIN,
+  BASELINE_ROUND_ROBIN,
   /* The lowest number of requests in the latest load reports.  */
-  PLAIN_LEAST_REPORTED,
+  BASELINE_LEAST_REPORTED,
   /* Hash of the prompt prefix; round robin for a request without a prefix.  */
-  PLAIN_HASH
-} plain_t;
+  BASELINE_PREFIX_HASH
+} baseline_selection_t;
 
 /* X (field, default, help text).  Times are in seconds.  */
 #define PATTERN_FIELDS(X)                                                     \
@@ -72,7 +72,7 @@
 typedef struct
 {
   str_t name;
-  plain_t plain;
+  baseline_selection_t plain;
 #define X(field, value, text) double field;
   PATTERN_FIELDS (X)
 #undef X
