--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -97,7 +97,7 @@
 {
   double cost;
   double quality;
-  double error; /* Standard error of QUALITY.  */
+  double error; /* Standard error of the mean quality.  */
 } cost_summary_t;
 
 typedef struct
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -24,8 +24,8 @@
 
 /* Selection of an instance.  */
 
-/* Return a new pool of KNOWN instances of one service in ten zones; the caller
-   destroys it.  */
+/* Return a new pool of INSTANCE_COUNT instances of one service in ten zones;
+   the caller destroys it.  */
 static pool_t *
 create_pool (clock_iface_t *clock, int instance_count)
 {
@@ -53,7 +53,7 @@
 static double
 time_selections (pool_t *pool, rng_t *rng, int selections)
 {
-  double begin = cpu_time_ns ();
+  double begin_ns = cpu_time_ns ();
 
   for (int i = 0; i < selections; i++)
     {
@@ -66,7 +66,7 @@
       pool_request_started (pool, upstream, 1000);
       pool_request_finished (pool, upstream, 1000, SEND_OK);
     }
-  return (cpu_time_ns () - begin) / selections;
+  return (cpu_time_ns () - begin_ns) / selections;
 }
 
 static void
@@ -117,7 +117,7 @@
           catalog_add_route (catalog, &route);
         }
       points_add (&memory, sizes[s], heap_used_bytes () - heap_before);
-      double begin = cpu_time_ns ();
+      double begin_ns = cpu_time_ns ();
       for (int i = 0; i < 20000; i++)
         {
           snprintf (prefix, sizeof prefix, "/r%d/a/b", i % sizes[s]);
@@ -126,7 +126,7 @@
               == NULL)
             abort ();
         }
-      points_add (&cpu, sizes[s], (cpu_time_ns () - begin) / 20000);
+      points_add (&cpu, sizes[s], (cpu_time_ns () - begin_ns) / 20000);
       catalog_unref (catalog);
     }
   points_print_fit (&cpu, "gateway-route-cpu", "ns/route");
@@ -154,11 +154,11 @@
       for (int i = 0; i < sizes[s]; i++)
         trial_merge (trial, format_name (name, sizeof name, "entry", i), false,
                      buf_str (&text));
-      double begin = cpu_time_ns ();
+      double begin_ns = cpu_time_ns ();
       for (int i = 0; i < 200; i++)
         if (trial_decide (trial, 2, false, &reason) == TRIAL_DECISION_FINISH)
           abort ();
-      points_add (&cpu, sizes[s], (cpu_time_ns () - begin) / 200 / 1e3);
+      points_add (&cpu, sizes[s], (cpu_time_ns () - begin_ns) / 200 / 1e3);
       buf_free (&text);
       buf_free (&reason);
       trial_destroy (trial);
@@ -185,7 +185,7 @@
   {
     INSTANCES = 45,
     SAMPLES = 1000,
-    DECISIONS_PER_SAMPLE = 20 /* Decisions timed together.  */
+    DECISIONS_PER_SAMPLE = 20 /* Decisions between two reads of the clock.  */
   };
   static const double decision_bound_ns = 2000;
   static const escalation_options_t options = { .value_per_1k_tokens = 0.55,
@@ -207,7 +207,7 @@
                               100 + rng_below (&rng, 500), 2000);
   for (int sample = 0; sample < SAMPLES; sample++)
     {
-      double begin = cpu_time_ns ();
+      double begin_ns = cpu_time_ns ();
       for (int i = 0; i < DECISIONS_PER_SAMPLE; i++)
         {
           const pool_criteria_t criteria
@@ -232,7 +232,7 @@
                   .candidate_count = 1 };
           total_gain += escalation_gain (escalation, &request, 0);
         }
-      sample_ns[sample] = (cpu_time_ns () - begin) / DECISIONS_PER_SAMPLE;
+      sample_ns[sample] = (cpu_time_ns () - begin_ns) / DECISIONS_PER_SAMPLE;
     }
   qsort (sample_ns, SAMPLES, sizeof *sample_ns, compare_doubles);
   if (isnan (total_gain))
--- a/bench/model.c
+++ b/bench/model.c
@@ -98,14 +98,15 @@
   list_t queue_link; /* Member of the engine's queue (baseline only).  */
   request_state_t state;
   entry_t *entry;
-  upstream_t *upstream; /* Of the latest attempt.  */
+  upstream_t *upstream; /* Upstream of the latest attempt; NULL before
+                           the first.  */
   int team;
   uint32_t cost;
   uint32_t work;     /* Units to compute: the cost less what a cached prefix
                         saves.  */
-  uint32_t estimate; /* The cost that the policy package is given.  */
+  uint32_t estimate; /* Estimated cost, passed to the policy package.  */
   bool is_long;
-  bool is_counted; /* Arrived after the warm-up.  */
+  bool is_counted; /* Whether the request arrived after the warm-up.  */
   uint64_t affinity;
   uint64_t arrived_us;
   uint64_t deadline_us;
@@ -163,7 +164,7 @@
 typedef struct
 {
   event_t event;
-  upstream_t *upstream; /* The sender.  */
+  upstream_t *upstream; /* Sender of the notification.  */
   uint64_t sent_us;
   balance_load_t load;
   uint64_t affinity; /* The cached prefix; BALANCE_NO_AFFINITY for a load
@@ -187,7 +188,7 @@
   int script_done; /* Bit N is set once line N of the script has run.  */
   upstream_t upstreams[MODEL_UPSTREAMS_MAX];
   int upstream_count;
-  bool zone_in[MODEL_ZONES];
+  bool is_zone_in_service[MODEL_ZONES];
   entry_t entries[ENTRY_COUNT];
   pool_id_t pool;
 
@@ -196,7 +197,7 @@
   double served_work[MODEL_TEAMS];
   double served_work_sum;
   uint64_t bad_attempts;
-  double *waits[WAIT_LISTS]; /* In ms.  */
+  double *waits[WAIT_LISTS]; /* Time until each short job ended, in ms.  */
   size_t wait_counts[WAIT_LISTS];
   size_t wait_caps[WAIT_LISTS];
   double imbalance_sum;
@@ -268,7 +269,8 @@
   return p->fail_from;
 }
 
-/* Record the time since REQUEST arrived, if it is a counted short job.  */
+/* Record the time since REQUEST arrived, if it is a short job that arrived
+   after the warm-up.  */
 static void
 record_wait (model_t *m, const request_t *request)
 {
@@ -395,7 +397,7 @@
 /* Return the units that U must compute for REQUEST: less than the cost if the
    request's prefix is cached.  Cache the prefix.  */
 static double
-engine_start_cost (model_t *m, upstream_t *u, const request_t *request)
+engine_cost_after_cache (model_t *m, upstream_t *u, const request_t *request)
 {
   notification_t *notification;
 
@@ -432,7 +434,7 @@
       return;
     }
   request->state = REQUEST_RUNNING;
-  request->work = (uint32_t)engine_start_cost (m, u, request);
+  request->work = (uint32_t)engine_cost_after_cache (m, u, request);
   engine_advance (m, u);
   request->job.key = u->work + ((uint64_t)request->work << WORK_FRACTION_BITS);
   request->job.tie = ++m->sequence;
@@ -592,8 +594,7 @@
       m->out.dispatched += is_counted;
       if (sidecar_submit (m, request->upstream, request))
         {
-          /* sidecar_submit may have refused and freed the request as expired.
-           */
+          /* sidecar_submit may have freed an expired request.  */
           admission_record_result (entry->admission, estimate, true);
           count_attempt (m, &m->upstreams[number], is_counted);
           return;
@@ -607,7 +608,8 @@
 static bool
 is_in_service (const model_t *m, int number)
 {
-  return m->upstreams[number].exists && m->zone_in[m->upstreams[number].zone];
+  return m->upstreams[number].exists
+         && m->is_zone_in_service[m->upstreams[number].zone];
 }
 
 static upstream_t *
@@ -674,17 +676,17 @@
 {
   upstream_t *u = request->upstream;
   entry_t *entry = request->entry;
-  uint64_t took_us = m->now_us - request->started_us;
+  uint64_t service_us = m->now_us - request->started_us;
 
   if (!m->uses_policy)
     {
       engine_start_queued (m, u);
       return;
     }
-  limit_release (u->limit, took_us, units, ok);
+  limit_release (u->limit, service_us, units, ok);
   if (ok && units == request->work)
     {
-      queue_done (u->queue, &request->waiter, took_us, units);
+      queue_done (u->queue, &request->waiter, service_us, units);
       retry_record_latency (entry->retry, m->now_us - request->arrived_us);
     }
   else
@@ -692,7 +694,7 @@
   balance_request_ended (entry->balance, entry->upstream_ids[u->number], ok);
   if (entry->outlier_members[u->number] != NULL)
     outlier_record (entry->outlier, entry->outlier_members[u->number], ok,
-                    limit_is_warming_up (u->limit) ? 0 : took_us, units);
+                    limit_is_warming_up (u->limit) ? 0 : service_us, units);
   apply_ejections (entry);
   sidecar_start_queued (m, u);
 }
@@ -1104,7 +1106,7 @@
 static void
 set_zone_in_service (model_t *m, bool is_in)
 {
-  m->zone_in[0] = is_in;
+  m->is_zone_in_service[0] = is_in;
   for (int e = 0; m->uses_policy && e < ENTRY_COUNT; e++)
     balance_set_zone_enabled (m->entries[e].balance, STR ("zone-a"), is_in);
   for (int i = 0; is_in && i < m->upstream_count; i++)
@@ -1201,7 +1203,7 @@
   m->start_us = m->now_us = clock_us (m->clock);
   m->upstream_count = (int)m->pattern->upstreams;
   for (int z = 0; z < MODEL_ZONES; z++)
-    m->zone_in[z] = true;
+    m->is_zone_in_service[z] = true;
   for (int e = 0; e < ENTRY_COUNT; e++)
     create_entry (m, e);
   for (int i = 0; i < MODEL_UPSTREAMS_MAX; i++)
