--- a/bench/model.h
+++ b/bench/model.h
@@ -49,8 +49,8 @@
   X (thrash, 0.5, "power of the excess with which an engine slows, 0: none")  \
   X (load, 0.7, "offered work as a fraction of the engines' capacity")        \
   X (burst, 0, "load between burst_from and burst_to; 0: no burst")           \
-  X (burst_from, 10, "start of the burst")                                    \
-  X (burst_to, 20, "end of the burst")                                        \
+  X (burst_from, 10, "")                                                      \
+  X (burst_to, 20, "")                                                        \
   X (hot_team, 0.1, "fraction of the requests sent by one team of ten")       \
   X (quiet, 0.05, "load of a team that sends half of its fair share")         \
   X (hot_prefix, 0, "fraction of the requests with the same prompt prefix")   \
@@ -58,9 +58,9 @@
   X (long_work, 0, "fraction of the work that is in long jobs")               \
   X (long_cost, 6000, "mean units of a long job")                             \
   X (slow, 0, "number of engines that are five times slower")                 \
-  X (failing, 0, "number of engines that return errors at once")              \
+  X (failing, 0, "engines that fail at once between fail_from and fail_to")   \
   X (fail_from, 0, "start of the errors")                                     \
-  X (fail_to, 1e9, "end of the errors")                                       \
+  X (fail_to, 1e9, "")                                                        \
   X (cold_at, -1, "time when one engine becomes cold, -1: never")             \
   X (cold_for, 5, "time for which a cold engine stays cold")                  \
   X (new_at, -1, "time when one more engine starts, cold, -1: never")         \
