--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -94,9 +94,9 @@
                                    / REVOCATION_MARGIN_DIVISOR
                                    * (REVOCATION_MARGIN_DIVISOR - 1)
                              : settings->config_max_age_ms,
-    .registration_grace_ms = settings->registration_grace_ms,
-    .retry_ratio = settings->extra_send_ratio,
-    .retry_fixed_budget = settings->extra_send_fixed_budget,
+    .expired_registration_grace_ms = settings->expired_registration_grace_ms,
+    .retries_per_request = settings->extra_send_ratio,
+    .fixed_retries_per_window = settings->extra_send_fixed_budget,
     .retry_window_ms = (uint64_t)(settings->extra_send_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -44,8 +44,8 @@
 {
   send_budget_t *allowance = map_get (state->allowances, service);
   send_budget_options_t options
-      = { .ratio = state->options.retry_ratio,
-          .slack = state->options.retry_fixed_budget,
+      = { .ratio = state->options.retries_per_request,
+          .slack = state->options.fixed_retries_per_window,
           .window_ms = state->options.retry_window_ms };
 
   if (allowance != NULL)
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -195,8 +195,9 @@
   uint64_t keep_ms = 0;
 
   if (sync->store_back_ms != 0
-      && now_ms - sync->store_back_ms < belief->options.registration_grace_ms)
-    keep_ms = belief->options.registration_grace_ms
+      && now_ms - sync->store_back_ms
+             < belief->options.expired_registration_grace_ms)
+    keep_ms = belief->options.expired_registration_grace_ms
               - (now_ms - sync->store_back_ms);
   log_event (EVENT_UNLISTED, log_field_text (FIELD_UPSTREAM, key),
              log_field_number (FIELD_KEEP_MS, keep_ms));
