--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -37,7 +37,7 @@
 
 #define CHAT_PATH "/v1/chat/completions"
 #define REQUEST_HEADERS                                                       \
-  "authorization: Bearer " CLUSTER_KEY "\r\n"                                 \
+  "authorization: Bearer " CLUSTER_API_KEY "\r\n"                             \
   "content-type: application/json\r\n"
 
 typedef struct
@@ -149,7 +149,7 @@
 static bool
 is_revision_in_force (bench_t *bench)
 {
-  return cluster_in_force (bench->cluster, bench->revision);
+  return cluster_has_revision (bench->cluster, bench->revision);
 }
 
 static rawhttp_t
@@ -182,9 +182,9 @@
 static void
 set_store_outage (bench_t *bench, bool store_down)
 {
-  if (!cluster_fault (bench->cluster, bench->cluster->platform_port, "/faults",
-                      store_down ? "{\"outage\":\"refuse\"}"
-                                 : "{\"outage\":\"none\"}"))
+  if (!cluster_post_json (
+          bench->cluster, bench->cluster->platform_port, "/faults",
+          store_down ? "{\"outage\":\"refuse\"}" : "{\"outage\":\"none\"}"))
     fail (bench, "store", "the platform did not accept the fault setting");
 }
 
@@ -198,7 +198,7 @@
   const comparison_t comparison
       = { is_revision_in_force, poll_store_head, PROCESSES, HEAD_POLL_MS };
 
-  if (!cluster_edit (bench->cluster, section, key, value))
+  if (!cluster_set_configuration_key (bench->cluster, section, key, value))
     {
       fail (bench, name, "the change was not accepted");
       return;
@@ -218,11 +218,13 @@
 {
   bool is_reverted;
 
-  WAIT_UNTIL (cluster_edit (bench->cluster, section, key, value),
-              WAIT_LIMIT_MS, &is_reverted);
+  WAIT_UNTIL (
+      cluster_set_configuration_key (bench->cluster, section, key, value),
+      WAIT_LIMIT_MS, &is_reverted);
   if (is_reverted)
-    WAIT_UNTIL (cluster_in_force (bench->cluster, bench->cluster->revision),
-                WAIT_LIMIT_MS, &is_reverted);
+    WAIT_UNTIL (
+        cluster_has_revision (bench->cluster, bench->cluster->revision),
+        WAIT_LIMIT_MS, &is_reverted);
   if (!is_reverted)
     fail (bench, section, "the change could not be reverted");
 }
@@ -238,7 +240,7 @@
     {
       const cluster_upstream_t *up = &bench->cluster->upstreams[i];
       if (!up->is_service && (zone == NULL || strcmp (up->zone, zone) == 0))
-        total += cluster_stat (bench->cluster, up->port, "total");
+        total += cluster_read_stat (bench->cluster, up->port, "total");
     }
   return total;
 }
@@ -387,7 +389,7 @@
   if (store_down)
     set_store_outage (bench, true);
   if (is_listed)
-    cluster_list_upstream (bench->cluster, bench->departing, "leaving");
+    cluster_set_upstream_state (bench->cluster, bench->departing, "leaving");
   else
     proc_signal (bench->departing->sidecar, SIGTERM);
   run_comparison (bench, name,
@@ -395,9 +397,10 @@
   if (store_down)
     set_store_outage (bench, false);
   json_int_t before
-      = cluster_stat (bench->cluster, bench->departing->port, "total");
+      = cluster_read_stat (bench->cluster, bench->departing->port, "total");
   count_answers (bench, "draft-small@3", 200);
-  if (cluster_stat (bench->cluster, bench->departing->port, "total") != before)
+  if (cluster_read_stat (bench->cluster, bench->departing->port, "total")
+      != before)
     fail (bench, name, "the departing upstream received new requests");
 }
 
@@ -410,9 +413,9 @@
     {
       const cluster_upstream_t *up = &bench->cluster->upstreams[i];
       if (!up->is_service
-          && cluster_stat (bench->cluster, up->port, "running") > 0)
-        return cluster_fault (bench->cluster, up->proxy_control, "/fault",
-                              "{\"silence\":\"both\"}");
+          && cluster_read_stat (bench->cluster, up->port, "running") > 0)
+        return cluster_post_json (bench->cluster, up->proxy_control, "/fault",
+                                  "{\"silence\":\"both\"}");
     }
   return false;
 }
@@ -466,16 +469,16 @@
 {
   const cluster_t *cluster = bench->cluster;
 
-  usage->bytes
-      += sign
-         * (cluster_metric (cluster, admin, "vanillahook_rpc_bytes_out_total")
-            + cluster_metric (cluster, admin,
-                              "vanillahook_rpc_bytes_in_total"));
+  usage->bytes += sign
+                  * (cluster_read_metric (cluster, admin,
+                                          "vanillahook_rpc_bytes_out_total")
+                     + cluster_read_metric (cluster, admin,
+                                            "vanillahook_rpc_bytes_in_total"));
   usage->control_bytes
       += sign
-         * cluster_metric (cluster, admin,
-                           "vanillahook_rpc_control_bytes_out_total");
-  usage->cpu_us += sign * (double)proc_cpu_us (proc);
+         * cluster_read_metric (cluster, admin,
+                                "vanillahook_rpc_control_bytes_out_total");
+  usage->cpu_us += sign * (double)proc_read_cpu_us (proc);
 }
 
 /* Add SIGN times the totals of all entries, sidecars and engines; a call with
@@ -493,7 +496,7 @@
     {
       const cluster_upstream_t *up = &cluster->upstreams[i];
       add_usage (bench, up->sidecar, up->admin, sign, sidecars);
-      engines->cpu_us += sign * (double)proc_cpu_us (up->proc);
+      engines->cpu_us += sign * (double)proc_read_cpu_us (up->proc);
     }
 }
 
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -72,7 +72,7 @@
           .rate = rate,
           .duration_ms = duration_ms,
           .seed = seed,
-          .api_key = STR (CLUSTER_KEY),
+          .api_key = STR (CLUSTER_API_KEY),
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
@@ -124,13 +124,13 @@
 measure_throughput (target_load_t *target_load, const proc_t *proc,
                     uint64_t duration_ms, uint64_t seed, double *rate)
 {
-  uint64_t cpu_before_us = proc_cpu_us (proc);
+  uint64_t cpu_before_us = proc_read_cpu_us (proc);
   uint64_t began_ms = harness_now_ms ();
 
   reset_load (target_load);
   generate_load (target_load, duration_ms, 0, seed);
   double seconds = (double)(harness_now_ms () - began_ms) / 1000;
-  double cpu_s = (double)(proc_cpu_us (proc) - cpu_before_us) / 1e6;
+  double cpu_s = (double)(proc_read_cpu_us (proc) - cpu_before_us) / 1e6;
   *rate = (double)target_load->finished / seconds;
   return cpu_s > 0 ? (double)target_load->finished / cpu_s : 0;
 }
