--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -1,8 +1,8 @@
-/* A mixed run: load on a small fleet while faults come and go, up to two at
-   a time, on a schedule drawn from a seed.  Prints what was injected, what
-   callers saw and how often each promise was broken; exits 1 when one was.
-   Sessions, departures and cold starts have their own tests and are not
-   judged here.  */
+/* Chaos test: sends load to a small deployment while a seeded random schedule
+   injects up to two faults at a time.  Prints the injected faults, the results
+   of the requests and the number of violations of each guarantee, and exits
+   with 1 when there was a violation.  Sessions, departing upstreams and cold
+   starts are not checked here; test_promises.c tests them.  */
 
 #include "cluster.h"
 #include "runner.h"
@@ -20,38 +20,38 @@
 {
   SECONDS_MAX = 600,
   WAIT_MS = 20000,
-  FEW_SECONDS_MS = 3000,
+  PROPAGATION_MS = 3000,
   SETTLE_MS = 3000,
-  /* A sidecar that holds the bills of a dead entry waits 20 s for a sign of
-     it before it gives them to another.  */
-  BILL_WAIT_MS = 45000,
+  /* A sidecar holds unbilled usage for its entry, and waits 20 s without a
+     message from that entry before it sends the usage to another one.  */
+  BILLING_WAIT_MS = 45000,
   PROCS_MAX = CLUSTER_ENTRIES_MAX + CLUSTER_UPSTREAMS_MAX
 };
 
-/* X (symbol, what is printed).  */
-#define PROMISES(X)                                                           \
-  X (PERMITTED, "only permitted models and versions")                         \
-  X (WITHDRAWN, "withdrawn version gets no new work")                         \
-  X (BILLED, "each request billed once")                                      \
-  X (ZONE_OUT, "zone out gets no new work")                                   \
-  X (WHOLE, "whole answer to its own caller")                                 \
-  X (NOT_RUN, "not-run is true")                                              \
-  X (AT_MOST_ONCE, "non-idempotent runs at most once")                        \
-  X (PLANNED_STOP, "planned stop ends with 0")                                \
-  X (NO_REVERT, "configuration never reverts")                                \
-  X (RECOVERS, "all is in force and ready after the faults")
+/* X (symbol, printed text).  */
+#define GUARANTEES(X)                                                         \
+  X (ONLY_PERMITTED_VERSIONS, "only permitted models and versions")           \
+  X (WITHDRAWN_VERSION_UNUSED, "withdrawn version gets no new work")          \
+  X (BILLED_ONCE, "each request billed once")                                 \
+  X (ZONE_OUT_UNUSED, "zone out gets no new work")                            \
+  X (COMPLETE_RESPONSES, "whole answer to its own caller")                    \
+  X (NOT_RUN_IS_TRUE, "not-run is true")                                      \
+  X (RUN_AT_MOST_ONCE, "non-idempotent runs at most once")                    \
+  X (GRACEFUL_STOP, "planned stop ends with 0")                               \
+  X (CONFIGURATION_NEVER_REVERTS, "configuration never reverts")              \
+  X (RECOVERY, "all is in force and ready after the faults")
 
 typedef enum
 {
 #define X(symbol, text) symbol,
-  PROMISES (X)
+  GUARANTEES (X)
 #undef X
-      PROMISE_COUNT
-} promise_t;
+      GUARANTEE_COUNT
+} guarantee_t;
 
-static const char *const promise_texts[] = {
+static const char *const guarantee_texts[] = {
 #define X(symbol, text) text,
-  PROMISES (X)
+  GUARANTEES (X)
 #undef X
 };
 
@@ -59,30 +59,32 @@
 {
   cluster_t *cluster;
   rng_t rng;
-  uint64_t began_ms;
-  unsigned violations[PROMISE_COUNT];
-  unsigned injected;
+  uint64_t start_ms;
+  unsigned violations[GUARANTEE_COUNT];
+  unsigned injected_count;
+  /* Last configuration revision reported by each entry; 0: none yet.  */
   uint64_t revisions[PROCS_MAX];
-  proc_t *broken; /* By the fault in hand that must be undone.  */
-  bool withdrawn;
-  bool zone_out;
+  proc_t *faulted_proc; /* Process that the current fault killed or paused.  */
+  bool is_withdrawn;    /* The current fault withdrew a version.  */
+  bool is_zone_out;     /* The current fault took a zone out.  */
 } chaos_t;
 
 typedef struct
 {
   const char *name;
-  void (*begin) (chaos_t *chaos);
-  void (*heal) (chaos_t *chaos); /* NULL: nothing to undo.  */
-  uint64_t lasts_ms;
+  void (*inject) (chaos_t *chaos);
+  void (*revert) (chaos_t *chaos); /* Reverts the fault; NULL: not needed.  */
+  uint64_t duration_ms;
 } fault_t;
 
 static void
-violate (chaos_t *chaos, promise_t promise, const char *format, ...)
+report_violation (chaos_t *chaos, guarantee_t guarantee, const char *format,
+                  ...)
 {
   va_list args;
 
-  chaos->violations[promise]++;
-  printf ("VIOLATION %s: ", promise_texts[promise]);
+  chaos->violations[guarantee]++;
+  printf ("VIOLATION %s: ", guarantee_texts[guarantee]);
   va_start (args, format);
   vprintf (format, args);
   va_end (args);
@@ -90,70 +92,70 @@
 }
 
 static cluster_entry_t *
-any_entry (chaos_t *chaos)
+random_entry (chaos_t *chaos)
 {
   return &chaos->cluster
               ->entries[rng_below (&chaos->rng, chaos->cluster->entry_count)];
 }
 
 static cluster_upstream_t *
-any_upstream (chaos_t *chaos)
+random_upstream (chaos_t *chaos)
 {
   return &chaos->cluster->upstreams[rng_below (
       &chaos->rng, chaos->cluster->upstream_count)];
 }
 
 static void
-heal_dead (chaos_t *chaos)
+restart_killed (chaos_t *chaos)
 {
-  if (!proc_running (chaos->broken))
-    proc_restart (chaos->broken);
+  if (!proc_running (chaos->faulted_proc))
+    proc_restart (chaos->faulted_proc);
 }
 
 static void
 kill_entry (chaos_t *chaos)
 {
-  chaos->broken = any_entry (chaos)->proc;
-  proc_kill (chaos->broken);
+  chaos->faulted_proc = random_entry (chaos)->proc;
+  proc_kill (chaos->faulted_proc);
 }
 
 static void
 kill_sidecar (chaos_t *chaos)
 {
-  chaos->broken = any_upstream (chaos)->sidecar;
-  proc_kill (chaos->broken);
+  chaos->faulted_proc = random_upstream (chaos)->sidecar;
+  proc_kill (chaos->faulted_proc);
 }
 
 static void
 kill_upstream (chaos_t *chaos)
 {
-  chaos->broken = any_upstream (chaos)->proc;
-  proc_kill (chaos->broken);
+  chaos->faulted_proc = random_upstream (chaos)->proc;
+  proc_kill (chaos->faulted_proc);
 }
 
 static void
 pause_entry (chaos_t *chaos)
 {
-  chaos->broken = any_entry (chaos)->proc;
-  proc_signal (chaos->broken, SIGSTOP);
+  chaos->faulted_proc = random_entry (chaos)->proc;
+  proc_signal (chaos->faulted_proc, SIGSTOP);
 }
 
 static void
 pause_sidecar (chaos_t *chaos)
 {
-  chaos->broken = any_upstream (chaos)->sidecar;
-  proc_signal (chaos->broken, SIGSTOP);
+  chaos->faulted_proc = random_upstream (chaos)->sidecar;
+  proc_signal (chaos->faulted_proc, SIGSTOP);
 }
 
 static void
-heal_paused (chaos_t *chaos)
+resume_paused (chaos_t *chaos)
 {
-  proc_signal (chaos->broken, SIGCONT);
+  proc_signal (chaos->faulted_proc, SIGCONT);
 }
 
-/* Apply BODY to the proxies before all sidecars.  */
+/* Set the faults BODY at the proxies of all sidecars.  */
 static void
-fault_links (chaos_t *chaos, const char *body)
+set_proxy_faults (chaos_t *chaos, const char *body)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
     cluster_fault (chaos->cluster, chaos->cluster->upstreams[i].proxy_control,
@@ -161,46 +163,46 @@
 }
 
 static void
-silence (chaos_t *chaos)
+stop_forwarding (chaos_t *chaos)
 {
-  static const char *const ways[]
+  static const char *const modes[]
       = { "{\"silence\":\"both\"}", "{\"silence\":\"up\"}",
           "{\"silence\":\"down\"}" };
 
-  fault_links (chaos, ways[rng_below (&chaos->rng, 3)]);
+  set_proxy_faults (chaos, modes[rng_below (&chaos->rng, 3)]);
 }
 
 static void
-reset (chaos_t *chaos)
+reset_connections (chaos_t *chaos)
 {
-  fault_links (chaos, "{\"reset\":true}");
+  set_proxy_faults (chaos, "{\"reset\":true}");
 }
 
 static void
-fault_store (chaos_t *chaos, const char *body)
+set_store_faults (chaos_t *chaos, const char *body)
 {
   cluster_fault (chaos->cluster, chaos->cluster->platform_port, "/faults",
                  body);
 }
 
 static void
-store_outage (chaos_t *chaos)
+begin_store_outage (chaos_t *chaos)
 {
-  fault_store (chaos, rng_below (&chaos->rng, 2) == 0
-                          ? "{\"outage\":\"silent\"}"
-                          : "{\"outage\":\"refuse\"}");
+  set_store_faults (chaos, rng_below (&chaos->rng, 2) == 0
+                               ? "{\"outage\":\"silent\"}"
+                               : "{\"outage\":\"refuse\"}");
 }
 
 static void
-lose_replies (chaos_t *chaos)
+begin_reply_loss (chaos_t *chaos)
 {
-  fault_store (chaos, "{\"lost_reply_share\":0.3}");
+  set_store_faults (chaos, "{\"lost_reply_share\":0.3}");
 }
 
 static void
-heal_store (chaos_t *chaos)
+clear_store_faults (chaos_t *chaos)
 {
-  fault_store (chaos, "{\"outage\":\"none\",\"lost_reply_share\":0}");
+  set_store_faults (chaos, "{\"outage\":\"none\",\"lost_reply_share\":0}");
 }
 
 static json_int_t
@@ -231,51 +233,53 @@
 }
 
 static void
-withdraw (chaos_t *chaos)
+withdraw_version (chaos_t *chaos)
 {
-  chaos->withdrawn = cluster_edit (chaos->cluster, "version draft-small@4",
-                                   "state", "withdrawn");
+  chaos->is_withdrawn = cluster_edit (chaos->cluster, "version draft-small@4",
+                                      "state", "withdrawn");
 }
 
 static void
-heal_withdrawn (chaos_t *chaos)
+check_and_restore_version (chaos_t *chaos)
 {
-  if (!chaos->withdrawn)
+  if (!chaos->is_withdrawn)
     return;
-  harness_sleep_ms (FEW_SECONDS_MS);
+  harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = version_runs (chaos->cluster, "draft-small@4");
   harness_sleep_ms (500);
   json_int_t after = version_runs (chaos->cluster, "draft-small@4");
   if (after > before)
-    violate (chaos, WITHDRAWN, "%d new runs", (int)(after - before));
+    report_violation (chaos, WITHDRAWN_VERSION_UNUSED, "%d new runs",
+                      (int)(after - before));
   cluster_edit (chaos->cluster, "version draft-small@4", "state", "serving");
 }
 
 static void
-zone_out (chaos_t *chaos)
+take_zone_out (chaos_t *chaos)
 {
-  chaos->zone_out = cluster_edit (
+  chaos->is_zone_out = cluster_edit (
       chaos->cluster, "availability-zone nairobi-b", "state", "out");
 }
 
 static void
-heal_zone (chaos_t *chaos)
+check_and_restore_zone (chaos_t *chaos)
 {
-  if (!chaos->zone_out)
+  if (!chaos->is_zone_out)
     return;
-  harness_sleep_ms (FEW_SECONDS_MS);
+  harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = zone_runs (chaos->cluster, "nairobi-b");
   harness_sleep_ms (500);
   json_int_t after = zone_runs (chaos->cluster, "nairobi-b");
   if (after > before)
-    violate (chaos, ZONE_OUT, "%d new runs", (int)(after - before));
+    report_violation (chaos, ZONE_OUT_UNUSED, "%d new runs",
+                      (int)(after - before));
   cluster_edit (chaos->cluster, "availability-zone nairobi-b", "state", "in");
 }
 
-/* One request that ends each engine that runs it, sent again by its
-   caller.  */
+/* Send a request that crashes every engine that runs it, four times, as a
+   client that retries.  */
 static void
-poison (chaos_t *chaos)
+send_crashing_request (chaos_t *chaos)
 {
   for (int i = 0; i < 4; i++)
     {
@@ -289,7 +293,7 @@
 }
 
 static void
-heal_upstreams (chaos_t *chaos)
+restart_dead_upstreams (chaos_t *chaos)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
     if (!proc_running (chaos->cluster->upstreams[i].proc))
@@ -297,7 +301,7 @@
 }
 
 static void
-restart_planned (chaos_t *chaos, proc_t *proc)
+restart_gracefully (chaos_t *chaos, proc_t *proc)
 {
   if (!proc_running (proc))
     return;
@@ -305,43 +309,44 @@
   proc_signal (proc, SIGTERM);
   int status = proc_wait (proc, WAIT_MS);
   if (status != 0)
-    violate (chaos, PLANNED_STOP, "%s ended with %d", proc_name (proc),
-             status);
+    report_violation (chaos, GRACEFUL_STOP, "%s ended with %d",
+                      proc_name (proc), status);
   if (status >= 0)
     proc_restart (proc);
 }
 
 static void
-rolling_restart (chaos_t *chaos)
+restart_entry_and_sidecar (chaos_t *chaos)
 {
-  restart_planned (chaos, any_entry (chaos)->proc);
-  restart_planned (chaos, any_upstream (chaos)->sidecar);
+  restart_gracefully (chaos, random_entry (chaos)->proc);
+  restart_gracefully (chaos, random_upstream (chaos)->sidecar);
 }
 
 static const fault_t faults[] = {
-  { "kill entry", kill_entry, heal_dead, 800 },
-  { "kill sidecar", kill_sidecar, heal_dead, 800 },
-  { "kill upstream", kill_upstream, heal_dead, 800 },
-  { "pause entry", pause_entry, heal_paused, 2500 },
-  { "pause sidecar", pause_sidecar, heal_paused, 1500 },
-  { "silence", silence, NULL, 500 },
-  { "reset", reset, NULL, 300 },
-  { "store outage", store_outage, heal_store, 2500 },
-  { "lost write reply", lose_replies, heal_store, 1500 },
-  { "zone out and in", zone_out, heal_zone, 0 },
-  { "version withdrawn", withdraw, heal_withdrawn, 0 },
-  { "poison", poison, heal_upstreams, 500 },
-  { "rolling restart", rolling_restart, NULL, 300 },
+  { "kill entry", kill_entry, restart_killed, 800 },
+  { "kill sidecar", kill_sidecar, restart_killed, 800 },
+  { "kill upstream", kill_upstream, restart_killed, 800 },
+  { "pause entry", pause_entry, resume_paused, 2500 },
+  { "pause sidecar", pause_sidecar, resume_paused, 1500 },
+  { "silence", stop_forwarding, NULL, 500 },
+  { "reset", reset_connections, NULL, 300 },
+  { "store outage", begin_store_outage, clear_store_faults, 2500 },
+  { "lost write reply", begin_reply_loss, clear_store_faults, 1500 },
+  { "zone out and in", take_zone_out, check_and_restore_zone, 0 },
+  { "version withdrawn", withdraw_version, check_and_restore_version, 0 },
+  { "poison", send_crashing_request, restart_dead_upstreams, 500 },
+  { "rolling restart", restart_entry_and_sidecar, NULL, 300 },
 };
 
 enum
 {
-  FAULTS = sizeof faults / sizeof faults[0]
+  FAULT_COUNT = sizeof faults / sizeof faults[0]
 };
 
-/* See that no process shows an older revision than before.  */
+/* Report a violation when an entry has an older configuration revision than
+   before.  */
 static void
-watch_revisions (chaos_t *chaos)
+check_revisions (chaos_t *chaos)
 {
   const cluster_t *cluster = chaos->cluster;
 
@@ -349,59 +354,63 @@
     {
       uint64_t now = cluster_revision_at (cluster, cluster->entries[i].admin);
       if (now > 0 && now < chaos->revisions[i])
-        violate (chaos, NO_REVERT, "%s: %" PRIu64 " after %" PRIu64,
-                 cluster->entries[i].name, now, chaos->revisions[i]);
+        report_violation (chaos, CONFIGURATION_NEVER_REVERTS,
+                          "%s: %" PRIu64 " after %" PRIu64,
+                          cluster->entries[i].name, now, chaos->revisions[i]);
       if (now > 0)
         chaos->revisions[i] = now;
     }
 }
 
 static void
-inject (chaos_t *chaos, const fault_t *fault)
+run_fault (chaos_t *chaos, const fault_t *fault)
 {
-  printf ("%6" PRIu64 " ms %s\n", harness_now_ms () - chaos->began_ms,
+  printf ("%6" PRIu64 " ms %s\n", harness_now_ms () - chaos->start_ms,
           fault->name);
   fflush (stdout);
-  chaos->injected++;
-  fault->begin (chaos);
-  harness_sleep_ms (fault->lasts_ms);
-  /* Another one meanwhile, of those that need no undoing.  */
+  chaos->injected_count++;
+  fault->inject (chaos);
+  harness_sleep_ms (fault->duration_ms);
+  /* Inject a connection reset as a second fault in half of the cases; a reset
+     does not have to be reverted.  */
   if (rng_below (&chaos->rng, 2) == 0)
     {
       printf ("%6" PRIu64 " ms   and reset\n",
-              harness_now_ms () - chaos->began_ms);
-      reset (chaos);
+              harness_now_ms () - chaos->start_ms);
+      reset_connections (chaos);
     }
-  if (fault->heal != NULL)
-    fault->heal (chaos);
+  if (fault->revert != NULL)
+    fault->revert (chaos);
   harness_sleep_ms (300 + rng_below (&chaos->rng, 500));
 }
 
-/* Each fault once in drawn order, then again until the time is over.  */
+/* Inject each fault once in random order, in rounds, until RUN_MS after
+   the start.  */
 static void
-run_schedule (chaos_t *chaos, uint64_t ms)
+run_schedule (chaos_t *chaos, uint64_t run_ms)
 {
-  size_t order[FAULTS];
+  size_t order[FAULT_COUNT];
 
-  while (harness_now_ms () - chaos->began_ms < ms)
+  while (harness_now_ms () - chaos->start_ms < run_ms)
     {
-      for (size_t i = 0; i < FAULTS; i++)
+      for (size_t i = 0; i < FAULT_COUNT; i++)
         {
           size_t at = rng_below (&chaos->rng, i + 1);
           order[i] = order[at];
           order[at] = i;
         }
       for (size_t i = 0;
-           i < FAULTS && harness_now_ms () - chaos->began_ms < ms; i++)
+           i < FAULT_COUNT && harness_now_ms () - chaos->start_ms < run_ms;
+           i++)
         {
-          inject (chaos, &faults[order[i]]);
-          watch_revisions (chaos);
+          run_fault (chaos, &faults[order[i]]);
+          check_revisions (chaos);
         }
     }
 }
 
 static json_int_t
-runs_of (const cluster_t *cluster, str_t key)
+count_runs (const cluster_t *cluster, str_t key)
 {
   char *name = str_dup (key);
   json_int_t sum = 0;
@@ -422,24 +431,27 @@
     {
       const load_result_t *result = &record->result;
       if (result->wrong)
-        violate (chaos, WHOLE, "%.*s", STR_ARG (result->key));
+        report_violation (chaos, COMPLETE_RESPONSES, "%.*s",
+                          STR_ARG (result->key));
       if (result->whole && !result->is_service
           && !str_starts (result->version, STR ("draft-small@")))
-        violate (chaos, PERMITTED, "%.*s", STR_ARG (result->version));
+        report_violation (chaos, ONLY_PERMITTED_VERSIONS, "%.*s",
+                          STR_ARG (result->version));
       if (!result->is_service)
         continue;
-      json_int_t runs = runs_of (chaos->cluster, result->key);
+      json_int_t runs = count_runs (chaos->cluster, result->key);
       if (runs > 1 || (result->whole && runs == 0))
-        violate (chaos, AT_MOST_ONCE, "%.*s ran %d times",
-                 STR_ARG (result->key), (int)runs);
+        report_violation (chaos, RUN_AT_MOST_ONCE, "%.*s ran %d times",
+                          STR_ARG (result->key), (int)runs);
       if (runs > 0 && !result->whole
           && str_eq (result->outcome, STR ("not-run")))
-        violate (chaos, NOT_RUN, "%.*s", STR_ARG (result->key));
+        report_violation (chaos, NOT_RUN_IS_TRUE, "%.*s",
+                          STR_ARG (result->key));
     }
 }
 
 static json_int_t
-billed (const cluster_t *cluster)
+read_billed_requests (const cluster_t *cluster)
 {
   json_int_t sum = 0;
   size_t index;
@@ -453,25 +465,26 @@
   return sum;
 }
 
-/* The bill holds all whole answers, and beyond them at the most those that
-   were on their way to callers who lost them.  */
+/* Check that the bill has at least all complete responses, and at most all
+   requests that were not refused as `not-run': a response can be billed and
+   then lost before its caller receives it.  */
 static void
 check_bill (chaos_t *chaos, json_int_t before, const tally_t *chat,
             const tally_t *service)
 {
-  json_int_t least = (json_int_t)chat->whole + (json_int_t)service->whole;
-  json_int_t most = (json_int_t)(chat->finished + service->finished)
-                    - (json_int_t)(chat->not_run + service->not_run);
+  json_int_t lower = (json_int_t)chat->whole + (json_int_t)service->whole;
+  json_int_t upper = (json_int_t)(chat->finished + service->finished)
+                     - (json_int_t)(chat->not_run + service->not_run);
   json_int_t now;
-  bool held;
+  bool is_met;
 
-  WAIT_UNTIL (
-      (now = billed (chaos->cluster) - before, now >= least && now <= most),
-      BILL_WAIT_MS, &held);
+  WAIT_UNTIL ((now = read_billed_requests (chaos->cluster) - before,
+               now >= lower && now <= upper),
+              BILLING_WAIT_MS, &is_met);
   printf ("billed %d, answered whole %d, not refused %d\n", (int)now,
-          (int)least, (int)most);
-  if (!held)
-    violate (chaos, BILLED, "%d billed", (int)now);
+          (int)lower, (int)upper);
+  if (!is_met)
+    report_violation (chaos, BILLED_ONCE, "%d billed", (int)now);
 }
 
 static void
@@ -485,27 +498,28 @@
           tally->longest_wait_us / 1000);
 }
 
-/* End all faults and see the fleet whole again.  */
+/* Revert all faults and check that every entry and sidecar has the current
+   configuration and every entry is ready.  */
 static void
-recover (chaos_t *chaos)
+check_recovery (chaos_t *chaos)
 {
   cluster_t *cluster = chaos->cluster;
-  bool held;
+  bool is_met;
 
-  heal_store (chaos);
-  heal_upstreams (chaos);
+  clear_store_faults (chaos);
+  restart_dead_upstreams (chaos);
   for (size_t i = 0; i < cluster->entry_count; i++)
     proc_signal (cluster->entries[i].proc, SIGCONT);
-  WAIT_UNTIL (cluster_in_force (cluster, cluster->revision), WAIT_MS, &held);
-  for (size_t i = 0; i < cluster->entry_count && held; i++)
+  WAIT_UNTIL (cluster_in_force (cluster, cluster->revision), WAIT_MS, &is_met);
+  for (size_t i = 0; i < cluster->entry_count && is_met; i++)
     WAIT_UNTIL (cluster_ready (cluster, cluster->entries[i].admin), WAIT_MS,
-                &held);
-  if (!held)
-    violate (chaos, RECOVERS, "not within %d ms", WAIT_MS);
+                &is_met);
+  if (!is_met)
+    report_violation (chaos, RECOVERY, "not within %d ms", WAIT_MS);
 }
 
 static void
-run_load (chaos_t *chaos, uint64_t seed, uint64_t ms)
+run_load (chaos_t *chaos, uint64_t seed, uint64_t run_ms)
 {
   cluster_t *cluster = chaos->cluster;
   str_t targets[CLUSTER_ENTRIES_MAX];
@@ -535,17 +549,17 @@
                              .prompt_bytes = 60,
                              .timeout_ms = 8000,
                              .resends = 5 };
-  /* The bills of the fleet's own first calls are written by then.  */
+  /* Wait until the requests of cluster_create are billed.  */
   harness_sleep_ms (SETTLE_MS);
-  json_int_t before = billed (cluster);
+  json_int_t before = read_billed_requests (cluster);
   runner_t *chat = runner_start (&options);
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
   options.key_prefix = STR ("pay");
   options.concurrency = 3;
   runner_t *service = runner_start (&options);
-  run_schedule (chaos, ms);
-  recover (chaos);
+  run_schedule (chaos, run_ms);
+  check_recovery (chaos);
   runner_stop (chat);
   runner_stop (service);
   harness_sleep_ms (1000);
@@ -562,7 +576,7 @@
 }
 
 static int
-run (uint64_t seed, uint64_t seconds)
+run_chaos (uint64_t seed, uint64_t seconds)
 {
   const cluster_options_t options
       = { .entries = 3,
@@ -572,30 +586,31 @@
           .engine_args = { "--token-ms=8", "--cold-ms=300" },
           .service_arg = "--delay-ms=15" };
   chaos_t chaos = { .rng = rng_make (seed) };
-  unsigned broken = 0;
+  unsigned violation_count = 0;
 
   printf ("seed %" PRIu64 ", %" PRIu64 " s\n", seed, seconds);
   chaos.cluster = cluster_create (&options);
   if (chaos.cluster == NULL)
     return EXIT_FAILURE;
-  chaos.began_ms = harness_now_ms ();
+  chaos.start_ms = harness_now_ms ();
   run_load (&chaos, seed, seconds * 1000);
-  printf ("injected %u\n", chaos.injected);
-  for (size_t i = 0; i < PROMISE_COUNT; i++)
+  printf ("injected %u\n", chaos.injected_count);
+  for (size_t i = 0; i < GUARANTEE_COUNT; i++)
     {
-      printf ("violations %u: %s\n", chaos.violations[i], promise_texts[i]);
-      broken += chaos.violations[i];
+      printf ("violations %u: %s\n", chaos.violations[i], guarantee_texts[i]);
+      violation_count += chaos.violations[i];
     }
   fflush (stdout);
-  cluster_destroy (chaos.cluster, broken > 0);
-  return broken > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
+  cluster_destroy (chaos.cluster, violation_count > 0);
+  return violation_count > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
 int
 main (int argc, char **argv)
 {
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "of the schedule (1)");
+  struct arg_int *seed
+      = arg_int0 (NULL, "seed", "N", "seed of the fault schedule (1)");
   struct arg_int *seconds
       = arg_int0 (NULL, "seconds", "N", "length of the run (30)");
   struct arg_end *end = arg_end (5);
@@ -603,13 +618,14 @@
 
   seed->ival[0] = 1;
   seconds->ival[0] = 30;
-  standin_args (argc, argv, argtable, "Load with faults, all checked.");
+  standin_args (argc, argv, argtable,
+                "Send load, inject faults and check the guarantees.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
-      fprintf (stderr, "chaos: 1 to %d seconds\n", SECONDS_MAX);
+      fprintf (stderr, "chaos: --seconds must be from 1 to %d\n", SECONDS_MAX);
       return 2;
     }
-  int status = run ((uint64_t)seed->ival[0], (uint64_t)seconds->ival[0]);
+  int status = run_chaos ((uint64_t)seed->ival[0], (uint64_t)seconds->ival[0]);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
 }
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -8,8 +8,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define SMALL "draft-small@3, draft-small@4"
-#define LARGE "draft-large@7"
+#define SMALL_VERSIONS "draft-small@3, draft-small@4"
+#define LARGE_VERSION "draft-large@7"
 #define RPC_KEY "0123456789abcdef0123456789abcdef"
 
 enum
@@ -34,9 +34,9 @@
   buf_append_char (out, '\n');
 }
 
-/* The lists that the fleet starts with.  */
+/* Append the initial configuration.  */
 static void
-append_lists (buf_t *out)
+append_initial_configuration (buf_t *out)
 {
   append_team (out, "coast-office", "grants", CLUSTER_KEY);
   append_team (out, "mosque-fund", "drafts", CLUSTER_OTHER_KEY);
@@ -61,21 +61,23 @@
 }
 
 static const char *
-zone_of (const cluster_t *cluster, size_t index)
+zone_for_index (const cluster_t *cluster, size_t index)
 {
   return zone_names[cluster->options.one_zone ? 0 : index % CLUSTER_ZONES];
 }
 
 static bool
-started (proc_t *proc, uint16_t port)
+has_started (proc_t *proc, uint16_t port)
 {
   if (proc_wait_port (proc, "listening", START_WAIT_MS) == port)
     return true;
-  fprintf (stderr, "cluster: %s does not start\n", proc_name (proc));
+  fprintf (stderr, "cluster: %s did not report its port in time\n",
+           proc_name (proc));
   return false;
 }
 
-/* Start a proxy before TARGET; return it with its ports.  */
+/* Start a fault-injecting proxy that forwards to port TARGET.  Return the
+   process; set its ports *PORT and *CONTROL.  */
 static proc_t *
 start_proxy (cluster_t *cluster, const char *name, uint16_t target,
              uint16_t *port, uint16_t *control)
@@ -102,7 +104,7 @@
             cluster->platform_port);
   cluster->platform = harness_start (cluster->harness, "platform",
                                      "tests/standin_platform", listen, NULL);
-  if (!started (cluster->platform, cluster->platform_port))
+  if (!has_started (cluster->platform, cluster->platform_port))
     return false;
   cluster->platform_proxy_port = cluster->platform_port;
   if (!cluster->options.proxies)
@@ -110,55 +112,60 @@
   cluster->platform_proxy = start_proxy (
       cluster, "platform-proxy", cluster->platform_port,
       &cluster->platform_proxy_port, &cluster->platform_proxy_control);
-  return started (cluster->platform_proxy, cluster->platform_proxy_port);
+  return has_started (cluster->platform_proxy, cluster->platform_proxy_port);
 }
 
 static void
-plan_upstream (cluster_t *cluster, bool is_service, const char *serves,
-               const char *prefix, size_t number)
+assign_upstream (cluster_t *cluster, bool is_service, const char *serves,
+                 const char *prefix, size_t number)
 {
   size_t index = cluster->upstream_count++;
-  cluster_upstream_t *up = &cluster->upstreams[index];
+  cluster_upstream_t *upstream = &cluster->upstreams[index];
 
-  snprintf (up->name, sizeof up->name, "%s-%zu", prefix, number + 1);
-  snprintf (up->zone, sizeof up->zone, "%s", zone_of (cluster, number));
-  up->is_service = is_service;
-  up->serves = serves;
-  up->port = harness_port (cluster->harness);
-  up->admin = harness_port (cluster->harness);
-  up->rpc = harness_port (cluster->harness);
+  snprintf (upstream->name, sizeof upstream->name, "%s-%zu", prefix,
+            number + 1);
+  snprintf (upstream->zone, sizeof upstream->zone, "%s",
+            zone_for_index (cluster, number));
+  upstream->is_service = is_service;
+  upstream->serves = serves;
+  upstream->port = harness_port (cluster->harness);
+  upstream->admin = harness_port (cluster->harness);
+  upstream->rpc = harness_port (cluster->harness);
 }
 
 static void
-plan (cluster_t *cluster)
+assign_instances (cluster_t *cluster)
 {
-  const cluster_options_t *o = &cluster->options;
+  const cluster_options_t *opts = &cluster->options;
 
-  if (o->small_engines + o->large_engines + o->services > CLUSTER_UPSTREAMS_MAX
-      || o->entries > CLUSTER_ENTRIES_MAX)
+  if (opts->small_engines + opts->large_engines + opts->services
+          > CLUSTER_UPSTREAMS_MAX
+      || opts->entries > CLUSTER_ENTRIES_MAX)
     abort ();
-  for (size_t i = 0; i < o->small_engines; i++)
-    plan_upstream (cluster, false, SMALL, "small", i);
-  for (size_t i = 0; i < o->large_engines; i++)
-    plan_upstream (cluster, false, LARGE, "large", i);
-  for (size_t i = 0; i < o->services; i++)
-    plan_upstream (cluster, true, CLUSTER_SERVICE, "desk", i);
-  cluster->entry_count = o->entries;
-  for (size_t i = 0; i < o->entries; i++)
+  for (size_t i = 0; i < opts->small_engines; i++)
+    assign_upstream (cluster, false, SMALL_VERSIONS, "small", i);
+  for (size_t i = 0; i < opts->large_engines; i++)
+    assign_upstream (cluster, false, LARGE_VERSION, "large", i);
+  for (size_t i = 0; i < opts->services; i++)
+    assign_upstream (cluster, true, CLUSTER_SERVICE, "desk", i);
+  cluster->entry_count = opts->entries;
+  for (size_t i = 0; i < opts->entries; i++)
     {
       cluster_entry_t *entry = &cluster->entries[i];
       snprintf (entry->name, sizeof entry->name, "entry-%zu", i + 1);
-      snprintf (entry->zone, sizeof entry->zone, "%s", zone_of (cluster, i));
+      snprintf (entry->zone, sizeof entry->zone, "%s",
+                zone_for_index (cluster, i));
       entry->port = harness_port (cluster->harness);
       entry->admin = harness_port (cluster->harness);
       entry->rpc = harness_port (cluster->harness);
     }
 }
 
-/* Append what the settings of every process have.  */
+/* Append the settings that all processes have in common.  */
 static void
-append_common (const cluster_t *cluster, const char *name, const char *role,
-               const char *zone, uint16_t admin, buf_t *out)
+append_common_settings (const cluster_t *cluster, const char *name,
+                        const char *role, const char *zone, uint16_t admin,
+                        buf_t *out)
 {
   uint64_t grace = cluster->options.drain_grace_ms;
 
@@ -197,8 +204,8 @@
   const char *keys = cluster->options.entry_keys;
   buf_t text = BUF_NULL;
 
-  append_common (cluster, entry->name, "entry", entry->zone, entry->admin,
-                 &text);
+  append_common_settings (cluster, entry->name, "entry", entry->zone,
+                          entry->admin, &text);
   buf_printf (&text,
               "rpc = %s:%u\n[entry]\nlisten = %s:%u\n"
               "session-key = fedcba9876543210fedcba9876543210\n%s",
@@ -209,64 +216,67 @@
 }
 
 static void
-start_sidecar (cluster_t *cluster, cluster_upstream_t *up)
+start_sidecar (cluster_t *cluster, cluster_upstream_t *upstream)
 {
-  const cluster_options_t *o = &cluster->options;
+  const cluster_options_t *opts = &cluster->options;
   char name[40];
   buf_t text = BUF_NULL;
 
-  snprintf (name, sizeof name, "sidecar-%s", up->name);
-  append_common (cluster, name, "sidecar", up->zone, up->admin, &text);
+  snprintf (name, sizeof name, "sidecar-%s", upstream->name);
+  append_common_settings (cluster, name, "sidecar", upstream->zone,
+                          upstream->admin, &text);
   buf_printf (&text,
               "[sidecar]\ninstance = %s\nlisten = %s:%u\nupstream = %s:%u\n"
               "kind = %s\nserves = %s\n",
-              up->name, cluster->host, up->rpc, cluster->host, up->port,
-              up->is_service ? "service" : "engine", up->serves);
-  if (!up->is_service && !o->minimal)
+              upstream->name, cluster->host, upstream->rpc, cluster->host,
+              upstream->port, upstream->is_service ? "service" : "engine",
+              upstream->serves);
+  if (!upstream->is_service && !opts->minimal)
     buf_append_str (&text,
                     STR ("features = load-report, cache-events, resume, "
                          "priority, orders\n"));
-  buf_append_str (&text, str_from (o->sidecar_keys));
-  up->sidecar = start_daemon (cluster, name, &text);
+  buf_append_str (&text, str_from (opts->sidecar_keys));
+  upstream->sidecar = start_daemon (cluster, name, &text);
   buf_free (&text);
 }
 
 static void
-start_upstream (cluster_t *cluster, cluster_upstream_t *up)
+start_upstream (cluster_t *cluster, cluster_upstream_t *upstream)
 {
-  const cluster_options_t *o = &cluster->options;
+  const cluster_options_t *opts = &cluster->options;
   const char *args[ARGS_MAX] = { NULL };
   size_t count = 0;
   char listen[64];
   char counts[512];
 
-  snprintf (listen, sizeof listen, "--listen=%s:%u", cluster->host, up->port);
+  snprintf (listen, sizeof listen, "--listen=%s:%u", cluster->host,
+            upstream->port);
   args[count++] = listen;
-  if (up->is_service)
+  if (upstream->is_service)
     {
       char file[64];
-      snprintf (file, sizeof file, "%s.counts", up->name);
+      snprintf (file, sizeof file, "%s.counts", upstream->name);
       snprintf (counts, sizeof counts, "--count-file=%s",
                 harness_path (cluster->harness, file));
       args[count++] = counts;
-      args[count++] = o->service_arg;
-      up->proc = harness_start_list (cluster->harness, up->name,
-                                     "tests/standin_service", args);
+      args[count++] = opts->service_arg;
+      upstream->proc = harness_start_list (cluster->harness, upstream->name,
+                                           "tests/standin_service", args);
       return;
     }
-  if (strcmp (up->serves, LARGE) == 0)
+  if (strcmp (upstream->serves, LARGE_VERSION) == 0)
     args[count++] = "--version=draft-large@7:0.95:8";
   else
     {
       args[count++] = "--version=draft-small@3:0.7:1";
       args[count++] = "--version=draft-small@4:0.75:1";
     }
-  if (o->minimal)
+  if (opts->minimal)
     args[count++] = "--minimal";
-  for (size_t i = 0; i < 8 && o->engine_args[i] != NULL; i++)
-    args[count++] = o->engine_args[i];
-  up->proc = harness_start_list (cluster->harness, up->name,
-                                 "tests/standin_engine", args);
+  for (size_t i = 0; i < 8 && opts->engine_args[i] != NULL; i++)
+    args[count++] = opts->engine_args[i];
+  upstream->proc = harness_start_list (cluster->harness, upstream->name,
+                                       "tests/standin_engine", args);
 }
 
 static bool
@@ -274,31 +284,33 @@
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
     {
-      cluster_upstream_t *up = &cluster->upstreams[i];
-      start_upstream (cluster, up);
-      up->proxy_port = up->rpc;
+      cluster_upstream_t *upstream = &cluster->upstreams[i];
+      start_upstream (cluster, upstream);
+      upstream->proxy_port = upstream->rpc;
       if (cluster->options.proxies)
         {
           char name[40];
-          snprintf (name, sizeof name, "proxy-%s", up->name);
-          up->proxy = start_proxy (cluster, name, up->rpc, &up->proxy_port,
-                                   &up->proxy_control);
+          snprintf (name, sizeof name, "proxy-%s", upstream->name);
+          upstream->proxy
+              = start_proxy (cluster, name, upstream->rpc,
+                             &upstream->proxy_port, &upstream->proxy_control);
         }
     }
   for (size_t i = 0; i < cluster->upstream_count; i++)
     {
-      const cluster_upstream_t *up = &cluster->upstreams[i];
-      if (!started (up->proc, up->port)
-          || (up->proxy != NULL && !started (up->proxy, up->proxy_port)))
+      const cluster_upstream_t *upstream = &cluster->upstreams[i];
+      if (!has_started (upstream->proc, upstream->port)
+          || (upstream->proxy != NULL
+              && !has_started (upstream->proxy, upstream->proxy_port)))
         return false;
     }
   return true;
 }
 
 static void
-list_instance (cluster_t *cluster, const char *name, const char *role,
-               const char *zone, uint16_t port, const char *serves,
-               const char *state)
+set_instance_state (cluster_t *cluster, const char *name, const char *role,
+                    const char *zone, uint16_t port, const char *serves,
+                    const char *state)
 {
   buf_t body = BUF_NULL;
 
@@ -315,20 +327,21 @@
 cluster_list_entry (cluster_t *cluster, const cluster_entry_t *entry,
                     const char *state)
 {
-  list_instance (cluster, entry->name, "entry", entry->zone, entry->rpc, "",
-                 state);
+  set_instance_state (cluster, entry->name, "entry", entry->zone, entry->rpc,
+                      "", state);
 }
 
 void
-cluster_list_upstream (cluster_t *cluster, const cluster_upstream_t *up,
+cluster_list_upstream (cluster_t *cluster, const cluster_upstream_t *upstream,
                        const char *state)
 {
-  list_instance (cluster, up->name, "sidecar", up->zone, up->proxy_port,
-                 up->is_service                    ? "service:" CLUSTER_SERVICE
-                 : strcmp (up->serves, LARGE) == 0 ? LARGE
-                                                   : "draft-small@3,"
-                                                     "draft-small@4",
-                 state);
+  set_instance_state (
+      cluster, upstream->name, "sidecar", upstream->zone, upstream->proxy_port,
+      upstream->is_service ? "service:" CLUSTER_SERVICE
+      : strcmp (upstream->serves, LARGE_VERSION) == 0 ? LARGE_VERSION
+                                                      : "draft-small@3,"
+                                                        "draft-small@4",
+      state);
 }
 
 bool
@@ -338,10 +351,10 @@
   rawhttp_t http = rawhttp_call (cluster->host, port, "POST", path,
                                  "content-type: application/json\r\n",
                                  str_from (body), START_WAIT_MS);
-  bool done = http.status == 200;
+  bool succeeded = http.status == 200;
 
   rawhttp_close (&http);
-  return done;
+  return succeeded;
 }
 
 int
@@ -364,8 +377,8 @@
     *revision
         = (uint64_t)json_integer_value (json_object_get (root, "revision"));
   else if (status != 0)
-    fprintf (stderr, "cluster: apply: %d %.*s\n", status,
-             STR_ARG (buf_str (&http.body)));
+    fprintf (stderr, "cluster: configuration refused with status %d: %.*s\n",
+             status, STR_ARG (buf_str (&http.body)));
   json_decref (root);
   rawhttp_close (&http);
   return status;
@@ -376,16 +389,16 @@
               const char *value)
 {
   buf_t text = BUF_NULL;
-  bool done = false;
+  bool succeeded = false;
 
   conf_set_key (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
                 str_from (section), str_from (key), str_from (value), &text);
   buf_append_char (&text, '\0');
-  for (size_t i = 0; i < cluster->entry_count && !done; i++)
-    done = cluster_apply (cluster, i, text.ptr, cluster->revision,
-                          &cluster->revision)
-           == 200;
-  if (!done)
+  for (size_t i = 0; i < cluster->entry_count && !succeeded; i++)
+    succeeded = cluster_apply (cluster, i, text.ptr, cluster->revision,
+                               &cluster->revision)
+                == 200;
+  if (!succeeded)
     {
       buf_free (&text);
       return false;
@@ -433,23 +446,25 @@
   return ready;
 }
 
-/* Tell whether a chat call for MODEL gets an answer through ENTRY.  */
+/* Return whether a chat request for MODEL through entry number ENTRY
+   succeeds.  */
 static bool
-serves (const cluster_t *cluster, size_t entry, const char *model)
+can_chat (const cluster_t *cluster, size_t entry, const char *model)
 {
   char body[128];
 
   snprintf (body, sizeof body,
             "{\"model\":\"%s\",\"max_tokens\":1,\"messages\":[]}", model);
   rawhttp_t http = cluster_chat (cluster, entry, NULL, body, START_WAIT_MS);
-  bool done = http.status == 200;
+  bool succeeded = http.status == 200;
   rawhttp_close (&http);
-  return done;
+  return succeeded;
 }
 
-/* Tell whether a call of the plain service gets an answer through ENTRY.  */
+/* Return whether a request to CLUSTER_SERVICE through entry number ENTRY
+   succeeds.  */
 static bool
-serves_calls (const cluster_t *cluster, size_t entry)
+can_call_service (const cluster_t *cluster, size_t entry)
 {
   char headers[160];
 
@@ -460,22 +475,23 @@
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[entry].port,
                                  "POST", "/services/" CLUSTER_SERVICE "/ready",
                                  headers, STR ("{}"), START_WAIT_MS);
-  bool done = http.status == 200;
+  bool succeeded = http.status == 200;
   rawhttp_close (&http);
-  return done;
+  return succeeded;
 }
 
-/* Tell whether every entry takes work for all that the fleet serves.  */
+/* Return whether every entry and sidecar is ready and every entry reaches
+   each kind of upstream.  */
 static bool
-all_ready (const cluster_t *cluster)
+is_all_ready (const cluster_t *cluster)
 {
-  const cluster_options_t *o = &cluster->options;
+  const cluster_options_t *opts = &cluster->options;
 
   for (size_t i = 0; i < cluster->entry_count; i++)
     if (!cluster_ready (cluster, cluster->entries[i].admin)
-        || (o->small_engines > 0 && !serves (cluster, i, "draft-small@3"))
-        || (o->large_engines > 0 && !serves (cluster, i, "draft-large@7"))
-        || (o->services > 0 && !serves_calls (cluster, i)))
+        || (opts->small_engines > 0 && !can_chat (cluster, i, "draft-small@3"))
+        || (opts->large_engines > 0 && !can_chat (cluster, i, "draft-large@7"))
+        || (opts->services > 0 && !can_call_service (cluster, i)))
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (!cluster_ready (cluster, cluster->upstreams[i].admin))
@@ -486,11 +502,11 @@
 static bool
 start_all (cluster_t *cluster)
 {
-  bool held;
+  bool is_met;
 
   if (!start_platform (cluster))
     return false;
-  plan (cluster);
+  assign_instances (cluster);
   if (!start_upstreams (cluster))
     return false;
   for (size_t i = 0; i < cluster->entry_count; i++)
@@ -501,20 +517,22 @@
     start_entry (cluster, &cluster->entries[i]);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     start_sidecar (cluster, &cluster->upstreams[i]);
-  append_lists (&cluster->lists);
+  append_initial_configuration (&cluster->lists);
   WAIT_UNTIL (
       cluster_apply (cluster, 0, cluster->lists.ptr, 0, &cluster->revision)
           == 200,
-      START_WAIT_MS, &held);
-  if (!held)
+      START_WAIT_MS, &is_met);
+  if (!is_met)
     {
-      fprintf (stderr, "cluster: the first lists are not accepted\n");
+      fprintf (
+          stderr,
+          "cluster: no entry accepted the initial configuration in time\n");
       return false;
     }
-  WAIT_UNTIL (all_ready (cluster), READY_WAIT_MS, &held);
-  if (!held)
-    fprintf (stderr, "cluster: not ready in time\n");
-  return held;
+  WAIT_UNTIL (is_all_ready (cluster), READY_WAIT_MS, &is_met);
+  if (!is_met)
+    fprintf (stderr, "cluster: some processes were not ready in time\n");
+  return is_met;
 }
 
 cluster_t *
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -1,6 +1,7 @@
-/* A small fleet of real processes: platform, entries, and engines and
-   services each with its sidecar, and fault proxies before the sidecars and
-   the platform.  For integration tests, the mixed run and benchmarks.  */
+/* A small deployment of real processes for integration tests, the chaos test
+   and benchmarks: a platform, entries, and engines and services with one
+   sidecar each.  Optional fault-injecting proxies stand between the entries
+   and the sidecars, and before the platform.  */
 
 #ifndef TESTS_CLUSTER_H
 #define TESTS_CLUSTER_H
@@ -22,20 +23,19 @@
 typedef struct
 {
   unsigned entries;
-  unsigned small_engines; /* Serve draft-small@3 and @4.  */
-  unsigned large_engines; /* Serve draft-large@7.  */
-  unsigned services;      /* Not idempotent: CLUSTER_SERVICE.  */
-  bool proxies;
-  bool one_zone;              /* All in the first zone.  */
-  bool minimal;               /* Engines with nothing but completions.  */
-  const char *engine_args[8]; /* Up to NULL; after the cluster's own.  */
-  const char *service_arg;    /* NULL: none.  */
-  const char *entry_keys;     /* Lines for [entry]; NULL: none.  */
-  const char *sidecar_keys;   /* Lines for [sidecar]; NULL: none.  */
-  uint64_t drain_grace_ms;    /* 0: 300.  */
+  unsigned small_engines; /* Engines of draft-small@3 and draft-small@4.  */
+  unsigned large_engines; /* Engines of draft-large@7.  */
+  unsigned services;      /* Instances of CLUSTER_SERVICE, not idempotent.  */
+  bool proxies;           /* Start fault-injecting proxies.  */
+  bool one_zone;          /* Place all instances in the first zone.  */
+  bool minimal;           /* Engines without optional features.  */
+  const char *engine_args[8]; /* Extra arguments, up to NULL.  */
+  const char *service_arg;    /* Extra argument; NULL: none.  */
+  const char *entry_keys;     /* Settings of [entry]; NULL: none.  */
+  const char *sidecar_keys;   /* Settings of [sidecar]; NULL: none.  */
+  uint64_t drain_grace_ms;    /* Default of 300 when 0.  */
 } cluster_options_t;
 
-/* An entry.  */
 typedef struct
 {
   char name[24];
@@ -46,13 +46,14 @@
   uint16_t rpc;
 } cluster_entry_t;
 
-/* An upstream, its sidecar and the proxy between that and the entries.  */
+/* An upstream, its sidecar, and the proxy between the entries and the
+   sidecar.  */
 typedef struct
 {
-  char name[24]; /* Of the instance.  */
+  char name[24]; /* Name of the instance.  */
   char zone[24];
   bool is_service;
-  const char *serves;
+  const char *serves; /* List of versions, or the name of the service.  */
   proc_t *proc;
   uint16_t port;
   proc_t *sidecar;
@@ -71,64 +72,72 @@
   proc_t *platform;
   uint16_t platform_port;
   proc_t *platform_proxy;
-  uint16_t platform_proxy_port; /* The platform's own without proxies.  */
+  uint16_t platform_proxy_port; /* platform_port without proxies.  */
   uint16_t platform_proxy_control;
   cluster_entry_t entries[CLUSTER_ENTRIES_MAX];
   size_t entry_count;
   cluster_upstream_t upstreams[CLUSTER_UPSTREAMS_MAX];
   size_t upstream_count;
-  buf_t lists; /* Configuration put in force last, NUL-terminated.  */
-  uint64_t revision;
+  buf_t lists;       /* Configuration applied last, NUL-terminated.  */
+  uint64_t revision; /* Revision of the configuration applied last.  */
 } cluster_t;
 
-/* Start the fleet, put the first configuration in force and wait until all
-   take work.  Return NULL, with a word on standard error, when that did not
-   come about.  */
+/* Start all processes, apply the initial configuration and wait until every
+   entry and sidecar is ready.  Return NULL, after a message on standard error,
+   when a process does not start or is not ready in time.  */
 cluster_t *cluster_create (const cluster_options_t *options);
-/* End all.  When FAILED, print what the processes said last.  */
+/* Kill all processes and release CLUSTER.  When FAILED, print the last bytes
+   of each process's standard error.  CLUSTER may be NULL.  */
 void cluster_destroy (cluster_t *cluster, bool failed);
 
-/* Put the lists TEXT in force through ENTRY as of revision IF_REVISION;
-   return the HTTP status and, on 200, set *REVISION.  */
+/* Apply the configuration TEXT through entry number ENTRY if the current
+   revision is IF_REVISION.  Return the HTTP status; on 200, set *REVISION to
+   the new revision.  */
 int cluster_apply (cluster_t *cluster, size_t entry, const char *text,
                    uint64_t if_revision, uint64_t *revision);
-/* Change KEY of [SECTION] in the lists in force, trying each entry, and set
-   cluster->revision.  Return false when no entry took it.  */
+/* Set KEY of [SECTION] to VALUE in the current configuration, trying each
+   entry until one accepts the change, and set cluster->revision.  Return
+   whether an entry accepted the change.  */
 bool cluster_edit (cluster_t *cluster, const char *section, const char *key,
                    const char *value);
-/* Revision in force at the process whose operators' port is ADMIN; 0 when it
-   does not say.  */
+/* Return the configuration revision that the process with admin port ADMIN
+   uses, or 0 when the process does not report a revision.  */
 uint64_t cluster_revision_at (const cluster_t *cluster, uint16_t admin);
-/* Tell whether every process that runs has REVISION or a later one.  */
+/* Return whether every running entry and sidecar uses configuration revision
+   REVISION or a later one.  */
 bool cluster_in_force (cluster_t *cluster, uint64_t revision);
-/* Tell whether the process at ADMIN says that it takes work.  */
+/* Return whether the process with admin port ADMIN reports that it is
+   ready.  */
 bool cluster_ready (const cluster_t *cluster, uint16_t admin);
 
 /* Set the state of an instance (live, leaving or gone) in the platform's
-   list.  */
+   instance list.  */
 void cluster_list_entry (cluster_t *cluster, const cluster_entry_t *entry,
                          const char *state);
 void cluster_list_upstream (cluster_t *cluster,
                             const cluster_upstream_t *upstream,
                             const char *state);
-/* Set faults of the platform, or of a proxy by its control port, or controls
-   of an upstream.  Return false when it did not answer.  */
+/* POST the JSON text BODY to PATH at PORT: faults of the platform or of a
+   proxy's control port, or controls of an upstream.  Return whether the
+   response status was 200.  */
 bool cluster_fault (const cluster_t *cluster, uint16_t port, const char *path,
                     const char *body);
 
-/* Member NAME of the upstream's /stats, or of its "runs".  */
+/* Return member NAME of the /stats of the upstream at PORT, or 0 when it is
+   missing.  */
 json_int_t cluster_stat (const cluster_t *cluster, uint16_t port,
                          const char *name);
+/* Return how often the service at PORT ran the request REQUEST_ID.  */
 json_int_t cluster_runs (const cluster_t *cluster, uint16_t port,
                          const char *request_id);
 
-/* One chat call through ENTRY, read to its end for WAIT_MS.  HEADERS may be
-   NULL.  */
+/* Send a chat request through entry number ENTRY and read the response for at
+   most WAIT_MS.  HEADERS are complete lines with CRLF, or NULL.  */
 rawhttp_t cluster_chat (const cluster_t *cluster, size_t entry,
                         const char *headers, const char *body,
                         uint64_t wait_ms);
-/* Value of counter or gauge NAME, summed over its labels, at ADMIN; -1 when
-   it is not there.  */
+/* Return the value of counter or gauge NAME, summed over its label sets, at
+   admin port ADMIN, or -1 when the process does not export NAME.  */
 double cluster_metric (const cluster_t *cluster, uint16_t admin,
                        const char *name);
 
--- a/tests/fake_upstream.c
+++ b/tests/fake_upstream.c
@@ -10,8 +10,8 @@
 
 enum
 {
-  ACTS_MAX = 16,
-  EVENTS = 5
+  ACTIONS_MAX = 16,
+  STREAM_EVENTS = 5
 };
 
 struct fake_upstream
@@ -19,14 +19,14 @@
   uv_loop_t *loop;
   char *id;
   uv_tcp_t listener;
-  bool vanished;
+  bool is_silent;
   uint16_t port;
-  act_t acts[ACTS_MAX];
-  size_t act_count;
-  size_t act_at;
+  act_t actions[ACTIONS_MAX];
+  size_t action_count;
+  size_t next_action;
   size_t requests;
-  size_t abandoned;
-  buf_t last;
+  size_t abort_count;
+  buf_t last_request;
   list_t conns;
 };
 
@@ -35,18 +35,18 @@
   list_t link;
   fake_upstream_t *upstream;
   uv_tcp_t tcp;
-  uv_timer_t timer; /* Of a pause.  */
+  uv_timer_t timer; /* Ends the pause of ACT_STREAM_PAUSE.  */
   unsigned open_handles;
   buf_t input;
-  bool answered;
-  bool closing;
+  bool has_answered;
+  bool is_closing;
 } conn_t;
 
 typedef struct
 {
   uv_write_t write;
   char *bytes;
-} sent_t;
+} pending_write_t;
 
 static void
 on_conn_closed (uv_handle_t *handle)
@@ -62,9 +62,9 @@
 static void
 conn_close (conn_t *conn, bool reset)
 {
-  if (conn->closing)
+  if (conn->is_closing)
     return;
-  conn->closing = true;
+  conn->is_closing = true;
   list_remove (&conn->link);
   uv_close ((uv_handle_t *)&conn->timer, on_conn_closed);
   if (reset)
@@ -76,24 +76,24 @@
 static void
 on_sent (uv_write_t *write, int status)
 {
-  sent_t *sent = (sent_t *)write;
+  pending_write_t *pending = (pending_write_t *)write;
 
   (void)status;
-  free (sent->bytes);
-  free (sent);
+  free (pending->bytes);
+  free (pending);
 }
 
 static void
 conn_send (conn_t *conn, const buf_t *bytes)
 {
-  sent_t *sent = mem_zalloc (sizeof *sent);
+  pending_write_t *pending = mem_zalloc (sizeof *pending);
 
-  sent->bytes = str_dup (buf_str (bytes));
-  uv_buf_t buf = uv_buf_init (sent->bytes, (unsigned)bytes->len);
-  uv_write (&sent->write, (uv_stream_t *)&conn->tcp, &buf, 1, on_sent);
+  pending->bytes = str_dup (buf_str (bytes));
+  uv_buf_t buf = uv_buf_init (pending->bytes, (unsigned)bytes->len);
+  uv_write (&pending->write, (uv_stream_t *)&conn->tcp, &buf, 1, on_sent);
 }
 
-/* The value of header NAME in the request of CONN.  */
+/* Return the value of header NAME in the request on CONN, or STR_NULL.  */
 static str_t
 request_header (const conn_t *conn, const char *name)
 {
@@ -103,8 +103,8 @@
     {
       str_t line = str_cut (rest, '\n', &rest);
       str_t value;
-      str_t head = str_cut (line, ':', &value);
-      if (value.ptr != NULL && str_eq_nocase (head, str_from (name)))
+      str_t field = str_cut (line, ':', &value);
+      if (value.ptr != NULL && str_eq_nocase (field, str_from (name)))
         return str_trim (value);
     }
   return STR_NULL;
@@ -116,7 +116,7 @@
   buf_printf (out, "%zx\r\n%s\r\n", strlen (text), text);
 }
 
-/* Append the events after AFTER, up to LAST.  */
+/* Append the events with IDs AFTER + 1 to LAST as chunks.  */
 static void
 append_events (uint64_t after, uint64_t last, buf_t *out)
 {
@@ -131,7 +131,7 @@
 }
 
 static void
-start_head (const conn_t *conn, const char *status, buf_t *out)
+append_head (const conn_t *conn, const char *status, buf_t *out)
 {
   const header_names_t *names = &header_names_default;
 
@@ -155,64 +155,65 @@
   buf_free (&event);
 }
 
-/* The pause of CONN's stream is over: the events after the second.  */
+/* Send the events after the second one at the end of the pause.  */
 static void
-on_pause_over (uv_timer_t *timer)
+on_pause_timer (uv_timer_t *timer)
 {
   conn_t *conn = timer->data;
   buf_t out = BUF_NULL;
 
-  append_events (2, EVENTS, &out);
+  append_events (2, STREAM_EVENTS, &out);
   buf_append_str (&out, STR ("0\r\n\r\n"));
-  conn->answered = true;
+  conn->has_answered = true;
   conn_send (conn, &out);
   buf_free (&out);
 }
 
 static void
-conn_stream (conn_t *conn, act_t act, buf_t *out)
+conn_stream (conn_t *conn, act_t action, buf_t *out)
 {
   uint64_t after = 0;
 
   str_to_u64 (request_header (conn, "last-event-id"), &after);
-  start_head (conn, "200 OK", out);
-  if (act == ACT_STREAM_DOUBT)
+  append_head (conn, "200 OK", out);
+  if (action == ACT_STREAM_DOUBT)
     buf_printf (out, "%.*s: 10\r\n",
                 STR_ARG (header_names_default.confidence));
   buf_append_str (out, STR ("Transfer-Encoding: chunked\r\n\r\n"));
-  bool whole
-      = act == ACT_STREAM || act == ACT_STREAM_DOUBT || act == ACT_STREAM_BIG;
-  if (act == ACT_STREAM_BIG)
+  bool is_complete = action == ACT_STREAM || action == ACT_STREAM_DOUBT
+                     || action == ACT_STREAM_BIG;
+  if (action == ACT_STREAM_BIG)
     append_big_event (out);
   else
-    append_events (after, whole ? EVENTS : 2, out);
-  if (whole)
+    append_events (after, is_complete ? STREAM_EVENTS : 2, out);
+  if (is_complete)
     buf_append_str (out, STR ("0\r\n\r\n"));
-  else if (act == ACT_STREAM_BREAK)
+  else if (action == ACT_STREAM_BREAK)
     append_chunk (out, "id: 3\ndata: ha");
   conn_send (conn, out);
-  conn->answered = act != ACT_STREAM_STALL && act != ACT_STREAM_PAUSE;
-  if (act == ACT_STREAM_PAUSE)
-    uv_timer_start (&conn->timer, on_pause_over, PAUSE_MS, 0);
-  if (act == ACT_STREAM_BREAK)
+  conn->has_answered
+      = action != ACT_STREAM_STALL && action != ACT_STREAM_PAUSE;
+  if (action == ACT_STREAM_PAUSE)
+    uv_timer_start (&conn->timer, on_pause_timer, PAUSE_MS, 0);
+  if (action == ACT_STREAM_BREAK)
     conn_close (conn, false);
 }
 
 static void
-conn_answer (conn_t *conn, act_t act)
+conn_respond (conn_t *conn, act_t action)
 {
   fake_upstream_t *upstream = conn->upstream;
   buf_t out = BUF_NULL;
 
-  switch (act)
+  switch (action)
     {
     case ACT_ANSWER:
-      start_head (conn, "200 OK", &out);
+      append_head (conn, "200 OK", &out);
       buf_printf (&out, "Content-Length: %zu\r\n\r\nby %s",
                   3 + strlen (upstream->id), upstream->id);
       break;
     case ACT_ERROR:
-      start_head (conn, "500 Oops", &out);
+      append_head (conn, "500 Oops", &out);
       buf_append_str (&out, STR ("Content-Length: 4\r\n\r\noops"));
       break;
     case ACT_SHED:
@@ -221,7 +222,7 @@
                   STR_ARG (header_names_default.not_run));
       break;
     case ACT_SHORT:
-      start_head (conn, "200 OK", &out);
+      append_head (conn, "200 OK", &out);
       buf_append_str (&out, STR ("Content-Length: 100\r\n\r\nhalf"));
       break;
     case ACT_FOREIGN:
@@ -238,16 +239,16 @@
     case ACT_SILENT:
       goto done;
     case ACT_RESET:
-      conn->answered = true;
+      conn->has_answered = true;
       conn_close (conn, true);
       goto done;
     default:
-      conn_stream (conn, act, &out);
+      conn_stream (conn, action, &out);
       goto done;
     }
-  conn->answered = true;
+  conn->has_answered = true;
   conn_send (conn, &out);
-  if (act == ACT_SHORT)
+  if (action == ACT_SHORT)
     conn_close (conn, false);
 done:
   buf_free (&out);
@@ -263,9 +264,9 @@
   *buf = uv_buf_init (bytes, sizeof bytes);
 }
 
-/* Tell whether CONN has a whole request.  */
+/* Return whether the input of CONN has a complete request.  */
 static bool
-request_whole (conn_t *conn)
+is_request_complete (conn_t *conn)
 {
   const char *end = memmem (conn->input.ptr, conn->input.len, "\r\n\r\n", 4);
   uint64_t length = 0;
@@ -285,24 +286,24 @@
 
   if (got < 0)
     {
-      if (!conn->answered && conn->input.len > 0)
-        upstream->abandoned++;
+      if (!conn->has_answered && conn->input.len > 0)
+        upstream->abort_count++;
       conn_close (conn, false);
       return;
     }
-  if (conn->answered)
+  if (conn->has_answered)
     return;
   buf_append (&conn->input, buf->base, (size_t)got);
-  if (!request_whole (conn))
+  if (!is_request_complete (conn))
     return;
   upstream->requests++;
-  upstream->last.len = 0;
-  buf_append_str (&upstream->last, buf_str (&conn->input));
-  buf_append_char (&upstream->last, '\0');
-  act_t act = upstream->acts[upstream->act_at];
-  if (upstream->act_at + 1 < upstream->act_count)
-    upstream->act_at++;
-  conn_answer (conn, act);
+  upstream->last_request.len = 0;
+  buf_append_str (&upstream->last_request, buf_str (&conn->input));
+  buf_append_char (&upstream->last_request, '\0');
+  act_t action = upstream->actions[upstream->next_action];
+  if (upstream->next_action + 1 < upstream->action_count)
+    upstream->next_action++;
+  conn_respond (conn, action);
 }
 
 static void
@@ -330,7 +331,7 @@
 
   upstream->loop = loop;
   upstream->id = str_dup (str_from (id));
-  upstream->act_count = 1;
+  upstream->action_count = 1;
   list_init (&upstream->conns);
   upstream->port = loopback_listen (loop, &upstream->listener, upstream,
                                     on_upstream_accept);
@@ -343,7 +344,7 @@
   fake_upstream_t *upstream = handle->data;
 
   free (upstream->id);
-  buf_free (&upstream->last);
+  buf_free (&upstream->last_request);
   free (upstream);
 }
 
@@ -352,7 +353,7 @@
 {
   LIST_EACH (at, &upstream->conns)
     conn_close (CONTAINER_OF (at, conn_t, link), false);
-  if (upstream->vanished)
+  if (upstream->is_silent)
     on_listener_closed ((uv_handle_t *)&upstream->listener);
   else
     uv_close ((uv_handle_t *)&upstream->listener, on_listener_closed);
@@ -361,19 +362,19 @@
 void
 fake_upstream_vanish (fake_upstream_t *upstream)
 {
-  upstream->vanished = true;
+  upstream->is_silent = true;
   uv_close ((uv_handle_t *)&upstream->listener, NULL);
   LIST_EACH (at, &upstream->conns)
     uv_timer_stop (&CONTAINER_OF (at, conn_t, link)->timer);
 }
 
 void
-fake_upstream_script (fake_upstream_t *upstream, const act_t *acts,
+fake_upstream_script (fake_upstream_t *upstream, const act_t *actions,
                       size_t count)
 {
-  memcpy (upstream->acts, acts, count * sizeof *acts);
-  upstream->act_count = count;
-  upstream->act_at = 0;
+  memcpy (upstream->actions, actions, count * sizeof *actions);
+  upstream->action_count = count;
+  upstream->next_action = 0;
 }
 
 size_t
@@ -385,13 +386,13 @@
 const char *
 fake_upstream_last (const fake_upstream_t *upstream)
 {
-  return upstream->last.ptr;
+  return upstream->last_request.ptr;
 }
 
 size_t
 fake_upstream_abandoned (const fake_upstream_t *upstream)
 {
-  return upstream->abandoned;
+  return upstream->abort_count;
 }
 
 uint16_t
--- a/tests/fake_upstream.h
+++ b/tests/fake_upstream.h
@@ -1,4 +1,4 @@
-/* An upstream that answers by script.  */
+/* An HTTP upstream for tests that responds with a scripted list of actions. */
 
 #ifndef TESTS_FAKE_UPSTREAM_H
 #define TESTS_FAKE_UPSTREAM_H
@@ -13,42 +13,46 @@
   PAUSE_MS = 900
 };
 
-/* What a scripted upstream does with a request.  */
+/* Reaction of a fake upstream to one request.  */
 typedef enum
 {
-  ACT_ANSWER,       /* 200 with a body of its own.  */
-  ACT_ERROR,        /* 500 with its mac.  */
-  ACT_SHED,         /* 503, not run.  */
-  ACT_SILENT,       /* Nothing.  */
-  ACT_RESET,        /* Closes without a word.  */
-  ACT_SHORT,        /* Half of the body that it announced.  */
-  ACT_FOREIGN,      /* An answer to another attempt.  */
-  ACT_NO_MAC,       /* 200 without a mac.  */
-  ACT_STREAM,       /* Events, to the end.  */
-  ACT_STREAM_BREAK, /* Events, broken in the middle of one.  */
-  ACT_STREAM_DOUBT, /* Events of a model that doubts itself.  */
-  ACT_STREAM_STALL, /* Two events, then nothing.  */
-  ACT_STREAM_PAUSE, /* Two events, a pause of PAUSE_MS, the others.  */
-  ACT_STREAM_BIG    /* One event of BIG_EVENT_BYTES.  */
+  ACT_ANSWER,       /* 200 with the upstream's ID in the body.  */
+  ACT_ERROR,        /* 500 with a response MAC.  */
+  ACT_SHED,         /* 503 with the `not run' header field.  */
+  ACT_SILENT,       /* No response; the connection stays open.  */
+  ACT_RESET,        /* Connection reset without a response.  */
+  ACT_SHORT,        /* 200 with a body shorter than Content-Length.  */
+  ACT_FOREIGN,      /* 200 with the attempt ID of another request.  */
+  ACT_NO_MAC,       /* 200 without a response MAC.  */
+  ACT_STREAM,       /* A complete event stream.  */
+  ACT_STREAM_BREAK, /* A stream closed in the middle of an event.  */
+  ACT_STREAM_DOUBT, /* A complete stream with low model confidence.  */
+  ACT_STREAM_STALL, /* Two events; the connection stays open.  */
+  ACT_STREAM_PAUSE, /* A complete stream with a pause of PAUSE_MS.  */
+  ACT_STREAM_BIG    /* A stream of one event of BIG_EVENT_BYTES.  */
 } act_t;
 
 typedef struct fake_upstream fake_upstream_t;
 
+/* Listen on a loopback port of LOOP.  ID is copied; it is part of the response
+   bodies and MACs.  */
 fake_upstream_t *fake_upstream_create (uv_loop_t *loop, const char *id);
 void fake_upstream_destroy (fake_upstream_t *upstream);
-/* What comes next; the last one given holds on.  */
-void fake_upstream_script (fake_upstream_t *upstream, const act_t *acts,
+/* Set the actions for the next requests.  The last action is repeated.  */
+void fake_upstream_script (fake_upstream_t *upstream, const act_t *actions,
                            size_t count);
-/* Requests that came, and the head of the last one.  */
+/* Return the number of complete requests received.  */
 size_t fake_upstream_requests (const fake_upstream_t *upstream);
+/* Return the text of the last request, owned by UPSTREAM, or NULL before the
+   first one.  */
 const char *fake_upstream_last (const fake_upstream_t *upstream);
-/* Connections with a request whose other side closed before the answer was
-   over.  */
+/* Return the number of connections that the client closed after sending a
+   request or a part of one and before UPSTREAM finished the response.  */
 size_t fake_upstream_abandoned (const fake_upstream_t *upstream);
 
-/* Take no more connections, and say nothing on those there are: what its
-   callers see of an instance that lost its power, but that a connection is
-   refused rather than not answered.  */
+/* Stop listening and send nothing more on the open connections.  Simulates an
+   instance that lost power, except that new connections are refused instead
+   of timing out.  */
 void fake_upstream_vanish (fake_upstream_t *upstream);
 
 uint16_t fake_upstream_port (const fake_upstream_t *upstream);
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -18,10 +18,10 @@
 enum
 {
   FIRST_PORT = 10000,
-  LAST_PORT = 29999, /* Below the ports that the kernel hands out.  */
-  MAX_LIVE = 512,
-  TAIL_BYTES = 4096,
-  FTW_FILES = 16,
+  LAST_PORT = 29999, /* Below the kernel's ephemeral port range.  */
+  CHILD_SLOTS = 512,
+  OUTPUT_TAIL_BYTES = 4096,
+  FTW_OPEN_FILES_MAX = 16,
   SIGNAL_BASE = 256,
   KILL_WAIT_MS = 10000
 };
@@ -32,20 +32,20 @@
   harness_t *harness;
   char *name;
   char **argv;
-  char *paths[2]; /* Of its standard output and error.  */
+  char *paths[2]; /* Files of standard output and standard error.  */
   pid_t pid;
   bool running;
-  int status; /* As proc_wait has it, once it is not running.  */
+  int status; /* Result of proc_wait; valid when RUNNING is false.  */
 };
 
 struct harness
 {
   list_t procs;
-  list_t paths; /* path_t by link.  */
+  list_t paths; /* List of path_t.  */
   char host[20];
   uint16_t next_port;
-  char *folder;
-  unsigned started;
+  char *directory;
+  unsigned start_count;
 };
 
 typedef struct
@@ -54,22 +54,23 @@
   char *text;
 } path_t;
 
-/* Processes to end if this one is ended by a signal.  */
-static volatile pid_t live[MAX_LIVE];
+/* PIDs of running child processes, killed when a signal terminates the test
+   program; 0 marks a free slot.  */
+static volatile pid_t child_pids[CHILD_SLOTS];
 
 static void
 on_fatal_signal (int signum)
 {
-  for (size_t i = 0; i < MAX_LIVE; i++)
-    if (live[i] > 0)
-      kill (live[i], SIGKILL);
+  for (size_t i = 0; i < CHILD_SLOTS; i++)
+    if (child_pids[i] > 0)
+      kill (child_pids[i], SIGKILL);
   signal (signum, SIG_DFL);
   raise (signum);
 }
 
 #ifdef __SANITIZE_ADDRESS__
-/* A sanitizer's finding ends this program by a signal that is caught above;
-   by its default the processes started would be left running.  */
+/* Makes sanitizers report an error by a signal, which on_fatal_signal handles.
+   With their default options the child processes would be left running.  */
 const char *__asan_default_options (void);
 const char *__ubsan_default_options (void);
 
@@ -87,12 +88,12 @@
 #endif
 
 static void
-live_replace (pid_t from, pid_t to)
+child_pids_replace (pid_t old_pid, pid_t new_pid)
 {
-  for (size_t i = 0; i < MAX_LIVE; i++)
-    if (live[i] == from)
+  for (size_t i = 0; i < CHILD_SLOTS; i++)
+    if (child_pids[i] == old_pid)
       {
-        live[i] = to;
+        child_pids[i] = new_pid;
         return;
       }
   abort ();
@@ -119,13 +120,13 @@
 harness_t *
 harness_create (void)
 {
-  static unsigned made;
+  static unsigned harness_count;
   const char *tmp = getenv ("TMPDIR");
   harness_t *harness = mem_zalloc (sizeof *harness);
   buf_t template = BUF_NULL;
   unsigned pid = (unsigned)getpid ();
 
-  if (made == 0)
+  if (harness_count == 0)
     {
       static const int fatal[] = { SIGTERM, SIGINT, SIGABRT, SIGSEGV };
       for (size_t i = 0; i < sizeof fatal / sizeof fatal[0]; i++)
@@ -134,16 +135,17 @@
     }
   list_init (&harness->procs);
   list_init (&harness->paths);
-  /* An address for each process id: two tests never meet at a port.  */
+  /* One address per process ID, so that parallel tests share no ports.  */
   snprintf (harness->host, sizeof harness->host, "127.%u.%u.%u",
             64 + (pid >> 16) % 64, (pid >> 8) & 255, pid & 255);
   harness->next_port
-      = (uint16_t)(FIRST_PORT + (made++ * 512) % (LAST_PORT - FIRST_PORT));
+      = (uint16_t)(FIRST_PORT
+                   + (harness_count++ * 512) % (LAST_PORT - FIRST_PORT));
   buf_printf (&template, "%s/vh-test-XXXXXX%c", tmp != NULL ? tmp : "/tmp",
               '\0');
   if (mkdtemp (template.ptr) == NULL)
     abort ();
-  harness->folder = template.ptr;
+  harness->directory = template.ptr;
   return harness;
 }
 
@@ -154,19 +156,19 @@
 }
 
 static bool
-is_free (const char *host, uint16_t port)
+is_port_free (const char *host, uint16_t port)
 {
   struct sockaddr_in addr = { .sin_family = AF_INET };
   int on = 1;
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  bool found;
+  bool bound;
 
   addr.sin_port = htons (port);
   inet_pton (AF_INET, host, &addr.sin_addr);
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  found = bind (fd, (struct sockaddr *)&addr, sizeof addr) == 0;
+  bound = bind (fd, (struct sockaddr *)&addr, sizeof addr) == 0;
   close (fd);
-  return found;
+  return bound;
 }
 
 uint16_t
@@ -177,7 +179,7 @@
       uint16_t port = harness->next_port++;
       if (harness->next_port > LAST_PORT)
         harness->next_port = FIRST_PORT;
-      if (is_free (harness->host, port))
+      if (is_port_free (harness->host, port))
         return port;
     }
   abort ();
@@ -189,7 +191,7 @@
   path_t *path = mem_zalloc (sizeof *path);
   buf_t text = BUF_NULL;
 
-  buf_printf (&text, "%s/%s%c", harness->folder, name, '\0');
+  buf_printf (&text, "%s/%s%c", harness->directory, name, '\0');
   path->text = text.ptr;
   list_append (&harness->paths, &path->link);
   return path->text;
@@ -207,8 +209,9 @@
   return path;
 }
 
-/* Return the path of PROGRAM next to the folder of this very program, for
-   the caller to free: plain and sanitized builds find their own.  */
+/* Return the path of PROGRAM relative to the parent of the directory of the
+   running test program, so that plain and sanitized builds each start their
+   own programs.  The caller frees the path.  */
 static char *
 program_path (const char *program)
 {
@@ -244,12 +247,13 @@
   if (posix_spawn (&pid, proc->argv[0], &actions, &attr, proc->argv, environ)
       != 0)
     {
-      fprintf (stderr, "harness: cannot start %s\n", proc->argv[0]);
+      fprintf (stderr, "harness: cannot start %s; aborting the test\n",
+               proc->argv[0]);
       abort ();
     }
   posix_spawn_file_actions_destroy (&actions);
   posix_spawnattr_destroy (&attr);
-  live_replace (0, pid);
+  child_pids_replace (0, pid);
   proc->pid = pid;
   proc->running = true;
 }
@@ -258,7 +262,7 @@
 harness_start_list (harness_t *harness, const char *name, const char *program,
                     const char *const *args)
 {
-  static const char *const ends[] = { "out", "err" };
+  static const char *const suffixes[] = { "out", "err" };
   proc_t *proc = mem_zalloc (sizeof *proc);
   size_t count = 0;
 
@@ -270,12 +274,12 @@
   proc->argv[0] = program_path (program);
   for (size_t i = 0; i < count; i++)
     proc->argv[i + 1] = str_dup (str_from (args[i]));
-  harness->started++;
+  harness->start_count++;
   for (int i = 0; i < 2; i++)
     {
       buf_t path = BUF_NULL;
-      buf_printf (&path, "%s/%s-%u.%s%c", harness->folder, name,
-                  harness->started, ends[i], '\0');
+      buf_printf (&path, "%s/%s-%u.%s%c", harness->directory, name,
+                  harness->start_count, suffixes[i], '\0');
       proc->paths[i] = path.ptr;
     }
   list_append (&harness->procs, &proc->link);
@@ -319,7 +323,7 @@
 
   if (!proc->running || waitpid (proc->pid, &status, WNOHANG) != proc->pid)
     return proc->running;
-  live_replace (proc->pid, 0);
+  child_pids_replace (proc->pid, 0);
   proc->running = false;
   proc->status = WIFEXITED (status) ? WEXITSTATUS (status)
                                     : SIGNAL_BASE + WTERMSIG (status);
@@ -331,7 +335,7 @@
 {
   if (proc_running (proc))
     abort ();
-  /* What the run before wrote would be taken for the new one's.  */
+  /* proc_wait_port would take the old output for that of the new run.  */
   unlink (proc->paths[0]);
   spawn (proc);
 }
@@ -356,19 +360,19 @@
   read_file (proc->paths[is_stderr], out);
 }
 
-/* Find the line "WORD NUMBER" in TEXT; return the number or 0.  */
+/* Return the number of the first line "LABEL NUMBER" in TEXT, or 0.  */
 static uint16_t
-find_number (str_t text, str_t word)
+find_labeled_number (str_t text, str_t label)
 {
   str_t rest = text;
 
   while (rest.ptr != NULL)
     {
-      /* A line without its end may not be whole.  */
+      /* A line without a newline may be incomplete.  */
       str_t line = str_cut (rest, '\n', &rest);
       str_t number;
       uint64_t value;
-      if (rest.ptr != NULL && str_eq (str_cut (line, ' ', &number), word)
+      if (rest.ptr != NULL && str_eq (str_cut (line, ' ', &number), label)
           && str_to_u64 (number, &value))
         return (uint16_t)value;
     }
@@ -376,7 +380,7 @@
 }
 
 uint16_t
-proc_wait_port (proc_t *proc, const char *word, uint64_t wait_ms)
+proc_wait_port (proc_t *proc, const char *label, uint64_t wait_ms)
 {
   uint64_t end = harness_now_ms () + wait_ms;
   bool running = true;
@@ -386,7 +390,7 @@
       buf_t text = BUF_NULL;
       running = proc_running (proc);
       proc_output (proc, false, &text);
-      uint16_t port = find_number (buf_str (&text), str_from (word));
+      uint16_t port = find_labeled_number (buf_str (&text), str_from (label));
       buf_free (&text);
       if (port != 0)
         return port;
@@ -398,7 +402,7 @@
 void
 proc_signal (proc_t *proc, int signum)
 {
-  /* Not reaped yet, so the number cannot be another process's.  */
+  /* The process is not reaped yet, so its PID cannot have been reused.  */
   if (proc_running (proc))
     kill (proc->pid, signum);
 }
@@ -418,7 +422,7 @@
 {
   proc_signal (proc, SIGKILL);
   if (proc_wait (proc, KILL_WAIT_MS) < 0)
-    fprintf (stderr, "harness: %s outlives SIGKILL\n", proc->name);
+    fprintf (stderr, "harness: %s did not exit after SIGKILL\n", proc->name);
 }
 
 uint64_t
@@ -432,7 +436,8 @@
   buf_printf (&path, "/proc/%d/stat%c", (int)proc->pid, '\0');
   read_file (path.ptr, &text);
   buf_append_char (&text, '\0');
-  /* The name, in brackets, may hold anything; fields count after it.  */
+  /* The program name in parentheses may contain spaces and parentheses, so
+     parse the fields after the last one.  */
   const char *fields = strrchr (text.ptr, ')');
   if (fields == NULL
       || sscanf (fields + 1,
@@ -447,14 +452,15 @@
 }
 
 static void
-print_tail (const proc_t *proc)
+print_stderr_tail (const proc_t *proc)
 {
   buf_t text = BUF_NULL;
 
   proc_output (proc, true, &text);
-  size_t skip = text.len > TAIL_BYTES ? text.len - TAIL_BYTES : 0;
+  size_t skip
+      = text.len > OUTPUT_TAIL_BYTES ? text.len - OUTPUT_TAIL_BYTES : 0;
   if (text.len > 0)
-    fprintf (stderr, "--- %s (pid %d) said:\n%.*s\n", proc->name,
+    fprintf (stderr, "--- %s (pid %d) standard error:\n%.*s\n", proc->name,
              (int)proc->pid, (int)(text.len - skip), text.ptr + skip);
   buf_free (&text);
 }
@@ -472,12 +478,12 @@
 }
 
 static int
-remove_one (const char *path, const struct stat *st, int type,
-            struct FTW *where)
+remove_entry (const char *path, const struct stat *st, int type,
+              struct FTW *info)
 {
   (void)st;
   (void)type;
-  (void)where;
+  (void)info;
   return remove (path);
 }
 
@@ -492,7 +498,7 @@
     {
       proc_t *proc = CONTAINER_OF (at, proc_t, link);
       if (failed)
-        print_tail (proc);
+        print_stderr_tail (proc);
       proc_destroy (proc);
     }
   LIST_EACH (at, &harness->paths)
@@ -501,7 +507,8 @@
       free (path->text);
       free (path);
     }
-  nftw (harness->folder, remove_one, FTW_FILES, FTW_DEPTH | FTW_PHYS);
-  free (harness->folder);
+  nftw (harness->directory, remove_entry, FTW_OPEN_FILES_MAX,
+        FTW_DEPTH | FTW_PHYS);
+  free (harness->directory);
   free (harness);
 }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,7 +1,7 @@
-/* Real processes for tests: started, watched, paused, killed and always
-   reaped.  Each harness has a loopback address and a folder of its own, so
-   that tests run side by side.  Waits end with a failure at their deadline,
-   never with a sleep that hopes.  */
+/* Starts, monitors, pauses, kills and reaps processes for tests.  Each harness
+   has its own loopback address and temporary directory, so that tests can run
+   in parallel.  Tests poll for a condition until a deadline and fail there,
+   instead of sleeping for a fixed time.  */
 
 #ifndef TESTS_HARNESS_H
 #define TESTS_HARNESS_H
@@ -15,70 +15,76 @@
 typedef struct harness harness_t;
 typedef struct proc proc_t;
 
-/* Return a harness with a fresh folder; aborts when there is none.  */
+/* Return a harness with a new temporary directory.  Aborts the test program
+   when the directory cannot be created.  */
 harness_t *harness_create (void);
-/* Kill and reap all processes, remove the folder.  When FAILED, print the
-   end of what each process said.  NULL is accepted.  */
+/* Kill and reap all processes and remove the directory.  When FAILED, print
+   the last bytes of each process's standard error.  HARNESS may be NULL.  */
 void harness_destroy (harness_t *harness, bool failed);
-/* The loopback address of this harness, such as 127.64.3.9.  */
+/* Return the loopback address of HARNESS, such as 127.64.3.9.  */
 const char *harness_host (const harness_t *harness);
-/* Return a port of that address that nothing listens on.  */
+/* Return a TCP port on the address of HARNESS that no process listens on.  */
 uint16_t harness_port (harness_t *harness);
-/* Write TEXT to file NAME in the folder; return its path, which lives as
-   long as HARNESS.  */
+/* Write TEXT to file NAME in the directory of HARNESS.  Return the path of the
+   file, owned by HARNESS.  */
 const char *harness_write (harness_t *harness, const char *name, str_t text);
-/* Return the path of NAME in the folder.  */
+/* Return the path of file NAME in the directory of HARNESS, owned by
+   HARNESS.  */
 const char *harness_path (harness_t *harness, const char *name);
 
-/* Start PROGRAM, a path under the build folder such as tests/standin_engine,
-   with the further arguments up to NULL.  NAME is for messages.  */
+/* Start PROGRAM, a path relative to the build directory such as
+   tests/standin_engine, with the arguments that follow, which end with NULL.
+   NAME identifies the process in messages.  */
 proc_t *harness_start (harness_t *harness, const char *name,
                        const char *program, ...) __attribute__ ((sentinel));
-/* The same with an argument list that ends with NULL.  */
+/* Start PROGRAM like harness_start, with the arguments in ARGS, which end with
+   NULL.  */
 proc_t *harness_start_list (harness_t *harness, const char *name,
                             const char *program, const char *const *args);
-/* Start a process that has ended once more.  */
+/* Start the program of PROC again.  Aborts when PROC is still running.  */
 void proc_restart (proc_t *proc);
 
 pid_t proc_pid (const proc_t *proc);
 const char *proc_name (const proc_t *proc);
-/* Tell whether it still runs; reaps it when not.  */
+/* Return whether PROC is running.  Reaps PROC when it has exited.  */
 bool proc_running (proc_t *proc);
-/* Wait until its standard output has the line "WORD NUMBER"; return the
-   number, or 0 when it ended or WAIT_MS passed.  */
-uint16_t proc_wait_port (proc_t *proc, const char *word, uint64_t wait_ms);
-/* Append what it wrote to standard output or standard error to OUT.  */
+/* Wait until the standard output of PROC has the line "LABEL NUMBER".  Return
+   the number, or 0 when PROC exited or WAIT_MS passed.  */
+uint16_t proc_wait_port (proc_t *proc, const char *label, uint64_t wait_ms);
+/* Append everything that PROC wrote to its standard output, or standard error
+   when IS_STDERR, to OUT.  */
 void proc_output (const proc_t *proc, bool is_stderr, buf_t *out);
 void proc_signal (proc_t *proc, int signum);
-/* Wait for its end; return its exit status, 256 plus the number of the signal
-   that ended it, or -1 when WAIT_MS passed.  */
+/* Wait until PROC exits.  Return its exit status, 256 plus the signal number
+   when a signal terminated PROC, or -1 when WAIT_MS passed.  */
 int proc_wait (proc_t *proc, uint64_t wait_ms);
-/* SIGKILL and reap.  */
+/* Send SIGKILL to PROC and reap it.  */
 void proc_kill (proc_t *proc);
-/* Processor time used so far, in microseconds.  */
+/* Return the user and system CPU time used by PROC, in microseconds.  */
 uint64_t proc_cpu_us (const proc_t *proc);
 
-/* Monotonic milliseconds.  */
+/* Return the time of the monotonic clock, in ms.  */
 uint64_t harness_now_ms (void);
 void harness_sleep_ms (uint64_t ms);
 
-/* Evaluate CONDITION until it holds or WAIT_MS passed; *HELD tells which.  */
-#define WAIT_UNTIL(condition, wait_ms, held)                                  \
+/* Evaluate CONDITION every 5 ms until it is true or WAIT_MS passed, and store
+   its last value in *IS_MET.  */
+#define WAIT_UNTIL(condition, wait_ms, is_met)                                \
   do                                                                          \
     {                                                                         \
       uint64_t wait_end_ = harness_now_ms () + (wait_ms);                     \
-      while (!(*(held) = (condition)) && harness_now_ms () < wait_end_)       \
+      while (!(*(is_met) = (condition)) && harness_now_ms () < wait_end_)     \
         harness_sleep_ms (5);                                                 \
     }                                                                         \
   while (0)
 
-/* Fail the test unless CONDITION holds within WAIT_MS.  */
+/* Fail the test unless CONDITION becomes true within WAIT_MS.  */
 #define WAIT_FOR(condition, wait_ms)                                          \
   do                                                                          \
     {                                                                         \
-      bool wait_held_;                                                        \
-      WAIT_UNTIL (condition, wait_ms, &wait_held_);                           \
-      ck_assert_msg (wait_held_, "not within %d ms: %s", (int)(wait_ms),      \
+      bool wait_is_met_;                                                      \
+      WAIT_UNTIL (condition, wait_ms, &wait_is_met_);                         \
+      ck_assert_msg (wait_is_met_, "not within %d ms: %s", (int)(wait_ms),    \
                      #condition);                                             \
     }                                                                         \
   while (0)
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -9,20 +9,20 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* h2o keeps freed blocks in a list of each thread and never gives them up.
-   The callers' thread ends before the program, so the leak checker finds its
-   list, and only that, without an owner.  */
-const char *__lsan_default_suppressions (void); /* NOLINT: its name.  */
+/* h2o keeps freed blocks in a thread-local list and never releases them.  The
+   load thread exits before the program, so LeakSanitizer reports the blocks of
+   that list as leaked.  */
+const char *__lsan_default_suppressions (void); /* NOLINT: name set by LSan. */
 
 const char *
-__lsan_default_suppressions (void) /* NOLINT: its name.  */
+__lsan_default_suppressions (void) /* NOLINT: name set by LSan.  */
 {
   return "leak:h2o_mem_alloc_recycle\n";
 }
 
 enum
 {
-  BODY_KEPT = 240
+  BODY_TAIL_BYTES = 240
 };
 
 struct runner
@@ -31,7 +31,7 @@
   pthread_t thread;
   uv_loop_t loop;
   load_t *load;
-  bool over;
+  bool has_ended;
   bool joined;
   atomic_size_t finished;
   record_t *records;
@@ -40,7 +40,7 @@
 };
 
 static str_t
-keep (str_t s, size_t limit)
+copy_prefix (str_t s, size_t limit)
 {
   if (s.len > limit)
     s.len = limit;
@@ -61,30 +61,30 @@
   record_t *record = &runner->records[runner->count++];
   record->result = *result;
   record->ended_ms = harness_now_ms ();
-  record->result.key = keep (result->key, SIZE_MAX);
-  record->result.request_id = keep (result->request_id, SIZE_MAX);
-  record->result.outcome = keep (result->outcome, SIZE_MAX);
-  record->result.version = keep (result->version, SIZE_MAX);
-  /* The end of a long body tells more than its beginning.  */
+  record->result.key = copy_prefix (result->key, SIZE_MAX);
+  record->result.request_id = copy_prefix (result->request_id, SIZE_MAX);
+  record->result.outcome = copy_prefix (result->outcome, SIZE_MAX);
+  record->result.version = copy_prefix (result->version, SIZE_MAX);
+  /* Errors appear at the end of a long body rather than at its start.  */
   str_t body = result->body;
-  if (body.len > BODY_KEPT)
-    body = str_make (body.ptr + body.len - BODY_KEPT, BODY_KEPT);
-  record->result.body = keep (body, BODY_KEPT);
+  if (body.len > BODY_TAIL_BYTES)
+    body = str_make (body.ptr + body.len - BODY_TAIL_BYTES, BODY_TAIL_BYTES);
+  record->result.body = copy_prefix (body, BODY_TAIL_BYTES);
   atomic_fetch_add (&runner->finished, 1);
 }
 
 static void
-on_over (void *arg)
+on_load_ended (void *arg)
 {
-  ((runner_t *)arg)->over = true;
+  ((runner_t *)arg)->has_ended = true;
 }
 
 static void *
-run (void *arg)
+run_loop (void *arg)
 {
   runner_t *runner = arg;
 
-  while (!runner->over)
+  while (!runner->has_ended)
     uv_run (&runner->loop, UV_RUN_ONCE);
   return NULL;
 }
@@ -96,12 +96,12 @@
 
   runner->options = *options;
   runner->options.finished = on_finished;
-  runner->options.over = on_over;
+  runner->options.over = on_load_ended;
   runner->options.arg = runner;
   uv_loop_init (&runner->loop);
   runner->load = load_create (&runner->loop, &runner->options);
   if (runner->load == NULL
-      || pthread_create (&runner->thread, NULL, run, runner) != 0)
+      || pthread_create (&runner->thread, NULL, run_loop, runner) != 0)
     abort ();
   return runner;
 }
@@ -114,7 +114,8 @@
   load_stop (runner->load);
   pthread_join (runner->thread, NULL);
   runner->joined = true;
-  /* Only now: a load that reached its end may still be told to stop.  */
+  /* Destroyed only here because load_stop above may be called on a load that
+     has already ended.  */
   load_destroy (runner->load);
   uv_run (&runner->loop, UV_RUN_DEFAULT);
   uv_loop_close (&runner->loop);
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -1,5 +1,5 @@
-/* Load in a thread of its own, so that a test can break things meanwhile,
-   with a record of what every caller received.  */
+/* Runs a load generator in a separate thread, so that a test can inject faults
+   meanwhile, and records the result of every request.  */
 
 #ifndef TESTS_RUNNER_H
 #define TESTS_RUNNER_H
@@ -8,39 +8,46 @@
 
 typedef struct runner runner_t;
 
-/* One request; its strings belong to the runner.  Of a long body
-   only the end is kept.  */
+/* A finished request.  The runner owns the strings and keeps only the end of a
+   long body.  */
 typedef struct
 {
   load_result_t result;
-  uint64_t ended_ms; /* As harness_now_ms has it.  */
+  uint64_t ended_ms; /* Time of the end, from harness_now_ms.  */
 } record_t;
 
 typedef struct
 {
+  /* Finished requests: the sum of WHOLE, NOT_RUN, UNKNOWN and UNTOLD.  */
   size_t finished;
-  size_t whole;
-  size_t wrong;
-  size_t not_run; /* By the outcome told.  */
-  size_t unknown;
-  size_t untold; /* Neither whole nor with an outcome.  */
-  size_t cut;    /* Ended before a whole HTTP answer.  */
-  uint64_t longest_us;
-  uint64_t longest_wait_us; /* Between two pieces of one answer.  */
+  size_t whole;        /* Complete responses with a 2xx status.  */
+  size_t wrong;        /* Complete responses with unexpected bytes.  */
+  size_t not_run;      /* Incomplete, with outcome `not-run'.  */
+  size_t unknown;      /* Incomplete, with outcome `unknown'.  */
+  size_t untold;       /* Incomplete, without either outcome.  */
+  size_t cut;          /* Ended before a complete HTTP response.  */
+  uint64_t longest_us; /* Longest complete request, in us.  */
+  /* Longest time between two parts of a complete response, in us.  */
+  uint64_t longest_wait_us;
 } tally_t;
 
-/* Start; the strings of OPTIONS must outlive the runner.  */
+/* Start the load generator in a new thread.  The strings of OPTIONS must
+   outlive the runner.  */
 runner_t *runner_start (const load_options_t *options);
-/* Start no more requests and wait for those in hand; may be called again.  */
+/* Stop starting requests and wait until the pending ones finish.  May be
+   called more than once.  */
 void runner_stop (runner_t *runner);
-/* Requests finished so far, while it runs.  */
+/* Return the number of requests finished so far.  Safe while the load
+   runs.  */
 size_t runner_finished (runner_t *runner);
-/* After the stop: record INDEX, or NULL past the end.  */
+/* Return record INDEX, or NULL past the end.  Call only after
+   runner_stop.  */
 const record_t *runner_at (const runner_t *runner, size_t index);
+/* Return the totals of all records.  Call only after runner_stop.  */
 tally_t runner_tally (const runner_t *runner);
-/* Print what went wrong with up to LIMIT requests.  */
+/* Print up to LIMIT incomplete or wrong responses to standard error.  */
 void runner_complain (const runner_t *runner, size_t limit);
-/* Stop and release.  NULL is accepted.  */
+/* Stop the load and release RUNNER, which may be NULL.  */
 void runner_destroy (runner_t *runner);
 
 #endif
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -1,5 +1,5 @@
-/* Tests of what entries do together, with real processes: streams that go on
-   elsewhere and roll-outs that outlive the entry that steps them.  */
+/* Tests of failover with real processes: streams that another engine resumes,
+   and roll-outs that another entry takes over.  */
 
 #include "cluster.h"
 #include "standins/answer.h"
@@ -17,18 +17,18 @@
 enum
 {
   WAIT_MS = 15000,
-  STEP_MS = 20,
+  POLL_MS = 20,
   STREAM_TOKENS = 120,
-  HALT_MS = 60000
+  HALT_WAIT_MS = 60000
 };
 
 static cluster_t *cluster;
-static bool passed;
+static bool has_passed;
 
 static void
 teardown (void)
 {
-  cluster_destroy (cluster, !passed);
+  cluster_destroy (cluster, !has_passed);
   cluster = NULL;
 }
 
@@ -40,14 +40,14 @@
                                       .one_zone = true,
                                       .engine_args = { "--token-ms=10" } };
 
-  passed = false;
+  has_passed = false;
   cluster = cluster_create (&options);
   ck_assert_ptr_nonnull (cluster);
 }
 
-/* The upstream that runs something now, or NULL.  */
+/* Return the first upstream with a running request, or NULL.  */
 static cluster_upstream_t *
-busy_upstream (void)
+find_busy_upstream (void)
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (cluster_stat (cluster, cluster->upstreams[i].port, "running") > 0)
@@ -55,44 +55,45 @@
   return NULL;
 }
 
-/* A caller reads a long stream; the engine that makes it is killed halfway.
-   The caller must see one whole stream, with the same text as one from an
-   undisturbed engine, gone on with by the other engine.  */
-START_TEST (stream_goes_on_elsewhere)
+/* Failure: a stream is cut or changes when its engine dies.  The engine that
+   generates a long stream is killed halfway, and the other engine has to
+   resume the stream.  The client must receive a complete stream with the text
+   that the other engine generates for the same request.  */
+START_TEST (killed_engine_does_not_cut_stream)
 {
   static const char body[]
       = "{\"model\":\"draft-small@3\",\"stream\":true,\"max_tokens\":120,"
         "\"messages\":[{\"role\":\"user\",\"content\":\"a long roof\"}]}";
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+  reading_t resumed = { 0 };
+  reading_t expected = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
                        AUTH JSON_TYPE, str_from (body));
   ck_assert (rawhttp_read_body (&http, 3000, WAIT_MS));
-  cluster_upstream_t *engine = busy_upstream ();
+  cluster_upstream_t *engine = find_busy_upstream ();
   ck_assert_ptr_nonnull (engine);
   proc_kill (engine->proc);
-  bool whole = rawhttp_read_all (&http, WAIT_MS);
+  bool is_complete = rawhttp_read_all (&http, WAIT_MS);
   size_t tail = http.body.len < 400 ? http.body.len : 400;
-  ck_assert_msg (whole, "stream was cut: %.*s", (int)tail,
+  ck_assert_msg (is_complete, "stream was cut: %.*s", (int)tail,
                  http.body.ptr + http.body.len - tail);
   cluster_upstream_t *other = engine == &cluster->upstreams[0]
                                   ? &cluster->upstreams[1]
                                   : &cluster->upstreams[0];
-  rawhttp_t straight = rawhttp_call (cluster->host, other->port, "POST", CHAT,
-                                     JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &ours));
-  ck_assert (answer_read_stream (buf_str (&straight.body), &own));
-  ck_assert (!ours.error);
-  ck_assert_uint_eq (own.tokens, STREAM_TOKENS);
-  ck_assert_msg (str_eq (buf_str (&ours.text), buf_str (&own.text)),
-                 "ours: %.*s", STR_ARG (buf_str (&ours.text)));
+  rawhttp_t direct = rawhttp_call (cluster->host, other->port, "POST", CHAT,
+                                   JSON_TYPE, str_from (body), WAIT_MS);
+  ck_assert (answer_read_stream (buf_str (&http.body), &resumed));
+  ck_assert (answer_read_stream (buf_str (&direct.body), &expected));
+  ck_assert (!resumed.error);
+  ck_assert_uint_eq (expected.tokens, STREAM_TOKENS);
+  ck_assert_msg (str_eq (buf_str (&resumed.text), buf_str (&expected.text)),
+                 "resumed text: %.*s", STR_ARG (buf_str (&resumed.text)));
   rawhttp_close (&http);
-  rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
-  passed = true;
+  rawhttp_close (&direct);
+  answer_reading_free (&resumed);
+  answer_reading_free (&expected);
+  has_passed = true;
 }
 END_TEST
 
@@ -102,12 +103,13 @@
   const cluster_options_t options
       = { .entries = 3, .small_engines = 2, .one_zone = true };
 
-  passed = false;
+  has_passed = false;
   cluster = cluster_create (&options);
   ck_assert_ptr_nonnull (cluster);
 }
 
-/* State of the one roll-out as entry INDEX tells it, and requests shown.  */
+/* Copy the state of the first roll-out that entry INDEX reports to STATE, and
+   set *SHOWN to its number of requests sent to the new version.  */
 static void
 read_rollout (size_t index, char *state, size_t size, json_int_t *shown)
 {
@@ -115,16 +117,18 @@
                                  "/admin/status", NULL);
   const json_t *rollout
       = json_array_get (json_object_get (status, "rollouts"), 0);
-  const char *said = json_string_value (json_object_get (rollout, "state"));
+  const char *state_text
+      = json_string_value (json_object_get (rollout, "state"));
 
-  snprintf (state, size, "%s", said != NULL ? said : "");
+  snprintf (state, size, "%s", state_text != NULL ? state_text : "");
   *shown = json_integer_value (json_object_get (rollout, "shown"));
   json_decref (status);
 }
 
-/* Send some chats through every entry that runs.  */
+/* Send ten chat requests through every running entry.  ROUND makes the prompts
+   differ between calls.  */
 static void
-send_some (int round)
+send_chats (int round)
 {
   char body[256];
 
@@ -146,9 +150,10 @@
     }
 }
 
-/* Index of the entry that steps the roll-outs, by its log; -1: none.  */
+/* Return the index of the running entry whose log says that it drives the
+   roll-outs, or -1 when there is none.  */
 static int
-leading_entry (void)
+find_leader (void)
 {
   int found = -1;
 
@@ -165,16 +170,17 @@
   return found;
 }
 
-/* A bad version is being rolled out when the entry that steps the roll-out is
-   killed.  Another entry must take over with all that was learned, halt the
-   roll-out, and every entry must stop showing the version.  */
-START_TEST (rollout_outlives_its_entry)
+/* Failure: a bad version stays in roll-out after the leading entry died.  The
+   entry that drives the roll-out of a low-quality version is killed.  Another
+   entry must take over with the quality data collected so far and halt the
+   roll-out, and every running entry must report the halt.  */
+START_TEST (rollout_survives_death_of_leader)
 {
   char state[32] = "";
   json_int_t shown = 0;
-  uint64_t end_ms = harness_now_ms () + HALT_MS;
+  uint64_t end_ms = harness_now_ms () + HALT_WAIT_MS;
   int round = 0;
-  bool killed = false;
+  bool is_leader_killed = false;
   char control[128];
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -190,20 +196,20 @@
                            "draft-small@3"));
   while (harness_now_ms () < end_ms && strcmp (state, "halted") != 0)
     {
-      send_some (round++);
-      size_t asked = proc_running (cluster->entries[0].proc) ? 0 : 1;
-      read_rollout (asked, state, sizeof state, &shown);
-      int leader = leading_entry ();
-      if (!killed && shown >= 2 && leader >= 0)
+      send_chats (round++);
+      size_t reporter = proc_running (cluster->entries[0].proc) ? 0 : 1;
+      read_rollout (reporter, state, sizeof state, &shown);
+      int leader = find_leader ();
+      if (!is_leader_killed && shown >= 2 && leader >= 0)
         {
           proc_kill (cluster->entries[leader].proc);
-          killed = true;
+          is_leader_killed = true;
         }
     }
-  ck_assert (killed);
+  ck_assert (is_leader_killed);
   ck_assert_msg (strcmp (state, "halted") == 0, "state %s shown %d", state,
                  (int)shown);
-  /* Every entry that runs knows it and shows the version no more.  */
+  /* Every running entry must report the roll-out as halted.  */
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
       if (!proc_running (cluster->entries[i].proc))
@@ -211,12 +217,12 @@
       do
         {
           read_rollout (i, state, sizeof state, &shown);
-          harness_sleep_ms (STEP_MS);
+          harness_sleep_ms (POLL_MS);
         }
       while (strcmp (state, "halted") != 0 && harness_now_ms () < end_ms);
       ck_assert_str_eq (state, "halted");
     }
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
@@ -230,10 +236,10 @@
   tcase_set_timeout (resume, 60);
   tcase_set_timeout (rollout, 120);
   tcase_add_checked_fixture (resume, setup_resume, teardown);
-  tcase_add_test (resume, stream_goes_on_elsewhere);
+  tcase_add_test (resume, killed_engine_does_not_cut_stream);
   suite_add_tcase (suite, resume);
   tcase_add_checked_fixture (rollout, setup_rollout, teardown);
-  tcase_add_test (rollout, rollout_outlives_its_entry);
+  tcase_add_test (rollout, rollout_survives_death_of_leader);
   suite_add_tcase (suite, rollout);
   return suite_run (suite);
 }
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -1,7 +1,7 @@
-/* The load patterns, judged by what callers receive: the policy package
-   against the plain baseline on the same arrivals.  The model is that of the
-   bench (bench/model.h).  Each pattern runs with several seeds; bounds are on
-   the worst.  */
+/* Tests of the policy package on simulated load patterns, judged by the
+   responses that clients receive.  Each test compares the package with the
+   baseline of bench/model.h on the same arrivals.  Each pattern runs with
+   several seeds, and the bounds hold for every seed.  */
 
 #include "model.h"
 
@@ -12,18 +12,19 @@
 enum
 {
   SEEDS = 3,
-  /* Where the outcome hangs on one engine, luck plays a greater part.  */
-  MANY_SEEDS = 10
+  /* For patterns with a single cold engine, whose results vary more between
+     seeds.  */
+  COLD_ENGINE_SEEDS = 10
 };
 
 typedef struct
 {
-  outcome_t plain;
-  outcome_t ours;
-} pair_t;
+  outcome_t baseline;
+  outcome_t policy;
+} comparison_t;
 
 static pattern_t
-pattern (const char *text)
+parse_pattern (const char *text)
 {
   pattern_t p;
 
@@ -31,314 +32,333 @@
   return p;
 }
 
-/* Run the pattern TEXT on both sides; SEED also goes into the report of a
-   failure.  */
-static pair_t
+/* Run the pattern TEXT with SEED by the baseline and by the policy package. */
+static comparison_t
 run (const char *text, uint64_t seed)
 {
-  pattern_t p = pattern (text);
+  pattern_t p = parse_pattern (text);
 
-  return (pair_t){ model_run (&p, seed, false), model_run (&p, seed, true) };
+  return (comparison_t){ model_run (&p, seed, false),
+                         model_run (&p, seed, true) };
 }
 
 static double
-part (uint64_t count, uint64_t all)
+ratio (uint64_t count, uint64_t all)
 {
   return (double)count / (double)all;
 }
 
 static double
-answered (const outcome_t *out)
+answered_ratio (const outcome_t *out)
 {
-  return part (out->answered, out->requests);
+  return ratio (out->answered, out->requests);
 }
 
-/* What holds under any load: nobody hears after the deadline, and few wait
-   for nothing.  */
+/* Check the bounds that hold for every pattern: no response is sent after the
+   deadline, and at most the share MAX_WASTED of the requests waits and then
+   fails.  */
 static void
-check_common (const pair_t *pair, uint64_t seed, double most_lapsed)
+check_common_bounds (const comparison_t *result, uint64_t seed,
+                     double max_wasted)
 {
-  const outcome_t *ours = &pair->ours;
+  const outcome_t *policy = &result->policy;
 
-  ck_assert_uint_eq (ours->late, 0);
-  ck_assert_msg (part (ours->lapsed + ours->errors, ours->requests)
-                     <= most_lapsed,
-                 "seed %lu: %lu of %lu waited for nothing", seed,
-                 ours->lapsed + ours->errors, ours->requests);
+  ck_assert_uint_eq (policy->late, 0);
+  ck_assert_msg (ratio (policy->lapsed + policy->errors, policy->requests)
+                     <= max_wasted,
+                 "seed %lu: %lu of %lu requests waited and then failed", seed,
+                 policy->lapsed + policy->errors, policy->requests);
 }
 
 #define CHECK(condition)                                                      \
   ck_assert_msg (condition, "seed %lu: %s", seed, #condition)
 
-/* Ten times the capacity for ten seconds.  Plainly every engine takes all of
-   it, slows down for all, and callers are still waiting long after.  */
-START_TEST (burst)
+/* Failure: a burst delays requests that arrive after the burst.  Ten times the
+   capacity arrives for ten seconds.  Engines of the baseline accept all of the
+   requests, slow down, and are still working on them seconds later.  */
+START_TEST (burst_delays_later_requests)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("burst", seed);
+      comparison_t result = run ("burst", seed);
 
-      check_common (&pair, seed, 0.03);
-      CHECK (pair.ours.goodput > pair.plain.goodput * 1.3);
-      CHECK (pair.ours.after_p99_ms < 1500);
-      CHECK (pair.plain.after_p99_ms > 4000);
-      CHECK (pair.ours.quiet_answered > 0.95);
+      check_common_bounds (&result, seed, 0.03);
+      CHECK (result.policy.goodput > result.baseline.goodput * 1.3);
+      CHECK (result.policy.after_p99_ms < 1500);
+      CHECK (result.baseline.after_p99_ms > 4000);
+      CHECK (result.policy.quiet_answered > 0.95);
     }
 }
 END_TEST
 
-/* One team sends half of all traffic, more than there is.  The other teams
-   would pay for it; they must not.  */
-START_TEST (hot_team)
+/* Failure: an overloading team takes capacity from the other teams.  One of
+   ten teams sends half of the requests at 1.2 times the capacity, and the
+   baseline serves all requests in order of arrival.  */
+START_TEST (hot_team_starves_other_teams)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("hot-team", seed);
-
-      check_common (&pair, seed, 0.02);
-      CHECK (pair.ours.unfairness < 0.05);
-      CHECK (pair.plain.unfairness > 0.3);
-      CHECK (pair.ours.quiet_answered > 0.99);
-      CHECK (pair.ours.quiet_p99_ms < 2500);
-      CHECK (pair.ours.goodput > 0.85 * 20 * 8 * MODEL_SPEED);
+      comparison_t result = run ("hot-team", seed);
+
+      check_common_bounds (&result, seed, 0.02);
+      CHECK (result.policy.unfairness < 0.05);
+      CHECK (result.baseline.unfairness > 0.3);
+      CHECK (result.policy.quiet_answered > 0.99);
+      CHECK (result.policy.quiet_p99_ms < 2500);
+      CHECK (result.policy.goodput > 0.85 * 20 * 8 * MODEL_SPEED);
     }
 }
 END_TEST
 
-/* Half of the requests share a prefix.  Sent by hash alone they bury one
-   engine.  */
-START_TEST (hot_prefix)
+/* Failure: a frequent prompt prefix overloads one engine.  Half of the
+   requests share a prefix, and the baseline selects the engine by the hash of
+   the prefix.  */
+START_TEST (hot_prefix_overloads_one_engine)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("hot-prefix", seed);
+      comparison_t result = run ("hot-prefix", seed);
 
-      check_common (&pair, seed, 0.01);
-      CHECK (answered (&pair.ours) > 0.99);
-      CHECK (answered (&pair.plain) < 0.7);
-      CHECK (pair.ours.short_p99_ms < 1500);
+      check_common_bounds (&result, seed, 0.01);
+      CHECK (answered_ratio (&result.policy) > 0.99);
+      CHECK (answered_ratio (&result.baseline) < 0.7);
+      CHECK (result.policy.short_p99_ms < 1500);
     }
 }
 END_TEST
 
-/* The cache must be found: at a load that only fits with it.  */
-START_TEST (prefixes_are_kept_together)
+/* Failure: requests with the same prefix are spread over the engines and miss
+   the prefix cache.  The engines can serve this load only with cache
+   hits.  */
+START_TEST (same_prefix_misses_cache)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair
+      comparison_t result
           = run ("hot-prefix,load=1.3,hot_prefix=0.1,prefixes=60", seed);
 
-      CHECK (answered (&pair.ours) > 0.99);
+      CHECK (answered_ratio (&result.policy) > 0.99);
     }
 }
 END_TEST
 
-/* One upstream in twenty takes five times as long; every twentieth caller
-   would wait for it.  */
-START_TEST (slow_upstream)
+/* Failure: a slow upstream keeps its full share of the requests.  One upstream
+   in twenty takes five times as long, and one client in twenty of the baseline
+   waits for it.  */
+START_TEST (slow_upstream_delays_requests)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("slow-upstream", seed);
+      comparison_t result = run ("slow-upstream", seed);
 
-      check_common (&pair, seed, 0.005);
-      CHECK (answered (&pair.ours) > 0.99);
-      CHECK (pair.ours.short_p99_ms < 3000);
-      CHECK (pair.plain.short_p99_ms > 4900);
-      CHECK (pair.ours.bad_share < 0.02);
+      check_common_bounds (&result, seed, 0.005);
+      CHECK (answered_ratio (&result.policy) > 0.99);
+      CHECK (result.policy.short_p99_ms < 3000);
+      CHECK (result.baseline.short_p99_ms > 4900);
+      CHECK (result.policy.bad_share < 0.02);
     }
 }
 END_TEST
 
-/* One upstream answers errors at once.  Always idle, it would draw the
-   traffic of anyone who looks for the least loaded.  */
-START_TEST (failing_fast)
+/* Failure: an upstream that fails fast attracts traffic.  One upstream returns
+   errors at once and therefore always has the lowest load, so least-loaded
+   balancing would prefer it.  */
+START_TEST (fast_failing_upstream_attracts_traffic)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("fail-fast", seed);
+      comparison_t result = run ("fail-fast", seed);
 
-      check_common (&pair, seed, 0.002);
-      CHECK (answered (&pair.ours) > 0.995);
-      CHECK (pair.ours.bad_share < 0.01);
+      check_common_bounds (&result, seed, 0.002);
+      CHECK (answered_ratio (&result.policy) > 0.995);
+      CHECK (result.policy.bad_share < 0.01);
     }
 }
 END_TEST
 
-/* Drafts of a minute are half of the work, questions of half a second the
-   other.  Plainly a question waits where a few drafts have met.  */
-START_TEST (long_among_short)
+/* Failure: long jobs delay short ones.  Half of the work is in jobs of a
+   minute and half in jobs of half a second.  In the baseline a short job waits
+   at an engine where several long jobs run.  */
+START_TEST (long_jobs_delay_short_jobs)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("long-short", seed);
+      comparison_t result = run ("long-short", seed);
 
-      check_common (&pair, seed, 0.005);
-      CHECK (answered (&pair.ours) > 0.99);
-      CHECK (pair.ours.short_p99_ms < 2500);
-      CHECK (pair.ours.goodput > pair.plain.goodput);
+      check_common_bounds (&result, seed, 0.005);
+      CHECK (answered_ratio (&result.policy) > 0.99);
+      CHECK (result.policy.short_p99_ms < 2500);
+      CHECK (result.policy.goodput > result.baseline.goodput);
     }
 }
 END_TEST
 
-/* Far more drafts than can be done.  They would hold every slot for a minute
-   at a time.  */
-START_TEST (short_among_too_many_long)
+/* Failure: an overload of long jobs blocks the short ones.  Nine tenths of the
+   work is in long jobs, at 1.5 times the capacity, and without limits they
+   would occupy every slot for a minute.  */
+START_TEST (too_many_long_jobs_block_short_jobs)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("long-short,long_work=0.9,load=1.5", seed);
+      comparison_t result = run ("long-short,long_work=0.9,load=1.5", seed);
 
-      CHECK (pair.ours.short_p99_ms < 3500);
-      CHECK (pair.plain.short_p99_ms > 4900);
-      CHECK (pair.ours.goodput > pair.plain.goodput * 1.5);
+      CHECK (result.policy.short_p99_ms < 3500);
+      CHECK (result.baseline.short_p99_ms > 4900);
+      CHECK (result.policy.goodput > result.baseline.goodput * 1.5);
     }
 }
 END_TEST
 
-/* More work than can be done, for good.  What is answered must not fall with
-   what is asked.  */
-START_TEST (overload)
+/* Failure: goodput falls as a permanent overload grows.  At 1.5 and 3 times
+   the capacity goodput must stay above 95 % of its peak.  */
+START_TEST (overload_reduces_goodput)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t full = run ("plain,load=1", seed);
-      pair_t half_more = run ("overload-1.5", seed);
-      pair_t threefold = run ("overload-3", seed);
-      double peak = full.ours.goodput;
-
-      if (peak < half_more.ours.goodput)
-        peak = half_more.ours.goodput;
-      if (peak < threefold.ours.goodput)
-        peak = threefold.ours.goodput;
-      check_common (&half_more, seed, 0.02);
-      check_common (&threefold, seed, 0.02);
-      CHECK (half_more.ours.goodput > peak * 0.95);
-      CHECK (threefold.ours.goodput > peak * 0.95);
-      CHECK (threefold.plain.goodput < peak * 0.1);
-      CHECK (half_more.ours.quiet_answered > 0.98);
-      CHECK (threefold.ours.quiet_answered > 0.98);
-      CHECK (half_more.ours.quiet_p99_ms < 2500);
-      CHECK (threefold.ours.quiet_p99_ms < 2500);
-      CHECK (threefold.ours.unfairness < 0.05);
-      /* Most are refused at the entry, not sent about to full upstreams.  */
-      CHECK (threefold.ours.dispatched < threefold.ours.requests);
+      comparison_t full = run ("plain,load=1", seed);
+      comparison_t half_more = run ("overload-1.5", seed);
+      comparison_t threefold = run ("overload-3", seed);
+      double peak = full.policy.goodput;
+
+      if (peak < half_more.policy.goodput)
+        peak = half_more.policy.goodput;
+      if (peak < threefold.policy.goodput)
+        peak = threefold.policy.goodput;
+      check_common_bounds (&half_more, seed, 0.02);
+      check_common_bounds (&threefold, seed, 0.02);
+      CHECK (half_more.policy.goodput > peak * 0.95);
+      CHECK (threefold.policy.goodput > peak * 0.95);
+      CHECK (threefold.baseline.goodput < peak * 0.1);
+      CHECK (half_more.policy.quiet_answered > 0.98);
+      CHECK (threefold.policy.quiet_answered > 0.98);
+      CHECK (half_more.policy.quiet_p99_ms < 2500);
+      CHECK (threefold.policy.quiet_p99_ms < 2500);
+      CHECK (threefold.policy.unfairness < 0.05);
+      /* Most requests must be refused at the entry instead of being sent to
+         one full upstream after the other.  */
+      CHECK (threefold.policy.dispatched < threefold.policy.requests);
     }
 }
 END_TEST
 
-/* Six of twenty upstreams fail for twenty seconds.  Retries must bring the
-   answers home without multiplying the load.  */
-START_TEST (partial_outage)
+/* Failure: retries in a partial outage multiply the load.  Six of twenty
+   upstreams fail for twenty seconds; more than 99 % of the requests must
+   succeed with fewer than 1.2 attempts per request.  */
+START_TEST (retries_multiply_load_in_partial_outage)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("outage", seed);
+      comparison_t result = run ("outage", seed);
 
-      check_common (&pair, seed, 0.01);
-      CHECK (answered (&pair.ours) > 0.99);
-      CHECK (pair.ours.attempts < pair.ours.requests * 12 / 10);
+      check_common_bounds (&result, seed, 0.01);
+      CHECK (answered_ratio (&result.policy) > 0.99);
+      CHECK (result.policy.attempts < result.policy.requests * 12 / 10);
     }
 }
 END_TEST
 
-/* All upstreams fail for twenty seconds: nobody can be ejected for that, and
-   only the budget is left.  */
-START_TEST (retries_in_a_wide_outage)
+/* Failure: retries in a full outage multiply the load.  All upstreams fail for
+   twenty seconds, so that outlier ejection cannot help and only the retry
+   budget limits the attempts.  */
+START_TEST (retries_multiply_load_in_full_outage)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("outage,failing=20", seed);
+      comparison_t result = run ("outage,failing=20", seed);
 
-      CHECK (pair.ours.attempts < pair.ours.requests * 12 / 10);
-      CHECK (pair.plain.attempts > pair.plain.requests * 15 / 10);
+      CHECK (result.policy.attempts < result.policy.requests * 12 / 10);
+      CHECK (result.baseline.attempts > result.baseline.requests * 15 / 10);
     }
 }
 END_TEST
 
-/* A new engine carries two jobs for ten seconds.  With its full share it
-   would fall over, and its callers would time out.  */
-START_TEST (cold_start)
+/* Failure: a new engine is overloaded while it is cold.  For its
+   first ten seconds the engine has only two slots.  With its full share it
+   would slow down, and its clients would time out.  */
+START_TEST (new_cold_engine_is_overloaded)
 {
-  for (uint64_t seed = 1; seed <= MANY_SEEDS; seed++)
+  for (uint64_t seed = 1; seed <= COLD_ENGINE_SEEDS; seed++)
     {
-      pair_t pair = run ("cold-start", seed);
+      comparison_t result = run ("cold-start", seed);
 
-      check_common (&pair, seed, 0.002);
-      CHECK (answered (&pair.plain) < 0.985);
-      CHECK (pair.ours.after_p99_ms < 2500);
-      CHECK (pair.ours.full_use_s < 12);
+      check_common_bounds (&result, seed, 0.002);
+      CHECK (answered_ratio (&result.baseline) < 0.985);
+      CHECK (result.policy.after_p99_ms < 2500);
+      CHECK (result.policy.full_use_s < 12);
     }
 }
 END_TEST
 
-/* A warm engine loses its warmth in service, with its slots taken.  */
-START_TEST (warm_to_cold)
+/* Failure: an engine that turns cold while all of its slots are in use is
+   overloaded.  */
+START_TEST (engine_turning_cold_is_overloaded)
 {
-  for (uint64_t seed = 1; seed <= MANY_SEEDS; seed++)
+  for (uint64_t seed = 1; seed <= COLD_ENGINE_SEEDS; seed++)
     {
-      pair_t pair = run ("warm-to-cold", seed);
+      comparison_t result = run ("warm-to-cold", seed);
 
-      check_common (&pair, seed, 0.004);
-      CHECK (answered (&pair.plain) < 0.985);
-      CHECK (pair.ours.full_use_s < 12);
+      check_common_bounds (&result, seed, 0.004);
+      CHECK (answered_ratio (&result.baseline) < 0.985);
+      CHECK (result.policy.full_use_s < 12);
     }
 }
 END_TEST
 
-/* A zone is taken out and brought back cold.  The others carry its load
-   meanwhile; on its return it must not be buried.  */
-START_TEST (zone_out_and_back)
+/* Failure: an availability zone is overloaded on its return.  A zone is taken
+   out while the other zones serve its load, and returns with cold
+   engines.  */
+START_TEST (returning_zone_is_overloaded)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("zone", seed);
+      comparison_t result = run ("zone", seed);
 
-      check_common (&pair, seed, 0.002);
-      CHECK (answered (&pair.ours) > 0.995);
-      CHECK (pair.ours.errors == 0);
-      CHECK (pair.ours.after_p99_ms < 2500);
-      CHECK (pair.plain.after_p99_ms > 4000);
+      check_common_bounds (&result, seed, 0.002);
+      CHECK (answered_ratio (&result.policy) > 0.995);
+      CHECK (result.policy.errors == 0);
+      CHECK (result.policy.after_p99_ms < 2500);
+      CHECK (result.baseline.after_p99_ms > 4000);
     }
 }
 END_TEST
 
-/* Reports come up to ten seconds late.  Whoever follows them sends all to
-   what was idle then.  */
-START_TEST (stale_reports)
+/* Failure: stale load reports crowd one engine.  Reports are up to ten seconds
+   late, and least-loaded balancing sends all requests to the engines that were
+   idle in the last report.  */
+START_TEST (stale_reports_crowd_one_engine)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("stale-reports", seed);
+      comparison_t result = run ("stale-reports", seed);
 
-      check_common (&pair, seed, 0.002);
-      CHECK (answered (&pair.ours) > 0.99);
-      CHECK (pair.ours.crowding < 2);
-      CHECK (pair.plain.crowding > 2.5);
+      check_common_bounds (&result, seed, 0.002);
+      CHECK (answered_ratio (&result.policy) > 0.99);
+      CHECK (result.policy.crowding < 2);
+      CHECK (result.baseline.crowding > 2.5);
     }
 }
 END_TEST
 
-/* An engine that loses nothing by being overfilled is the plain side's best
-   case: what then differs is only whom it serves and when.  */
-START_TEST (overload_of_patient_engines)
+/* Failure: limits lower goodput for engines that do not slow down when they
+   are overfilled.  These engines are the best case of the baseline, and the
+   package differs from it only in the order and fairness of the requests.  */
+START_TEST (limits_reduce_goodput_without_thrashing)
 {
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      pair_t pair = run ("overload-1.5,thrash=0", seed);
+      comparison_t result = run ("overload-1.5,thrash=0", seed);
 
-      check_common (&pair, seed, 0.02);
-      CHECK (pair.ours.goodput > pair.plain.goodput);
-      CHECK (pair.ours.goodput > 0.9 * 20 * 8 * MODEL_SPEED);
-      CHECK (pair.ours.quiet_answered > 0.98);
+      check_common_bounds (&result, seed, 0.02);
+      CHECK (result.policy.goodput > result.baseline.goodput);
+      CHECK (result.policy.goodput > 0.9 * 20 * 8 * MODEL_SPEED);
+      CHECK (result.policy.quiet_answered > 0.98);
     }
 }
 END_TEST
 
-START_TEST (same_seed_same_run)
+START_TEST (model_is_not_reproducible)
 {
-  pattern_t p = pattern ("burst,duration=20");
+  pattern_t p = parse_pattern ("burst,duration=20");
   outcome_t a = model_run (&p, 7, true);
   outcome_t b = model_run (&p, 7, true);
   outcome_t c = model_run (&p, 8, true);
@@ -350,9 +370,9 @@
 }
 END_TEST
 
-START_TEST (patterns_parse)
+START_TEST (parser_accepts_invalid_pattern)
 {
-  pattern_t p = pattern ("burst,load=0.25,slots=4");
+  pattern_t p = parse_pattern ("burst,load=0.25,slots=4");
 
   ck_assert (p.load < 0.26 && p.slots < 5 && p.burst > 9);
   ck_assert (!pattern_parse (STR ("no-such"), &p));
@@ -369,24 +389,24 @@
   TCase *tcase = tcase_create ("load");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_test (tcase, burst);
-  tcase_add_test (tcase, hot_team);
-  tcase_add_test (tcase, hot_prefix);
-  tcase_add_test (tcase, prefixes_are_kept_together);
-  tcase_add_test (tcase, slow_upstream);
-  tcase_add_test (tcase, failing_fast);
-  tcase_add_test (tcase, long_among_short);
-  tcase_add_test (tcase, short_among_too_many_long);
-  tcase_add_test (tcase, overload);
-  tcase_add_test (tcase, partial_outage);
-  tcase_add_test (tcase, retries_in_a_wide_outage);
-  tcase_add_test (tcase, cold_start);
-  tcase_add_test (tcase, warm_to_cold);
-  tcase_add_test (tcase, zone_out_and_back);
-  tcase_add_test (tcase, stale_reports);
-  tcase_add_test (tcase, overload_of_patient_engines);
-  tcase_add_test (tcase, same_seed_same_run);
-  tcase_add_test (tcase, patterns_parse);
+  tcase_add_test (tcase, burst_delays_later_requests);
+  tcase_add_test (tcase, hot_team_starves_other_teams);
+  tcase_add_test (tcase, hot_prefix_overloads_one_engine);
+  tcase_add_test (tcase, same_prefix_misses_cache);
+  tcase_add_test (tcase, slow_upstream_delays_requests);
+  tcase_add_test (tcase, fast_failing_upstream_attracts_traffic);
+  tcase_add_test (tcase, long_jobs_delay_short_jobs);
+  tcase_add_test (tcase, too_many_long_jobs_block_short_jobs);
+  tcase_add_test (tcase, overload_reduces_goodput);
+  tcase_add_test (tcase, retries_multiply_load_in_partial_outage);
+  tcase_add_test (tcase, retries_multiply_load_in_full_outage);
+  tcase_add_test (tcase, new_cold_engine_is_overloaded);
+  tcase_add_test (tcase, engine_turning_cold_is_overloaded);
+  tcase_add_test (tcase, returning_zone_is_overloaded);
+  tcase_add_test (tcase, stale_reports_crowd_one_engine);
+  tcase_add_test (tcase, limits_reduce_goodput_without_thrashing);
+  tcase_add_test (tcase, model_is_not_reproducible);
+  tcase_add_test (tcase, parser_accepts_invalid_pattern);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -1,6 +1,7 @@
-/* Tests of the decisions under load with real processes: what callers
-   receive in a burst, beside a slow or a failing upstream, beside a hot team,
-   and while an upstream is cold.  Bounds compare figures of one run.  */
+/* Tests of load balancing and admission control with real processes, judged by
+   the responses that clients receive: in a burst, with a slow or failing
+   upstream, with an overloading team, and with a cold upstream.  Bounds
+   compare figures of the same run.  */
 
 #include "cluster.h"
 #include "standins/load.h"
@@ -16,44 +17,45 @@
 {
   WAIT_MS = 15000,
   MAX_TOKENS = 20,
-  /* A job alone takes this long: MAX_TOKENS at --token-ms=10.  */
-  JOB_MS = 200,
+  /* Duration of a request on an idle engine: MAX_TOKENS at --token-ms=10.  */
+  REQUEST_MS = 200,
   SLOTS = 4,
   DEADLINE_MS = 2000,
-  /* A caller and its entry are two processes on a busy machine.  */
-  LATE_SLACK_MS = 500,
+  /* Tolerated delay past the deadline, as the client and its entry are two
+     processes on a busy machine.  */
+  DEADLINE_TOLERANCE_MS = 500,
   COLD_MS = 2000,
-  /* Of the 60 that three engines carry in a second.  */
-  COLD_RATE = 30,
-  /* More than two carry, so that the third is needed.  */
-  NEEDED_RATE = 45,
+  /* Requests per second; three engines can serve 60.  */
+  MODERATE_RATE = 30,
+  /* Requests per second; more than two engines can serve.  */
+  THREE_ENGINES_RATE = 45,
   LOADS_MAX = 2
 };
 
-/* What the callers of one load received.  */
+/* A load and the totals of its results.  */
 typedef struct
 {
   load_options_t options;
   uv_loop_t *loop;
-  unsigned *left;
+  unsigned *unfinished_loads; /* Number of unfinished loads on LOOP.  */
   uint64_t finished;
   uint64_t whole;
   uint64_t wrong;
-  uint64_t late;    /* Whole, and after the deadline.  */
-  uint64_t refused; /* Said to be not run.  */
-  uint64_t no_hint; /* Of these, without Retry-After.  */
-  uint64_t unclear; /* Neither whole nor refused.  */
+  uint64_t late;           /* Complete, but after the deadline.  */
+  uint64_t refused;        /* Incomplete, with outcome `not-run'.  */
+  uint64_t no_retry_after; /* Refused without a Retry-After header.  */
+  uint64_t unclear;        /* Neither complete nor refused.  */
   samples_t whole_us;
   samples_t refused_us;
-} callers_t;
+} load_run_t;
 
 static cluster_t *cluster;
-static bool passed;
+static bool has_passed;
 
 static void
 teardown (void)
 {
-  cluster_destroy (cluster, !passed);
+  cluster_destroy (cluster, !has_passed);
   cluster = NULL;
 }
 
@@ -68,7 +70,7 @@
           .engine_args = { "--token-ms=10", "--slots=4", engine_arg },
           .sidecar_keys = sidecar_keys };
 
-  passed = false;
+  has_passed = false;
   cluster = cluster_create (&options);
   ck_assert_ptr_nonnull (cluster);
 }
@@ -76,90 +78,91 @@
 static void
 on_finished (void *arg, const load_result_t *result)
 {
-  callers_t *callers = arg;
+  load_run_t *results = arg;
 
-  callers->finished++;
-  callers->wrong += result->wrong;
+  results->finished++;
+  results->wrong += result->wrong;
   if (result->whole)
     {
-      callers->whole++;
-      callers->late
-          += result->total_us > (DEADLINE_MS + LATE_SLACK_MS) * 1000ull;
-      samples_add (&callers->whole_us, result->total_us);
+      results->whole++;
+      results->late += result->total_us
+                       > (DEADLINE_MS + DEADLINE_TOLERANCE_MS) * 1000ull;
+      samples_add (&results->whole_us, result->total_us);
     }
   else if (str_eq (result->outcome, STR ("not-run")))
     {
-      callers->refused++;
-      callers->no_hint += !result->retry_after;
-      samples_add (&callers->refused_us, result->total_us);
+      results->refused++;
+      results->no_retry_after += !result->retry_after;
+      samples_add (&results->refused_us, result->total_us);
     }
   else
-    callers->unclear++;
+    results->unclear++;
 }
 
 static void
-on_over (void *arg)
+on_load_ended (void *arg)
 {
-  callers_t *callers = arg;
+  load_run_t *results = arg;
 
-  if (--*callers->left == 0)
-    uv_stop (callers->loop);
+  if (--*results->unfinished_loads == 0)
+    uv_stop (results->loop);
 }
 
-/* Return callers with the key API_KEY.  */
-static callers_t
-callers_make (const char *api_key, double rate, size_t concurrency,
-              uint64_t duration_ms)
+/* Return a load that sends RATE requests per second with API key API_KEY, and
+   has at most CONCURRENCY requests open.  */
+static load_run_t
+load_run_make (const char *api_key, double rate, size_t concurrency,
+               uint64_t duration_ms)
 {
-  return (callers_t){ .options = { .concurrency = concurrency,
-                                   .rate = rate,
-                                   .duration_ms = duration_ms,
-                                   .seed = 1,
-                                   .api_key = str_from (api_key),
-                                   .model = STR ("draft-small@3"),
-                                   .max_tokens = MAX_TOKENS,
-                                   .prompt_bytes = 64,
-                                   .deadline_ms = DEADLINE_MS,
-                                   .timeout_ms = WAIT_MS,
-                                   .finished = on_finished,
-                                   .over = on_over } };
+  return (load_run_t){ .options = { .concurrency = concurrency,
+                                    .rate = rate,
+                                    .duration_ms = duration_ms,
+                                    .seed = 1,
+                                    .api_key = str_from (api_key),
+                                    .model = STR ("draft-small@3"),
+                                    .max_tokens = MAX_TOKENS,
+                                    .prompt_bytes = 64,
+                                    .deadline_ms = DEADLINE_MS,
+                                    .timeout_ms = WAIT_MS,
+                                    .finished = on_finished,
+                                    .over = on_load_ended } };
 }
 
 static void
-callers_free (callers_t *callers)
+load_run_free (load_run_t *results)
 {
-  samples_free (&callers->whole_us);
-  samples_free (&callers->refused_us);
+  samples_free (&results->whole_us);
+  samples_free (&results->refused_us);
 }
 
 static void
-print_callers (const char *name, callers_t *callers)
+print_load_run (const char *name, load_run_t *results)
 {
   printf ("%s finished=%llu whole=%llu late=%llu refused=%llu no_hint=%llu "
           "unclear=%llu whole_p50_ms=%.0f whole_p99_ms=%.0f "
           "refused_p50_ms=%.0f refused_p99_ms=%.0f\n",
-          name, (unsigned long long)callers->finished,
-          (unsigned long long)callers->whole,
-          (unsigned long long)callers->late,
-          (unsigned long long)callers->refused,
-          (unsigned long long)callers->no_hint,
-          (unsigned long long)callers->unclear,
-          (double)samples_quantile (&callers->whole_us, 0.5) / 1e3,
-          (double)samples_quantile (&callers->whole_us, 0.99) / 1e3,
-          (double)samples_quantile (&callers->refused_us, 0.5) / 1e3,
-          (double)samples_quantile (&callers->refused_us, 0.99) / 1e3);
+          name, (unsigned long long)results->finished,
+          (unsigned long long)results->whole,
+          (unsigned long long)results->late,
+          (unsigned long long)results->refused,
+          (unsigned long long)results->no_retry_after,
+          (unsigned long long)results->unclear,
+          (double)samples_quantile (&results->whole_us, 0.5) / 1e3,
+          (double)samples_quantile (&results->whole_us, 0.99) / 1e3,
+          (double)samples_quantile (&results->refused_us, 0.5) / 1e3,
+          (double)samples_quantile (&results->refused_us, 0.99) / 1e3);
   fflush (stdout);
 }
 
-/* Run COUNT loads side by side to their end.  */
+/* Run COUNT loads in parallel until they end.  */
 static void
-run_callers (callers_t *callers, unsigned count)
+run_loads (load_run_t *results, unsigned count)
 {
   uv_loop_t loop;
   load_t *loads[LOADS_MAX];
   char address[64];
   str_t target;
-  unsigned left = count;
+  unsigned unfinished_loads = count;
 
   ck_assert_uint_le (count, LOADS_MAX);
   snprintf (address, sizeof address, "%s:%u", cluster->host,
@@ -168,12 +171,12 @@
   uv_loop_init (&loop);
   for (unsigned i = 0; i < count; i++)
     {
-      callers[i].loop = &loop;
-      callers[i].left = &left;
-      callers[i].options.targets = &target;
-      callers[i].options.target_count = 1;
-      callers[i].options.arg = &callers[i];
-      loads[i] = load_create (&loop, &callers[i].options);
+      results[i].loop = &loop;
+      results[i].unfinished_loads = &unfinished_loads;
+      results[i].options.targets = &target;
+      results[i].options.target_count = 1;
+      results[i].options.arg = &results[i];
+      loads[i] = load_create (&loop, &results[i].options);
       ck_assert_ptr_nonnull (loads[i]);
     }
   uv_run (&loop, UV_RUN_DEFAULT);
@@ -183,38 +186,40 @@
   uv_loop_close (&loop);
   for (unsigned i = 0; i < count; i++)
     {
-      print_callers (i == 0 ? "callers" : "beside", &callers[i]);
-      ck_assert_uint_eq (callers[i].wrong, 0);
-      ck_assert_uint_gt (callers[i].finished, 0);
+      print_load_run (i == 0 ? "callers" : "beside", &results[i]);
+      ck_assert_uint_eq (results[i].wrong, 0);
+      ck_assert_uint_gt (results[i].finished, 0);
     }
 }
 
-/* Send RATE requests a second for DURATION_MS.  An open loop: callers that
-   ask anew as soon as they are refused would be a load of their own.  */
-static callers_t
+/* Send RATE requests per second for DURATION_MS.  The load is an open loop
+   because clients that resend as soon as they are refused would multiply the
+   load.  */
+static load_run_t
 run_steady (double rate, uint64_t duration_ms)
 {
-  callers_t callers = callers_make (CLUSTER_KEY, rate, 1000, duration_ms);
+  load_run_t results = load_run_make (CLUSTER_KEY, rate, 1000, duration_ms);
 
-  run_callers (&callers, 1);
-  return callers;
+  run_loads (&results, 1);
+  return results;
 }
 
-/* Requests begun at upstream INDEX since it started.  */
+/* Return the number of requests that upstream INDEX has started since its
+   process started.  */
 static double
-begun (size_t index)
+started_requests (size_t index)
 {
   return (double)cluster_stat (cluster, cluster->upstreams[index].port,
                                "total");
 }
 
 static double
-begun_all (void)
+started_requests_total (void)
 {
   double sum = 0;
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    sum += begun (i);
+    sum += started_requests (i);
   return sum;
 }
 
@@ -222,51 +227,55 @@
 {
   BURST_ENGINES = 2,
   BURST_MS = 3000,
-  /* What the engines carry, in requests a second.  */
-  BURST_CAPACITY = BURST_ENGINES * SLOTS * 1000 / JOB_MS
+  /* Requests per second that the engines can serve.  */
+  BURST_CAPACITY = BURST_ENGINES * SLOTS * 1000 / REQUEST_MS
 };
 
-/* Return what a burst gave its callers, after some seconds of three quarters
-   of the capacity.  */
-static callers_t
+/* Run a burst of ten times the capacity, after three seconds at three quarters
+   of the capacity.  Return the results of the burst.  */
+static load_run_t
 run_burst (const char *sidecar_keys)
 {
   start_cluster (BURST_ENGINES, sidecar_keys, NULL);
-  callers_t steady = run_steady (0.75 * BURST_CAPACITY, 3000);
-  callers_free (&steady);
-  callers_t burst
-      = callers_make (CLUSTER_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
-  run_callers (&burst, 1);
+  load_run_t steady = run_steady (0.75 * BURST_CAPACITY, 3000);
+  load_run_free (&steady);
+  load_run_t burst
+      = load_run_make (CLUSTER_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
+  run_loads (&burst, 1);
   return burst;
 }
 
-/* The rains begin: for some seconds ten times as many requests come as the
-   engines carry.  Without a limit all are sent on, slow each other down and
-   most end after their callers left.  Callers must get about as many answers
-   a second as from a full fleet, none late, and the others a refusal at once
-   that says when to come back.  */
-START_TEST (burst_of_ten_times)
+/* Failure: a burst makes most requests miss their deadlines.  For three
+   seconds ten times as many requests arrive as the engines can serve.  Without
+   a concurrency limit all of them are sent to the engines, slow each other
+   down, and most finish after their clients timed out.  With the limit,
+   clients must receive about as many responses per second as the engines can
+   serve, none after the deadline; the other requests must be refused at once,
+   with a Retry-After header.  */
+START_TEST (burst_of_ten_times_capacity_is_limited)
 {
-  callers_t plain = run_burst ("limit-start = 1000\nlimit-max = 1000\n");
+  load_run_t unlimited = run_burst ("limit-start = 1000\nlimit-max = 1000\n");
 
-  passed = true;
+  has_passed = true;
   teardown ();
-  callers_t ours = run_burst ("limit-start = 2\nlimit-max = 32\n");
-  /* A start and an end at less than full use are part of it.  */
-  double used = (double)ours.whole * 1000 / (BURST_CAPACITY * BURST_MS);
-
-  printf ("burst used=%.2f of the capacity\n", used);
-  ck_assert_uint_eq (ours.late, 0);
-  ck_assert_uint_eq (ours.no_hint, 0);
-  ck_assert (used > 0.6);
-  ck_assert_uint_gt (ours.whole, plain.whole);
-  ck_assert_uint_gt (ours.refused, ours.finished / 2);
-  ck_assert_uint_lt (samples_quantile (&ours.refused_us, 0.5),
+  load_run_t limited = run_burst ("limit-start = 2\nlimit-max = 32\n");
+  /* The share includes the start and the end of the burst, when the engines
+     are not fully used.  */
+  double utilization
+      = (double)limited.whole * 1000 / (BURST_CAPACITY * BURST_MS);
+
+  printf ("burst used=%.2f of the capacity\n", utilization);
+  ck_assert_uint_eq (limited.late, 0);
+  ck_assert_uint_eq (limited.no_retry_after, 0);
+  ck_assert (utilization > 0.6);
+  ck_assert_uint_gt (limited.whole, unlimited.whole);
+  ck_assert_uint_gt (limited.refused, limited.finished / 2);
+  ck_assert_uint_lt (samples_quantile (&limited.refused_us, 0.5),
                      DEADLINE_MS * 1000 / 4);
-  ck_assert_uint_lt (ours.unclear, ours.finished / 20);
-  callers_free (&plain);
-  callers_free (&ours);
-  passed = true;
+  ck_assert_uint_lt (limited.unclear, limited.finished / 20);
+  load_run_free (&unlimited);
+  load_run_free (&limited);
+  has_passed = true;
 }
 END_TEST
 
@@ -274,105 +283,118 @@
 {
   FAULT_ENGINES = 4,
   FAULT_MS = 4000,
-  /* Of the 80 that the four carry in a second.  */
+  /* Requests per second; the four engines can serve 80.  */
   FAULT_RATE = 30
 };
 
-/* Give the first of four engines the fault CONTROL under a half load and
-   return the share of the traffic that it got; *CALLERS tells what the callers
-   received.  */
+/* Set the fault CONTROL at the first of four engines and send FAULT_RATE
+   requests per second.  Return the share of the requests that the faulty
+   engine received; set *RESULTS to the results.  */
 static double
-share_with_fault (const char *control, callers_t *callers)
+run_with_faulty_engine (const char *control, load_run_t *results)
 {
   start_cluster (FAULT_ENGINES, "limit-start = 2\nlimit-max = 8\n", NULL);
-  callers_t before = run_steady (FAULT_RATE, 2000);
-  callers_free (&before);
+  load_run_t before = run_steady (FAULT_RATE, 2000);
+  load_run_free (&before);
   ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
                             control));
-  double all = begun_all ();
-  double own = begun (0);
-  *callers = run_steady (FAULT_RATE, FAULT_MS);
-  double share = (begun (0) - own) / (begun_all () - all);
+  double before_total = started_requests_total ();
+  double before_first = started_requests (0);
+  *results = run_steady (FAULT_RATE, FAULT_MS);
+  double share = (started_requests (0) - before_first)
+                 / (started_requests_total () - before_total);
   printf ("share of the faulty one=%.3f\n", share);
   return share;
 }
 
-/* One of four engines takes five times as long, without saying so.  Callers
-   whose requests go there in turn wait five times as long.  It must get much
-   less than its quarter, and no caller may fail.  */
-START_TEST (slow_upstream)
+/* Failure: a slow upstream keeps its full share of the traffic.  One of four
+   engines takes five times as long without reporting that it is slow, and with
+   round robin a quarter of the clients would wait for it.  The slow engine
+   must receive less than an eighth of the requests, at least 98 % of all
+   requests must succeed, and no response may be late.  */
+START_TEST (slow_upstream_gets_little_traffic)
 {
-  callers_t callers;
-  double share = share_with_fault ("{\"slow\":5}", &callers);
+  load_run_t results;
+  double share = run_with_faulty_engine ("{\"slow\":5}", &results);
 
   ck_assert (share < 0.125);
-  ck_assert (callers.whole >= 0.98 * callers.finished);
-  ck_assert_uint_eq (callers.late, 0);
-  callers_free (&callers);
-  passed = true;
+  ck_assert (results.whole >= 0.98 * results.finished);
+  ck_assert_uint_eq (results.late, 0);
+  load_run_free (&results);
+  has_passed = true;
 }
 END_TEST
 
-/* One of four engines answers errors at once, and so always looks idle.
-   Choice by load alone would send it nearly all.  It must get a few requests
-   and callers must hardly notice.  */
-START_TEST (failing_upstream)
+/* Failure: an upstream that fails fast attracts the traffic.  One of four
+   engines returns errors at once and therefore always has the lowest load, so
+   least-loaded balancing would send it nearly all requests.  The failing
+   engine must receive less than an eighth of the requests, and at least 95 %
+   of all requests must succeed.  */
+START_TEST (fast_failing_upstream_gets_little_traffic)
 {
-  callers_t callers;
-  double share = share_with_fault ("{\"error\":500}", &callers);
+  load_run_t results;
+  double share = run_with_faulty_engine ("{\"error\":500}", &results);
 
   ck_assert (share < 0.125);
-  ck_assert (callers.whole >= 0.95 * callers.finished);
-  callers_free (&callers);
-  passed = true;
+  ck_assert (results.whole >= 0.95 * results.finished);
+  load_run_free (&results);
+  has_passed = true;
 }
 END_TEST
 
-/* A large team sends five times what the fleet carries while a small one asks
-   a few questions.  First come, first served, the small one waits behind all
-   of it or is refused.  It must be served nearly always, and soon.  */
-START_TEST (hot_team)
+/* Failure: an overloading team starves a small one.  The large team sends five
+   times as many requests as the engines can serve while the small team sends a
+   few.  With a shared FIFO queue the small team's requests would wait behind
+   those of the large team or be refused.  At least 90 % of the small team's
+   requests must be served, none after the deadline.  */
+START_TEST (overloading_team_does_not_starve_small_team)
 {
   start_cluster (2, "limit-start = 2\nlimit-max = 32\n", NULL);
-  callers_t warm = run_steady (25, 2000);
-  callers_free (&warm);
-  callers_t callers[] = { callers_make (CLUSTER_OTHER_KEY, 5, 50, 4000),
-                          callers_make (CLUSTER_KEY, 200, 2000, 4000) };
-
-  run_callers (callers, 2);
-  double quiet = (double)callers[0].whole / (double)callers[0].finished;
-  double hot = (double)callers[1].whole / (double)callers[1].finished;
-  printf ("answered quiet=%.3f hot=%.3f\n", quiet, hot);
-  ck_assert (quiet >= 0.9);
-  ck_assert (hot < quiet);
-  ck_assert_uint_eq (callers[0].late + callers[1].late, 0);
-  ck_assert_uint_eq (callers[1].no_hint, 0);
-  callers_free (&callers[0]);
-  callers_free (&callers[1]);
-  passed = true;
+  load_run_t warm = run_steady (25, 2000);
+  load_run_free (&warm);
+  load_run_t results[] = { load_run_make (CLUSTER_OTHER_KEY, 5, 50, 4000),
+                           load_run_make (CLUSTER_KEY, 200, 2000, 4000) };
+
+  run_loads (results, 2);
+  double small_team_share
+      = (double)results[0].whole / (double)results[0].finished;
+  double large_team_share
+      = (double)results[1].whole / (double)results[1].finished;
+  printf ("answered quiet=%.3f hot=%.3f\n", small_team_share,
+          large_team_share);
+  ck_assert (small_team_share >= 0.9);
+  ck_assert (large_team_share < small_team_share);
+  ck_assert_uint_eq (results[0].late + results[1].late, 0);
+  ck_assert_uint_eq (results[1].no_retry_after, 0);
+  load_run_free (&results[0]);
+  load_run_free (&results[1]);
+  has_passed = true;
 }
 END_TEST
 
-/* Under a load that three engines carry well, one is started anew and is cold
-   for two seconds.  Sent its full share it would answer in many times the
-   usual, past the deadlines.  No wave of failures may show, and when the load
-   then grows past what the two others carry it must do its part.  */
-START_TEST (cold_start)
+/* Failure: a restarted engine receives its full share while it is cold.  One
+   of three engines is restarted under moderate load and is cold for two
+   seconds; with its full share its responses would miss their deadlines.
+   Clients must see almost no failures.  When the load then exceeds the
+   capacity of the two other engines, the restarted engine must receive a part
+   of the requests.  */
+START_TEST (restarted_engine_is_not_overloaded)
 {
   start_cluster (3, "limit-start = 2\nlimit-max = 8\n", "--cold-ms=2000");
   harness_sleep_ms (COLD_MS);
-  callers_t warm = run_steady (COLD_RATE, 2000);
-  callers_free (&warm);
+  load_run_t warm = run_steady (MODERATE_RATE, 2000);
+  load_run_free (&warm);
   proc_kill (cluster->upstreams[0].proc);
   proc_restart (cluster->upstreams[0].proc);
   ck_assert_uint_eq (
       proc_wait_port (cluster->upstreams[0].proc, "listening", WAIT_MS),
       cluster->upstreams[0].port);
-  callers_t cold = run_steady (COLD_RATE, 4000);
-  double all = begun_all ();
-  double own = begun (0);
-  callers_t after = run_steady (NEEDED_RATE, 4000);
-  double share = (begun (0) - own) / (begun_all () - all);
+  load_run_t cold = run_steady (MODERATE_RATE, 4000);
+  double before_total = started_requests_total ();
+  double before_first = started_requests (0);
+  load_run_t after = run_steady (THREE_ENGINES_RATE, 4000);
+  double share = (started_requests (0) - before_first)
+                 / (started_requests_total () - before_total);
 
   printf ("share of the new one once warm=%.3f\n", share);
   fflush (stdout);
@@ -380,28 +402,30 @@
   ck_assert_uint_eq (cold.late, 0);
   ck_assert (after.whole >= 0.9 * after.finished);
   ck_assert (share > 0.1);
-  callers_free (&cold);
-  callers_free (&after);
-  passed = true;
+  load_run_free (&cold);
+  load_run_free (&after);
+  has_passed = true;
 }
 END_TEST
 
-/* The same, but a warm engine turns cold in service, without a sign, and is
-   cold for two seconds.  */
-START_TEST (warm_turns_cold)
+/* Failure: an engine that turns cold without a restart still receives its full
+   share, and its responses miss their deadlines.  One of three engines turns
+   cold for two seconds under moderate load without reporting the change.
+   Clients must see almost no failures.  */
+START_TEST (engine_turning_cold_is_not_overloaded)
 {
   start_cluster (3, "limit-start = 2\nlimit-max = 8\n", NULL);
-  callers_t warm = run_steady (COLD_RATE, 2000);
+  load_run_t warm = run_steady (MODERATE_RATE, 2000);
   ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
                             "{\"cold_ms\":2000}"));
-  callers_t cold = run_steady (COLD_RATE, 4000);
+  load_run_t cold = run_steady (MODERATE_RATE, 4000);
 
   ck_assert (warm.whole >= 0.97 * warm.finished);
   ck_assert (cold.whole >= 0.97 * cold.finished);
   ck_assert_uint_eq (cold.late, 0);
-  callers_free (&warm);
-  callers_free (&cold);
-  passed = true;
+  load_run_free (&warm);
+  load_run_free (&cold);
+  has_passed = true;
 }
 END_TEST
 
@@ -413,19 +437,19 @@
   TCase *faults = tcase_create ("faults");
   TCase *teams = tcase_create ("teams");
   TCase *cold = tcase_create ("cold");
-  TCase *const all[] = { burst, faults, teams, cold };
-
-  tcase_add_test (burst, burst_of_ten_times);
-  tcase_add_test (faults, slow_upstream);
-  tcase_add_test (faults, failing_upstream);
-  tcase_add_test (teams, hot_team);
-  tcase_add_test (cold, cold_start);
-  tcase_add_test (cold, warm_turns_cold);
-  for (size_t i = 0; i < sizeof all / sizeof all[0]; i++)
+  TCase *const tcases[] = { burst, faults, teams, cold };
+
+  tcase_add_test (burst, burst_of_ten_times_capacity_is_limited);
+  tcase_add_test (faults, slow_upstream_gets_little_traffic);
+  tcase_add_test (faults, fast_failing_upstream_gets_little_traffic);
+  tcase_add_test (teams, overloading_team_does_not_starve_small_team);
+  tcase_add_test (cold, restarted_engine_is_not_overloaded);
+  tcase_add_test (cold, engine_turning_cold_is_not_overloaded);
+  for (size_t i = 0; i < sizeof tcases / sizeof tcases[0]; i++)
     {
-      tcase_set_timeout (all[i], 60);
-      tcase_add_checked_fixture (all[i], NULL, teardown);
-      suite_add_tcase (suite, all[i]);
+      tcase_set_timeout (tcases[i], 60);
+      tcase_add_checked_fixture (tcases[i], NULL, teardown);
+      suite_add_tcase (suite, tcases[i]);
     }
   return suite_run (suite);
 }
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -1,6 +1,6 @@
-/* The twelve promises of what must always hold, each shown with real
-   processes while the faults are at work that would break it.
-   docs/PROMISES.md names mechanism and measured bound of each.  */
+/* Tests of the twelve guarantees with real processes.  Each test injects the
+   faults that would violate its guarantee.  docs/PROMISES.md lists the
+   mechanism and the bound of each guarantee.  */
 
 #include "cluster.h"
 #include "runner.h"
@@ -15,24 +15,24 @@
 #include <stdlib.h>
 
 #define CHAT "/v1/chat/completions"
-#define ASK(model, more)                                                      \
-  "{\"model\":\"" model "\"," more                                            \
+#define CHAT_BODY(model, extra)                                               \
+  "{\"model\":\"" model "\"," extra                                           \
   "\"messages\":[{\"role\":\"user\",\"content\":\"a roof\"}]}"
 
 enum
 {
   WAIT_MS = 15000,
-  /* "After a few seconds".  */
-  FEW_SECONDS_MS = 3000,
+  /* Time within which a configuration change must reach all processes.  */
+  PROPAGATION_MS = 3000,
   SETTLE_MS = 1500,
-  /* A sidecar that holds the bills of a dead entry waits 20 s for a sign of
-     it before it gives them to another.  */
-  BILL_WAIT_MS = 45000
+  /* A sidecar holds unbilled usage for its entry, and waits 20 s without a
+     message from that entry before it sends the usage to another one.  */
+  BILLING_WAIT_MS = 45000
 };
 
 static cluster_t *cluster;
 static runner_t *runner;
-static bool passed;
+static bool has_passed;
 static str_t targets[CLUSTER_ENTRIES_MAX];
 static str_t health[CLUSTER_ENTRIES_MAX];
 static char address_text[2 * CLUSTER_ENTRIES_MAX][40];
@@ -42,20 +42,20 @@
 {
   cluster = NULL;
   runner = NULL;
-  passed = false;
+  has_passed = false;
 }
 
 static void
 teardown (void)
 {
-  if (runner != NULL && !passed)
+  if (runner != NULL && !has_passed)
     {
       runner_stop (runner);
       runner_complain (runner, 8);
     }
   runner_destroy (runner);
   runner = NULL;
-  cluster_destroy (cluster, !passed);
+  cluster_destroy (cluster, !has_passed);
   cluster = NULL;
 }
 
@@ -77,9 +77,9 @@
     }
 }
 
-/* Chat load on all entries; the test changes what it needs.  */
+/* Return the options of a chat load on all entries.  */
 static load_options_t
-chat_load (void)
+chat_load_options (void)
 {
   return (load_options_t){ .targets = targets,
                            .target_count = cluster->entry_count,
@@ -96,9 +96,9 @@
 }
 
 static load_options_t
-service_load (void)
+service_load_options (void)
 {
-  load_options_t options = chat_load ();
+  load_options_t options = chat_load_options ();
 
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
@@ -109,7 +109,7 @@
 }
 
 static cluster_upstream_t *
-upstream (const char *name)
+find_upstream (const char *name)
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (strcmp (cluster->upstreams[i].name, name) == 0)
@@ -133,7 +133,8 @@
   return sum;
 }
 
-/* Runs so far at the upstreams of ZONE; NULL: of all.  */
+/* Return the number of requests run so far by the upstreams of ZONE, or by all
+   upstreams when ZONE is NULL.  */
 static json_int_t
 zone_runs (const char *zone)
 {
@@ -145,9 +146,9 @@
   return sum;
 }
 
-/* Runs of request id ID at all plain services.  */
+/* Return how often the plain services ran the request with ID.  */
 static json_int_t
-runs_of (str_t id)
+count_runs (str_t id)
 {
   char *name = str_dup (id);
   json_int_t sum = 0;
@@ -159,7 +160,7 @@
   return sum;
 }
 
-/* Check that HTTP is refused with STATUS and error CODE as not-run.  */
+/* Check that HTTP has STATUS, error CODE and outcome `not-run'.  */
 static void
 check_refused (const rawhttp_t *http, int status, int code)
 {
@@ -171,8 +172,8 @@
   ck_assert_msg (http->status == status
                      && json_integer_value (json_object_get (error, "code"))
                             == code,
-                 "%d, not %d with code %d: %.*s", http->status, status, code,
-                 STR_ARG (buf_str (&http->body)));
+                 "status %d; expected %d with code %d: %.*s", http->status,
+                 status, code, STR_ARG (buf_str (&http->body)));
   ck_assert_str_eq (json_string_value (json_object_get (error, "outcome")),
                     "not-run");
   json_decref (root);
@@ -187,9 +188,10 @@
   rawhttp_close (&http);
 }
 
-/* Let the load go on for MS and see that it does.  */
+/* Wait MS, then until a further request has finished, to check that the load
+   still makes progress.  */
 static void
-load_for (uint64_t ms)
+continue_load (uint64_t ms)
 {
   size_t before = runner_finished (runner);
 
@@ -197,21 +199,23 @@
   WAIT_FOR (runner_finished (runner) > before, WAIT_MS);
 }
 
-/* Stop the load and check that every answer was whole and right.  */
+/* Stop the load and check that every response was complete and correct.  */
 static void
-check_all_whole (void)
+check_all_complete (void)
 {
   runner_stop (runner);
   tally_t tally = runner_tally (runner);
   ck_assert_uint_gt (tally.finished, 0);
   ck_assert_uint_eq (tally.wrong, 0);
-  ck_assert_msg (tally.whole == tally.finished, "%zu of %zu whole",
-                 tally.whole, tally.finished);
+  ck_assert_msg (tally.whole == tally.finished,
+                 "%zu of %zu responses complete", tally.whole, tally.finished);
 }
 
-/* A caller whose plan has only draft-small@3 asks for other versions by
-   name, and by task while its own version is slow.  Nothing else may ever
-   run for it; and what the plan loses under traffic is lost for good.  */
+/* Failure: a request runs on a version that its team's plan does not permit. A
+   client whose plan permits only draft-small@3 requests other versions by
+   name, and then requests by task.  No other version may run a request of that
+   client.  After a plan loses a model under traffic, requests for the model
+   must be refused.  */
 START_TEST (promise_01_only_permitted_models_and_versions)
 {
   const cluster_options_t options
@@ -220,8 +224,8 @@
   start_cluster (&options);
   json_int_t before = zone_runs (NULL);
   static const char *const refused[]
-      = { ASK ("draft-large@7", ""), ASK ("draft-large", ""),
-          ASK ("draft-small@4", "") };
+      = { CHAT_BODY ("draft-large@7", ""), CHAT_BODY ("draft-large", ""),
+          CHAT_BODY ("draft-small@4", "") };
   for (size_t i = 0; i < 3; i++)
     {
       rawhttp_t http = rawhttp_call (
@@ -232,7 +236,7 @@
       rawhttp_close (&http);
     }
   ck_assert_int_eq (zone_runs (NULL), before);
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   load.api_key = STR (CLUSTER_OTHER_KEY);
   load.model = STR ("draft");
   load.requests = 200;
@@ -240,53 +244,56 @@
   json_int_t small = version_runs ("draft-small@4");
   runner = runner_start (&load);
   WAIT_FOR (runner_finished (runner) == 200, WAIT_MS);
-  check_all_whole ();
+  check_all_complete ();
   ck_assert_int_eq (version_runs ("draft-large@7"), large);
   ck_assert_int_eq (version_runs ("draft-small@4"), small);
   ck_assert (cluster_edit (cluster, "plan grants", "allow", "draft-small@*"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
   for (size_t i = 0; i < 2; i++)
-    check_chat_refused (i, ASK ("draft-large@7", ""), 403, VH_E_NOT_ALLOWED);
+    check_chat_refused (i, CHAT_BODY ("draft-large@7", ""), 403,
+                        VH_E_NOT_ALLOWED);
   ck_assert_int_eq (version_runs ("draft-large@7"), large);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
-/* One entry is paused while operators withdraw a version under load.  On
-   waking it still believes the old revision and sends on: the sidecar, the
-   last gate, must refuse what is withdrawn.  */
+/* Failure: a withdrawn version runs a new request.  One entry is paused while
+   a version is withdrawn under load.  When resumed, the entry still has the
+   old configuration revision and sends the request on, so the sidecar must
+   refuse the request.  */
 START_TEST (promise_02_withdrawn_version_gets_no_new_work)
 {
   const cluster_options_t options = { .entries = 2, .small_engines = 2 };
-  static const char body[] = ASK ("draft-small@3", "");
+  static const char body[] = CHAT_BODY ("draft-small@3", "");
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   load.target_count = 1;
   runner = runner_start (&load);
-  load_for (300);
+  continue_load (300);
   proc_signal (cluster->entries[1].proc, SIGSTOP);
-  rawhttp_t late = rawhttp_start (
+  rawhttp_t delayed = rawhttp_start (
       cluster->host, cluster->entries[1].port, "POST", CHAT,
       "authorization: Bearer " CLUSTER_KEY "\r\n", str_from (body));
   ck_assert (
       cluster_edit (cluster, "version draft-small@3", "state", "withdrawn"));
-  harness_sleep_ms (FEW_SECONDS_MS);
+  harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = version_runs ("draft-small@3");
   check_chat_refused (0, body, 409, VH_E_WITHDRAWN);
-  load_for (SETTLE_MS);
+  continue_load (SETTLE_MS);
   proc_signal (cluster->entries[1].proc, SIGCONT);
-  ck_assert (rawhttp_read_all (&late, WAIT_MS));
-  check_refused (&late, 409, VH_E_WITHDRAWN);
-  rawhttp_close (&late);
-  check_all_whole ();
+  ck_assert (rawhttp_read_all (&delayed, WAIT_MS));
+  check_refused (&delayed, 409, VH_E_WITHDRAWN);
+  rawhttp_close (&delayed);
+  check_all_complete ();
   ck_assert_int_eq (version_runs ("draft-small@3"), before);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
-/* One call that echoes TOKEN (may be empty) through ENTRY; returns the
-   version that answered and puts the new token in TOKEN.  */
+/* Send a chat request with session TOKEN, which may be empty, through entry
+   number ENTRY.  Replace TOKEN by the session token of the response and return
+   the version that responded, which the caller frees.  */
 static char *
 session_call (size_t entry, buf_t *token)
 {
@@ -298,7 +305,7 @@
                 STR_ARG (buf_str (token)));
   buf_append_char (&header, '\0');
   rawhttp_t http = cluster_chat (cluster, entry, header.ptr,
-                                 ASK ("draft-small", ""), WAIT_MS);
+                                 CHAT_BODY ("draft-small", ""), WAIT_MS);
   ck_assert_msg (http.status == 200, "%d: %.*s", http.status,
                  STR_ARG (buf_str (&http.body)));
   ck_assert (answer_read_whole (buf_str (&http.body), &reading));
@@ -313,10 +320,12 @@
   return version;
 }
 
-/* A caller's session goes on through all entries, past a sidecar's restart
-   and while another version of its model is rolled out.  Only when its
-   version is withdrawn may it move: once, and it is told.  */
-START_TEST (promise_03_session_keeps_its_version)
+/* Failure: a session changes its model version without a reason.  A session
+   uses all entries in turn, during the restart of a sidecar and the roll-out
+   of another version of its model.  The session may change its version only
+   once, after the version was withdrawn, and the response must name the new
+   version.  */
+START_TEST (promise_03_session_keeps_version)
 {
   const cluster_options_t options = { .entries = 3, .small_engines = 3 };
   buf_t token = BUF_NULL;
@@ -328,10 +337,10 @@
     {
       if (i == 10)
         {
-          proc_signal (upstream ("small-1")->sidecar, SIGTERM);
-          ck_assert_int_eq (proc_wait (upstream ("small-1")->sidecar, WAIT_MS),
-                            0);
-          proc_restart (upstream ("small-1")->sidecar);
+          proc_signal (find_upstream ("small-1")->sidecar, SIGTERM);
+          ck_assert_int_eq (
+              proc_wait (find_upstream ("small-1")->sidecar, WAIT_MS), 0);
+          proc_restart (find_upstream ("small-1")->sidecar);
         }
       if (i == 20)
         ck_assert (cluster_edit (cluster, "rollout draft-small@4", "over",
@@ -345,7 +354,7 @@
     ck_assert (
         cluster_edit (cluster, "rollout draft-small@4", "state", "aborted"));
   ck_assert (cluster_edit (cluster, section, "state", "withdrawn"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
   char *moved = session_call (0, &token);
   ck_assert_str_ne (moved, first);
   for (size_t i = 0; i < 6; i++)
@@ -357,7 +366,7 @@
   free (first);
   free (moved);
   buf_free (&token);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
@@ -367,7 +376,7 @@
   json_int_t tokens;
 } bill_t;
 
-/* The whole bill of today as ENTRY tells it.  */
+/* Return today's totals of all bills, as reported by entry number ENTRY.  */
 static bill_t
 read_bill (size_t entry)
 {
@@ -386,9 +395,9 @@
   return bill;
 }
 
-/* Tell whether every entry's bill has REQUESTS more than BEFORE.  */
+/* Return whether every running entry reports REQUESTS billed requests.  */
 static bool
-bills_are (json_int_t requests)
+all_bills_have (json_int_t requests)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
     if (proc_running (cluster->entries[i].proc)
@@ -397,9 +406,10 @@
   return true;
 }
 
-/* Answers go out while the store loses a third of its replies, an entry is
-   stopped and another one killed, and callers send again what they lost.
-   Each answered request must stand once in the bill, and nothing else.  */
+/* Failure: a request is billed twice or not at all.  The store loses three in
+   ten of its replies, one entry is stopped, another one is killed, and clients
+   resend requests whose responses they lost.  The bill must have each
+   completed request once and nothing else.  */
 START_TEST (promise_04_each_request_billed_once)
 {
   const cluster_options_t options
@@ -407,51 +417,53 @@
 
   start_cluster (&options);
   WAIT_FOR (read_bill (0).requests > 0, WAIT_MS);
-  /* Reading at an entry makes it write what it holds: with all of them read,
-     the requests that showed the fleet ready are in the bill.  */
+  /* An entry writes its pending bills when its bill is read.  Reading the bill
+     at every entry adds the requests of cluster_create to the bill.  */
   for (size_t i = 0; i < cluster->entry_count; i++)
     read_bill (i);
   harness_sleep_ms (SETTLE_MS);
   bill_t before = read_bill (0);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
                             "{\"lost_reply_share\":0.3}"));
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("bill");
   load.resends = 3;
   runner = runner_start (&load);
-  load_for (1000);
+  continue_load (1000);
   proc_signal (cluster->entries[1].proc, SIGTERM);
   ck_assert_int_eq (proc_wait (cluster->entries[1].proc, WAIT_MS), 0);
-  load_for (500);
+  continue_load (500);
   proc_kill (cluster->entries[2].proc);
-  load_for (500);
+  continue_load (500);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
                             "{\"lost_reply_share\":0}"));
   proc_restart (cluster->entries[2].proc);
-  load_for (1000);
+  continue_load (1000);
   runner_stop (runner);
   tally_t tally = runner_tally (runner);
   ck_assert_uint_eq (tally.wrong, 0);
-  bool held;
-  json_int_t want = before.requests + (json_int_t)tally.whole;
+  bool is_met;
+  json_int_t expected_requests = before.requests + (json_int_t)tally.whole;
   uint64_t began = harness_now_ms ();
-  WAIT_UNTIL (bills_are (want), BILL_WAIT_MS, &held);
+  WAIT_UNTIL (all_bills_have (expected_requests), BILLING_WAIT_MS, &is_met);
   printf ("billed in full after %" PRIu64 " ms\n", harness_now_ms () - began);
-  ck_assert_msg (held, "billed %d, answered whole %zu of %zu",
+  ck_assert_msg (is_met, "billed %d; %zu of %zu responses complete",
                  (int)(read_bill (0).requests - before.requests), tally.whole,
                  tally.finished);
   harness_sleep_ms (SETTLE_MS);
-  ck_assert (bills_are (want));
-  passed = true;
+  ck_assert (all_bills_have (expected_requests));
+  has_passed = true;
 }
 END_TEST
 
-/* An engine is killed under full load and comes back cold: it carries a
-   quarter and refuses or slows down above that.  The sidecar must begin
-   small, also when the engine falls back into the cold without a restart. */
-START_TEST (promise_05_new_upstream_gets_what_it_can_carry)
+/* Failure: a restarted upstream is overloaded while it is cold.  An engine is
+   killed under full load and returns cold, with a quarter of its capacity, and
+   refuses requests or slows down beyond that quarter.  The sidecar must start
+   with a low concurrency limit, also when an engine turns cold without a
+   restart.  */
+START_TEST (promise_05_cold_upstream_is_not_overloaded)
 {
   const cluster_options_t options
       = { .entries = 2,
@@ -459,13 +471,13 @@
           .engine_args = { "--slots=16", "--token-ms=4", "--cold-ms=4000" } };
 
   start_cluster (&options);
-  cluster_upstream_t *engine = upstream ("small-1");
-  load_options_t load = chat_load ();
+  cluster_upstream_t *engine = find_upstream ("small-1");
+  load_options_t load = chat_load_options ();
   load.concurrency = 48;
   runner = runner_start (&load);
   harness_sleep_ms (5000);
   proc_kill (engine->proc);
-  load_for (500);
+  continue_load (500);
   proc_restart (engine->proc);
   ck_assert_uint_eq (proc_wait_port (engine->proc, "listening", WAIT_MS),
                      engine->port);
@@ -473,49 +485,51 @@
     {
       harness_sleep_ms (100);
       ck_assert_int_eq (cluster_stat (cluster, engine->port, "refused"), 0);
-      /* A cold engine falls over above a quarter of twice 16.  */
+      /* A cold engine is overloaded above 8 requests, a quarter of twice its
+         16 slots.  */
       ck_assert_int_le (cluster_stat (cluster, engine->port, "max_running"),
                         8);
     }
   WAIT_FOR (cluster_stat (cluster, engine->port, "total") > 20, WAIT_MS);
   runner_stop (runner);
   ck_assert_uint_eq (runner_tally (runner).wrong, 0);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
-/* Operators take a zone out under load and bring it back.  Its upstreams
-   must see nothing new after a few seconds, callers no failure, and the zone
-   gets work again on its return.  */
+/* Failure: a zone that was taken out receives new requests.  A zone is taken
+   out under load and brought back.  After PROPAGATION_MS its upstreams must
+   receive no new requests, no client may see a failure, and the zone must
+   receive requests again after its return.  */
 START_TEST (promise_06_zone_out_gets_no_new_work)
 {
   const cluster_options_t options = { .entries = 3, .small_engines = 6 };
   static const char zone[] = "nairobi-b";
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   runner = runner_start (&load);
-  load_for (500);
+  continue_load (500);
   ck_assert_int_gt (zone_runs (zone), 0);
   ck_assert (
       cluster_edit (cluster, "availability-zone nairobi-b", "state", "out"));
-  harness_sleep_ms (FEW_SECONDS_MS);
+  harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = zone_runs (zone);
-  load_for (SETTLE_MS);
+  continue_load (SETTLE_MS);
   ck_assert_int_eq (zone_runs (zone), before);
   ck_assert (
       cluster_edit (cluster, "availability-zone nairobi-b", "state", "in"));
   WAIT_FOR (zone_runs (zone) > before, WAIT_MS);
-  check_all_whole ();
-  passed = true;
+  check_all_complete ();
+  has_passed = true;
 }
 END_TEST
 
 typedef struct
 {
   const char *name;
-  const char *body;
-  bool lasting; /* Is taken back after a while.  */
+  const char *fault_json;
+  bool is_persistent; /* Stays until the test reverts it.  */
 } fault_t;
 
 static const fault_t link_faults[] = {
@@ -530,16 +544,17 @@
 enum
 {
   LINK_FAULTS = sizeof link_faults / sizeof link_faults[0],
-  /* Aim: under 2 s to leave a silent connection; the longest gap in an
-     answer is that and a token.  */
-  SILENCE_BOUND_US = 2500000
+  /* An entry must leave an unresponsive connection within 2 s.  The longest
+     gap in a response is those 2 s and the time of a token.  */
+  RESPONSE_GAP_BOUND_US = 2500000
 };
 
-/* A middle box forgets the connections between entries and sidecars in the
-   middle of streams, in one direction or both, or resets, cuts or delays
-   them.  Callers must get every byte of their own answers, the streams going
-   on over new connections within a bound.  */
-START_TEST (promise_07_whole_answers_to_their_own_callers)
+/* Failure: a network fault truncates a stream or mixes up responses.  A
+   middlebox drops the state of the connections between entries and sidecars
+   during streams, in one or both directions, or resets, cuts or delays the
+   connections.  Every client must receive its own complete response, and
+   streams must resume over new connections within RESPONSE_GAP_BOUND_US.  */
+START_TEST (promise_07_responses_are_complete_and_not_mixed_up)
 {
   const fault_t *fault = &link_faults[_i];
   const cluster_options_t options = { .entries = 2,
@@ -548,57 +563,60 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   load.max_tokens = 50;
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
-      load_for (800);
+      continue_load (800);
       for (size_t i = 0; i < cluster->upstream_count; i++)
         ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                                  "/fault", fault->body));
+                                  "/fault", fault->fault_json));
       harness_sleep_ms (1000);
-      if (fault->lasting)
+      if (fault->is_persistent)
         for (size_t i = 0; i < cluster->upstream_count; i++)
           ck_assert (
               cluster_fault (cluster, cluster->upstreams[i].proxy_control,
                              "/fault", "{\"cut_after\":0,\"delay_ms\":0}"));
     }
-  load_for (2500);
-  check_all_whole ();
-  ck_assert_msg (runner_tally (runner).longest_wait_us < SILENCE_BOUND_US,
-                 "%s: a wait of %" PRIu64 " us", fault->name,
+  continue_load (2500);
+  check_all_complete ();
+  ck_assert_msg (runner_tally (runner).longest_wait_us < RESPONSE_GAP_BOUND_US,
+                 "%s: gap of %" PRIu64 " us in a response", fault->name,
                  runner_tally (runner).longest_wait_us);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
-/* Check what callers of the plain service were told against its counts.  */
+/* Check the result of each request to the plain service against the number of
+   runs that the service counted.  When IS_ANSWER_REQUIRED, each request must
+   be completed or refused.  */
 static void
-check_service_truth (bool is_answer_needed)
+check_service_runs (bool is_answer_required)
 {
   const record_t *record;
 
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
       const load_result_t *result = &record->result;
-      json_int_t runs = runs_of (result->key);
+      json_int_t runs = count_runs (result->key);
       ck_assert_msg (runs <= 1, "%.*s ran %d times", STR_ARG (result->key),
                      (int)runs);
       if (result->whole)
-        ck_assert_msg (runs == 1, "%.*s answered, runs %d",
+        ck_assert_msg (runs == 1, "%.*s completed, but ran %d times",
                        STR_ARG (result->key), (int)runs);
       else if (str_eq (result->outcome, STR ("not-run")))
-        ck_assert_msg (runs == 0, "%.*s not-run, runs %d",
+        ck_assert_msg (runs == 0, "%.*s refused as not-run, but ran %d times",
                        STR_ARG (result->key), (int)runs);
       else
-        ck_assert_msg (!is_answer_needed, "%.*s neither answered nor refused",
+        ck_assert_msg (!is_answer_required,
+                       "%.*s neither completed nor refused",
                        STR_ARG (result->key));
       ck_assert (!result->wrong);
     }
 }
 
-static const fault_t refusal_faults[] = {
+static const fault_t service_link_faults[] = {
   { "connections refused", "{\"refuse\":true}", true },
   { "silence, also of new ones", "{\"silence\":\"both\",\"also_new\":true}",
     true },
@@ -609,13 +627,15 @@
 
 enum
 {
-  REFUSAL_FAULTS = sizeof refusal_faults / sizeof refusal_faults[0]
+  SERVICE_LINK_FAULTS
+  = sizeof service_link_faults / sizeof service_link_faults[0]
 };
 
-/* Calls that may not be repeated meet a sidecar that cannot be reached, or
-   whose replies are lost.  Each "not run" that a caller reads is held
-   against the runs that the service counted.  */
-START_TEST (promise_08_not_run_is_true)
+/* Failure: a request is reported as `not-run' although it ran.  Requests that
+   are not idempotent are sent to a sidecar that is unreachable or whose
+   responses are lost.  The service's count of runs must be 0 for each request
+   that was reported as `not-run'.  */
+START_TEST (promise_08_not_run_request_did_not_run)
 {
   const cluster_options_t options = { .entries = 2,
                                       .services = 2,
@@ -623,14 +643,14 @@
                                       .service_arg = "--delay-ms=30" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  load_options_t load = service_load_options ();
   load.deadline_ms = 2500;
   load.resends = 0;
   runner = runner_start (&load);
-  load_for (400);
+  continue_load (400);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                              "/fault", refusal_faults[_i].body));
+                              "/fault", service_link_faults[_i].fault_json));
   harness_sleep_ms (3000);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     ck_assert (cluster_fault (
@@ -638,76 +658,80 @@
         "{\"refuse\":false,\"silence\":\"none\",\"cut_after\":0}"));
   harness_sleep_ms (1500);
   runner_stop (runner);
-  /* What was under way when callers gave up has its time to run.  */
+  /* Requests whose clients timed out may still run.  */
   harness_sleep_ms (SETTLE_MS);
-  check_service_truth (false);
+  check_service_runs (false);
   ck_assert_uint_eq (runner_tally (runner).untold, 0);
   ck_assert_uint_gt (runner_tally (runner).whole, 0);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
 typedef enum
 {
-  KILL_ENTRY,
-  KILL_SIDECAR,
-  PAUSE_ENTRY,
-  SERVICE_CUTS,
-  SERVICE_DIES,
-  STORE_LOSES_REPLIES,
-  ONCE_FAULTS
-} once_fault_t;
+  FAULT_ENTRY_KILLED,
+  FAULT_SIDECAR_KILLED,
+  FAULT_ENTRY_PAUSED,
+  FAULT_RESPONSE_TRUNCATED,
+  FAULT_SERVICE_EXITS,
+  FAULT_STORE_REPLIES_LOST,
+  RESEND_FAULTS
+} resend_fault_t;
 
 static void
-break_once (once_fault_t fault)
+inject_resend_fault (resend_fault_t fault)
 {
-  cluster_upstream_t *desk = &cluster->upstreams[0];
+  cluster_upstream_t *service_upstream = &cluster->upstreams[0];
 
   switch (fault)
     {
-    case KILL_ENTRY:
+    case FAULT_ENTRY_KILLED:
       proc_kill (cluster->entries[0].proc);
       harness_sleep_ms (500);
       proc_restart (cluster->entries[0].proc);
       break;
-    case KILL_SIDECAR:
-      proc_kill (desk->sidecar);
+    case FAULT_SIDECAR_KILLED:
+      proc_kill (service_upstream->sidecar);
       harness_sleep_ms (500);
-      proc_restart (desk->sidecar);
+      proc_restart (service_upstream->sidecar);
       break;
-    case PAUSE_ENTRY:
+    case FAULT_ENTRY_PAUSED:
       proc_signal (cluster->entries[0].proc, SIGSTOP);
       harness_sleep_ms (4000);
       proc_signal (cluster->entries[0].proc, SIGCONT);
       break;
-    case SERVICE_CUTS:
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"cut\"}");
+    case FAULT_RESPONSE_TRUNCATED:
+      cluster_fault (cluster, service_upstream->port, "/control",
+                     "{\"die\":\"cut\"}");
       harness_sleep_ms (500);
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"no\"}");
+      cluster_fault (cluster, service_upstream->port, "/control",
+                     "{\"die\":\"no\"}");
       break;
-    case SERVICE_DIES:
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"exit\"}");
-      proc_wait (desk->proc, WAIT_MS);
+    case FAULT_SERVICE_EXITS:
+      cluster_fault (cluster, service_upstream->port, "/control",
+                     "{\"die\":\"exit\"}");
+      proc_wait (service_upstream->proc, WAIT_MS);
       harness_sleep_ms (300);
-      proc_restart (desk->proc);
+      proc_restart (service_upstream->proc);
       break;
-    case STORE_LOSES_REPLIES:
+    case FAULT_STORE_REPLIES_LOST:
       cluster_fault (cluster, cluster->platform_port, "/faults",
                      "{\"lost_reply_share\":0.5}");
       harness_sleep_ms (2000);
       cluster_fault (cluster, cluster->platform_port, "/faults",
                      "{\"lost_reply_share\":0}");
       break;
-    case ONCE_FAULTS:
+    case RESEND_FAULTS:
       break;
     }
 }
 
-/* An approval is under way when its entry or sidecar is killed or paused,
-   the service answers by half or dies after the run, or the store loses the
-   reply to the claim.  The officer sends again under the same key, to
-   another entry.  The service must count one run at the most, and who was
-   answered must have had exactly one.  */
+/* Failure: a request that is not idempotent runs twice.  While the request is
+   pending, its entry is killed or paused, its sidecar is killed, the service
+   truncates the response or exits after the run, or the store loses the reply
+   to the claim.  The client resends with the same idempotency key to another
+   entry.  The service must count at most one run, and exactly one for a
+   completed request.  */
 START_TEST (promise_09_non_idempotent_runs_at_most_once)
 {
   const cluster_options_t options = { .entries = 3,
@@ -716,54 +740,56 @@
                                       .service_arg = "--delay-ms=20" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  load_options_t load = service_load_options ();
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
-      load_for (500);
-      break_once ((once_fault_t)_i);
+      continue_load (500);
+      inject_resend_fault ((resend_fault_t)_i);
     }
-  load_for (2000);
+  continue_load (2000);
   runner_stop (runner);
   harness_sleep_ms (SETTLE_MS);
-  check_service_truth (false);
+  check_service_runs (false);
   tally_t tally = runner_tally (runner);
   ck_assert_uint_eq (tally.untold, 0);
   ck_assert_uint_gt (tally.whole, tally.finished / 2);
-  passed = true;
+  has_passed = true;
 }
 END_TEST
 
-/* An upstream is to leave: the platform's list says so while its sidecar
-   still serves, or its sidecar is stopped.  Entries must send it nothing new
-   after a few seconds, and callers must see no failure.  */
+/* Failure: a departing upstream receives new requests.  The platform lists the
+   instance as leaving while its sidecar still serves, or the sidecar is
+   stopped. After PROPAGATION_MS no entry may send the upstream a new request,
+   and no client may see a failure.  */
 START_TEST (promise_10_departing_upstream_gets_no_new_work)
 {
   const cluster_options_t options = { .entries = 3, .small_engines = 3 };
   cluster_upstream_t *engine;
 
   start_cluster (&options);
-  engine = upstream ("small-2");
-  load_options_t load = chat_load ();
+  engine = find_upstream ("small-2");
+  load_options_t load = chat_load_options ();
   runner = runner_start (&load);
-  load_for (500);
+  continue_load (500);
   if (_i == 0)
     cluster_list_upstream (cluster, engine, "leaving");
   else
     proc_signal (engine->sidecar, SIGTERM);
-  harness_sleep_ms (FEW_SECONDS_MS);
+  harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = cluster_stat (cluster, engine->port, "total");
-  load_for (SETTLE_MS);
+  continue_load (SETTLE_MS);
   ck_assert_int_eq (cluster_stat (cluster, engine->port, "total"), before);
-  check_all_whole ();
-  passed = true;
+  check_all_complete ();
+  has_passed = true;
 }
 END_TEST
 
-/* Entries and sidecars are stopped one after the other under load, as at a
-   rolling restart.  Every stream in hand must end whole, and the stopped
-   process with status 0.  Callers' connections move to the other entries.  */
-START_TEST (promise_11_planned_stop_cuts_nothing)
+/* Failure: a graceful stop cuts requests.  Entries and sidecars are stopped
+   and restarted one after the other under load, as in a rolling restart. Every
+   open stream must be completed, each stopped process must exit with status 0,
+   and clients connect to the other entries.  */
+START_TEST (promise_11_graceful_stop_cuts_no_request)
 {
   const cluster_options_t options = { .entries = 3,
                                       .small_engines = 3,
@@ -772,20 +798,20 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  load_options_t load = chat_load_options ();
   load.max_tokens = 50;
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("stop");
   runner = runner_start (&load);
-  load_for (500);
+  continue_load (500);
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
       proc_signal (cluster->entries[i].proc, SIGTERM);
       ck_assert_int_eq (proc_wait (cluster->entries[i].proc, WAIT_MS), 0);
       proc_restart (cluster->entries[i].proc);
       WAIT_FOR (cluster_ready (cluster, cluster->entries[i].admin), WAIT_MS);
-      load_for (500);
+      continue_load (500);
     }
   for (size_t i = 0; i < cluster->upstream_count; i++)
     {
@@ -794,21 +820,22 @@
       ck_assert_int_eq (proc_wait (sidecar, WAIT_MS), 0);
       proc_restart (sidecar);
       WAIT_FOR (cluster_ready (cluster, cluster->upstreams[i].admin), WAIT_MS);
-      load_for (500);
+      continue_load (500);
     }
-  check_all_whole ();
-  passed = true;
+  check_all_complete ();
+  has_passed = true;
 }
 END_TEST
 
 enum
 {
-  WATCHED_MAX = CLUSTER_ENTRIES_MAX + CLUSTER_UPSTREAMS_MAX
+  PROCESSES_MAX = CLUSTER_ENTRIES_MAX + CLUSTER_UPSTREAMS_MAX
 };
 
-/* Check that no process shows an older revision than it did before.  */
+/* Check for FOR_MS that no running process reports an older configuration
+   revision than its last one in SEEN.  */
 static void
-watch_revisions (uint64_t seen[WATCHED_MAX], uint64_t for_ms)
+check_revisions (uint64_t seen[PROCESSES_MAX], uint64_t for_ms)
 {
   uint64_t end = harness_now_ms () + for_ms;
 
@@ -823,9 +850,9 @@
         if (!proc_running (proc))
           continue;
         uint64_t now = cluster_revision_at (cluster, admin);
-        /* 0: it has only just started and has none in force yet.  */
+        /* A process that has just started reports revision 0.  */
         ck_assert_msg (now >= seen[i] || now == 0,
-                       "%s went from %" PRIu64 " to %" PRIu64,
+                       "%s reverted from revision %" PRIu64 " to %" PRIu64,
                        proc_name (proc), seen[i], now);
         if (now > 0)
           seen[i] = now;
@@ -833,16 +860,18 @@
   while (harness_now_ms () < end);
 }
 
-/* Operators race each other; then the store goes away, and processes start
-   while it is down.  An accepted change must be in force everywhere within
-   seconds, the one that lost must know what beat it, and no process may ever
-   show an older revision, whatever it learns it from.  */
-START_TEST (promise_12_configuration_in_force_and_never_reverts)
+/* Failure: a configuration change is lost or reverted.  Two operators change
+   the same revision; then the store fails, and processes start during the
+   outage.  All processes must use an accepted change within seconds, the
+   conflicting change must be refused with status 409, and no process may
+   revert to an older revision, whether it learns the configuration from the
+   store or from a peer.  */
+START_TEST (promise_12_configuration_arrives_and_never_reverts)
 {
   const cluster_options_t options
       = { .entries = 3, .small_engines = 2, .services = 1, .proxies = true };
-  uint64_t seen[WATCHED_MAX] = { 0 };
-  uint64_t beaten = 0;
+  uint64_t seen[PROCESSES_MAX] = { 0 };
+  uint64_t conflicting_revision = 0;
 
   start_cluster (&options);
   uint64_t old = cluster->revision;
@@ -850,35 +879,37 @@
       cluster_edit (cluster, "version draft-small@4", "state", "withdrawn"));
   uint64_t began = harness_now_ms ();
   ck_assert_uint_gt (cluster->revision, old);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
   printf ("in force everywhere after %" PRIu64 " ms\n",
           harness_now_ms () - began);
-  ck_assert_int_eq (
-      cluster_apply (cluster, 1, cluster->lists.ptr, old, &beaten), 409);
-  watch_revisions (seen, 200);
+  ck_assert_int_eq (cluster_apply (cluster, 1, cluster->lists.ptr, old,
+                                   &conflicting_revision),
+                    409);
+  check_revisions (seen, 200);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
                             "{\"outage\":\"silent\"}"));
   proc_kill (cluster->entries[2].proc);
-  proc_kill (upstream ("small-1")->sidecar);
+  proc_kill (find_upstream ("small-1")->sidecar);
   proc_restart (cluster->entries[2].proc);
-  proc_restart (upstream ("small-1")->sidecar);
+  proc_restart (find_upstream ("small-1")->sidecar);
   ck_assert_int_eq (cluster_apply (cluster, 0, cluster->lists.ptr,
-                                   cluster->revision, &beaten),
+                                   cluster->revision, &conflicting_revision),
                     503);
-  watch_revisions (seen, 2000);
-  /* Started during the outage, they learn it from their peers.  */
+  check_revisions (seen, 2000);
+  /* Processes that start during the outage receive the configuration from
+     their peers.  */
   WAIT_FOR (cluster_in_force (cluster, cluster->revision), WAIT_MS);
-  check_chat_refused (2, ASK ("draft-small@4", ""), 409, VH_E_WITHDRAWN);
+  check_chat_refused (2, CHAT_BODY ("draft-small@4", ""), 409, VH_E_WITHDRAWN);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
                             "{\"outage\":\"none\"}"));
-  bool held;
+  bool is_met;
   WAIT_UNTIL (
       cluster_edit (cluster, "version draft-small@4", "state", "serving"),
-      WAIT_MS, &held);
-  ck_assert (held);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
-  watch_revisions (seen, 500);
-  passed = true;
+      WAIT_MS, &is_met);
+  ck_assert (is_met);
+  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
+  check_revisions (seen, 500);
+  has_passed = true;
 }
 END_TEST
 
@@ -887,34 +918,36 @@
   const char *name;
   const TTest *test;
   int cases;
-} promise_t;
+} guarantee_t;
 
 int
 main (void)
 {
-  /* A case of its own for each, so that they can be run side by side.  */
-  const promise_t promises[] = {
+  /* One test case per guarantee, so that they can be run in parallel.  */
+  const guarantee_t guarantees[] = {
     { "promise_01", promise_01_only_permitted_models_and_versions, 1 },
     { "promise_02", promise_02_withdrawn_version_gets_no_new_work, 1 },
-    { "promise_03", promise_03_session_keeps_its_version, 1 },
+    { "promise_03", promise_03_session_keeps_version, 1 },
     { "promise_04", promise_04_each_request_billed_once, 1 },
-    { "promise_05", promise_05_new_upstream_gets_what_it_can_carry, 1 },
+    { "promise_05", promise_05_cold_upstream_is_not_overloaded, 1 },
     { "promise_06", promise_06_zone_out_gets_no_new_work, 1 },
-    { "promise_07", promise_07_whole_answers_to_their_own_callers,
+    { "promise_07", promise_07_responses_are_complete_and_not_mixed_up,
       LINK_FAULTS },
-    { "promise_08", promise_08_not_run_is_true, REFUSAL_FAULTS },
-    { "promise_09", promise_09_non_idempotent_runs_at_most_once, ONCE_FAULTS },
+    { "promise_08", promise_08_not_run_request_did_not_run,
+      SERVICE_LINK_FAULTS },
+    { "promise_09", promise_09_non_idempotent_runs_at_most_once,
+      RESEND_FAULTS },
     { "promise_10", promise_10_departing_upstream_gets_no_new_work, 2 },
-    { "promise_11", promise_11_planned_stop_cuts_nothing, 1 },
-    { "promise_12", promise_12_configuration_in_force_and_never_reverts, 1 },
+    { "promise_11", promise_11_graceful_stop_cuts_no_request, 1 },
+    { "promise_12", promise_12_configuration_arrives_and_never_reverts, 1 },
   };
   Suite *suite = suite_create ("promises");
 
-  for (size_t i = 0; i < sizeof promises / sizeof promises[0]; i++)
+  for (size_t i = 0; i < sizeof guarantees / sizeof guarantees[0]; i++)
     {
-      TCase *tcase = tcase_create (promises[i].name);
+      TCase *tcase = tcase_create (guarantees[i].name);
       tcase_add_checked_fixture (tcase, setup, teardown);
-      tcase_add_loop_test (tcase, promises[i].test, 0, promises[i].cases);
+      tcase_add_loop_test (tcase, guarantees[i].test, 0, guarantees[i].cases);
       suite_add_tcase (suite, tcase);
     }
   return suite_run (suite);
