--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -417,7 +417,8 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (cluster->upstreams[i].is_service)
-      sum += cluster_runs (cluster, cluster->upstreams[i].port, name);
+      sum += cluster_read_run_count (cluster, cluster->upstreams[i].port,
+                                     name);
   free (name);
   return sum;
 }
@@ -425,9 +426,9 @@
 static void
 check_records (chaos_t *chaos, const runner_t *runner)
 {
-  const record_t *record;
+  const request_record_t *record;
 
-  for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
+  for (size_t i = 0; (record = runner_record_at (runner, i)) != NULL; i++)
     {
       const load_result_t *result = &record->result;
       if (result->wrong)
@@ -469,10 +470,11 @@
    requests that were not refused as `not-run': a response can be billed and
    then lost before its caller receives it.  */
 static void
-check_bill (chaos_t *chaos, json_int_t before, const tally_t *chat,
-            const tally_t *service)
+check_bill (chaos_t *chaos, json_int_t before, const result_counts_t *chat,
+            const result_counts_t *service)
 {
-  json_int_t lower = (json_int_t)chat->whole + (json_int_t)service->whole;
+  json_int_t lower
+      = (json_int_t)chat->complete + (json_int_t)service->complete;
   json_int_t upper = (json_int_t)(chat->finished + service->finished)
                      - (json_int_t)(chat->not_run + service->not_run);
   json_int_t now;
@@ -488,14 +490,15 @@
 }
 
 static void
-print_tally (const char *name, const tally_t *tally)
+print_counts (const char *name, const result_counts_t *counts)
 {
   printf ("%s: finished %zu, whole %zu, wrong %zu, not-run %zu, unknown %zu, "
           "untold %zu, cut %zu, longest %" PRIu64 " ms, longest wait %" PRIu64
           " ms\n",
-          name, tally->finished, tally->whole, tally->wrong, tally->not_run,
-          tally->unknown, tally->untold, tally->cut, tally->longest_us / 1000,
-          tally->longest_wait_us / 1000);
+          name, counts->finished, counts->complete, counts->mismatched,
+          counts->not_run, counts->unknown, counts->without_outcome,
+          counts->transport_failed, counts->longest_request_us / 1000,
+          counts->longest_gap_us / 1000);
 }
 
 /* Revert all faults and check that every entry and sidecar has the current
@@ -512,8 +515,8 @@
     proc_signal (cluster->entries[i].proc, SIGCONT);
   WAIT_UNTIL (cluster_in_force (cluster, cluster->revision), WAIT_MS, &is_met);
   for (size_t i = 0; i < cluster->entry_count && is_met; i++)
-    WAIT_UNTIL (cluster_ready (cluster, cluster->entries[i].admin), WAIT_MS,
-                &is_met);
+    WAIT_UNTIL (cluster_is_process_ready (cluster, cluster->entries[i].admin),
+                WAIT_MS, &is_met);
   if (!is_met)
     report_violation (chaos, RECOVERY, "not within %d ms", WAIT_MS);
 }
@@ -563,14 +566,15 @@
   runner_stop (chat);
   runner_stop (service);
   harness_sleep_ms (1000);
-  tally_t tallies[2] = { runner_tally (chat), runner_tally (service) };
-  print_tally ("chat", &tallies[0]);
-  print_tally ("service", &tallies[1]);
-  runner_complain (chat, 5);
-  runner_complain (service, 5);
+  result_counts_t counts[2]
+      = { runner_count_results (chat), runner_count_results (service) };
+  print_counts ("chat", &counts[0]);
+  print_counts ("service", &counts[1]);
+  runner_print_failures (chat, 5);
+  runner_print_failures (service, 5);
   check_records (chaos, chat);
   check_records (chaos, service);
-  check_bill (chaos, before, &tallies[0], &tallies[1]);
+  check_bill (chaos, before, &counts[0], &counts[1]);
   runner_destroy (chat);
   runner_destroy (service);
 }
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -247,7 +247,7 @@
   const char *args[ARGS_MAX] = { NULL };
   size_t count = 0;
   char listen[64];
-  char counts[512];
+  char count_file_arg[512];
 
   snprintf (listen, sizeof listen, "--listen=%s:%u", cluster->host,
             upstream->port);
@@ -256,11 +256,11 @@
     {
       char file[64];
       snprintf (file, sizeof file, "%s.counts", upstream->name);
-      snprintf (counts, sizeof counts, "--count-file=%s",
+      snprintf (count_file_arg, sizeof count_file_arg, "--count-file=%s",
                 harness_path (cluster->harness, file));
-      args[count++] = counts;
+      args[count++] = count_file_arg;
       args[count++] = opts->service_arg;
-      upstream->proc = harness_start_list (cluster->harness, upstream->name,
+      upstream->proc = harness_start_argv (cluster->harness, upstream->name,
                                            "tests/standin_service", args);
       return;
     }
@@ -275,7 +275,7 @@
     args[count++] = "--minimal";
   for (size_t i = 0; i < 8 && opts->engine_args[i] != NULL; i++)
     args[count++] = opts->engine_args[i];
-  upstream->proc = harness_start_list (cluster->harness, upstream->name,
+  upstream->proc = harness_start_argv (cluster->harness, upstream->name,
                                        "tests/standin_engine", args);
 }
 
@@ -324,8 +324,8 @@
 }
 
 void
-cluster_list_entry (cluster_t *cluster, const cluster_entry_t *entry,
-                    const char *state)
+cluster_set_entry_state (cluster_t *cluster, const cluster_entry_t *entry,
+                         const char *state)
 {
   set_instance_state (cluster, entry->name, "entry", entry->zone, entry->rpc,
                       "", state);
@@ -358,8 +358,9 @@
 }
 
 int
-cluster_apply (cluster_t *cluster, size_t entry, const char *text,
-               uint64_t if_revision, uint64_t *revision)
+cluster_apply_configuration (cluster_t *cluster, size_t entry,
+                             const char *text, uint64_t if_revision,
+                             uint64_t *revision)
 {
   char path[96];
 
@@ -395,9 +396,10 @@
                 str_from (section), str_from (key), str_from (value), &text);
   buf_append_char (&text, '\0');
   for (size_t i = 0; i < cluster->entry_count && !succeeded; i++)
-    succeeded = cluster_apply (cluster, i, text.ptr, cluster->revision,
-                               &cluster->revision)
-                == 200;
+    succeeded
+        = cluster_apply_configuration (cluster, i, text.ptr, cluster->revision,
+                                       &cluster->revision)
+          == 200;
   if (!succeeded)
     {
       buf_free (&text);
@@ -436,7 +438,7 @@
 }
 
 bool
-cluster_ready (const cluster_t *cluster, uint16_t admin)
+cluster_is_process_ready (const cluster_t *cluster, uint16_t admin)
 {
   rawhttp_t http = rawhttp_call (cluster->host, admin, "GET", "/readyz", NULL,
                                  STR_NULL, START_WAIT_MS);
@@ -488,13 +490,13 @@
   const cluster_options_t *opts = &cluster->options;
 
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (!cluster_ready (cluster, cluster->entries[i].admin)
+    if (!cluster_is_process_ready (cluster, cluster->entries[i].admin)
         || (opts->small_engines > 0 && !can_chat (cluster, i, "draft-small@3"))
         || (opts->large_engines > 0 && !can_chat (cluster, i, "draft-large@7"))
         || (opts->services > 0 && !can_call_service (cluster, i)))
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (!cluster_ready (cluster, cluster->upstreams[i].admin))
+    if (!cluster_is_process_ready (cluster, cluster->upstreams[i].admin))
       return false;
   return true;
 }
@@ -510,7 +512,7 @@
   if (!start_upstreams (cluster))
     return false;
   for (size_t i = 0; i < cluster->entry_count; i++)
-    cluster_list_entry (cluster, &cluster->entries[i], "live");
+    cluster_set_entry_state (cluster, &cluster->entries[i], "live");
   for (size_t i = 0; i < cluster->upstream_count; i++)
     cluster_list_upstream (cluster, &cluster->upstreams[i], "live");
   for (size_t i = 0; i < cluster->entry_count; i++)
@@ -518,10 +520,10 @@
   for (size_t i = 0; i < cluster->upstream_count; i++)
     start_sidecar (cluster, &cluster->upstreams[i]);
   append_initial_configuration (&cluster->lists);
-  WAIT_UNTIL (
-      cluster_apply (cluster, 0, cluster->lists.ptr, 0, &cluster->revision)
-          == 200,
-      START_WAIT_MS, &is_met);
+  WAIT_UNTIL (cluster_apply_configuration (cluster, 0, cluster->lists.ptr, 0,
+                                           &cluster->revision)
+                  == 200,
+              START_WAIT_MS, &is_met);
   if (!is_met)
     {
       fprintf (
@@ -570,7 +572,8 @@
 }
 
 json_int_t
-cluster_runs (const cluster_t *cluster, uint16_t port, const char *request_id)
+cluster_read_run_count (const cluster_t *cluster, uint16_t port,
+                        const char *request_id)
 {
   json_t *root = rawhttp_json (cluster->host, port, "/stats", NULL);
   json_int_t value = json_integer_value (
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -93,8 +93,9 @@
 /* Apply the configuration TEXT through entry number ENTRY if the current
    revision is IF_REVISION.  Return the HTTP status; on 200, set *REVISION to
    the new revision.  */
-int cluster_apply (cluster_t *cluster, size_t entry, const char *text,
-                   uint64_t if_revision, uint64_t *revision);
+int cluster_apply_configuration (cluster_t *cluster, size_t entry,
+                                 const char *text, uint64_t if_revision,
+                                 uint64_t *revision);
 /* Set KEY of [SECTION] to VALUE in the current configuration, trying each
    entry until one accepts the change, and set cluster->revision.  Return
    whether an entry accepted the change.  */
@@ -108,12 +109,12 @@
 bool cluster_in_force (cluster_t *cluster, uint64_t revision);
 /* Return whether the process with admin port ADMIN reports that it is
    ready.  */
-bool cluster_ready (const cluster_t *cluster, uint16_t admin);
+bool cluster_is_process_ready (const cluster_t *cluster, uint16_t admin);
 
 /* Set the state of an instance (live, leaving or gone) in the platform's
    instance list.  */
-void cluster_list_entry (cluster_t *cluster, const cluster_entry_t *entry,
-                         const char *state);
+void cluster_set_entry_state (cluster_t *cluster, const cluster_entry_t *entry,
+                              const char *state);
 void cluster_list_upstream (cluster_t *cluster,
                             const cluster_upstream_t *upstream,
                             const char *state);
@@ -128,8 +129,8 @@
 json_int_t cluster_stat (const cluster_t *cluster, uint16_t port,
                          const char *name);
 /* Return how often the service at PORT ran the request REQUEST_ID.  */
-json_int_t cluster_runs (const cluster_t *cluster, uint16_t port,
-                         const char *request_id);
+json_int_t cluster_read_run_count (const cluster_t *cluster, uint16_t port,
+                                   const char *request_id);
 
 /* Send a chat request through entry number ENTRY and read the response for at
    most WAIT_MS.  HEADERS are complete lines with CRLF, or NULL.  */
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -259,7 +259,7 @@
 }
 
 proc_t *
-harness_start_list (harness_t *harness, const char *name, const char *program,
+harness_start_argv (harness_t *harness, const char *name, const char *program,
                     const char *const *args)
 {
   static const char *const suffixes[] = { "out", "err" };
@@ -301,7 +301,7 @@
   va_end (list);
   if (count == sizeof args / sizeof args[0])
     abort ();
-  return harness_start_list (harness, name, program, args);
+  return harness_start_argv (harness, name, program, args);
 }
 
 pid_t
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -39,7 +39,7 @@
                        const char *program, ...) __attribute__ ((sentinel));
 /* Start PROGRAM like harness_start, with the arguments in ARGS, which end with
    NULL.  */
-proc_t *harness_start_list (harness_t *harness, const char *name,
+proc_t *harness_start_argv (harness_t *harness, const char *name,
                             const char *program, const char *const *args);
 /* Start the program of PROC again.  Aborts when PROC is still running.  */
 void proc_restart (proc_t *proc);
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -34,7 +34,7 @@
   bool has_ended;
   bool joined;
   atomic_size_t finished;
-  record_t *records;
+  request_record_t *records;
   size_t count;
   size_t cap;
 };
@@ -55,10 +55,10 @@
   if (runner->count == runner->cap)
     {
       runner->cap = runner->cap > 0 ? 2 * runner->cap : 256;
-      runner->records
-          = mem_realloc (runner->records, runner->cap * sizeof (record_t));
+      runner->records = mem_realloc (runner->records,
+                                     runner->cap * sizeof (request_record_t));
     }
-  record_t *record = &runner->records[runner->count++];
+  request_record_t *record = &runner->records[runner->count++];
   record->result = *result;
   record->ended_ms = harness_now_ms ();
   record->result.key = copy_prefix (result->key, SIZE_MAX);
@@ -127,43 +127,43 @@
   return atomic_load (&runner->finished);
 }
 
-const record_t *
-runner_at (const runner_t *runner, size_t index)
+const request_record_t *
+runner_record_at (const runner_t *runner, size_t index)
 {
   return index < runner->count ? &runner->records[index] : NULL;
 }
 
-tally_t
-runner_tally (const runner_t *runner)
+result_counts_t
+runner_count_results (const runner_t *runner)
 {
-  tally_t tally = { 0 };
+  result_counts_t counts = { 0 };
 
   for (size_t i = 0; i < runner->count; i++)
     {
       const load_result_t *result = &runner->records[i].result;
-      tally.finished++;
-      tally.whole += result->whole;
-      tally.wrong += result->wrong;
-      tally.cut += result->code != VH_OK;
+      counts.finished++;
+      counts.complete += result->whole;
+      counts.mismatched += result->wrong;
+      counts.transport_failed += result->code != VH_OK;
       if (result->whole)
         {
-          if (result->total_us > tally.longest_us)
-            tally.longest_us = result->total_us;
-          if (result->between_us > tally.longest_wait_us)
-            tally.longest_wait_us = result->between_us;
+          if (result->total_us > counts.longest_request_us)
+            counts.longest_request_us = result->total_us;
+          if (result->between_us > counts.longest_gap_us)
+            counts.longest_gap_us = result->between_us;
         }
       else if (str_eq (result->outcome, STR ("not-run")))
-        tally.not_run++;
+        counts.not_run++;
       else if (str_eq (result->outcome, STR ("unknown")))
-        tally.unknown++;
+        counts.unknown++;
       else
-        tally.untold++;
+        counts.without_outcome++;
     }
-  return tally;
+  return counts;
 }
 
 void
-runner_complain (const runner_t *runner, size_t limit)
+runner_print_failures (const runner_t *runner, size_t limit)
 {
   for (size_t i = 0; i < runner->count && limit > 0; i++)
     {
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -14,22 +14,23 @@
 {
   load_result_t result;
   uint64_t ended_ms; /* Time of the end, from harness_now_ms.  */
-} record_t;
+} request_record_t;
 
 typedef struct
 {
-  /* Finished requests: the sum of WHOLE, NOT_RUN, UNKNOWN and UNTOLD.  */
+  /* Finished requests: the sum of COMPLETE, NOT_RUN, UNKNOWN and
+     WITHOUT_OUTCOME.  */
   size_t finished;
-  size_t whole;        /* Complete responses with a 2xx status.  */
-  size_t wrong;        /* Complete responses with unexpected bytes.  */
-  size_t not_run;      /* Incomplete, with outcome `not-run'.  */
-  size_t unknown;      /* Incomplete, with outcome `unknown'.  */
-  size_t untold;       /* Incomplete, without either outcome.  */
-  size_t cut;          /* Ended before a complete HTTP response.  */
-  uint64_t longest_us; /* Longest complete request, in us.  */
+  size_t complete;             /* Complete responses with a 2xx status.  */
+  size_t mismatched;           /* Complete responses with unexpected bytes.  */
+  size_t not_run;              /* Incomplete, with outcome `not-run'.  */
+  size_t unknown;              /* Incomplete, with outcome `unknown'.  */
+  size_t without_outcome;      /* Incomplete, without either outcome.  */
+  size_t transport_failed;     /* Ended before a complete HTTP response.  */
+  uint64_t longest_request_us; /* Longest complete request, in us.  */
   /* Longest time between two parts of a complete response, in us.  */
-  uint64_t longest_wait_us;
-} tally_t;
+  uint64_t longest_gap_us;
+} result_counts_t;
 
 /* Start the load generator in a new thread.  The strings of OPTIONS must
    outlive the runner.  */
@@ -42,11 +43,12 @@
 size_t runner_finished (runner_t *runner);
 /* Return record INDEX, or NULL past the end.  Call only after
    runner_stop.  */
-const record_t *runner_at (const runner_t *runner, size_t index);
+const request_record_t *runner_record_at (const runner_t *runner,
+                                          size_t index);
 /* Return the totals of all records.  Call only after runner_stop.  */
-tally_t runner_tally (const runner_t *runner);
+result_counts_t runner_count_results (const runner_t *runner);
 /* Print up to LIMIT incomplete or wrong responses to standard error.  */
-void runner_complain (const runner_t *runner, size_t limit);
+void runner_print_failures (const runner_t *runner, size_t limit);
 /* Stop the load and release RUNNER, which may be NULL.  */
 void runner_destroy (runner_t *runner);
 
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -51,7 +51,7 @@
   if (runner != NULL && !has_passed)
     {
       runner_stop (runner);
-      runner_complain (runner, 8);
+      runner_print_failures (runner, 8);
     }
   runner_destroy (runner);
   runner = NULL;
@@ -155,7 +155,8 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (cluster->upstreams[i].is_service)
-      sum += cluster_runs (cluster, cluster->upstreams[i].port, name);
+      sum += cluster_read_run_count (cluster, cluster->upstreams[i].port,
+                                     name);
   free (name);
   return sum;
 }
@@ -204,11 +205,12 @@
 check_all_complete (void)
 {
   runner_stop (runner);
-  tally_t tally = runner_tally (runner);
-  ck_assert_uint_gt (tally.finished, 0);
-  ck_assert_uint_eq (tally.wrong, 0);
-  ck_assert_msg (tally.whole == tally.finished,
-                 "%zu of %zu responses complete", tally.whole, tally.finished);
+  result_counts_t counts = runner_count_results (runner);
+  ck_assert_uint_gt (counts.finished, 0);
+  ck_assert_uint_eq (counts.mismatched, 0);
+  ck_assert_msg (counts.complete == counts.finished,
+                 "%zu of %zu responses complete", counts.complete,
+                 counts.finished);
 }
 
 /* Failure: a request runs on a version that its team's plan does not permit. A
@@ -442,16 +444,16 @@
   proc_restart (cluster->entries[2].proc);
   continue_load (1000);
   runner_stop (runner);
-  tally_t tally = runner_tally (runner);
-  ck_assert_uint_eq (tally.wrong, 0);
+  result_counts_t counts = runner_count_results (runner);
+  ck_assert_uint_eq (counts.mismatched, 0);
   bool is_met;
-  json_int_t expected_requests = before.requests + (json_int_t)tally.whole;
+  json_int_t expected_requests = before.requests + (json_int_t)counts.complete;
   uint64_t began = harness_now_ms ();
   WAIT_UNTIL (all_bills_have (expected_requests), BILLING_WAIT_MS, &is_met);
   printf ("billed in full after %" PRIu64 " ms\n", harness_now_ms () - began);
   ck_assert_msg (is_met, "billed %d; %zu of %zu responses complete",
-                 (int)(read_bill (0).requests - before.requests), tally.whole,
-                 tally.finished);
+                 (int)(read_bill (0).requests - before.requests),
+                 counts.complete, counts.finished);
   harness_sleep_ms (SETTLE_MS);
   ck_assert (all_bills_have (expected_requests));
   has_passed = true;
@@ -492,7 +494,7 @@
     }
   WAIT_FOR (cluster_stat (cluster, engine->port, "total") > 20, WAIT_MS);
   runner_stop (runner);
-  ck_assert_uint_eq (runner_tally (runner).wrong, 0);
+  ck_assert_uint_eq (runner_count_results (runner).mismatched, 0);
   has_passed = true;
 }
 END_TEST
@@ -581,9 +583,10 @@
     }
   continue_load (2500);
   check_all_complete ();
-  ck_assert_msg (runner_tally (runner).longest_wait_us < RESPONSE_GAP_BOUND_US,
+  ck_assert_msg (runner_count_results (runner).longest_gap_us
+                     < RESPONSE_GAP_BOUND_US,
                  "%s: gap of %" PRIu64 " us in a response", fault->name,
-                 runner_tally (runner).longest_wait_us);
+                 runner_count_results (runner).longest_gap_us);
   has_passed = true;
 }
 END_TEST
@@ -594,9 +597,9 @@
 static void
 check_service_runs (bool is_answer_required)
 {
-  const record_t *record;
+  const request_record_t *record;
 
-  for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
+  for (size_t i = 0; (record = runner_record_at (runner, i)) != NULL; i++)
     {
       const load_result_t *result = &record->result;
       json_int_t runs = count_runs (result->key);
@@ -661,8 +664,8 @@
   /* Requests whose clients timed out may still run.  */
   harness_sleep_ms (SETTLE_MS);
   check_service_runs (false);
-  ck_assert_uint_eq (runner_tally (runner).untold, 0);
-  ck_assert_uint_gt (runner_tally (runner).whole, 0);
+  ck_assert_uint_eq (runner_count_results (runner).without_outcome, 0);
+  ck_assert_uint_gt (runner_count_results (runner).complete, 0);
   has_passed = true;
 }
 END_TEST
@@ -751,9 +754,9 @@
   runner_stop (runner);
   harness_sleep_ms (SETTLE_MS);
   check_service_runs (false);
-  tally_t tally = runner_tally (runner);
-  ck_assert_uint_eq (tally.untold, 0);
-  ck_assert_uint_gt (tally.whole, tally.finished / 2);
+  result_counts_t counts = runner_count_results (runner);
+  ck_assert_uint_eq (counts.without_outcome, 0);
+  ck_assert_uint_gt (counts.complete, counts.finished / 2);
   has_passed = true;
 }
 END_TEST
@@ -810,7 +813,8 @@
       proc_signal (cluster->entries[i].proc, SIGTERM);
       ck_assert_int_eq (proc_wait (cluster->entries[i].proc, WAIT_MS), 0);
       proc_restart (cluster->entries[i].proc);
-      WAIT_FOR (cluster_ready (cluster, cluster->entries[i].admin), WAIT_MS);
+      WAIT_FOR (cluster_is_process_ready (cluster, cluster->entries[i].admin),
+                WAIT_MS);
       continue_load (500);
     }
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -819,7 +823,9 @@
       proc_signal (sidecar, SIGTERM);
       ck_assert_int_eq (proc_wait (sidecar, WAIT_MS), 0);
       proc_restart (sidecar);
-      WAIT_FOR (cluster_ready (cluster, cluster->upstreams[i].admin), WAIT_MS);
+      WAIT_FOR (
+          cluster_is_process_ready (cluster, cluster->upstreams[i].admin),
+          WAIT_MS);
       continue_load (500);
     }
   check_all_complete ();
@@ -882,8 +888,9 @@
   WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
   printf ("in force everywhere after %" PRIu64 " ms\n",
           harness_now_ms () - began);
-  ck_assert_int_eq (cluster_apply (cluster, 1, cluster->lists.ptr, old,
-                                   &conflicting_revision),
+  ck_assert_int_eq (cluster_apply_configuration (cluster, 1,
+                                                 cluster->lists.ptr, old,
+                                                 &conflicting_revision),
                     409);
   check_revisions (seen, 200);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
@@ -892,9 +899,10 @@
   proc_kill (find_upstream ("small-1")->sidecar);
   proc_restart (cluster->entries[2].proc);
   proc_restart (find_upstream ("small-1")->sidecar);
-  ck_assert_int_eq (cluster_apply (cluster, 0, cluster->lists.ptr,
+  ck_assert_int_eq (
+      cluster_apply_configuration (cluster, 0, cluster->lists.ptr,
                                    cluster->revision, &conflicting_revision),
-                    503);
+      503);
   check_revisions (seen, 2000);
   /* Processes that start during the outage receive the configuration from
      their peers.  */
