--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -68,7 +68,7 @@
           .rate = rate,
           .duration_ms = ms,
           .seed = seed,
-          .api_key = STR (CLUSTER_KEY),
+          .api_key = STR (CLUSTER_API_KEY),
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -158,8 +158,9 @@
 set_proxy_faults (chaos_t *chaos, const char *body)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
-    cluster_fault (chaos->cluster, chaos->cluster->upstreams[i].proxy_control,
-                   "/fault", body);
+    cluster_post_json (chaos->cluster,
+                       chaos->cluster->upstreams[i].proxy_control, "/fault",
+                       body);
 }
 
 static void
@@ -181,8 +182,8 @@
 static void
 set_store_faults (chaos_t *chaos, const char *body)
 {
-  cluster_fault (chaos->cluster, chaos->cluster->platform_port, "/faults",
-                 body);
+  cluster_post_json (chaos->cluster, chaos->cluster->platform_port, "/faults",
+                     body);
 }
 
 static void
@@ -228,15 +229,15 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (strcmp (cluster->upstreams[i].zone, zone) == 0)
-      sum += cluster_stat (cluster, cluster->upstreams[i].port, "total");
+      sum += cluster_read_stat (cluster, cluster->upstreams[i].port, "total");
   return sum;
 }
 
 static void
 withdraw_version (chaos_t *chaos)
 {
-  chaos->is_withdrawn = cluster_edit (chaos->cluster, "version draft-small@4",
-                                      "state", "withdrawn");
+  chaos->is_withdrawn = cluster_set_configuration_key (
+      chaos->cluster, "version draft-small@4", "state", "withdrawn");
 }
 
 static void
@@ -251,13 +252,14 @@
   if (after > before)
     report_violation (chaos, WITHDRAWN_VERSION_UNUSED, "%d new runs",
                       (int)(after - before));
-  cluster_edit (chaos->cluster, "version draft-small@4", "state", "serving");
+  cluster_set_configuration_key (chaos->cluster, "version draft-small@4",
+                                 "state", "serving");
 }
 
 static void
 take_zone_out (chaos_t *chaos)
 {
-  chaos->is_zone_out = cluster_edit (
+  chaos->is_zone_out = cluster_set_configuration_key (
       chaos->cluster, "availability-zone nairobi-b", "state", "out");
 }
 
@@ -273,7 +275,8 @@
   if (after > before)
     report_violation (chaos, ZONE_OUT_UNUSED, "%d new runs",
                       (int)(after - before));
-  cluster_edit (chaos->cluster, "availability-zone nairobi-b", "state", "in");
+  cluster_set_configuration_key (chaos->cluster, "availability-zone nairobi-b",
+                                 "state", "in");
 }
 
 /* Send a request that crashes every engine that runs it, four times, as a
@@ -513,7 +516,8 @@
   restart_dead_upstreams (chaos);
   for (size_t i = 0; i < cluster->entry_count; i++)
     proc_signal (cluster->entries[i].proc, SIGCONT);
-  WAIT_UNTIL (cluster_in_force (cluster, cluster->revision), WAIT_MS, &is_met);
+  WAIT_UNTIL (cluster_has_revision (cluster, cluster->revision), WAIT_MS,
+              &is_met);
   for (size_t i = 0; i < cluster->entry_count && is_met; i++)
     WAIT_UNTIL (cluster_is_process_ready (cluster, cluster->entries[i].admin),
                 WAIT_MS, &is_met);
@@ -545,7 +549,7 @@
                              .duration_ms = (uint64_t)SECONDS_MAX * 1000,
                              .seed = seed,
                              .stream_share = 0.5,
-                             .api_key = STR (CLUSTER_KEY),
+                             .api_key = STR (CLUSTER_API_KEY),
                              .model = STR ("draft-small"),
                              .key_prefix = STR ("chat"),
                              .max_tokens = 20,
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -38,8 +38,8 @@
 static void
 append_initial_configuration (buf_t *out)
 {
-  append_team (out, "coast-office", "grants", CLUSTER_KEY);
-  append_team (out, "mosque-fund", "drafts", CLUSTER_OTHER_KEY);
+  append_team (out, "coast-office", "grants", CLUSTER_API_KEY);
+  append_team (out, "mosque-fund", "drafts", CLUSTER_OTHER_API_KEY);
   buf_append_str (out,
                   STR ("[plan grants]\n"
                        "allow = draft-small@*, draft-large@7, "
@@ -84,8 +84,8 @@
 {
   char args[3][64];
 
-  *port = harness_port (cluster->harness);
-  *control = harness_port (cluster->harness);
+  *port = harness_find_free_port (cluster->harness);
+  *control = harness_find_free_port (cluster->harness);
   snprintf (args[0], sizeof args[0], "--listen=%s:%u", cluster->host, *port);
   snprintf (args[1], sizeof args[1], "--target=%s:%u", cluster->host, target);
   snprintf (args[2], sizeof args[2], "--control=%s:%u", cluster->host,
@@ -99,7 +99,7 @@
 {
   char listen[64];
 
-  cluster->platform_port = harness_port (cluster->harness);
+  cluster->platform_port = harness_find_free_port (cluster->harness);
   snprintf (listen, sizeof listen, "--listen=%s:%u", cluster->host,
             cluster->platform_port);
   cluster->platform = harness_start (cluster->harness, "platform",
@@ -128,9 +128,9 @@
             zone_for_index (cluster, number));
   upstream->is_service = is_service;
   upstream->serves = serves;
-  upstream->port = harness_port (cluster->harness);
-  upstream->admin = harness_port (cluster->harness);
-  upstream->rpc = harness_port (cluster->harness);
+  upstream->port = harness_find_free_port (cluster->harness);
+  upstream->admin = harness_find_free_port (cluster->harness);
+  upstream->rpc = harness_find_free_port (cluster->harness);
 }
 
 static void
@@ -155,9 +155,9 @@
       snprintf (entry->name, sizeof entry->name, "entry-%zu", i + 1);
       snprintf (entry->zone, sizeof entry->zone, "%s",
                 zone_for_index (cluster, i));
-      entry->port = harness_port (cluster->harness);
-      entry->admin = harness_port (cluster->harness);
-      entry->rpc = harness_port (cluster->harness);
+      entry->port = harness_find_free_port (cluster->harness);
+      entry->admin = harness_find_free_port (cluster->harness);
+      entry->rpc = harness_find_free_port (cluster->harness);
     }
 }
 
@@ -193,7 +193,7 @@
 
   snprintf (file, sizeof file, "%s.ini", name);
   const char *path
-      = harness_write (cluster->harness, file, buf_str (settings));
+      = harness_write_file (cluster->harness, file, buf_str (settings));
   return harness_start (cluster->harness, name, "bin/vanillahookd",
                         "--settings", path, NULL);
 }
@@ -319,7 +319,7 @@
               "\"region\":\"nairobi\",\"address\":\"%s:%u\","
               "\"serves\":\"%s\",\"state\":\"%s\"}%c",
               name, role, zone, cluster->host, port, serves, state, '\0');
-  cluster_fault (cluster, cluster->platform_port, "/instances", body.ptr);
+  cluster_post_json (cluster, cluster->platform_port, "/instances", body.ptr);
   buf_free (&body);
 }
 
@@ -332,8 +332,9 @@
 }
 
 void
-cluster_list_upstream (cluster_t *cluster, const cluster_upstream_t *upstream,
-                       const char *state)
+cluster_set_upstream_state (cluster_t *cluster,
+                            const cluster_upstream_t *upstream,
+                            const char *state)
 {
   set_instance_state (
       cluster, upstream->name, "sidecar", upstream->zone, upstream->proxy_port,
@@ -345,8 +346,8 @@
 }
 
 bool
-cluster_fault (const cluster_t *cluster, uint16_t port, const char *path,
-               const char *body)
+cluster_post_json (const cluster_t *cluster, uint16_t port, const char *path,
+                   const char *body)
 {
   rawhttp_t http = rawhttp_call (cluster->host, port, "POST", path,
                                  "content-type: application/json\r\n",
@@ -386,8 +387,8 @@
 }
 
 bool
-cluster_edit (cluster_t *cluster, const char *section, const char *key,
-              const char *value)
+cluster_set_configuration_key (cluster_t *cluster, const char *section,
+                               const char *key, const char *value)
 {
   buf_t text = BUF_NULL;
   bool succeeded = false;
@@ -423,7 +424,7 @@
 }
 
 bool
-cluster_in_force (cluster_t *cluster, uint64_t revision)
+cluster_has_revision (cluster_t *cluster, uint64_t revision)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
     if (proc_running (cluster->entries[i].proc)
@@ -471,7 +472,7 @@
   char headers[160];
 
   snprintf (headers, sizeof headers,
-            "authorization: Bearer " CLUSTER_KEY "\r\n"
+            "authorization: Bearer " CLUSTER_API_KEY "\r\n"
             "idempotency-key: ready-%zu\r\n",
             entry);
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[entry].port,
@@ -514,7 +515,7 @@
   for (size_t i = 0; i < cluster->entry_count; i++)
     cluster_set_entry_state (cluster, &cluster->entries[i], "live");
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    cluster_list_upstream (cluster, &cluster->upstreams[i], "live");
+    cluster_set_upstream_state (cluster, &cluster->upstreams[i], "live");
   for (size_t i = 0; i < cluster->entry_count; i++)
     start_entry (cluster, &cluster->entries[i]);
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -562,7 +563,7 @@
 }
 
 json_int_t
-cluster_stat (const cluster_t *cluster, uint16_t port, const char *name)
+cluster_read_stat (const cluster_t *cluster, uint16_t port, const char *name)
 {
   json_t *root = rawhttp_json (cluster->host, port, "/stats", NULL);
   json_int_t value = json_integer_value (json_object_get (root, name));
@@ -591,7 +592,7 @@
 
   buf_printf (&all,
               "content-type: application/json\r\n"
-              "authorization: Bearer " CLUSTER_KEY "\r\n%s%c",
+              "authorization: Bearer " CLUSTER_API_KEY "\r\n%s%c",
               headers != NULL ? headers : "", '\0');
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[entry].port,
                                  "POST", "/v1/chat/completions", all.ptr,
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -16,8 +16,8 @@
   CLUSTER_ZONES = 3
 };
 
-#define CLUSTER_KEY "coast-office-key"
-#define CLUSTER_OTHER_KEY "mosque-fund-key"
+#define CLUSTER_API_KEY "coast-office-key"
+#define CLUSTER_OTHER_API_KEY "mosque-fund-key"
 #define CLUSTER_SERVICE "disbursements"
 
 typedef struct
@@ -99,14 +99,14 @@
 /* Set KEY of [SECTION] to VALUE in the current configuration, trying each
    entry until one accepts the change, and set cluster->revision.  Return
    whether an entry accepted the change.  */
-bool cluster_edit (cluster_t *cluster, const char *section, const char *key,
-                   const char *value);
+bool cluster_set_configuration_key (cluster_t *cluster, const char *section,
+                                    const char *key, const char *value);
 /* Return the configuration revision that the process with admin port ADMIN
    uses, or 0 when the process does not report a revision.  */
 uint64_t cluster_revision_at (const cluster_t *cluster, uint16_t admin);
 /* Return whether every running entry and sidecar uses configuration revision
    REVISION or a later one.  */
-bool cluster_in_force (cluster_t *cluster, uint64_t revision);
+bool cluster_has_revision (cluster_t *cluster, uint64_t revision);
 /* Return whether the process with admin port ADMIN reports that it is
    ready.  */
 bool cluster_is_process_ready (const cluster_t *cluster, uint16_t admin);
@@ -115,19 +115,19 @@
    instance list.  */
 void cluster_set_entry_state (cluster_t *cluster, const cluster_entry_t *entry,
                               const char *state);
-void cluster_list_upstream (cluster_t *cluster,
-                            const cluster_upstream_t *upstream,
-                            const char *state);
+void cluster_set_upstream_state (cluster_t *cluster,
+                                 const cluster_upstream_t *upstream,
+                                 const char *state);
 /* POST the JSON text BODY to PATH at PORT: faults of the platform or of a
    proxy's control port, or controls of an upstream.  Return whether the
    response status was 200.  */
-bool cluster_fault (const cluster_t *cluster, uint16_t port, const char *path,
-                    const char *body);
+bool cluster_post_json (const cluster_t *cluster, uint16_t port,
+                        const char *path, const char *body);
 
 /* Return member NAME of the /stats of the upstream at PORT, or 0 when it is
    missing.  */
-json_int_t cluster_stat (const cluster_t *cluster, uint16_t port,
-                         const char *name);
+json_int_t cluster_read_stat (const cluster_t *cluster, uint16_t port,
+                              const char *name);
 /* Return how often the service at PORT ran the request REQUEST_ID.  */
 json_int_t cluster_read_run_count (const cluster_t *cluster, uint16_t port,
                                    const char *request_id);
--- a/tests/fake_upstream.c
+++ b/tests/fake_upstream.c
@@ -21,7 +21,7 @@
   uv_tcp_t listener;
   bool is_silent;
   uint16_t port;
-  act_t actions[ACTIONS_MAX];
+  fake_action_t actions[ACTIONS_MAX];
   size_t action_count;
   size_t next_action;
   size_t requests;
@@ -170,44 +170,45 @@
 }
 
 static void
-conn_stream (conn_t *conn, act_t action, buf_t *out)
+conn_stream (conn_t *conn, fake_action_t action, buf_t *out)
 {
   uint64_t after = 0;
 
   str_to_u64 (request_header (conn, "last-event-id"), &after);
   append_head (conn, "200 OK", out);
-  if (action == ACT_STREAM_DOUBT)
+  if (action == ACT_STREAM_LOW_CONFIDENCE)
     buf_printf (out, "%.*s: 10\r\n",
                 STR_ARG (header_names_default.confidence));
   buf_append_str (out, STR ("Transfer-Encoding: chunked\r\n\r\n"));
-  bool is_complete = action == ACT_STREAM || action == ACT_STREAM_DOUBT
-                     || action == ACT_STREAM_BIG;
-  if (action == ACT_STREAM_BIG)
+  bool is_complete = action == ACT_STREAM
+                     || action == ACT_STREAM_LOW_CONFIDENCE
+                     || action == ACT_STREAM_BIG_EVENT;
+  if (action == ACT_STREAM_BIG_EVENT)
     append_big_event (out);
   else
     append_events (after, is_complete ? STREAM_EVENTS : 2, out);
   if (is_complete)
     buf_append_str (out, STR ("0\r\n\r\n"));
-  else if (action == ACT_STREAM_BREAK)
+  else if (action == ACT_STREAM_CUT_IN_EVENT)
     append_chunk (out, "id: 3\ndata: ha");
   conn_send (conn, out);
   conn->has_answered
       = action != ACT_STREAM_STALL && action != ACT_STREAM_PAUSE;
   if (action == ACT_STREAM_PAUSE)
     uv_timer_start (&conn->timer, on_pause_timer, PAUSE_MS, 0);
-  if (action == ACT_STREAM_BREAK)
+  if (action == ACT_STREAM_CUT_IN_EVENT)
     conn_close (conn, false);
 }
 
 static void
-conn_respond (conn_t *conn, act_t action)
+conn_respond (conn_t *conn, fake_action_t action)
 {
   fake_upstream_t *upstream = conn->upstream;
   buf_t out = BUF_NULL;
 
   switch (action)
     {
-    case ACT_ANSWER:
+    case ACT_RESPOND:
       append_head (conn, "200 OK", &out);
       buf_printf (&out, "Content-Length: %zu\r\n\r\nby %s",
                   3 + strlen (upstream->id), upstream->id);
@@ -216,16 +217,16 @@
       append_head (conn, "500 Oops", &out);
       buf_append_str (&out, STR ("Content-Length: 4\r\n\r\noops"));
       break;
-    case ACT_SHED:
+    case ACT_REFUSE_NOT_RUN:
       buf_printf (&out,
                   "HTTP/1.1 503 Full\r\n%.*s: 1\r\nContent-Length: 0\r\n\r\n",
                   STR_ARG (header_names_default.not_run));
       break;
-    case ACT_SHORT:
+    case ACT_TRUNCATE_BODY:
       append_head (conn, "200 OK", &out);
       buf_append_str (&out, STR ("Content-Length: 100\r\n\r\nhalf"));
       break;
-    case ACT_FOREIGN:
+    case ACT_OTHER_ATTEMPT_ID:
       buf_printf (&out,
                   "HTTP/1.1 200 OK\r\n%.*s: another\r\n%.*s: m\r\n"
                   "Content-Length: 5\r\n\r\nother",
@@ -236,7 +237,7 @@
       buf_append_str (&out,
                       STR ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"));
       break;
-    case ACT_SILENT:
+    case ACT_NO_RESPONSE:
       goto done;
     case ACT_RESET:
       conn->has_answered = true;
@@ -248,7 +249,7 @@
     }
   conn->has_answered = true;
   conn_send (conn, &out);
-  if (action == ACT_SHORT)
+  if (action == ACT_TRUNCATE_BODY)
     conn_close (conn, false);
 done:
   buf_free (&out);
@@ -300,7 +301,7 @@
   upstream->last_request.len = 0;
   buf_append_str (&upstream->last_request, buf_str (&conn->input));
   buf_append_char (&upstream->last_request, '\0');
-  act_t action = upstream->actions[upstream->next_action];
+  fake_action_t action = upstream->actions[upstream->next_action];
   if (upstream->next_action + 1 < upstream->action_count)
     upstream->next_action++;
   conn_respond (conn, action);
@@ -360,7 +361,7 @@
 }
 
 void
-fake_upstream_vanish (fake_upstream_t *upstream)
+fake_upstream_go_silent (fake_upstream_t *upstream)
 {
   upstream->is_silent = true;
   uv_close ((uv_handle_t *)&upstream->listener, NULL);
@@ -369,7 +370,7 @@
 }
 
 void
-fake_upstream_script (fake_upstream_t *upstream, const act_t *actions,
+fake_upstream_script (fake_upstream_t *upstream, const fake_action_t *actions,
                       size_t count)
 {
   memcpy (upstream->actions, actions, count * sizeof *actions);
@@ -378,19 +379,19 @@
 }
 
 size_t
-fake_upstream_requests (const fake_upstream_t *upstream)
+fake_upstream_request_count (const fake_upstream_t *upstream)
 {
   return upstream->requests;
 }
 
 const char *
-fake_upstream_last (const fake_upstream_t *upstream)
+fake_upstream_last_request (const fake_upstream_t *upstream)
 {
   return upstream->last_request.ptr;
 }
 
 size_t
-fake_upstream_abandoned (const fake_upstream_t *upstream)
+fake_upstream_abort_count (const fake_upstream_t *upstream)
 {
   return upstream->abort_count;
 }
--- a/tests/fake_upstream.h
+++ b/tests/fake_upstream.h
@@ -16,21 +16,21 @@
 /* Reaction of a fake upstream to one request.  */
 typedef enum
 {
-  ACT_ANSWER,       /* 200 with the upstream's ID in the body.  */
-  ACT_ERROR,        /* 500 with a response MAC.  */
-  ACT_SHED,         /* 503 with the `not run' header field.  */
-  ACT_SILENT,       /* No response; the connection stays open.  */
-  ACT_RESET,        /* Connection reset without a response.  */
-  ACT_SHORT,        /* 200 with a body shorter than Content-Length.  */
-  ACT_FOREIGN,      /* 200 with the attempt ID of another request.  */
-  ACT_NO_MAC,       /* 200 without a response MAC.  */
-  ACT_STREAM,       /* A complete event stream.  */
-  ACT_STREAM_BREAK, /* A stream closed in the middle of an event.  */
-  ACT_STREAM_DOUBT, /* A complete stream with low model confidence.  */
-  ACT_STREAM_STALL, /* Two events; the connection stays open.  */
-  ACT_STREAM_PAUSE, /* A complete stream with a pause of PAUSE_MS.  */
-  ACT_STREAM_BIG    /* A stream of one event of BIG_EVENT_BYTES.  */
-} act_t;
+  ACT_RESPOND,             /* 200 with the upstream's ID in the body.  */
+  ACT_ERROR,               /* 500 with a response MAC.  */
+  ACT_REFUSE_NOT_RUN,      /* 503 with the `not run' header field.  */
+  ACT_NO_RESPONSE,         /* No response; the connection stays open.  */
+  ACT_RESET,               /* Connection reset without a response.  */
+  ACT_TRUNCATE_BODY,       /* 200 with a body shorter than Content-Length.  */
+  ACT_OTHER_ATTEMPT_ID,    /* 200 with the attempt ID of another request.  */
+  ACT_NO_MAC,              /* 200 without a response MAC.  */
+  ACT_STREAM,              /* A complete event stream.  */
+  ACT_STREAM_CUT_IN_EVENT, /* A stream closed in the middle of an event.  */
+  ACT_STREAM_LOW_CONFIDENCE, /* A complete stream with low model confidence. */
+  ACT_STREAM_STALL,          /* Two events; the connection stays open.  */
+  ACT_STREAM_PAUSE,          /* A complete stream with a pause of PAUSE_MS.  */
+  ACT_STREAM_BIG_EVENT       /* A stream of one event of BIG_EVENT_BYTES.  */
+} fake_action_t;
 
 typedef struct fake_upstream fake_upstream_t;
 
@@ -39,21 +39,21 @@
 fake_upstream_t *fake_upstream_create (uv_loop_t *loop, const char *id);
 void fake_upstream_destroy (fake_upstream_t *upstream);
 /* Set the actions for the next requests.  The last action is repeated.  */
-void fake_upstream_script (fake_upstream_t *upstream, const act_t *actions,
-                           size_t count);
+void fake_upstream_script (fake_upstream_t *upstream,
+                           const fake_action_t *actions, size_t count);
 /* Return the number of complete requests received.  */
-size_t fake_upstream_requests (const fake_upstream_t *upstream);
+size_t fake_upstream_request_count (const fake_upstream_t *upstream);
 /* Return the text of the last request, owned by UPSTREAM, or NULL before the
    first one.  */
-const char *fake_upstream_last (const fake_upstream_t *upstream);
+const char *fake_upstream_last_request (const fake_upstream_t *upstream);
 /* Return the number of connections that the client closed after sending a
    request or a part of one and before UPSTREAM finished the response.  */
-size_t fake_upstream_abandoned (const fake_upstream_t *upstream);
+size_t fake_upstream_abort_count (const fake_upstream_t *upstream);
 
 /* Stop listening and send nothing more on the open connections.  Simulates an
    instance that lost power, except that new connections are refused instead
    of timing out.  */
-void fake_upstream_vanish (fake_upstream_t *upstream);
+void fake_upstream_go_silent (fake_upstream_t *upstream);
 
 uint16_t fake_upstream_port (const fake_upstream_t *upstream);
 
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -172,7 +172,7 @@
 }
 
 uint16_t
-harness_port (harness_t *harness)
+harness_find_free_port (harness_t *harness)
 {
   for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++)
     {
@@ -198,7 +198,7 @@
 }
 
 const char *
-harness_write (harness_t *harness, const char *name, str_t text)
+harness_write_file (harness_t *harness, const char *name, str_t text)
 {
   const char *path = harness_path (harness, name);
   FILE *file = fopen (path, "we");
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -24,10 +24,11 @@
 /* Return the loopback address of HARNESS, such as 127.64.3.9.  */
 const char *harness_host (const harness_t *harness);
 /* Return a TCP port on the address of HARNESS that no process listens on.  */
-uint16_t harness_port (harness_t *harness);
+uint16_t harness_find_free_port (harness_t *harness);
 /* Write TEXT to file NAME in the directory of HARNESS.  Return the path of the
    file, owned by HARNESS.  */
-const char *harness_write (harness_t *harness, const char *name, str_t text);
+const char *harness_write_file (harness_t *harness, const char *name,
+                                str_t text);
 /* Return the path of file NAME in the directory of HARNESS, owned by
    HARNESS.  */
 const char *harness_path (harness_t *harness, const char *name);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 
 #define CHAT "/v1/chat/completions"
-#define AUTH "authorization: Bearer " CLUSTER_KEY "\r\n"
+#define AUTH "authorization: Bearer " CLUSTER_API_KEY "\r\n"
 #define JSON_TYPE "content-type: application/json\r\n"
 
 enum
@@ -50,7 +50,7 @@
 find_busy_upstream (void)
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (cluster_stat (cluster, cluster->upstreams[i].port, "running") > 0)
+    if (cluster_read_stat (cluster, cluster->upstreams[i].port, "running") > 0)
       return &cluster->upstreams[i];
   return NULL;
 }
@@ -187,13 +187,13 @@
     {
       snprintf (control, sizeof control,
                 "{\"quality\":{\"draft-small@4\":0.3}}");
-      ck_assert (cluster_fault (cluster, cluster->upstreams[i].port,
-                                "/control", control));
+      ck_assert (cluster_post_json (cluster, cluster->upstreams[i].port,
+                                    "/control", control));
     }
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@4", "state", "rolling-out"));
-  ck_assert (cluster_edit (cluster, "rollout draft-small@4", "over",
-                           "draft-small@3"));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                            "state", "rolling-out"));
+  ck_assert (cluster_set_configuration_key (cluster, "rollout draft-small@4",
+                                            "over", "draft-small@3"));
   while (harness_now_ms () < end_ms && strcmp (state, "halted") != 0)
     {
       send_chats (round++);
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -198,7 +198,8 @@
 static load_run_t
 run_steady (double rate, uint64_t duration_ms)
 {
-  load_run_t results = load_run_make (CLUSTER_KEY, rate, 1000, duration_ms);
+  load_run_t results
+      = load_run_make (CLUSTER_API_KEY, rate, 1000, duration_ms);
 
   run_loads (&results, 1);
   return results;
@@ -209,8 +210,8 @@
 static double
 started_requests (size_t index)
 {
-  return (double)cluster_stat (cluster, cluster->upstreams[index].port,
-                               "total");
+  return (double)cluster_read_stat (cluster, cluster->upstreams[index].port,
+                                    "total");
 }
 
 static double
@@ -240,7 +241,7 @@
   load_run_t steady = run_steady (0.75 * BURST_CAPACITY, 3000);
   load_run_free (&steady);
   load_run_t burst
-      = load_run_make (CLUSTER_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
+      = load_run_make (CLUSTER_API_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
   run_loads (&burst, 1);
   return burst;
 }
@@ -296,8 +297,8 @@
   start_cluster (FAULT_ENGINES, "limit-start = 2\nlimit-max = 8\n", NULL);
   load_run_t before = run_steady (FAULT_RATE, 2000);
   load_run_free (&before);
-  ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
-                            control));
+  ck_assert (cluster_post_json (cluster, cluster->upstreams[0].port,
+                                "/control", control));
   double before_total = started_requests_total ();
   double before_first = started_requests (0);
   *results = run_steady (FAULT_RATE, FAULT_MS);
@@ -352,8 +353,8 @@
   start_cluster (2, "limit-start = 2\nlimit-max = 32\n", NULL);
   load_run_t warm = run_steady (25, 2000);
   load_run_free (&warm);
-  load_run_t results[] = { load_run_make (CLUSTER_OTHER_KEY, 5, 50, 4000),
-                           load_run_make (CLUSTER_KEY, 200, 2000, 4000) };
+  load_run_t results[] = { load_run_make (CLUSTER_OTHER_API_KEY, 5, 50, 4000),
+                           load_run_make (CLUSTER_API_KEY, 200, 2000, 4000) };
 
   run_loads (results, 2);
   double small_team_share
@@ -416,8 +417,8 @@
 {
   start_cluster (3, "limit-start = 2\nlimit-max = 8\n", NULL);
   load_run_t warm = run_steady (MODERATE_RATE, 2000);
-  ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
-                            "{\"cold_ms\":2000}"));
+  ck_assert (cluster_post_json (cluster, cluster->upstreams[0].port,
+                                "/control", "{\"cold_ms\":2000}"));
   load_run_t cold = run_steady (MODERATE_RATE, 4000);
 
   ck_assert (warm.whole >= 0.97 * warm.finished);
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -88,7 +88,7 @@
                            .duration_ms = 60000,
                            .seed = 1,
                            .stream_share = 0.5,
-                           .api_key = STR (CLUSTER_KEY),
+                           .api_key = STR (CLUSTER_API_KEY),
                            .model = STR ("draft-small"),
                            .max_tokens = 10,
                            .prompt_bytes = 40,
@@ -142,7 +142,7 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (zone == NULL || strcmp (cluster->upstreams[i].zone, zone) == 0)
-      sum += cluster_stat (cluster, cluster->upstreams[i].port, "total");
+      sum += cluster_read_stat (cluster, cluster->upstreams[i].port, "total");
   return sum;
 }
 
@@ -232,14 +232,14 @@
     {
       rawhttp_t http = rawhttp_call (
           cluster->host, cluster->entries[i % 2].port, "POST", CHAT,
-          "authorization: Bearer " CLUSTER_OTHER_KEY "\r\n",
+          "authorization: Bearer " CLUSTER_OTHER_API_KEY "\r\n",
           str_from (refused[i]), WAIT_MS);
       check_refused (&http, 403, VH_E_NOT_ALLOWED);
       rawhttp_close (&http);
     }
   ck_assert_int_eq (zone_runs (NULL), before);
   load_options_t load = chat_load_options ();
-  load.api_key = STR (CLUSTER_OTHER_KEY);
+  load.api_key = STR (CLUSTER_OTHER_API_KEY);
   load.model = STR ("draft");
   load.requests = 200;
   json_int_t large = version_runs ("draft-large@7");
@@ -249,8 +249,9 @@
   check_all_complete ();
   ck_assert_int_eq (version_runs ("draft-large@7"), large);
   ck_assert_int_eq (version_runs ("draft-small@4"), small);
-  ck_assert (cluster_edit (cluster, "plan grants", "allow", "draft-small@*"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
+  ck_assert (cluster_set_configuration_key (cluster, "plan grants", "allow",
+                                            "draft-small@*"));
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   for (size_t i = 0; i < 2; i++)
     check_chat_refused (i, CHAT_BODY ("draft-large@7", ""), 403,
                         VH_E_NOT_ALLOWED);
@@ -276,9 +277,9 @@
   proc_signal (cluster->entries[1].proc, SIGSTOP);
   rawhttp_t delayed = rawhttp_start (
       cluster->host, cluster->entries[1].port, "POST", CHAT,
-      "authorization: Bearer " CLUSTER_KEY "\r\n", str_from (body));
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@3", "state", "withdrawn"));
+      "authorization: Bearer " CLUSTER_API_KEY "\r\n", str_from (body));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@3",
+                                            "state", "withdrawn"));
   harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = version_runs ("draft-small@3");
   check_chat_refused (0, body, 409, VH_E_WITHDRAWN);
@@ -345,18 +346,19 @@
           proc_restart (find_upstream ("small-1")->sidecar);
         }
       if (i == 20)
-        ck_assert (cluster_edit (cluster, "rollout draft-small@4", "over",
-                                 "draft-small@3"));
+        ck_assert (cluster_set_configuration_key (
+            cluster, "rollout draft-small@4", "over", "draft-small@3"));
       char *version = session_call (i % 3, &token);
       ck_assert_str_eq (version, first);
       free (version);
     }
   snprintf (section, sizeof section, "version %s", first);
   if (strcmp (first, "draft-small@4") == 0)
-    ck_assert (
-        cluster_edit (cluster, "rollout draft-small@4", "state", "aborted"));
-  ck_assert (cluster_edit (cluster, section, "state", "withdrawn"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
+    ck_assert (cluster_set_configuration_key (cluster, "rollout draft-small@4",
+                                              "state", "aborted"));
+  ck_assert (
+      cluster_set_configuration_key (cluster, section, "state", "withdrawn"));
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   char *moved = session_call (0, &token);
   ck_assert_str_ne (moved, first);
   for (size_t i = 0; i < 6; i++)
@@ -425,8 +427,8 @@
     read_bill (i);
   harness_sleep_ms (SETTLE_MS);
   bill_t before = read_bill (0);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"lost_reply_share\":0.3}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"lost_reply_share\":0.3}"));
   load_options_t load = chat_load_options ();
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
@@ -439,8 +441,8 @@
   continue_load (500);
   proc_kill (cluster->entries[2].proc);
   continue_load (500);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"lost_reply_share\":0}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"lost_reply_share\":0}"));
   proc_restart (cluster->entries[2].proc);
   continue_load (1000);
   runner_stop (runner);
@@ -486,13 +488,14 @@
   for (int i = 0; i < 35; i++)
     {
       harness_sleep_ms (100);
-      ck_assert_int_eq (cluster_stat (cluster, engine->port, "refused"), 0);
+      ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "refused"),
+                        0);
       /* A cold engine is overloaded above 8 requests, a quarter of twice its
          16 slots.  */
-      ck_assert_int_le (cluster_stat (cluster, engine->port, "max_running"),
-                        8);
+      ck_assert_int_le (
+          cluster_read_stat (cluster, engine->port, "max_running"), 8);
     }
-  WAIT_FOR (cluster_stat (cluster, engine->port, "total") > 20, WAIT_MS);
+  WAIT_FOR (cluster_read_stat (cluster, engine->port, "total") > 20, WAIT_MS);
   runner_stop (runner);
   ck_assert_uint_eq (runner_count_results (runner).mismatched, 0);
   has_passed = true;
@@ -513,14 +516,14 @@
   runner = runner_start (&load);
   continue_load (500);
   ck_assert_int_gt (zone_runs (zone), 0);
-  ck_assert (
-      cluster_edit (cluster, "availability-zone nairobi-b", "state", "out"));
+  ck_assert (cluster_set_configuration_key (
+      cluster, "availability-zone nairobi-b", "state", "out"));
   harness_sleep_ms (PROPAGATION_MS);
   json_int_t before = zone_runs (zone);
   continue_load (SETTLE_MS);
   ck_assert_int_eq (zone_runs (zone), before);
-  ck_assert (
-      cluster_edit (cluster, "availability-zone nairobi-b", "state", "in"));
+  ck_assert (cluster_set_configuration_key (
+      cluster, "availability-zone nairobi-b", "state", "in"));
   WAIT_FOR (zone_runs (zone) > before, WAIT_MS);
   check_all_complete ();
   has_passed = true;
@@ -572,14 +575,15 @@
     {
       continue_load (800);
       for (size_t i = 0; i < cluster->upstream_count; i++)
-        ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                                  "/fault", fault->fault_json));
+        ck_assert (cluster_post_json (cluster,
+                                      cluster->upstreams[i].proxy_control,
+                                      "/fault", fault->fault_json));
       harness_sleep_ms (1000);
       if (fault->is_persistent)
         for (size_t i = 0; i < cluster->upstream_count; i++)
-          ck_assert (
-              cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                             "/fault", "{\"cut_after\":0,\"delay_ms\":0}"));
+          ck_assert (cluster_post_json (
+              cluster, cluster->upstreams[i].proxy_control, "/fault",
+              "{\"cut_after\":0,\"delay_ms\":0}"));
     }
   continue_load (2500);
   check_all_complete ();
@@ -652,11 +656,12 @@
   runner = runner_start (&load);
   continue_load (400);
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                              "/fault", service_link_faults[_i].fault_json));
+    ck_assert (cluster_post_json (cluster, cluster->upstreams[i].proxy_control,
+                                  "/fault",
+                                  service_link_faults[_i].fault_json));
   harness_sleep_ms (3000);
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    ck_assert (cluster_fault (
+    ck_assert (cluster_post_json (
         cluster, cluster->upstreams[i].proxy_control, "/fault",
         "{\"refuse\":false,\"silence\":\"none\",\"cut_after\":0}"));
   harness_sleep_ms (1500);
@@ -704,25 +709,25 @@
       proc_signal (cluster->entries[0].proc, SIGCONT);
       break;
     case FAULT_RESPONSE_TRUNCATED:
-      cluster_fault (cluster, service_upstream->port, "/control",
-                     "{\"die\":\"cut\"}");
+      cluster_post_json (cluster, service_upstream->port, "/control",
+                         "{\"die\":\"cut\"}");
       harness_sleep_ms (500);
-      cluster_fault (cluster, service_upstream->port, "/control",
-                     "{\"die\":\"no\"}");
+      cluster_post_json (cluster, service_upstream->port, "/control",
+                         "{\"die\":\"no\"}");
       break;
     case FAULT_SERVICE_EXITS:
-      cluster_fault (cluster, service_upstream->port, "/control",
-                     "{\"die\":\"exit\"}");
+      cluster_post_json (cluster, service_upstream->port, "/control",
+                         "{\"die\":\"exit\"}");
       proc_wait (service_upstream->proc, WAIT_MS);
       harness_sleep_ms (300);
       proc_restart (service_upstream->proc);
       break;
     case FAULT_STORE_REPLIES_LOST:
-      cluster_fault (cluster, cluster->platform_port, "/faults",
-                     "{\"lost_reply_share\":0.5}");
+      cluster_post_json (cluster, cluster->platform_port, "/faults",
+                         "{\"lost_reply_share\":0.5}");
       harness_sleep_ms (2000);
-      cluster_fault (cluster, cluster->platform_port, "/faults",
-                     "{\"lost_reply_share\":0}");
+      cluster_post_json (cluster, cluster->platform_port, "/faults",
+                         "{\"lost_reply_share\":0}");
       break;
     case RESEND_FAULTS:
       break;
@@ -776,13 +781,14 @@
   runner = runner_start (&load);
   continue_load (500);
   if (_i == 0)
-    cluster_list_upstream (cluster, engine, "leaving");
+    cluster_set_upstream_state (cluster, engine, "leaving");
   else
     proc_signal (engine->sidecar, SIGTERM);
   harness_sleep_ms (PROPAGATION_MS);
-  json_int_t before = cluster_stat (cluster, engine->port, "total");
+  json_int_t before = cluster_read_stat (cluster, engine->port, "total");
   continue_load (SETTLE_MS);
-  ck_assert_int_eq (cluster_stat (cluster, engine->port, "total"), before);
+  ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "total"),
+                    before);
   check_all_complete ();
   has_passed = true;
 }
@@ -881,11 +887,11 @@
 
   start_cluster (&options);
   uint64_t old = cluster->revision;
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@4", "state", "withdrawn"));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                            "state", "withdrawn"));
   uint64_t began = harness_now_ms ();
   ck_assert_uint_gt (cluster->revision, old);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   printf ("in force everywhere after %" PRIu64 " ms\n",
           harness_now_ms () - began);
   ck_assert_int_eq (cluster_apply_configuration (cluster, 1,
@@ -893,8 +899,8 @@
                                                  &conflicting_revision),
                     409);
   check_revisions (seen, 200);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"outage\":\"silent\"}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"outage\":\"silent\"}"));
   proc_kill (cluster->entries[2].proc);
   proc_kill (find_upstream ("small-1")->sidecar);
   proc_restart (cluster->entries[2].proc);
@@ -906,16 +912,16 @@
   check_revisions (seen, 2000);
   /* Processes that start during the outage receive the configuration from
      their peers.  */
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), WAIT_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), WAIT_MS);
   check_chat_refused (2, CHAT_BODY ("draft-small@4", ""), 409, VH_E_WITHDRAWN);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"outage\":\"none\"}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"outage\":\"none\"}"));
   bool is_met;
-  WAIT_UNTIL (
-      cluster_edit (cluster, "version draft-small@4", "state", "serving"),
-      WAIT_MS, &is_met);
+  WAIT_UNTIL (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                             "state", "serving"),
+              WAIT_MS, &is_met);
   ck_assert (is_met);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), PROPAGATION_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   check_revisions (seen, 500);
   has_passed = true;
 }
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -41,7 +41,7 @@
 {
   char listen[40];
 
-  *port = harness_port (harness);
+  *port = harness_find_free_port (harness);
   snprintf (listen, sizeof listen, "--listen=%s:%u", harness_host (harness),
             *port);
   proc_t *proc
@@ -261,7 +261,7 @@
   char at[40];
   char controls[40];
 
-  *control_port = harness_port (harness);
+  *control_port = harness_find_free_port (harness);
   snprintf (at, sizeof at, "--target=%s:%u", harness_host (harness), target);
   snprintf (controls, sizeof controls, "--control=%s:%u",
             harness_host (harness), *control_port);
