--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -295,7 +295,7 @@
   for (size_t i = 0; i < ENTRIES; i++)
     {
       json_t *root = rawhttp_json (bench->cluster->host,
-                                   bench->cluster->entries[i].admin,
+                                   bench->cluster->entries[i].admin_port,
                                    "/admin/status", NULL);
       const json_t *peer;
       size_t index;
@@ -343,8 +343,9 @@
 static bool
 poll_health (bench_t *bench, size_t index)
 {
-  rawhttp_t http = rawhttp_call (bench->cluster->host, bench->leaving->admin,
-                                 "GET", "/healthz", NULL, STR_NULL, CALL_MS);
+  rawhttp_t http
+      = rawhttp_call (bench->cluster->host, bench->leaving->admin_port, "GET",
+                      "/healthz", NULL, STR_NULL, CALL_MS);
   bool left = http.status != 200;
 
   (void)index;
@@ -393,8 +394,8 @@
       const cluster_upstream_t *up = &bench->cluster->upstreams[i];
       if (!up->is_service
           && cluster_read_stat (bench->cluster, up->port, "running") > 0)
-        return cluster_post_json (bench->cluster, up->proxy_control, "/fault",
-                                  "{\"silence\":\"both\"}");
+        return cluster_post_json (bench->cluster, up->proxy_control_port,
+                                  "/fault", "{\"silence\":\"both\"}");
     }
   return false;
 }
@@ -465,12 +466,12 @@
   const cluster_t *cluster = bench->cluster;
 
   for (size_t i = 0; i < cluster->entry_count; i++)
-    add_use (bench, cluster->entries[i].proc, cluster->entries[i].admin, sign,
-             entries);
+    add_use (bench, cluster->entries[i].proc, cluster->entries[i].admin_port,
+             sign, entries);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     {
       const cluster_upstream_t *up = &cluster->upstreams[i];
-      add_use (bench, up->sidecar, up->admin, sign, sidecars);
+      add_use (bench, up->sidecar, up->admin_port, sign, sidecars);
       engines->cpu_us += sign * (double)proc_cpu_us (up->proc);
     }
 }
@@ -535,7 +536,7 @@
                                       .small_engines = SMALL_ENGINES,
                                       .large_engines = LARGE_ENGINES,
                                       .services = SERVICES,
-                                      .proxies = true,
+                                      .with_proxies = true,
                                       .engine_args = { "--token-ms=10" } };
 
   bench->cluster = cluster_create (&options);
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -181,11 +181,11 @@
   const cluster_options_t options
       = { .entries = 1,
           .small_engines = 1,
-          .one_zone = true,
+          .single_zone = true,
           .engine_args
           = { "--token-ms=0", "--slots=1000", "--max-running=4000" },
-          .sidecar_keys = "limit-start = 512\nlimit-max = 1024\n"
-                          "queue-max = 4096\n" };
+          .sidecar_settings = "limit-start = 512\nlimit-max = 1024\n"
+                              "queue-max = 4096\n" };
   cluster_t *cluster = cluster_create (&options);
   char addresses[2][40];
   side_t sides[2] = { { .over = false }, { .over = false } };
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -159,8 +159,8 @@
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
     cluster_post_json (chaos->cluster,
-                       chaos->cluster->upstreams[i].proxy_control, "/fault",
-                       body);
+                       chaos->cluster->upstreams[i].proxy_control_port,
+                       "/fault", body);
 }
 
 static void
@@ -355,7 +355,8 @@
 
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      uint64_t now = cluster_revision_at (cluster, cluster->entries[i].admin);
+      uint64_t now
+          = cluster_revision_at (cluster, cluster->entries[i].admin_port);
       if (now > 0 && now < chaos->revisions[i])
         report_violation (chaos, CONFIGURATION_NEVER_REVERTS,
                           "%s: %" PRIu64 " after %" PRIu64,
@@ -460,7 +461,7 @@
   json_int_t sum = 0;
   size_t index;
   json_t *row;
-  json_t *root = rawhttp_json (cluster->host, cluster->entries[0].admin,
+  json_t *root = rawhttp_json (cluster->host, cluster->entries[0].admin_port,
                                "/admin/report/bill", NULL);
 
   json_array_foreach (root, index, row) sum
@@ -519,8 +520,9 @@
   WAIT_UNTIL (cluster_has_revision (cluster, cluster->revision), WAIT_MS,
               &is_met);
   for (size_t i = 0; i < cluster->entry_count && is_met; i++)
-    WAIT_UNTIL (cluster_is_process_ready (cluster, cluster->entries[i].admin),
-                WAIT_MS, &is_met);
+    WAIT_UNTIL (
+        cluster_is_process_ready (cluster, cluster->entries[i].admin_port),
+        WAIT_MS, &is_met);
   if (!is_met)
     report_violation (chaos, RECOVERY, "not within %d ms", WAIT_MS);
 }
@@ -538,7 +540,7 @@
       snprintf (text[2 * i], sizeof text[0], "%s:%u", cluster->host,
                 cluster->entries[i].port);
       snprintf (text[2 * i + 1], sizeof text[0], "%s:%u", cluster->host,
-                cluster->entries[i].admin);
+                cluster->entries[i].admin_port);
       targets[i] = str_from (text[2 * i]);
       health[i] = str_from (text[2 * i + 1]);
     }
@@ -590,7 +592,7 @@
       = { .entries = 3,
           .small_engines = 4,
           .services = 2,
-          .proxies = true,
+          .with_proxies = true,
           .engine_args = { "--token-ms=8", "--cold-ms=300" },
           .service_arg = "--delay-ms=15" };
   chaos_t chaos = { .rng = rng_make (seed) };
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -63,7 +63,7 @@
 static const char *
 zone_for_index (const cluster_t *cluster, size_t index)
 {
-  return zone_names[cluster->options.one_zone ? 0 : index % CLUSTER_ZONES];
+  return zone_names[cluster->options.single_zone ? 0 : index % CLUSTER_ZONES];
 }
 
 static bool
@@ -107,11 +107,11 @@
   if (!has_started (cluster->platform, cluster->platform_port))
     return false;
   cluster->platform_proxy_port = cluster->platform_port;
-  if (!cluster->options.proxies)
+  if (!cluster->options.with_proxies)
     return true;
   cluster->platform_proxy = start_proxy (
       cluster, "platform-proxy", cluster->platform_port,
-      &cluster->platform_proxy_port, &cluster->platform_proxy_control);
+      &cluster->platform_proxy_port, &cluster->platform_proxy_control_port);
   return has_started (cluster->platform_proxy, cluster->platform_proxy_port);
 }
 
@@ -129,8 +129,8 @@
   upstream->is_service = is_service;
   upstream->serves = serves;
   upstream->port = harness_find_free_port (cluster->harness);
-  upstream->admin = harness_find_free_port (cluster->harness);
-  upstream->rpc = harness_find_free_port (cluster->harness);
+  upstream->admin_port = harness_find_free_port (cluster->harness);
+  upstream->rpc_port = harness_find_free_port (cluster->harness);
 }
 
 static void
@@ -156,8 +156,8 @@
       snprintf (entry->zone, sizeof entry->zone, "%s",
                 zone_for_index (cluster, i));
       entry->port = harness_find_free_port (cluster->harness);
-      entry->admin = harness_find_free_port (cluster->harness);
-      entry->rpc = harness_find_free_port (cluster->harness);
+      entry->admin_port = harness_find_free_port (cluster->harness);
+      entry->rpc_port = harness_find_free_port (cluster->harness);
     }
 }
 
@@ -175,7 +175,7 @@
                   "[peer %s]\nrole = entry\navailability-zone = %s\n"
                   "address = %s:%u\n",
                   cluster->entries[i].name, cluster->entries[i].zone,
-                  cluster->host, cluster->entries[i].rpc);
+                  cluster->host, cluster->entries[i].rpc_port);
   buf_printf (out, "[platform]\nkind = http\naddress = %s:%u\n", cluster->host,
               cluster->platform_proxy_port);
   buf_printf (out,
@@ -201,15 +201,15 @@
 static void
 start_entry (cluster_t *cluster, cluster_entry_t *entry)
 {
-  const char *keys = cluster->options.entry_keys;
+  const char *keys = cluster->options.entry_settings;
   buf_t text = BUF_NULL;
 
   append_common_settings (cluster, entry->name, "entry", entry->zone,
-                          entry->admin, &text);
+                          entry->admin_port, &text);
   buf_printf (&text,
               "rpc = %s:%u\n[entry]\nlisten = %s:%u\n"
               "session-key = fedcba9876543210fedcba9876543210\n%s",
-              cluster->host, entry->rpc, cluster->host, entry->port,
+              cluster->host, entry->rpc_port, cluster->host, entry->port,
               keys != NULL ? keys : "");
   entry->proc = start_daemon (cluster, entry->name, &text);
   buf_free (&text);
@@ -224,18 +224,18 @@
 
   snprintf (name, sizeof name, "sidecar-%s", upstream->name);
   append_common_settings (cluster, name, "sidecar", upstream->zone,
-                          upstream->admin, &text);
+                          upstream->admin_port, &text);
   buf_printf (&text,
               "[sidecar]\ninstance = %s\nlisten = %s:%u\nupstream = %s:%u\n"
               "kind = %s\nserves = %s\n",
-              upstream->name, cluster->host, upstream->rpc, cluster->host,
+              upstream->name, cluster->host, upstream->rpc_port, cluster->host,
               upstream->port, upstream->is_service ? "service" : "engine",
               upstream->serves);
-  if (!upstream->is_service && !opts->minimal)
+  if (!upstream->is_service && !opts->minimal_engines)
     buf_append_str (&text,
                     STR ("features = load-report, cache-events, resume, "
                          "priority, orders\n"));
-  buf_append_str (&text, str_from (opts->sidecar_keys));
+  buf_append_str (&text, str_from (opts->sidecar_settings));
   upstream->sidecar = start_daemon (cluster, name, &text);
   buf_free (&text);
 }
@@ -271,7 +271,7 @@
       args[count++] = "--version=draft-small@3:0.7:1";
       args[count++] = "--version=draft-small@4:0.75:1";
     }
-  if (opts->minimal)
+  if (opts->minimal_engines)
     args[count++] = "--minimal";
   for (size_t i = 0; i < 8 && opts->engine_args[i] != NULL; i++)
     args[count++] = opts->engine_args[i];
@@ -286,14 +286,14 @@
     {
       cluster_upstream_t *upstream = &cluster->upstreams[i];
       start_upstream (cluster, upstream);
-      upstream->proxy_port = upstream->rpc;
-      if (cluster->options.proxies)
+      upstream->proxy_port = upstream->rpc_port;
+      if (cluster->options.with_proxies)
         {
           char name[40];
           snprintf (name, sizeof name, "proxy-%s", upstream->name);
-          upstream->proxy
-              = start_proxy (cluster, name, upstream->rpc,
-                             &upstream->proxy_port, &upstream->proxy_control);
+          upstream->proxy = start_proxy (cluster, name, upstream->rpc_port,
+                                         &upstream->proxy_port,
+                                         &upstream->proxy_control_port);
         }
     }
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -327,8 +327,8 @@
 cluster_set_entry_state (cluster_t *cluster, const cluster_entry_t *entry,
                          const char *state)
 {
-  set_instance_state (cluster, entry->name, "entry", entry->zone, entry->rpc,
-                      "", state);
+  set_instance_state (cluster, entry->name, "entry", entry->zone,
+                      entry->rpc_port, "", state);
 }
 
 void
@@ -369,8 +369,8 @@
             "/admin/configuration?if-revision=%" PRIu64 "&who=test",
             if_revision);
   rawhttp_t http
-      = rawhttp_call (cluster->host, cluster->entries[entry].admin, "POST",
-                      path, NULL, str_from (text), START_WAIT_MS);
+      = rawhttp_call (cluster->host, cluster->entries[entry].admin_port,
+                      "POST", path, NULL, str_from (text), START_WAIT_MS);
   int status = http.status;
   json_t *root = status == 200
                      ? json_loadb (http.body.ptr, http.body.len, 0, NULL)
@@ -393,7 +393,8 @@
   buf_t text = BUF_NULL;
   bool succeeded = false;
 
-  conf_set_key (str_make (cluster->lists.ptr, strlen (cluster->lists.ptr)),
+  conf_set_key (str_make (cluster->configuration.ptr,
+                          strlen (cluster->configuration.ptr)),
                 str_from (section), str_from (key), str_from (value), &text);
   buf_append_char (&text, '\0');
   for (size_t i = 0; i < cluster->entry_count && !succeeded; i++)
@@ -406,8 +407,8 @@
       buf_free (&text);
       return false;
     }
-  buf_free (&cluster->lists);
-  cluster->lists = text;
+  buf_free (&cluster->configuration);
+  cluster->configuration = text;
   return true;
 }
 
@@ -428,11 +429,12 @@
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
     if (proc_running (cluster->entries[i].proc)
-        && cluster_revision_at (cluster, cluster->entries[i].admin) < revision)
+        && cluster_revision_at (cluster, cluster->entries[i].admin_port)
+               < revision)
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (proc_running (cluster->upstreams[i].sidecar)
-        && cluster_revision_at (cluster, cluster->upstreams[i].admin)
+        && cluster_revision_at (cluster, cluster->upstreams[i].admin_port)
                < revision)
       return false;
   return true;
@@ -491,13 +493,13 @@
   const cluster_options_t *opts = &cluster->options;
 
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (!cluster_is_process_ready (cluster, cluster->entries[i].admin)
+    if (!cluster_is_process_ready (cluster, cluster->entries[i].admin_port)
         || (opts->small_engines > 0 && !can_chat (cluster, i, "draft-small@3"))
         || (opts->large_engines > 0 && !can_chat (cluster, i, "draft-large@7"))
         || (opts->services > 0 && !can_call_service (cluster, i)))
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (!cluster_is_process_ready (cluster, cluster->upstreams[i].admin))
+    if (!cluster_is_process_ready (cluster, cluster->upstreams[i].admin_port))
       return false;
   return true;
 }
@@ -520,8 +522,9 @@
     start_entry (cluster, &cluster->entries[i]);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     start_sidecar (cluster, &cluster->upstreams[i]);
-  append_initial_configuration (&cluster->lists);
-  WAIT_UNTIL (cluster_apply_configuration (cluster, 0, cluster->lists.ptr, 0,
+  append_initial_configuration (&cluster->configuration);
+  WAIT_UNTIL (cluster_apply_configuration (cluster, 0,
+                                           cluster->configuration.ptr, 0,
                                            &cluster->revision)
                   == 200,
               START_WAIT_MS, &is_met);
@@ -558,7 +561,7 @@
   if (cluster == NULL)
     return;
   harness_destroy (cluster->harness, failed);
-  buf_free (&cluster->lists);
+  buf_free (&cluster->configuration);
   free (cluster);
 }
 
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -26,14 +26,14 @@
   unsigned small_engines; /* Engines of draft-small@3 and draft-small@4.  */
   unsigned large_engines; /* Engines of draft-large@7.  */
   unsigned services;      /* Instances of CLUSTER_SERVICE, not idempotent.  */
-  bool proxies;           /* Start fault-injecting proxies.  */
-  bool one_zone;          /* Place all instances in the first zone.  */
-  bool minimal;           /* Engines without optional features.  */
-  const char *engine_args[8]; /* Extra arguments, up to NULL.  */
-  const char *service_arg;    /* Extra argument; NULL: none.  */
-  const char *entry_keys;     /* Settings of [entry]; NULL: none.  */
-  const char *sidecar_keys;   /* Settings of [sidecar]; NULL: none.  */
-  uint64_t drain_grace_ms;    /* Default of 300 when 0.  */
+  bool with_proxies;      /* Start fault-injecting proxies.  */
+  bool single_zone;       /* Place all instances in the first zone.  */
+  bool minimal_engines;   /* Engines without optional features.  */
+  const char *engine_args[8];   /* Extra arguments, up to NULL.  */
+  const char *service_arg;      /* Extra argument; NULL: none.  */
+  const char *entry_settings;   /* Settings of [entry]; NULL: none.  */
+  const char *sidecar_settings; /* Settings of [sidecar]; NULL: none.  */
+  uint64_t drain_grace_ms;      /* Default of 300 when 0.  */
 } cluster_options_t;
 
 typedef struct
@@ -42,8 +42,8 @@
   char zone[24];
   proc_t *proc;
   uint16_t port;
-  uint16_t admin;
-  uint16_t rpc;
+  uint16_t admin_port;
+  uint16_t rpc_port;
 } cluster_entry_t;
 
 /* An upstream, its sidecar, and the proxy between the entries and the
@@ -57,11 +57,11 @@
   proc_t *proc;
   uint16_t port;
   proc_t *sidecar;
-  uint16_t admin;
-  uint16_t rpc;
+  uint16_t admin_port;
+  uint16_t rpc_port;
   proc_t *proxy; /* NULL without proxies.  */
   uint16_t proxy_port;
-  uint16_t proxy_control;
+  uint16_t proxy_control_port;
 } cluster_upstream_t;
 
 typedef struct
@@ -73,13 +73,13 @@
   uint16_t platform_port;
   proc_t *platform_proxy;
   uint16_t platform_proxy_port; /* platform_port without proxies.  */
-  uint16_t platform_proxy_control;
+  uint16_t platform_proxy_control_port;
   cluster_entry_t entries[CLUSTER_ENTRIES_MAX];
   size_t entry_count;
   cluster_upstream_t upstreams[CLUSTER_UPSTREAMS_MAX];
   size_t upstream_count;
-  buf_t lists;       /* Configuration applied last, NUL-terminated.  */
-  uint64_t revision; /* Revision of the configuration applied last.  */
+  buf_t configuration; /* Configuration applied last, NUL-terminated.  */
+  uint64_t revision;   /* Revision of the configuration applied last.  */
 } cluster_t;
 
 /* Start all processes, apply the initial configuration and wait until every
--- a/tests/fake_upstream.c
+++ b/tests/fake_upstream.c
@@ -195,7 +195,7 @@
   conn->has_answered
       = action != ACT_STREAM_STALL && action != ACT_STREAM_PAUSE;
   if (action == ACT_STREAM_PAUSE)
-    uv_timer_start (&conn->timer, on_pause_timer, PAUSE_MS, 0);
+    uv_timer_start (&conn->timer, on_pause_timer, STREAM_PAUSE_MS, 0);
   if (action == ACT_STREAM_CUT_IN_EVENT)
     conn_close (conn, false);
 }
--- a/tests/fuzz_entry.c
+++ b/tests/fuzz_entry.c
@@ -29,7 +29,7 @@
 {
   const cluster_options_t options = { .entries = 1,
                                       .small_engines = 1,
-                                      .one_zone = true,
+                                      .single_zone = true,
                                       .engine_args = { "--token-ms=0" } };
 
   passed = false;
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -37,7 +37,7 @@
 {
   const cluster_options_t options = { .entries = 1,
                                       .small_engines = 2,
-                                      .one_zone = true,
+                                      .single_zone = true,
                                       .engine_args = { "--token-ms=10" } };
 
   has_passed = false;
@@ -101,7 +101,7 @@
 setup_rollout (void)
 {
   const cluster_options_t options
-      = { .entries = 3, .small_engines = 2, .one_zone = true };
+      = { .entries = 3, .small_engines = 2, .single_zone = true };
 
   has_passed = false;
   cluster = cluster_create (&options);
@@ -113,8 +113,9 @@
 static void
 read_rollout (size_t index, char *state, size_t size, json_int_t *shown)
 {
-  json_t *status = rawhttp_json (cluster->host, cluster->entries[index].admin,
-                                 "/admin/status", NULL);
+  json_t *status
+      = rawhttp_json (cluster->host, cluster->entries[index].admin_port,
+                      "/admin/status", NULL);
   const json_t *rollout
       = json_array_get (json_object_get (status, "rollouts"), 0);
   const char *state_text
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -66,9 +66,9 @@
   const cluster_options_t options
       = { .entries = 1,
           .small_engines = engines,
-          .one_zone = true,
+          .single_zone = true,
           .engine_args = { "--token-ms=10", "--slots=4", engine_arg },
-          .sidecar_keys = sidecar_keys };
+          .sidecar_settings = sidecar_keys };
 
   has_passed = false;
   cluster = cluster_create (&options);
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -36,7 +36,7 @@
                                       .small_engines = 1,
                                       .large_engines = 1,
                                       .services = 1,
-                                      .one_zone = true,
+                                      .single_zone = true,
                                       .engine_args = { "--token-ms=10" } };
 
   passed = false;
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -72,7 +72,7 @@
       targets[i] = str_from (text);
       text = address_text[2 * i + 1];
       snprintf (text, sizeof address_text[0], "%s:%u", cluster->host,
-                cluster->entries[i].admin);
+                cluster->entries[i].admin_port);
       health[i] = str_from (text);
     }
 }
@@ -387,8 +387,9 @@
   bill_t bill = { 0, 0 };
   size_t index;
   json_t *row;
-  json_t *root = rawhttp_json (cluster->host, cluster->entries[entry].admin,
-                               "/admin/report/bill", NULL);
+  json_t *root
+      = rawhttp_json (cluster->host, cluster->entries[entry].admin_port,
+                      "/admin/report/bill", NULL);
 
   json_array_foreach (root, index, row)
   {
@@ -416,8 +417,9 @@
    completed request once and nothing else.  */
 START_TEST (promise_04_each_request_billed_once)
 {
-  const cluster_options_t options
-      = { .entries = 3, .small_engines = 2, .services = 1, .proxies = true };
+  const cluster_options_t options = {
+    .entries = 3, .small_engines = 2, .services = 1, .with_proxies = true
+  };
 
   start_cluster (&options);
   WAIT_FOR (read_bill (0).requests > 0, WAIT_MS);
@@ -564,7 +566,7 @@
   const fault_t *fault = &link_faults[_i];
   const cluster_options_t options = { .entries = 2,
                                       .small_engines = 3,
-                                      .proxies = true,
+                                      .with_proxies = true,
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
@@ -576,13 +578,13 @@
       continue_load (800);
       for (size_t i = 0; i < cluster->upstream_count; i++)
         ck_assert (cluster_post_json (cluster,
-                                      cluster->upstreams[i].proxy_control,
+                                      cluster->upstreams[i].proxy_control_port,
                                       "/fault", fault->fault_json));
       harness_sleep_ms (1000);
       if (fault->is_persistent)
         for (size_t i = 0; i < cluster->upstream_count; i++)
           ck_assert (cluster_post_json (
-              cluster, cluster->upstreams[i].proxy_control, "/fault",
+              cluster, cluster->upstreams[i].proxy_control_port, "/fault",
               "{\"cut_after\":0,\"delay_ms\":0}"));
     }
   continue_load (2500);
@@ -646,7 +648,7 @@
 {
   const cluster_options_t options = { .entries = 2,
                                       .services = 2,
-                                      .proxies = true,
+                                      .with_proxies = true,
                                       .service_arg = "--delay-ms=30" };
 
   start_cluster (&options);
@@ -656,13 +658,13 @@
   runner = runner_start (&load);
   continue_load (400);
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    ck_assert (cluster_post_json (cluster, cluster->upstreams[i].proxy_control,
-                                  "/fault",
-                                  service_link_faults[_i].fault_json));
+    ck_assert (
+        cluster_post_json (cluster, cluster->upstreams[i].proxy_control_port,
+                           "/fault", service_link_faults[_i].fault_json));
   harness_sleep_ms (3000);
   for (size_t i = 0; i < cluster->upstream_count; i++)
     ck_assert (cluster_post_json (
-        cluster, cluster->upstreams[i].proxy_control, "/fault",
+        cluster, cluster->upstreams[i].proxy_control_port, "/fault",
         "{\"refuse\":false,\"silence\":\"none\",\"cut_after\":0}"));
   harness_sleep_ms (1500);
   runner_stop (runner);
@@ -744,7 +746,7 @@
 {
   const cluster_options_t options = { .entries = 3,
                                       .services = 2,
-                                      .proxies = true,
+                                      .with_proxies = true,
                                       .service_arg = "--delay-ms=20" };
 
   start_cluster (&options);
@@ -819,8 +821,9 @@
       proc_signal (cluster->entries[i].proc, SIGTERM);
       ck_assert_int_eq (proc_wait (cluster->entries[i].proc, WAIT_MS), 0);
       proc_restart (cluster->entries[i].proc);
-      WAIT_FOR (cluster_is_process_ready (cluster, cluster->entries[i].admin),
-                WAIT_MS);
+      WAIT_FOR (
+          cluster_is_process_ready (cluster, cluster->entries[i].admin_port),
+          WAIT_MS);
       continue_load (500);
     }
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -830,7 +833,7 @@
       ck_assert_int_eq (proc_wait (sidecar, WAIT_MS), 0);
       proc_restart (sidecar);
       WAIT_FOR (
-          cluster_is_process_ready (cluster, cluster->upstreams[i].admin),
+          cluster_is_process_ready (cluster, cluster->upstreams[i].admin_port),
           WAIT_MS);
       continue_load (500);
     }
@@ -858,7 +861,8 @@
         const cluster_upstream_t *up
             = &cluster->upstreams[is_entry ? 0 : i - cluster->entry_count];
         proc_t *proc = is_entry ? cluster->entries[i].proc : up->sidecar;
-        uint16_t admin = is_entry ? cluster->entries[i].admin : up->admin;
+        uint16_t admin
+            = is_entry ? cluster->entries[i].admin_port : up->admin_port;
         if (!proc_running (proc))
           continue;
         uint64_t now = cluster_revision_at (cluster, admin);
@@ -880,8 +884,9 @@
    store or from a peer.  */
 START_TEST (promise_12_configuration_arrives_and_never_reverts)
 {
-  const cluster_options_t options
-      = { .entries = 3, .small_engines = 2, .services = 1, .proxies = true };
+  const cluster_options_t options = {
+    .entries = 3, .small_engines = 2, .services = 1, .with_proxies = true
+  };
   uint64_t seen[PROCESSES_MAX] = { 0 };
   uint64_t conflicting_revision = 0;
 
@@ -895,8 +900,8 @@
   printf ("in force everywhere after %" PRIu64 " ms\n",
           harness_now_ms () - began);
   ck_assert_int_eq (cluster_apply_configuration (cluster, 1,
-                                                 cluster->lists.ptr, old,
-                                                 &conflicting_revision),
+                                                 cluster->configuration.ptr,
+                                                 old, &conflicting_revision),
                     409);
   check_revisions (seen, 200);
   ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
@@ -906,7 +911,7 @@
   proc_restart (cluster->entries[2].proc);
   proc_restart (find_upstream ("small-1")->sidecar);
   ck_assert_int_eq (
-      cluster_apply_configuration (cluster, 0, cluster->lists.ptr,
+      cluster_apply_configuration (cluster, 0, cluster->configuration.ptr,
                                    cluster->revision, &conflicting_revision),
       503);
   check_revisions (seen, 2000);
