--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -22,8 +22,8 @@
   WAIT_MS = 20000,
   PROPAGATION_MS = 3000,
   SETTLE_MS = 3000,
-  /* A sidecar holds unbilled usage for its entry, and waits 20 s without a
-     message from that entry before it sends the usage to another one.  */
+  /* A sidecar that holds unsent bills of an entry sends them to another entry
+     after 20 s without a message from the first entry.  */
   BILLING_WAIT_MS = 45000,
   PROCS_MAX = CLUSTER_ENTRIES_MAX + CLUSTER_UPSTREAMS_MAX
 };
@@ -207,7 +207,7 @@
 }
 
 static json_int_t
-version_runs (const cluster_t *cluster, const char *version)
+count_version_runs (const cluster_t *cluster, const char *version)
 {
   json_int_t sum = 0;
 
@@ -223,7 +223,7 @@
 }
 
 static json_int_t
-zone_runs (const cluster_t *cluster, const char *zone)
+count_zone_runs (const cluster_t *cluster, const char *zone)
 {
   json_int_t sum = 0;
 
@@ -246,9 +246,9 @@
   if (!chaos->is_withdrawn)
     return;
   harness_sleep_ms (PROPAGATION_MS);
-  json_int_t before = version_runs (chaos->cluster, "draft-small@4");
+  json_int_t before = count_version_runs (chaos->cluster, "draft-small@4");
   harness_sleep_ms (500);
-  json_int_t after = version_runs (chaos->cluster, "draft-small@4");
+  json_int_t after = count_version_runs (chaos->cluster, "draft-small@4");
   if (after > before)
     report_violation (chaos, WITHDRAWN_VERSION_UNUSED, "%d new runs",
                       (int)(after - before));
@@ -269,9 +269,9 @@
   if (!chaos->is_zone_out)
     return;
   harness_sleep_ms (PROPAGATION_MS);
-  json_int_t before = zone_runs (chaos->cluster, "nairobi-b");
+  json_int_t before = count_zone_runs (chaos->cluster, "nairobi-b");
   harness_sleep_ms (500);
-  json_int_t after = zone_runs (chaos->cluster, "nairobi-b");
+  json_int_t after = count_zone_runs (chaos->cluster, "nairobi-b");
   if (after > before)
     report_violation (chaos, ZONE_OUT_UNUSED, "%d new runs",
                       (int)(after - before));
@@ -472,23 +472,23 @@
 
 /* Check that the bill has at least all complete responses, and at most all
    requests that were not refused as `not-run': a response can be billed and
-   then lost before its caller receives it.  */
+   then lost before its client receives it.  */
 static void
 check_bill (chaos_t *chaos, json_int_t before, const result_counts_t *chat,
             const result_counts_t *service)
 {
-  json_int_t lower
+  json_int_t min_billed
       = (json_int_t)chat->complete + (json_int_t)service->complete;
-  json_int_t upper = (json_int_t)(chat->finished + service->finished)
-                     - (json_int_t)(chat->not_run + service->not_run);
+  json_int_t max_billed = (json_int_t)(chat->finished + service->finished)
+                          - (json_int_t)(chat->not_run + service->not_run);
   json_int_t now;
   bool is_met;
 
   WAIT_UNTIL ((now = read_billed_requests (chaos->cluster) - before,
-               now >= lower && now <= upper),
+               now >= min_billed && now <= max_billed),
               BILLING_WAIT_MS, &is_met);
   printf ("billed %d, answered whole %d, not refused %d\n", (int)now,
-          (int)lower, (int)upper);
+          (int)min_billed, (int)max_billed);
   if (!is_met)
     report_violation (chaos, BILLED_ONCE, "%d billed", (int)now);
 }
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -201,7 +201,7 @@
 static void
 start_entry (cluster_t *cluster, cluster_entry_t *entry)
 {
-  const char *keys = cluster->options.entry_settings;
+  const char *settings_text = cluster->options.entry_settings;
   buf_t text = BUF_NULL;
 
   append_common_settings (cluster, entry->name, "entry", entry->zone,
@@ -210,7 +210,7 @@
               "rpc = %s:%u\n[entry]\nlisten = %s:%u\n"
               "session-key = fedcba9876543210fedcba9876543210\n%s",
               cluster->host, entry->rpc_port, cluster->host, entry->port,
-              keys != NULL ? keys : "");
+              settings_text != NULL ? settings_text : "");
   entry->proc = start_daemon (cluster, entry->name, &text);
   buf_free (&text);
 }
@@ -445,10 +445,10 @@
 {
   rawhttp_t http = rawhttp_call (cluster->host, admin, "GET", "/readyz", NULL,
                                  STR_NULL, START_WAIT_MS);
-  bool ready = http.status == 200;
+  bool is_ready = http.status == 200;
 
   rawhttp_close (&http);
-  return ready;
+  return is_ready;
 }
 
 /* Return whether a chat request for MODEL through entry number ENTRY
@@ -610,18 +610,21 @@
   rawhttp_t http = rawhttp_call (cluster->host, admin, "GET", "/metrics", NULL,
                                  STR_NULL, START_WAIT_MS);
   str_t rest = buf_str (&http.body);
-  str_t want = str_from (name);
+  str_t metric_name = str_from (name);
   double sum = -1;
 
   while (rest.ptr != NULL)
     {
       str_t line = str_cut (rest, '\n', &rest);
-      const char *space = memrchr (line.ptr, ' ', line.len);
+      const char *last_space = memrchr (line.ptr, ' ', line.len);
       double value;
-      if (!str_starts (line, want) || line.len == want.len || space == NULL
-          || (line.ptr[want.len] != ' ' && line.ptr[want.len] != '{')
+      if (!str_starts (line, metric_name) || line.len == metric_name.len
+          || last_space == NULL
+          || (line.ptr[metric_name.len] != ' '
+              && line.ptr[metric_name.len] != '{')
           || !str_to_double (
-              str_make (space + 1, (size_t)(line.ptr + line.len - space - 1)),
+              str_make (last_space + 1,
+                        (size_t)(line.ptr + line.len - last_space - 1)),
               &value))
         continue;
       sum = sum < 0 ? value : sum + value;
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -29,11 +29,11 @@
   bool with_proxies;      /* Start fault-injecting proxies.  */
   bool single_zone;       /* Place all instances in the first zone.  */
   bool minimal_engines;   /* Engines without optional features.  */
-  const char *engine_args[8];   /* Extra arguments, up to NULL.  */
-  const char *service_arg;      /* Extra argument; NULL: none.  */
+  const char *engine_args[8];   /* Extra arguments of engines, up to NULL.  */
+  const char *service_arg;      /* Extra argument of services; NULL: none.  */
   const char *entry_settings;   /* Settings of [entry]; NULL: none.  */
   const char *sidecar_settings; /* Settings of [sidecar]; NULL: none.  */
-  uint64_t drain_grace_ms;      /* Default of 300 when 0.  */
+  uint64_t drain_grace_ms;      /* 0: the default of 300 ms.  */
 } cluster_options_t;
 
 typedef struct
@@ -72,7 +72,7 @@
   proc_t *platform;
   uint16_t platform_port;
   proc_t *platform_proxy;
-  uint16_t platform_proxy_port; /* platform_port without proxies.  */
+  uint16_t platform_proxy_port; /* Equals platform_port without proxies.  */
   uint16_t platform_proxy_control_port;
   cluster_entry_t entries[CLUSTER_ENTRIES_MAX];
   size_t entry_count;
--- a/tests/fake_upstream.h
+++ b/tests/fake_upstream.h
@@ -10,7 +10,7 @@
 enum
 {
   BIG_EVENT_BYTES = 900000,
-  STREAM_PAUSE_MS = 900
+  STREAM_PAUSE_MS = 900 /* Pause of ACT_STREAM_PAUSE.  */
 };
 
 /* Reaction of a fake upstream to one request.  */
@@ -26,10 +26,10 @@
   ACT_NO_MAC,              /* 200 without a response MAC.  */
   ACT_STREAM,              /* A complete event stream.  */
   ACT_STREAM_CUT_IN_EVENT, /* A stream closed in the middle of an event.  */
-  ACT_STREAM_LOW_CONFIDENCE, /* A complete stream with low model confidence. */
+  ACT_STREAM_LOW_CONFIDENCE, /* A complete stream, low confidence.  */
   ACT_STREAM_STALL,          /* Two events; the connection stays open.  */
-  ACT_STREAM_PAUSE, /* A complete stream with a pause of STREAM_PAUSE_MS.  */
-  ACT_STREAM_BIG_EVENT /* A stream of one event of BIG_EVENT_BYTES.  */
+  ACT_STREAM_PAUSE,          /* A complete stream with one pause.  */
+  ACT_STREAM_BIG_EVENT       /* A stream of one event of BIG_EVENT_BYTES.  */
 } fake_action_t;
 
 typedef struct fake_upstream fake_upstream_t;
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -34,8 +34,8 @@
   char **argv;
   char *paths[2]; /* Files of standard output and standard error.  */
   pid_t pid;
-  bool running;
-  int status; /* Result of proc_wait; valid when RUNNING is false.  */
+  bool is_running;
+  int status; /* Result of proc_wait; valid when IS_RUNNING is false.  */
 };
 
 struct harness
@@ -161,14 +161,14 @@
   struct sockaddr_in addr = { .sin_family = AF_INET };
   int on = 1;
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  bool bound;
+  bool is_bound;
 
   addr.sin_port = htons (port);
   inet_pton (AF_INET, host, &addr.sin_addr);
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  bound = bind (fd, (struct sockaddr *)&addr, sizeof addr) == 0;
+  is_bound = bind (fd, (struct sockaddr *)&addr, sizeof addr) == 0;
   close (fd);
-  return bound;
+  return is_bound;
 }
 
 uint16_t
@@ -255,7 +255,7 @@
   posix_spawnattr_destroy (&attr);
   child_pids_replace (0, pid);
   proc->pid = pid;
-  proc->running = true;
+  proc->is_running = true;
 }
 
 proc_t *
@@ -321,10 +321,10 @@
 {
   int status;
 
-  if (!proc->running || waitpid (proc->pid, &status, WNOHANG) != proc->pid)
-    return proc->running;
+  if (!proc->is_running || waitpid (proc->pid, &status, WNOHANG) != proc->pid)
+    return proc->is_running;
   child_pids_replace (proc->pid, 0);
-  proc->running = false;
+  proc->is_running = false;
   proc->status = WIFEXITED (status) ? WEXITSTATUS (status)
                                     : SIGNAL_BASE + WTERMSIG (status);
   return false;
@@ -383,12 +383,12 @@
 proc_wait_port (proc_t *proc, const char *label, uint64_t wait_ms)
 {
   uint64_t end = harness_now_ms () + wait_ms;
-  bool running = true;
+  bool is_running = true;
 
-  while (running && harness_now_ms () < end)
+  while (is_running && harness_now_ms () < end)
     {
       buf_t text = BUF_NULL;
-      running = proc_running (proc);
+      is_running = proc_running (proc);
       proc_output (proc, false, &text);
       uint16_t port = find_labeled_number (buf_str (&text), str_from (label));
       buf_free (&text);
@@ -414,7 +414,7 @@
 
   while (proc_running (proc) && harness_now_ms () < end)
     harness_sleep_ms (5);
-  return proc->running ? -1 : proc->status;
+  return proc->is_running ? -1 : proc->status;
 }
 
 void
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -32,7 +32,7 @@
   uv_loop_t loop;
   load_t *load;
   bool has_ended;
-  bool joined;
+  bool is_joined;
   atomic_size_t finished;
   request_record_t *records;
   size_t count;
@@ -109,11 +109,11 @@
 void
 runner_stop (runner_t *runner)
 {
-  if (runner->joined)
+  if (runner->is_joined)
     return;
   load_stop (runner->load);
   pthread_join (runner->thread, NULL);
-  runner->joined = true;
+  runner->is_joined = true;
   /* Destroyed only here because load_stop above may be called on a load that
      has already ended.  */
   load_destroy (runner->load);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -109,7 +109,7 @@
 }
 
 /* Copy the state of the first roll-out that entry INDEX reports to STATE, and
-   set *SHOWN to its number of requests sent to the new version.  */
+   set *SHOWN to its member `shown'.  */
 static void
 read_rollout (size_t index, char *state, size_t size, json_int_t *shown)
 {
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -39,13 +39,13 @@
   uv_loop_t *loop;
   unsigned *unfinished_loads; /* Number of unfinished loads on LOOP.  */
   uint64_t finished;
-  uint64_t whole;
-  uint64_t wrong;
+  uint64_t complete;
+  uint64_t mismatched;
   uint64_t late;           /* Complete, but after the deadline.  */
   uint64_t refused;        /* Incomplete, with outcome `not-run'.  */
   uint64_t no_retry_after; /* Refused without a Retry-After header.  */
-  uint64_t unclear;        /* Neither complete nor refused.  */
-  samples_t whole_us;
+  uint64_t other_outcome;  /* Neither complete nor refused.  */
+  samples_t complete_us;
   samples_t refused_us;
 } load_run_t;
 
@@ -60,7 +60,7 @@
 }
 
 static void
-start_cluster (unsigned engines, const char *sidecar_keys,
+start_cluster (unsigned engines, const char *sidecar_settings_text,
                const char *engine_arg)
 {
   const cluster_options_t options
@@ -68,7 +68,7 @@
           .small_engines = engines,
           .single_zone = true,
           .engine_args = { "--token-ms=10", "--slots=4", engine_arg },
-          .sidecar_settings = sidecar_keys };
+          .sidecar_settings = sidecar_settings_text };
 
   has_passed = false;
   cluster = cluster_create (&options);
@@ -81,13 +81,13 @@
   load_run_t *results = arg;
 
   results->finished++;
-  results->wrong += result->wrong;
+  results->mismatched += result->wrong;
   if (result->whole)
     {
-      results->whole++;
+      results->complete++;
       results->late += result->total_us
                        > (DEADLINE_MS + DEADLINE_TOLERANCE_MS) * 1000ull;
-      samples_add (&results->whole_us, result->total_us);
+      samples_add (&results->complete_us, result->total_us);
     }
   else if (str_eq (result->outcome, STR ("not-run")))
     {
@@ -96,7 +96,7 @@
       samples_add (&results->refused_us, result->total_us);
     }
   else
-    results->unclear++;
+    results->other_outcome++;
 }
 
 static void
@@ -131,7 +131,7 @@
 static void
 load_run_free (load_run_t *results)
 {
-  samples_free (&results->whole_us);
+  samples_free (&results->complete_us);
   samples_free (&results->refused_us);
 }
 
@@ -142,13 +142,13 @@
           "unclear=%llu whole_p50_ms=%.0f whole_p99_ms=%.0f "
           "refused_p50_ms=%.0f refused_p99_ms=%.0f\n",
           name, (unsigned long long)results->finished,
-          (unsigned long long)results->whole,
+          (unsigned long long)results->complete,
           (unsigned long long)results->late,
           (unsigned long long)results->refused,
           (unsigned long long)results->no_retry_after,
-          (unsigned long long)results->unclear,
-          (double)samples_quantile (&results->whole_us, 0.5) / 1e3,
-          (double)samples_quantile (&results->whole_us, 0.99) / 1e3,
+          (unsigned long long)results->other_outcome,
+          (double)samples_quantile (&results->complete_us, 0.5) / 1e3,
+          (double)samples_quantile (&results->complete_us, 0.99) / 1e3,
           (double)samples_quantile (&results->refused_us, 0.5) / 1e3,
           (double)samples_quantile (&results->refused_us, 0.99) / 1e3);
   fflush (stdout);
@@ -187,7 +187,7 @@
   for (unsigned i = 0; i < count; i++)
     {
       print_load_run (i == 0 ? "callers" : "beside", &results[i]);
-      ck_assert_uint_eq (results[i].wrong, 0);
+      ck_assert_uint_eq (results[i].mismatched, 0);
       ck_assert_uint_gt (results[i].finished, 0);
     }
 }
@@ -235,9 +235,9 @@
 /* Run a burst of ten times the capacity, after three seconds at three quarters
    of the capacity.  Return the results of the burst.  */
 static load_run_t
-run_burst (const char *sidecar_keys)
+run_burst (const char *sidecar_settings_text)
 {
-  start_cluster (BURST_ENGINES, sidecar_keys, NULL);
+  start_cluster (BURST_ENGINES, sidecar_settings_text, NULL);
   load_run_t steady = run_steady (0.75 * BURST_CAPACITY, 3000);
   load_run_free (&steady);
   load_run_t burst
@@ -263,17 +263,17 @@
   /* The share includes the start and the end of the burst, when the engines
      are not fully used.  */
   double utilization
-      = (double)limited.whole * 1000 / (BURST_CAPACITY * BURST_MS);
+      = (double)limited.complete * 1000 / (BURST_CAPACITY * BURST_MS);
 
   printf ("burst used=%.2f of the capacity\n", utilization);
   ck_assert_uint_eq (limited.late, 0);
   ck_assert_uint_eq (limited.no_retry_after, 0);
   ck_assert (utilization > 0.6);
-  ck_assert_uint_gt (limited.whole, unlimited.whole);
+  ck_assert_uint_gt (limited.complete, unlimited.complete);
   ck_assert_uint_gt (limited.refused, limited.finished / 2);
   ck_assert_uint_lt (samples_quantile (&limited.refused_us, 0.5),
                      DEADLINE_MS * 1000 / 4);
-  ck_assert_uint_lt (limited.unclear, limited.finished / 20);
+  ck_assert_uint_lt (limited.other_outcome, limited.finished / 20);
   load_run_free (&unlimited);
   load_run_free (&limited);
   has_passed = true;
@@ -319,7 +319,7 @@
   double share = run_with_faulty_engine ("{\"slow\":5}", &results);
 
   ck_assert (share < 0.125);
-  ck_assert (results.whole >= 0.98 * results.finished);
+  ck_assert (results.complete >= 0.98 * results.finished);
   ck_assert_uint_eq (results.late, 0);
   load_run_free (&results);
   has_passed = true;
@@ -337,7 +337,7 @@
   double share = run_with_faulty_engine ("{\"error\":500}", &results);
 
   ck_assert (share < 0.125);
-  ck_assert (results.whole >= 0.95 * results.finished);
+  ck_assert (results.complete >= 0.95 * results.finished);
   load_run_free (&results);
   has_passed = true;
 }
@@ -357,14 +357,14 @@
                            load_run_make (CLUSTER_API_KEY, 200, 2000, 4000) };
 
   run_loads (results, 2);
-  double small_team_share
-      = (double)results[0].whole / (double)results[0].finished;
-  double large_team_share
-      = (double)results[1].whole / (double)results[1].finished;
-  printf ("answered quiet=%.3f hot=%.3f\n", small_team_share,
-          large_team_share);
-  ck_assert (small_team_share >= 0.9);
-  ck_assert (large_team_share < small_team_share);
+  double small_team_success_ratio
+      = (double)results[0].complete / (double)results[0].finished;
+  double large_team_success_ratio
+      = (double)results[1].complete / (double)results[1].finished;
+  printf ("answered quiet=%.3f hot=%.3f\n", small_team_success_ratio,
+          large_team_success_ratio);
+  ck_assert (small_team_success_ratio >= 0.9);
+  ck_assert (large_team_success_ratio < small_team_success_ratio);
   ck_assert_uint_eq (results[0].late + results[1].late, 0);
   ck_assert_uint_eq (results[1].no_retry_after, 0);
   load_run_free (&results[0]);
@@ -399,9 +399,9 @@
 
   printf ("share of the new one once warm=%.3f\n", share);
   fflush (stdout);
-  ck_assert (cold.whole >= 0.97 * cold.finished);
+  ck_assert (cold.complete >= 0.97 * cold.finished);
   ck_assert_uint_eq (cold.late, 0);
-  ck_assert (after.whole >= 0.9 * after.finished);
+  ck_assert (after.complete >= 0.9 * after.finished);
   ck_assert (share > 0.1);
   load_run_free (&cold);
   load_run_free (&after);
@@ -421,8 +421,8 @@
                                 "/control", "{\"cold_ms\":2000}"));
   load_run_t cold = run_steady (MODERATE_RATE, 4000);
 
-  ck_assert (warm.whole >= 0.97 * warm.finished);
-  ck_assert (cold.whole >= 0.97 * cold.finished);
+  ck_assert (warm.complete >= 0.97 * warm.finished);
+  ck_assert (cold.complete >= 0.97 * cold.finished);
   ck_assert_uint_eq (cold.late, 0);
   load_run_free (&warm);
   load_run_free (&cold);
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -25,8 +25,8 @@
   /* Time within which a configuration change must reach all processes.  */
   PROPAGATION_MS = 3000,
   SETTLE_MS = 1500,
-  /* A sidecar holds unbilled usage for its entry, and waits 20 s without a
-     message from that entry before it sends the usage to another one.  */
+  /* A sidecar that holds unsent bills of an entry sends them to another entry
+     after 20 s without a message from the first entry.  */
   BILLING_WAIT_MS = 45000
 };
 
@@ -118,7 +118,7 @@
 }
 
 static json_int_t
-version_runs (const char *version)
+count_version_runs (const char *version)
 {
   json_int_t sum = 0;
 
@@ -136,7 +136,7 @@
 /* Return the number of requests run so far by the upstreams of ZONE, or by all
    upstreams when ZONE is NULL.  */
 static json_int_t
-zone_runs (const char *zone)
+count_zone_runs (const char *zone)
 {
   json_int_t sum = 0;
 
@@ -224,7 +224,7 @@
       = { .entries = 2, .small_engines = 2, .large_engines = 1 };
 
   start_cluster (&options);
-  json_int_t before = zone_runs (NULL);
+  json_int_t before = count_zone_runs (NULL);
   static const char *const refused[]
       = { CHAT_BODY ("draft-large@7", ""), CHAT_BODY ("draft-large", ""),
           CHAT_BODY ("draft-small@4", "") };
@@ -237,25 +237,25 @@
       check_refused (&http, 403, VH_E_NOT_ALLOWED);
       rawhttp_close (&http);
     }
-  ck_assert_int_eq (zone_runs (NULL), before);
+  ck_assert_int_eq (count_zone_runs (NULL), before);
   load_options_t load = chat_load_options ();
   load.api_key = STR (CLUSTER_OTHER_API_KEY);
   load.model = STR ("draft");
   load.requests = 200;
-  json_int_t large = version_runs ("draft-large@7");
-  json_int_t small = version_runs ("draft-small@4");
+  json_int_t large = count_version_runs ("draft-large@7");
+  json_int_t small = count_version_runs ("draft-small@4");
   runner = runner_start (&load);
   WAIT_FOR (runner_finished (runner) == 200, WAIT_MS);
   check_all_complete ();
-  ck_assert_int_eq (version_runs ("draft-large@7"), large);
-  ck_assert_int_eq (version_runs ("draft-small@4"), small);
+  ck_assert_int_eq (count_version_runs ("draft-large@7"), large);
+  ck_assert_int_eq (count_version_runs ("draft-small@4"), small);
   ck_assert (cluster_set_configuration_key (cluster, "plan grants", "allow",
                                             "draft-small@*"));
   WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   for (size_t i = 0; i < 2; i++)
     check_chat_refused (i, CHAT_BODY ("draft-large@7", ""), 403,
                         VH_E_NOT_ALLOWED);
-  ck_assert_int_eq (version_runs ("draft-large@7"), large);
+  ck_assert_int_eq (count_version_runs ("draft-large@7"), large);
   has_passed = true;
 }
 END_TEST
@@ -281,7 +281,7 @@
   ck_assert (cluster_set_configuration_key (cluster, "version draft-small@3",
                                             "state", "withdrawn"));
   harness_sleep_ms (PROPAGATION_MS);
-  json_int_t before = version_runs ("draft-small@3");
+  json_int_t before = count_version_runs ("draft-small@3");
   check_chat_refused (0, body, 409, VH_E_WITHDRAWN);
   continue_load (SETTLE_MS);
   proc_signal (cluster->entries[1].proc, SIGCONT);
@@ -289,7 +289,7 @@
   check_refused (&delayed, 409, VH_E_WITHDRAWN);
   rawhttp_close (&delayed);
   check_all_complete ();
-  ck_assert_int_eq (version_runs ("draft-small@3"), before);
+  ck_assert_int_eq (count_version_runs ("draft-small@3"), before);
   has_passed = true;
 }
 END_TEST
@@ -298,7 +298,7 @@
    number ENTRY.  Replace TOKEN by the session token of the response and return
    the version that responded, which the caller frees.  */
 static char *
-session_call (size_t entry, buf_t *token)
+send_session_request (size_t entry, buf_t *token)
 {
   buf_t header = BUF_NULL;
   reading_t reading = { 0 };
@@ -335,7 +335,7 @@
   char section[64];
 
   start_cluster (&options);
-  char *first = session_call (0, &token);
+  char *initial_version = send_session_request (0, &token);
   for (size_t i = 0; i < 30; i++)
     {
       if (i == 10)
@@ -348,27 +348,27 @@
       if (i == 20)
         ck_assert (cluster_set_configuration_key (
             cluster, "rollout draft-small@4", "over", "draft-small@3"));
-      char *version = session_call (i % 3, &token);
-      ck_assert_str_eq (version, first);
+      char *version = send_session_request (i % 3, &token);
+      ck_assert_str_eq (version, initial_version);
       free (version);
     }
-  snprintf (section, sizeof section, "version %s", first);
-  if (strcmp (first, "draft-small@4") == 0)
+  snprintf (section, sizeof section, "version %s", initial_version);
+  if (strcmp (initial_version, "draft-small@4") == 0)
     ck_assert (cluster_set_configuration_key (cluster, "rollout draft-small@4",
                                               "state", "aborted"));
   ck_assert (
       cluster_set_configuration_key (cluster, section, "state", "withdrawn"));
   WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
-  char *moved = session_call (0, &token);
-  ck_assert_str_ne (moved, first);
+  char *new_version = send_session_request (0, &token);
+  ck_assert_str_ne (new_version, initial_version);
   for (size_t i = 0; i < 6; i++)
     {
-      char *version = session_call (i % 3, &token);
-      ck_assert_str_eq (version, moved);
+      char *version = send_session_request (i % 3, &token);
+      ck_assert_str_eq (version, new_version);
       free (version);
     }
-  free (first);
-  free (moved);
+  free (initial_version);
+  free (new_version);
   buf_free (&token);
   has_passed = true;
 }
@@ -452,9 +452,10 @@
   ck_assert_uint_eq (counts.mismatched, 0);
   bool is_met;
   json_int_t expected_requests = before.requests + (json_int_t)counts.complete;
-  uint64_t began = harness_now_ms ();
+  uint64_t start_ms = harness_now_ms ();
   WAIT_UNTIL (all_bills_have (expected_requests), BILLING_WAIT_MS, &is_met);
-  printf ("billed in full after %" PRIu64 " ms\n", harness_now_ms () - began);
+  printf ("billed in full after %" PRIu64 " ms\n",
+          harness_now_ms () - start_ms);
   ck_assert_msg (is_met, "billed %d; %zu of %zu responses complete",
                  (int)(read_bill (0).requests - before.requests),
                  counts.complete, counts.finished);
@@ -517,16 +518,16 @@
   load_options_t load = chat_load_options ();
   runner = runner_start (&load);
   continue_load (500);
-  ck_assert_int_gt (zone_runs (zone), 0);
+  ck_assert_int_gt (count_zone_runs (zone), 0);
   ck_assert (cluster_set_configuration_key (
       cluster, "availability-zone nairobi-b", "state", "out"));
   harness_sleep_ms (PROPAGATION_MS);
-  json_int_t before = zone_runs (zone);
+  json_int_t before = count_zone_runs (zone);
   continue_load (SETTLE_MS);
-  ck_assert_int_eq (zone_runs (zone), before);
+  ck_assert_int_eq (count_zone_runs (zone), before);
   ck_assert (cluster_set_configuration_key (
       cluster, "availability-zone nairobi-b", "state", "in"));
-  WAIT_FOR (zone_runs (zone) > before, WAIT_MS);
+  WAIT_FOR (count_zone_runs (zone) > before, WAIT_MS);
   check_all_complete ();
   has_passed = true;
 }
@@ -848,9 +849,10 @@
 };
 
 /* Check for FOR_MS that no running process reports an older configuration
-   revision than its last one in SEEN.  */
+   revision than its last one in
+   LAST_REVISIONS.  */
 static void
-check_revisions (uint64_t seen[PROCESSES_MAX], uint64_t for_ms)
+check_revisions (uint64_t last_revisions[PROCESSES_MAX], uint64_t for_ms)
 {
   uint64_t end = harness_now_ms () + for_ms;
 
@@ -867,11 +869,11 @@
           continue;
         uint64_t now = cluster_revision_at (cluster, admin);
         /* A process that has just started reports revision 0.  */
-        ck_assert_msg (now >= seen[i] || now == 0,
+        ck_assert_msg (now >= last_revisions[i] || now == 0,
                        "%s reverted from revision %" PRIu64 " to %" PRIu64,
-                       proc_name (proc), seen[i], now);
+                       proc_name (proc), last_revisions[i], now);
         if (now > 0)
-          seen[i] = now;
+          last_revisions[i] = now;
       }
   while (harness_now_ms () < end);
 }
@@ -887,23 +889,23 @@
   const cluster_options_t options = {
     .entries = 3, .small_engines = 2, .services = 1, .with_proxies = true
   };
-  uint64_t seen[PROCESSES_MAX] = { 0 };
+  uint64_t last_revisions[PROCESSES_MAX] = { 0 };
   uint64_t conflicting_revision = 0;
 
   start_cluster (&options);
-  uint64_t old = cluster->revision;
+  uint64_t old_revision = cluster->revision;
   ck_assert (cluster_set_configuration_key (cluster, "version draft-small@4",
                                             "state", "withdrawn"));
-  uint64_t began = harness_now_ms ();
-  ck_assert_uint_gt (cluster->revision, old);
+  uint64_t start_ms = harness_now_ms ();
+  ck_assert_uint_gt (cluster->revision, old_revision);
   WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
   printf ("in force everywhere after %" PRIu64 " ms\n",
-          harness_now_ms () - began);
-  ck_assert_int_eq (cluster_apply_configuration (cluster, 1,
-                                                 cluster->configuration.ptr,
-                                                 old, &conflicting_revision),
-                    409);
-  check_revisions (seen, 200);
+          harness_now_ms () - start_ms);
+  ck_assert_int_eq (
+      cluster_apply_configuration (cluster, 1, cluster->configuration.ptr,
+                                   old_revision, &conflicting_revision),
+      409);
+  check_revisions (last_revisions, 200);
   ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
                                 "{\"outage\":\"silent\"}"));
   proc_kill (cluster->entries[2].proc);
@@ -914,7 +916,7 @@
       cluster_apply_configuration (cluster, 0, cluster->configuration.ptr,
                                    cluster->revision, &conflicting_revision),
       503);
-  check_revisions (seen, 2000);
+  check_revisions (last_revisions, 2000);
   /* Processes that start during the outage receive the configuration from
      their peers.  */
   WAIT_FOR (cluster_has_revision (cluster, cluster->revision), WAIT_MS);
@@ -927,7 +929,7 @@
               WAIT_MS, &is_met);
   ck_assert (is_met);
   WAIT_FOR (cluster_has_revision (cluster, cluster->revision), PROPAGATION_MS);
-  check_revisions (seen, 500);
+  check_revisions (last_revisions, 500);
   has_passed = true;
 }
 END_TEST
