--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -446,16 +446,16 @@
 {
   const cluster_t *cluster = bench->cluster;
 
-  use->bytes
-      += sign
-         * (cluster_metric (cluster, admin, "vanillahook_rpc_bytes_out_total")
-            + cluster_metric (cluster, admin,
-                              "vanillahook_rpc_bytes_in_total"));
+  use->bytes += sign
+                * (cluster_read_metric (cluster, admin,
+                                        "vanillahook_rpc_bytes_out_total")
+                   + cluster_read_metric (cluster, admin,
+                                          "vanillahook_rpc_bytes_in_total"));
   use->control_bytes
       += sign
-         * cluster_metric (cluster, admin,
-                           "vanillahook_rpc_control_bytes_out_total");
-  use->cpu_us += sign * (double)proc_cpu_us (proc);
+         * cluster_read_metric (cluster, admin,
+                                "vanillahook_rpc_control_bytes_out_total");
+  use->cpu_us += sign * (double)proc_read_cpu_us (proc);
 }
 
 /* Add SIGN times what entries, sidecars and engines have used.  */
@@ -472,7 +472,7 @@
     {
       const cluster_upstream_t *up = &cluster->upstreams[i];
       add_use (bench, up->sidecar, up->admin_port, sign, sidecars);
-      engines->cpu_us += sign * (double)proc_cpu_us (up->proc);
+      engines->cpu_us += sign * (double)proc_read_cpu_us (up->proc);
     }
 }
 
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -119,13 +119,13 @@
 measure_throughput (side_t *side, const proc_t *proc, uint64_t ms,
                     uint64_t seed, double *rate)
 {
-  uint64_t cpu = proc_cpu_us (proc);
+  uint64_t cpu = proc_read_cpu_us (proc);
   uint64_t began = harness_now_ms ();
 
   side_reset (side);
   run_load (side, ms, 0, seed);
   double seconds = (double)(harness_now_ms () - began) / 1000;
-  double busy = (double)(proc_cpu_us (proc) - cpu) / 1e6;
+  double busy = (double)(proc_read_cpu_us (proc) - cpu) / 1e6;
   *rate = (double)side->finished / seconds;
   return busy > 0 ? (double)side->finished / busy : 0;
 }
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -108,7 +108,7 @@
 static void
 restart_killed (chaos_t *chaos)
 {
-  if (!proc_running (chaos->faulted_proc))
+  if (!proc_is_running (chaos->faulted_proc))
     proc_restart (chaos->faulted_proc);
 }
 
@@ -299,14 +299,14 @@
 restart_dead_upstreams (chaos_t *chaos)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
-    if (!proc_running (chaos->cluster->upstreams[i].proc))
+    if (!proc_is_running (chaos->cluster->upstreams[i].proc))
       proc_restart (chaos->cluster->upstreams[i].proc);
 }
 
 static void
 restart_gracefully (chaos_t *chaos, proc_t *proc)
 {
-  if (!proc_running (proc))
+  if (!proc_is_running (proc))
     return;
   proc_signal (proc, SIGCONT);
   proc_signal (proc, SIGTERM);
@@ -356,7 +356,7 @@
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
       uint64_t now
-          = cluster_revision_at (cluster, cluster->entries[i].admin_port);
+          = cluster_read_revision (cluster, cluster->entries[i].admin_port);
       if (now > 0 && now < chaos->revisions[i])
         report_violation (chaos, CONFIGURATION_NEVER_REVERTS,
                           "%s: %" PRIu64 " after %" PRIu64,
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -257,7 +257,7 @@
       char file[64];
       snprintf (file, sizeof file, "%s.counts", upstream->name);
       snprintf (count_file_arg, sizeof count_file_arg, "--count-file=%s",
-                harness_path (cluster->harness, file));
+                harness_file_path (cluster->harness, file));
       args[count++] = count_file_arg;
       args[count++] = opts->service_arg;
       upstream->proc = harness_start_argv (cluster->harness, upstream->name,
@@ -413,7 +413,7 @@
 }
 
 uint64_t
-cluster_revision_at (const cluster_t *cluster, uint16_t admin)
+cluster_read_revision (const cluster_t *cluster, uint16_t admin)
 {
   json_t *root
       = rawhttp_json (cluster->host, admin, "/admin/configuration", NULL);
@@ -428,13 +428,13 @@
 cluster_has_revision (cluster_t *cluster, uint64_t revision)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (proc_running (cluster->entries[i].proc)
-        && cluster_revision_at (cluster, cluster->entries[i].admin_port)
+    if (proc_is_running (cluster->entries[i].proc)
+        && cluster_read_revision (cluster, cluster->entries[i].admin_port)
                < revision)
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (proc_running (cluster->upstreams[i].sidecar)
-        && cluster_revision_at (cluster, cluster->upstreams[i].admin_port)
+    if (proc_is_running (cluster->upstreams[i].sidecar)
+        && cluster_read_revision (cluster, cluster->upstreams[i].admin_port)
                < revision)
       return false;
   return true;
@@ -605,7 +605,8 @@
 }
 
 double
-cluster_metric (const cluster_t *cluster, uint16_t admin, const char *name)
+cluster_read_metric (const cluster_t *cluster, uint16_t admin,
+                     const char *name)
 {
   rawhttp_t http = rawhttp_call (cluster->host, admin, "GET", "/metrics", NULL,
                                  STR_NULL, START_WAIT_MS);
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -103,7 +103,7 @@
                                     const char *key, const char *value);
 /* Return the configuration revision that the process with admin port ADMIN
    uses, or 0 when the process does not report a revision.  */
-uint64_t cluster_revision_at (const cluster_t *cluster, uint16_t admin);
+uint64_t cluster_read_revision (const cluster_t *cluster, uint16_t admin);
 /* Return whether every running entry and sidecar uses configuration revision
    REVISION or a later one.  */
 bool cluster_has_revision (cluster_t *cluster, uint64_t revision);
@@ -139,7 +139,7 @@
                         uint64_t wait_ms);
 /* Return the value of counter or gauge NAME, summed over its label sets, at
    admin port ADMIN, or -1 when the process does not export NAME.  */
-double cluster_metric (const cluster_t *cluster, uint16_t admin,
-                       const char *name);
+double cluster_read_metric (const cluster_t *cluster, uint16_t admin,
+                            const char *name);
 
 #endif
--- a/tests/fuzz_entry.c
+++ b/tests/fuzz_entry.c
@@ -50,7 +50,7 @@
 
   ck_assert_int_eq (http.status, 200);
   rawhttp_close (&http);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
 }
 
 /* Complete requests with a damaged body: each is answered, and an answer with
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -186,7 +186,7 @@
 }
 
 const char *
-harness_path (harness_t *harness, const char *name)
+harness_file_path (harness_t *harness, const char *name)
 {
   path_t *path = mem_zalloc (sizeof *path);
   buf_t text = BUF_NULL;
@@ -200,7 +200,7 @@
 const char *
 harness_write_file (harness_t *harness, const char *name, str_t text)
 {
-  const char *path = harness_path (harness, name);
+  const char *path = harness_file_path (harness, name);
   FILE *file = fopen (path, "we");
 
   if (file == NULL || fwrite (text.ptr, 1, text.len, file) != text.len
@@ -317,7 +317,7 @@
 }
 
 bool
-proc_running (proc_t *proc)
+proc_is_running (proc_t *proc)
 {
   int status;
 
@@ -333,7 +333,7 @@
 void
 proc_restart (proc_t *proc)
 {
-  if (proc_running (proc))
+  if (proc_is_running (proc))
     abort ();
   /* proc_wait_port would take the old output for that of the new run.  */
   unlink (proc->paths[0]);
@@ -355,7 +355,7 @@
 }
 
 void
-proc_output (const proc_t *proc, bool is_stderr, buf_t *out)
+proc_read_output (const proc_t *proc, bool is_stderr, buf_t *out)
 {
   read_file (proc->paths[is_stderr], out);
 }
@@ -388,8 +388,8 @@
   while (is_running && harness_now_ms () < end)
     {
       buf_t text = BUF_NULL;
-      is_running = proc_running (proc);
-      proc_output (proc, false, &text);
+      is_running = proc_is_running (proc);
+      proc_read_output (proc, false, &text);
       uint16_t port = find_labeled_number (buf_str (&text), str_from (label));
       buf_free (&text);
       if (port != 0)
@@ -403,7 +403,7 @@
 proc_signal (proc_t *proc, int signum)
 {
   /* The process is not reaped yet, so its PID cannot have been reused.  */
-  if (proc_running (proc))
+  if (proc_is_running (proc))
     kill (proc->pid, signum);
 }
 
@@ -412,7 +412,7 @@
 {
   uint64_t end = harness_now_ms () + wait_ms;
 
-  while (proc_running (proc) && harness_now_ms () < end)
+  while (proc_is_running (proc) && harness_now_ms () < end)
     harness_sleep_ms (5);
   return proc->is_running ? -1 : proc->status;
 }
@@ -426,7 +426,7 @@
 }
 
 uint64_t
-proc_cpu_us (const proc_t *proc)
+proc_read_cpu_us (const proc_t *proc)
 {
   buf_t path = BUF_NULL;
   buf_t text = BUF_NULL;
@@ -456,7 +456,7 @@
 {
   buf_t text = BUF_NULL;
 
-  proc_output (proc, true, &text);
+  proc_read_output (proc, true, &text);
   size_t skip
       = text.len > OUTPUT_TAIL_BYTES ? text.len - OUTPUT_TAIL_BYTES : 0;
   if (text.len > 0)
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -31,7 +31,7 @@
                                 str_t text);
 /* Return the path of file NAME in the directory of HARNESS, owned by
    HARNESS.  */
-const char *harness_path (harness_t *harness, const char *name);
+const char *harness_file_path (harness_t *harness, const char *name);
 
 /* Start PROGRAM, a path relative to the build directory such as
    tests/standin_engine, with the arguments that follow, which end with NULL.
@@ -48,13 +48,13 @@
 pid_t proc_pid (const proc_t *proc);
 const char *proc_name (const proc_t *proc);
 /* Return whether PROC is running.  Reaps PROC when it has exited.  */
-bool proc_running (proc_t *proc);
+bool proc_is_running (proc_t *proc);
 /* Wait until the standard output of PROC has the line "LABEL NUMBER".  Return
    the number, or 0 when PROC exited or WAIT_MS passed.  */
 uint16_t proc_wait_port (proc_t *proc, const char *label, uint64_t wait_ms);
 /* Append everything that PROC wrote to its standard output, or standard error
    when IS_STDERR, to OUT.  */
-void proc_output (const proc_t *proc, bool is_stderr, buf_t *out);
+void proc_read_output (const proc_t *proc, bool is_stderr, buf_t *out);
 void proc_signal (proc_t *proc, int signum);
 /* Wait until PROC exits.  Return its exit status, 256 plus the signal number
    when a signal terminated PROC, or -1 when WAIT_MS passed.  */
@@ -62,7 +62,7 @@
 /* Send SIGKILL to PROC and reap it.  */
 void proc_kill (proc_t *proc);
 /* Return the user and system CPU time used by PROC, in microseconds.  */
-uint64_t proc_cpu_us (const proc_t *proc);
+uint64_t proc_read_cpu_us (const proc_t *proc);
 
 /* Return the time of the monotonic clock, in ms.  */
 uint64_t harness_now_ms (void);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -135,7 +135,7 @@
 
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      if (!proc_running (cluster->entries[i].proc))
+      if (!proc_is_running (cluster->entries[i].proc))
         continue;
       for (int k = 0; k < 10; k++)
         {
@@ -161,9 +161,9 @@
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
       buf_t log = BUF_NULL;
-      proc_output (cluster->entries[i].proc, true, &log);
+      proc_read_output (cluster->entries[i].proc, true, &log);
       buf_append_char (&log, '\0');
-      if (proc_running (cluster->entries[i].proc)
+      if (proc_is_running (cluster->entries[i].proc)
           && strstr (log.ptr, "steps the roll-outs now") != NULL)
         found = (int)i;
       buf_free (&log);
@@ -198,7 +198,7 @@
   while (harness_now_ms () < end_ms && strcmp (state, "halted") != 0)
     {
       send_chats (round++);
-      size_t reporter = proc_running (cluster->entries[0].proc) ? 0 : 1;
+      size_t reporter = proc_is_running (cluster->entries[0].proc) ? 0 : 1;
       read_rollout (reporter, state, sizeof state, &shown);
       int leader = find_leader ();
       if (!is_leader_killed && shown >= 2 && leader >= 0)
@@ -213,7 +213,7 @@
   /* Every running entry must report the roll-out as halted.  */
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      if (!proc_running (cluster->entries[i].proc))
+      if (!proc_is_running (cluster->entries[i].proc))
         continue;
       do
         {
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -366,7 +366,7 @@
   check_long_key ();
   check_large_body ();
   ck_assert_int_eq (count_all_runs (), before);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
   rawhttp_t http = cluster_chat (cluster, 0, NULL,
                                  CHAT_BODY ("draft-small", ""), WAIT_MS);
   ck_assert_int_eq (http.status, 200);
@@ -399,7 +399,7 @@
           = harness_start (harness, "bad", "bin/vanillahookd", "--settings",
                            path, i % 2 == 0 ? NULL : "--check", NULL);
       ck_assert_int_eq (proc_wait (proc, WAIT_MS), EXIT_BAD_SETTINGS);
-      proc_output (proc, true, &stderr_text);
+      proc_read_output (proc, true, &stderr_text);
       buf_append_char (&stderr_text, '\0');
       buf_printf (&want, "vanillahookd: %s%s%c", path, cases[i].want, '\0');
       ck_assert_msg (strstr (stderr_text.ptr, want.ptr) != NULL,
@@ -502,7 +502,7 @@
 
   check_partial_requests ();
   ck_assert_int_eq (count_all_runs (), before);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
   passed = true;
 }
 END_TEST
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -405,7 +405,7 @@
 all_bills_have (json_int_t requests)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (proc_running (cluster->entries[i].proc)
+    if (proc_is_running (cluster->entries[i].proc)
         && read_bill (i).requests != requests)
       return false;
   return true;
@@ -865,9 +865,9 @@
         proc_t *proc = is_entry ? cluster->entries[i].proc : up->sidecar;
         uint16_t admin
             = is_entry ? cluster->entries[i].admin_port : up->admin_port;
-        if (!proc_running (proc))
+        if (!proc_is_running (proc))
           continue;
-        uint64_t now = cluster_revision_at (cluster, admin);
+        uint64_t now = cluster_read_revision (cluster, admin);
         /* A process that has just started reports revision 0.  */
         ck_assert_msg (now >= last_revisions[i] || now == 0,
                        "%s reverted from revision %" PRIu64 " to %" PRIu64,
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -224,7 +224,7 @@
 START_TEST (service_counts_outlive_it)
 {
   uint16_t port;
-  const char *counts = harness_path (harness, "counts");
+  const char *counts = harness_file_path (harness, "counts");
   char option[300];
 
   snprintf (option, sizeof option, "--count-file=%s", counts);
@@ -374,7 +374,7 @@
       = harness_start (harness, "client", "tests/standin_client", target,
                        "--requests=20", "--service=x", NULL);
   ck_assert_int_eq (proc_wait (client, WAIT_MS), 0);
-  proc_output (client, false, &said);
+  proc_read_output (client, false, &said);
   ck_assert_ptr_nonnull (memmem (said.ptr, said.len, "whole 0\n", 8));
   ck_assert_ptr_nonnull (
       memmem (said.ptr, said.len, "end upstream_cut 20\n", 20));
--- a/tests/test_tls.c
+++ b/tests/test_tls.c
@@ -148,7 +148,7 @@
       harness_sleep_ms (STEP_MS);
     }
   ck_assert_str_eq (name, "two");
-  ck_assert (proc_running (daemon));
+  ck_assert (proc_is_running (daemon));
   passed = true;
 }
 END_TEST
