--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -80,7 +80,7 @@
 static bool
 wanted (const bench_t *bench, const char *name)
 {
-  return str_glob (bench->pattern, str_from (name));
+  return str_matches_glob (bench->pattern, str_from (name));
 }
 
 static void
@@ -501,7 +501,7 @@
   bool any = false;
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     any = any
-          || (str_starts (str_from (rows[i]), STR ("rest-"))
+          || (str_starts_with (str_from (rows[i]), STR ("rest-"))
               && wanted (bench, rows[i]));
   if (!any)
     return;
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -99,15 +99,15 @@
 static bool
 any_wanted (void)
 {
-  return str_glob (row_pattern, STR ("path-latency-p50"))
-         || str_glob (row_pattern, STR ("path-latency-p99"))
-         || str_glob (row_pattern, STR ("path-throughput"));
+  return str_matches_glob (row_pattern, STR ("path-latency-p50"))
+         || str_matches_glob (row_pattern, STR ("path-latency-p99"))
+         || str_matches_glob (row_pattern, STR ("path-throughput"));
 }
 
 static void
 print_row (const char *name, double baseline, double ours, const char *unit)
 {
-  if (!str_glob (row_pattern, str_from (name)))
+  if (!str_matches_glob (row_pattern, str_from (name)))
     return;
   printf ("bench %s baseline=%.1f ours=%.1f ratio=%.3f unit=%s\n", name,
           baseline, ours, baseline > 0 ? ours / baseline : 0, unit);
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -439,7 +439,7 @@
         report_violation (chaos, COMPLETE_RESPONSES, "%.*s",
                           STR_ARG (result->key));
       if (result->whole && !result->is_service
-          && !str_starts (result->version, STR ("draft-small@")))
+          && !str_starts_with (result->version, STR ("draft-small@")))
         report_violation (chaos, ONLY_PERMITTED_VERSIONS, "%.*s",
                           STR_ARG (result->version));
       if (!result->is_service)
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -619,7 +619,7 @@
       str_t line = str_cut (rest, '\n', &rest);
       const char *last_space = memrchr (line.ptr, ' ', line.len);
       double value;
-      if (!str_starts (line, metric_name) || line.len == metric_name.len
+      if (!str_starts_with (line, metric_name) || line.len == metric_name.len
           || last_space == NULL
           || (line.ptr[metric_name.len] != ' '
               && line.ptr[metric_name.len] != '{')
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -105,7 +105,7 @@
       CHECK (result.baseline.unfairness > 0.3);
       CHECK (result.policy.quiet_answered > 0.99);
       CHECK (result.policy.quiet_p99_ms < 2500);
-      CHECK (result.policy.goodput > 0.85 * 20 * 8 * MODEL_SPEED);
+      CHECK (result.policy.goodput > 0.85 * 20 * 8 * MODEL_SLOT_UNITS_PER_S);
     }
 }
 END_TEST
@@ -350,7 +350,7 @@
 
       check_common_bounds (&result, seed, 0.02);
       CHECK (result.policy.goodput > result.baseline.goodput);
-      CHECK (result.policy.goodput > 0.9 * 20 * 8 * MODEL_SPEED);
+      CHECK (result.policy.goodput > 0.9 * 20 * 8 * MODEL_SLOT_UNITS_PER_S);
       CHECK (result.policy.quiet_answered > 0.98);
     }
 }
