--- a/tests/fake_upstream.h
+++ b/tests/fake_upstream.h
@@ -1,4 +1,4 @@
-/* An upstream that answers by script.  */
+/* An HTTP upstream for tests that responds with a scripted list of actions. */
 
 #ifndef TESTS_FAKE_UPSTREAM_H
 #define TESTS_FAKE_UPSTREAM_H
@@ -10,45 +10,49 @@
 enum
 {
   BIG_EVENT_BYTES = 900000,
-  PAUSE_MS = 900
+  STREAM_PAUSE_MS = 900 /* Pause of ACT_STREAM_PAUSE.  */
 };
 
-/* What a scripted upstream does with a request.  */
+/* Reaction of a fake upstream to one request.  */
 typedef enum
 {
-  ACT_RESPOND,               /* 200 with a body of its own.  */
-  ACT_ERROR,                 /* 500 with its mac.  */
-  ACT_REFUSE_NOT_RUN,        /* 503, not run.  */
-  ACT_NO_RESPONSE,           /* Nothing.  */
-  ACT_RESET,                 /* Closes without a word.  */
-  ACT_TRUNCATE_BODY,         /* Half of the body that it announced.  */
-  ACT_OTHER_ATTEMPT_ID,      /* An answer to another attempt.  */
-  ACT_NO_MAC,                /* 200 without a mac.  */
-  ACT_STREAM,                /* Events, to the end.  */
-  ACT_STREAM_CUT_IN_EVENT,   /* Events, broken in the middle of one.  */
-  ACT_STREAM_LOW_CONFIDENCE, /* Events of a model that doubts itself.  */
-  ACT_STREAM_STALL,          /* Two events, then nothing.  */
-  ACT_STREAM_PAUSE,    /* Two events, a pause of PAUSE_MS, the others.  */
-  ACT_STREAM_BIG_EVENT /* One event of BIG_EVENT_BYTES.  */
+  ACT_RESPOND,             /* 200 with the upstream's ID in the body.  */
+  ACT_ERROR,               /* 500 with a response MAC.  */
+  ACT_REFUSE_NOT_RUN,      /* 503 with the `not run' header field.  */
+  ACT_NO_RESPONSE,         /* No response; the connection stays open.  */
+  ACT_RESET,               /* Connection reset without a response.  */
+  ACT_TRUNCATE_BODY,       /* 200 with a body shorter than Content-Length.  */
+  ACT_OTHER_ATTEMPT_ID,    /* 200 with the attempt ID of another request.  */
+  ACT_NO_MAC,              /* 200 without a response MAC.  */
+  ACT_STREAM,              /* A complete event stream.  */
+  ACT_STREAM_CUT_IN_EVENT, /* A stream closed in the middle of an event.  */
+  ACT_STREAM_LOW_CONFIDENCE, /* A complete stream, low confidence.  */
+  ACT_STREAM_STALL,          /* Two events; the connection stays open.  */
+  ACT_STREAM_PAUSE,          /* A complete stream with one pause.  */
+  ACT_STREAM_BIG_EVENT       /* A stream of one event of BIG_EVENT_BYTES.  */
 } fake_action_t;
 
 typedef struct fake_upstream fake_upstream_t;
 
+/* Listen on a loopback port of LOOP.  ID is copied; it is part of the response
+   bodies and MACs.  */
 fake_upstream_t *fake_upstream_create (uv_loop_t *loop, const char *id);
 void fake_upstream_destroy (fake_upstream_t *upstream);
-/* What comes next; the last one given holds on.  */
+/* Set the actions for the next requests.  The last action is repeated.  */
 void fake_upstream_script (fake_upstream_t *upstream,
-                           const fake_action_t *acts, size_t count);
-/* Requests that came, and the head of the last one.  */
+                           const fake_action_t *actions, size_t count);
+/* Return the number of complete requests received.  */
 size_t fake_upstream_request_count (const fake_upstream_t *upstream);
+/* Return the text of the last request, owned by UPSTREAM, or NULL before the
+   first one.  */
 const char *fake_upstream_last_request (const fake_upstream_t *upstream);
-/* Connections with a request whose other side closed before the answer was
-   over.  */
+/* Return the number of connections that the client closed after sending a
+   request or a part of one and before UPSTREAM finished the response.  */
 size_t fake_upstream_abort_count (const fake_upstream_t *upstream);
 
-/* Take no more connections, and say nothing on those there are: what its
-   callers see of an instance that lost its power, but that a connection is
-   refused rather than not answered.  */
+/* Stop listening and send nothing more on the open connections.  Simulates an
+   instance that lost power, except that new connections are refused instead
+   of timing out.  */
 void fake_upstream_go_silent (fake_upstream_t *upstream);
 
 uint16_t fake_upstream_port (const fake_upstream_t *upstream);
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -9,20 +9,20 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* h2o keeps freed blocks in a list of each thread and never gives them up.
-   The callers' thread ends before the program, so the leak checker finds its
-   list, and only that, without an owner.  */
-const char *__lsan_default_suppressions (void); /* NOLINT: its name.  */
+/* h2o keeps freed blocks in a thread-local list and never releases them.  The
+   load thread exits before the program, so LeakSanitizer reports the blocks of
+   that list as leaked.  */
+const char *__lsan_default_suppressions (void); /* NOLINT: name set by LSan. */
 
 const char *
-__lsan_default_suppressions (void) /* NOLINT: its name.  */
+__lsan_default_suppressions (void) /* NOLINT: name set by LSan.  */
 {
   return "leak:h2o_mem_alloc_recycle\n";
 }
 
 enum
 {
-  BODY_KEPT = 240
+  BODY_TAIL_BYTES = 240
 };
 
 struct runner
@@ -31,16 +31,16 @@
   pthread_t thread;
   uv_loop_t loop;
   load_t *load;
-  bool over;
-  bool joined;
+  bool has_ended;
+  bool is_joined;
   atomic_size_t finished;
-  record_t *records;
+  request_record_t *records;
   size_t count;
   size_t cap;
 };
 
 static str_t
-keep (str_t s, size_t limit)
+copy_prefix (str_t s, size_t limit)
 {
   if (s.len > limit)
     s.len = limit;
@@ -55,36 +55,36 @@
   if (runner->count == runner->cap)
     {
       runner->cap = runner->cap > 0 ? 2 * runner->cap : 256;
-      runner->records
-          = mem_realloc (runner->records, runner->cap * sizeof (record_t));
+      runner->records = mem_realloc (runner->records,
+                                     runner->cap * sizeof (request_record_t));
     }
-  record_t *record = &runner->records[runner->count++];
+  request_record_t *record = &runner->records[runner->count++];
   record->result = *result;
   record->ended_ms = harness_now_ms ();
-  record->result.key = keep (result->key, SIZE_MAX);
-  record->result.request_id = keep (result->request_id, SIZE_MAX);
-  record->result.outcome = keep (result->outcome, SIZE_MAX);
-  record->result.version = keep (result->version, SIZE_MAX);
-  /* The end of a long body tells more than its beginning.  */
+  record->result.key = copy_prefix (result->key, SIZE_MAX);
+  record->result.request_id = copy_prefix (result->request_id, SIZE_MAX);
+  record->result.outcome = copy_prefix (result->outcome, SIZE_MAX);
+  record->result.version = copy_prefix (result->version, SIZE_MAX);
+  /* Errors appear at the end of a long body rather than at its start.  */
   str_t body = result->body;
-  if (body.len > BODY_KEPT)
-    body = str_make (body.ptr + body.len - BODY_KEPT, BODY_KEPT);
-  record->result.body = keep (body, BODY_KEPT);
+  if (body.len > BODY_TAIL_BYTES)
+    body = str_make (body.ptr + body.len - BODY_TAIL_BYTES, BODY_TAIL_BYTES);
+  record->result.body = copy_prefix (body, BODY_TAIL_BYTES);
   atomic_fetch_add (&runner->finished, 1);
 }
 
 static void
-on_over (void *arg)
+on_load_ended (void *arg)
 {
-  ((runner_t *)arg)->over = true;
+  ((runner_t *)arg)->has_ended = true;
 }
 
 static void *
-run (void *arg)
+run_loop (void *arg)
 {
   runner_t *runner = arg;
 
-  while (!runner->over)
+  while (!runner->has_ended)
     uv_run (&runner->loop, UV_RUN_ONCE);
   return NULL;
 }
@@ -96,12 +96,12 @@
 
   runner->options = *options;
   runner->options.finished = on_finished;
-  runner->options.over = on_over;
+  runner->options.over = on_load_ended;
   runner->options.arg = runner;
   uv_loop_init (&runner->loop);
   runner->load = load_create (&runner->loop, &runner->options);
   if (runner->load == NULL
-      || pthread_create (&runner->thread, NULL, run, runner) != 0)
+      || pthread_create (&runner->thread, NULL, run_loop, runner) != 0)
     abort ();
   return runner;
 }
@@ -109,12 +109,13 @@
 void
 runner_stop (runner_t *runner)
 {
-  if (runner->joined)
+  if (runner->is_joined)
     return;
   load_stop (runner->load);
   pthread_join (runner->thread, NULL);
-  runner->joined = true;
-  /* Only now: a load that reached its end may still be told to stop.  */
+  runner->is_joined = true;
+  /* Destroyed only here because load_stop above may be called on a load that
+     has already ended.  */
   load_destroy (runner->load);
   uv_run (&runner->loop, UV_RUN_DEFAULT);
   uv_loop_close (&runner->loop);
@@ -126,43 +127,43 @@
   return atomic_load (&runner->finished);
 }
 
-const record_t *
-runner_at (const runner_t *runner, size_t index)
+const request_record_t *
+runner_record_at (const runner_t *runner, size_t index)
 {
   return index < runner->count ? &runner->records[index] : NULL;
 }
 
-tally_t
-runner_tally (const runner_t *runner)
+result_counts_t
+runner_count_results (const runner_t *runner)
 {
-  tally_t tally = { 0 };
+  result_counts_t counts = { 0 };
 
   for (size_t i = 0; i < runner->count; i++)
     {
       const load_result_t *result = &runner->records[i].result;
-      tally.finished++;
-      tally.whole += result->whole;
-      tally.wrong += result->wrong;
-      tally.cut += result->code != VH_OK;
+      counts.finished++;
+      counts.complete += result->whole;
+      counts.mismatched += result->wrong;
+      counts.transport_failed += result->code != VH_OK;
       if (result->whole)
         {
-          if (result->total_us > tally.longest_us)
-            tally.longest_us = result->total_us;
-          if (result->between_us > tally.longest_wait_us)
-            tally.longest_wait_us = result->between_us;
+          if (result->total_us > counts.longest_request_us)
+            counts.longest_request_us = result->total_us;
+          if (result->between_us > counts.longest_gap_us)
+            counts.longest_gap_us = result->between_us;
         }
       else if (str_eq (result->outcome, STR ("not-run")))
-        tally.not_run++;
+        counts.not_run++;
       else if (str_eq (result->outcome, STR ("unknown")))
-        tally.unknown++;
+        counts.unknown++;
       else
-        tally.untold++;
+        counts.without_outcome++;
     }
-  return tally;
+  return counts;
 }
 
 void
-runner_complain (const runner_t *runner, size_t limit)
+runner_print_failures (const runner_t *runner, size_t limit)
 {
   for (size_t i = 0; i < runner->count && limit > 0; i++)
     {
