--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -42,7 +42,7 @@
 } target_load_t;
 
 static void
-on_request_finished (void *arg, const load_result_t *result)
+on_request_finished (void *arg, const loadgen_result_t *result)
 {
   target_load_t *target_load = arg;
 
@@ -64,7 +64,7 @@
 generate_load (target_load_t *target_load, uint64_t duration_ms, double rate,
                uint64_t seed)
 {
-  const load_options_t options
+  const loadgen_options_t options
       = { .targets = &target_load->target,
           .target_count = 1,
           .concurrency
@@ -83,10 +83,10 @@
 
   target_load->is_over = false;
   uv_loop_init (&loop);
-  load_t *load = load_create (&loop, &options);
+  load_t *load = loadgen_create (&loop, &options);
   while (!target_load->is_over)
     uv_run (&loop, UV_RUN_ONCE);
-  load_destroy (load);
+  loadgen_destroy (load);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
 }
@@ -236,8 +236,8 @@
   seconds->ival[0] = 8;
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
-  standin_args (argc, argv, argtable,
-                "Measures the overhead of the path over direct calls.");
+  standin_parse_args (argc, argv, argtable,
+                      "Measures the overhead of the path over direct calls.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_path: 1 to %d seconds\n", SECONDS_MAX);
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -434,7 +434,7 @@
 
   for (size_t i = 0; (record = runner_record_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       if (result->wrong)
         report_violation (chaos, COMPLETE_RESPONSES, "%.*s",
                           STR_ARG (result->key));
@@ -544,20 +544,20 @@
       targets[i] = str_from (text[2 * i]);
       health[i] = str_from (text[2 * i + 1]);
     }
-  load_options_t options = { .targets = targets,
-                             .target_count = cluster->entry_count,
-                             .health = health,
-                             .concurrency = 6,
-                             .duration_ms = (uint64_t)SECONDS_MAX * 1000,
-                             .seed = seed,
-                             .stream_share = 0.5,
-                             .api_key = STR (CLUSTER_API_KEY),
-                             .model = STR ("draft-small"),
-                             .key_prefix = STR ("chat"),
-                             .max_tokens = 20,
-                             .prompt_bytes = 60,
-                             .timeout_ms = 8000,
-                             .resends = 5 };
+  loadgen_options_t options = { .targets = targets,
+                                .target_count = cluster->entry_count,
+                                .health = health,
+                                .concurrency = 6,
+                                .duration_ms = (uint64_t)SECONDS_MAX * 1000,
+                                .seed = seed,
+                                .stream_share = 0.5,
+                                .api_key = STR (CLUSTER_API_KEY),
+                                .model = STR ("draft-small"),
+                                .key_prefix = STR ("chat"),
+                                .max_tokens = 20,
+                                .prompt_bytes = 60,
+                                .timeout_ms = 8000,
+                                .resends = 5 };
   /* Wait until the requests of cluster_create are billed.  */
   harness_sleep_ms (SETTLE_MS);
   json_int_t before = read_billed_requests (cluster);
@@ -628,8 +628,8 @@
 
   seed->ival[0] = 1;
   seconds->ival[0] = 30;
-  standin_args (argc, argv, argtable,
-                "Send load, inject faults and check the guarantees.");
+  standin_parse_args (argc, argv, argtable,
+                      "Send load, inject faults and check the guarantees.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "chaos: --seconds must be from 1 to %d\n", SECONDS_MAX);
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -12,7 +12,7 @@
    long body.  */
 typedef struct
 {
-  load_result_t result;
+  loadgen_result_t result;
   uint64_t ended_ms; /* Time of the end, from harness_now_ms.  */
 } request_record_t;
 
@@ -34,7 +34,7 @@
 
 /* Start the load generator in a new thread.  The strings of OPTIONS must
    outlive the runner.  */
-runner_t *runner_start (const load_options_t *options);
+runner_t *runner_start (const loadgen_options_t *options);
 /* Stop starting requests and wait until the pending ones finish.  May be
    called more than once.  */
 void runner_stop (runner_t *runner);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -64,8 +64,8 @@
   static const char body[]
       = "{\"model\":\"draft-small@3\",\"stream\":true,\"max_tokens\":120,"
         "\"messages\":[{\"role\":\"user\",\"content\":\"a long roof\"}]}";
-  reading_t resumed = { 0 };
-  reading_t expected = { 0 };
+  parsed_answer_t resumed = { 0 };
+  parsed_answer_t expected = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
@@ -83,16 +83,16 @@
                                   : &cluster->upstreams[0];
   rawhttp_t direct = rawhttp_call (cluster->host, other->port, "POST", CHAT,
                                    JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &resumed));
-  ck_assert (answer_read_stream (buf_str (&direct.body), &expected));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &resumed));
+  ck_assert (answer_parse_stream (buf_str (&direct.body), &expected));
   ck_assert (!resumed.error);
   ck_assert_uint_eq (expected.tokens, STREAM_TOKENS);
   ck_assert_msg (str_eq (buf_str (&resumed.text), buf_str (&expected.text)),
                  "resumed text: %.*s", STR_ARG (buf_str (&resumed.text)));
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&resumed);
-  answer_reading_free (&expected);
+  parsed_answer_free (&resumed);
+  parsed_answer_free (&expected);
   has_passed = true;
 }
 END_TEST
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -35,7 +35,7 @@
 /* A load and the totals of its results.  */
 typedef struct
 {
-  load_options_t options;
+  loadgen_options_t options;
   uv_loop_t *loop;
   unsigned *unfinished_loads; /* Number of unfinished loads on LOOP.  */
   uint64_t finished;
@@ -76,7 +76,7 @@
 }
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   load_run_t *results = arg;
 
@@ -176,12 +176,12 @@
       results[i].options.targets = &target;
       results[i].options.target_count = 1;
       results[i].options.arg = &results[i];
-      loads[i] = load_create (&loop, &results[i].options);
+      loads[i] = loadgen_create (&loop, &results[i].options);
       ck_assert_ptr_nonnull (loads[i]);
     }
   uv_run (&loop, UV_RUN_DEFAULT);
   for (unsigned i = 0; i < count; i++)
-    load_destroy (loads[i]);
+    loadgen_destroy (loads[i]);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
   for (unsigned i = 0; i < count; i++)
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -78,27 +78,27 @@
 }
 
 /* Return the options of a chat load on all entries.  */
-static load_options_t
+static loadgen_options_t
 chat_load_options (void)
 {
-  return (load_options_t){ .targets = targets,
-                           .target_count = cluster->entry_count,
-                           .health = health,
-                           .concurrency = 8,
-                           .duration_ms = 60000,
-                           .seed = 1,
-                           .stream_share = 0.5,
-                           .api_key = STR (CLUSTER_API_KEY),
-                           .model = STR ("draft-small"),
-                           .max_tokens = 10,
-                           .prompt_bytes = 40,
-                           .timeout_ms = WAIT_MS };
-}
-
-static load_options_t
+  return (loadgen_options_t){ .targets = targets,
+                              .target_count = cluster->entry_count,
+                              .health = health,
+                              .concurrency = 8,
+                              .duration_ms = 60000,
+                              .seed = 1,
+                              .stream_share = 0.5,
+                              .api_key = STR (CLUSTER_API_KEY),
+                              .model = STR ("draft-small"),
+                              .max_tokens = 10,
+                              .prompt_bytes = 40,
+                              .timeout_ms = WAIT_MS };
+}
+
+static loadgen_options_t
 service_load_options (void)
 {
-  load_options_t options = chat_load_options ();
+  loadgen_options_t options = chat_load_options ();
 
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
@@ -238,7 +238,7 @@
       rawhttp_close (&http);
     }
   ck_assert_int_eq (count_zone_runs (NULL), before);
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.api_key = STR (CLUSTER_OTHER_API_KEY);
   load.model = STR ("draft");
   load.requests = 200;
@@ -270,7 +270,7 @@
   static const char body[] = CHAT_BODY ("draft-small@3", "");
 
   start_cluster (&options);
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.target_count = 1;
   runner = runner_start (&load);
   continue_load (300);
@@ -301,7 +301,7 @@
 send_session_request (size_t entry, buf_t *token)
 {
   buf_t header = BUF_NULL;
-  reading_t reading = { 0 };
+  parsed_answer_t reading = { 0 };
 
   if (token->len > 0)
     buf_printf (&header, "vanillahook-session: %.*s\r\n",
@@ -311,13 +311,13 @@
                                  CHAT_BODY ("draft-small", ""), WAIT_MS);
   ck_assert_msg (http.status == 200, "%d: %.*s", http.status,
                  STR_ARG (buf_str (&http.body)));
-  ck_assert (answer_read_whole (buf_str (&http.body), &reading));
+  ck_assert (answer_parse_json (buf_str (&http.body), &reading));
   str_t next = rawhttp_header (&http, "vanillahook-session");
   ck_assert_uint_gt (next.len, 0);
   token->len = 0;
   buf_append_str (token, next);
   char *version = str_dup (buf_str (&reading.version));
-  answer_reading_free (&reading);
+  parsed_answer_free (&reading);
   rawhttp_close (&http);
   buf_free (&header);
   return version;
@@ -431,7 +431,7 @@
   bill_t before = read_bill (0);
   ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
                                 "{\"lost_reply_share\":0.3}"));
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("bill");
@@ -479,7 +479,7 @@
 
   start_cluster (&options);
   cluster_upstream_t *engine = find_upstream ("small-1");
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.concurrency = 48;
   runner = runner_start (&load);
   harness_sleep_ms (5000);
@@ -515,7 +515,7 @@
   static const char zone[] = "nairobi-b";
 
   start_cluster (&options);
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   runner = runner_start (&load);
   continue_load (500);
   ck_assert_int_gt (count_zone_runs (zone), 0);
@@ -571,7 +571,7 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.max_tokens = 50;
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
@@ -608,7 +608,7 @@
 
   for (size_t i = 0; (record = runner_record_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       json_int_t runs = count_runs (result->key);
       ck_assert_msg (runs <= 1, "%.*s ran %d times", STR_ARG (result->key),
                      (int)runs);
@@ -653,7 +653,7 @@
                                       .service_arg = "--delay-ms=30" };
 
   start_cluster (&options);
-  load_options_t load = service_load_options ();
+  loadgen_options_t load = service_load_options ();
   load.deadline_ms = 2500;
   load.resends = 0;
   runner = runner_start (&load);
@@ -751,7 +751,7 @@
                                       .service_arg = "--delay-ms=20" };
 
   start_cluster (&options);
-  load_options_t load = service_load_options ();
+  loadgen_options_t load = service_load_options ();
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
@@ -780,7 +780,7 @@
 
   start_cluster (&options);
   engine = find_upstream ("small-2");
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   runner = runner_start (&load);
   continue_load (500);
   if (_i == 0)
@@ -810,7 +810,7 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load_options ();
+  loadgen_options_t load = chat_load_options ();
   load.max_tokens = 50;
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
