--- a/tests/standins/answer.c
+++ b/tests/standins/answer.c
@@ -7,13 +7,14 @@
 
 enum
 {
-  WORD_COUNT = 16
+  VOCABULARY_SIZE = 16
 };
 
-/* How far a request's quality may lie from its version's mean.  */
-static const double quality_spread = 0.1;
+/* Largest difference between the quality of one answer and the mean quality
+   of its version.  */
+static const double max_quality_deviation = 0.1;
 
-static const char *const words[WORD_COUNT]
+static const char *const vocabulary[VOCABULARY_SIZE]
     = { "coral", "rafter", "slate", "depth", "ridge", "survey",
         "lime",  "beam",   "guide", "slope", "lift",  "gutter",
         "stone", "drift",  "tile",  "shed" };
@@ -46,14 +47,16 @@
 }
 
 answer_t
-answer_make (str_t version, double mean, str_t prompt, uint32_t max_tokens)
+answer_make (str_t version, double mean_quality, str_t prompt,
+             uint32_t max_tokens)
 {
   answer_t answer;
 
   answer.seed = str_hash (prompt, str_hash (version, 1));
   answer.tokens = max_tokens > 0 ? max_tokens : ANSWER_DEFAULT_TOKENS;
   rng_t rng = rng_make (answer.seed);
-  double quality = mean + (2 * rng_double (&rng) - 1) * quality_spread;
+  double quality
+      = mean_quality + (2 * rng_double (&rng) - 1) * max_quality_deviation;
   answer.quality = quality < 0 ? 0 : quality > 1 ? 1 : quality;
   return answer;
 }
@@ -67,9 +70,9 @@
       return;
     }
   rng_t rng = rng_make (answer->seed + index);
-  uint64_t draw = rng_u64 (&rng);
-  buf_printf (out, " %s%" PRIu64, words[draw % WORD_COUNT],
-              (draw >> 32) % 1000);
+  uint64_t random = rng_u64 (&rng);
+  buf_printf (out, " %s%" PRIu64, vocabulary[random % VOCABULARY_SIZE],
+              (random >> 32) % 1000);
 }
 
 void
@@ -96,22 +99,24 @@
 bool
 answer_matches (const answer_t *answer, str_t text)
 {
-  buf_t want = BUF_NULL;
-  bool same;
-
-  answer_text (answer, &want);
-  same = text.len == want.len && text.len >= ANSWER_MARKER_LEN
-         && memcmp (text.ptr, "quality=", strlen ("quality=")) == 0
-         && memcmp (text.ptr + ANSWER_MARKER_LEN, want.ptr + ANSWER_MARKER_LEN,
-                    text.len - ANSWER_MARKER_LEN)
-                == 0;
-  buf_free (&want);
-  return same;
+  buf_t expected = BUF_NULL;
+  bool is_equal;
+
+  answer_text (answer, &expected);
+  is_equal = text.len == expected.len && text.len >= ANSWER_MARKER_LEN
+             && memcmp (text.ptr, "quality=", strlen ("quality=")) == 0
+             && memcmp (text.ptr + ANSWER_MARKER_LEN,
+                        expected.ptr + ANSWER_MARKER_LEN,
+                        text.len - ANSWER_MARKER_LEN)
+                    == 0;
+  buf_free (&expected);
+  return is_equal;
 }
 
-/* Take what ROOT, an event or a whole answer, tells besides its text.  */
+/* Copy the version, the token count and the error flag from ROOT, which is a
+   stream event or a JSON answer, to READING.  */
 static void
-read_common (const json_t *root, reading_t *reading)
+read_metadata (const json_t *root, reading_t *reading)
 {
   const json_t *model = json_object_get (root, "model");
   const json_t *usage = json_object_get (root, "usage");
@@ -127,10 +132,11 @@
   buf_append_str (&reading->version, str_from (json_string_value (model)));
 }
 
-/* Take the text under PART of the first choice of ROOT; return whether there
-   was one.  */
+/* Append the content of the first choice of ROOT to the text of READING.
+   PART is "delta" in a stream event and "message" in a JSON answer.  Return
+   false if ROOT has no content.  */
 static bool
-read_text (const json_t *root, const char *part, reading_t *reading)
+read_choice_text (const json_t *root, const char *part, reading_t *reading)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *content
@@ -147,7 +153,7 @@
 answer_read_stream (str_t body, reading_t *reading)
 {
   str_t rest = body;
-  bool done = false;
+  bool has_done_event = false;
 
   while (rest.ptr != NULL && rest.len > 0)
     {
@@ -158,26 +164,26 @@
       line = str_make (line.ptr + prefix.len, line.len - prefix.len);
       if (str_eq (line, STR ("[DONE]")))
         {
-          done = true;
+          has_done_event = true;
           continue;
         }
       json_t *root = json_loadb (line.ptr, line.len, 0, NULL);
-      read_common (root, reading);
-      read_text (root, "delta", reading);
+      read_metadata (root, reading);
+      read_choice_text (root, "delta", reading);
       json_decref (root);
     }
-  return done && !reading->error;
+  return has_done_event && !reading->error;
 }
 
 bool
 answer_read_whole (str_t body, reading_t *reading)
 {
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
-  bool found = read_text (root, "message", reading);
+  bool has_text = read_choice_text (root, "message", reading);
 
-  read_common (root, reading);
+  read_metadata (root, reading);
   json_decref (root);
-  return found;
+  return has_text;
 }
 
 void
--- a/tests/standins/answer.h
+++ b/tests/standins/answer.h
@@ -1,5 +1,5 @@
-/* The text that the engine stand-in answers, as a pure function of the
-   request, so that a checker can tell every byte of every answer.  */
+/* The answers of the engine and service stand-ins.  They are pure functions
+   of the request, so that a test can verify every byte of an answer.  */
 
 #ifndef STANDINS_ANSWER_H
 #define STANDINS_ANSWER_H
@@ -16,48 +16,52 @@
 
 typedef struct
 {
-  uint64_t seed;   /* Of version and prompt.  */
-  double quality;  /* Drawn for this request around the version's mean.  */
-  uint32_t tokens; /* Length of the answer.  */
+  uint64_t seed;   /* Hash of the version and the prompt.  */
+  double quality;  /* Mean quality of the version plus noise, 0 to 1.  */
+  uint32_t tokens; /* Length of the answer in tokens.  */
 } answer_t;
 
-/* Append to OUT what the engine takes as the prompt of a chat request's
-   MESSAGES: each role and content.  */
+/* Append the prompt to OUT that the engine derives from the MESSAGES of a chat
+   request: the role and the content of each.  */
 void answer_prompt (const json_t *messages, buf_t *out);
 
-/* Plan the answer of VERSION (MODEL@VERSION), whose mean quality is MEAN, to
-   PROMPT in MAX_TOKENS tokens (0: the default).  */
-answer_t answer_make (str_t version, double mean, str_t prompt,
+/* Return the answer of VERSION (MODEL@VERSION), whose mean quality is
+   MEAN_QUALITY, to PROMPT.  MAX_TOKENS is the length of the answer; 0 means
+   ANSWER_DEFAULT_TOKENS.  */
+answer_t answer_make (str_t version, double mean_quality, str_t prompt,
                       uint32_t max_tokens);
 
-/* Append token INDEX of ANSWER; the first one is the quality marker.  */
+/* Append token INDEX of ANSWER to OUT.  Token 0 is the quality marker,
+   "quality=0.00".  */
 void answer_token (const answer_t *answer, uint32_t index, buf_t *out);
 
-/* Append the whole text of ANSWER.  */
+/* Append the complete text of ANSWER to OUT.  */
 void answer_text (const answer_t *answer, buf_t *out);
 
-/* Tell whether TEXT is the whole of ANSWER.  The figure of the quality
-   marker may differ, as a version may turn bad between two runs.  */
+/* Return whether TEXT is the complete text of ANSWER.  The number in the
+   quality marker is not compared, since a test may change the quality of a
+   version between two requests.  */
 bool answer_matches (const answer_t *answer, str_t text);
 
-/* What a caller reads out of the body of an answer.  */
+/* Contents of a response body, as a caller parses it.  */
 typedef struct
 {
   buf_t text;
-  buf_t version; /* MODEL@VERSION, by the engine's own word.  */
-  uint32_t tokens;
-  bool error; /* An error was told, in the stream or instead of it.  */
+  buf_t version;   /* MODEL@VERSION in the field "model".  */
+  uint32_t tokens; /* Number of completion tokens in the usage object.  */
+  bool error;      /* The body or a stream event has an "error" field.  */
 } reading_t;
 
-/* Read the server-sent events BODY; return whether their proper end was
-   there.  */
+/* Parse BODY as server-sent events into READING.  Return whether the stream
+   is complete: it has a [DONE] event and no error.  */
 bool answer_read_stream (str_t body, reading_t *reading);
-/* Read the JSON answer BODY; return whether it was one.  */
+/* Parse BODY as a JSON answer into READING.  Return whether it has a
+   text.  */
 bool answer_read_whole (str_t body, reading_t *reading);
 void answer_reading_free (reading_t *reading);
 
-/* Append the answer of the service stand-in to METHOD on PATH, of which only
-   the last part counts, with BODY.  */
+/* Append the answer of the service stand-in to a request to OUT.  It depends
+   on METHOD, BODY and the last segment of PATH.  */
 void answer_service (str_t method, str_t path, str_t body, buf_t *out);
 
 #endif
--- a/tests/standins/common.c
+++ b/tests/standins/common.c
@@ -11,27 +11,27 @@
 enum
 {
   EXIT_USAGE = 2,
-  BODY_LIMIT = 64 << 20,
+  MAX_BODY_BYTES = 64 << 20,
   MAX_ERRORS_SHOWN = 5
 };
 
 void
-standin_args (int argc, char **argv, void **argtable, const char *what)
+standin_args (int argc, char **argv, void **argtable, const char *description)
 {
-  int last = 0;
+  int end_index = 0;
 
   if (arg_nullcheck (argtable) != 0)
     abort ();
-  while (((struct arg_hdr *)argtable[last])->flag != ARG_TERMINATOR)
-    last++;
+  while (((struct arg_hdr *)argtable[end_index])->flag != ARG_TERMINATOR)
+    end_index++;
   struct arg_lit *help = argtable[0];
-  struct arg_end *end = argtable[last];
+  struct arg_end *end = argtable[end_index];
   int errors = arg_parse (argc, argv, argtable);
   if (help->count > 0)
     {
       printf ("Usage: %s", argv[0]);
       arg_print_syntax (stdout, argtable, "\n");
-      printf ("%s\n\n", what);
+      printf ("%s\n\n", description);
       arg_print_glossary (stdout, argtable, "  %-34s %s\n");
       exit (EXIT_SUCCESS);
     }
@@ -45,10 +45,11 @@
 httpd_t *
 standin_listen (uv_loop_t *loop, const char *address, httpd_handler_t handler)
 {
-  const httpd_options_t options = { .body_limit = BODY_LIMIT };
+  const httpd_options_t options = { .body_limit = MAX_BODY_BYTES };
   httpd_t *server;
 
-  /* A cut answer is written to a socket that is shut.  */
+  /* A write to a connection that the client has closed must return EPIPE
+     instead of ending the process.  */
   signal (SIGPIPE, SIG_IGN);
   if (httpd_create (loop, str_from (address), &options, handler, NULL, &server)
       != VH_OK)
@@ -59,7 +60,7 @@
   return server;
 }
 
-/* A stand-in keeps nothing, so nothing is put away before its end.  */
+/* Exits at once: a stand-in holds no state that must be saved.  */
 static void
 on_signal (uv_signal_t *handle, int signum)
 {
@@ -72,13 +73,13 @@
 void
 standin_run (uv_loop_t *loop, uint16_t port)
 {
-  static uv_signal_t term;
-  static uv_signal_t interrupt;
+  static uv_signal_t term_signal;
+  static uv_signal_t interrupt_signal;
 
-  uv_signal_init (loop, &term);
-  uv_signal_start (&term, on_signal, SIGTERM);
-  uv_signal_init (loop, &interrupt);
-  uv_signal_start (&interrupt, on_signal, SIGINT);
+  uv_signal_init (loop, &term_signal);
+  uv_signal_start (&term_signal, on_signal, SIGTERM);
+  uv_signal_init (loop, &interrupt_signal);
+  uv_signal_start (&interrupt_signal, on_signal, SIGINT);
   printf ("listening %u\n", port);
   fflush (stdout);
   uv_run (loop, UV_RUN_DEFAULT);
--- a/tests/standins/common.h
+++ b/tests/standins/common.h
@@ -1,5 +1,5 @@
-/* What every stand-in does the same way: read its command line, say where it
-   listens, end on SIGTERM.  */
+/* Functions that all stand-in servers share: command line, listening socket,
+   JSON replies, exit on SIGTERM.  */
 
 #ifndef STANDINS_COMMON_H
 #define STANDINS_COMMON_H
@@ -11,11 +11,13 @@
 #include <uv.h>
 
 /* Parse the command line into ARGTABLE, whose last entry is END and whose
-   first is HELP (arg_lit_t).  Print the help and exit 0 when asked for it,
-   complain and exit 2 when something is wrong.  */
-void standin_args (int argc, char **argv, void **argtable, const char *what);
+   first is HELP (arg_lit_t).  With --help print the usage and DESCRIPTION and
+   exit 0; on an invalid command line print the errors and exit 2.  */
+void standin_args (int argc, char **argv, void **argtable,
+                   const char *description);
 
-/* Serve ADDRESS with HANDLER; exit 1 when it cannot be had.  */
+/* Serve HTTP on ADDRESS (HOST:PORT) with HANDLER and ignore SIGPIPE.  Exit 1
+   if the address cannot be bound.  */
 httpd_t *standin_listen (uv_loop_t *loop, const char *address,
                          httpd_handler_t handler);
 
@@ -23,10 +25,11 @@
    0.  */
 void standin_run (uv_loop_t *loop, uint16_t port);
 
-/* Answer STATUS with VALUE, whose reference is taken.  */
+/* Reply to REQ with STATUS and the JSON text of VALUE, whose reference is
+   consumed.  */
 void standin_reply_json (httpd_req_t *req, int status, json_t *value);
 
-/* Answer STATUS with an OpenAI-style error.  */
+/* Reply to REQ with STATUS and an error object in the format of OpenAI.  */
 void standin_reply_error (httpd_req_t *req, int status, const char *message);
 
 #endif
--- a/tests/standins/load.c
+++ b/tests/standins/load.c
@@ -13,17 +13,20 @@
 enum
 {
   TICK_MS = 1,
-  KEEP = 256,
+  MAX_IDLE_CONNECTIONS = 256,
   MAX_HEADERS = 6,
-  /* Above it a tick would send bursts, whose queueing is no one's latency;
-     then the loop turns without sleep and each request leaves on time.  */
-  TICK_RATE_MAX = 500,
-  /* The platform's balancer asks this often; one failure is enough.  */
-  HEALTH_MS = 100,
+  /* Highest rate, in requests a second, that the tick timer serves.  At a
+     higher rate each tick would send a burst, and the latencies would include
+     queueing that the burst itself causes; an idle handle then keeps the loop
+     running without sleep, so that each request is sent on time.  */
+  MAX_TICK_RATE = 500,
+  /* Interval of the health checks, as in the platform's load balancer.  One
+     failed check makes a target unready.  */
+  HEALTH_INTERVAL_MS = 100,
   HEALTH_TIMEOUT_MS = 500,
-  HEALTH_BODY_MAX = 4096,
+  MAX_HEALTH_BODY_BYTES = 4096,
   HTTP_OK = 200,
-  RESEND_WAIT_MS = 200,
+  RESEND_DELAY_MS = 200,
   DEFAULT_TIMEOUT_MS = 30000
 };
 
@@ -33,44 +36,45 @@
   load_t *load;
   load_result_t result;
   size_t target;
-  unsigned refusals; /* Targets that took no connection, in a row.  */
-  uint64_t last_us;
+  /* Number of successive targets that refused the connection.  */
+  unsigned refused_connections;
+  uint64_t last_chunk_us; /* Time of the last body chunk.  */
   buf_t prompt;
-  buf_t body; /* Sent.  */
+  buf_t request_body;
   buf_t path;
-  buf_t key;
-  buf_t received;
+  buf_t idempotency_key;
+  buf_t response_body;
   buf_t request_id;
   buf_t outcome;
   buf_t version;
   uint32_t max_tokens;
-  uv_timer_t wait;
+  uv_timer_t resend_timer;
 } request_t;
 
-/* What the platform's balancer knows of a target.  */
+/* Health of a target, as the platform's load balancer sees it.  */
 typedef struct
 {
   load_t *load;
-  httpc_t *client; /* Of its operators' port; NULL: never asked.  */
-  httpc_call_t *call;
-  bool ready;
-} health_t;
+  httpc_t *client;    /* Client of the operators' port; NULL: not checked.  */
+  httpc_call_t *call; /* Health check in flight; NULL if there is none.  */
+  bool is_ready;
+} target_health_t;
 
 struct load
 {
   uv_loop_t *loop;
   const load_options_t *options;
   httpc_t **clients;
-  health_t *health; /* One for each target.  */
-  uv_timer_t check; /* Until the next question to all.  */
-  uv_timer_t tick;
-  uv_idle_t spin; /* Keeps the loop turning at high rates.  */
+  target_health_t *health; /* Array of one element for each target.  */
+  uv_timer_t health_timer; /* Fires at each health check of all targets.  */
+  uv_timer_t tick_timer;
+  uv_idle_t idle; /* Keeps the loop from sleeping above MAX_TICK_RATE.  */
   rng_t rng;
   uint64_t started_us;
-  uint64_t issued;
-  size_t in_hand;
+  uint64_t started_count; /* Number of requests started so far.  */
+  size_t in_flight;       /* Number of requests that have not ended.  */
   atomic_bool stopped;
-  bool told_over;
+  bool has_reported_completion;
   unsigned open_handles;
 };
 
@@ -81,7 +85,7 @@
 }
 
 static void request_send (request_t *request);
-static void fill (load_t *load);
+static void start_due_requests (load_t *load);
 
 static void
 on_load_closed (uv_handle_t *handle)
@@ -101,10 +105,10 @@
   request_t *request = handle->data;
 
   buf_free (&request->prompt);
-  buf_free (&request->body);
+  buf_free (&request->request_body);
   buf_free (&request->path);
-  buf_free (&request->key);
-  buf_free (&request->received);
+  buf_free (&request->idempotency_key);
+  buf_free (&request->response_body);
   buf_free (&request->request_id);
   buf_free (&request->outcome);
   buf_free (&request->version);
@@ -112,35 +116,37 @@
 }
 
 static bool
-is_done (const load_t *load)
+has_reached_limit (const load_t *load)
 {
-  const load_options_t *o = load->options;
+  const load_options_t *options = load->options;
 
-  return load->stopped || (o->requests > 0 && load->issued >= o->requests)
-         || (o->duration_ms > 0
-             && now_us () - load->started_us >= o->duration_ms * 1000);
+  return load->stopped
+         || (options->requests > 0 && load->started_count >= options->requests)
+         || (options->duration_ms > 0
+             && now_us () - load->started_us >= options->duration_ms * 1000);
 }
 
-/* Tell the owner when the last request is finished, once.  */
+/* Call the owner's completion callback once, after the last request.  */
 static void
-check_over (load_t *load)
+report_completion (load_t *load)
 {
-  if (load->in_hand > 0 || !is_done (load) || load->told_over)
+  if (load->in_flight > 0 || !has_reached_limit (load)
+      || load->has_reported_completion)
     return;
-  load->told_over = true;
-  uv_timer_stop (&load->tick);
-  uv_idle_stop (&load->spin);
+  load->has_reported_completion = true;
+  uv_timer_stop (&load->tick_timer);
+  uv_idle_stop (&load->idle);
   if (load->options->over != NULL)
     load->options->over (load->options->arg);
 }
 
 static void
-check_chat (request_t *request)
+verify_chat_answer (request_t *request)
 {
   reading_t reading = { 0 };
   buf_t prompt = BUF_NULL;
   load_result_t *result = &request->result;
-  str_t received = buf_str (&request->received);
+  str_t received = buf_str (&request->response_body);
 
   result->whole = result->streamed ? answer_read_stream (received, &reading)
                                    : answer_read_whole (received, &reading);
@@ -158,16 +164,16 @@
 }
 
 static void
-check_service (request_t *request)
+verify_service_answer (request_t *request)
 {
-  buf_t want = BUF_NULL;
+  buf_t expected = BUF_NULL;
 
   answer_service (STR ("POST"), buf_str (&request->path),
-                  buf_str (&request->body), &want);
+                  buf_str (&request->request_body), &expected);
   request->result.whole = true;
   request->result.wrong
-      = !str_eq (buf_str (&want), buf_str (&request->received));
-  buf_free (&want);
+      = !str_eq (buf_str (&expected), buf_str (&request->response_body));
+  buf_free (&expected);
 }
 
 static void
@@ -179,72 +185,74 @@
   result->code = code;
   result->request_id = buf_str (&request->request_id);
   result->outcome = buf_str (&request->outcome);
-  result->body = buf_str (&request->received);
-  result->key = buf_str (&request->key);
+  result->body = buf_str (&request->response_body);
+  result->key = buf_str (&request->idempotency_key);
   result->total_us = now_us () - result->started_us;
   if (code == VH_OK && result->status / 100 == 2 && result->is_service)
-    check_service (request);
+    verify_service_answer (request);
   else if (code == VH_OK && result->status / 100 == 2)
-    check_chat (request);
+    verify_chat_answer (request);
   result->version = buf_str (&request->version);
   if (load->options->finished != NULL)
     load->options->finished (load->options->arg, result);
-  load->in_hand--;
-  uv_close ((uv_handle_t *)&request->wait, on_request_closed);
+  load->in_flight--;
+  uv_close ((uv_handle_t *)&request->resend_timer, on_request_closed);
 }
 
 static void
-on_head (void *arg, int status, const httpc_header_t *headers, size_t count)
+on_response_head (void *arg, int status, const httpc_header_t *headers,
+                  size_t count)
 {
   request_t *request = arg;
 
   request->result.status = status;
   for (size_t i = 0; i < count; i++)
     {
-      buf_t *into = NULL;
+      buf_t *target_buf = NULL;
       if (str_eq_nocase (headers[i].name, STR ("vanillahook-request-id")))
-        into = &request->request_id;
+        target_buf = &request->request_id;
       else if (str_eq_nocase (headers[i].name, STR ("vanillahook-outcome")))
-        into = &request->outcome;
+        target_buf = &request->outcome;
       else if (str_eq_nocase (headers[i].name, STR ("retry-after")))
         request->result.retry_after = true;
-      if (into == NULL)
+      if (target_buf == NULL)
         continue;
-      into->len = 0;
-      buf_append_str (into, headers[i].value);
+      target_buf->len = 0;
+      buf_append_str (target_buf, headers[i].value);
     }
 }
 
 static void
-on_chunk (void *arg, str_t bytes)
+on_response_chunk (void *arg, str_t bytes)
 {
   request_t *request = arg;
   uint64_t now = now_us ();
 
-  if (request->received.len == 0)
+  if (request->response_body.len == 0)
     request->result.first_us = now - request->result.started_us;
-  else if (now - request->last_us > request->result.between_us)
-    request->result.between_us = now - request->last_us;
-  request->last_us = now;
-  buf_append_str (&request->received, bytes);
+  else if (now - request->last_chunk_us > request->result.between_us)
+    request->result.between_us = now - request->last_chunk_us;
+  request->last_chunk_us = now;
+  buf_append_str (&request->response_body, bytes);
 }
 
 static void
-on_wait_over (uv_timer_t *timer)
+on_resend_due (uv_timer_t *timer)
 {
   request_send (timer->data);
 }
 
-/* Return the first ready target from AT on, or AT when none is.  */
+/* Return the index of the first ready target, searching from FIRST and
+   wrapping around; FIRST if no target is ready.  */
 static size_t
-ready_target (const load_t *load, size_t at)
+find_ready_target (const load_t *load, size_t first)
 {
   size_t count = load->options->target_count;
-  size_t next = at < count ? at : 0;
+  size_t next = first < count ? first : 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      if (load->health[next].ready)
+      if (load->health[next].is_ready)
         return next;
       next = next + 1 < count ? next + 1 : 0;
     }
@@ -252,55 +260,60 @@
 }
 
 static void
-on_done (void *arg, vh_code_t code)
+on_response_end (void *arg, vh_code_t code)
 {
   request_t *request = arg;
   load_t *load = request->load;
-  const load_options_t *o = load->options;
+  const load_options_t *options = load->options;
 
-  /* A balancer passes a refused connection on to the next entry.  */
-  if (code == VH_E_CONNECT && ++request->refusals < o->target_count)
+  /* A load balancer sends the request to the next target after a refused
+     connection.  */
+  if (code == VH_E_CONNECT
+      && ++request->refused_connections < options->target_count)
     {
-      request->target = ready_target (load, request->target + 1);
+      request->target = find_ready_target (load, request->target + 1);
       request_send (request);
       return;
     }
-  /* Any other end but a whole answer leaves open if the request ran.  */
-  if (code != VH_OK && request->key.len > 0
-      && request->result.sends <= o->resends)
+  /* After any other error the request may or may not have run, so only a
+     request with an idempotency key is sent again.  */
+  if (code != VH_OK && request->idempotency_key.len > 0
+      && request->result.sends <= options->resends)
     {
-      request->target = ready_target (load, request->target + 1);
-      uv_timer_start (&request->wait, on_wait_over, RESEND_WAIT_MS, 0);
+      request->target = find_ready_target (load, request->target + 1);
+      uv_timer_start (&request->resend_timer, on_resend_due, RESEND_DELAY_MS,
+                      0);
       return;
     }
   request_finish (request, code);
-  fill (load);
+  start_due_requests (load);
 }
 
 static void
 request_send (request_t *request)
 {
-  static const httpc_events_t events = { on_head, on_chunk, on_done };
-  const load_options_t *o = request->load->options;
+  static const httpc_events_t events
+      = { on_response_head, on_response_chunk, on_response_end };
+  const load_options_t *options = request->load->options;
   httpc_header_t headers[MAX_HEADERS];
   size_t count = 0;
   buf_t authorization = BUF_NULL;
   char deadline[24];
 
-  buf_printf (&authorization, "Bearer %.*s", STR_ARG (o->api_key));
+  buf_printf (&authorization, "Bearer %.*s", STR_ARG (options->api_key));
   headers[count++]
       = (httpc_header_t){ STR ("content-type"), STR ("application/json") };
-  if (o->api_key.len > 0)
+  if (options->api_key.len > 0)
     headers[count++]
         = (httpc_header_t){ STR ("authorization"), buf_str (&authorization) };
-  if (request->key.len > 0)
+  if (request->idempotency_key.len > 0)
+    headers[count++] = (httpc_header_t){ STR ("idempotency-key"),
+                                         buf_str (&request->idempotency_key) };
+  if (options->session.len > 0)
     headers[count++]
-        = (httpc_header_t){ STR ("idempotency-key"), buf_str (&request->key) };
-  if (o->session.len > 0)
-    headers[count++]
-        = (httpc_header_t){ STR ("vanillahook-session"), o->session };
-  snprintf (deadline, sizeof deadline, "%" PRIu64, o->deadline_ms);
-  if (o->deadline_ms > 0)
+        = (httpc_header_t){ STR ("vanillahook-session"), options->session };
+  snprintf (deadline, sizeof deadline, "%" PRIu64, options->deadline_ms);
+  if (options->deadline_ms > 0)
     headers[count++] = (httpc_header_t){ STR ("vanillahook-deadline-ms"),
                                          str_from (deadline) };
   const httpc_request_t call
@@ -308,10 +321,10 @@
           .path = buf_str (&request->path),
           .headers = headers,
           .header_count = count,
-          .body = buf_str (&request->body),
-          .timeout_ms
-          = o->timeout_ms > 0 ? o->timeout_ms : DEFAULT_TIMEOUT_MS };
-  request->received.len = 0;
+          .body = buf_str (&request->request_body),
+          .timeout_ms = options->timeout_ms > 0 ? options->timeout_ms
+                                                : DEFAULT_TIMEOUT_MS };
+  request->response_body.len = 0;
   request->result.status = 0;
   request->result.sends++;
   httpc_start (request->load->clients[request->target], &call, &events,
@@ -320,106 +333,113 @@
 }
 
 static void
-make_chat (request_t *request)
+build_chat_request (request_t *request)
 {
-  const load_options_t *o = request->load->options;
-  rng_t rng = rng_make (o->seed ^ (request->result.number << 20));
+  const load_options_t *options = request->load->options;
+  rng_t rng = rng_make (options->seed ^ (request->result.number << 20));
 
   buf_printf (&request->prompt, "%" PRIu64 " survey", request->result.number);
-  while (request->prompt.len < o->prompt_bytes)
+  while (request->prompt.len < options->prompt_bytes)
     buf_printf (&request->prompt, " %" PRIx64, rng_u64 (&rng) & 0xffff);
   request->max_tokens
-      = o->max_tokens > 0 ? o->max_tokens : ANSWER_DEFAULT_TOKENS;
+      = options->max_tokens > 0 ? options->max_tokens : ANSWER_DEFAULT_TOKENS;
   buf_append_str (&request->path, STR ("/v1/chat/completions"));
-  buf_printf (&request->body,
+  buf_printf (&request->request_body,
               "{\"model\":\"%.*s\",\"stream\":%s,\"max_tokens\":%u,"
               "\"messages\":[{\"role\":\"user\",\"content\":\"%.*s\"}]}",
-              STR_ARG (o->model), request->result.streamed ? "true" : "false",
-              request->max_tokens, STR_ARG (buf_str (&request->prompt)));
+              STR_ARG (options->model),
+              request->result.streamed ? "true" : "false", request->max_tokens,
+              STR_ARG (buf_str (&request->prompt)));
 }
 
 static void
-make_service_call (request_t *request)
+build_service_request (request_t *request)
 {
-  const load_options_t *o = request->load->options;
+  const load_options_t *options = request->load->options;
 
   buf_printf (&request->path, "/services/%.*s/approve-%" PRIu64,
-              STR_ARG (o->service), request->result.number);
-  buf_printf (&request->body, "{\"seed\":%" PRIu64 ",\"number\":%" PRIu64 "}",
-              o->seed, request->result.number);
+              STR_ARG (options->service), request->result.number);
+  buf_printf (&request->request_body,
+              "{\"seed\":%" PRIu64 ",\"number\":%" PRIu64 "}", options->seed,
+              request->result.number);
 }
 
 static void
-issue (load_t *load)
+start_request (load_t *load)
 {
-  const load_options_t *o = load->options;
+  const load_options_t *options = load->options;
   request_t *request = mem_zalloc (sizeof *request);
 
   request->load = load;
-  request->result.number = load->issued++;
-  request->result.is_service = rng_double (&load->rng) < o->service_share;
-  request->result.streamed = rng_double (&load->rng) < o->stream_share
+  request->result.number = load->started_count++;
+  request->result.is_service
+      = rng_double (&load->rng) < options->service_share;
+  request->result.streamed = rng_double (&load->rng) < options->stream_share
                              && !request->result.is_service;
-  request->target
-      = ready_target (load, request->result.number % o->target_count);
-  if (o->key_prefix.len > 0)
-    buf_printf (&request->key, "%.*s-%" PRIu64, STR_ARG (o->key_prefix),
-                request->result.number);
+  request->target = find_ready_target (load, request->result.number
+                                                 % options->target_count);
+  if (options->key_prefix.len > 0)
+    buf_printf (&request->idempotency_key, "%.*s-%" PRIu64,
+                STR_ARG (options->key_prefix), request->result.number);
   if (request->result.is_service)
-    make_service_call (request);
+    build_service_request (request);
   else
-    make_chat (request);
-  uv_timer_init (load->loop, &request->wait);
-  request->wait.data = request;
-  /* In an open loop a request counts from when it was due, so that a client
-     held up by slow answers does not hide how slow they were.  */
+    build_chat_request (request);
+  uv_timer_init (load->loop, &request->resend_timer);
+  request->resend_timer.data = request;
+  /* In an open loop the latency of a request starts at its scheduled time.
+     Otherwise, when slow answers delay the sending of later requests, this
+     delay would be missing from the latencies (coordinated omission).  */
   request->result.started_us
-      = o->rate > 0
-            ? load->started_us
-                  + (uint64_t)((double)request->result.number * 1e6 / o->rate)
-            : now_us ();
-  load->in_hand++;
+      = options->rate > 0 ? load->started_us
+                                + (uint64_t)((double)request->result.number
+                                             * 1e6 / options->rate)
+                          : now_us ();
+  load->in_flight++;
   request_send (request);
 }
 
-/* Requests that should have been started by now.  */
+/* Return the number of requests that should have been started by now;
+   UINT64_MAX in a closed loop.  */
 static uint64_t
-due (const load_t *load)
+due_count (const load_t *load)
 {
-  const load_options_t *o = load->options;
+  const load_options_t *options = load->options;
   double seconds = (double)(now_us () - load->started_us) / 1e6;
 
-  return o->rate > 0 ? (uint64_t)(seconds * o->rate) + 1 : UINT64_MAX;
+  return options->rate > 0 ? (uint64_t)(seconds * options->rate) + 1
+                           : UINT64_MAX;
 }
 
 static void
-fill (load_t *load)
+start_due_requests (load_t *load)
 {
-  while (load->in_hand < load->options->concurrency && !is_done (load)
-         && load->issued < due (load))
-    issue (load);
-  check_over (load);
+  while (load->in_flight < load->options->concurrency
+         && !has_reached_limit (load)
+         && load->started_count < due_count (load))
+    start_request (load);
+  report_completion (load);
 }
 
 static void
 on_tick (uv_timer_t *timer)
 {
-  fill (timer->data);
+  start_due_requests (timer->data);
 }
 
 static void
-on_health (void *arg, vh_code_t code, int status, str_t body)
+on_health_result (void *arg, vh_code_t code, int status, str_t body)
 {
-  health_t *health = arg;
+  target_health_t *health = arg;
 
   (void)body;
   health->call = NULL;
-  health->ready = code == VH_OK && status == HTTP_OK;
+  health->is_ready = code == VH_OK && status == HTTP_OK;
 }
 
-/* Ask each target that has answered the last question.  */
+/* Send a health check to each target that has none in flight.  */
 static void
-on_check (uv_timer_t *timer)
+on_health_timer (uv_timer_t *timer)
 {
   load_t *load = timer->data;
   const httpc_request_t request = { .method = STR ("GET"),
@@ -428,17 +448,18 @@
 
   for (size_t i = 0; i < load->options->target_count; i++)
     {
-      health_t *health = &load->health[i];
+      target_health_t *health = &load->health[i];
       if (health->call == NULL)
-        health->call = httpc_fetch (health->client, &request, HEALTH_BODY_MAX,
-                                    on_health, health);
+        health->call
+            = httpc_fetch (health->client, &request, MAX_HEALTH_BODY_BYTES,
+                           on_health_result, health);
     }
 }
 
 static void
-on_spin (uv_idle_t *idle)
+on_idle (uv_idle_t *idle)
 {
-  fill (idle->data);
+  start_due_requests (idle->data);
 }
 
 load_t *
@@ -457,26 +478,28 @@
   load->rng = rng_make (options->seed);
   load->started_us = now_us ();
   load->clients = mem_zalloc (options->target_count * sizeof (httpc_t *));
-  load->health = mem_zalloc (options->target_count * sizeof (health_t));
+  load->health = mem_zalloc (options->target_count * sizeof (target_health_t));
   for (size_t i = 0; i < options->target_count; i++)
     {
-      load->clients[i] = httpc_create (loop, options->targets[i], KEEP);
+      load->clients[i]
+          = httpc_create (loop, options->targets[i], MAX_IDLE_CONNECTIONS);
       load->health[i].load = load;
-      load->health[i].ready = true;
+      load->health[i].is_ready = true;
       if (options->health != NULL)
         load->health[i].client = httpc_create (loop, options->health[i], 1);
     }
-  uv_timer_init (loop, &load->check);
-  load->check.data = load;
+  uv_timer_init (loop, &load->health_timer);
+  load->health_timer.data = load;
   if (options->health != NULL)
-    uv_timer_start (&load->check, on_check, 0, HEALTH_MS);
-  uv_timer_init (loop, &load->tick);
-  load->tick.data = load;
-  uv_timer_start (&load->tick, on_tick, 0, TICK_MS);
-  uv_idle_init (loop, &load->spin);
-  load->spin.data = load;
-  if (options->rate > TICK_RATE_MAX)
-    uv_idle_start (&load->spin, on_spin);
+    uv_timer_start (&load->health_timer, on_health_timer, 0,
+                    HEALTH_INTERVAL_MS);
+  uv_timer_init (loop, &load->tick_timer);
+  load->tick_timer.data = load;
+  uv_timer_start (&load->tick_timer, on_tick, 0, TICK_MS);
+  uv_idle_init (loop, &load->idle);
+  load->idle.data = load;
+  if (options->rate > MAX_TICK_RATE)
+    uv_idle_start (&load->idle, on_idle);
   return load;
 }
 
@@ -499,7 +522,7 @@
       httpc_destroy (load->health[i].client);
     }
   load->open_handles = 3;
-  uv_close ((uv_handle_t *)&load->check, on_load_closed);
-  uv_close ((uv_handle_t *)&load->tick, on_load_closed);
-  uv_close ((uv_handle_t *)&load->spin, on_load_closed);
+  uv_close ((uv_handle_t *)&load->health_timer, on_load_closed);
+  uv_close ((uv_handle_t *)&load->tick_timer, on_load_closed);
+  uv_close ((uv_handle_t *)&load->idle, on_load_closed);
 }
--- a/tests/standins/load.h
+++ b/tests/standins/load.h
@@ -1,5 +1,6 @@
-/* Load on the callers' interface, with a check of every answer byte for
-   byte.  Runs on the caller's loop; bounded in count and time.  */
+/* A load generator for the callers' interface, which compares every byte of
+   every answer with the expected one.  It runs on the caller's event loop and
+   stops at a given number of requests or duration.  */
 
 #ifndef STANDINS_LOAD_H
 #define STANDINS_LOAD_H
@@ -11,66 +12,69 @@
 
 typedef struct load load_t;
 
-/* What became of one request, after its last resend.  Strings live for the
-   callback.  */
+/* Result of one request, after its last resend.  The strings are valid during
+   the callback only.  */
 typedef struct
 {
   uint64_t number;
   bool is_service;
   bool streamed;
-  unsigned sends;   /* 1 when it was sent once.  */
-  str_t key;        /* Idempotency-Key; may be empty.  */
-  str_t request_id; /* Of the last answer.  */
-  vh_code_t code;   /* VH_OK: an HTTP answer ended properly.  */
-  int status;       /* 0: no head came.  */
-  str_t outcome;    /* Vanillahook-Outcome.  */
-  str_t version;    /* MODEL@VERSION that answered.  */
-  str_t body;       /* Whole body, as it came.  */
-  uint32_t tokens;  /* Usage, completion tokens.  */
-  bool whole;       /* Status 2xx and its proper end was seen.  */
-  bool wrong;       /* Whole, but not the bytes that the upstream gave.  */
-  bool retry_after; /* A Retry-After header was there.  */
+  unsigned sends;   /* Number of times that the request was sent.  */
+  str_t key;        /* Idempotency-Key; empty if none was sent.  */
+  str_t request_id; /* Vanillahook-Request-Id of the last answer.  */
+  vh_code_t code;   /* VH_OK if the HTTP response was complete.  */
+  int status;       /* HTTP status; 0 if no response head was received.  */
+  str_t outcome;    /* Value of the Vanillahook-Outcome header.  */
+  str_t version;    /* MODEL@VERSION that produced the answer.  */
+  str_t body;       /* Response body as received, possibly truncated.  */
+  uint32_t tokens;  /* Number of completion tokens in the usage object.  */
+  bool whole;       /* The status is 2xx and the answer is complete.  */
+  bool wrong;       /* The answer is complete but not the expected text.  */
+  bool retry_after; /* The response had a Retry-After header.  */
   uint64_t started_us;
-  uint64_t first_us;   /* To the first byte of the body.  */
-  uint64_t between_us; /* Longest wait between two pieces.  */
-  uint64_t total_us;
+  uint64_t first_us;   /* Time from the start to the first body byte.  */
+  uint64_t between_us; /* Longest time between two body chunks.  */
+  uint64_t total_us;   /* Time from the start to the end of the last send.  */
 } load_result_t;
 
 typedef struct
 {
-  const str_t *targets; /* HOST:PORT of each entry, loopback.  */
+  const str_t *targets; /* HOST:PORT of each entry, on 127.x.x.x.  */
   size_t target_count;
-  const str_t *health;  /* Operators' port of each target, whose /readyz the
-                           balancer asks; NULL: all count as ready.  */
-  size_t concurrency;   /* Closed loop; also the bound of an open one.  */
+  const str_t *health;  /* HOST:PORT of each target's operators' port, whose
+                           /readyz is checked; NULL: all targets are ready.  */
+  size_t concurrency;   /* Most requests in flight, in a closed and in an open
+                           loop.  */
   double rate;          /* Requests a second; 0: closed loop.  */
-  uint64_t requests;    /* 0: until the time is over.  */
-  uint64_t duration_ms; /* 0: until the count is reached.  */
+  uint64_t requests;    /* Number of requests to start; 0: no limit.  */
+  uint64_t duration_ms; /* Time to start requests for; 0: no limit.  */
   uint64_t seed;
-  double stream_share;
-  double service_share; /* Sent to the service instead of a model.  */
+  double stream_share; /* Share of chat requests that are streamed, 0 to 1.  */
+  double service_share; /* Share of requests to the service, 0 to 1.  */
   str_t api_key;
   str_t model;
-  str_t service;    /* Name under /services/.  */
-  str_t session;    /* Vanillahook-Session; may be empty.  */
-  str_t key_prefix; /* Of Idempotency-Keys; empty: none are sent.  */
+  str_t service;    /* Name of the service, in /services/NAME.  */
+  str_t session;    /* Value of Vanillahook-Session; empty: not sent.  */
+  str_t key_prefix; /* Prefix of Idempotency-Key values; empty: not sent.  */
   uint32_t max_tokens;
   size_t prompt_bytes;
-  uint64_t deadline_ms; /* 0: none is sent.  */
-  uint64_t timeout_ms;
-  unsigned resends; /* With the same key, after an unclear end.  */
+  uint64_t deadline_ms; /* Value of Vanillahook-Deadline-Ms; 0: not sent.  */
+  uint64_t timeout_ms;  /* Timeout of one send; 0: 30 s.  */
+  /* Most resends, with the same key, of a request that may have run.  */
+  unsigned resends;
   void (*finished) (void *arg, const load_result_t *result);
-  void (*over) (void *arg); /* The last request is finished.  */
+  void (*over) (void *arg); /* Called after the last request has ended.  */
   void *arg;
 } load_options_t;
 
-/* Start; OPTIONS and its strings must outlive the load.  Return NULL when a
-   target is no loopback address.  */
+/* Start the load.  OPTIONS and its strings are borrowed until load_destroy.
+   Return NULL if there is no target or a target is not on 127.x.x.x.  */
 load_t *load_create (uv_loop_t *loop, const load_options_t *options);
-/* Start no more requests; OVER is called when those in hand are done.  May
-   be called from any thread.  */
+/* Start no more requests.  The callback OVER is called when the requests in
+   flight have ended.  May be called from any thread.  */
 void load_stop (load_t *load);
-/* Release LOAD after OVER was called.  */
+/* Release LOAD, once the callback OVER has been called; NULL is ignored.  The
+   loop must run once more to close the handles.  */
 void load_destroy (load_t *load);
 
 #endif
--- a/tests/standins/samples.c
+++ b/tests/standins/samples.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  FIRST_CAP = 1024
+  INITIAL_CAPACITY = 1024
 };
 
 void
@@ -14,7 +14,7 @@
 {
   if (samples->count == samples->cap)
     {
-      samples->cap = samples->cap > 0 ? 2 * samples->cap : FIRST_CAP;
+      samples->cap = samples->cap > 0 ? 2 * samples->cap : INITIAL_CAPACITY;
       samples->values
           = mem_realloc (samples->values, samples->cap * sizeof (uint64_t));
     }
@@ -22,7 +22,7 @@
 }
 
 static int
-compare (const void *a, const void *b)
+compare_u64 (const void *a, const void *b)
 {
   uint64_t left = *(const uint64_t *)a;
   uint64_t right = *(const uint64_t *)b;
@@ -35,7 +35,7 @@
 {
   if (samples->count == 0)
     return 0;
-  qsort (samples->values, samples->count, sizeof (uint64_t), compare);
+  qsort (samples->values, samples->count, sizeof (uint64_t), compare_u64);
   return samples->values[(size_t)(q * (double)(samples->count - 1))];
 }
 
--- a/tests/standins/standin_client.c
+++ b/tests/standins/standin_client.c
@@ -1,7 +1,7 @@
-/* A load client of the callers' interface, towards loopback only.  Prints
-   counts by status and outcome, latencies in microseconds, and how many
-   answers were not byte for byte what the upstream gave.  Exits 1 when there
-   was one.  */
+/* A load generator for the callers' interface, for targets on loopback only.
+   Prints counts by status and outcome, latencies in microseconds, and the
+   number of answers that differ from the expected text.  Exits 1 if any answer
+   differs.  */
 
 #include "standins/common.h"
 #include "standins/load.h"
@@ -18,30 +18,31 @@
 enum
 {
   MAX_TARGETS = 16,
-  /* Bounds that no option can lift: this program is no flood.  */
+  /* Upper bounds of the options, so that the program cannot be used for a
+     denial of service.  */
   MAX_SECONDS = 600,
   MAX_CONCURRENCY = 4096
 };
 
 typedef struct
 {
-  map_t *counts; /* Line of the report to uint64_t.  */
-  samples_t total;
-  samples_t first;
-  samples_t between;
+  map_t *counts; /* Key of a report line to its count, a uint64_t.  */
+  samples_t total_us;
+  samples_t first_byte_us;
+  samples_t max_gap_us; /* Longest time between two chunks of a stream.  */
   uint64_t finished;
   uint64_t whole;
   uint64_t wrong;
-  bool over;
+  bool is_complete;
 } report_t;
 
 static void
-count (report_t *report, const char *what, str_t name)
+increment_count (report_t *report, const char *kind, str_t name)
 {
   buf_t key = BUF_NULL;
   uint64_t *value;
 
-  buf_printf (&key, "%s %.*s", what, STR_ARG (name));
+  buf_printf (&key, "%s %.*s", kind, STR_ARG (name));
   value = map_get (report->counts, buf_str (&key));
   if (value == NULL)
     {
@@ -59,27 +60,27 @@
   char status[16];
 
   snprintf (status, sizeof status, "%d", result->status);
-  count (report, "status", str_from (status));
-  count (report, "end", str_from (code_info (result->code)->type));
+  increment_count (report, "status", str_from (status));
+  increment_count (report, "end", str_from (code_info (result->code)->type));
   if (result->outcome.len > 0)
-    count (report, "outcome", result->outcome);
+    increment_count (report, "outcome", result->outcome);
   if (result->version.len > 0)
-    count (report, "version", result->version);
+    increment_count (report, "version", result->version);
   report->finished++;
   report->whole += result->whole;
   report->wrong += result->wrong;
   if (!result->whole)
     return;
-  samples_add (&report->total, result->total_us);
-  samples_add (&report->first, result->first_us);
+  samples_add (&report->total_us, result->total_us);
+  samples_add (&report->first_byte_us, result->first_us);
   if (result->streamed)
-    samples_add (&report->between, result->between_us);
+    samples_add (&report->max_gap_us, result->between_us);
 }
 
 static void
-on_over (void *arg)
+on_complete (void *arg)
 {
-  ((report_t *)arg)->over = true;
+  ((report_t *)arg)->is_complete = true;
 }
 
 static void
@@ -103,9 +104,9 @@
           (double)report->finished / seconds);
   while (map_next (report->counts, &cursor, &key, &value))
     printf ("%.*s %" PRIu64 "\n", STR_ARG (key), *(uint64_t *)value);
-  print_latency ("latency", &report->total);
-  print_latency ("first_token", &report->first);
-  print_latency ("between_tokens", &report->between);
+  print_latency ("latency", &report->total_us);
+  print_latency ("first_token", &report->first_byte_us);
+  print_latency ("between_tokens", &report->max_gap_us);
 }
 
 static void
@@ -118,21 +119,21 @@
   while (map_next (report->counts, &cursor, &key, &value))
     free (value);
   map_destroy (report->counts);
-  samples_free (&report->total);
-  samples_free (&report->first);
-  samples_free (&report->between);
+  samples_free (&report->total_us);
+  samples_free (&report->first_byte_us);
+  samples_free (&report->max_gap_us);
 }
 
-/* Run the load of OPTIONS to its end.  Return the exit status.  */
+/* Run the load of OPTIONS until it is complete.  Return the exit status.  */
 static int
-run (load_options_t *options)
+run_load (load_options_t *options)
 {
   uv_loop_t loop;
   report_t report = { .counts = map_create () };
   uint64_t started = uv_hrtime ();
 
   options->finished = on_finished;
-  options->over = on_over;
+  options->over = on_complete;
   options->arg = &report;
   uv_loop_init (&loop);
   load_t *load = load_create (&loop, options);
@@ -141,7 +142,7 @@
       fprintf (stderr, "standin_client: targets must be 127.x.x.x:PORT\n");
       return 2;
     }
-  while (!report.over)
+  while (!report.is_complete)
     uv_run (&loop, UV_RUN_ONCE);
   print_report (&report, (double)(uv_hrtime () - started) / 1e9);
   load_destroy (load);
@@ -155,24 +156,25 @@
 main (int argc, char **argv)
 {
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
-  struct arg_str *targets = arg_strn (NULL, "target", "HOST:PORT", 1,
-                                      MAX_TARGETS, "an entry, taken in turn");
+  struct arg_str *targets
+      = arg_strn (NULL, "target", "HOST:PORT", 1, MAX_TARGETS,
+                  "an entry; requests go to each in turn");
   struct arg_int *concurrency
       = arg_int0 (NULL, "concurrency", "N", "requests at a time (8)");
-  struct arg_dbl *rate
-      = arg_dbl0 (NULL, "rate", "N",
-                  "requests a second, whatever the answers (open loop)");
+  struct arg_dbl *rate = arg_dbl0 (
+      NULL, "rate", "N", "requests a second, sent at fixed times (open loop)");
   struct arg_int *requests
-      = arg_int0 (NULL, "requests", "N", "end after so many (100)");
+      = arg_int0 (NULL, "requests", "N", "number of requests (100)");
   struct arg_int *seconds
-      = arg_int0 (NULL, "seconds", "N", "end after so long (60)");
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "of prompts (1)");
+      = arg_int0 (NULL, "seconds", "N", "duration in seconds (60)");
+  struct arg_int *seed
+      = arg_int0 (NULL, "seed", "N", "seed of the prompts (1)");
   struct arg_dbl *stream
-      = arg_dbl0 (NULL, "stream", "SHARE", "streamed chats (0.5)");
+      = arg_dbl0 (NULL, "stream", "SHARE", "share of streamed chats (0.5)");
   struct arg_dbl *service_share
       = arg_dbl0 (NULL, "service-share", "SHARE",
-                  "calls of the service (0; 1 with none "
-                  "but --service)");
+                  "share of calls of the service (0; 1 with "
+                  "--service and no --model)");
   struct arg_str *key = arg_str0 (NULL, "key", "KEY", "API key");
   struct arg_str *model
       = arg_str0 (NULL, "model", "NAME", "model, version or task (draft)");
@@ -180,8 +182,8 @@
   struct arg_str *session = arg_str0 (NULL, "session", "ID", "session");
   struct arg_str *keys
       = arg_str0 (NULL, "idempotency-keys", "PREFIX", "send keys PREFIX-N");
-  struct arg_int *resends
-      = arg_int0 (NULL, "resends", "N", "after an unclear end (0)");
+  struct arg_int *resends = arg_int0 (
+      NULL, "resends", "N", "resends of a request that may have run (0)");
   struct arg_int *tokens
       = arg_int0 (NULL, "max-tokens", "N", "length of answers (16)");
   struct arg_int *prompt
@@ -220,7 +222,9 @@
   if (seconds->ival[0] < 1 || seconds->ival[0] > MAX_SECONDS
       || concurrency->ival[0] < 1 || concurrency->ival[0] > MAX_CONCURRENCY)
     {
-      fprintf (stderr, "standin_client: at most %d s and %d at a time\n",
+      fprintf (stderr,
+               "standin_client: seconds must be 1 to %d and concurrency 1 to "
+               "%d\n",
                MAX_SECONDS, MAX_CONCURRENCY);
       return 2;
     }
@@ -244,7 +248,7 @@
                              .prompt_bytes = (size_t)prompt->ival[0],
                              .deadline_ms = (uint64_t)deadline->ival[0],
                              .resends = (unsigned)resends->ival[0] };
-  int status = run (&options);
+  int status = run_load (&options);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
 }
