--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -1,24 +1,26 @@
-/* A model engine that batches continuously, with versions of set quality.
+/* Stand-in for a model engine with continuous batching.  The quality of each
+   model version is configured.
 
    POST /v1/chat/completions  OpenAI-compatible; also "resume_from_token":N
-                              and "priority":N.  A body with the text
-                              VH-CRASH ends the process
+                              and "priority":N.  A body that
+                              contains VH-CRASH ends the process
    GET /stats                 {"total","running","max_running","refused",
                               "cancelled","versions":{"M@V":N},"runs":{"ID":N},
                               "orders":[...]}
    POST /control              {"cold_ms":N,"quality":{"M@V":Q},"hang":bool,
                               "error":STATUS,"slow":F,"cut_after_tokens":N,
                               "die_after_tokens":N}; each key is optional
-   GET /load                  what the load was --load-lag-ms ago
-   GET /cache-events?after=N  prompt blocks stored and evicted, late, with
-                              gaps
-   POST /orders               {"order","version","fence":N}; an old fence is
-                              refused with --fencing and obeyed without
-
-   Up to --slots requests share the machine at full speed.  Beyond them it
-   falls over: time a token grows with the square of the excess, and above
-   --max-running it refuses.  A cold engine carries a quarter of all that and
-   is slower by COLD_SLOWDOWN.  */
+   GET /load                  the load as of --load-lag-ms ago
+   GET /cache-events?after=N  prompt blocks stored and evicted; the events are
+                              delayed and some are missing
+   POST /orders               {"order","version","fence":N}; an order whose
+   fence is older than the last one is refused with
+                              --fencing and accepted without
+
+   Up to --slots requests run at full speed.  With more, the time of a token
+   grows with the square of the ratio of requests to slots; from --max-running
+   requests on, further ones are refused.  A cold engine has a quarter of both
+   capacities, and its tokens take COLD_SLOWDOWN times as long.  */
 
 #include "standins/answer.h"
 #include "standins/common.h"
@@ -37,17 +39,18 @@
   EXIT_CRASH = 9,
   TICK_MS = 1,
   COLD_SLOWDOWN = 4,
-  COLD_SHARE = 4, /* A cold engine carries one part in this many.  */
-  PROMPT_BLOCK = 256,
-  SAMPLE_MS = 20,
-  SAMPLES = 512,
-  CACHE_EVENTS_KEPT = 4096,
-  /* A reader this far behind holds up its own stream.  */
-  BUFFERED_MAX = 256 * 1024
+  COLD_CAPACITY_DIVISOR = 4, /* Capacity when warm over capacity when cold.  */
+  PROMPT_BLOCK_BYTES = 256,
+  SAMPLE_INTERVAL_MS = 20,
+  SAMPLE_RING_SIZE = 512,
+  EVENT_RING_SIZE = 4096,
+  /* A stream pauses while more bytes than this wait for a slow client.  */
+  MAX_BUFFERED_BYTES = 256 * 1024
 };
 
-/* What each further request of a batch adds to the time of a token.  */
-static const double batch_slope = 0.02;
+/* Relative increase of the time of a token for each further request in the
+   batch.  */
+static const double token_time_slope = 0.02;
 
 typedef struct
 {
@@ -66,26 +69,26 @@
   bool stream;
   int priority;
   size_t prompt_tokens;
-  double prompt_left_ms;
-  double credit_ms; /* Time earned towards the next token.  */
-  uint32_t next;    /* Token to emit.  */
-  uint32_t first;   /* Token the answer begins with.  */
-  buf_t text;       /* Of a whole answer.  */
+  double prompt_remaining_ms; /* Remaining prefill time at full speed.  */
+  double credit_ms;           /* Elapsed time not yet used for a token.  */
+  uint32_t next_token;        /* Index of the next token to emit.  */
+  uint32_t first_token;       /* Index of the first token that is sent.  */
+  buf_t text; /* Text so far; stays empty if the answer is streamed.  */
 } run_t;
 
 typedef struct
 {
-  uint64_t at_ms;
+  uint64_t time_ms;
   size_t running;
   bool cold;
 } sample_t;
 
 typedef struct
 {
-  uint64_t at_ms;
+  uint64_t time_ms;
   uint64_t seq;
   uint64_t block;
-  bool stored;
+  bool is_stored;
 } cache_event_t;
 
 typedef struct
@@ -95,43 +98,43 @@
   uv_timer_t sampler;
   version_t *versions;
   size_t version_count;
-  list_t runs; /* run_t by link.  */
+  list_t runs; /* List of run_t in scheduling order.  */
   size_t running;
   uint64_t last_tick_us;
-  /* Command line.  */
+  /* Options of the command line.  */
   size_t slots;
   size_t max_running;
   double token_ms;
-  double prompt_ms; /* For 1,000 prompt bytes not in the cache.  */
+  double prompt_ms; /* Time of 1,000 prompt bytes that are not cached.  */
   uint64_t cold_ms;
   uint64_t load_lag_ms;
   uint64_t cache_lag_ms;
-  uint64_t cache_gap; /* Each so-many-th event is lost; 0: none.  */
-  bool minimal;
-  bool fencing;
-  /* Controls.  */
+  uint64_t cache_gap; /* Each cache_gap-th cache event is lost; 0: none.  */
+  bool is_minimal;
+  bool has_fencing;
+  /* Settings of POST /control.  */
   uint64_t cold_until_ms;
-  bool hang;
-  int error;
-  double slow;
-  uint32_t cut_after;
-  uint32_t die_after;
+  bool is_hung;     /* No run makes progress.  */
+  int error_status; /* Status of each chat request; 0: no forced error.  */
+  double slow_factor;
+  uint32_t cut_after_tokens;  /* 0: never.  */
+  uint32_t exit_after_tokens; /* 0: never.  */
   /* Counts.  */
-  map_t *counts; /* Request id to uint64_t.  */
+  map_t *run_counts; /* Request id to its number of runs, a uint64_t.  */
   uint64_t total;
   uint64_t refused;
   uint64_t cancelled;
-  size_t max_seen;
+  size_t peak_running;
   json_t *orders;
-  int64_t fence;
-  sample_t samples[SAMPLES];
-  size_t sample_next;
+  int64_t last_fence; /* Fence of the last order that was accepted.  */
+  sample_t samples[SAMPLE_RING_SIZE];
+  size_t sample_count; /* Number of samples taken so far.  */
   /* Prompt cache: a ring of block hashes.  */
   uint64_t *cache;
-  size_t cache_blocks;
-  size_t cache_next;
-  cache_event_t events[CACHE_EVENTS_KEPT];
-  uint64_t event_seq;
+  size_t cache_blocks; /* Capacity of the ring.  */
+  size_t cache_insertions;
+  cache_event_t events[EVENT_RING_SIZE];
+  uint64_t next_event_seq;
 } engine_t;
 
 static engine_t engine;
@@ -148,28 +151,31 @@
   return now_ms () < engine.cold_until_ms;
 }
 
-/* What the engine carries now, of CAPACITY when warm.  */
+/* Return the present capacity of an engine whose capacity when warm is
+   CAPACITY.  */
 static size_t
-carried (size_t capacity)
+effective_capacity (size_t capacity)
 {
   if (!is_cold ())
     return capacity;
-  return capacity / COLD_SHARE > 0 ? capacity / COLD_SHARE : 1;
+  return capacity / COLD_CAPACITY_DIVISOR > 0
+             ? capacity / COLD_CAPACITY_DIVISOR
+             : 1;
 }
 
-/* Milliseconds that each running request waits for its next token.  */
+/* Return the time of one token of each running request, in ms.  */
 static double
 token_time_ms (void)
 {
-  size_t slots = carried (engine.slots);
+  size_t slots = effective_capacity (engine.slots);
   double load = (double)engine.running / (double)slots;
-  double factor = 1 + batch_slope * (double)(engine.running - 1);
+  double factor = 1 + token_time_slope * (double)(engine.running - 1);
 
   if (load > 1)
     factor *= load * load;
   if (is_cold ())
     factor *= COLD_SLOWDOWN;
-  return engine.token_ms * factor * engine.slow;
+  return engine.token_ms * factor * engine.slow_factor;
 }
 
 static version_t *
@@ -186,67 +192,67 @@
   return NULL;
 }
 
-/* Note that BLOCK was stored or evicted, unless the event falls in a
-   gap.  */
+/* Record the event that BLOCK was stored (STORED) or evicted.  */
 static void
-cache_note (uint64_t block, bool stored)
+record_cache_event (uint64_t block, bool is_stored)
 {
-  uint64_t seq = engine.event_seq++;
+  uint64_t seq = engine.next_event_seq++;
 
-  engine.events[seq % CACHE_EVENTS_KEPT]
-      = (cache_event_t){ now_ms (), seq, block, stored };
+  engine.events[seq % EVENT_RING_SIZE]
+      = (cache_event_t){ now_ms (), seq, block, is_stored };
 }
 
-/* Return the share of PROMPT, in bytes, that is not in the cache, and put
-   all of it there.  */
+/* Insert the blocks of PROMPT into the cache.  Return the number of bytes
+   that it did not hold before.  */
 static size_t
-cache_miss (str_t prompt)
+cache_insert_prompt (str_t prompt)
 {
-  size_t missed = 0;
+  size_t missed_bytes = 0;
   uint64_t hash = 0;
 
-  for (size_t at = 0; at < prompt.len; at += PROMPT_BLOCK)
+  for (size_t offset = 0; offset < prompt.len; offset += PROMPT_BLOCK_BYTES)
     {
-      size_t len = prompt.len - at;
+      size_t len = prompt.len - offset;
       bool found = false;
-      if (len > PROMPT_BLOCK)
-        len = PROMPT_BLOCK;
-      /* A block is known by all that stands before it.  */
-      hash = str_hash (str_make (prompt.ptr + at, len), hash + 3);
+      if (len > PROMPT_BLOCK_BYTES)
+        len = PROMPT_BLOCK_BYTES;
+      /* The hash of a block includes all blocks before it.  */
+      hash = str_hash (str_make (prompt.ptr + offset, len), hash + 3);
       for (size_t i = 0; i < engine.cache_blocks && !found; i++)
         found = engine.cache[i] == hash;
       if (found)
         continue;
-      missed += len;
+      missed_bytes += len;
       if (engine.cache_blocks == 0)
         continue;
-      uint64_t *place
-          = &engine.cache[engine.cache_next++ % engine.cache_blocks];
-      if (*place != 0)
-        cache_note (*place, false);
-      *place = hash;
-      cache_note (hash, true);
+      uint64_t *slot
+          = &engine.cache[engine.cache_insertions++ % engine.cache_blocks];
+      if (*slot != 0)
+        record_cache_event (*slot, false);
+      *slot = hash;
+      record_cache_event (hash, true);
     }
-  return missed;
+  return missed_bytes;
 }
 
 static void
 count_run (str_t id)
 {
-  uint64_t *count = map_get (engine.counts, id);
+  uint64_t *count = map_get (engine.run_counts, id);
 
   engine.total++;
-  if (id.len == 0 || engine.minimal)
+  if (id.len == 0 || engine.is_minimal)
     return;
   if (count == NULL)
     {
       count = mem_zalloc (sizeof *count);
-      map_put (engine.counts, id, count);
+      map_put (engine.run_counts, id, count);
     }
   ++*count;
 }
 
-/* The answer's id depends on the request alone, as all of the answer.  */
+/* The id depends on the request alone, so that an answer is the same at each
+   run.  */
 static void
 append_id (const run_t *run, buf_t *out)
 {
@@ -266,7 +272,7 @@
 }
 
 static void
-append_event (const run_t *run, uint32_t index, buf_t *out)
+append_token_event (const run_t *run, uint32_t index, buf_t *out)
 {
   buf_t text = BUF_NULL;
 
@@ -283,7 +289,7 @@
 }
 
 static void
-append_last_event (const run_t *run, buf_t *out)
+append_final_event (const run_t *run, buf_t *out)
 {
   buf_append_str (out, STR ("data: {\"object\":\"chat.completion.chunk\","));
   append_id (run, out);
@@ -294,7 +300,7 @@
 }
 
 static void
-append_whole (const run_t *run, buf_t *out)
+append_json_answer (const run_t *run, buf_t *out)
 {
   buf_append_str (out, STR ("{\"object\":\"chat.completion\","));
   append_id (run, out);
@@ -316,38 +322,41 @@
 }
 
 static void
-on_departure (void *arg)
+on_client_disconnect (void *arg)
 {
   engine.cancelled++;
   run_destroy (arg);
 }
 
-/* Hand over the bytes OUT of RUN; the last ones end it.  */
+/* Send OUT as the next bytes of the answer of RUN.  If IS_LAST, end the
+   answer and free RUN.  */
 static void
-run_send (run_t *run, const buf_t *out, bool last)
+run_send (run_t *run, const buf_t *out, bool is_last)
 {
   static const httpc_header_t json
       = { STR ("content-type"), STR ("application/json") };
   httpd_req_t *req = run->req;
 
-  if (last)
+  if (is_last)
     httpd_set_callbacks (req, NULL, NULL, NULL);
   if (run->stream)
-    httpd_send (req, buf_str (out), last);
-  else if (last)
+    httpd_send (req, buf_str (out), is_last);
+  else if (is_last)
     httpd_reply (req, 200, &json, 1, buf_str (out));
-  if (last)
+  if (is_last)
     run_destroy (run);
 }
 
-/* End the connection or the process where the controls say so.  Return true
-   when RUN is gone.  */
+/* Cut the connection of RUN or exit the process if POST /control asked for it
+   after this many tokens.  Return true if RUN was freed.  */
 static bool
-run_breaks (run_t *run)
+run_apply_faults (run_t *run)
 {
-  if (engine.die_after > 0 && run->next >= engine.die_after)
+  if (engine.exit_after_tokens > 0
+      && run->next_token >= engine.exit_after_tokens)
     _exit (EXIT_CRASH);
-  if (engine.cut_after == 0 || run->next < engine.cut_after)
+  if (engine.cut_after_tokens == 0
+      || run->next_token < engine.cut_after_tokens)
     return false;
   httpd_set_callbacks (run->req, NULL, NULL, NULL);
   if (!run->stream)
@@ -357,55 +366,59 @@
   return true;
 }
 
-/* Emit the tokens of RUN that its credit pays for, at TOKEN_MS each.  */
+/* Emit the tokens of RUN for which the elapsed time suffices, at TOKEN_MS
+   each.  */
 static void
-run_step (run_t *run, double token_ms)
+run_emit_tokens (run_t *run, double token_ms)
 {
   buf_t out = BUF_NULL;
-  bool last;
+  bool is_last;
 
-  while (run->next < run->answer.tokens && run->credit_ms >= token_ms)
+  while (run->next_token < run->answer.tokens && run->credit_ms >= token_ms)
     {
       run->credit_ms -= token_ms;
       if (run->stream)
-        append_event (run, run->next, &out);
+        append_token_event (run, run->next_token, &out);
       else
-        answer_token (&run->answer, run->next, &run->text);
-      run->next++;
-      if ((engine.cut_after > 0 && run->next >= engine.cut_after)
-          || (engine.die_after > 0 && run->next >= engine.die_after))
+        answer_token (&run->answer, run->next_token, &run->text);
+      run->next_token++;
+      if ((engine.cut_after_tokens > 0
+           && run->next_token >= engine.cut_after_tokens)
+          || (engine.exit_after_tokens > 0
+              && run->next_token >= engine.exit_after_tokens))
         break;
     }
-  last = run->next >= run->answer.tokens;
-  if (last && run->stream)
-    append_last_event (run, &out);
-  else if (last)
-    append_whole (run, &out);
+  is_last = run->next_token >= run->answer.tokens;
+  if (is_last && run->stream)
+    append_final_event (run, &out);
+  else if (is_last)
+    append_json_answer (run, &out);
   if (out.len > 0)
-    run_send (run, &out, last);
+    run_send (run, &out, is_last);
   buf_free (&out);
-  if (!last)
-    run_breaks (run);
+  if (!is_last)
+    run_apply_faults (run);
 }
 
-/* Let STEP_MS pass for RUN.  */
+/* Advance RUN by STEP_MS, at TOKEN_MS for each token.  */
 static void
 run_advance (run_t *run, double step_ms, double token_ms)
 {
-  if (run->stream && httpd_buffered_bytes (run->req) > BUFFERED_MAX)
+  if (run->stream && httpd_buffered_bytes (run->req) > MAX_BUFFERED_BYTES)
     return;
-  /* Prompts are computed in the shared batch, so they slow down too.  */
+  /* Prefill shares the batch with decoding, so that a longer time of a token
+     slows it down by the same factor.  */
   double rate = engine.token_ms > 0 ? engine.token_ms / token_ms : 1;
-  if (run->prompt_left_ms > 0)
+  if (run->prompt_remaining_ms > 0)
     {
-      run->prompt_left_ms -= step_ms * rate;
-      if (run->prompt_left_ms > 0)
+      run->prompt_remaining_ms -= step_ms * rate;
+      if (run->prompt_remaining_ms > 0)
         return;
-      step_ms = -run->prompt_left_ms / rate;
-      run->prompt_left_ms = 0;
+      step_ms = -run->prompt_remaining_ms / rate;
+      run->prompt_remaining_ms = 0;
     }
   run->credit_ms += step_ms;
-  run_step (run, token_ms);
+  run_emit_tokens (run, token_ms);
 }
 
 static void
@@ -420,11 +433,11 @@
       uv_timer_stop (timer);
       return;
     }
-  if (engine.hang)
+  if (engine.is_hung)
     return;
   double token_ms = token_time_ms ();
-  LIST_EACH (at, &engine.runs)
-    run_advance (CONTAINER_OF (at, run_t, link), step_ms, token_ms);
+  LIST_EACH (node, &engine.runs)
+    run_advance (CONTAINER_OF (node, run_t, link), step_ms, token_ms);
 }
 
 static void
@@ -436,13 +449,15 @@
   uv_timer_start (&engine.tick, on_tick, TICK_MS, TICK_MS);
 }
 
-/* Refuse REQ when the engine cannot take it.  Return true if it did.  */
+/* Reply to REQ with an error if POST /control set one or if the engine is at
+   capacity.  Return true if a reply was sent.  */
 static bool
-refuse (httpd_req_t *req)
+reject_request (httpd_req_t *req)
 {
-  if (engine.error != 0)
-    standin_reply_error (req, engine.error, "told to fail");
-  else if (engine.running >= carried (engine.max_running))
+  if (engine.error_status != 0)
+    standin_reply_error (req, engine.error_status,
+                         "error set by POST /control");
+  else if (engine.running >= effective_capacity (engine.max_running))
     standin_reply_error (req, 503, "overloaded");
   else
     return false;
@@ -458,28 +473,28 @@
   return value > 0 && value <= UINT32_MAX ? (uint32_t)value : 0;
 }
 
-/* Put RUN in its place: by priority, then by arrival.  */
+/* Insert RUN in the order of priority, then of arrival.  */
 static void
-enlist (run_t *run)
+insert_run (run_t *run)
 {
   list_t *before = &engine.runs;
 
-  LIST_EACH (at, &engine.runs)
-    if (CONTAINER_OF (at, run_t, link)->priority < run->priority)
+  LIST_EACH (node, &engine.runs)
+    if (CONTAINER_OF (node, run_t, link)->priority < run->priority)
       {
-        before = at;
+        before = node;
         break;
       }
   list_append (before, &run->link);
   engine.running++;
-  if (engine.running > engine.max_seen)
-    engine.max_seen = engine.running;
+  if (engine.running > engine.peak_running)
+    engine.peak_running = engine.running;
 }
 
 static void
 start_run (httpd_req_t *req, const json_t *root, version_t *version)
 {
-  static const httpc_header_t events
+  static const httpc_header_t stream_type
       = { STR ("content-type"), STR ("text/event-stream") };
   buf_t prompt = BUF_NULL;
   run_t *run = mem_zalloc (sizeof *run);
@@ -496,27 +511,28 @@
                              buf_str (&prompt), max_tokens);
   run->stream = json_is_true (json_object_get (root, "stream"));
   run->priority = (int)json_integer_value (json_object_get (root, "priority"));
-  if (!engine.minimal && run->stream)
-    run->first = json_count (root, "resume_from_token");
-  if (run->first > run->answer.tokens)
-    run->first = run->answer.tokens;
-  run->next = run->first;
+  if (!engine.is_minimal && run->stream)
+    run->first_token = json_count (root, "resume_from_token");
+  if (run->first_token > run->answer.tokens)
+    run->first_token = run->answer.tokens;
+  run->next_token = run->first_token;
   run->prompt_tokens = prompt.len / 4 + 1;
-  run->prompt_left_ms
-      = engine.prompt_ms * (double)cache_miss (buf_str (&prompt)) / 1000;
+  run->prompt_remaining_ms = engine.prompt_ms
+                             * (double)cache_insert_prompt (buf_str (&prompt))
+                             / 1000;
   buf_free (&prompt);
-  enlist (run);
-  httpd_set_callbacks (req, NULL, on_departure, run);
+  insert_run (run);
+  httpd_set_callbacks (req, NULL, on_client_disconnect, run);
   if (run->stream)
-    httpd_start_response (req, 200, &events, 1);
-  if (engine.token_ms == 0 && run->prompt_left_ms <= 0 && !engine.hang)
-    run_step (run, 0);
+    httpd_start_response (req, 200, &stream_type, 1);
+  if (engine.token_ms == 0 && run->prompt_remaining_ms <= 0 && !engine.is_hung)
+    run_emit_tokens (run, 0);
   else
     start_ticking ();
 }
 
 static void
-complete (httpd_req_t *req)
+handle_completion (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
 
@@ -529,7 +545,7 @@
     standin_reply_error (req, 400, "messages or model is missing");
   else if (version == NULL)
     standin_reply_error (req, 404, "no such model");
-  else if (!refuse (req))
+  else if (!reject_request (req))
     start_run (req, root, version);
   json_decref (root);
 }
@@ -550,7 +566,7 @@
                            json_integer ((json_int_t)engine.versions[i].runs));
       free (name);
     }
-  while (map_next (engine.counts, &cursor, &key, &value))
+  while (map_next (engine.run_counts, &cursor, &key, &value))
     {
       char *id = str_dup (key);
       json_object_set_new (runs, id,
@@ -561,7 +577,7 @@
                       json_pack ("{s:I,s:I,s:I,s:I,s:I,s:o,s:o,s:O}", "total",
                                  (json_int_t)engine.total, "running",
                                  (json_int_t)engine.running, "max_running",
-                                 (json_int_t)engine.max_seen, "refused",
+                                 (json_int_t)engine.peak_running, "refused",
                                  (json_int_t)engine.refused, "cancelled",
                                  (json_int_t)engine.cancelled, "versions",
                                  versions, "runs", runs, "orders",
@@ -572,21 +588,22 @@
 on_sample (uv_timer_t *timer)
 {
   (void)timer;
-  engine.samples[engine.sample_next++ % SAMPLES]
+  engine.samples[engine.sample_count++ % SAMPLE_RING_SIZE]
       = (sample_t){ now_ms (), engine.running, is_cold () };
 }
 
-/* Answer with the newest sample that is old enough.  */
+/* Reply with the newest sample that is at least load_lag_ms old.  */
 static void
 reply_load (httpd_req_t *req)
 {
   sample_t found = { 0, 0, true };
   uint64_t now = now_ms ();
 
-  for (size_t back = 1; back <= SAMPLES && back <= engine.sample_next; back++)
+  for (size_t back = 1;
+       back <= SAMPLE_RING_SIZE && back <= engine.sample_count; back++)
     {
-      found = engine.samples[(engine.sample_next - back) % SAMPLES];
-      if (now - found.at_ms >= engine.load_lag_ms)
+      found = engine.samples[(engine.sample_count - back) % SAMPLE_RING_SIZE];
+      if (now - found.time_ms >= engine.load_lag_ms)
         break;
     }
   standin_reply_json (
@@ -594,7 +611,7 @@
       json_pack ("{s:I,s:I,s:b,s:I}", "running", (json_int_t)found.running,
                  "slots", (json_int_t)engine.slots, "cold", found.cold,
                  "age_ms",
-                 (json_int_t)(found.at_ms == 0 ? 0 : now - found.at_ms)));
+                 (json_int_t)(found.time_ms == 0 ? 0 : now - found.time_ms)));
 }
 
 static void
@@ -605,17 +622,17 @@
   uint64_t now = now_ms ();
   bool from_start
       = !str_to_u64 (httpd_query_param (req, STR ("after")), &after);
-  uint64_t oldest = engine.event_seq > CACHE_EVENTS_KEPT
-                        ? engine.event_seq - CACHE_EVENTS_KEPT
+  uint64_t oldest = engine.next_event_seq > EVENT_RING_SIZE
+                        ? engine.next_event_seq - EVENT_RING_SIZE
                         : 0;
 
   if (!from_start && after + 1 > oldest)
     oldest = after + 1;
-  for (uint64_t seq = oldest; seq < engine.event_seq; seq++)
+  for (uint64_t seq = oldest; seq < engine.next_event_seq; seq++)
     {
-      const cache_event_t *event = &engine.events[seq % CACHE_EVENTS_KEPT];
+      const cache_event_t *event = &engine.events[seq % EVENT_RING_SIZE];
       char block[20];
-      if (now - event->at_ms < engine.cache_lag_ms)
+      if (now - event->time_ms < engine.cache_lag_ms)
         break;
       if (engine.cache_gap > 0 && seq % engine.cache_gap == 0)
         continue;
@@ -623,13 +640,13 @@
       json_array_append_new (
           list,
           json_pack ("{s:I,s:s,s:s}", "seq", (json_int_t)seq, "kind",
-                     event->stored ? "stored" : "evicted", "block", block));
+                     event->is_stored ? "stored" : "evicted", "block", block));
     }
   standin_reply_json (req, 200, json_pack ("{s:o}", "events", list));
 }
 
 static void
-take_order (httpd_req_t *req)
+handle_order (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
@@ -637,13 +654,13 @@
 
   if (!json_is_string (json_object_get (root, "order")))
     standin_reply_error (req, 400, "order is missing");
-  else if (engine.fencing && fence < engine.fence)
+  else if (engine.has_fencing && fence < engine.last_fence)
     standin_reply_json (req, 409,
                         json_pack ("{s:s,s:I}", "error", "old fence", "fence",
-                                   (json_int_t)engine.fence));
+                                   (json_int_t)engine.last_fence));
   else
     {
-      engine.fence = fence;
+      engine.last_fence = fence;
       json_array_append (engine.orders, root);
       httpd_reply_json (req, 200, STR ("{}"));
     }
@@ -651,7 +668,7 @@
 }
 
 static void
-set_qualities (const json_t *qualities)
+set_version_qualities (const json_t *qualities)
 {
   const char *name;
   json_t *value;
@@ -665,7 +682,7 @@
 }
 
 static void
-control (httpd_req_t *req)
+handle_control (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
@@ -679,22 +696,22 @@
   if ((value = json_object_get (root, "cold_ms")) != NULL)
     engine.cold_until_ms = now_ms () + (uint64_t)json_integer_value (value);
   if ((value = json_object_get (root, "hang")) != NULL)
-    engine.hang = json_is_true (value);
+    engine.is_hung = json_is_true (value);
   if ((value = json_object_get (root, "error")) != NULL)
-    engine.error = (int)json_integer_value (value);
+    engine.error_status = (int)json_integer_value (value);
   if ((value = json_object_get (root, "slow")) != NULL)
-    engine.slow = json_number_value (value);
+    engine.slow_factor = json_number_value (value);
   if (json_object_get (root, "cut_after_tokens") != NULL)
-    engine.cut_after = json_count (root, "cut_after_tokens");
+    engine.cut_after_tokens = json_count (root, "cut_after_tokens");
   if (json_object_get (root, "die_after_tokens") != NULL)
-    engine.die_after = json_count (root, "die_after_tokens");
-  set_qualities (json_object_get (root, "quality"));
+    engine.exit_after_tokens = json_count (root, "die_after_tokens");
+  set_version_qualities (json_object_get (root, "quality"));
   json_decref (root);
   httpd_reply_json (req, 200, STR ("{}"));
 }
 
 static void
-handle (void *arg, httpd_req_t *req)
+handle_request (void *arg, httpd_req_t *req)
 {
   str_t path = httpd_path (req);
   bool is_post = str_eq (httpd_method (req), STR ("POST"));
@@ -703,11 +720,11 @@
   if (str_eq (path, STR ("/v1/chat/completions")))
     {
       if (is_post)
-        complete (req);
+        handle_completion (req);
       else
         standin_reply_error (req, 405, "POST only");
     }
-  else if (engine.minimal)
+  else if (engine.is_minimal)
     standin_reply_error (req, 404, "no such path");
   else if (str_eq (path, STR ("/stats")))
     reply_stats (req);
@@ -716,14 +733,15 @@
   else if (str_eq (path, STR ("/cache-events")))
     reply_cache_events (req);
   else if (is_post && str_eq (path, STR ("/orders")))
-    take_order (req);
+    handle_order (req);
   else if (is_post && str_eq (path, STR ("/control")))
-    control (req);
+    handle_control (req);
   else
     standin_reply_error (req, 404, "no such path");
 }
 
-/* Parse NAME@V:quality:cost-factor; the last two may be left out.  */
+/* Parse NAME@V:QUALITY:COST into *VERSION; COST, or QUALITY and COST, may be
+   omitted.  */
 static bool
 parse_version (const char *text, version_t *version)
 {
@@ -751,7 +769,7 @@
       const char *text = names->count > 0 ? names->sval[i] : "draft@1";
       if (!parse_version (text, &engine.versions[i]))
         {
-          fprintf (stderr, "standin_engine: bad version %s\n", text);
+          fprintf (stderr, "standin_engine: invalid --version %s\n", text);
           exit (2);
         }
     }
@@ -765,9 +783,9 @@
       = arg_str0 (NULL, "listen", "HOST:PORT", "address; port 0 picks one");
   struct arg_str *versions
       = arg_strn (NULL, "version", "NAME@V:QUALITY:COST", 0, 64,
-                  "a version it runs (draft@1:0.9:1)");
+                  "a version to serve (draft@1:0.9:1)");
   struct arg_int *slots
-      = arg_int0 (NULL, "slots", "N", "requests at full speed (16)");
+      = arg_int0 (NULL, "slots", "N", "requests that run at full speed (16)");
   struct arg_int *max_running = arg_int0 (
       NULL, "max-running", "N", "requests before it refuses (twice slots)");
   struct arg_dbl *token
@@ -775,7 +793,7 @@
   struct arg_dbl *prompt
       = arg_dbl0 (NULL, "prompt-ms", "MS", "time of 1,000 prompt bytes (0)");
   struct arg_int *cold = arg_int0 (NULL, "cold-ms", "N",
-                                   "cold for so long after the start (0)");
+                                   "time after the start that it is cold (0)");
   struct arg_int *load_lag
       = arg_int0 (NULL, "load-lag-ms", "N", "age of load reports (500)");
   struct arg_int *cache_lag
@@ -787,7 +805,7 @@
   struct arg_lit *fencing
       = arg_lit0 (NULL, "fencing", "refuse orders with an old fence");
   struct arg_lit *minimal
-      = arg_lit0 (NULL, "minimal", "nothing but POST /v1/chat/completions");
+      = arg_lit0 (NULL, "minimal", "serve only POST /v1/chat/completions");
   struct arg_end *end = arg_end (5);
   void *argtable[]
       = { help,      address,      versions, slots,    max_running,
@@ -808,9 +826,9 @@
                 "A model engine that batches continuously.");
   list_init (&engine.runs);
   engine.loop = uv_default_loop ();
-  engine.counts = map_create ();
+  engine.run_counts = map_create ();
   engine.orders = json_array ();
-  engine.slow = 1;
+  engine.slow_factor = 1;
   engine.slots = (size_t)slots->ival[0];
   engine.max_running = max_running->ival[0] > 0 ? (size_t)max_running->ival[0]
                                                 : 2 * engine.slots;
@@ -822,13 +840,15 @@
   engine.cache_gap = (uint64_t)cache_gap->ival[0];
   engine.cache_blocks = (size_t)cache_blocks->ival[0];
   engine.cache = mem_zalloc ((engine.cache_blocks + 1) * sizeof (uint64_t));
-  engine.fencing = fencing->count > 0;
-  engine.minimal = minimal->count > 0;
+  engine.has_fencing = fencing->count > 0;
+  engine.is_minimal = minimal->count > 0;
   parse_versions (versions);
   uv_timer_init (engine.loop, &engine.tick);
   uv_timer_init (engine.loop, &engine.sampler);
-  if (!engine.minimal)
-    uv_timer_start (&engine.sampler, on_sample, SAMPLE_MS, SAMPLE_MS);
-  httpd_t *server = standin_listen (engine.loop, address->sval[0], handle);
+  if (!engine.is_minimal)
+    uv_timer_start (&engine.sampler, on_sample, SAMPLE_INTERVAL_MS,
+                    SAMPLE_INTERVAL_MS);
+  httpd_t *server
+      = standin_listen (engine.loop, address->sval[0], handle_request);
   standin_run (engine.loop, httpd_port (server));
 }
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -1,6 +1,6 @@
 /* Stand-in for the platform's services: table, objects, instance list and
-   ratings over HTTP/JSON (docs/PLATFORM-CONTRACT.md), with faults that are
-   set on the command line and over POST /faults.  */
+   ratings over HTTP/JSON (docs/PLATFORM-CONTRACT.md).  Faults are set with
+   --faults and with POST /faults.  */
 
 #include "base/map.h"
 #include "base/mem.h"
@@ -16,16 +16,16 @@
 
 enum
 {
-  BODY_LIMIT = 64 * 1024 * 1024,
-  SCAN_MAX = 10000,
+  MAX_BODY_BYTES = 64 * 1024 * 1024,
+  MAX_SCAN_ROWS = 10000,
   WINDOW_MS = 1000
 };
 
 typedef enum
 {
   OUTAGE_NONE,
-  OUTAGE_REFUSE, /* 503 at once.  */
-  OUTAGE_SILENT  /* No effect and no answer.  */
+  OUTAGE_REFUSE, /* Requests get status 503 at once.  */
+  OUTAGE_SILENT  /* Requests have no effect and get no reply.  */
 } outage_t;
 
 typedef enum
@@ -33,23 +33,24 @@
   RATING_OK,
   RATING_DOWN,
   RATING_SLOW,
-  RATING_WRONG /* Answers the opposite score.  */
+  RATING_INVERTED /* The score is 1 minus the real one.  */
 } rating_mode_t;
 
 typedef struct
 {
   outage_t outage;
   uint64_t slow_ms;
-  double lost_reply_share; /* Of writes: effect, no reply.  */
-  uint64_t write_limit;    /* A second; 0: none.  */
-  uint64_t read_limit;
+  double lost_reply_share; /* Share of transactions that take effect but get
+                              no reply, 0 to 1.  */
+  uint64_t write_limit;    /* Most writes a second; 0: no limit.  */
+  uint64_t read_limit;     /* Most reads a second; 0: no limit.  */
   rating_mode_t rating;
   uint64_t rating_slow_ms;
-  double rating_noise;
-  uint64_t lag_ms; /* Of the instance list.  */
+  double rating_noise; /* Largest deviation added to a score.  */
+  uint64_t lag_ms;     /* Delay of changes to the instance list.  */
 } faults_t;
 
-/* X (name) for each count that GET /stats shows.  */
+/* X (NAME) for each counter in the reply to GET /stats.  */
 #define COUNTS(X)                                                             \
   X (calls)                                                                   \
   X (txns)                                                                    \
@@ -73,8 +74,8 @@
 typedef struct
 {
   uint64_t started_ms;
-  uint64_t used;
-} window_t;
+  uint64_t call_count;
+} rate_window_t;
 
 typedef struct
 {
@@ -82,49 +83,49 @@
   httpd_t *server;
   table_t *table;
   instance_list_t *instances;
-  map_t *objects; /* Of buf_t.  */
+  map_t *objects; /* Object name to its contents, a buf_t.  */
   faults_t faults;
   counts_t counts;
-  window_t write_window;
-  window_t read_window;
+  rate_window_t write_window;
+  rate_window_t read_window;
   rng_t rng;
-} standin_t;
+} platform_standin_t;
 
-/* An answer that waits for its time.  */
+/* A reply that is sent after a delay.  */
 typedef struct
 {
   uv_timer_t timer;
-  httpd_req_t *req; /* NULL once its peer has gone.  */
+  httpd_req_t *req; /* NULL if the client has disconnected.  */
   int status;
   bool is_json;
   buf_t body;
-} answer_t;
+} delayed_reply_t;
 
-/* A change of the instance list that is not yet to be seen.  */
+/* A change of the instance list that takes effect after a delay.  */
 typedef struct
 {
   uv_timer_t timer;
-  standin_t *standin;
+  platform_standin_t *standin;
   json_t *json;
-} change_t;
+} instance_change_t;
 
 static void
-answer_closed (uv_handle_t *handle)
+on_reply_closed (uv_handle_t *handle)
 {
-  answer_t *answer = handle->data;
+  delayed_reply_t *delayed = handle->data;
 
-  buf_free (&answer->body);
-  free (answer);
+  buf_free (&delayed->body);
+  free (delayed);
 }
 
 static void
-answer_stopped (void *arg)
+on_client_disconnect (void *arg)
 {
-  ((answer_t *)arg)->req = NULL;
+  ((delayed_reply_t *)arg)->req = NULL;
 }
 
 static void
-send_answer (httpd_req_t *req, int status, bool is_json, str_t body)
+send_reply (httpd_req_t *req, int status, bool is_json, str_t body)
 {
   if (is_json)
     httpd_reply_json (req, status, body);
@@ -133,44 +134,45 @@
 }
 
 static void
-answer_due (uv_timer_t *timer)
+on_reply_due (uv_timer_t *timer)
 {
-  answer_t *answer = timer->data;
-  httpd_req_t *req = answer->req;
+  delayed_reply_t *delayed = timer->data;
+  httpd_req_t *req = delayed->req;
 
   if (req != NULL)
     {
       httpd_set_callbacks (req, NULL, NULL, NULL);
-      send_answer (req, answer->status, answer->is_json,
-                   buf_str (&answer->body));
+      send_reply (req, delayed->status, delayed->is_json,
+                  buf_str (&delayed->body));
     }
-  uv_close ((uv_handle_t *)timer, answer_closed);
+  uv_close ((uv_handle_t *)timer, on_reply_closed);
 }
 
-/* Answer REQ after DELAY_MS with BODY, which is consumed.  */
+/* Reply to REQ after DELAY_MS with BODY, which is consumed.  */
 static void
-reply (standin_t *standin, httpd_req_t *req, uint64_t delay_ms, int status,
-       bool is_json, buf_t *body)
+reply (platform_standin_t *standin, httpd_req_t *req, uint64_t delay_ms,
+       int status, bool is_json, buf_t *body)
 {
   if (delay_ms == 0)
     {
-      send_answer (req, status, is_json, buf_str (body));
+      send_reply (req, status, is_json, buf_str (body));
       buf_free (body);
       return;
     }
-  answer_t *answer = mem_zalloc (sizeof *answer);
-  answer->req = req;
-  answer->status = status;
-  answer->is_json = is_json;
-  answer->body = *body;
-  uv_timer_init (standin->loop, &answer->timer);
-  answer->timer.data = answer;
-  uv_timer_start (&answer->timer, answer_due, delay_ms, 0);
-  httpd_set_callbacks (req, NULL, answer_stopped, answer);
+  delayed_reply_t *delayed = mem_zalloc (sizeof *delayed);
+  delayed->req = req;
+  delayed->status = status;
+  delayed->is_json = is_json;
+  delayed->body = *body;
+  uv_timer_init (standin->loop, &delayed->timer);
+  delayed->timer.data = delayed;
+  uv_timer_start (&delayed->timer, on_reply_due, delay_ms, 0);
+  httpd_set_callbacks (req, NULL, on_client_disconnect, delayed);
 }
 
 static void
-reply_json (standin_t *standin, httpd_req_t *req, int status, json_t *json)
+reply_json (platform_standin_t *standin, httpd_req_t *req, int status,
+            json_t *json)
 {
   buf_t body = BUF_NULL;
 
@@ -179,7 +181,7 @@
 }
 
 static void
-reply_error (standin_t *standin, httpd_req_t *req, int status,
+reply_error (platform_standin_t *standin, httpd_req_t *req, int status,
              const char *message)
 {
   json_t *json = json_object ();
@@ -188,9 +190,10 @@
   reply_json (standin, req, status, json);
 }
 
-/* Return the body of REQ as a JSON object, or NULL after an answer.  */
+/* Return the body of REQ as a JSON object.  If it is none, reply with status
+   400 and return NULL.  */
 static json_t *
-body_json (httpd_req_t *req)
+parse_json_body (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
   json_t *json = json_loadb (body.len > 0 ? body.ptr : "", body.len,
@@ -203,21 +206,23 @@
   return NULL;
 }
 
-/* Take one call out of WINDOW; false when LIMIT a second is used up.  */
+/* Count one call in the rate limit WINDOW.  Return false if the window has
+   more than LIMIT calls; a LIMIT of 0 means no limit.  */
 static bool
-take (standin_t *standin, window_t *window, uint64_t limit)
+count_call (platform_standin_t *standin, rate_window_t *window, uint64_t limit)
 {
   uint64_t now_ms = uv_now (standin->loop);
 
   if (now_ms - window->started_ms >= WINDOW_MS)
-    *window = (window_t){ .started_ms = now_ms };
-  window->used++;
-  return limit == 0 || window->used <= limit;
+    *window = (rate_window_t){ .started_ms = now_ms };
+  window->call_count++;
+  return limit == 0 || window->call_count <= limit;
 }
 
-/* Let the reply of REQ be lost: cut the connection, or say nothing.  */
+/* Lose the reply to REQ: at random, either reset the connection or send
+   nothing.  */
 static void
-lose_reply (standin_t *standin, httpd_req_t *req)
+lose_reply (platform_standin_t *standin, httpd_req_t *req)
 {
   standin->counts.lost_replies++;
   if (rng_below (&standin->rng, 2) == 0)
@@ -227,9 +232,9 @@
 }
 
 static void
-serve_txn (standin_t *standin, httpd_req_t *req)
+serve_txn (platform_standin_t *standin, httpd_req_t *req)
 {
-  json_t *json = body_json (req);
+  json_t *json = parse_json_body (req);
   uint64_t revision;
   str_t conflict;
 
@@ -254,17 +259,17 @@
   else
     {
       standin->counts.conflicts++;
-      json_t *refusal = json_object ();
-      json_put_str (refusal, "conflict", conflict);
-      reply_json (standin, req, 409, refusal);
+      json_t *conflict_json = json_object ();
+      json_put_str (conflict_json, "conflict", conflict);
+      reply_json (standin, req, 409, conflict_json);
     }
   txn_free (txn);
 }
 
 static void
-serve_get (standin_t *standin, httpd_req_t *req)
+serve_get (platform_standin_t *standin, httpd_req_t *req)
 {
-  json_t *json = body_json (req);
+  json_t *json = parse_json_body (req);
   row_t row;
 
   if (json == NULL)
@@ -277,33 +282,34 @@
 }
 
 static void
-serve_scan (standin_t *standin, httpd_req_t *req)
+serve_scan (platform_standin_t *standin, httpd_req_t *req)
 {
-  json_t *json = body_json (req);
-  bool more;
+  json_t *json = parse_json_body (req);
+  bool has_more;
 
   if (json == NULL)
     return;
   size_t limit = json_get_u64 (json, "limit");
-  if (limit > SCAN_MAX)
-    limit = SCAN_MAX;
+  if (limit > MAX_SCAN_ROWS)
+    limit = MAX_SCAN_ROWS;
   row_t *rows = mem_alloc ((limit + 1) * sizeof *rows);
   size_t count
       = table_scan (standin->table, json_get_plain (json, "prefix"),
-                    json_get_plain (json, "after"), limit, rows, &more);
+                    json_get_plain (json, "after"), limit, rows, &has_more);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (list, json_from_row (&rows[i]));
   reply_json (standin, req, 200,
-              json_pack ("{s:o,s:b}", "rows", list, "more", more));
+              json_pack ("{s:o,s:b}", "rows", list, "more", has_more));
   free (rows);
   json_decref (json);
 }
 
 static void
-serve_object (standin_t *standin, httpd_req_t *req)
+serve_object (platform_standin_t *standin, httpd_req_t *req)
 {
-  /* The encoded name is as good a key as the plain one.  */
+  /* The map key is the percent-encoded name.  Decoding is not needed, since
+     only equal names have to match.  */
   str_t name = httpd_query_param (req, STR ("name"));
   buf_t *object = map_get (standin->objects, name);
   buf_t body = BUF_NULL;
@@ -330,68 +336,68 @@
 }
 
 static void
-serve_instances (standin_t *standin, httpd_req_t *req)
+serve_instances (platform_standin_t *standin, httpd_req_t *req)
 {
   instance_row_t *rows;
   uint64_t after = 0;
   uint64_t sequence;
-  bool full;
+  bool is_full;
 
   standin->counts.instances++;
   str_to_u64 (httpd_query_param (req, STR ("after")), &after);
   size_t count = instance_list_read (standin->instances, after, &rows,
-                                     &sequence, &full);
+                                     &sequence, &is_full);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (list, json_from_instance (&rows[i]));
   free (rows);
   reply_json (standin, req, 200,
               json_pack ("{s:I,s:b,s:o}", "sequence", (json_int_t)sequence,
-                         "full", full, "instances", list));
+                         "full", is_full, "instances", list));
 }
 
 static void
-change_closed (uv_handle_t *handle)
+on_change_closed (uv_handle_t *handle)
 {
-  change_t *change = handle->data;
+  instance_change_t *change = handle->data;
 
   json_decref (change->json);
   free (change);
 }
 
 static void
-change_due (uv_timer_t *timer)
+on_change_due (uv_timer_t *timer)
 {
-  change_t *change = timer->data;
+  instance_change_t *change = timer->data;
   instance_row_t row;
 
   if (json_to_instance (change->json, &row))
     instance_list_put (change->standin->instances, &row);
-  uv_close ((uv_handle_t *)timer, change_closed);
+  uv_close ((uv_handle_t *)timer, on_change_closed);
 }
 
 static void
-add_change (standin_t *standin, json_t *json)
+schedule_change (platform_standin_t *standin, json_t *json)
 {
-  change_t *change = mem_zalloc (sizeof *change);
+  instance_change_t *change = mem_zalloc (sizeof *change);
 
   change->standin = standin;
   change->json = json_incref (json);
   uv_timer_init (standin->loop, &change->timer);
   change->timer.data = change;
-  uv_timer_start (&change->timer, change_due, standin->faults.lag_ms, 0);
+  uv_timer_start (&change->timer, on_change_due, standin->faults.lag_ms, 0);
 }
 
-/* Take one instance, or {"instances":[...]}.  */
+/* Accept one instance, or {"instances":[...]}.  */
 static void
-serve_instance_change (standin_t *standin, httpd_req_t *req)
+serve_instance_change (platform_standin_t *standin, httpd_req_t *req)
 {
-  json_t *json = body_json (req);
+  json_t *json = parse_json_body (req);
   json_t *list;
   json_t *item;
   size_t index;
   instance_row_t row;
-  bool ok = true;
+  bool is_valid = true;
 
   if (json == NULL)
     return;
@@ -400,13 +406,13 @@
     list = json_pack ("[O]", json);
   else
     json_incref (list);
-  json_array_foreach (list, index, item) ok
-      = ok && json_to_instance (item, &row);
-  if (ok)
-    json_array_foreach (list, index, item) add_change (standin, item);
+  json_array_foreach (list, index, item) is_valid
+      = is_valid && json_to_instance (item, &row);
+  if (is_valid)
+    json_array_foreach (list, index, item) schedule_change (standin, item);
   json_decref (list);
   json_decref (json);
-  if (ok)
+  if (is_valid)
     httpd_reply_json (req, 200, STR ("{}"));
   else
     httpd_reply_json (
@@ -415,7 +421,7 @@
 }
 
 static void
-serve_rate (standin_t *standin, httpd_req_t *req)
+serve_rate (platform_standin_t *standin, httpd_req_t *req)
 {
   const faults_t *faults = &standin->faults;
   buf_t body = BUF_NULL;
@@ -426,14 +432,14 @@
       httpd_reply_json (req, 503, STR ("{\"error\":\"down\"}"));
       return;
     }
-  json_t *json = body_json (req);
+  json_t *json = parse_json_body (req);
   if (json == NULL)
     return;
   double score = rating_of (json_get_plain (json, "answer"));
   json_decref (json);
   score += (rng_double (&standin->rng) * 2 - 1) * faults->rating_noise;
   score = score < 0 ? 0 : score > 1 ? 1 : score;
-  if (faults->rating == RATING_WRONG)
+  if (faults->rating == RATING_INVERTED)
     score = 1 - score;
   json_write (json_pack ("{s:f}", "score", score), &body);
   reply (standin, req,
@@ -441,18 +447,19 @@
          &body);
 }
 
-/* Set *VALUE to the index of NAME's string in NAMES; false when it is none of
-   them.  */
+/* Set *VALUE to the index in CHOICES of the string that JSON has under NAME.
+   Without such a field, leave *VALUE.  Return false if the value is not in
+   CHOICES.  */
 static bool
-set_choice (const json_t *json, const char *name, const char *const *names,
-            int *value)
+set_enum (const json_t *json, const char *name, const char *const *choices,
+          int *value)
 {
   str_t text = json_get_plain (json, name);
 
   if (text.ptr == NULL)
     return json_object_get (json, name) == NULL;
-  for (int i = 0; names[i] != NULL; i++)
-    if (str_eq (text, str_from (names[i])))
+  for (int i = 0; choices[i] != NULL; i++)
+    if (str_eq (text, str_from (choices[i])))
       {
         *value = i;
         return true;
@@ -474,7 +481,8 @@
     *value = json_number_value (json_object_get (json, name));
 }
 
-/* Change what JSON names, leave the rest; false when a value is unknown.  */
+/* Set the fields of FAULTS that JSON has.  Return false and change nothing if
+   an outage or rating mode is unknown.  */
 static bool
 set_faults (faults_t *faults, const json_t *json)
 {
@@ -483,8 +491,8 @@
   int outage = faults->outage;
   int rating = faults->rating;
 
-  if (!set_choice (json, "outage", outages, &outage)
-      || !set_choice (json, "rating", ratings, &rating))
+  if (!set_enum (json, "outage", outages, &outage)
+      || !set_enum (json, "rating", ratings, &rating))
     return false;
   faults->outage = (outage_t)outage;
   faults->rating = (rating_mode_t)rating;
@@ -499,22 +507,22 @@
 }
 
 static void
-serve_faults (standin_t *standin, httpd_req_t *req)
+serve_faults (platform_standin_t *standin, httpd_req_t *req)
 {
-  json_t *json = body_json (req);
+  json_t *json = parse_json_body (req);
 
   if (json == NULL)
     return;
-  bool ok = set_faults (&standin->faults, json);
+  bool is_valid = set_faults (&standin->faults, json);
   json_decref (json);
-  if (ok)
+  if (is_valid)
     httpd_reply_json (req, 200, STR ("{}"));
   else
     httpd_reply_json (req, 400, STR ("{\"error\":\"unknown fault\"}"));
 }
 
 static void
-serve_stats (standin_t *standin, httpd_req_t *req)
+serve_stats (platform_standin_t *standin, httpd_req_t *req)
 {
   json_t *json = json_object ();
   buf_t body = BUF_NULL;
@@ -530,11 +538,11 @@
   reply (standin, req, 0, 200, true, &body);
 }
 
-typedef void (*serve_t) (standin_t *standin, httpd_req_t *req);
+typedef void (*serve_t) (platform_standin_t *standin, httpd_req_t *req);
 
 typedef enum
 {
-  ROUTE_CONTROL, /* Of the tests: never faulty.  */
+  ROUTE_CONTROL, /* Used by the tests; not subject to faults.  */
   ROUTE_READ,
   ROUTE_WRITE,
   ROUTE_RATE
@@ -562,7 +570,7 @@
 };
 
 static const route_t *
-route_of (const httpd_req_t *req)
+find_route (const httpd_req_t *req)
 {
   for (size_t i = 0; i < sizeof routes / sizeof routes[0]; i++)
     if (str_eq (httpd_method (req), str_from (routes[i].method))
@@ -571,12 +579,14 @@
   return NULL;
 }
 
-/* Answer REQ by a fault of the store; false when there is none.  */
+/* Apply outages and rate limits to REQ.  Return true if REQ was refused or is
+   never to be answered.  */
 static bool
-fault_answers (standin_t *standin, httpd_req_t *req, route_kind_t kind)
+apply_store_fault (platform_standin_t *standin, httpd_req_t *req,
+                   route_kind_t kind)
 {
   const faults_t *faults = &standin->faults;
-  bool write = kind == ROUTE_WRITE;
+  bool is_write = kind == ROUTE_WRITE;
 
   if (faults->outage == OUTAGE_SILENT)
     return true;
@@ -586,8 +596,9 @@
       httpd_reply_json (req, 503, STR ("{\"error\":\"down\"}"));
       return true;
     }
-  if (take (standin, write ? &standin->write_window : &standin->read_window,
-            write ? faults->write_limit : faults->read_limit))
+  if (count_call (standin,
+                  is_write ? &standin->write_window : &standin->read_window,
+                  is_write ? faults->write_limit : faults->read_limit))
     return false;
   standin->counts.limited++;
   httpd_reply_json (req, 429, STR ("{\"error\":\"too many calls\"}"));
@@ -595,10 +606,10 @@
 }
 
 static void
-handle (void *arg, httpd_req_t *req)
+handle_request (void *arg, httpd_req_t *req)
 {
-  standin_t *standin = arg;
-  const route_t *route = route_of (req);
+  platform_standin_t *standin = arg;
+  const route_t *route = find_route (req);
 
   if (route == NULL)
     {
@@ -608,20 +619,21 @@
   if (route->kind != ROUTE_CONTROL)
     standin->counts.calls++;
   if ((route->kind == ROUTE_READ || route->kind == ROUTE_WRITE)
-      && fault_answers (standin, req, route->kind))
+      && apply_store_fault (standin, req, route->kind))
     return;
   if (route->kind == ROUTE_READ)
     standin->counts.reads++;
   route->serve (standin, req);
 }
 
-static const char help[]
+static const char help_text[]
     = "Usage: standin_platform [OPTION]...\n"
       "Stand-in for the platform: table, objects, instances and ratings.\n"
-      "Prints `listening PORT' when ready; serves until it is ended.\n"
+      "Prints `listening PORT' when ready; serves until terminated.\n"
       "\n"
       "  --listen=HOST:PORT  address (default 127.0.0.1:0)\n"
-      "  --seed=N            seed of noise and lost replies (default 1)\n"
+      "  --seed=N            seed of rating noise and lost replies (default "
+      "1)\n"
       "  --faults=JSON       as POST /faults: outage none|refuse|silent,\n"
       "                      slow_ms, lost_reply_share, write_limit,\n"
       "                      read_limit, rating ok|down|slow|wrong,\n"
@@ -632,35 +644,38 @@
       "\n"
       "POST /faults, POST /instances and GET /stats are for tests.\n";
 
-/* Apply the JSON text of an option by APPLY; false when it is wrong.  */
+/* Apply the JSON text of --instance (IS_INSTANCE) or --faults.  Return false
+   if it is not valid.  */
 static bool
-use_option (standin_t *standin, const char *text, bool is_instance)
+apply_json_option (platform_standin_t *standin, const char *text,
+                   bool is_instance)
 {
   json_t *json = json_loads (text, 0, NULL);
   instance_row_t row;
-  bool ok = json_is_object (json);
+  bool is_valid = json_is_object (json);
 
-  if (ok && is_instance)
+  if (is_valid && is_instance)
     {
-      ok = json_to_instance (json, &row);
-      if (ok)
+      is_valid = json_to_instance (json, &row);
+      if (is_valid)
         instance_list_put (standin->instances, &row);
     }
-  else if (ok)
-    ok = set_faults (&standin->faults, json);
+  else if (is_valid)
+    is_valid = set_faults (&standin->faults, json);
   json_decref (json);
-  return ok;
+  return is_valid;
 }
 
 typedef enum
 {
   OPTIONS_OK,
   OPTIONS_EXIT,
-  OPTIONS_BAD
+  OPTIONS_INVALID
 } options_result_t;
 
 static options_result_t
-read_options (standin_t *standin, int argc, char **argv, const char **listen)
+parse_options (platform_standin_t *standin, int argc, char **argv,
+               const char **listen)
 {
   static const struct option options[] = {
     { "listen", required_argument, NULL, 'l' },
@@ -684,20 +699,21 @@
         break;
       case 'f':
       case 'i':
-        if (!use_option (standin, optarg, option == 'i'))
+        if (!apply_json_option (standin, optarg, option == 'i'))
           {
-            fprintf (stderr, "standin_platform: not understood: %s\n", optarg);
-            return OPTIONS_BAD;
+            fprintf (stderr, "standin_platform: invalid JSON option: %s\n",
+                     optarg);
+            return OPTIONS_INVALID;
           }
         break;
       case 'h':
-        fputs (help, stdout);
+        fputs (help_text, stdout);
         return OPTIONS_EXIT;
       case 'v':
         puts ("standin_platform " VH_VERSION);
         return OPTIONS_EXIT;
       default:
-        return OPTIONS_BAD;
+        return OPTIONS_INVALID;
       }
   return OPTIONS_OK;
 }
@@ -705,19 +721,21 @@
 int
 main (int argc, char **argv)
 {
-  const httpd_options_t options = { .body_limit = BODY_LIMIT };
+  const httpd_options_t options = { .body_limit = MAX_BODY_BYTES };
   const char *listen = "127.0.0.1:0";
-  standin_t standin = { .loop = uv_default_loop (), .rng = rng_make (1) };
+  platform_standin_t standin
+      = { .loop = uv_default_loop (), .rng = rng_make (1) };
 
   standin.table = table_create ();
   standin.instances = instance_list_create ();
   standin.objects = map_create ();
-  options_result_t result = read_options (&standin, argc, argv, &listen);
+  options_result_t result = parse_options (&standin, argc, argv, &listen);
   if (result != OPTIONS_OK)
     return result == OPTIONS_EXIT ? EXIT_SUCCESS : 2;
-  /* A cut answer is written to a socket that is shut.  */
+  /* A write to a connection that the client has closed must return EPIPE
+     instead of ending the process.  */
   signal (SIGPIPE, SIG_IGN);
-  if (httpd_create (standin.loop, str_from (listen), &options, handle,
+  if (httpd_create (standin.loop, str_from (listen), &options, handle_request,
                     &standin, &standin.server)
       != VH_OK)
     {
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -1,16 +1,17 @@
 /* A TCP proxy that injects faults.
 
-   Control port: GET /connections lists [{"id","silent"}];
-   POST /fault takes, each key optional,
-     "silence": "both"|"up"|"down"|"none"  swallow the bytes and the ends of
-                existing connections, for good; "up" is client to target.
-                "none" ends it for new connections only, as when something
-                between the two ends has lost track of the old ones
-     "connection": ID      silence or reset just this one
-     "also_new": true      new connections fall silent too
+   Control port: GET /connections replies with [{"id","silent"}];
+   POST /fault takes these keys, each optional:
+     "silence": "both"|"up"|"down"|"none"  drop the bytes and the ends of
+                stream of existing connections without closing them, for the
+                rest of their life; "up" is client to target.  "none" affects
+                new connections only: existing ones stay silent, as when a NAT
+                or firewall has lost their state
+     "connection": ID      silence or reset only this connection
+     "also_new": true      apply "silence" to new connections too
      "reset": true         reset existing connections
-     "refuse": bool        reset new connections as they come
-     "delay_ms": N         deliver each piece so much later
+     "refuse": bool        reset new connections when they are accepted
+     "delay_ms": N         delay each chunk by N ms
      "cut_after": N        reset a connection after N bytes from the target;
                            0: never  */
 
@@ -26,9 +27,10 @@
 enum
 {
   BACKLOG = 1024,
-  PIECE = 64 * 1024,
-  /* Bytes on their way through one side before its reader pauses.  */
-  IN_FLIGHT_MAX = 1024 * 1024
+  CHUNK_BYTES = 64 * 1024,
+  /* Reading from a socket pauses while more bytes than this, received from
+     it, are not yet written to the other socket.  */
+  MAX_IN_FLIGHT_BYTES = 1024 * 1024
 };
 
 enum
@@ -37,50 +39,52 @@
   SILENT_DOWN = 1 << 1
 };
 
-typedef struct link link_t;
+typedef struct connection connection_t;
 
-/* One of the two sockets of a connection.  */
+/* One of the two sockets of a proxied connection.  */
 typedef struct
 {
   uv_tcp_t tcp;
-  link_t *link;
-  unsigned silent_bit; /* Silences what this side sends.  */
-  size_t in_flight;    /* Read here, not yet written to the other side.  */
-  bool paused;
-  bool ended; /* Its end of stream was passed on.  */
-} side_t;
-
-struct link
+  connection_t *connection;
+  unsigned direction; /* SILENT_UP or SILENT_DOWN: data from this socket.  */
+  size_t in_flight;   /* Bytes read here and not yet written to the peer.  */
+  bool is_paused;
+  bool has_ended; /* Its end of stream was forwarded.  */
+} endpoint_t;
+
+struct connection
 {
   list_t node;
   uint64_t id;
-  side_t client;
-  side_t target;
-  unsigned silent;
-  uint64_t from_target; /* Bytes.  */
-  bool closing;
-  unsigned holds; /* Handles and pieces that refer to it.  */
+  endpoint_t client;
+  endpoint_t target;
+  unsigned silent;       /* Mask of SILENT_UP and SILENT_DOWN.  */
+  uint64_t target_bytes; /* Bytes from the target, counted while cut_after is
+                            set.  */
+  bool is_closing;
+  unsigned ref_count; /* Number of open sockets and chunks.  */
 };
 
-/* Bytes under way from one side to the other; none: its end of stream.  */
+/* Bytes that are forwarded from one socket to the other.  A chunk of length 0
+   is the end of the stream.  */
 typedef struct
 {
   uv_timer_t timer;
   uv_write_t write;
   uv_shutdown_t shutdown;
-  side_t *from;
+  endpoint_t *from;
   char *bytes;
   size_t len;
-} piece_t;
+} chunk_t;
 
 typedef struct
 {
   uv_loop_t *loop;
   uv_tcp_t listener;
   struct sockaddr_storage target;
-  list_t links;
+  list_t connections;
   uint64_t next_id;
-  unsigned silent_new;
+  unsigned new_silent; /* Value of `silent' for new connections.  */
   bool refuse;
   uint64_t delay_ms;
   uint64_t cut_after;
@@ -89,160 +93,165 @@
 static proxy_t proxy;
 
 static void
-link_release (link_t *link)
+connection_unref (connection_t *connection)
 {
-  if (--link->holds == 0)
-    free (link);
+  if (--connection->ref_count == 0)
+    free (connection);
 }
 
 static void
-on_side_closed (uv_handle_t *handle)
+on_endpoint_closed (uv_handle_t *handle)
 {
-  side_t *side = handle->data;
+  endpoint_t *endpoint = handle->data;
 
-  link_release (side->link);
+  connection_unref (endpoint->connection);
 }
 
 static void
-close_side (side_t *side, bool reset)
+endpoint_close (endpoint_t *endpoint, bool reset)
 {
-  uv_handle_t *handle = (uv_handle_t *)&side->tcp;
+  uv_handle_t *handle = (uv_handle_t *)&endpoint->tcp;
 
   if (uv_is_closing (handle))
     return;
-  if (!reset || uv_tcp_close_reset (&side->tcp, on_side_closed) != 0)
-    uv_close (handle, on_side_closed);
+  if (!reset || uv_tcp_close_reset (&endpoint->tcp, on_endpoint_closed) != 0)
+    uv_close (handle, on_endpoint_closed);
 }
 
 static void
-link_close (link_t *link, bool reset)
+connection_close (connection_t *connection, bool reset)
 {
-  if (link->closing)
+  if (connection->is_closing)
     return;
-  link->closing = true;
-  list_remove (&link->node);
-  close_side (&link->client, reset);
-  close_side (&link->target, reset);
+  connection->is_closing = true;
+  list_remove (&connection->node);
+  endpoint_close (&connection->client, reset);
+  endpoint_close (&connection->target, reset);
 }
 
-static side_t *
-other (side_t *side)
+static endpoint_t *
+peer_of (endpoint_t *endpoint)
 {
-  return side == &side->link->client ? &side->link->target
-                                     : &side->link->client;
+  return endpoint == &endpoint->connection->client
+             ? &endpoint->connection->target
+             : &endpoint->connection->client;
 }
 
 static void
-on_piece_closed (uv_handle_t *handle)
+on_chunk_closed (uv_handle_t *handle)
 {
-  piece_t *piece = handle->data;
+  chunk_t *chunk = handle->data;
 
-  link_release (piece->from->link);
-  free (piece->bytes);
-  free (piece);
+  connection_unref (chunk->from->connection);
+  free (chunk->bytes);
+  free (chunk);
 }
 
 static void on_alloc (uv_handle_t *handle, size_t size, uv_buf_t *buf);
 static void on_read (uv_stream_t *stream, ssize_t len, const uv_buf_t *buf);
 
 static void
-piece_done (piece_t *piece)
+chunk_free (chunk_t *chunk)
 {
-  side_t *from = piece->from;
+  endpoint_t *from = chunk->from;
 
-  from->in_flight -= piece->len;
-  if (from->paused && from->in_flight < IN_FLIGHT_MAX / 2
-      && !from->link->closing)
+  from->in_flight -= chunk->len;
+  if (from->is_paused && from->in_flight < MAX_IN_FLIGHT_BYTES / 2
+      && !from->connection->is_closing)
     {
-      from->paused = false;
+      from->is_paused = false;
       uv_read_start ((uv_stream_t *)&from->tcp, on_alloc, on_read);
     }
-  uv_close ((uv_handle_t *)&piece->timer, on_piece_closed);
+  uv_close ((uv_handle_t *)&chunk->timer, on_chunk_closed);
 }
 
 static void
 on_written (uv_write_t *write, int status)
 {
-  piece_t *piece = write->data;
+  chunk_t *chunk = write->data;
 
   if (status != 0)
-    link_close (piece->from->link, false);
-  piece_done (piece);
+    connection_close (chunk->from->connection, false);
+  chunk_free (chunk);
 }
 
-/* Pass on the end of stream; both passed on, the connection is over.  */
+/* Forward the end of the stream.  Close the connection once both directions
+   have ended.  */
 static void
-piece_end (piece_t *piece)
+chunk_forward_end (chunk_t *chunk)
 {
-  side_t *from = piece->from;
-  link_t *link = from->link;
+  endpoint_t *from = chunk->from;
+  connection_t *connection = from->connection;
 
-  from->ended = true;
-  if (link->client.ended && link->target.ended)
-    link_close (link, false);
+  from->has_ended = true;
+  if (connection->client.has_ended && connection->target.has_ended)
+    connection_close (connection, false);
   else
-    uv_shutdown (&piece->shutdown, (uv_stream_t *)&other (from)->tcp, NULL);
-  piece_done (piece);
+    uv_shutdown (&chunk->shutdown, (uv_stream_t *)&peer_of (from)->tcp, NULL);
+  chunk_free (chunk);
 }
 
-/* Tell whether this piece from the target takes LINK to its cut.  */
+/* Count the bytes of CHUNK if they come from the target.  Return whether the
+   connection has exceeded the limit of "cut_after".  */
 static bool
-is_cut (link_t *link, const piece_t *piece)
+exceeds_cut_limit (connection_t *connection, const chunk_t *chunk)
 {
-  if (piece->from != &link->target || proxy.cut_after == 0)
+  if (chunk->from != &connection->target || proxy.cut_after == 0)
     return false;
-  link->from_target += piece->len;
-  return link->from_target > proxy.cut_after;
+  connection->target_bytes += chunk->len;
+  return connection->target_bytes > proxy.cut_after;
 }
 
 static void
-on_piece_due (uv_timer_t *timer)
+on_chunk_due (uv_timer_t *timer)
 {
-  piece_t *piece = timer->data;
-  side_t *from = piece->from;
-  link_t *link = from->link;
-  uv_buf_t buf = uv_buf_init (piece->bytes, (unsigned)piece->len);
-
-  if (!link->closing && is_cut (link, piece))
-    link_close (link, true);
-  /* Swallowed, not refused: the sender's TCP sees it taken.  */
-  if (link->closing || (link->silent & from->silent_bit) != 0)
+  chunk_t *chunk = timer->data;
+  endpoint_t *from = chunk->from;
+  connection_t *connection = from->connection;
+  uv_buf_t buf = uv_buf_init (chunk->bytes, (unsigned)chunk->len);
+
+  if (!connection->is_closing && exceeds_cut_limit (connection, chunk))
+    connection_close (connection, true);
+  /* A silent direction drops the bytes after reading them, so that the sender
+     receives TCP acknowledgements as usual.  */
+  if (connection->is_closing || (connection->silent & from->direction) != 0)
     {
-      piece_done (piece);
+      chunk_free (chunk);
       return;
     }
-  if (piece->len == 0)
+  if (chunk->len == 0)
     {
-      piece_end (piece);
+      chunk_forward_end (chunk);
       return;
     }
-  piece->write.data = piece;
-  if (uv_write (&piece->write, (uv_stream_t *)&other (from)->tcp, &buf, 1,
+  chunk->write.data = chunk;
+  if (uv_write (&chunk->write, (uv_stream_t *)&peer_of (from)->tcp, &buf, 1,
                 on_written)
       != 0)
     {
-      link_close (link, false);
-      piece_done (piece);
+      connection_close (connection, false);
+      chunk_free (chunk);
     }
 }
 
-/* Send BYTES, taken over, from side FROM on their way.  */
+/* Forward LEN bytes at BYTES, received from FROM, after the set delay.  Takes
+   ownership of BYTES; a LEN of 0 is the end of the stream.  */
 static void
-piece_send (side_t *from, char *bytes, size_t len)
+chunk_forward (endpoint_t *from, char *bytes, size_t len)
 {
-  piece_t *piece = mem_zalloc (sizeof *piece);
+  chunk_t *chunk = mem_zalloc (sizeof *chunk);
 
-  piece->from = from;
-  piece->bytes = bytes;
-  piece->len = len;
-  piece->timer.data = piece;
+  chunk->from = from;
+  chunk->bytes = bytes;
+  chunk->len = len;
+  chunk->timer.data = chunk;
   from->in_flight += len;
-  from->link->holds++;
-  uv_timer_init (proxy.loop, &piece->timer);
+  from->connection->ref_count++;
+  uv_timer_init (proxy.loop, &chunk->timer);
   if (proxy.delay_ms > 0)
-    uv_timer_start (&piece->timer, on_piece_due, proxy.delay_ms, 0);
+    uv_timer_start (&chunk->timer, on_chunk_due, proxy.delay_ms, 0);
   else
-    on_piece_due (&piece->timer);
+    on_chunk_due (&chunk->timer);
 }
 
 static void
@@ -250,21 +259,21 @@
 {
   (void)handle;
   (void)size;
-  *buf = uv_buf_init (mem_alloc (PIECE), PIECE);
+  *buf = uv_buf_init (mem_alloc (CHUNK_BYTES), CHUNK_BYTES);
 }
 
 static void
 on_read (uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
-  side_t *side = stream->data;
-  link_t *link = side->link;
+  endpoint_t *endpoint = stream->data;
+  connection_t *connection = endpoint->connection;
 
   if (len > 0)
     {
-      piece_send (side, buf->base, (size_t)len);
-      if (side->in_flight > IN_FLIGHT_MAX && !link->closing)
+      chunk_forward (endpoint, buf->base, (size_t)len);
+      if (endpoint->in_flight > MAX_IN_FLIGHT_BYTES && !connection->is_closing)
         {
-          side->paused = true;
+          endpoint->is_paused = true;
           uv_read_stop (stream);
         }
       return;
@@ -275,72 +284,73 @@
   if (len == UV_EOF)
     {
       uv_read_stop (stream);
-      piece_send (side, NULL, 0);
+      chunk_forward (endpoint, NULL, 0);
     }
-  else if ((link->silent & side->silent_bit) == 0)
-    link_close (link, true);
+  else if ((connection->silent & endpoint->direction) == 0)
+    connection_close (connection, true);
 }
 
 static void
 on_connected (uv_connect_t *connect, int status)
 {
-  link_t *link = connect->data;
+  connection_t *connection = connect->data;
 
   free (connect);
   if (status != 0)
     {
-      link_close (link, true);
+      connection_close (connection, true);
       return;
     }
-  uv_tcp_nodelay (&link->target.tcp, 1);
-  uv_read_start ((uv_stream_t *)&link->client.tcp, on_alloc, on_read);
-  uv_read_start ((uv_stream_t *)&link->target.tcp, on_alloc, on_read);
+  uv_tcp_nodelay (&connection->target.tcp, 1);
+  uv_read_start ((uv_stream_t *)&connection->client.tcp, on_alloc, on_read);
+  uv_read_start ((uv_stream_t *)&connection->target.tcp, on_alloc, on_read);
 }
 
 static void
-side_init (link_t *link, side_t *side, unsigned silent_bit)
+endpoint_init (connection_t *connection, endpoint_t *endpoint,
+               unsigned direction)
 {
-  side->link = link;
-  side->silent_bit = silent_bit;
-  uv_tcp_init (proxy.loop, &side->tcp);
-  side->tcp.data = side;
-  link->holds++;
+  endpoint->connection = connection;
+  endpoint->direction = direction;
+  uv_tcp_init (proxy.loop, &endpoint->tcp);
+  endpoint->tcp.data = endpoint;
+  connection->ref_count++;
 }
 
 static void
 on_connection (uv_stream_t *listener, int status)
 {
-  link_t *link = mem_zalloc (sizeof *link);
+  connection_t *connection = mem_zalloc (sizeof *connection);
   uv_connect_t *connect;
 
-  link->id = proxy.next_id++;
-  link->silent = proxy.silent_new;
-  side_init (link, &link->client, SILENT_UP);
-  side_init (link, &link->target, SILENT_DOWN);
-  list_append (&proxy.links, &link->node);
+  connection->id = proxy.next_id++;
+  connection->silent = proxy.new_silent;
+  endpoint_init (connection, &connection->client, SILENT_UP);
+  endpoint_init (connection, &connection->target, SILENT_DOWN);
+  list_append (&proxy.connections, &connection->node);
   if (status != 0
-      || uv_accept (listener, (uv_stream_t *)&link->client.tcp) != 0
+      || uv_accept (listener, (uv_stream_t *)&connection->client.tcp) != 0
       || proxy.refuse)
     {
-      link_close (link, true);
+      connection_close (connection, true);
       return;
     }
-  uv_tcp_nodelay (&link->client.tcp, 1);
+  uv_tcp_nodelay (&connection->client.tcp, 1);
   connect = mem_zalloc (sizeof *connect);
-  connect->data = link;
-  if (uv_tcp_connect (connect, &link->target.tcp,
+  connect->data = connection;
+  if (uv_tcp_connect (connect, &connection->target.tcp,
                       (const struct sockaddr *)&proxy.target, on_connected)
       != 0)
     {
       free (connect);
-      link_close (link, true);
+      connection_close (connection, true);
     }
 }
 
 static unsigned
-silence_bits (const char *how)
+parse_silence (const char *mode)
 {
-  str_t name = str_from (how);
+  str_t name = str_from (mode);
 
   if (str_eq (name, STR ("both")))
     return SILENT_UP | SILENT_DOWN;
@@ -349,28 +359,29 @@
   return str_eq (name, STR ("down")) ? SILENT_DOWN : 0;
 }
 
-/* Apply the faults of ROOT that concern existing connections.  */
+/* Apply the faults in ROOT that affect existing connections.  */
 static void
-fault_existing (const json_t *root)
+apply_connection_faults (const json_t *root)
 {
-  const json_t *only = json_object_get (root, "connection");
-  const char *how = json_string_value (json_object_get (root, "silence"));
+  const json_t *only_id = json_object_get (root, "connection");
+  const char *mode = json_string_value (json_object_get (root, "silence"));
   bool reset = json_is_true (json_object_get (root, "reset"));
 
-  LIST_EACH (at, &proxy.links)
+  LIST_EACH (node_link, &proxy.connections)
     {
-      link_t *link = CONTAINER_OF (at, link_t, node);
-      if (only != NULL && json_integer_value (only) != (json_int_t)link->id)
+      connection_t *connection = CONTAINER_OF (node_link, connection_t, node);
+      if (only_id != NULL
+          && json_integer_value (only_id) != (json_int_t)connection->id)
         continue;
-      if (how != NULL)
-        link->silent |= silence_bits (how);
+      if (mode != NULL)
+        connection->silent |= parse_silence (mode);
       if (reset)
-        link_close (link, true);
+        connection_close (connection, true);
     }
 }
 
 static void
-fault (httpd_req_t *req)
+handle_fault (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
@@ -381,11 +392,11 @@
       standin_reply_error (req, 400, "not JSON");
       return;
     }
-  fault_existing (root);
+  apply_connection_faults (root);
   if ((value = json_object_get (root, "silence")) != NULL
       && json_object_get (root, "connection") == NULL)
-    proxy.silent_new = json_is_true (json_object_get (root, "also_new"))
-                           ? silence_bits (json_string_value (value))
+    proxy.new_silent = json_is_true (json_object_get (root, "also_new"))
+                           ? parse_silence (json_string_value (value))
                            : 0;
   if ((value = json_object_get (root, "refuse")) != NULL)
     proxy.refuse = json_is_true (value);
@@ -398,36 +409,37 @@
 }
 
 static void
-list_connections (httpd_req_t *req)
+reply_connections (httpd_req_t *req)
 {
   json_t *list = json_array ();
 
-  LIST_EACH (at, &proxy.links)
+  LIST_EACH (node_link, &proxy.connections)
     {
-      const link_t *link = CONTAINER_OF (at, link_t, node);
-      json_array_append_new (list, json_pack ("{s:I,s:b}", "id",
-                                              (json_int_t)link->id, "silent",
-                                              link->silent != 0));
+      const connection_t *connection
+          = CONTAINER_OF (node_link, connection_t, node);
+      json_array_append_new (
+          list, json_pack ("{s:I,s:b}", "id", (json_int_t)connection->id,
+                           "silent", connection->silent != 0));
     }
   standin_reply_json (req, 200, list);
 }
 
 static void
-handle (void *arg, httpd_req_t *req)
+handle_request (void *arg, httpd_req_t *req)
 {
   str_t path = httpd_path (req);
 
   (void)arg;
   if (str_eq (path, STR ("/connections")))
-    list_connections (req);
+    reply_connections (req);
   else if (str_eq (path, STR ("/fault")))
-    fault (req);
+    handle_fault (req);
   else
     standin_reply_error (req, 404, "no such path");
 }
 
-/* Listen for connections to pass on; exit 1 when ADDRESS cannot be had.
-   Return the port.  */
+/* Listen on ADDRESS for connections to forward.  Return the port; exit 1 if
+   the address cannot be bound.  */
 static uint16_t
 listen_on (const char *address)
 {
@@ -455,8 +467,8 @@
   struct arg_lit *help = arg_lit0 (NULL, "help", "print this help");
   struct arg_str *address
       = arg_str0 (NULL, "listen", "HOST:PORT", "address; port 0 picks one");
-  struct arg_str *target
-      = arg_str1 (NULL, "target", "HOST:PORT", "where connections go");
+  struct arg_str *target = arg_str1 (NULL, "target", "HOST:PORT",
+                                     "address to forward connections to");
   struct arg_str *control_address = arg_str0 (
       NULL, "control", "HOST:PORT", "control port, printed as `control PORT'");
   struct arg_end *end = arg_end (5);
@@ -468,14 +480,15 @@
   standin_args (argc, argv, argtable, "A TCP proxy that injects faults.");
   proxy.loop = uv_default_loop ();
   proxy.next_id = 1;
-  list_init (&proxy.links);
+  list_init (&proxy.connections);
   if (!addr_parse (str_from (target->sval[0]), &proxy.target, &len))
     {
-      fprintf (stderr, "standin_proxy: bad target %s\n", target->sval[0]);
+      fprintf (stderr, "standin_proxy: invalid --target address %s\n",
+               target->sval[0]);
       return 2;
     }
   httpd_t *server
-      = standin_listen (proxy.loop, control_address->sval[0], handle);
+      = standin_listen (proxy.loop, control_address->sval[0], handle_request);
   uint16_t port = listen_on (address->sval[0]);
   printf ("control %u\n", httpd_port (server));
   standin_run (proxy.loop, port);
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -1,10 +1,10 @@
-/* A plain service that counts how often each request id ran.
+/* Stand-in for a plain service, which counts the runs of each request id.
 
    GET /stats        {"total":N,"running":N,"runs":{"ID":N}}
    POST /control     {"hang":bool,"error":STATUS,"die":"cut"|"exit",
                       "delay_ms":N}; each key is optional
-   anything else     one run, answered with a receipt that depends on method,
-                     path and body alone  */
+   anything else     counts as one run; the reply is a receipt that depends
+                     only on the method, the path and the body  */
 
 #include "standins/answer.h"
 #include "standins/common.h"
@@ -25,29 +25,29 @@
 
 typedef enum
 {
-  DIE_NO,
-  DIE_CUT, /* End the connection, live on.  */
-  DIE_EXIT /* End the process.  */
-} die_t;
+  CRASH_NONE,
+  CRASH_CUT, /* Reset the connection in the middle of the reply.  */
+  CRASH_EXIT /* Exit the process before the reply.  */
+} crash_mode_t;
 
 typedef struct
 {
   uv_loop_t *loop;
-  map_t *runs; /* Request id to uint64_t.  */
+  map_t *runs; /* Request id to its number of runs, a uint64_t.  */
   uint64_t total;
   uint64_t running;
-  int count_file; /* -1: none.  */
+  int count_file; /* Descriptor of --count-file; -1: none.  */
   uint64_t delay_ms;
-  bool hang;
-  int error;
-  die_t die;
+  bool is_hung;     /* No further request gets a reply.  */
+  int error_status; /* Status of each run; 0: no forced error.  */
+  crash_mode_t crash_mode;
 } service_t;
 
-/* One run whose answer waits.  */
+/* A run whose reply is delayed.  */
 typedef struct
 {
   uv_timer_t timer;
-  httpd_req_t *req; /* NULL: the peer left.  */
+  httpd_req_t *req; /* NULL if the client has disconnected.  */
   buf_t body;
 } run_t;
 
@@ -69,9 +69,9 @@
   return ++*count;
 }
 
-/* Note a run of ID where a restart of this program finds it.  */
+/* Append a run of ID to the count file, which is read at the next start.  */
 static void
-keep_run (str_t id)
+persist_run (str_t id)
 {
   buf_t line = BUF_NULL;
 
@@ -85,7 +85,7 @@
 }
 
 static void
-load_runs (const char *path)
+restore_runs (const char *path)
 {
   FILE *file = fopen (path, "re");
   char *line = NULL;
@@ -128,7 +128,7 @@
 }
 
 static void
-control (httpd_req_t *req)
+handle_control (httpd_req_t *req)
 {
   str_t body = httpd_body (req);
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
@@ -140,40 +140,42 @@
       return;
     }
   if ((value = json_object_get (root, "hang")) != NULL)
-    service.hang = json_is_true (value);
+    service.is_hung = json_is_true (value);
   if ((value = json_object_get (root, "error")) != NULL)
-    service.error = (int)json_integer_value (value);
+    service.error_status = (int)json_integer_value (value);
   if ((value = json_object_get (root, "delay_ms")) != NULL)
     service.delay_ms = (uint64_t)json_integer_value (value);
   if ((value = json_object_get (root, "die")) != NULL)
     {
-      str_t how = str_from (json_string_value (value));
-      service.die = str_eq (how, STR ("cut"))    ? DIE_CUT
-                    : str_eq (how, STR ("exit")) ? DIE_EXIT
-                                                 : DIE_NO;
+      str_t mode = str_from (json_string_value (value));
+      service.crash_mode = str_eq (mode, STR ("cut"))    ? CRASH_CUT
+                           : str_eq (mode, STR ("exit")) ? CRASH_EXIT
+                                                         : CRASH_NONE;
     }
   json_decref (root);
   httpd_reply_json (req, 200, STR ("{}"));
 }
 
-/* Answer REQ as the controls say, after its run was counted.  */
+/* Reply to REQ with BODY, or with the fault set by POST /control.  The run has
+   been counted before.  */
 static void
-answer (httpd_req_t *req, str_t body)
+send_reply (httpd_req_t *req, str_t body)
 {
   const httpc_header_t type
       = { STR ("content-type"), STR ("application/json") };
 
   service.running--;
-  if (service.die == DIE_EXIT)
+  if (service.crash_mode == CRASH_EXIT)
     _exit (EXIT_CRASH);
-  if (service.die == DIE_CUT)
+  if (service.crash_mode == CRASH_CUT)
     {
       httpd_start_response (req, 200, &type, 1);
       httpd_send (req, str_make (body.ptr, body.len / 2), false);
       httpd_abort (req);
     }
-  else if (service.error != 0)
-    standin_reply_error (req, service.error, "told to fail");
+  else if (service.error_status != 0)
+    standin_reply_error (req, service.error_status,
+                         "error set by POST /control");
   else
     httpd_reply (req, 200, &type, 1, body);
 }
@@ -195,14 +197,15 @@
   if (run->req != NULL)
     {
       httpd_set_callbacks (run->req, NULL, NULL, NULL);
-      answer (run->req, buf_str (&run->body));
+      send_reply (run->req, buf_str (&run->body));
     }
   uv_close ((uv_handle_t *)timer, on_run_closed);
 }
 
-/* The peer left: what runs cannot be taken back, its answer is lost.  */
+/* Discards the reply when the client disconnects.  The run stays counted, as
+   its effect cannot be undone.  */
 static void
-on_run_stopped (void *arg)
+on_client_disconnect (void *arg)
 {
   run_t *run = arg;
 
@@ -217,13 +220,13 @@
   str_t id = httpd_header (req, STR ("vanillahook-request-id"));
 
   count_run (id);
-  keep_run (id);
+  persist_run (id);
   service.running++;
   answer_service (httpd_method (req), httpd_path (req), httpd_body (req),
                   &body);
-  if (service.delay_ms == 0 && !service.hang)
+  if (service.delay_ms == 0 && !service.is_hung)
     {
-      answer (req, buf_str (&body));
+      send_reply (req, buf_str (&body));
       buf_free (&body);
       return;
     }
@@ -232,13 +235,13 @@
   run->body = body;
   run->timer.data = run;
   uv_timer_init (service.loop, &run->timer);
-  httpd_set_callbacks (req, NULL, on_run_stopped, run);
-  if (!service.hang)
+  httpd_set_callbacks (req, NULL, on_client_disconnect, run);
+  if (!service.is_hung)
     uv_timer_start (&run->timer, on_run_due, service.delay_ms, 0);
 }
 
 static void
-handle (void *arg, httpd_req_t *req)
+handle_request (void *arg, httpd_req_t *req)
 {
   str_t path = httpd_path (req);
 
@@ -246,7 +249,7 @@
   if (str_eq (path, STR ("/stats")))
     reply_stats (req);
   else if (str_eq (path, STR ("/control")))
-    control (req);
+    handle_control (req);
   else
     start_run (req);
 }
@@ -258,9 +261,10 @@
   struct arg_str *address
       = arg_str0 (NULL, "listen", "HOST:PORT", "address; port 0 picks one");
   struct arg_int *delay
-      = arg_int0 (NULL, "delay-ms", "N", "time that each run takes");
+      = arg_int0 (NULL, "delay-ms", "N", "duration of each run, in ms");
   struct arg_str *counts
-      = arg_str0 (NULL, "count-file", "FILE", "keep the counts here");
+      = arg_str0 (NULL, "count-file", "FILE",
+                  "file that keeps the counts across restarts");
   struct arg_end *end = arg_end (5);
   void *argtable[] = { help, address, delay, counts, end };
 
@@ -273,7 +277,8 @@
   service.count_file = -1;
   service.delay_ms = (uint64_t)delay->ival[0];
   if (counts->count > 0)
-    load_runs (counts->sval[0]);
-  httpd_t *server = standin_listen (service.loop, address->sval[0], handle);
+    restore_runs (counts->sval[0]);
+  httpd_t *server
+      = standin_listen (service.loop, address->sval[0], handle_request);
   standin_run (service.loop, httpd_port (server));
 }
