--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -567,8 +567,8 @@
   seconds->ival[0] = 8;
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
-  standin_args (argc, argv, argtable,
-                "Measures a fleet of 3 entries and 26 sidecars.");
+  standin_parse_args (argc, argv, argtable,
+                      "Measures a fleet of 3 entries and 26 sidecars.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_fleet: 1 to %d seconds\n", SECONDS_MAX);
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -41,7 +41,7 @@
 } side_t;
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   side_t *side = arg;
 
@@ -61,7 +61,7 @@
 static void
 run_load (side_t *side, uint64_t ms, double rate, uint64_t seed)
 {
-  const load_options_t options
+  const loadgen_options_t options
       = { .targets = &side->target,
           .target_count = 1,
           .concurrency = rate > 0 ? HALF_CONCURRENCY : FULL_CONCURRENCY,
@@ -79,10 +79,10 @@
 
   side->over = false;
   uv_loop_init (&loop);
-  load_t *load = load_create (&loop, &options);
+  load_t *load = loadgen_create (&loop, &options);
   while (!side->over)
     uv_run (&loop, UV_RUN_ONCE);
-  load_destroy (load);
+  loadgen_destroy (load);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
 }
@@ -231,8 +231,8 @@
   seconds->ival[0] = 8;
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
-  standin_args (argc, argv, argtable,
-                "Measures what the path adds to straight calls.");
+  standin_parse_args (argc, argv, argtable,
+                      "Measures what the path adds to straight calls.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_path: 1 to %d seconds\n", SECONDS_MAX);
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -420,7 +420,7 @@
 
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       if (result->wrong)
         violate (chaos, WHOLE, "%.*s", STR_ARG (result->key));
       if (result->whole && !result->is_service
@@ -521,20 +521,20 @@
       targets[i] = str_from (text[2 * i]);
       health[i] = str_from (text[2 * i + 1]);
     }
-  load_options_t options = { .targets = targets,
-                             .target_count = cluster->entry_count,
-                             .health = health,
-                             .concurrency = 6,
-                             .duration_ms = (uint64_t)SECONDS_MAX * 1000,
-                             .seed = seed,
-                             .stream_share = 0.5,
-                             .api_key = STR (CLUSTER_KEY),
-                             .model = STR ("draft-small"),
-                             .key_prefix = STR ("chat"),
-                             .max_tokens = 20,
-                             .prompt_bytes = 60,
-                             .timeout_ms = 8000,
-                             .resends = 5 };
+  loadgen_options_t options = { .targets = targets,
+                                .target_count = cluster->entry_count,
+                                .health = health,
+                                .concurrency = 6,
+                                .duration_ms = (uint64_t)SECONDS_MAX * 1000,
+                                .seed = seed,
+                                .stream_share = 0.5,
+                                .api_key = STR (CLUSTER_KEY),
+                                .model = STR ("draft-small"),
+                                .key_prefix = STR ("chat"),
+                                .max_tokens = 20,
+                                .prompt_bytes = 60,
+                                .timeout_ms = 8000,
+                                .resends = 5 };
   /* The bills of the fleet's own first calls are written by then.  */
   harness_sleep_ms (SETTLE_MS);
   json_int_t before = billed (cluster);
@@ -603,7 +603,7 @@
 
   seed->ival[0] = 1;
   seconds->ival[0] = 30;
-  standin_args (argc, argv, argtable, "Load with faults, all checked.");
+  standin_parse_args (argc, argv, argtable, "Load with faults, all checked.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "chaos: 1 to %d seconds\n", SECONDS_MAX);
--- a/tests/standins/answer.c
+++ b/tests/standins/answer.c
@@ -20,7 +20,7 @@
         "stone", "drift",  "tile",  "shed" };
 
 void
-answer_prompt (const json_t *messages, buf_t *out)
+answer_append_prompt (const json_t *messages, buf_t *out)
 {
   size_t index;
   json_t *message;
@@ -62,7 +62,7 @@
 }
 
 void
-answer_token (const answer_t *answer, uint32_t index, buf_t *out)
+answer_append_token (const answer_t *answer, uint32_t index, buf_t *out)
 {
   if (index == 0)
     {
@@ -76,14 +76,14 @@
 }
 
 void
-answer_text (const answer_t *answer, buf_t *out)
+answer_append_text (const answer_t *answer, buf_t *out)
 {
   for (uint32_t i = 0; i < answer->tokens; i++)
-    answer_token (answer, i, out);
+    answer_append_token (answer, i, out);
 }
 
 void
-answer_service (str_t method, str_t path, str_t body, buf_t *out)
+answer_append_service (str_t method, str_t path, str_t body, buf_t *out)
 {
   const char *slash = memrchr (path.ptr, '/', path.len);
   size_t start = slash != NULL ? (size_t)(slash - path.ptr) + 1 : 0;
@@ -102,7 +102,7 @@
   buf_t expected = BUF_NULL;
   bool is_equal;
 
-  answer_text (answer, &expected);
+  answer_append_text (answer, &expected);
   is_equal = text.len == expected.len && text.len >= ANSWER_MARKER_LEN
              && memcmp (text.ptr, "quality=", strlen ("quality=")) == 0
              && memcmp (text.ptr + ANSWER_MARKER_LEN,
@@ -116,7 +116,7 @@
 /* Copy the version, the token count and the error flag from ROOT, which is a
    stream event or a JSON answer, to READING.  */
 static void
-read_metadata (const json_t *root, reading_t *reading)
+read_metadata (const json_t *root, parsed_answer_t *reading)
 {
   const json_t *model = json_object_get (root, "model");
   const json_t *usage = json_object_get (root, "usage");
@@ -136,7 +136,8 @@
    PART is "delta" in a stream event and "message" in a JSON answer.  Return
    false if ROOT has no content.  */
 static bool
-read_choice_text (const json_t *root, const char *part, reading_t *reading)
+read_choice_text (const json_t *root, const char *part,
+                  parsed_answer_t *reading)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *content
@@ -150,7 +151,7 @@
 }
 
 bool
-answer_read_stream (str_t body, reading_t *reading)
+answer_parse_stream (str_t body, parsed_answer_t *reading)
 {
   str_t rest = body;
   bool has_done_event = false;
@@ -176,7 +177,7 @@
 }
 
 bool
-answer_read_whole (str_t body, reading_t *reading)
+answer_parse_json (str_t body, parsed_answer_t *reading)
 {
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
   bool has_text = read_choice_text (root, "message", reading);
@@ -187,7 +188,7 @@
 }
 
 void
-answer_reading_free (reading_t *reading)
+parsed_answer_free (parsed_answer_t *reading)
 {
   buf_free (&reading->text);
   buf_free (&reading->version);
--- a/tests/standins/answer.h
+++ b/tests/standins/answer.h
@@ -23,7 +23,7 @@
 
 /* Append the prompt to OUT that the engine derives from the MESSAGES of a chat
    request: the role and the content of each.  */
-void answer_prompt (const json_t *messages, buf_t *out);
+void answer_append_prompt (const json_t *messages, buf_t *out);
 
 /* Return the answer of VERSION (MODEL@VERSION), whose mean quality is
    MEAN_QUALITY, to PROMPT.  MAX_TOKENS is the length of the answer; 0 means
@@ -33,10 +33,10 @@
 
 /* Append token INDEX of ANSWER to OUT.  Token 0 is the quality marker,
    "quality=0.00".  */
-void answer_token (const answer_t *answer, uint32_t index, buf_t *out);
+void answer_append_token (const answer_t *answer, uint32_t index, buf_t *out);
 
 /* Append the complete text of ANSWER to OUT.  */
-void answer_text (const answer_t *answer, buf_t *out);
+void answer_append_text (const answer_t *answer, buf_t *out);
 
 /* Return whether TEXT is the complete text of ANSWER.  The number in the
    quality marker is not compared, since a test may change the quality of a
@@ -50,18 +50,18 @@
   buf_t version;   /* MODEL@VERSION in the field "model".  */
   uint32_t tokens; /* Number of completion tokens in the usage object.  */
   bool error;      /* The body or a stream event has an "error" field.  */
-} reading_t;
+} parsed_answer_t;
 
 /* Parse BODY as server-sent events into READING.  Return whether the stream
    is complete: it has a [DONE] event and no error.  */
-bool answer_read_stream (str_t body, reading_t *reading);
+bool answer_parse_stream (str_t body, parsed_answer_t *reading);
 /* Parse BODY as a JSON answer into READING.  Return whether it has a
    text.  */
-bool answer_read_whole (str_t body, reading_t *reading);
-void answer_reading_free (reading_t *reading);
+bool answer_parse_json (str_t body, parsed_answer_t *reading);
+void parsed_answer_free (parsed_answer_t *reading);
 
 /* Append the answer of the service stand-in to a request to OUT.  It depends
    on METHOD, BODY and the last segment of PATH.  */
-void answer_service (str_t method, str_t path, str_t body, buf_t *out);
+void answer_append_service (str_t method, str_t path, str_t body, buf_t *out);
 
 #endif
--- a/tests/standins/common.c
+++ b/tests/standins/common.c
@@ -16,7 +16,8 @@
 };
 
 void
-standin_args (int argc, char **argv, void **argtable, const char *description)
+standin_parse_args (int argc, char **argv, void **argtable,
+                    const char *description)
 {
   int end_index = 0;
 
--- a/tests/standins/common.h
+++ b/tests/standins/common.h
@@ -13,8 +13,8 @@
 /* Parse the command line into ARGTABLE, whose last entry is END and whose
    first is HELP (arg_lit_t).  With --help print the usage and DESCRIPTION and
    exit 0; on an invalid command line print the errors and exit 2.  */
-void standin_args (int argc, char **argv, void **argtable,
-                   const char *description);
+void standin_parse_args (int argc, char **argv, void **argtable,
+                         const char *description);
 
 /* Serve HTTP on ADDRESS (HOST:PORT) with HANDLER and ignore SIGPIPE.  Exit 1
    if the address cannot be bound.  */
--- a/tests/standins/load.c
+++ b/tests/standins/load.c
@@ -34,7 +34,7 @@
 {
   list_t link;
   load_t *load;
-  load_result_t result;
+  loadgen_result_t result;
   size_t target;
   /* Number of successive targets that refused the connection.  */
   unsigned refused_connections;
@@ -63,7 +63,7 @@
 struct load
 {
   uv_loop_t *loop;
-  const load_options_t *options;
+  const loadgen_options_t *options;
   httpc_t **clients;
   target_health_t *health; /* Array of one element for each target.  */
   uv_timer_t health_timer; /* Fires at each health check of all targets.  */
@@ -118,7 +118,7 @@
 static bool
 has_reached_limit (const load_t *load)
 {
-  const load_options_t *options = load->options;
+  const loadgen_options_t *options = load->options;
 
   return load->stopped
          || (options->requests > 0 && load->started_count >= options->requests)
@@ -143,13 +143,13 @@
 static void
 verify_chat_answer (request_t *request)
 {
-  reading_t reading = { 0 };
+  parsed_answer_t reading = { 0 };
   buf_t prompt = BUF_NULL;
-  load_result_t *result = &request->result;
+  loadgen_result_t *result = &request->result;
   str_t received = buf_str (&request->response_body);
 
-  result->whole = result->streamed ? answer_read_stream (received, &reading)
-                                   : answer_read_whole (received, &reading);
+  result->whole = result->streamed ? answer_parse_stream (received, &reading)
+                                   : answer_parse_json (received, &reading);
   result->tokens = reading.tokens;
   buf_append_str (&prompt, STR ("user\n"));
   buf_append_str (&prompt, buf_str (&request->prompt));
@@ -160,7 +160,7 @@
       = result->whole && !answer_matches (&answer, buf_str (&reading.text));
   buf_append_str (&request->version, buf_str (&reading.version));
   buf_free (&prompt);
-  answer_reading_free (&reading);
+  parsed_answer_free (&reading);
 }
 
 static void
@@ -168,8 +168,8 @@
 {
   buf_t expected = BUF_NULL;
 
-  answer_service (STR ("POST"), buf_str (&request->path),
-                  buf_str (&request->request_body), &expected);
+  answer_append_service (STR ("POST"), buf_str (&request->path),
+                         buf_str (&request->request_body), &expected);
   request->result.whole = true;
   request->result.wrong
       = !str_eq (buf_str (&expected), buf_str (&request->response_body));
@@ -180,7 +180,7 @@
 request_finish (request_t *request, vh_code_t code)
 {
   load_t *load = request->load;
-  load_result_t *result = &request->result;
+  loadgen_result_t *result = &request->result;
 
   result->code = code;
   result->request_id = buf_str (&request->request_id);
@@ -264,7 +264,7 @@
 {
   request_t *request = arg;
   load_t *load = request->load;
-  const load_options_t *options = load->options;
+  const loadgen_options_t *options = load->options;
 
   /* A load balancer sends the request to the next target after a refused
      connection.  */
@@ -294,7 +294,7 @@
 {
   static const httpc_events_t events
       = { on_response_head, on_response_chunk, on_response_end };
-  const load_options_t *options = request->load->options;
+  const loadgen_options_t *options = request->load->options;
   httpc_header_t headers[MAX_HEADERS];
   size_t count = 0;
   buf_t authorization = BUF_NULL;
@@ -335,7 +335,7 @@
 static void
 build_chat_request (request_t *request)
 {
-  const load_options_t *options = request->load->options;
+  const loadgen_options_t *options = request->load->options;
   rng_t rng = rng_make (options->seed ^ (request->result.number << 20));
 
   buf_printf (&request->prompt, "%" PRIu64 " survey", request->result.number);
@@ -355,7 +355,7 @@
 static void
 build_service_request (request_t *request)
 {
-  const load_options_t *options = request->load->options;
+  const loadgen_options_t *options = request->load->options;
 
   buf_printf (&request->path, "/services/%.*s/approve-%" PRIu64,
               STR_ARG (options->service), request->result.number);
@@ -367,7 +367,7 @@
 static void
 start_request (load_t *load)
 {
-  const load_options_t *options = load->options;
+  const loadgen_options_t *options = load->options;
   request_t *request = mem_zalloc (sizeof *request);
 
   request->load = load;
@@ -404,7 +404,7 @@
 static uint64_t
 due_count (const load_t *load)
 {
-  const load_options_t *options = load->options;
+  const loadgen_options_t *options = load->options;
   double seconds = (double)(now_us () - load->started_us) / 1e6;
 
   return options->rate > 0 ? (uint64_t)(seconds * options->rate) + 1
@@ -463,7 +463,7 @@
 }
 
 load_t *
-load_create (uv_loop_t *loop, const load_options_t *options)
+loadgen_create (uv_loop_t *loop, const loadgen_options_t *options)
 {
   load_t *load;
 
@@ -504,13 +504,13 @@
 }
 
 void
-load_stop (load_t *load)
+loadgen_stop (load_t *load)
 {
   load->stopped = true;
 }
 
 void
-load_destroy (load_t *load)
+loadgen_destroy (load_t *load)
 {
   if (load == NULL)
     return;
--- a/tests/standins/load.h
+++ b/tests/standins/load.h
@@ -35,7 +35,7 @@
   uint64_t first_us;   /* Time from the start to the first body byte.  */
   uint64_t between_us; /* Longest time between two body chunks.  */
   uint64_t total_us;   /* Time from the start to the end of the last send.  */
-} load_result_t;
+} loadgen_result_t;
 
 typedef struct
 {
@@ -62,19 +62,19 @@
   uint64_t timeout_ms;  /* Timeout of one send; 0: 30 s.  */
   /* Most resends, with the same key, of a request that may have run.  */
   unsigned resends;
-  void (*finished) (void *arg, const load_result_t *result);
+  void (*finished) (void *arg, const loadgen_result_t *result);
   void (*over) (void *arg); /* Called after the last request has ended.  */
   void *arg;
-} load_options_t;
+} loadgen_options_t;
 
-/* Start the load.  OPTIONS and its strings are borrowed until load_destroy.
+/* Start the load.  OPTIONS and its strings are borrowed until loadgen_destroy.
    Return NULL if there is no target or a target is not on 127.x.x.x.  */
-load_t *load_create (uv_loop_t *loop, const load_options_t *options);
+load_t *loadgen_create (uv_loop_t *loop, const loadgen_options_t *options);
 /* Start no more requests.  The callback OVER is called when the requests in
    flight have ended.  May be called from any thread.  */
-void load_stop (load_t *load);
+void loadgen_stop (load_t *load);
 /* Release LOAD, once the callback OVER has been called; NULL is ignored.  The
    loop must run once more to close the handles.  */
-void load_destroy (load_t *load);
+void loadgen_destroy (load_t *load);
 
 #endif
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -276,7 +276,7 @@
 {
   buf_t text = BUF_NULL;
 
-  answer_token (&run->answer, index, &text);
+  answer_append_token (&run->answer, index, &text);
   buf_append_str (out, STR ("data: {\"object\":\"chat.completion.chunk\","));
   append_id (run, out);
   buf_append_str (out, STR (",\"choices\":[{\"index\":0,\"delta\":{"));
@@ -380,7 +380,7 @@
       if (run->stream)
         append_token_event (run, run->next_token, &out);
       else
-        answer_token (&run->answer, run->next_token, &run->text);
+        answer_append_token (&run->answer, run->next_token, &run->text);
       run->next_token++;
       if ((engine.cut_after_tokens > 0
            && run->next_token >= engine.cut_after_tokens)
@@ -503,7 +503,7 @@
   if (max_tokens == 0)
     max_tokens = json_count (root, "max_tokens");
   count_run (httpd_header (req, STR ("vanillahook-request-id")));
-  answer_prompt (json_object_get (root, "messages"), &prompt);
+  answer_append_prompt (json_object_get (root, "messages"), &prompt);
   version->runs++;
   run->req = req;
   run->version = version;
@@ -822,8 +822,8 @@
   cache_lag->ival[0] = 500;
   cache_gap->ival[0] = 7;
   cache_blocks->ival[0] = 0;
-  standin_args (argc, argv, argtable,
-                "A model engine that batches continuously.");
+  standin_parse_args (argc, argv, argtable,
+                      "A model engine that batches continuously.");
   list_init (&engine.runs);
   engine.loop = uv_default_loop ();
   engine.run_counts = map_create ();
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -63,8 +63,8 @@
   static const char body[]
       = "{\"model\":\"draft-small@3\",\"stream\":true,\"max_tokens\":120,"
         "\"messages\":[{\"role\":\"user\",\"content\":\"a long roof\"}]}";
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+  parsed_answer_t ours = { 0 };
+  parsed_answer_t own = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
@@ -82,16 +82,16 @@
                                   : &cluster->upstreams[0];
   rawhttp_t straight = rawhttp_call (cluster->host, other->port, "POST", CHAT,
                                      JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &ours));
-  ck_assert (answer_read_stream (buf_str (&straight.body), &own));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &ours));
+  ck_assert (answer_parse_stream (buf_str (&straight.body), &own));
   ck_assert (!ours.error);
   ck_assert_uint_eq (own.tokens, STREAM_TOKENS);
   ck_assert_msg (str_eq (buf_str (&ours.text), buf_str (&own.text)),
                  "ours: %.*s", STR_ARG (buf_str (&ours.text)));
   rawhttp_close (&http);
   rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
+  parsed_answer_free (&ours);
+  parsed_answer_free (&own);
   passed = true;
 }
 END_TEST
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -33,7 +33,7 @@
 /* What the callers of one load received.  */
 typedef struct
 {
-  load_options_t options;
+  loadgen_options_t options;
   uv_loop_t *loop;
   unsigned *left;
   uint64_t finished;
@@ -74,7 +74,7 @@
 }
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   callers_t *callers = arg;
 
@@ -173,12 +173,12 @@
       callers[i].options.targets = &target;
       callers[i].options.target_count = 1;
       callers[i].options.arg = &callers[i];
-      loads[i] = load_create (&loop, &callers[i].options);
+      loads[i] = loadgen_create (&loop, &callers[i].options);
       ck_assert_ptr_nonnull (loads[i]);
     }
   uv_run (&loop, UV_RUN_DEFAULT);
   for (unsigned i = 0; i < count; i++)
-    load_destroy (loads[i]);
+    loadgen_destroy (loads[i]);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
   for (unsigned i = 0; i < count; i++)
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -88,8 +88,8 @@
   static const char body[]
       = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":40,");
   const cluster_upstream_t *engine = find_upstream ("small-1");
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
@@ -106,15 +106,15 @@
                                  17, "text/event-stream", 17));
   rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
                                    JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_stream (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   ck_assert_uint_eq (through_entry.tokens, 40);
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   passed = true;
 }
 END_TEST
@@ -123,21 +123,21 @@
 {
   static const char body[] = CHAT_BODY ("draft-large", "\"max_tokens\":5,");
   const cluster_upstream_t *engine = find_upstream ("large-1");
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
 
   rawhttp_t http = cluster_chat (cluster, 0, NULL, body, WAIT_MS);
   ck_assert_int_eq (http.status, 200);
   rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
                                    JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_whole (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_whole (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_json (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_json (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   passed = true;
 }
 END_TEST
@@ -163,8 +163,8 @@
   rawhttp_t one = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (one.status, 200);
   check_header (&one, "vanillahook-outcome", "answered");
-  answer_service (STR ("POST"), STR ("/approve-1"), STR ("{\"amount\":1}"),
-                  &want);
+  answer_append_service (STR ("POST"), STR ("/approve-1"),
+                         STR ("{\"amount\":1}"), &want);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&want)));
   rawhttp_t two = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (two.status, 200);
@@ -419,8 +419,8 @@
   uint16_t admin = harness_port (harness);
   buf_t text = BUF_NULL;
   char listen[64];
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
   static const char body[]
       = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":30,");
 
@@ -459,14 +459,14 @@
   ck_assert (is_ready);
   rawhttp_t direct = rawhttp_call (host, engine, "POST", CHAT, JSON_TYPE,
                                    str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_stream (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   buf_free (&text);
   passed = true;
 }
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -78,27 +78,27 @@
 }
 
 /* Chat load on all entries; the test changes what it needs.  */
-static load_options_t
+static loadgen_options_t
 chat_load (void)
 {
-  return (load_options_t){ .targets = targets,
-                           .target_count = cluster->entry_count,
-                           .health = health,
-                           .concurrency = 8,
-                           .duration_ms = 60000,
-                           .seed = 1,
-                           .stream_share = 0.5,
-                           .api_key = STR (CLUSTER_KEY),
-                           .model = STR ("draft-small"),
-                           .max_tokens = 10,
-                           .prompt_bytes = 40,
-                           .timeout_ms = WAIT_MS };
-}
-
-static load_options_t
+  return (loadgen_options_t){ .targets = targets,
+                              .target_count = cluster->entry_count,
+                              .health = health,
+                              .concurrency = 8,
+                              .duration_ms = 60000,
+                              .seed = 1,
+                              .stream_share = 0.5,
+                              .api_key = STR (CLUSTER_KEY),
+                              .model = STR ("draft-small"),
+                              .max_tokens = 10,
+                              .prompt_bytes = 40,
+                              .timeout_ms = WAIT_MS };
+}
+
+static loadgen_options_t
 service_load (void)
 {
-  load_options_t options = chat_load ();
+  loadgen_options_t options = chat_load ();
 
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
@@ -232,7 +232,7 @@
       rawhttp_close (&http);
     }
   ck_assert_int_eq (zone_runs (NULL), before);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.api_key = STR (CLUSTER_OTHER_KEY);
   load.model = STR ("draft");
   load.requests = 200;
@@ -261,7 +261,7 @@
   static const char body[] = ASK ("draft-small@3", "");
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.target_count = 1;
   runner = runner_start (&load);
   load_for (300);
@@ -291,7 +291,7 @@
 session_call (size_t entry, buf_t *token)
 {
   buf_t header = BUF_NULL;
-  reading_t reading = { 0 };
+  parsed_answer_t reading = { 0 };
 
   if (token->len > 0)
     buf_printf (&header, "vanillahook-session: %.*s\r\n",
@@ -301,13 +301,13 @@
                                  ASK ("draft-small", ""), WAIT_MS);
   ck_assert_msg (http.status == 200, "%d: %.*s", http.status,
                  STR_ARG (buf_str (&http.body)));
-  ck_assert (answer_read_whole (buf_str (&http.body), &reading));
+  ck_assert (answer_parse_json (buf_str (&http.body), &reading));
   str_t next = rawhttp_header (&http, "vanillahook-session");
   ck_assert_uint_gt (next.len, 0);
   token->len = 0;
   buf_append_str (token, next);
   char *version = str_dup (buf_str (&reading.version));
-  answer_reading_free (&reading);
+  parsed_answer_free (&reading);
   rawhttp_close (&http);
   buf_free (&header);
   return version;
@@ -415,7 +415,7 @@
   bill_t before = read_bill (0);
   ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
                             "{\"lost_reply_share\":0.3}"));
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("bill");
@@ -460,7 +460,7 @@
 
   start_cluster (&options);
   cluster_upstream_t *engine = upstream ("small-1");
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.concurrency = 48;
   runner = runner_start (&load);
   harness_sleep_ms (5000);
@@ -493,7 +493,7 @@
   static const char zone[] = "nairobi-b";
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   runner = runner_start (&load);
   load_for (500);
   ck_assert_int_gt (zone_runs (zone), 0);
@@ -548,7 +548,7 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.max_tokens = 50;
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
@@ -581,7 +581,7 @@
 
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       json_int_t runs = runs_of (result->key);
       ck_assert_msg (runs <= 1, "%.*s ran %d times", STR_ARG (result->key),
                      (int)runs);
@@ -623,7 +623,7 @@
                                       .service_arg = "--delay-ms=30" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  loadgen_options_t load = service_load ();
   load.deadline_ms = 2500;
   load.resends = 0;
   runner = runner_start (&load);
@@ -716,7 +716,7 @@
                                       .service_arg = "--delay-ms=20" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  loadgen_options_t load = service_load ();
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
@@ -744,7 +744,7 @@
 
   start_cluster (&options);
   engine = upstream ("small-2");
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   runner = runner_start (&load);
   load_for (500);
   if (_i == 0)
@@ -772,7 +772,7 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.max_tokens = 50;
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -360,7 +360,7 @@
   ck_assert_int_eq (proc_wait (client, WAIT_MS), 0);
   answer_t answer = answer_make (STR ("draft@3"), 0.8, STR ("user\nhi\n"), 4);
   buf_t text = BUF_NULL;
-  answer_text (&answer, &text);
+  answer_append_text (&answer, &text);
   ck_assert (answer_matches (&answer, buf_str (&text)));
   text.ptr[text.len - 1] ^= 1;
   ck_assert (!answer_matches (&answer, buf_str (&text)));
