--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -46,8 +46,8 @@
   side_t *side = arg;
 
   side->finished++;
-  side->failed += !result->whole;
-  side->wrong += result->wrong;
+  side->failed += !result->is_complete;
+  side->wrong += result->has_wrong_body;
   samples_add (&side->latency, result->total_us);
 }
 
@@ -72,14 +72,14 @@
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
-          .finished = on_finished,
-          .over = on_over,
+          .on_result = on_finished,
+          .on_complete = on_over,
           .arg = side };
   uv_loop_t loop;
 
   side->over = false;
   uv_loop_init (&loop);
-  load_t *load = loadgen_create (&loop, &options);
+  loadgen_t *load = loadgen_create (&loop, &options);
   while (!side->over)
     uv_run (&loop, UV_RUN_ONCE);
   loadgen_destroy (load);
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -421,18 +421,18 @@
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
       const loadgen_result_t *result = &record->result;
-      if (result->wrong)
+      if (result->has_wrong_body)
         violate (chaos, WHOLE, "%.*s", STR_ARG (result->key));
-      if (result->whole && !result->is_service
+      if (result->is_complete && !result->is_service
           && !str_starts (result->version, STR ("draft-small@")))
         violate (chaos, PERMITTED, "%.*s", STR_ARG (result->version));
       if (!result->is_service)
         continue;
       json_int_t runs = runs_of (chaos->cluster, result->key);
-      if (runs > 1 || (result->whole && runs == 0))
+      if (runs > 1 || (result->is_complete && runs == 0))
         violate (chaos, AT_MOST_ONCE, "%.*s ran %d times",
                  STR_ARG (result->key), (int)runs);
-      if (runs > 0 && !result->whole
+      if (runs > 0 && !result->is_complete
           && str_eq (result->outcome, STR ("not-run")))
         violate (chaos, NOT_RUN, "%.*s", STR_ARG (result->key));
     }
@@ -523,7 +523,7 @@
     }
   loadgen_options_t options = { .targets = targets,
                                 .target_count = cluster->entry_count,
-                                .health = health,
+                                .health_addresses = health,
                                 .concurrency = 6,
                                 .duration_ms = (uint64_t)SECONDS_MAX * 1000,
                                 .seed = seed,
@@ -534,7 +534,7 @@
                                 .max_tokens = 20,
                                 .prompt_bytes = 60,
                                 .timeout_ms = 8000,
-                                .resends = 5 };
+                                .max_resends = 5 };
   /* The bills of the fleet's own first calls are written by then.  */
   harness_sleep_ms (SETTLE_MS);
   json_int_t before = billed (cluster);
--- a/tests/standins/answer.c
+++ b/tests/standins/answer.c
@@ -114,30 +114,30 @@
 }
 
 /* Copy the version, the token count and the error flag from ROOT, which is a
-   stream event or a JSON answer, to READING.  */
+   stream event or a JSON answer, to PARSED.  */
 static void
-read_metadata (const json_t *root, parsed_answer_t *reading)
+read_metadata (const json_t *root, parsed_answer_t *parsed)
 {
   const json_t *model = json_object_get (root, "model");
   const json_t *usage = json_object_get (root, "usage");
 
   if (json_object_get (root, "error") != NULL)
-    reading->error = true;
+    parsed->has_error = true;
   if (json_is_object (usage))
-    reading->tokens = (uint32_t)json_integer_value (
+    parsed->tokens = (uint32_t)json_integer_value (
         json_object_get (usage, "completion_tokens"));
   if (!json_is_string (model))
     return;
-  reading->version.len = 0;
-  buf_append_str (&reading->version, str_from (json_string_value (model)));
+  parsed->version.len = 0;
+  buf_append_str (&parsed->version, str_from (json_string_value (model)));
 }
 
-/* Append the content of the first choice of ROOT to the text of READING.
+/* Append the content of the first choice of ROOT to the text of PARSED.
    PART is "delta" in a stream event and "message" in a JSON answer.  Return
    false if ROOT has no content.  */
 static bool
 read_choice_text (const json_t *root, const char *part,
-                  parsed_answer_t *reading)
+                  parsed_answer_t *parsed)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *content
@@ -145,13 +145,13 @@
 
   if (!json_is_string (content))
     return false;
-  buf_append (&reading->text, json_string_value (content),
+  buf_append (&parsed->text, json_string_value (content),
               json_string_length (content));
   return true;
 }
 
 bool
-answer_parse_stream (str_t body, parsed_answer_t *reading)
+answer_parse_stream (str_t body, parsed_answer_t *parsed)
 {
   str_t rest = body;
   bool has_done_event = false;
@@ -169,27 +169,27 @@
           continue;
         }
       json_t *root = json_loadb (line.ptr, line.len, 0, NULL);
-      read_metadata (root, reading);
-      read_choice_text (root, "delta", reading);
+      read_metadata (root, parsed);
+      read_choice_text (root, "delta", parsed);
       json_decref (root);
     }
-  return has_done_event && !reading->error;
+  return has_done_event && !parsed->has_error;
 }
 
 bool
-answer_parse_json (str_t body, parsed_answer_t *reading)
+answer_parse_json (str_t body, parsed_answer_t *parsed)
 {
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
-  bool has_text = read_choice_text (root, "message", reading);
+  bool has_text = read_choice_text (root, "message", parsed);
 
-  read_metadata (root, reading);
+  read_metadata (root, parsed);
   json_decref (root);
   return has_text;
 }
 
 void
-parsed_answer_free (parsed_answer_t *reading)
+parsed_answer_free (parsed_answer_t *parsed)
 {
-  buf_free (&reading->text);
-  buf_free (&reading->version);
+  buf_free (&parsed->text);
+  buf_free (&parsed->version);
 }
--- a/tests/standins/answer.h
+++ b/tests/standins/answer.h
@@ -49,16 +49,16 @@
   buf_t text;
   buf_t version;   /* MODEL@VERSION in the field "model".  */
   uint32_t tokens; /* Number of completion tokens in the usage object.  */
-  bool error;      /* The body or a stream event has an "error" field.  */
+  bool has_error;  /* The body or a stream event has an "error" field.  */
 } parsed_answer_t;
 
-/* Parse BODY as server-sent events into READING.  Return whether the stream
+/* Parse BODY as server-sent events into PARSED.  Return whether the stream
    is complete: it has a [DONE] event and no error.  */
-bool answer_parse_stream (str_t body, parsed_answer_t *reading);
-/* Parse BODY as a JSON answer into READING.  Return whether it has a
+bool answer_parse_stream (str_t body, parsed_answer_t *parsed);
+/* Parse BODY as a JSON answer into PARSED.  Return whether it has a
    text.  */
-bool answer_parse_json (str_t body, parsed_answer_t *reading);
-void parsed_answer_free (parsed_answer_t *reading);
+bool answer_parse_json (str_t body, parsed_answer_t *parsed);
+void parsed_answer_free (parsed_answer_t *parsed);
 
 /* Append the answer of the service stand-in to a request to OUT.  It depends
    on METHOD, BODY and the last segment of PATH.  */
--- a/tests/standins/load.c
+++ b/tests/standins/load.c
@@ -33,7 +33,7 @@
 typedef struct
 {
   list_t link;
-  load_t *load;
+  loadgen_t *load;
   loadgen_result_t result;
   size_t target;
   /* Number of successive targets that refused the connection.  */
@@ -54,13 +54,13 @@
 /* Health of a target, as the platform's load balancer sees it.  */
 typedef struct
 {
-  load_t *load;
+  loadgen_t *load;
   httpc_t *client;    /* Client of the operators' port; NULL: not checked.  */
   httpc_call_t *call; /* Health check in flight; NULL if there is none.  */
   bool is_ready;
 } target_health_t;
 
-struct load
+struct loadgen
 {
   uv_loop_t *loop;
   const loadgen_options_t *options;
@@ -85,12 +85,12 @@
 }
 
 static void request_send (request_t *request);
-static void start_due_requests (load_t *load);
+static void start_due_requests (loadgen_t *load);
 
 static void
 on_load_closed (uv_handle_t *handle)
 {
-  load_t *load = handle->data;
+  loadgen_t *load = handle->data;
 
   if (--load->open_handles > 0)
     return;
@@ -116,19 +116,20 @@
 }
 
 static bool
-has_reached_limit (const load_t *load)
+has_reached_limit (const loadgen_t *load)
 {
   const loadgen_options_t *options = load->options;
 
   return load->stopped
-         || (options->requests > 0 && load->started_count >= options->requests)
+         || (options->max_requests > 0
+             && load->started_count >= options->max_requests)
          || (options->duration_ms > 0
              && now_us () - load->started_us >= options->duration_ms * 1000);
 }
 
 /* Call the owner's completion callback once, after the last request.  */
 static void
-report_completion (load_t *load)
+report_completion (loadgen_t *load)
 {
   if (load->in_flight > 0 || !has_reached_limit (load)
       || load->has_reported_completion)
@@ -136,31 +137,33 @@
   load->has_reported_completion = true;
   uv_timer_stop (&load->tick_timer);
   uv_idle_stop (&load->idle);
-  if (load->options->over != NULL)
-    load->options->over (load->options->arg);
+  if (load->options->on_complete != NULL)
+    load->options->on_complete (load->options->arg);
 }
 
 static void
 verify_chat_answer (request_t *request)
 {
-  parsed_answer_t reading = { 0 };
+  parsed_answer_t parsed = { 0 };
   buf_t prompt = BUF_NULL;
   loadgen_result_t *result = &request->result;
   str_t received = buf_str (&request->response_body);
 
-  result->whole = result->streamed ? answer_parse_stream (received, &reading)
-                                   : answer_parse_json (received, &reading);
-  result->tokens = reading.tokens;
+  result->is_complete = result->is_streamed
+                            ? answer_parse_stream (received, &parsed)
+                            : answer_parse_json (received, &parsed);
+  result->tokens = parsed.tokens;
   buf_append_str (&prompt, STR ("user\n"));
   buf_append_str (&prompt, buf_str (&request->prompt));
   buf_append_char (&prompt, '\n');
-  answer_t answer = answer_make (buf_str (&reading.version), 0,
+  answer_t answer = answer_make (buf_str (&parsed.version), 0,
                                  buf_str (&prompt), request->max_tokens);
-  result->wrong
-      = result->whole && !answer_matches (&answer, buf_str (&reading.text));
-  buf_append_str (&request->version, buf_str (&reading.version));
+  result->has_wrong_body
+      = result->is_complete
+        && !answer_matches (&answer, buf_str (&parsed.text));
+  buf_append_str (&request->version, buf_str (&parsed.version));
   buf_free (&prompt);
-  parsed_answer_free (&reading);
+  parsed_answer_free (&parsed);
 }
 
 static void
@@ -170,8 +173,8 @@
 
   answer_append_service (STR ("POST"), buf_str (&request->path),
                          buf_str (&request->request_body), &expected);
-  request->result.whole = true;
-  request->result.wrong
+  request->result.is_complete = true;
+  request->result.has_wrong_body
       = !str_eq (buf_str (&expected), buf_str (&request->response_body));
   buf_free (&expected);
 }
@@ -179,7 +182,7 @@
 static void
 request_finish (request_t *request, vh_code_t code)
 {
-  load_t *load = request->load;
+  loadgen_t *load = request->load;
   loadgen_result_t *result = &request->result;
 
   result->code = code;
@@ -193,8 +196,8 @@
   else if (code == VH_OK && result->status / 100 == 2)
     verify_chat_answer (request);
   result->version = buf_str (&request->version);
-  if (load->options->finished != NULL)
-    load->options->finished (load->options->arg, result);
+  if (load->options->on_result != NULL)
+    load->options->on_result (load->options->arg, result);
   load->in_flight--;
   uv_close ((uv_handle_t *)&request->resend_timer, on_request_closed);
 }
@@ -214,7 +217,7 @@
       else if (str_eq_nocase (headers[i].name, STR ("vanillahook-outcome")))
         target_buf = &request->outcome;
       else if (str_eq_nocase (headers[i].name, STR ("retry-after")))
-        request->result.retry_after = true;
+        request->result.has_retry_after = true;
       if (target_buf == NULL)
         continue;
       target_buf->len = 0;
@@ -229,9 +232,9 @@
   uint64_t now = now_us ();
 
   if (request->response_body.len == 0)
-    request->result.first_us = now - request->result.started_us;
-  else if (now - request->last_chunk_us > request->result.between_us)
-    request->result.between_us = now - request->last_chunk_us;
+    request->result.first_byte_us = now - request->result.started_us;
+  else if (now - request->last_chunk_us > request->result.max_chunk_gap_us)
+    request->result.max_chunk_gap_us = now - request->last_chunk_us;
   request->last_chunk_us = now;
   buf_append_str (&request->response_body, bytes);
 }
@@ -245,7 +248,7 @@
 /* Return the index of the first ready target, searching from FIRST and
    wrapping around; FIRST if no target is ready.  */
 static size_t
-find_ready_target (const load_t *load, size_t first)
+find_ready_target (const loadgen_t *load, size_t first)
 {
   size_t count = load->options->target_count;
   size_t next = first < count ? first : 0;
@@ -263,7 +266,7 @@
 on_response_end (void *arg, vh_code_t code)
 {
   request_t *request = arg;
-  load_t *load = request->load;
+  loadgen_t *load = request->load;
   const loadgen_options_t *options = load->options;
 
   /* A load balancer sends the request to the next target after a refused
@@ -278,7 +281,7 @@
   /* After any other error the request may or may not have run, so only a
      request with an idempotency key is sent again.  */
   if (code != VH_OK && request->idempotency_key.len > 0
-      && request->result.sends <= options->resends)
+      && request->result.send_count <= options->max_resends)
     {
       request->target = find_ready_target (load, request->target + 1);
       uv_timer_start (&request->resend_timer, on_resend_due, RESEND_DELAY_MS,
@@ -326,7 +329,7 @@
                                                 : DEFAULT_TIMEOUT_MS };
   request->response_body.len = 0;
   request->result.status = 0;
-  request->result.sends++;
+  request->result.send_count++;
   httpc_start (request->load->clients[request->target], &call, &events,
                request);
   buf_free (&authorization);
@@ -348,8 +351,8 @@
               "{\"model\":\"%.*s\",\"stream\":%s,\"max_tokens\":%u,"
               "\"messages\":[{\"role\":\"user\",\"content\":\"%.*s\"}]}",
               STR_ARG (options->model),
-              request->result.streamed ? "true" : "false", request->max_tokens,
-              STR_ARG (buf_str (&request->prompt)));
+              request->result.is_streamed ? "true" : "false",
+              request->max_tokens, STR_ARG (buf_str (&request->prompt)));
 }
 
 static void
@@ -365,7 +368,7 @@
 }
 
 static void
-start_request (load_t *load)
+start_request (loadgen_t *load)
 {
   const loadgen_options_t *options = load->options;
   request_t *request = mem_zalloc (sizeof *request);
@@ -374,8 +377,8 @@
   request->result.number = load->started_count++;
   request->result.is_service
       = rng_double (&load->rng) < options->service_share;
-  request->result.streamed = rng_double (&load->rng) < options->stream_share
-                             && !request->result.is_service;
+  request->result.is_streamed = rng_double (&load->rng) < options->stream_share
+                                && !request->result.is_service;
   request->target = find_ready_target (load, request->result.number
                                                  % options->target_count);
   if (options->key_prefix.len > 0)
@@ -402,7 +405,7 @@
 /* Return the number of requests that should have been started by now;
    UINT64_MAX in a closed loop.  */
 static uint64_t
-due_count (const load_t *load)
+due_count (const loadgen_t *load)
 {
   const loadgen_options_t *options = load->options;
   double seconds = (double)(now_us () - load->started_us) / 1e6;
@@ -412,7 +415,7 @@
 }
 
 static void
-start_due_requests (load_t *load)
+start_due_requests (loadgen_t *load)
 {
   while (load->in_flight < load->options->concurrency
          && !has_reached_limit (load)
@@ -441,7 +444,7 @@
 static void
 on_health_timer (uv_timer_t *timer)
 {
-  load_t *load = timer->data;
+  loadgen_t *load = timer->data;
   const httpc_request_t request = { .method = STR ("GET"),
                                     .path = STR ("/readyz"),
                                     .timeout_ms = HEALTH_TIMEOUT_MS };
@@ -462,10 +465,10 @@
   start_due_requests (idle->data);
 }
 
-load_t *
+loadgen_t *
 loadgen_create (uv_loop_t *loop, const loadgen_options_t *options)
 {
-  load_t *load;
+  loadgen_t *load;
 
   if (options->target_count == 0)
     return NULL;
@@ -485,12 +488,13 @@
           = httpc_create (loop, options->targets[i], MAX_IDLE_CONNECTIONS);
       load->health[i].load = load;
       load->health[i].is_ready = true;
-      if (options->health != NULL)
-        load->health[i].client = httpc_create (loop, options->health[i], 1);
+      if (options->health_addresses != NULL)
+        load->health[i].client
+            = httpc_create (loop, options->health_addresses[i], 1);
     }
   uv_timer_init (loop, &load->health_timer);
   load->health_timer.data = load;
-  if (options->health != NULL)
+  if (options->health_addresses != NULL)
     uv_timer_start (&load->health_timer, on_health_timer, 0,
                     HEALTH_INTERVAL_MS);
   uv_timer_init (loop, &load->tick_timer);
@@ -504,13 +508,13 @@
 }
 
 void
-loadgen_stop (load_t *load)
+loadgen_stop (loadgen_t *load)
 {
   load->stopped = true;
 }
 
 void
-loadgen_destroy (load_t *load)
+loadgen_destroy (loadgen_t *load)
 {
   if (load == NULL)
     return;
--- a/tests/standins/load.h
+++ b/tests/standins/load.h
@@ -10,7 +10,7 @@
 
 #include <uv.h>
 
-typedef struct load load_t;
+typedef struct loadgen loadgen_t;
 
 /* Result of one request, after its last resend.  The strings are valid during
    the callback only.  */
@@ -18,36 +18,36 @@
 {
   uint64_t number;
   bool is_service;
-  bool streamed;
-  unsigned sends;   /* Number of times that the request was sent.  */
-  str_t key;        /* Idempotency-Key; empty if none was sent.  */
-  str_t request_id; /* Vanillahook-Request-Id of the last answer.  */
-  vh_code_t code;   /* VH_OK if the HTTP response was complete.  */
-  int status;       /* HTTP status; 0 if no response head was received.  */
-  str_t outcome;    /* Value of the Vanillahook-Outcome header.  */
-  str_t version;    /* MODEL@VERSION that produced the answer.  */
-  str_t body;       /* Response body as received, possibly truncated.  */
-  uint32_t tokens;  /* Number of completion tokens in the usage object.  */
-  bool whole;       /* The status is 2xx and the answer is complete.  */
-  bool wrong;       /* The answer is complete but not the expected text.  */
-  bool retry_after; /* The response had a Retry-After header.  */
-  uint64_t started_us;
-  uint64_t first_us;   /* Time from the start to the first body byte.  */
-  uint64_t between_us; /* Longest time between two body chunks.  */
-  uint64_t total_us;   /* Time from the start to the end of the last send.  */
+  bool is_streamed;
+  unsigned send_count; /* Number of times that the request was sent.  */
+  str_t key;           /* Idempotency-Key; empty if none was sent.  */
+  str_t request_id;    /* Vanillahook-Request-Id of the last answer.  */
+  vh_code_t code;      /* VH_OK if the HTTP response was complete.  */
+  int status;          /* HTTP status; 0 if no response head was received.  */
+  str_t outcome;       /* Value of the Vanillahook-Outcome header.  */
+  str_t version;       /* MODEL@VERSION that produced the answer.  */
+  str_t body;          /* Response body as received, possibly truncated.  */
+  uint32_t tokens;     /* Number of completion tokens in the usage object.  */
+  bool is_complete;    /* The status is 2xx and the answer is complete.  */
+  bool has_wrong_body; /* The answer is complete but not the expected text.  */
+  bool has_retry_after;   /* The response had a Retry-After header.  */
+  uint64_t started_us;    /* Send time; in an open loop the scheduled time.  */
+  uint64_t first_byte_us; /* Time from the start to the first body byte.  */
+  uint64_t max_chunk_gap_us; /* Longest time between two body chunks.  */
+  uint64_t total_us; /* Time from the start to the end of the last send.  */
 } loadgen_result_t;
 
 typedef struct
 {
   const str_t *targets; /* HOST:PORT of each entry, on 127.x.x.x.  */
   size_t target_count;
-  const str_t *health;  /* HOST:PORT of each target's operators' port, whose
-                           /readyz is checked; NULL: all targets are ready.  */
-  size_t concurrency;   /* Most requests in flight, in a closed and in an open
-                           loop.  */
-  double rate;          /* Requests a second; 0: closed loop.  */
-  uint64_t requests;    /* Number of requests to start; 0: no limit.  */
-  uint64_t duration_ms; /* Time to start requests for; 0: no limit.  */
+  /* HOST:PORT of the operators' port of each target, whose /readyz is
+     checked; NULL: all targets are ready.  */
+  const str_t *health_addresses;
+  size_t concurrency;    /* Most requests in flight, also in an open loop.  */
+  double rate;           /* Requests a second; 0: closed loop.  */
+  uint64_t max_requests; /* Number of requests to start; 0: no limit.  */
+  uint64_t duration_ms;  /* Time to start requests for; 0: no limit.  */
   uint64_t seed;
   double stream_share; /* Share of chat requests that are streamed, 0 to 1.  */
   double service_share; /* Share of requests to the service, 0 to 1.  */
@@ -61,20 +61,22 @@
   uint64_t deadline_ms; /* Value of Vanillahook-Deadline-Ms; 0: not sent.  */
   uint64_t timeout_ms;  /* Timeout of one send; 0: 30 s.  */
   /* Most resends, with the same key, of a request that may have run.  */
-  unsigned resends;
-  void (*finished) (void *arg, const loadgen_result_t *result);
-  void (*over) (void *arg); /* Called after the last request has ended.  */
+  unsigned max_resends;
+  /* Called after the last send of each request.  */
+  void (*on_result) (void *arg, const loadgen_result_t *result);
+  /* Called once, after the last request has ended.  */
+  void (*on_complete) (void *arg);
   void *arg;
 } loadgen_options_t;
 
 /* Start the load.  OPTIONS and its strings are borrowed until loadgen_destroy.
    Return NULL if there is no target or a target is not on 127.x.x.x.  */
-load_t *loadgen_create (uv_loop_t *loop, const loadgen_options_t *options);
-/* Start no more requests.  The callback OVER is called when the requests in
-   flight have ended.  May be called from any thread.  */
-void loadgen_stop (load_t *load);
-/* Release LOAD, once the callback OVER has been called; NULL is ignored.  The
-   loop must run once more to close the handles.  */
-void loadgen_destroy (load_t *load);
+loadgen_t *loadgen_create (uv_loop_t *loop, const loadgen_options_t *options);
+/* Start no more requests.  ON_COMPLETE is called when the requests in flight
+   have ended.  May be called from any thread.  */
+void loadgen_stop (loadgen_t *load);
+/* Release LOAD, once ON_COMPLETE has been called; NULL is ignored.  The loop
+   must run once more to close the handles.  */
+void loadgen_destroy (loadgen_t *load);
 
 #endif
--- a/tests/standins/standin_client.c
+++ b/tests/standins/standin_client.c
@@ -67,14 +67,14 @@
   if (result->version.len > 0)
     increment_count (report, "version", result->version);
   report->finished++;
-  report->whole += result->whole;
-  report->wrong += result->wrong;
-  if (!result->whole)
+  report->whole += result->is_complete;
+  report->wrong += result->has_wrong_body;
+  if (!result->is_complete)
     return;
   samples_add (&report->total_us, result->total_us);
-  samples_add (&report->first_byte_us, result->first_us);
-  if (result->streamed)
-    samples_add (&report->max_gap_us, result->between_us);
+  samples_add (&report->first_byte_us, result->first_byte_us);
+  if (result->is_streamed)
+    samples_add (&report->max_gap_us, result->max_chunk_gap_us);
 }
 
 static void
@@ -132,11 +132,11 @@
   report_t report = { .counts = map_create () };
   uint64_t started = uv_hrtime ();
 
-  options->finished = on_finished;
-  options->over = on_complete;
+  options->on_result = on_finished;
+  options->on_complete = on_complete;
   options->arg = &report;
   uv_loop_init (&loop);
-  load_t *load = loadgen_create (&loop, options);
+  loadgen_t *load = loadgen_create (&loop, options);
   if (load == NULL)
     {
       fprintf (stderr, "standin_client: targets must be 127.x.x.x:PORT\n");
@@ -236,7 +236,7 @@
           .target_count = (size_t)targets->count,
           .concurrency = (size_t)concurrency->ival[0],
           .rate = rate->dval[0],
-          .requests = (uint64_t)requests->ival[0],
+          .max_requests = (uint64_t)requests->ival[0],
           .duration_ms = (uint64_t)seconds->ival[0] * 1000,
           .seed = (uint64_t)seed->ival[0],
           .stream_share = stream->dval[0],
@@ -249,7 +249,7 @@
           .max_tokens = (uint32_t)tokens->ival[0],
           .prompt_bytes = (size_t)prompt->ival[0],
           .deadline_ms = (uint64_t)deadline->ival[0],
-          .resends = (unsigned)resends->ival[0] };
+          .max_resends = (unsigned)resends->ival[0] };
   int status = run_load (&options);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -84,7 +84,7 @@
                                      JSON_TYPE, str_from (body), WAIT_MS);
   ck_assert (answer_parse_stream (buf_str (&http.body), &ours));
   ck_assert (answer_parse_stream (buf_str (&straight.body), &own));
-  ck_assert (!ours.error);
+  ck_assert (!ours.has_error);
   ck_assert_uint_eq (own.tokens, STREAM_TOKENS);
   ck_assert_msg (str_eq (buf_str (&ours.text), buf_str (&own.text)),
                  "ours: %.*s", STR_ARG (buf_str (&ours.text)));
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -79,8 +79,8 @@
   callers_t *callers = arg;
 
   callers->finished++;
-  callers->wrong += result->wrong;
-  if (result->whole)
+  callers->wrong += result->has_wrong_body;
+  if (result->is_complete)
     {
       callers->whole++;
       callers->late
@@ -90,7 +90,7 @@
   else if (str_eq (result->outcome, STR ("not-run")))
     {
       callers->refused++;
-      callers->no_hint += !result->retry_after;
+      callers->no_hint += !result->has_retry_after;
       samples_add (&callers->refused_us, result->total_us);
     }
   else
@@ -121,8 +121,8 @@
                                    .prompt_bytes = 64,
                                    .deadline_ms = DEADLINE_MS,
                                    .timeout_ms = WAIT_MS,
-                                   .finished = on_finished,
-                                   .over = on_over } };
+                                   .on_result = on_finished,
+                                   .on_complete = on_over } };
 }
 
 static void
@@ -156,7 +156,7 @@
 run_callers (callers_t *callers, unsigned count)
 {
   uv_loop_t loop;
-  load_t *loads[LOADS_MAX];
+  loadgen_t *loads[LOADS_MAX];
   char address[64];
   str_t target;
   unsigned left = count;
