--- a/tests/standins/load.c
+++ b/tests/standins/loadgen.c
@@ -1,4 +1,4 @@
-#include "standins/load.h"
+#include "standins/loadgen.h"
 
 #include "base/mem.h"
 #include "base/rng.h"
--- a/tests/standins/load.h
+++ b/tests/standins/loadgen.h
@@ -2,8 +2,8 @@
    every answer with the expected one.  It runs on the caller's event loop and
    stops at a given number of requests or duration.  */
 
-#ifndef STANDINS_LOAD_H
-#define STANDINS_LOAD_H
+#ifndef STANDINS_LOADGEN_H
+#define STANDINS_LOADGEN_H
 
 #include "base/code.h"
 #include "base/str.h"
--- a/tests/standins/standin_client.c
+++ b/tests/standins/standin_client.c
@@ -4,7 +4,7 @@
    differs.  */
 
 #include "standins/common.h"
-#include "standins/load.h"
+#include "standins/loadgen.h"
 #include "standins/samples.h"
 
 #include "base/map.h"
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -3,7 +3,7 @@
    and while an upstream is cold.  Bounds compare figures of one run.  */
 
 #include "cluster.h"
-#include "standins/load.h"
+#include "standins/loadgen.h"
 #include "standins/samples.h"
 #include "suite.h"
 
