--- a/tests/standins/common.c
+++ b/tests/standins/common.c
@@ -61,7 +61,7 @@
   return server;
 }
 
-/* Exits at once: a stand-in holds no state that must be saved.  */
+/* Exit at once: a stand-in has no state that must be saved.  */
 static void
 on_signal (uv_signal_t *handle, int signum)
 {
--- a/tests/standins/loadgen.c
+++ b/tests/standins/loadgen.c
@@ -12,14 +12,14 @@
 
 enum
 {
-  TICK_MS = 1,
+  TICK_INTERVAL_MS = 1,
   MAX_IDLE_CONNECTIONS = 256,
   MAX_HEADERS = 6,
   /* Highest rate, in requests a second, that the tick timer serves.  At a
      higher rate each tick would send a burst, and the latencies would include
      queueing that the burst itself causes; an idle handle then keeps the loop
      running without sleep, so that each request is sent on time.  */
-  MAX_TICK_RATE = 500,
+  MAX_TICK_RATE_PER_S = 500,
   /* Interval of the health checks, as in the platform's load balancer.  One
      failed check makes a target unready.  */
   HEALTH_INTERVAL_MS = 100,
@@ -68,7 +68,8 @@
   target_health_t *health; /* Array of one element for each target.  */
   uv_timer_t health_timer; /* Fires at each health check of all targets.  */
   uv_timer_t tick_timer;
-  uv_idle_t idle; /* Keeps the loop from sleeping above MAX_TICK_RATE.  */
+  /* Keeps the loop from sleeping at rates above MAX_TICK_RATE_PER_S.  */
+  uv_idle_t idle;
   rng_t rng;
   uint64_t started_us;
   uint64_t started_count; /* Number of requests started so far.  */
@@ -499,10 +500,10 @@
                     HEALTH_INTERVAL_MS);
   uv_timer_init (loop, &load->tick_timer);
   load->tick_timer.data = load;
-  uv_timer_start (&load->tick_timer, on_tick, 0, TICK_MS);
+  uv_timer_start (&load->tick_timer, on_tick, 0, TICK_INTERVAL_MS);
   uv_idle_init (loop, &load->idle);
   load->idle.data = load;
-  if (options->rate > MAX_TICK_RATE)
+  if (options->rate > MAX_TICK_RATE_PER_S)
     uv_idle_start (&load->idle, on_idle);
   return load;
 }
--- a/tests/standins/loadgen.h
+++ b/tests/standins/loadgen.h
@@ -34,7 +34,7 @@
   uint64_t started_us;    /* Send time; in an open loop the scheduled time.  */
   uint64_t first_byte_us; /* Time from the start to the first body byte.  */
   uint64_t max_chunk_gap_us; /* Longest time between two body chunks.  */
-  uint64_t total_us; /* Time from the start to the end of the last send.  */
+  uint64_t total_us; /* Time from the start to the last response's end.  */
 } loadgen_result_t;
 
 typedef struct
@@ -47,7 +47,8 @@
   size_t concurrency;    /* Most requests in flight, also in an open loop.  */
   double rate;           /* Requests a second; 0: closed loop.  */
   uint64_t max_requests; /* Number of requests to start; 0: no limit.  */
-  uint64_t duration_ms;  /* Time to start requests for; 0: no limit.  */
+  /* Time during which requests are started; 0: no limit.  */
+  uint64_t duration_ms;
   uint64_t seed;
   double stream_share; /* Share of chat requests that are streamed, 0 to 1.  */
   double service_share; /* Share of requests to the service, 0 to 1.  */
@@ -62,7 +63,7 @@
   uint64_t timeout_ms;  /* Timeout of one send; 0: 30 s.  */
   /* Most resends, with the same key, of a request that may have run.  */
   unsigned max_resends;
-  /* Called after the last send of each request.  */
+  /* Called when a request has ended, after any resends.  */
   void (*on_result) (void *arg, const loadgen_result_t *result);
   /* Called once, after the last request has ended.  */
   void (*on_complete) (void *arg);
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -37,9 +37,9 @@
 enum
 {
   EXIT_CRASH = 9,
-  TICK_MS = 1,
+  TICK_INTERVAL_MS = 1,
   COLD_SLOWDOWN = 4,
-  COLD_CAPACITY_DIVISOR = 4, /* Capacity when warm over capacity when cold.  */
+  COLD_CAPACITY_DIVISOR = 4, /* Warm capacity / cold capacity.  */
   PROMPT_BLOCK_BYTES = 256,
   SAMPLE_INTERVAL_MS = 20,
   SAMPLE_RING_SIZE = 512,
@@ -80,7 +80,7 @@
 {
   uint64_t time_ms;
   size_t running;
-  bool cold;
+  bool was_cold;
 } sample_t;
 
 typedef struct
@@ -109,17 +109,19 @@
   uint64_t cold_ms;
   uint64_t load_lag_ms;
   uint64_t cache_lag_ms;
-  uint64_t cache_gap; /* Each cache_gap-th cache event is lost; 0: none.  */
+  uint64_t lost_event_interval; /* 1 in this many events is lost; 0: none.  */
   bool is_minimal;
   bool has_fencing;
   /* Settings of POST /control.  */
   uint64_t cold_until_ms;
-  bool is_hung;     /* No run makes progress.  */
+  bool is_hung;     /* Whether all runs are suspended.  */
   int error_status; /* Status of each chat request; 0: no forced error.  */
   double slow_factor;
-  uint32_t cut_after_tokens;  /* 0: never.  */
-  uint32_t exit_after_tokens; /* 0: never.  */
-  /* Counts.  */
+  /* Number of tokens of an answer after which its connection is aborted or the
+     process exits; 0: never.  */
+  uint32_t cut_after_tokens;
+  uint32_t exit_after_tokens;
+  /* Counters since the start of the process.  */
   map_t *run_counts; /* Request id to its number of runs, a uint64_t.  */
   uint64_t total;
   uint64_t refused;
@@ -347,8 +349,8 @@
     run_destroy (run);
 }
 
-/* Cut the connection of RUN or exit the process if POST /control asked for it
-   after this many tokens.  Return true if RUN was freed.  */
+/* Abort the connection of RUN or exit the process if RUN has emitted the
+   number of tokens set by POST /control.  Return true if RUN was freed.  */
 static bool
 run_apply_faults (run_t *run)
 {
@@ -446,7 +448,7 @@
   if (uv_is_active ((uv_handle_t *)&engine.tick))
     return;
   engine.last_tick_us = uv_hrtime () / 1000;
-  uv_timer_start (&engine.tick, on_tick, TICK_MS, TICK_MS);
+  uv_timer_start (&engine.tick, on_tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS);
 }
 
 /* Reply to REQ with an error if POST /control set one or if the engine is at
@@ -609,7 +611,7 @@
   standin_reply_json (
       req, 200,
       json_pack ("{s:I,s:I,s:b,s:I}", "running", (json_int_t)found.running,
-                 "slots", (json_int_t)engine.slots, "cold", found.cold,
+                 "slots", (json_int_t)engine.slots, "cold", found.was_cold,
                  "age_ms",
                  (json_int_t)(found.time_ms == 0 ? 0 : now - found.time_ms)));
 }
@@ -634,7 +636,8 @@
       char block[20];
       if (now - event->time_ms < engine.cache_lag_ms)
         break;
-      if (engine.cache_gap > 0 && seq % engine.cache_gap == 0)
+      if (engine.lost_event_interval > 0
+          && seq % engine.lost_event_interval == 0)
         continue;
       snprintf (block, sizeof block, "%016" PRIx64, event->block);
       json_array_append_new (
@@ -837,7 +840,7 @@
   engine.cold_until_ms = now_ms () + (uint64_t)cold->ival[0];
   engine.load_lag_ms = (uint64_t)load_lag->ival[0];
   engine.cache_lag_ms = (uint64_t)cache_lag->ival[0];
-  engine.cache_gap = (uint64_t)cache_gap->ival[0];
+  engine.lost_event_interval = (uint64_t)cache_gap->ival[0];
   engine.cache_blocks = (size_t)cache_blocks->ival[0];
   engine.cache = mem_zalloc ((engine.cache_blocks + 1) * sizeof (uint64_t));
   engine.has_fencing = fencing->count > 0;
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -209,7 +209,7 @@
 /* Count one call in the rate limit WINDOW.  Return false if the window has
    more than LIMIT calls; a LIMIT of 0 means no limit.  */
 static bool
-count_call (platform_standin_t *standin, rate_window_t *window, uint64_t limit)
+admit_call (platform_standin_t *standin, rate_window_t *window, uint64_t limit)
 {
   uint64_t now_ms = uv_now (standin->loop);
 
@@ -596,7 +596,7 @@
       httpd_reply_json (req, 503, STR ("{\"error\":\"down\"}"));
       return true;
     }
-  if (count_call (standin,
+  if (admit_call (standin,
                   is_write ? &standin->write_window : &standin->read_window,
                   is_write ? faults->write_limit : faults->read_limit))
     return false;
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -35,8 +35,8 @@
 
 enum
 {
-  SILENT_UP = 1 << 0,
-  SILENT_DOWN = 1 << 1
+  SILENT_UP = 1 << 0,  /* Bytes from client to target are dropped.  */
+  SILENT_DOWN = 1 << 1 /* Bytes from target to client are dropped.  */
 };
 
 typedef struct connection connection_t;
@@ -46,7 +46,7 @@
 {
   uv_tcp_t tcp;
   connection_t *connection;
-  unsigned direction; /* SILENT_UP or SILENT_DOWN: data from this socket.  */
+  unsigned direction; /* Flag of the direction that starts at this socket.  */
   size_t in_flight;   /* Bytes read here and not yet written to the peer.  */
   bool is_paused;
   bool has_ended; /* Its end of stream was forwarded.  */
@@ -59,8 +59,7 @@
   endpoint_t client;
   endpoint_t target;
   unsigned silent;       /* Mask of SILENT_UP and SILENT_DOWN.  */
-  uint64_t target_bytes; /* Bytes from the target, counted while cut_after is
-                            set.  */
+  uint64_t target_bytes; /* Received from the target while a cut is set.  */
   bool is_closing;
   unsigned ref_count; /* Number of open sockets and chunks.  */
 };
@@ -85,9 +84,9 @@
   list_t connections;
   uint64_t next_id;
   unsigned new_silent; /* Value of `silent' for new connections.  */
-  bool refuse;
+  bool refuses_new;    /* Reset new connections when accepted.  */
   uint64_t delay_ms;
-  uint64_t cut_after;
+  uint64_t cut_after_bytes; /* Bytes from the target; 0: never cut.  */
 } proxy_t;
 
 static proxy_t proxy;
@@ -196,10 +195,10 @@
 static bool
 exceeds_cut_limit (connection_t *connection, const chunk_t *chunk)
 {
-  if (chunk->from != &connection->target || proxy.cut_after == 0)
+  if (chunk->from != &connection->target || proxy.cut_after_bytes == 0)
     return false;
   connection->target_bytes += chunk->len;
-  return connection->target_bytes > proxy.cut_after;
+  return connection->target_bytes > proxy.cut_after_bytes;
 }
 
 static void
@@ -330,7 +329,7 @@
   list_append (&proxy.connections, &connection->node);
   if (status != 0
       || uv_accept (listener, (uv_stream_t *)&connection->client.tcp) != 0
-      || proxy.refuse)
+      || proxy.refuses_new)
     {
       connection_close (connection, true);
       return;
@@ -399,11 +398,11 @@
                            ? parse_silence (json_string_value (value))
                            : 0;
   if ((value = json_object_get (root, "refuse")) != NULL)
-    proxy.refuse = json_is_true (value);
+    proxy.refuses_new = json_is_true (value);
   if ((value = json_object_get (root, "delay_ms")) != NULL)
     proxy.delay_ms = (uint64_t)json_integer_value (value);
   if ((value = json_object_get (root, "cut_after")) != NULL)
-    proxy.cut_after = (uint64_t)json_integer_value (value);
+    proxy.cut_after_bytes = (uint64_t)json_integer_value (value);
   json_decref (root);
   httpd_reply_json (req, 200, STR ("{}"));
 }
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -26,7 +26,7 @@
 typedef enum
 {
   CRASH_NONE,
-  CRASH_CUT, /* Reset the connection in the middle of the reply.  */
+  CRASH_CUT, /* Abort the connection in the middle of the reply.  */
   CRASH_EXIT /* Exit the process before the reply.  */
 } crash_mode_t;
 
@@ -202,7 +202,7 @@
   uv_close ((uv_handle_t *)timer, on_run_closed);
 }
 
-/* Discards the reply when the client disconnects.  The run stays counted, as
+/* Discard the reply when the client disconnects.  The run stays counted, as
    its effect cannot be undone.  */
 static void
 on_client_disconnect (void *arg)
