--- a/bench/bench_cascade.c
+++ b/bench/bench_cascade.c
@@ -51,7 +51,7 @@
 static bool
 wanted (const char *name)
 {
-  return str_glob (str_from (pattern), str_from (name));
+  return str_matches_glob (str_from (pattern), str_from (name));
 }
 
 static void
@@ -221,7 +221,7 @@
   router_t r
       = { .rng = rng_make (seed),
           .cascade = cascade_create (seed + 1),
-          .quality = quality_create (seed + 1, &QUALITY_SAMPLING_DEFAULT),
+          .quality = quality_create (seed + 1, &QUALITY_SAMPLING_DEFAULTS),
           .now_ms = START_MS };
   sums_t s = { 0 };
 
@@ -385,7 +385,7 @@
                            &late->sample, now);
         }
       bool fresh = rollout_is_assigned (run, rng_u64 (&rng));
-      late->arm = fresh ? ROLLOUT_NEW : ROLLOUT_OLD;
+      late->arm = fresh ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
       late->task = draw_task (&rng);
       late->sample = draw_sample (&rng, fault, fresh, late->task,
                                   rollout_rating_share (run, late->arm));
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -141,14 +141,14 @@
       buf_t why = BUF_NULL;
       char name[32];
       trial_set_progress (trial, 1, 1, 1);
-      trial_observe (trial, TRIAL_NEW, 1, false, 100, false);
+      trial_observe (trial, TRIAL_ARM_NEW, 1, false, 100, false);
       trial_write (trial, true, &text);
       for (int i = 0; i < sizes[s]; i++)
         trial_merge (trial, name_of (name, sizeof name, "entry", i), false,
                      buf_str (&text));
       double begin = cpu_ns ();
       for (int i = 0; i < 200; i++)
-        if (trial_decide (trial, 2, false, &why) == TRIAL_FINISH)
+        if (trial_decide (trial, 2, false, &why) == TRIAL_DECISION_FINISH)
           abort ();
       points_add (&cpu, sizes[s], (cpu_ns () - begin) / 200 / 1e3);
       buf_free (&text);
--- a/bench/bench_load.c
+++ b/bench/bench_load.c
@@ -205,7 +205,8 @@
     {
       name[6] = (char)('0' + i % 10);
       name[5] = (char)('0' + i / 10 % 3);
-      if (admission_decide (admission, str_from (name), 50, QUEUE_NORMAL)
+      if (admission_decide (admission, str_from (name), 50,
+                            QUEUE_PRIORITY_NORMAL)
           == VH_OK)
         admission_record_result (admission, 50, i % 3 != 0);
       if (i % 10 == 0)
@@ -242,12 +243,12 @@
   unsigned count = 0;
 
   for (size_t i = 0; pattern_at (i) != NULL; i++)
-    if (str_glob (glob, pattern_at (i)->name))
+    if (str_matches_glob (glob, pattern_at (i)->name))
       {
         bench_pattern (pattern_at (i), seed);
         count++;
       }
-  if (str_glob (glob, STR ("costs")))
+  if (str_matches_glob (glob, STR ("costs")))
     {
       bench_costs (seed);
       count++;
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -68,7 +68,7 @@
           .rate = rate,
           .duration_ms = ms,
           .seed = seed,
-          .api_key = STR (CLUSTER_KEY),
+          .api_key = STR (CLUSTER_API_KEY),
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
@@ -99,15 +99,15 @@
 static bool
 any_wanted (void)
 {
-  return str_glob (row_pattern, STR ("path-latency-p50"))
-         || str_glob (row_pattern, STR ("path-latency-p99"))
-         || str_glob (row_pattern, STR ("path-throughput"));
+  return str_matches_glob (row_pattern, STR ("path-latency-p50"))
+         || str_matches_glob (row_pattern, STR ("path-latency-p99"))
+         || str_matches_glob (row_pattern, STR ("path-throughput"));
 }
 
 static void
 print_row (const char *name, double baseline, double ours, const char *unit)
 {
-  if (!str_glob (row_pattern, str_from (name)))
+  if (!str_matches_glob (row_pattern, str_from (name)))
     return;
   printf ("bench %s baseline=%.1f ours=%.1f ratio=%.3f unit=%s\n", name,
           baseline, ours, baseline > 0 ? ours / baseline : 0, unit);
@@ -119,13 +119,13 @@
 measure_throughput (side_t *side, const proc_t *proc, uint64_t ms,
                     uint64_t seed, double *rate)
 {
-  uint64_t cpu = proc_cpu_us (proc);
+  uint64_t cpu = proc_read_cpu_us (proc);
   uint64_t began = harness_now_ms ();
 
   side_reset (side);
   run_load (side, ms, 0, seed);
   double seconds = (double)(harness_now_ms () - began) / 1000;
-  double busy = (double)(proc_cpu_us (proc) - cpu) / 1e6;
+  double busy = (double)(proc_read_cpu_us (proc) - cpu) / 1e6;
   *rate = (double)side->finished / seconds;
   return busy > 0 ? (double)side->finished / busy : 0;
 }
--- a/bench/bench_slopes.c
+++ b/bench/bench_slopes.c
@@ -177,8 +177,8 @@
             {
               str_t team
                   = name_of (name, sizeof name, "team", i % team_sizes[s]);
-              vh_code_t code
-                  = admission_decide (admission, team, 256, QUEUE_NORMAL);
+              vh_code_t code = admission_decide (admission, team, 256,
+                                                 QUEUE_PRIORITY_NORMAL);
               if (code == VH_OK)
                 admission_record_result (admission, 256, i % 3 != 0);
               if (i % 24 == 0)
@@ -205,7 +205,7 @@
       const queue_job_t job
           = { .team = name_of (name, sizeof name, "team", i % teams),
               .cost = 256,
-              .priority = QUEUE_NORMAL,
+              .priority = QUEUE_PRIORITY_NORMAL,
               .deadline_us = QUEUE_NO_DEADLINE };
       queue_waiter_t *evicted;
       memset (&waiters[i], 0, sizeof waiters[i]);
@@ -712,7 +712,7 @@
         return usage ();
     }
   for (size_t i = 0; i < sizeof parts / sizeof parts[0]; i++)
-    if (str_glob (str_from (pattern), str_from (parts[i].name)))
+    if (str_matches_glob (str_from (pattern), str_from (parts[i].name)))
       parts[i].run ();
   return EXIT_SUCCESS;
 }
--- a/bench/model.c
+++ b/bench/model.c
@@ -323,7 +323,7 @@
 engine_speed (const model_t *m, const upstream_t *u)
 {
   double slots = engine_slots (m, u);
-  double speed = MODEL_SPEED;
+  double speed = MODEL_SLOT_UNITS_PER_S;
 
   if (is_cold (m, u))
     speed *= COLD_SPEED;
@@ -429,7 +429,7 @@
 static void
 engine_fill (model_t *m, upstream_t *u)
 {
-  while (!list_empty (&u->waiting)
+  while (!list_is_empty (&u->waiting)
          && u->jobs.count < m->pattern->slots * ENGINE_BATCH)
     {
       request_t *request = CONTAINER_OF (u->waiting.next, request_t, waiting);
@@ -478,7 +478,7 @@
 sidecar_submit (model_t *m, upstream_t *u, request_t *request)
 {
   queue_job_t job = { .cost = request->estimate,
-                      .priority = QUEUE_NORMAL,
+                      .priority = QUEUE_PRIORITY_NORMAL,
                       .deadline_us = request->deadline_us };
   char team[] = { 't', (char)('0' + request->team) };
   queue_waiter_t *evicted;
@@ -576,16 +576,16 @@
   int n = m->upstream_count;
   int best = -1;
 
-  if (m->pattern->plain == PLAIN_ROUND_ROBIN || request->affinity == 0)
+  if (m->pattern->plain == BASELINE_ROUND_ROBIN || request->affinity == 0)
     do
       entry->turn = (entry->turn + 1) % n;
     while (!in_service (m, entry->turn));
-  if (m->pattern->plain == PLAIN_ROUND_ROBIN)
+  if (m->pattern->plain == BASELINE_ROUND_ROBIN)
     return &m->upstreams[entry->turn];
-  if (m->pattern->plain == PLAIN_HASH && request->affinity != 0)
+  if (m->pattern->plain == BASELINE_PREFIX_HASH && request->affinity != 0)
     return &m->upstreams[(request->affinity * 0x9e3779b97f4a7c15u >> 32)
                          % (uint64_t)n];
-  if (m->pattern->plain == PLAIN_HASH)
+  if (m->pattern->plain == BASELINE_PREFIX_HASH)
     return &m->upstreams[entry->turn];
   for (int k = 0; k < n; k++)
     {
@@ -778,8 +778,8 @@
 schedule_arrival (model_t *m)
 {
   const pattern_t *p = m->pattern;
-  double rate = current_load (m) * p->upstreams * p->slots * MODEL_SPEED
-                / mean_cost (p);
+  double rate = current_load (m) * p->upstreams * p->slots
+                * MODEL_SLOT_UNITS_PER_S / mean_cost (p);
 
   schedule (m, &m->arrival, ARRIVAL,
             m->now + 1 + seconds_us (exponential (&m->rng, 1 / rate)));
@@ -852,7 +852,7 @@
   team[1] = (char)('0' + request->team);
   if (m->ours
       && admission_decide (request->entry->admission, str_make (team, 2),
-                           request->estimate, QUEUE_NORMAL)
+                           request->estimate, QUEUE_PRIORITY_NORMAL)
              != VH_OK)
     {
       finish_refused (m, request);
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -50,7 +50,8 @@
 
   if (arrived == REQUESTS)
     uv_timer_stop (arrivals);
-  if (admission_decide (admission, STR ("team"), 1, QUEUE_NORMAL) != VH_OK
+  if (admission_decide (admission, STR ("team"), 1, QUEUE_PRIORITY_NORMAL)
+          != VH_OK
       || balance_pick (balance, &request, &id) != VH_OK)
     {
       refused++;
--- a/packages/base/bound.c
+++ b/packages/base/bound.c
@@ -10,7 +10,7 @@
 static void
 on_timer (uv_timer_t *timer)
 {
-  bound_t *bound = timer->data;
+  peer_timer_t *bound = timer->data;
 
   if (!bound->is_due)
     {
@@ -23,7 +23,8 @@
 }
 
 void
-bound_init (bound_t *bound, uv_loop_t *loop, bound_cb_t cb, void *arg)
+peer_timer_init (peer_timer_t *bound, uv_loop_t *loop, peer_timer_cb_t cb,
+                 void *arg)
 {
   uv_timer_init (loop, &bound->timer);
   bound->timer.data = bound;
@@ -34,14 +35,14 @@
 }
 
 void
-bound_start (bound_t *bound, uint64_t ms)
+peer_timer_start (peer_timer_t *bound, uint64_t ms)
 {
   bound->is_due = false;
   uv_timer_start (&bound->timer, on_timer, ms, 0);
 }
 
 void
-bound_stop (bound_t *bound)
+peer_timer_stop (peer_timer_t *bound)
 {
   uv_timer_stop (&bound->timer);
 }
@@ -49,13 +50,13 @@
 static void
 on_closed (uv_handle_t *handle)
 {
-  bound_t *bound = handle->data;
+  peer_timer_t *bound = handle->data;
 
   bound->closed (bound->arg);
 }
 
 void
-bound_close (bound_t *bound, void (*closed) (void *arg))
+peer_timer_close (peer_timer_t *bound, void (*closed) (void *arg))
 {
   bound->closed = closed;
   uv_close ((uv_handle_t *)&bound->timer, on_closed);
--- a/packages/base/bound.h
+++ b/packages/base/bound.h
@@ -14,26 +14,27 @@
 #include <stdbool.h>
 #include <uv.h>
 
-typedef struct bound bound_t;
-typedef void (*bound_cb_t) (void *arg);
+typedef struct bound peer_timer_t;
+typedef void (*peer_timer_cb_t) (void *arg);
 
 /* Lives in its owner; the members are its own.  */
 struct bound
 {
   uv_timer_t timer;
-  bound_cb_t cb;
+  peer_timer_cb_t cb;
   void *arg;
   bool is_due; /* It fell due, and the sockets are read next.  */
   void (*closed) (void *arg);
 };
 
 /* Make BOUND on LOOP; CB gets ARG.  */
-void bound_init (bound_t *bound, uv_loop_t *loop, bound_cb_t cb, void *arg);
+void peer_timer_init (peer_timer_t *bound, uv_loop_t *loop, peer_timer_cb_t cb,
+                      void *arg);
 /* Fire in MS milliseconds from now, in place of what was started before.  */
-void bound_start (bound_t *bound, uint64_t ms);
-void bound_stop (bound_t *bound);
-/* CLOSED gets the ARG of bound_init on a later turn; then the memory is the
-   owner's again.  */
-void bound_close (bound_t *bound, void (*closed) (void *arg));
+void peer_timer_start (peer_timer_t *bound, uint64_t ms);
+void peer_timer_stop (peer_timer_t *bound);
+/* CLOSED gets the ARG of peer_timer_init on a later turn; then the memory is
+   the owner's again.  */
+void peer_timer_close (peer_timer_t *bound, void (*closed) (void *arg));
 
 #endif
--- a/packages/base/clock.h
+++ b/packages/base/clock.h
@@ -55,7 +55,7 @@
 /* Milliseconds for the age of a belief: a suspended machine's monotonic clock
    stands still, and what it knew would look fresh when it wakes.  */
 static inline uint64_t
-clock_boot_ms (clock_iface_t *clock)
+clock_boottime_ms (clock_iface_t *clock)
 {
   return timespec_us (clock->ops->boottime (clock)) / 1000u;
 }
--- a/packages/base/code.c
+++ b/packages/base/code.c
@@ -13,7 +13,7 @@
 };
 
 const code_info_t *
-code_at (size_t index)
+code_info_at (size_t index)
 {
   return index < TABLE_SIZE ? &table[index] : NULL;
 }
--- a/packages/base/code.h
+++ b/packages/base/code.h
@@ -126,6 +126,6 @@
    "unknown".  */
 void code_write_error (vh_code_t code, const char *outcome, buf_t *out);
 /* Step through the table: return entry INDEX, or NULL past the end.  */
-const code_info_t *code_at (size_t index);
+const code_info_t *code_info_at (size_t index);
 
 #endif
--- a/packages/base/eventlog.c
+++ b/packages/base/eventlog.c
@@ -82,7 +82,7 @@
 }
 
 const char *
-log_cause (str_t reason)
+log_reason_meaning (str_t reason)
 {
 #define X(name, meaning)                                                      \
   if (str_eq (reason, STR (name)))                                            \
@@ -93,20 +93,20 @@
 }
 
 void
-eventlog_source (str_t by, clock_iface_t *clock)
+eventlog_set_source (str_t by, clock_iface_t *clock)
 {
   state.by = by;
   state.clock = clock;
 }
 
 void
-eventlog_hold (bool hold)
+eventlog_set_buffered (bool hold)
 {
   state.hold = hold;
 }
 
 uint64_t
-eventlog_dropped (void)
+eventlog_dropped_lines (void)
 {
   return state.dropped;
 }
@@ -140,7 +140,7 @@
       return;
     }
   buf_append_char (out, '"');
-  buf_append_json (out, text);
+  buf_append_json_escaped (out, text);
   buf_append_char (out, '"');
 }
 
@@ -198,8 +198,8 @@
   buf_t name = BUF_NULL;
 
   buf_printf (&name, "%s.%s", info->part, info->name);
-  const log_field_t fields[] = { field_text (FIELD_KIND, buf_str (&name)),
-                                 field_number (FIELD_COUNT, count) };
+  const log_field_t fields[] = { log_field_text (FIELD_KIND, buf_str (&name)),
+                                 log_field_number (FIELD_COUNT, count) };
   append_line (out, EVENT_DROPPED, fields, 2);
   buf_free (&name);
 }
@@ -273,7 +273,7 @@
 }
 
 void
-eventlog_turn (void)
+eventlog_flush_if_due (void)
 {
   if (state.held.len == 0)
     return;
@@ -285,7 +285,7 @@
 void
 eventlog_write (log_event_t event, const log_field_t *fields, size_t count)
 {
-  if (!log_level_shown (events[event].level))
+  if (!log_level_is_enabled (events[event].level))
     return;
   if (state.held.len == 0)
     state.held_from_ms = clock_ms (log_clock ());
--- a/packages/base/eventlog.h
+++ b/packages/base/eventlog.h
@@ -174,7 +174,7 @@
   X ("bad_header", "A header that the request needs is missing or wrong.")
 
 /* The meaning of REASON, or NULL.  */
-const char *log_cause (str_t reason);
+const char *log_reason_meaning (str_t reason);
 
 typedef enum
 {
@@ -201,18 +201,19 @@
 } log_field_t;
 
 static inline log_field_t
-field_text (log_field_name_t name, str_t text)
+log_field_text (log_field_name_t name, str_t text)
 {
   return (log_field_t){ name, true, text, 0 };
 }
 
 static inline log_field_t
-field_number (log_field_name_t name, uint64_t number)
+log_field_number (log_field_name_t name, uint64_t number)
 {
   return (log_field_t){ name, false, STR_NULL, number };
 }
 
-/* Write EVENT with its fields, each made by field_text or field_number.  */
+/* Write EVENT with its fields, each made by log_field_text or
+ * log_field_number.  */
 #define log_event(event, ...)                                                 \
   eventlog_write ((event), (const log_field_t[]){ __VA_ARGS__ },              \
                   sizeof ((const log_field_t[]){ __VA_ARGS__ })               \
@@ -222,16 +223,16 @@
 
 /* Put BY into each line from now on, and read time from CLOCK; both are
    borrowed.  Before this call lines have no source and the system's time.  */
-void eventlog_source (str_t by, clock_iface_t *clock);
+void eventlog_set_source (str_t by, clock_iface_t *clock);
 /* Keep lines until eventlog_flush rather than writing each at once: one
    system call for all lines of a turn of the loop.  */
-void eventlog_hold (bool hold);
+void eventlog_set_buffered (bool hold);
 /* At the end of a turn of the loop: write what has waited long enough.  */
-void eventlog_turn (void);
+void eventlog_flush_if_due (void);
 /* Write what is held, as far as standard output has room.  */
 void eventlog_flush (void);
 /* Lines that were left out, for the lack of budget or of room.  */
-uint64_t eventlog_dropped (void);
+uint64_t eventlog_dropped_lines (void);
 
 /* Tables for the docs and the command line.  */
 typedef struct
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -41,7 +41,7 @@
 }
 
 bool
-log_level_shown (log_level_t level)
+log_level_is_enabled (log_level_t level)
 {
   return level <= threshold;
 }
@@ -62,7 +62,7 @@
   char line[LINE_MAX_BYTES];
   va_list args;
 
-  if (!log_level_shown (level))
+  if (!log_level_is_enabled (level))
     return;
   int head = snprintf (line, sizeof line, "<%d>%s: ", (int)level, part);
   if (head < 0 || (size_t)head >= sizeof line - 2)
--- a/packages/base/log.h
+++ b/packages/base/log.h
@@ -23,7 +23,7 @@
 bool log_set_level_name (const char *name);
 
 /* Tell whether lines of LEVEL are written.  */
-bool log_level_shown (log_level_t level);
+bool log_level_is_enabled (log_level_t level);
 void log_write (log_level_t level, const char *part, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
--- a/packages/base/mem.h
+++ b/packages/base/mem.h
@@ -35,7 +35,7 @@
 }
 
 static inline bool
-list_empty (const list_t *list)
+list_is_empty (const list_t *list)
 {
   return list->next == list;
 }
--- a/packages/base/metric.c
+++ b/packages/base/metric.c
@@ -121,8 +121,8 @@
 {
   size_t index = value_us > 1 ? (size_t)(log2 ((double)value_us) * 4.0) : 0;
 
-  if (index >= HISTOGRAM_BUCKETS)
-    index = HISTOGRAM_BUCKETS - 1;
+  if (index >= HISTOGRAM_BUCKET_COUNT)
+    index = HISTOGRAM_BUCKET_COUNT - 1;
   histogram->buckets[index]++;
   histogram->count++;
   histogram->sum_us += value_us;
@@ -134,7 +134,7 @@
   uint64_t rank = (uint64_t)ceil (q * (double)histogram->count);
   uint64_t seen = 0;
 
-  for (size_t i = 0; i < HISTOGRAM_BUCKETS; i++)
+  for (size_t i = 0; i < HISTOGRAM_BUCKET_COUNT; i++)
     {
       seen += histogram->buckets[i];
       if (seen > 0 && seen >= rank)
@@ -160,7 +160,7 @@
   const char *comma = series->labels[0] != '\0' ? "," : "";
   uint64_t seen = 0;
 
-  for (size_t i = 0; i < HISTOGRAM_BUCKETS; i++)
+  for (size_t i = 0; i < HISTOGRAM_BUCKET_COUNT; i++)
     {
       seen += h->buckets[i];
       /* One line for each doubling; empty tails are left out.  */
--- a/packages/base/metric.h
+++ b/packages/base/metric.h
@@ -22,12 +22,12 @@
 {
   /* Four buckets to each doubling from 1 us to over an hour: a relative
      error of at most 19%.  */
-  HISTOGRAM_BUCKETS = 132
+  HISTOGRAM_BUCKET_COUNT = 132
 };
 
 typedef struct
 {
-  uint64_t buckets[HISTOGRAM_BUCKETS];
+  uint64_t buckets[HISTOGRAM_BUCKET_COUNT];
   uint64_t count;
   uint64_t sum_us;
 } histogram_t;
--- a/packages/base/str.c
+++ b/packages/base/str.c
@@ -104,7 +104,7 @@
 }
 
 bool
-str_glob (str_t glob, str_t s)
+str_matches_glob (str_t glob, str_t s)
 {
   size_t g = 0, i = 0, star = SIZE_MAX, mark = 0;
 
@@ -225,7 +225,7 @@
 }
 
 void
-buf_append_json (buf_t *buf, str_t s)
+buf_append_json_escaped (buf_t *buf, str_t s)
 {
   for (size_t i = 0; i < s.len; i++)
     {
--- a/packages/base/str.h
+++ b/packages/base/str.h
@@ -43,7 +43,7 @@
 }
 
 static inline bool
-str_starts (str_t s, str_t prefix)
+str_starts_with (str_t s, str_t prefix)
 {
   return s.len >= prefix.len
          && (prefix.len == 0 || memcmp (s.ptr, prefix.ptr, prefix.len) == 0);
@@ -71,7 +71,7 @@
 bool str_to_double (str_t s, double *value);
 
 /* Match S against GLOB, in which '*' stands for any run of bytes.  */
-bool str_glob (str_t glob, str_t s);
+bool str_matches_glob (str_t glob, str_t s);
 
 /* Return a NUL-terminated heap copy of S, for the caller to free.  */
 char *str_dup (str_t s);
@@ -82,7 +82,7 @@
 /* Weight of A for B, both of them hashes, to rank the A by for a B: rendezvous
    hashing.  */
 static inline uint64_t
-hash_weight (uint64_t a, uint64_t b)
+rendezvous_weight (uint64_t a, uint64_t b)
 {
   uint64_t hash = (a ^ b) * 0x9e3779b97f4a7c15u;
 
@@ -117,7 +117,7 @@
 /* Drop the first LEN bytes.  */
 void buf_consume (buf_t *buf, size_t len);
 /* Append S as the inside of a JSON string, without the quotes.  */
-void buf_append_json (buf_t *buf, str_t s);
+void buf_append_json_escaped (buf_t *buf, str_t s);
 /* Append the lower-case hexadecimal form of BYTES.  */
 void buf_append_hex (buf_t *buf, const void *bytes, size_t len);
 void buf_free (buf_t *buf);
--- a/packages/base/task.c
+++ b/packages/base/task.c
@@ -25,13 +25,13 @@
 
   /* Take the queue first: messages posted during delivery wait a turn.  */
   list_init (&batch);
-  while (!list_empty (&mailbox->queue))
+  while (!list_is_empty (&mailbox->queue))
     {
       list_t *node = mailbox->queue.next;
       list_remove (node);
       list_append (&batch, node);
     }
-  while (!list_empty (&batch))
+  while (!list_is_empty (&batch))
     {
       message_t *message = CONTAINER_OF (batch.next, message_t, link);
       list_remove (&message->link);
@@ -65,7 +65,7 @@
 {
   if (mailbox == NULL)
     return;
-  while (!list_empty (&mailbox->queue))
+  while (!list_is_empty (&mailbox->queue))
     {
       message_t *message = CONTAINER_OF (mailbox->queue.next, message_t, link);
       list_remove (&message->link);
--- a/packages/cli/explain.c
+++ b/packages/cli/explain.c
@@ -230,7 +230,7 @@
 print_cause (const entry_t *end, bool json)
 {
   str_t reason = end != NULL ? entry_get (end, "reason") : STR ("");
-  const char *cause = log_cause (reason);
+  const char *cause = log_reason_meaning (reason);
   const char *how = end != NULL ? end->info->sentence
                                 : "The lines end before the request does";
 
--- a/packages/cli/local.c
+++ b/packages/cli/local.c
@@ -86,10 +86,10 @@
         "operators and settings.\n\n"
         "| code | symbol | type | HTTP | meaning |\n"
         "|---|---|---|---|---|");
-  for (size_t i = 0; code_at (i) != NULL; i++)
-    printf ("| %d | `%s` | `%s` | %d | %s |\n", code_at (i)->code,
-            code_at (i)->symbol, code_at (i)->type, code_at (i)->http_status,
-            code_at (i)->sentence);
+  for (size_t i = 0; code_info_at (i) != NULL; i++)
+    printf ("| %d | `%s` | `%s` | %d | %s |\n", code_info_at (i)->code,
+            code_info_at (i)->symbol, code_info_at (i)->type,
+            code_info_at (i)->http_status, code_info_at (i)->sentence);
 }
 
 static void
@@ -97,13 +97,14 @@
 {
   json_t *list = json_array ();
 
-  for (size_t i = 0; code_at (i) != NULL; i++)
-    json_array_append_new (list, json_pack ("{s:i, s:s, s:s, s:i, s:s}",
-                                            "code", code_at (i)->code,
-                                            "symbol", code_at (i)->symbol,
-                                            "type", code_at (i)->type,
-                                            "status", code_at (i)->http_status,
-                                            "message", code_at (i)->sentence));
+  for (size_t i = 0; code_info_at (i) != NULL; i++)
+    json_array_append_new (list,
+                           json_pack ("{s:i, s:s, s:s, s:i, s:s}", "code",
+                                      code_info_at (i)->code, "symbol",
+                                      code_info_at (i)->symbol, "type",
+                                      code_info_at (i)->type, "status",
+                                      code_info_at (i)->http_status, "message",
+                                      code_info_at (i)->sentence));
   json_dumpf (list, stdout, JSON_COMPACT);
   putchar ('\n');
   json_decref (list);
@@ -117,9 +118,10 @@
   else if (cli->given[OPTION_JSON])
     print_codes_json ();
   else
-    for (size_t i = 0; code_at (i) != NULL; i++)
-      printf ("%3d  %-24s HTTP %d  %s\n", code_at (i)->code, code_at (i)->type,
-              code_at (i)->http_status, code_at (i)->sentence);
+    for (size_t i = 0; code_info_at (i) != NULL; i++)
+      printf ("%3d  %-24s HTTP %d  %s\n", code_info_at (i)->code,
+              code_info_at (i)->type, code_info_at (i)->http_status,
+              code_info_at (i)->sentence);
   return CLI_DONE;
 }
 
--- a/packages/conf/compile.c
+++ b/packages/conf/compile.c
@@ -76,13 +76,13 @@
   static const str_t prefix = { "service:", 8 };
   bool found = false;
 
-  if (str_starts (glob, prefix))
+  if (str_starts_with (glob, prefix))
     {
       glob = str_make (glob.ptr + prefix.len, glob.len - prefix.len);
       for (size_t i = 0; i < snapshot->services.count; i++)
         {
           const service_item_t *service = snapshot->services.items[i];
-          if (!str_glob (glob, service->pub.name))
+          if (!str_matches_glob (glob, service->pub.name))
             continue;
           found = true;
           bit_set (snapshot->service_bits
@@ -94,7 +94,7 @@
   for (size_t i = 0; i < snapshot->versions.count; i++)
     {
       const version_item_t *version = snapshot->versions.items[i];
-      if (!str_glob (glob, version->pub.name))
+      if (!str_matches_glob (glob, version->pub.name))
         continue;
       found = true;
       if (version->pub.state != VERSION_WITHDRAWN)
@@ -113,7 +113,7 @@
   str_t version;
   str_t model = str_cut (glob, '@', &version);
 
-  if (str_starts (glob, STR ("service:")))
+  if (str_starts_with (glob, STR ("service:")))
     return name_table_hint (&snapshot->services,
                             str_make (glob.ptr + 8, glob.len - 8),
                             "add a [service] of this name", hint);
--- a/packages/conf/reader.c
+++ b/packages/conf/reader.c
@@ -203,7 +203,7 @@
 
   if (!reader_is_valid_text (text, errors))
     return;
-  if (str_starts (text, STR ("\xef\xbb\xbf")))
+  if (str_starts_with (text, STR ("\xef\xbb\xbf")))
     reader.rest = str_make (text.ptr + 3, text.len - 3);
   /* Configure inih for lines of any length and one line per key.  */
   ini_use_stack = false;
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -82,8 +82,8 @@
      NULL)                                                                    \
   X ("confirm-ms", VALUE_U64, false, pub.config_max_age_ms, 100, DAY_MS,      \
      NULL)                                                                    \
-  X ("lapse-ms", VALUE_U64, false, pub.registration_grace_ms, 0, DAY_MS,      \
-     NULL)                                                                    \
+  X ("lapse-ms", VALUE_U64, false, pub.expired_registration_grace_ms, 0,      \
+     DAY_MS, NULL)                                                            \
   X ("extra-ratio", VALUE_DOUBLE, false, pub.extra_send_ratio, 0, 10, NULL)   \
   X ("extra-slack", VALUE_DOUBLE, false, pub.extra_send_fixed_budget, 0,      \
      100000, NULL)                                                            \
@@ -329,7 +329,7 @@
   pub->kill_after_s = 10;
   /* A revoked key must stop working within 5 s of the change.  */
   pub->config_max_age_ms = 4500;
-  pub->registration_grace_ms = 2000;
+  pub->expired_registration_grace_ms = 2000;
   pub->extra_send_ratio = 0.1;
   pub->extra_send_fixed_budget = 10;
   pub->extra_send_window_s = 10;
--- a/packages/conf/settings.h
+++ b/packages/conf/settings.h
@@ -158,7 +158,7 @@
   uint64_t config_max_age_ms;
   /* Time after an outage of the store in which registrations that expired
      during the outage remain usable.  */
-  uint64_t registration_grace_ms;
+  uint64_t expired_registration_grace_ms;
   /* Extra sends (all sends of a request after its first) that all gateways
      together may make per request.  */
   double extra_send_ratio;
--- a/packages/control/billset.c
+++ b/packages/control/billset.c
@@ -108,10 +108,10 @@
     {
       const ledger_bill_t *bill = &set->items[i];
       json_t *json = json_object ();
-      json_put_str (json, "id", bill->request_id);
-      json_put_str (json, "team", bill->team);
-      json_put_str (json, "model", bill->model);
-      json_put_str (json, "version", bill->version);
+      json_put_bytes (json, "id", bill->request_id);
+      json_put_bytes (json, "team", bill->team);
+      json_put_bytes (json, "model", bill->model);
+      json_put_bytes (json, "version", bill->version);
       json_object_set_new (json, "tokens",
                            json_integer ((json_int_t)bill->tokens));
       json_object_set_new (json, "cost", json_real (bill->cost));
@@ -119,7 +119,7 @@
                            json_integer ((json_int_t)bill->created_at_ms));
       json_array_append_new (list, json);
     }
-  json_write (list, out);
+  json_write_and_free (list, out);
 }
 
 vh_code_t
@@ -142,10 +142,10 @@
     buf_t model = BUF_NULL;
     buf_t version = BUF_NULL;
     const ledger_bill_t bill
-        = { .request_id = json_get_str (json, "id", &id),
-            .team = json_get_str (json, "team", &team),
-            .model = json_get_str (json, "model", &model),
-            .version = json_get_str (json, "version", &version),
+        = { .request_id = json_get_bytes (json, "id", &id),
+            .team = json_get_bytes (json, "team", &team),
+            .model = json_get_bytes (json, "model", &model),
+            .version = json_get_bytes (json, "version", &version),
             .tokens = json_get_u64 (json, "tokens"),
             .cost = json_number_value (json_object_get (json, "cost")),
             .created_at_ms = json_get_u64 (json, "at_ms") };
--- a/packages/control/claims.c
+++ b/packages/control/claims.c
@@ -187,14 +187,14 @@
 
   json_object_set_new (json, "state",
                        json_string (row_state_names[op->state]));
-  json_put_str (json, "writer", buf_str (&claims->writer));
+  json_put_bytes (json, "writer", buf_str (&claims->writer));
   json_object_set_new (
       json, "at_ms",
       json_integer ((json_int_t)clock_realtime_ms (claims->env.clock)));
-  json_put_str (json, "token", token);
+  json_put_bytes (json, "token", token);
   if (op->state == ROW_DONE)
-    json_put_str (json, "outcome", buf_str (&op->outcome));
-  json_write (json, out);
+    json_put_bytes (json, "outcome", buf_str (&op->outcome));
+  json_write_and_free (json, out);
 }
 
 /* A transaction under construction; BUFS own its strings.  */
@@ -354,7 +354,7 @@
 static row_state_t
 parse_row (const json_t *json)
 {
-  str_t state = json_get_plain (json, "state");
+  str_t state = json_get_utf8 (json, "state");
 
   if (str_eq (state, str_from (row_state_names[ROW_DONE])))
     return ROW_DONE;
@@ -396,7 +396,7 @@
   if (code == VH_OK)
     json = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
   row_state_t state = parse_row (json);
-  str_t writer = json_get_plain (json, "writer");
+  str_t writer = json_get_utf8 (json, "writer");
   bool can_retry = code == VH_E_NOT_FOUND || may_take_over (op, state, writer);
   if (can_retry && !op->is_callback_done)
     {
@@ -411,7 +411,7 @@
     {
       const claim_info_t info
           = { true, state == ROW_DONE, writer, json_get_u64 (json, "at_ms"),
-              json_get_str (json, "outcome", &scratch) };
+              json_get_bytes (json, "outcome", &scratch) };
       invoke_callback_and_free (op, VH_E_CLAIMED, &info);
     }
   json_decref (json);
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -250,7 +250,7 @@
       json_t *json = json_loadb (rows[i].value.ptr, rows[i].value.len,
                                  JSON_ALLOW_NUL, NULL);
       code = activate_delta (conf, json_get_u64 (json, "revision"),
-                             json_get_str (json, "delta", &scratch));
+                             json_get_bytes (json, "delta", &scratch));
       json_decref (json);
       buf_free (&scratch);
     }
@@ -473,13 +473,13 @@
   conf_delta_make (buf_str (&change->conf->text), buf_str (&change->text),
                    &delta);
   json_object_set_new (json, "revision", json_integer ((json_int_t)revision));
-  json_put_str (json, "who", buf_str (&change->who));
+  json_put_bytes (json, "who", buf_str (&change->who));
   json_object_set_new (
       json, "when_ms",
       json_integer ((json_int_t)clock_realtime_ms (change->conf->env.clock)));
-  json_put_str (json, "token", token);
-  json_put_str (json, "delta", buf_str (&delta));
-  json_write (json, out);
+  json_put_bytes (json, "token", token);
+  json_put_bytes (json, "delta", buf_str (&delta));
+  json_write_and_free (json, out);
   buf_free (&delta);
 }
 
@@ -636,9 +636,9 @@
           = json_loadb (row->value.ptr, row->value.len, JSON_ALLOW_NUL, NULL);
       entries[i] = (confstore_history_entry_t){
         .revision = json_get_u64 (json[i], "revision"),
-        .who = json_get_str (json[i], "who", &scratch[2 * i]),
+        .who = json_get_bytes (json[i], "who", &scratch[2 * i]),
         .when_ms = json_get_u64 (json[i], "when_ms"),
-        .delta = json_get_str (json[i], "delta", &scratch[2 * i + 1]),
+        .delta = json_get_bytes (json[i], "delta", &scratch[2 * i + 1]),
       };
     }
   finish_history (history, code, entries, count);
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -252,7 +252,7 @@
 static void
 seal_due_batches (ledger_t *ledger)
 {
-  bool is_store_keeping_up = list_empty (&ledger->sealed_batches);
+  bool is_store_keeping_up = list_is_empty (&ledger->sealed_batches);
   uint64_t now = now_ms (ledger);
 
   LIST_EACH (at, &ledger->open_batches)
@@ -273,7 +273,7 @@
   ledger_t *ledger = timer->data;
 
   seal_due_batches (ledger);
-  if (ledger->in_flight_count == 0 && !list_empty (&ledger->sealed_batches)
+  if (ledger->in_flight_count == 0 && !list_is_empty (&ledger->sealed_batches)
       && now_ms (ledger) >= ledger->next_send_ms)
     send_sealed_batches (ledger);
   run_compaction_step (ledger);
--- a/packages/control/qualitystore.c
+++ b/packages/control/qualitystore.c
@@ -54,8 +54,8 @@
   json_object_set_new (
       json, "at_ms",
       json_integer ((json_int_t)clock_realtime_ms (quality->env.clock)));
-  json_put_str (json, "bytes", buf_str (&part->bytes));
-  json_write (json, out);
+  json_put_bytes (json, "bytes", buf_str (&part->bytes));
+  json_write_and_free (json, out);
 }
 
 static void
@@ -235,7 +235,7 @@
   quality_row_t quality_row;
 
   quality_row.writer = str_cut (key, '/', &quality_row.part);
-  quality_row.bytes = json_get_str (json, "bytes", &scratch);
+  quality_row.bytes = json_get_bytes (json, "bytes", &scratch);
   quality_row.written_at_ms = json_get_u64 (json, "at_ms");
   /* A row that cannot be parsed is skipped.  */
   if (json != NULL)
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -25,7 +25,7 @@
 
   if (hex.len == 0)
     return httpd_peer_is_loopback (req);
-  if (!str_starts (header, STR ("Bearer "))
+  if (!str_starts_with (header, STR ("Bearer "))
       || !str_unhex (hex, expected, sizeof expected))
     return false;
   str_t key = str_trim (str_make (header.ptr + 7, header.len - 7));
@@ -134,7 +134,7 @@
               "{\"revision\":%llu,\"confirmed_ms_ago\":%lld,\"text\":\"",
               (unsigned long long)confstore_revision (process->conf),
               confirmed_ms_ago (process));
-  buf_append_json (&body, confstore_text (process->conf));
+  buf_append_json_escaped (&body, confstore_text (process->conf));
   buf_printf (&body, "\"}\n");
   httpd_reply_json (req, 200, buf_str (&body));
   buf_free (&body);
@@ -151,9 +151,9 @@
       const conf_error_t *error = &errors->items[i];
       buf_printf (&extra, "%s{\"line\":%d,\"message\":\"", i > 0 ? "," : "",
                   error->line);
-      buf_append_json (&extra, str_from (error->message));
+      buf_append_json_escaped (&extra, str_from (error->message));
       buf_printf (&extra, "\",\"hint\":\"");
-      buf_append_json (&extra, str_from (error->hint));
+      buf_append_json_escaped (&extra, str_from (error->hint));
       buf_printf (&extra, "\"}");
     }
   buf_printf (&extra, "]");
@@ -280,10 +280,10 @@
     {
       buf_printf (&body, "%s{\"revision\":%llu,\"who\":\"", i > 0 ? "," : "",
                   (unsigned long long)entries[i].revision);
-      buf_append_json (&body, entries[i].who);
+      buf_append_json_escaped (&body, entries[i].who);
       buf_printf (&body, "\",\"when_ms\":%llu,\"delta\":\"",
                   (unsigned long long)entries[i].when_ms);
-      buf_append_json (&body, entries[i].delta);
+      buf_append_json_escaped (&body, entries[i].delta);
       buf_printf (&body, "\"}");
     }
   buf_append_str (&body, STR ("]\n"));
--- a/packages/daemon/gateway_main.c
+++ b/packages/daemon/gateway_main.c
@@ -47,8 +47,9 @@
 
   (void)number;
   vh_code_t code = settings_load (running->path, &settings, &errors);
-  log_event (EVENT_RELOAD, field_text (FIELD_FILE, str_from (running->path)),
-             field_number (FIELD_CODE, code));
+  log_event (EVENT_RELOAD,
+             log_field_text (FIELD_FILE, str_from (running->path)),
+             log_field_number (FIELD_CODE, code));
   conf_errors_free (&errors);
   settings_destroy (settings);
 }
@@ -58,7 +59,7 @@
 on_prepare (uv_prepare_t *prepare)
 {
   (void)prepare;
-  eventlog_turn ();
+  eventlog_flush_if_due ();
 }
 
 static uint64_t
@@ -91,9 +92,9 @@
     = settings->key_revocation_max_ms > 0
           ? settings->key_revocation_max_ms / REVOKE_PARTS * (REVOKE_PARTS - 1)
           : settings->config_max_age_ms,
-    .registration_grace_ms = settings->registration_grace_ms,
-    .retry_ratio = settings->extra_send_ratio,
-    .retry_fixed_budget = settings->extra_send_fixed_budget,
+    .expired_registration_grace_ms = settings->expired_registration_grace_ms,
+    .retries_per_request = settings->extra_send_ratio,
+    .fixed_retries_per_window = settings->extra_send_fixed_budget,
     .retry_window_ms = (uint64_t)(settings->extra_send_window_s * MS_PER_S),
     .cold_factor = settings->cold_factor,
     .cold_slack = settings->cold_slack,
@@ -124,8 +125,8 @@
   int status = EXIT_FAILURE;
 
   signal (SIGPIPE, SIG_IGN);
-  eventlog_source (settings->name, clock_system ());
-  eventlog_hold (true);
+  eventlog_set_source (settings->name, clock_system ());
+  eventlog_set_buffered (true);
   uv_prepare_init (loop, &prepare);
   uv_prepare_start (&prepare, on_prepare);
   uv_unref ((uv_handle_t *)&prepare);
--- a/packages/daemon/process.c
+++ b/packages/daemon/process.c
@@ -73,7 +73,8 @@
   .flush_bills = host_write_bills,
   .on_instance_event = host_seen,
 };
-static const sidecar_host_t sidecar_host = { host_learn, host_delta_from };
+static const sidecar_callbacks_t sidecar_host
+    = { host_learn, host_delta_from };
 
 /* Put TEXT in force in every role of this process.  */
 static void
@@ -181,7 +182,7 @@
   if (process->entry != NULL)
     count += entry_count_unfinished_requests (process->entry);
   for (size_t i = 0; i < process->sidecar_count; i++)
-    count += sidecar_in_hand (process->sidecars[i]);
+    count += sidecar_count_unfinished (process->sidecars[i]);
   return count;
 }
 
--- a/packages/entry/claim.c
+++ b/packages/entry/claim.c
@@ -55,7 +55,7 @@
 void
 claim_cancel_recalls (request_t *request)
 {
-  while (!list_empty (&request->recalls))
+  while (!list_is_empty (&request->recalls))
     free_recall (CONTAINER_OF (request->recalls.next, recall_t, link));
 }
 
@@ -102,7 +102,7 @@
       claim_cancel_recalls (request);
       answer_refuse (request, VH_E_KEY_REUSED);
     }
-  else if (list_empty (&request->recalls))
+  else if (list_is_empty (&request->recalls))
     handle_no_recall_match (request);
 }
 
@@ -135,7 +135,7 @@
                            on_recall_result, recall);
     }
   free (team);
-  if (!list_empty (&request->recalls))
+  if (!list_is_empty (&request->recalls))
     return FILTER_PENDING;
   handle_no_recall_match (request);
   return FILTER_DONE;
--- a/packages/entry/content.c
+++ b/packages/entry/content.c
@@ -31,7 +31,7 @@
   while (stream && rest.len > 0)
     {
       str_t line = str_trim (str_cut (rest, '\n', &rest));
-      if (str_starts (line, STR ("data: {")))
+      if (str_starts_with (line, STR ("data: {")))
         append_choice_content (str_make (line.ptr + 6, line.len - 6), "delta",
                                out);
     }
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -307,8 +307,9 @@
             || (i > 1 && text.ptr[i - 1] == '\r' && text.ptr[i - 2] == '\n');
       if (text.ptr[i] != '\n' || !is_blank_line)
         continue;
-      if (str_starts (str_make (text.ptr + complete_len, i - complete_len),
-                      STR ("data: {")))
+      if (str_starts_with (
+              str_make (text.ptr + complete_len, i - complete_len),
+              STR ("data: {")))
         ++*events;
       complete_len = i + 1;
     }
@@ -679,7 +680,7 @@
                      && httpd_header_at (request->http, i, &header);
        i++)
     {
-      bool is_dropped = str_starts (header.name, STR ("vanillahook-"));
+      bool is_dropped = str_starts_with (header.name, STR ("vanillahook-"));
       for (size_t j = 0;
            j < sizeof excluded_headers / sizeof excluded_headers[0]; j++)
         is_dropped
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -136,7 +136,7 @@
 {
   entry_t *entry = mem_zalloc (sizeof *entry);
   const settings_t *settings = options->settings;
-  const quality_sampling_t sampling = QUALITY_SAMPLING_DEFAULT;
+  const quality_sampling_t sampling = QUALITY_SAMPLING_DEFAULTS;
 
   *out = NULL;
   entry->options = *options;
--- a/packages/entry/filter.c
+++ b/packages/entry/filter.c
@@ -89,7 +89,7 @@
       vh_code_t code = parse_chat_body (request);
       return code == VH_OK ? FILTER_CONTINUE : answer_refuse (request, code);
     }
-  if (str_starts (path, STR (services_path)))
+  if (str_starts_with (path, STR (services_path)))
     {
       str_t rest = str_make (path.ptr + sizeof services_path - 1,
                              path.len - (sizeof services_path - 1));
@@ -116,7 +116,7 @@
 
   if (header.ptr == NULL)
     return answer_refuse (request, VH_E_NO_AUTH);
-  if (!str_starts (header, STR ("Bearer ")))
+  if (!str_starts_with (header, STR ("Bearer ")))
     return answer_refuse (request, VH_E_NO_AUTH);
   str_t key = str_trim (str_make (header.ptr + 7, header.len - 7));
   if (EVP_Digest (key.ptr, key.len, digest, NULL, EVP_sha256 (), NULL) != 1)
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -286,7 +286,7 @@
   while (rest.len > 0 && count < WIRE_SERVES_MAX)
     {
       str_t target = str_trim (str_cut (rest, ',', &rest));
-      if (str_starts (target, STR ("service:")))
+      if (str_starts_with (target, STR ("service:")))
         target = str_make (target.ptr + 8, target.len - 8);
       if (target.len > 0)
         list[count++] = target;
--- a/packages/entry/guard.c
+++ b/packages/entry/guard.c
@@ -104,9 +104,9 @@
 queue_priority (const request_t *request)
 {
   static const queue_priority_t priorities[]
-      = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
-          [WIRE_PRIORITY_NORMAL] = QUEUE_NORMAL,
-          [WIRE_PRIORITY_HIGH] = QUEUE_HIGH };
+      = { [WIRE_PRIORITY_LOW] = QUEUE_PRIORITY_LOW,
+          [WIRE_PRIORITY_NORMAL] = QUEUE_PRIORITY_NORMAL,
+          [WIRE_PRIORITY_HIGH] = QUEUE_PRIORITY_HIGH };
 
   return priorities[request->priority];
 }
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -131,14 +131,14 @@
       if (!is_old && !is_new)
         continue;
       request->rollout = rollout;
-      request->arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
+      request->arm = is_new ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
       if (is_old && request->session_version == NULL
           && configured->state == ROLLOUT_RUNNING
           && rollout_is_assigned (rollout->run, str_hash (key, 5))
           && snapshot_allows (request->snapshot, request->team,
                               configured->version))
         {
-          request->arm = ROLLOUT_NEW;
+          request->arm = ROLLOUT_ARM_NEW;
           chosen = configured->version;
         }
       rollout_count_exposure (rollout->run, request->arm,
@@ -397,8 +397,8 @@
 {
   uint64_t now_ms = clock_realtime_ms (entry->clock);
 
-  quality_fold_epochs (entry->quality, generation, now_ms);
-  cascade_fold_epochs (entry->cascade, generation, now_ms);
+  quality_compact (entry->quality, generation, now_ms);
+  cascade_compact (entry->cascade, generation, now_ms);
   degradation_compact (entry->degradation, generation, now_ms);
   burn_compact (entry->burn, generation, now_ms);
   LIST_EACH (at, &entry->rollouts)
@@ -558,7 +558,7 @@
 void
 learn_destroy (entry_t *entry)
 {
-  while (!list_empty (&entry->rollouts))
+  while (!list_is_empty (&entry->rollouts))
     {
       learn_rollout_t *rollout
           = CONTAINER_OF (entry->rollouts.next, learn_rollout_t, link);
@@ -626,7 +626,7 @@
           (unsigned long long)(rollout != NULL
                                    ? rollout_exposed_count (rollout->run)
                                    : 0));
-      buf_append_json (out, buf_str (&reason));
+      buf_append_json_escaped (out, buf_str (&reason));
       buf_printf (out, "\"}");
       buf_free (&reason);
       first = false;
--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -38,7 +38,7 @@
 static batch_t *
 oldest_batch (const billing_t *billing)
 {
-  return list_empty (&billing->batches)
+  return list_is_empty (&billing->batches)
              ? NULL
              : CONTAINER_OF (billing->batches.next, batch_t, link);
 }
@@ -72,8 +72,8 @@
   if (code == VH_OK || code == VH_E_CONFLICT)
     batch_destroy (billing, oldest_batch (billing));
   else
-    log_event (EVENT_BILLS_WRITE, field_number (FIELD_CODE, code),
-               field_number (FIELD_COUNT, billing->queued_count));
+    log_event (EVENT_BILLS_WRITE, log_field_number (FIELD_CODE, code),
+               log_field_number (FIELD_COUNT, billing->queued_count));
   const batch_t *next = oldest_batch (billing);
   uint64_t delay_ms = BILLING_INTERVAL_MS;
   if (code != VH_OK && code != VH_E_CONFLICT)
@@ -113,7 +113,7 @@
 static batch_t *
 open_batch (billing_t *billing)
 {
-  if (!list_empty (&billing->batches))
+  if (!list_is_empty (&billing->batches))
     {
       batch_t *last = CONTAINER_OF (billing->batches.prev, batch_t, link);
       if (last->sequence == billing->sequence
@@ -137,7 +137,8 @@
   if (billing->write_pending)
     batch = CONTAINER_OF (batch->link.next, batch_t, link);
   billing->dropped_count += batch->count;
-  log_event (EVENT_BILLS_DROPPED, field_number (FIELD_COUNT, batch->count));
+  log_event (EVENT_BILLS_DROPPED,
+             log_field_number (FIELD_COUNT, batch->count));
   batch_destroy (billing, batch);
 }
 
@@ -151,7 +152,7 @@
   for (size_t i = 0; i < sizeof strings / sizeof strings[0]; i++)
     {
       buf_append_char (out, '"');
-      buf_append_json (out, strings[i]);
+      buf_append_json_escaped (out, strings[i]);
       buf_append_str (out, STR ("\","));
     }
   buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt_tokens,
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -89,7 +89,7 @@
 /* Limits on the requests of clients.  */
 typedef struct
 {
-  uint64_t header_bytes;
+  uint64_t header_bytes_max;
   uint64_t body_bytes;
   /* Time in which a request's headers must arrive.  */
   uint64_t header_timeout_ms;
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -44,8 +44,8 @@
 {
   send_budget_t *allowance = map_get (state->allowances, service);
   send_budget_options_t options
-      = { .ratio = state->options.retry_ratio,
-          .slack = state->options.retry_fixed_budget,
+      = { .ratio = state->options.retries_per_request,
+          .slack = state->options.fixed_retries_per_window,
           .window_ms = state->options.retry_window_ms };
 
   if (allowance != NULL)
@@ -73,7 +73,8 @@
 {
   return state->config_load_started_ms == 0
              ? 0
-             : clock_boot_ms (state->clock) - state->config_load_started_ms;
+             : clock_boottime_ms (state->clock)
+                   - state->config_load_started_ms;
 }
 
 bool
@@ -173,7 +174,7 @@
              (double)billing_dropped_count (state->billing));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
              "Log lines left out for want of budget or room.",
-             (double)eventlog_dropped ());
+             (double)eventlog_dropped_lines ());
   while (map_next (state->allowances, &cursor, &service, &value))
     {
       buf_t labels = BUF_NULL;
@@ -371,8 +372,8 @@
       billing_flush (state->billing);
       return;
     }
-  log_event (EVENT_STOPPED, field_number (FIELD_MS, elapsed_ms),
-             field_number (FIELD_CUT, gateway->aborted_count));
+  log_event (EVENT_STOPPED, log_field_number (FIELD_MS, elapsed_ms),
+             log_field_number (FIELD_CUT, gateway->aborted_count));
   uv_timer_stop (timer);
   gateway->is_stopped = true;
   uv_stop (state->loop);
@@ -388,8 +389,8 @@
   state->stopping_ms = clock_ms (state->clock);
   store_sync_stop (gateway->store_sync);
   log_event (EVENT_STOP,
-             field_number (FIELD_IN_FLIGHT,
-                           httpd_in_flight (gateway->caller_server)));
+             log_field_number (FIELD_IN_FLIGHT,
+                               httpd_in_flight (gateway->caller_server)));
   uv_timer_start (&gateway->drain_timer, on_drain_timer, DRAIN_POLL_MS,
                   DRAIN_POLL_MS);
 }
@@ -417,8 +418,8 @@
 {
   gateway_state_t *state = arg;
 
-  log_event (EVENT_LOOKED, field_text (FIELD_UPSTREAM, id),
-             field_number (FIELD_REACHED, is_reachable));
+  log_event (EVENT_LOOKED, log_field_text (FIELD_UPSTREAM, id),
+             log_field_number (FIELD_REACHED, is_reachable));
   pool_probe_finished (state->pool, id, is_reachable);
 }
 
@@ -471,8 +472,8 @@
       gateway_destroy (gateway);
       return code;
     }
-  log_event (EVENT_START, field_text (FIELD_ZONE, options->zone),
-             field_text (FIELD_LISTEN, options->listen));
+  log_event (EVENT_START, log_field_text (FIELD_ZONE, options->zone),
+             log_field_text (FIELD_LISTEN, options->listen));
   *out = gateway;
   return VH_OK;
 }
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -90,12 +90,12 @@
   uint64_t config_max_age_ms; /* Age of the last confirmation of the
                               configuration above which API keys are refused,
                               because a key may have been revoked since.  */
-  uint64_t registration_grace_ms; /* Time after an outage of the store in which
-                        registrations that expired during the outage
+  uint64_t expired_registration_grace_ms; /* Time after an outage of the store
+                        in which registrations that expired during the outage
                         remain usable.  */
-  double retry_ratio;        /* Retries per request that all gateway processes
-                              may make together.  */
-  double retry_fixed_budget; /* Retries per window that are allowed in
+  double retries_per_request; /* Retries per request that all gateway processes
+                       may make together.  */
+  double fixed_retries_per_window; /* Retries per window that are allowed in
                                  addition, however few requests arrive.  */
   uint64_t retry_window_ms;
   double cold_factor; /* A cold instance, one that is still warming up, gets at
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -107,7 +107,7 @@
 static uint64_t
 boot_ms (const peer_rows_t *peer_rows)
 {
-  return clock_boot_ms (peer_rows->clock);
+  return clock_boottime_ms (peer_rows->clock);
 }
 
 static void answer_watches (peer_rows_t *peer_rows, rows_table_t table);
@@ -315,10 +315,11 @@
 {
   peer_rows_t *peer_rows = pending->peer_rows;
 
-  log_event (
-      EVENT_READER, field_text (FIELD_READER, str_from (pending->reader_name)),
-      field_number (FIELD_CODE, code),
-      field_number (FIELD_TOOK_MS, boot_ms (peer_rows) - pending->sent_ms));
+  log_event (EVENT_READER,
+             log_field_text (FIELD_READER, str_from (pending->reader_name)),
+             log_field_number (FIELD_CODE, code),
+             log_field_number (FIELD_TOOK_MS,
+                               boot_ms (peer_rows) - pending->sent_ms));
   fanout_source_failed (peer_rows->readers, str_from (pending->reader_name),
                         is_silent);
 }
--- a/packages/gateway/prober.c
+++ b/packages/gateway/prober.c
@@ -21,7 +21,7 @@
   char *id;
   uv_tcp_t tcp;
   uv_connect_t connect;
-  bound_t timer;
+  peer_timer_t timer;
   unsigned open_handles;
 } probe_t;
 
@@ -47,7 +47,7 @@
 {
   list_remove (&probe->link);
   probe->prober = NULL;
-  bound_close (&probe->timer, on_handle_closed);
+  peer_timer_close (&probe->timer, on_handle_closed);
   uv_close ((uv_handle_t *)&probe->tcp, on_tcp_closed);
 }
 
@@ -98,7 +98,7 @@
   probe->open_handles = 2;
   list_append (&prober->probes, &probe->link);
   uv_tcp_init (prober->loop, &probe->tcp);
-  bound_init (&probe->timer, prober->loop, on_timeout, probe);
+  peer_timer_init (&probe->timer, prober->loop, on_timeout, probe);
   probe->tcp.data = probe;
   probe->connect.data = probe;
   /* A failure to start the connection is also reported on a later loop
@@ -108,7 +108,7 @@
                          (struct sockaddr *)&addr, on_connected)
              != 0)
     timeout_ms = 0;
-  bound_start (&probe->timer, timeout_ms);
+  peer_timer_start (&probe->timer, timeout_ms);
 }
 
 prober_t *
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -106,15 +106,17 @@
       return;
     }
   log_event (
-      EVENT_SENT, field_text (FIELD_ID, str_from (relay->attempt_id)),
-      field_text (FIELD_ROUTE, relay->attrs.route->name),
-      field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
-      field_text (FIELD_VERSION, upstream_version (relay->upstream)),
-      field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
-      field_number (FIELD_RUNNING, upstream_running (relay->upstream)),
-      field_number (FIELD_SENDS, relay->sends + 1),
-      field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
-      field_number (FIELD_REVISION, catalog_revision (relay->attrs.catalog)));
+      EVENT_SENT, log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+      log_field_text (FIELD_ROUTE, relay->attrs.route->name),
+      log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+      log_field_text (FIELD_VERSION, upstream_version (relay->upstream)),
+      log_field_text (FIELD_MODEL, relay_model_name (relay, STR ("-"))),
+      log_field_number (FIELD_RUNNING,
+                        upstream_running_count (relay->upstream)),
+      log_field_number (FIELD_SENDS, relay->sends + 1),
+      log_field_number (FIELD_LEFT_MS, relay->attrs.deadline_ms - now_ms),
+      log_field_number (FIELD_REVISION,
+                        catalog_revision (relay->attrs.catalog)));
   relay->trial_sends.was_sent = true;
   relay->trial_sends.arm = relay_trial_arm (relay);
   relay->unread_prompt_tokens = relay->attrs.prompt_tokens;
@@ -124,7 +126,7 @@
   relay->sent_ms = now_ms;
   relay->last_activity_ms = now_ms;
   relay->send_event_count = 0;
-  relay->upstream_request_count = upstream_running (relay->upstream);
+  relay->upstream_request_count = upstream_running_count (relay->upstream);
   relay->is_upstream_loaded = false;
   relay->is_success = false;
   relay->connection_lost = false;
@@ -223,7 +225,7 @@
 
   prober_start (relay->state->prober, upstream_id (relay->upstream),
                 upstream_address (relay->upstream), PROBE_TIMEOUT_MS);
-  bound_start (&relay->timer, probe_ms < left_ms ? probe_ms : left_ms);
+  peer_timer_start (&relay->timer, probe_ms < left_ms ? probe_ms : left_ms);
 }
 
 static void admit_when_ready (relay_t *relay);
@@ -280,7 +282,7 @@
 
   if (due_ms > relay->attrs.deadline_ms)
     due_ms = relay->attrs.deadline_ms;
-  bound_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
+  peer_timer_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
 }
 
 /* Events of the caller's connection.  */
@@ -370,7 +372,7 @@
 admit_when_ready (relay_t *relay)
 {
   if (should_wait_for_startup (relay))
-    bound_start (&relay->timer, STARTUP_POLL_MS);
+    peer_timer_start (&relay->timer, STARTUP_POLL_MS);
   else
     admit (relay);
 }
@@ -387,7 +389,7 @@
   relay->attrs.arrived_ms = clock_ms (state->clock);
   relay->attempt_id
       = str_dup (attempt_id.ptr != NULL ? attempt_id : STR ("-"));
-  bound_init (&relay->timer, state->loop, on_timer, relay);
+  peer_timer_init (&relay->timer, state->loop, on_timer, relay);
   counter_add (state->counters.requests, 1);
   if (attempt_id.ptr == NULL || attempt_id.len == 0)
     {
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -19,7 +19,7 @@
 relay_destroy (relay_t *relay)
 {
   list_remove (&relay->link);
-  bound_close (&relay->timer, on_timer_closed);
+  peer_timer_close (&relay->timer, on_timer_closed);
 }
 
 trial_t *
@@ -35,7 +35,8 @@
 {
   trial_t *trial = relay_trial (relay);
 
-  return trial != NULL && trial_phase (trial) == TRIAL_RUNNING ? trial : NULL;
+  return trial != NULL && trial_phase (trial) == TRIAL_PHASE_RUNNING ? trial
+                                                                     : NULL;
 }
 
 trial_arm_t
@@ -46,8 +47,8 @@
   return trial != NULL
                  && str_eq (upstream_version (relay->upstream),
                             trial_version (trial))
-             ? TRIAL_NEW
-             : TRIAL_OLD;
+             ? TRIAL_ARM_NEW
+             : TRIAL_ARM_OLD;
 }
 
 /* Return the hash of the route's name, under which a roll-out groups its
@@ -74,9 +75,9 @@
                                    ? relay->head_received_ms - relay->sent_ms
                                    : 0;
   trial_observe (trial, relay_trial_arm (relay), route_hash (relay),
-                 outcome == SEND_OK       ? TRIAL_ANSWERED
-                 : relay->connection_lost ? TRIAL_CONNECTION_LOST
-                                          : TRIAL_FAILED,
+                 outcome == SEND_OK       ? TRIAL_OUTCOME_ANSWERED
+                 : relay->connection_lost ? TRIAL_OUTCOME_CONNECTION_LOST
+                                          : TRIAL_OUTCOME_FAILED,
                  first_response_ms, relay->is_upstream_loaded);
 }
 
@@ -156,20 +157,21 @@
   bill_response (relay, event);
   request_metrics_record (state->request_metrics, route, team, info->name,
                           reason, duration_ms);
-  log_event (event, field_text (FIELD_ID, str_from (relay->attempt_id)),
-             field_text (FIELD_ROUTE, route), field_text (FIELD_TEAM, team),
-             field_number (FIELD_STATUS, (uint64_t)status),
-             field_text (FIELD_REASON, str_from (reason)),
-             field_number (FIELD_SENDS, relay->sends),
-             field_number (FIELD_RUNS, relay->possible_runs),
-             field_number (FIELD_EVENTS, relay->event_count),
-             field_number (FIELD_MS, duration_ms),
-             field_number (FIELD_RETRY_MS, retry_ms),
-             field_number (FIELD_AGE_MS, age_ms),
-             field_number (FIELD_REVISION,
-                           relay->attrs.catalog != NULL
-                               ? catalog_revision (relay->attrs.catalog)
-                               : 0));
+  log_event (event, log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+             log_field_text (FIELD_ROUTE, route),
+             log_field_text (FIELD_TEAM, team),
+             log_field_number (FIELD_STATUS, (uint64_t)status),
+             log_field_text (FIELD_REASON, str_from (reason)),
+             log_field_number (FIELD_SENDS, relay->sends),
+             log_field_number (FIELD_RUNS, relay->possible_runs),
+             log_field_number (FIELD_EVENTS, relay->event_count),
+             log_field_number (FIELD_MS, duration_ms),
+             log_field_number (FIELD_RETRY_MS, retry_ms),
+             log_field_number (FIELD_AGE_MS, age_ms),
+             log_field_number (FIELD_REVISION,
+                               relay->attrs.catalog != NULL
+                                   ? catalog_revision (relay->attrs.catalog)
+                                   : 0));
 }
 
 void
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -80,7 +80,7 @@
       return;
     }
   relay->phase = PHASE_AWAITING_UPSTREAM;
-  bound_start (&relay->timer, RESUME_POLL_MS);
+  peer_timer_start (&relay->timer, RESUME_POLL_MS);
 }
 
 void
@@ -89,19 +89,19 @@
   uint64_t now_ms = clock_ms (relay->state->clock);
 
   log_event (EVENT_SEND_FAILED,
-             field_text (FIELD_ID, str_from (relay->attempt_id)),
-             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
-             field_text (FIELD_REASON, str_from (reason)),
-             field_number (FIELD_RAN, may_have_run),
-             field_number (FIELD_EVENTS, relay->event_count),
-             field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
-             field_number (FIELD_EXTRA, retries_left (relay)));
+             log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+             log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             log_field_text (FIELD_REASON, str_from (reason)),
+             log_field_number (FIELD_RAN, may_have_run),
+             log_field_number (FIELD_EVENTS, relay->event_count),
+             log_field_number (FIELD_MS, now_ms - relay->attrs.arrived_ms),
+             log_field_number (FIELD_EXTRA, retries_left (relay)));
   relay->failure_reason = reason;
   if (may_have_run)
     relay->possible_runs++;
   add_tried_upstream (relay);
   relay->was_refused = !may_have_run;
-  if (may_have_run && relay_trial_arm (relay) == TRIAL_NEW)
+  if (may_have_run && relay_trial_arm (relay) == TRIAL_ARM_NEW)
     relay->trial_sends.failed_on_new = true;
   relay_finish_send (relay, may_have_run ? SEND_FAILED : SEND_REFUSED);
   relay->response_headers.len = 0;
@@ -255,10 +255,11 @@
       || !take_retry (relay))
     return false;
   counter_add (relay->state->counters.escalations, 1);
-  log_event (EVENT_LARGER, field_text (FIELD_ID, str_from (relay->attempt_id)),
-             field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
-             field_number (FIELD_CONFIDENCE, confidence),
-             field_number (FIELD_EXTRA, retries_left (relay)));
+  log_event (EVENT_LARGER,
+             log_field_text (FIELD_ID, str_from (relay->attempt_id)),
+             log_field_text (FIELD_UPSTREAM, upstream_id (relay->upstream)),
+             log_field_number (FIELD_CONFIDENCE, confidence),
+             log_field_number (FIELD_EXTRA, retries_left (relay)));
   relay->possible_runs++;
   relay->model_index = larger_model;
   relay_finish_send (relay, SEND_CANCELLED);
--- a/packages/gateway/relay_select.c
+++ b/packages/gateway/relay_select.c
@@ -73,18 +73,18 @@
   criteria->version = trial_version (trial);
   switch (trial_phase (trial))
     {
-    case TRIAL_ROLLED_BACK:
+    case TRIAL_PHASE_ROLLED_BACK:
       criteria->arm = VERSION_ARM_OLD;
       break;
-    case TRIAL_DONE:
+    case TRIAL_PHASE_DONE:
       if (has_instance_of_version (relay, criteria->version))
         criteria->arm = VERSION_ARM_NEW;
       break;
-    case TRIAL_RUNNING:
+    case TRIAL_PHASE_RUNNING:
       if (trial_choose_arm (trial, relay->attrs.session_hash,
                             table_sync_store_now_ms (state->operator_rows),
                             &relay->trial_sends)
-              == TRIAL_NEW
+              == TRIAL_ARM_NEW
           && has_instance_of_version (relay, criteria->version))
         {
           criteria->arm = VERSION_ARM_NEW;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -49,8 +49,8 @@
   size_t model_index;        /* Index into the models of the route.  */
   uint32_t first_confidence; /* Confidence of the smallest model of the route;
                                 valid if MODEL_INDEX > 0.  */
-  bound_t timer;             /* Timer of the next timeout, probe, poll or
-                                deadline.  */
+  peer_timer_t timer;        /* Timer of the next timeout, probe, poll or
+                           deadline.  */
 
   /* State of the current send.  */
   http_exchange_t *call;
@@ -127,8 +127,8 @@
 
 /* Return the roll-out of the request's service in any phase, or NULL.  */
 trial_t *relay_trial (const relay_t *relay);
-/* Return TRIAL_NEW if the upstream of the current send runs the version that
-   is being rolled out, else TRIAL_OLD.  */
+/* Return TRIAL_ARM_NEW if the upstream of the current send runs the version
+   that is being rolled out, else TRIAL_ARM_OLD.  */
 trial_arm_t relay_trial_arm (const relay_t *relay);
 /* Record in the running roll-out of the service that TIMING of the current
    send took MS.  */
--- a/packages/gateway/request_attrs.c
+++ b/packages/gateway/request_attrs.c
@@ -36,7 +36,7 @@
          may have missed that a key was revoked, so it accepts no key.  */
       if (!gateway_has_fresh_config (state))
         return VH_E_STORE_DOWN;
-      if (!str_starts (bearer, STR ("Bearer ")))
+      if (!str_starts_with (bearer, STR ("Bearer ")))
         return VH_E_NO_AUTH;
       attrs->team = catalog_find_team (
           attrs->catalog,
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -70,15 +70,16 @@
       || numbers[0] != trial_order (trial))
     return;
   trial_set_progress (trial, numbers[1], (uint32_t)numbers[2], numbers[3]);
-  log_event (EVENT_ROLLOUT_STEP, field_text (FIELD_SERVICE, service),
-             field_text (FIELD_VERSION, trial_version (trial)),
-             field_number (FIELD_STEP, numbers[2]),
-             field_number (FIELD_FROM, numbers[3]),
-             field_text (FIELD_PHASE, phase_name));
+  log_event (EVENT_ROLLOUT_STEP, log_field_text (FIELD_SERVICE, service),
+             log_field_text (FIELD_VERSION, trial_version (trial)),
+             log_field_number (FIELD_STEP, numbers[2]),
+             log_field_number (FIELD_FROM, numbers[3]),
+             log_field_text (FIELD_PHASE, phase_name));
   /* The phase `running' in the row does not override a decision of this
      gateway that is not written yet.  */
   bool is_final = false;
-  for (trial_phase_t phase = TRIAL_DONE; phase <= TRIAL_ROLLED_BACK; phase++)
+  for (trial_phase_t phase = TRIAL_PHASE_DONE;
+       phase <= TRIAL_PHASE_ROLLED_BACK; phase++)
     if (str_eq (phase_name, str_from (trial_phase_name (phase))))
       {
         trial_set_phase (trial, phase);
@@ -124,8 +125,8 @@
 
   if (code != VH_OK)
     {
-      log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, row->key),
-                 field_number (FIELD_CODE, code));
+      log_event (EVENT_ROLLOUT_BAD, log_field_text (FIELD_KEY, row->key),
+                 log_field_number (FIELD_CODE, code));
       return;
     }
   trial_t *trial = map_get (belief->trials, order.service);
@@ -133,7 +134,7 @@
     {
       /* Instances of a rolled-back version stay registered for a while.  They
          must not count as the old version of the next order.  */
-      if (trial != NULL && trial_phase (trial) == TRIAL_ROLLED_BACK)
+      if (trial != NULL && trial_phase (trial) == TRIAL_PHASE_ROLLED_BACK)
         pool_set_version_withdrawn (belief->pool, order.service,
                                     trial_version (trial), true);
       pool_set_version_withdrawn (belief->pool, order.service, order.version,
@@ -145,10 +146,10 @@
       trial_set_order_seen_ms (
           trial, table_sync_store_now_ms (belief->operator_rows));
       map_put (belief->trials, order.service, trial);
-      log_event (EVENT_ROLLOUT, field_text (FIELD_SERVICE, order.service),
-                 field_text (FIELD_VERSION, order.version),
-                 field_number (FIELD_WITHIN_MS, order.within_ms),
-                 field_number (FIELD_ORDER, row->version));
+      log_event (EVENT_ROLLOUT, log_field_text (FIELD_SERVICE, order.service),
+                 log_field_text (FIELD_VERSION, order.version),
+                 log_field_number (FIELD_WITHIN_MS, order.within_ms),
+                 log_field_number (FIELD_ORDER, row->version));
       apply_state_row (rollouts, order.service);
     }
   belief->dialect->free_holder (holder);
@@ -167,8 +168,8 @@
   trial_t *trial = map_get (rollouts->belief->trials, service);
   if (trial != NULL && !str_eq (gateway, rollouts->belief->options.name)
       && trial_merge (trial, gateway, is_direct, text) != VH_OK)
-    log_event (EVENT_ROLLOUT_BAD, field_text (FIELD_KEY, key),
-               field_number (FIELD_CODE, VH_E_PROTOCOL));
+    log_event (EVENT_ROLLOUT_BAD, log_field_text (FIELD_KEY, key),
+               log_field_number (FIELD_CODE, VH_E_PROTOCOL));
 }
 
 static void
@@ -185,7 +186,7 @@
   (void)result;
   rollouts->is_commit_pending = false;
   if (code != VH_OK && code != VH_E_CONFLICT)
-    log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
+    log_event (EVENT_ROLLOUT_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 /* Return whether this gateway gets the evidence of others, and so decides on
@@ -264,7 +265,7 @@
   (void)arg;
   (void)result;
   if (code != VH_OK)
-    log_event (EVENT_ROLLOUT_WRITE, field_number (FIELD_CODE, code));
+    log_event (EVENT_ROLLOUT_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 static void
@@ -292,7 +293,7 @@
          && map_next (rollouts->belief->trials, &cursor, &service, &value))
     {
       trial_t *trial = value;
-      if (trial_phase (trial) != TRIAL_RUNNING
+      if (trial_phase (trial) != TRIAL_PHASE_RUNNING
           || trial_step (trial) == TRIAL_STEP_NO_TRAFFIC)
         continue;
       append_evidence_key (rollouts, service, &items[count].key);
@@ -337,21 +338,22 @@
 
   switch (verdict)
     {
-    case TRIAL_WAIT:
+    case TRIAL_DECISION_WAIT:
       break;
-    case TRIAL_ADVANCE:
+    case TRIAL_DECISION_ADVANCE:
       write_state (rollouts, service, trial, trial_start_ms (trial),
                    trial_step (trial) + 1, now_ms + TRIAL_STEP_NOTICE_MS);
       break;
-    case TRIAL_ROLL_BACK:
-    case TRIAL_FINISH:
-      trial_set_phase (trial, verdict == TRIAL_FINISH ? TRIAL_DONE
-                                                      : TRIAL_ROLLED_BACK);
-      log_event (EVENT_ROLLOUT_END, field_text (FIELD_SERVICE, service),
-                 field_text (FIELD_VERSION, trial_version (trial)),
-                 field_text (FIELD_PHASE, str_from (trial_phase_name (
-                                              trial_phase (trial)))),
-                 field_text (FIELD_WHY, buf_str (&reason)));
+    case TRIAL_DECISION_ROLL_BACK:
+    case TRIAL_DECISION_FINISH:
+      trial_set_phase (trial, verdict == TRIAL_DECISION_FINISH
+                                  ? TRIAL_PHASE_DONE
+                                  : TRIAL_PHASE_ROLLED_BACK);
+      log_event (EVENT_ROLLOUT_END, log_field_text (FIELD_SERVICE, service),
+                 log_field_text (FIELD_VERSION, trial_version (trial)),
+                 log_field_text (FIELD_PHASE, str_from (trial_phase_name (
+                                                  trial_phase (trial)))),
+                 log_field_text (FIELD_WHY, buf_str (&reason)));
       break;
     }
   buf_free (&reason);
@@ -375,18 +377,18 @@
       write_state (rollouts, service, trial, start_ms, 0, start_ms);
       return;
     }
-  if (trial_phase (trial) == TRIAL_RUNNING)
+  if (trial_phase (trial) == TRIAL_PHASE_RUNNING)
     {
       if (is_second)
         trial_decay (trial);
       evaluate_trial (rollouts, service, trial);
     }
   /* Write the decision until the state row has this or another decision.  */
-  if (trial_phase (trial) != TRIAL_RUNNING
+  if (trial_phase (trial) != TRIAL_PHASE_RUNNING
       && !trial_is_final_phase_stored (trial))
     write_state (rollouts, service, trial, trial_start_ms (trial),
                  trial_step (trial), trial_step_start_ms (trial));
-  else if (is_second && trial_phase (trial) == TRIAL_RUNNING
+  else if (is_second && trial_phase (trial) == TRIAL_PHASE_RUNNING
            && trial_step (trial) > 0 && trial_has_unwritten_counts (trial)
            && is_decider (rollouts))
     write_evidence (rollouts, service, trial);
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -124,7 +124,7 @@
   buf_append_str (&cached_row->value, row->value);
   cached_row->version = row->version;
   cached_row->deleted = row->deleted;
-  cached_row->deleted_ms = clock_boot_ms (cache->clock);
+  cached_row->deleted_ms = clock_boottime_ms (cache->clock);
 }
 
 /* Drop the deleted rows older than TOMBSTONE_TTL_MS, and raise the floor.  */
@@ -139,7 +139,7 @@
     {
       cached_row_t *cached_row = value;
       if (!cached_row->deleted
-          || clock_boot_ms (cache->clock) - cached_row->deleted_ms
+          || clock_boottime_ms (cache->clock) - cached_row->deleted_ms
                  < TOMBSTONE_TTL_MS)
         continue;
       if (cached_row->version > cache->history_floor)
@@ -172,7 +172,7 @@
   cache->confirmed_ms
       = call->sent_ms > result->age_ms ? call->sent_ms - result->age_ms : 0;
   cache->store_now_ms = result->store_now_ms;
-  cache->store_received_ms = clock_boot_ms (cache->clock);
+  cache->store_received_ms = clock_boottime_ms (cache->clock);
   cache->store_confirmed_ms = result->store_confirmed_ms;
   cache->is_down = false;
   expire_tombstones (cache);
@@ -251,7 +251,7 @@
 find_packed_answer (const rowcache_t *cache, uint64_t after, bool is_whole)
 {
   const packed_answer_t *packed = is_whole ? &cache->whole : &cache->changes;
-  uint64_t age_ms = clock_boot_ms (cache->clock) - packed->packed_ms;
+  uint64_t age_ms = clock_boottime_ms (cache->clock) - packed->packed_ms;
 
   if (packed->version == 0)
     return NULL;
@@ -297,7 +297,7 @@
     {
       packed->after = after;
       packed->version = cache->version;
-      packed->packed_ms = clock_boot_ms (cache->clock);
+      packed->packed_ms = clock_boottime_ms (cache->clock);
       packed->confirmed_ms = cache->confirmed_ms;
       packed->store_confirmed_ms = cache->store_confirmed_ms;
       packed->plain_len = plain_bytes;
@@ -333,7 +333,7 @@
 rowcache_fill_reply (rowcache_t *cache, uint64_t after, bool is_whole,
                      wire_rows_res_t *result)
 {
-  uint64_t boot_ms = clock_boot_ms (cache->clock);
+  uint64_t boot_ms = clock_boottime_ms (cache->clock);
   const packed_answer_t *packed = find_packed_answer (cache, after, is_whole);
   wire_row_list_t list = { { 0, NULL } };
 
--- a/packages/gateway/sse_filter.c
+++ b/packages/gateway/sse_filter.c
@@ -30,7 +30,7 @@
   while (event.ptr != NULL && event.len > 0)
     {
       str_t line = str_cut (event, '\n', &event);
-      if (str_starts (line, STR ("id:")))
+      if (str_starts_with (line, STR ("id:")))
         found = str_to_u64 (str_trim (str_make (line.ptr + 3, line.len - 3)),
                             id);
     }
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -86,8 +86,8 @@
     belief->config_load_started_ms = 0;
   if (code != VH_OK)
     {
-      log_event (EVENT_CONFIG_BAD, field_number (FIELD_CODE, code),
-                 field_number (FIELD_BYTES, len));
+      log_event (EVENT_CONFIG_BAD, log_field_number (FIELD_CODE, code),
+                 log_field_number (FIELD_BYTES, len));
       return;
     }
   if (belief->catalog != NULL
@@ -97,11 +97,12 @@
       return;
     }
   log_event (
-      EVENT_CONFIG, field_number (FIELD_REVISION, catalog_revision (catalog)),
-      field_number (FIELD_BEFORE, belief->catalog != NULL
-                                      ? catalog_revision (belief->catalog)
-                                      : 0),
-      field_number (FIELD_READ_MS, parse_ms));
+      EVENT_CONFIG,
+      log_field_number (FIELD_REVISION, catalog_revision (catalog)),
+      log_field_number (FIELD_BEFORE, belief->catalog != NULL
+                                          ? catalog_revision (belief->catalog)
+                                          : 0),
+      log_field_number (FIELD_READ_MS, parse_ms));
   catalog_unref (belief->catalog);
   belief->catalog = catalog;
 }
@@ -113,10 +114,10 @@
 {
   gateway_state_t *belief = sync->belief;
 
-  log_event (EVENT_CONFIG_TEXT, field_number (FIELD_ORDER, row->version),
-             field_number (FIELD_BYTES, row->value.len));
+  log_event (EVENT_CONFIG_TEXT, log_field_number (FIELD_ORDER, row->version),
+             log_field_number (FIELD_BYTES, row->value.len));
   if (belief->config_load_started_ms == 0)
-    belief->config_load_started_ms = clock_boot_ms (belief->clock);
+    belief->config_load_started_ms = clock_boottime_ms (belief->clock);
   loader_submit (sync->loader, row->value, belief->catalog == NULL);
 }
 
@@ -136,7 +137,7 @@
       rollouts_apply_order (sync->rollouts, row);
       break;
     case OPERATOR_ROW_ZONE_EXCLUSION:
-      log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, name));
+      log_event (EVENT_ZONE_OUT, log_field_text (FIELD_ZONE, name));
       pool_set_zone_disabled (belief->pool, name, true);
       break;
     case OPERATOR_ROW_UNKNOWN:
@@ -153,7 +154,7 @@
   if (sync->belief->dialect->operator_row_kind (key, &name)
       != OPERATOR_ROW_ZONE_EXCLUSION)
     return;
-  log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, name));
+  log_event (EVENT_ZONE_BACK, log_field_text (FIELD_ZONE, name));
   pool_set_zone_disabled (sync->belief->pool, name, false);
 }
 
@@ -171,16 +172,16 @@
 
   if (code != VH_OK)
     {
-      log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, row->key),
-                 field_number (FIELD_CODE, code));
+      log_event (EVENT_LISTING_BAD, log_field_text (FIELD_UPSTREAM, row->key),
+                 log_field_number (FIELD_CODE, code));
       return;
     }
-  log_event (EVENT_LISTED, field_text (FIELD_UPSTREAM, info.id),
-             field_text (FIELD_SERVICE, info.service),
-             field_text (FIELD_VERSION, info.version),
-             field_text (FIELD_ZONE, info.zone),
-             field_number (FIELD_DRAINING, info.draining),
-             field_number (FIELD_COLD_MS, info.cold_ms));
+  log_event (EVENT_LISTED, log_field_text (FIELD_UPSTREAM, info.id),
+             log_field_text (FIELD_SERVICE, info.service),
+             log_field_text (FIELD_VERSION, info.version),
+             log_field_text (FIELD_ZONE, info.zone),
+             log_field_number (FIELD_DRAINING, info.draining),
+             log_field_number (FIELD_COLD_MS, info.cold_ms));
   pool_put (belief->pool, &info);
   belief->dialect->free_holder (holder);
 }
@@ -194,11 +195,12 @@
   uint64_t keep_ms = 0;
 
   if (sync->store_back_ms != 0
-      && now_ms - sync->store_back_ms < belief->options.registration_grace_ms)
-    keep_ms = belief->options.registration_grace_ms
+      && now_ms - sync->store_back_ms
+             < belief->options.expired_registration_grace_ms)
+    keep_ms = belief->options.expired_registration_grace_ms
               - (now_ms - sync->store_back_ms);
-  log_event (EVENT_UNLISTED, field_text (FIELD_UPSTREAM, key),
-             field_number (FIELD_KEEP_MS, keep_ms));
+  log_event (EVENT_UNLISTED, log_field_text (FIELD_UPSTREAM, key),
+             log_field_number (FIELD_KEEP_MS, keep_ms));
   pool_remove (belief->pool, key, keep_ms);
 }
 
@@ -255,8 +257,8 @@
     return;
   str_t address = str_cut (rest, ' ', &rest);
   if (rest.ptr != NULL && !str_to_u64 (rest, &link_mbps))
-    log_event (EVENT_LISTING_BAD, field_text (FIELD_UPSTREAM, name),
-               field_number (FIELD_CODE, VH_E_BAD_FIELD));
+    log_event (EVENT_LISTING_BAD, log_field_text (FIELD_UPSTREAM, name),
+               log_field_number (FIELD_CODE, VH_E_BAD_FIELD));
   peer_rows_add_gateway (peer_rows, name, zone, address, (uint32_t)link_mbps);
 }
 
@@ -309,8 +311,8 @@
   uint32_t gateways = (uint32_t)allotment_gateway_count (belief->allotment);
   if (gateways == belief->gateway_count)
     return;
-  log_event (EVENT_ENTRIES, field_number (FIELD_COUNT, gateways),
-             field_number (FIELD_BEFORE, belief->gateway_count));
+  log_event (EVENT_ENTRIES, log_field_number (FIELD_COUNT, gateways),
+             log_field_number (FIELD_BEFORE, belief->gateway_count));
   belief->gateway_count = gateways;
   while (map_next (belief->allowances, &cursor, &key, &value))
     send_budget_set_gateway_count (value, gateways);
@@ -343,7 +345,7 @@
     return;
   sync->registration_retry_ms
       = clock_ms (sync->belief->clock) + REGISTRATION_RETRY_MS;
-  log_event (EVENT_ENTRY_WRITE, field_number (FIELD_CODE, code));
+  log_event (EVENT_ENTRY_WRITE, log_field_number (FIELD_CODE, code));
 }
 
 /* Write the row that registers this gateway with the others, or delete it if
--- a/packages/gateway/tablesync.c
+++ b/packages/gateway/tablesync.c
@@ -70,11 +70,11 @@
   sync->is_down = is_down;
   if (is_down)
     log_event (EVENT_STORE_LOST,
-               field_text (FIELD_TABLE, str_from (sync->options.name)),
-               field_number (FIELD_CODE, code));
+               log_field_text (FIELD_TABLE, str_from (sync->options.name)),
+               log_field_number (FIELD_CODE, code));
   else
     log_event (EVENT_STORE_BACK,
-               field_text (FIELD_TABLE, str_from (sync->options.name)));
+               log_field_text (FIELD_TABLE, str_from (sync->options.name)));
   if (sync->events.reachability != NULL)
     sync->events.reachability (sync->arg, is_down);
 }
@@ -86,7 +86,7 @@
   if (code == VH_E_NOT_FOUND)
     {
       log_event (EVENT_STORE_FORGOT,
-                 field_text (FIELD_TABLE, str_from (sync->options.name)));
+                 log_field_text (FIELD_TABLE, str_from (sync->options.name)));
       sync->is_reading = true;
       sync->next_key.len = 0;
       schedule_call (sync, WATCH_GAP_MS);
@@ -140,7 +140,7 @@
 record_confirmation (table_sync_t *sync, const rows_result_t *result,
                      uint64_t sent_ms)
 {
-  uint64_t now_ms = clock_boot_ms (sync->clock);
+  uint64_t now_ms = clock_boottime_ms (sync->clock);
 
   if (result->is_direct)
     store_clock_add_sample (&sync->store_clock, result->store_confirmed_ms,
@@ -218,9 +218,9 @@
     {
       /* Applying older rows would undo changes that are in force.  */
       log_event (EVENT_STORE_STALE,
-                 field_text (FIELD_TABLE, str_from (sync->options.name)),
-                 field_number (FIELD_ORDER, result->version),
-                 field_number (FIELD_SEEN, sync->version));
+                 log_field_text (FIELD_TABLE, str_from (sync->options.name)),
+                 log_field_number (FIELD_ORDER, result->version),
+                 log_field_number (FIELD_SEEN, sync->version));
       sync->next_key.len = 0;
       schedule_call (sync, rng_jitter (&sync->rng, TABLE_SYNC_RETRY_MAX_MS));
       return;
@@ -238,7 +238,7 @@
 static void
 send_call (table_sync_t *sync)
 {
-  sync->sent_ms = clock_boot_ms (sync->clock);
+  sync->sent_ms = clock_boottime_ms (sync->clock);
   if (sync->is_reading)
     sync->rows->ops->read (sync->rows, sync->options.table,
                            buf_str (&sync->next_key), READ_TIMEOUT_MS,
@@ -314,7 +314,7 @@
 {
   return !sync->is_confirmed
              ? UINT64_MAX
-             : clock_boot_ms (sync->clock) - sync->confirmed_ms;
+             : clock_boottime_ms (sync->clock) - sync->confirmed_ms;
 }
 
 bool
@@ -326,8 +326,8 @@
 uint64_t
 table_sync_store_now_ms (const table_sync_t *sync)
 {
-  return sync->store_ms == 0
-             ? 0
-             : sync->store_ms
-                   + (clock_boot_ms (sync->clock) - sync->store_received_ms);
+  return sync->store_ms == 0 ? 0
+                             : sync->store_ms
+                                   + (clock_boottime_ms (sync->clock)
+                                      - sync->store_received_ms);
 }
--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  PRIORITIES = QUEUE_LOW + 1,
+  PRIORITIES = QUEUE_PRIORITY_LOW + 1,
   /* Most ticks counted at once.  After ten seconds without a call the old
      rates have decayed to almost nothing.  */
   TICKS_MAX = 100
--- a/packages/policy/allotment.c
+++ b/packages/policy/allotment.c
@@ -168,7 +168,7 @@
 {
   const member_t *self = allotment->members;
   uint64_t zone_hash = str_hash (zone, 0);
-  uint64_t own_weight = hash_weight (self->name_hash, object_hash);
+  uint64_t own_weight = rendezvous_weight (self->name_hash, object_hash);
   bool is_in_zone = self->zone_hash == zone_hash;
   size_t rank = 0;
 
@@ -178,7 +178,7 @@
       bool is_other_in_zone = other->zone_hash == zone_hash;
       if (is_other_in_zone != is_in_zone
               ? is_other_in_zone
-              : hash_weight (other->name_hash, object_hash) > own_weight)
+              : rendezvous_weight (other->name_hash, object_hash) > own_weight)
         rank++;
     }
   return rank;
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -202,9 +202,9 @@
       o->settings.name = str_from (o->name);
       o->settings.team = str_from (o->team);
       o->hash = str_hash (o->settings.name, 0x62);
-      series_find_or_add (b, o->hash, BURN_ALL, STR ("all"));
+      series_find_or_add (b, o->hash, BURN_SPLIT_ALL, STR ("all"));
       /* Reserved, so that names above the limit have a series.  */
-      for (int split = BURN_TEAM; split < BURN_SPLIT_COUNT; split++)
+      for (int split = BURN_SPLIT_TEAM; split < BURN_SPLIT_COUNT; split++)
         series_find_or_add (b, o->hash, (burn_split_t)split, STR ("other"));
     }
   return kept_count == count;
@@ -221,13 +221,13 @@
 {
   switch (split)
     {
-    case BURN_TEAM:
+    case BURN_SPLIT_TEAM:
       return sample->team;
-    case BURN_MODEL:
+    case BURN_SPLIT_MODEL:
       return sample->model;
-    case BURN_VERSION:
+    case BURN_SPLIT_VERSION:
       return sample->version;
-    case BURN_ZONE:
+    case BURN_SPLIT_ZONE:
       return sample->zone;
     default:
       return STR ("all");
@@ -315,18 +315,18 @@
 {
   switch (kind)
     {
-    case BURN_ANSWERED:
+    case BURN_KIND_ANSWERED:
       return settings->answered > 0 ? fmax (BUDGET_MIN, 1 - settings->answered)
                                     : 0;
-    case BURN_FIRST_TOKEN:
+    case BURN_KIND_FIRST_TOKEN:
       return settings->first_token_ms > 0
                  ? fmax (BUDGET_MIN, 1 - settings->within)
                  : 0;
-    case BURN_BETWEEN_TOKENS:
+    case BURN_KIND_BETWEEN_TOKENS:
       return settings->between_tokens_ms > 0
                  ? fmax (BUDGET_MIN, 1 - settings->within)
                  : 0;
-    case BURN_QUALITY:
+    case BURN_KIND_QUALITY:
       return settings->quality > 0 ? fmax (BUDGET_MIN, 1 - settings->quality)
                                    : 0;
     default:
@@ -342,19 +342,19 @@
 
   switch (kind)
     {
-    case BURN_ANSWERED:
+    case BURN_KIND_ANSWERED:
       r.count = (double)fields[FIELD_REQUESTS];
       r.harm = (double)fields[FIELD_UNANSWERED];
       break;
-    case BURN_FIRST_TOKEN:
+    case BURN_KIND_FIRST_TOKEN:
       r.count = (double)fields[FIELD_FIRST_TOKENS];
       r.harm = (double)fields[FIELD_FIRST_TOKENS_LATE];
       break;
-    case BURN_BETWEEN_TOKENS:
+    case BURN_KIND_BETWEEN_TOKENS:
       r.count = (double)fields[FIELD_BETWEEN_TOKENS];
       r.harm = (double)fields[FIELD_BETWEEN_TOKENS_LATE];
       break;
-    case BURN_QUALITY:
+    case BURN_KIND_QUALITY:
       r.count = (double)fields[FIELD_RATINGS];
       r.harm
           = r.count - (double)fields[FIELD_RATING_SUM] / CRDT_FIXED_POINT_ONE;
@@ -406,7 +406,7 @@
   if (index >= b->objective_count)
     return (burn_rate_t){ 0, 0, 0 };
   const objective_entry_t *o = &b->objectives[index];
-  str_t series_name = split == BURN_ALL ? STR ("all") : name;
+  str_t series_name = split == BURN_SPLIT_ALL ? STR ("all") : name;
   const series_t *s
       = series_find (b, series_hash (o->hash, split, series_name));
   if (s == NULL)
@@ -419,7 +419,8 @@
                   uint64_t now_ms)
 {
   return 1
-         - burn_rate (b, index, kind, BURN_ALL, STR_NULL, BURN_3D, now_ms)
+         - burn_rate (b, index, kind, BURN_SPLIT_ALL, STR_NULL, BURN_3D,
+                      now_ms)
                .rate;
 }
 
@@ -444,7 +445,8 @@
     return false;
   line->objective = o;
   line->kind = kind;
-  line->all = series_find (b, series_hash (o->hash, BURN_ALL, STR ("all")));
+  line->all
+      = series_find (b, series_hash (o->hash, BURN_SPLIT_ALL, STR ("all")));
   if (line->all == NULL)
     return false;
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
@@ -494,7 +496,7 @@
   for (size_t i = 0; i < b->series_count; i++)
     {
       const series_t *s = &b->series[i];
-      if (s->objective != line->objective->hash || s->split == BURN_ALL)
+      if (s->objective != line->objective->hash || s->split == BURN_SPLIT_ALL)
         continue;
       contributor_t *c = &out[count];
       c->series = s;
@@ -596,7 +598,7 @@
       const series_t *s = contributors[i].series;
       buf_printf (out, "%s{\"split\":\"%s\",\"name\":\"", i > 0 ? "," : "",
                   split_names[s->split]);
-      buf_append_json (out, str_from (s->name));
+      buf_append_json_escaped (out, str_from (s->name));
       buf_printf (out, "\",");
       append_json_rates (contributors[i].rates, out);
       buf_append_char (out, '}');
@@ -613,9 +615,9 @@
     {
       const char *comma = "";
       buf_printf (out, "%s{\"name\":\"", i > 0 ? "," : "");
-      buf_append_json (out, b->objectives[i].settings.name);
+      buf_append_json_escaped (out, b->objectives[i].settings.name);
       buf_printf (out, "\",\"team\":\"");
-      buf_append_json (out, b->objectives[i].settings.team);
+      buf_append_json_escaped (out, b->objectives[i].settings.team);
       buf_printf (out, "\",\"kinds\":[");
       for (int kind = 0; kind < BURN_KIND_COUNT; kind++)
         {
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -59,11 +59,11 @@
 
 /* X (symbol, name).  Kinds of requirements that an objective may have.  */
 #define BURN_KINDS(X)                                                         \
-  X (BURN_ANSWERED, "answered")                                               \
-  X (BURN_FIRST_TOKEN, "first-token")                                         \
-  X (BURN_BETWEEN_TOKENS, "between-tokens")                                   \
-  X (BURN_QUALITY, "quality")                                                 \
-  X (BURN_COST, "cost")
+  X (BURN_KIND_ANSWERED, "answered")                                          \
+  X (BURN_KIND_FIRST_TOKEN, "first-token")                                    \
+  X (BURN_KIND_BETWEEN_TOKENS, "between-tokens")                              \
+  X (BURN_KIND_QUALITY, "quality")                                            \
+  X (BURN_KIND_COST, "cost")
 
 typedef enum
 {
@@ -75,11 +75,11 @@
 
 /* X (symbol, name).  Dimensions by which a burn rate is split.  */
 #define BURN_SPLITS(X)                                                        \
-  X (BURN_ALL, "all")                                                         \
-  X (BURN_TEAM, "team")                                                       \
-  X (BURN_MODEL, "model")                                                     \
-  X (BURN_VERSION, "version")                                                 \
-  X (BURN_ZONE, "zone")
+  X (BURN_SPLIT_ALL, "all")                                                   \
+  X (BURN_SPLIT_TEAM, "team")                                                 \
+  X (BURN_SPLIT_MODEL, "model")                                               \
+  X (BURN_SPLIT_VERSION, "version")                                           \
+  X (BURN_SPLIT_ZONE, "zone")
 
 typedef enum
 {
@@ -150,8 +150,9 @@
                           uint64_t now_ms);
 
 /* Return the burn of KIND of the objective with index INDEX over WINDOW, for
-   NAME of SPLIT; with BURN_ALL, NAME is ignored.  All values are 0 if nothing
-   was measured; the rate is 0 if the objective has no such requirement.  */
+   NAME of SPLIT; with BURN_SPLIT_ALL, NAME is ignored.  All values are 0 if
+   nothing was measured; the rate is 0 if the objective has no such
+   requirement.  */
 burn_rate_t burn_rate (const burn_t *burn, size_t index, burn_kind_t kind,
                        burn_split_t split, str_t name, burn_window_t window,
                        uint64_t now_ms);
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -468,7 +468,7 @@
           fmin (first_curve.audit_count, second_curve.audit_count));
       *plan = (cascade_plan_t){
         .kind = CASCADE_TWO_STAGE,
-        .reason = CASCADE_R_TWO_STAGE,
+        .reason = CASCADE_REASON_TWO_STAGE,
         .first = first,
         .second = second,
         .threshold = (double)threshold_bin / CASCADE_BINS,
@@ -567,11 +567,11 @@
           && is_pair_in_time (d, i, j))
         return true;
   if (!d->request->is_rater_available)
-    *obstacle = CASCADE_R_RATER_DOWN;
+    *obstacle = CASCADE_REASON_RATER_DOWN;
   else if (d->request->streaming)
-    *obstacle = CASCADE_R_STREAMING;
+    *obstacle = CASCADE_REASON_STREAMING;
   else
-    *obstacle = CASCADE_R_DEADLINE;
+    *obstacle = CASCADE_REASON_DEADLINE;
   return false;
 }
 
@@ -582,7 +582,7 @@
 {
   bool prefers_latency = d->request->prefer == CASCADE_PREFER_LATENCY;
   cascade_reason_t reason
-      = prefers_latency ? CASCADE_R_FASTEST : CASCADE_R_CHEAPEST;
+      = prefers_latency ? CASCADE_REASON_FASTEST : CASCADE_REASON_CHEAPEST;
   bool found = false;
 
   for (size_t i = 0; i < d->count; i++)
@@ -689,7 +689,7 @@
             || (!any_pair && !is_promising (d, i, j, best))
             || rng_below (rng, ++pair_count) != 0)
           continue;
-        *plan = make_direct_plan (d, i, CASCADE_R_EXPLORE);
+        *plan = make_direct_plan (d, i, CASCADE_REASON_EXPLORE);
         plan->kind = CASCADE_TWO_STAGE;
         plan->second = j;
         plan->threshold = d->request->target;
@@ -704,7 +704,7 @@
       }
   if (pair_count > 0 && rng_below (rng, EXPLORE_DIRECT_INTERVAL) == 0)
     {
-      *plan = make_direct_plan (d, d->strongest, CASCADE_R_EXPLORE);
+      *plan = make_direct_plan (d, d->strongest, CASCADE_REASON_EXPLORE);
       plan->audit = true;
     }
   return pair_count > 0;
@@ -755,23 +755,23 @@
 make_plan (const decision_t *d, rng_t *rng)
 {
   const cascade_request_t *r = d->request;
-  cascade_reason_t obstacle = CASCADE_R_NO_BOUND;
+  cascade_reason_t obstacle = CASCADE_REASON_NO_BOUND;
   cascade_plan_t plan;
 
   if (d->count == 0)
     return (cascade_plan_t){ .kind = CASCADE_NONE,
-                             .reason = CASCADE_R_NO_CANDIDATE };
+                             .reason = CASCADE_REASON_NO_CANDIDATE };
   if (d->count == 1)
-    return make_direct_plan (d, 0, CASCADE_R_SINGLE_VERSION);
+    return make_direct_plan (d, 0, CASCADE_REASON_SINGLE_VERSION);
   if (d->strongest == SIZE_MAX)
-    return make_direct_plan (d, find_fastest (d), CASCADE_R_TOO_LATE);
+    return make_direct_plan (d, find_fastest (d), CASCADE_REASON_TOO_LATE);
   bool can_escalate = has_pair_in_time (d, &obstacle);
   cascade_plan_t best;
   bool found = find_best_plan (d, &best);
   if (!found)
     {
-      best = make_direct_plan (d, d->strongest,
-                               can_escalate ? CASCADE_R_NO_BOUND : obstacle);
+      best = make_direct_plan (
+          d, d->strongest, can_escalate ? CASCADE_REASON_NO_BOUND : obstacle);
       best.audit
           = candidate (d, d->strongest)->quality.weight < WELL_KNOWN_RATINGS;
     }
@@ -810,7 +810,7 @@
 }
 
 void
-cascade_fold_epochs (cascade_t *c, uint64_t generation, uint64_t now_ms)
+cascade_compact (cascade_t *c, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = crdt_epoch_at (c->evidence, now_ms);
   uint64_t epoch = crdt_first_epoch (c->evidence);
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -81,25 +81,25 @@
 /* X (symbol, short code, sentence).  The short code is sent in a response
    header and names the counter.  */
 #define CASCADE_REASONS(X)                                                    \
-  X (CASCADE_R_NO_CANDIDATE, "no-candidate", "No version is permitted.")      \
-  X (CASCADE_R_SINGLE_VERSION, "only", "Only one version is permitted.")      \
-  X (CASCADE_R_CHEAPEST, "cheapest-in-bound",                                 \
+  X (CASCADE_REASON_NO_CANDIDATE, "no-candidate", "No version is permitted.") \
+  X (CASCADE_REASON_SINGLE_VERSION, "only", "Only one version is permitted.") \
+  X (CASCADE_REASON_CHEAPEST, "cheapest-in-bound",                            \
      "The cheapest version whose quality bound meets the target.")            \
-  X (CASCADE_R_FASTEST, "fastest-in-bound",                                   \
+  X (CASCADE_REASON_FASTEST, "fastest-in-bound",                              \
      "The fastest version whose quality bound meets the target.")             \
-  X (CASCADE_R_TWO_STAGE, "cheap-first",                                      \
+  X (CASCADE_REASON_TWO_STAGE, "cheap-first",                                 \
      "A rated cheap first answer costs less than any single version.")        \
-  X (CASCADE_R_NO_BOUND, "strongest",                                         \
+  X (CASCADE_REASON_NO_BOUND, "strongest",                                    \
      "No quality bound meets the target; the highest upper bound is used.")   \
-  X (CASCADE_R_DEADLINE, "deadline-short",                                    \
+  X (CASCADE_REASON_DEADLINE, "deadline-short",                               \
      "Too little time to escalate; the best single version in time is used.") \
-  X (CASCADE_R_STREAMING, "streaming",                                        \
+  X (CASCADE_REASON_STREAMING, "streaming",                                   \
      "The time for the first byte is too short for a rated first answer.")    \
-  X (CASCADE_R_RATER_DOWN, "rater-down",                                      \
+  X (CASCADE_REASON_RATER_DOWN, "rater-down",                                 \
      "The rating service is unavailable; a single version is used.")          \
-  X (CASCADE_R_TOO_LATE, "too-late",                                          \
+  X (CASCADE_REASON_TOO_LATE, "too-late",                                     \
      "No version answers within the deadline; the fastest one is used.")      \
-  X (CASCADE_R_EXPLORE, "explore",                                            \
+  X (CASCADE_REASON_EXPLORE, "explore",                                       \
      "Exploration: a cheap answer is released only if rated on target.")
 
 typedef enum
@@ -185,8 +185,8 @@
 
 /* Merge old epochs, write the learned state and merge a received state, like
    the functions of the same names in quality.h.  */
-void cascade_fold_epochs (cascade_t *cascade, uint64_t generation,
-                          uint64_t now_ms);
+void cascade_compact (cascade_t *cascade, uint64_t generation,
+                      uint64_t now_ms);
 void cascade_write (const cascade_t *cascade, bool own_only, buf_t *out);
 vh_code_t cascade_merge (cascade_t *cascade, str_t bytes, uint64_t now_ms);
 
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -30,9 +30,9 @@
   double shift;
   double variance_min;
 } metric_settings[ROLLOUT_METRIC_COUNT] = {
-  [ROLLOUT_RATING] = { 0.05, 0.0025 },
-  [ROLLOUT_ERROR] = { 0.03, 0 },
-  [ROLLOUT_LATENCY] = { 0.2, 0.01 },
+  [ROLLOUT_METRIC_RATING] = { 0.05, 0.0025 },
+  [ROLLOUT_METRIC_ERROR] = { 0.03, 0 },
+  [ROLLOUT_METRIC_LATENCY] = { 0.2, 0.01 },
 };
 
 /* One version and task class, at the index of its key in MEASUREMENTS.  */
@@ -205,7 +205,7 @@
 {
   double shift = metric_settings[metric].shift;
 
-  if (metric == ROLLOUT_ERROR)
+  if (metric == ROLLOUT_METRIC_ERROR)
     {
       double p0 = (cusum->reference.sum + 1) / (cusum->reference.count + 2);
       double p1 = fmin (p0 + shift, (1 + p0) / 2);
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -293,7 +293,7 @@
       end_ejections (outlier, now);
       evaluate (outlier);
     }
-  if (list_empty (&outlier->changed_members))
+  if (list_is_empty (&outlier->changed_members))
     return NULL;
   member = CONTAINER_OF (outlier->changed_members.next, outlier_member_t,
                          change_link);
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -517,7 +517,8 @@
                  double max_load, uint64_t now_ms, affinity_choice_t *affinity)
 {
   bool is_own_zone = upstream->is_own_zone;
-  uint64_t hash = hash_weight (upstream->id_hash, criteria->affinity_key);
+  uint64_t hash
+      = rendezvous_weight (upstream->id_hash, criteria->affinity_key);
 
   if (criteria->affinity_key == 0 || load_of (upstream, now_ms) > max_load)
     return;
@@ -796,7 +797,7 @@
 }
 
 uint32_t
-upstream_running (const upstream_t *upstream)
+upstream_running_count (const upstream_t *upstream)
 {
   return upstream->running;
 }
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -216,6 +216,6 @@
 /* Return how many requests UPSTREAM runs concurrently, as last reported.  */
 uint32_t upstream_slots (const upstream_t *upstream);
 /* Return how many requests of this gateway run at UPSTREAM.  */
-uint32_t upstream_running (const upstream_t *upstream);
+uint32_t upstream_running_count (const upstream_t *upstream);
 
 #endif
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -302,7 +302,7 @@
 }
 
 void
-quality_fold_epochs (quality_t *q, uint64_t generation, uint64_t now_ms)
+quality_compact (quality_t *q, uint64_t generation, uint64_t now_ms)
 {
   uint64_t now_epoch = crdt_epoch_at (q->evidence, now_ms);
   uint64_t epoch = crdt_first_epoch (q->evidence);
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -66,7 +66,7 @@
 } quality_sampling_t;
 
 /* Default sampling: 5% of the answers, and 20 per second in each process.  */
-#define QUALITY_SAMPLING_DEFAULT                                              \
+#define QUALITY_SAMPLING_DEFAULTS                                             \
   ((quality_sampling_t){ .share = 0.05,                                       \
                          .rate_per_s = 20,                                    \
                          .burst = 40,                                         \
@@ -120,8 +120,8 @@
 /* Merge the cells of all writers into one cell for each series, in all epochs
    but the last two, under GENERATION, the fencing number of the caller's lease
    (see crdt_compact).  */
-void quality_fold_epochs (quality_t *quality, uint64_t generation,
-                          uint64_t now_ms);
+void quality_compact (quality_t *quality, uint64_t generation,
+                      uint64_t now_ms);
 /* Append the ratings to OUT: all for the stored table, or with OWN_ONLY the
    recent ratings of this process for its peers (see crdt_write).  */
 void quality_write (const quality_t *quality, bool own_only, buf_t *out);
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -79,9 +79,9 @@
 
 typedef enum
 {
-  QUEUE_HIGH,
-  QUEUE_NORMAL,
-  QUEUE_LOW
+  QUEUE_PRIORITY_HIGH,
+  QUEUE_PRIORITY_NORMAL,
+  QUEUE_PRIORITY_LOW
 } queue_priority_t;
 
 /* Queue entry of one job, embedded in the caller's own record and zeroed by
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -80,7 +80,7 @@
     return;
   retry->latency.count = 0;
   retry->latency.sum_us /= 2;
-  for (size_t i = 0; i < HISTOGRAM_BUCKETS; i++)
+  for (size_t i = 0; i < HISTOGRAM_BUCKET_COUNT; i++)
     {
       retry->latency.buckets[i] /= 2;
       retry->latency.count += retry->latency.buckets[i];
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -121,7 +121,7 @@
   task->name = str_dup (name);
   task->hash = hash;
   for (uint64_t step = 0; step < ROLLOUT_STEP_COUNT; step++)
-    for (int arm = ROLLOUT_OLD; arm <= ROLLOUT_NEW; arm++)
+    for (int arm = ROLLOUT_ARM_OLD; arm <= ROLLOUT_ARM_NEW; arm++)
       task->keys[step][arm] = arm_key (r->measurements, r->salt ^ hash, step,
                                        (rollout_arm_t)arm);
   return task;
@@ -151,10 +151,10 @@
   r->first_epoch = crdt_epoch_at (r->measurements, start_ms);
   r->first_epoch -= r->first_epoch > 0;
   r->exposure = crdt_create (&exposure_options);
-  r->exposure_keys[ROLLOUT_OLD]
-      = arm_key (r->exposure, r->salt, 0, ROLLOUT_OLD);
-  r->exposure_keys[ROLLOUT_NEW]
-      = arm_key (r->exposure, r->salt, 0, ROLLOUT_NEW);
+  r->exposure_keys[ROLLOUT_ARM_OLD]
+      = arm_key (r->exposure, r->salt, 0, ROLLOUT_ARM_OLD);
+  r->exposure_keys[ROLLOUT_ARM_NEW]
+      = arm_key (r->exposure, r->salt, 0, ROLLOUT_ARM_NEW);
   return r;
 }
 
@@ -174,7 +174,7 @@
 rollout_exposed_count (const rollout_run_t *r)
 {
   const int64_t *sums
-      = crdt_sums (r->exposure, r->exposure_keys[ROLLOUT_NEW], 0);
+      = crdt_sums (r->exposure, r->exposure_keys[ROLLOUT_ARM_NEW], 0);
 
   return sums != NULL ? (uint64_t)sums[0] : 0;
 }
@@ -227,7 +227,7 @@
   if (r->decision.phase != ROLLOUT_PHASE_RUNNING
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return 0;
-  if (arm == ROLLOUT_OLD)
+  if (arm == ROLLOUT_ARM_OLD)
     share = 1 - share;
   return share > RATING_SHARE_MAX ? RATING_SHARE_MAX / share : 1;
 }
@@ -251,7 +251,7 @@
      inside a stratum.  Answers of the old version while the new one gets no
      requests would compare different hours.  */
   if (step >= ROLLOUT_STEP_COUNT
-      || (arm == ROLLOUT_OLD && rollout_share (r) <= 0))
+      || (arm == ROLLOUT_ARM_OLD && rollout_share (r) <= 0))
     return;
   sample_to_fields (sample, fields);
   crdt_add (r->measurements, task_class_get (r, task)->keys[step][arm], now_ms,
@@ -303,10 +303,10 @@
 
   switch (metric)
     {
-    case ROLLOUT_ERROR:
+    case ROLLOUT_METRIC_ERROR:
       p = (all->sum + 1) / (all->count + 2);
       return p * (1 - p);
-    case ROLLOUT_RATING:
+    case ROLLOUT_METRIC_RATING:
       return (all->squares + PRIOR_ANSWERS / 12.0)
              / (all->count + PRIOR_ANSWERS);
     default:
@@ -342,9 +342,9 @@
       {
         const int *keys = task->keys[step];
         moments_t new = sample_moments (
-            crdt_sums (r->measurements, keys[ROLLOUT_NEW], epoch), metric);
+            crdt_sums (r->measurements, keys[ROLLOUT_ARM_NEW], epoch), metric);
         moments_t old = sample_moments (
-            crdt_sums (r->measurements, keys[ROLLOUT_OLD], epoch), metric);
+            crdt_sums (r->measurements, keys[ROLLOUT_ARM_OLD], epoch), metric);
         stratum_add (s, &new, &old);
       }
 }
@@ -486,7 +486,7 @@
   if (phase == ROLLOUT_PHASE_RUNNING
       && rollout_exposed_count (r) >= rollout_exposure_cap (r))
     {
-      set_phase (r, ROLLOUT_PHASE_STARVED);
+      set_phase (r, ROLLOUT_PHASE_CAP_REACHED);
       return true;
     }
   return false;
@@ -496,7 +496,7 @@
 rollout_pause (rollout_run_t *r)
 {
   if (r->decision.phase != ROLLOUT_PHASE_RUNNING
-      && r->decision.phase != ROLLOUT_PHASE_STARVED)
+      && r->decision.phase != ROLLOUT_PHASE_CAP_REACHED)
     return false;
   set_phase (r, ROLLOUT_PHASE_PAUSED);
   return true;
@@ -505,7 +505,7 @@
 bool
 rollout_resume (rollout_run_t *r)
 {
-  if (r->decision.phase != ROLLOUT_PHASE_STARVED
+  if (r->decision.phase != ROLLOUT_PHASE_CAP_REACHED
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return false;
   if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -53,9 +53,9 @@
    are 0 to 1, errors a share of the answers, latency a difference of natural
    logarithms, so that 10% slower is within the margin.  */
 #define ROLLOUT_METRICS(X)                                                    \
-  X (ROLLOUT_RATING, "rating", 0.01, 0.1)                                     \
-  X (ROLLOUT_ERROR, "error", 0.005, 0.1)                                      \
-  X (ROLLOUT_LATENCY, "latency", 0.1, 0.3)
+  X (ROLLOUT_METRIC_RATING, "rating", 0.01, 0.1)                              \
+  X (ROLLOUT_METRIC_ERROR, "error", 0.005, 0.1)                               \
+  X (ROLLOUT_METRIC_LATENCY, "latency", 0.1, 0.3)
 
 typedef enum
 {
@@ -94,8 +94,8 @@
 typedef enum
 {
   ROLLOUT_PHASE_RUNNING,
-  ROLLOUT_PHASE_STARVED, /* At the step's cap: share 0 until more measurements
-                            arrive or the operator resumes.  */
+  ROLLOUT_PHASE_CAP_REACHED, /* At the step's cap: share 0 until more
+                            measurements arrive or the operator resumes.  */
   ROLLOUT_PHASE_PAUSED, /* Paused by the operator; the share stays as it is. */
   ROLLOUT_PHASE_HALTED, /* Halted by the measurements; share 0.  */
   ROLLOUT_PHASE_ABORTED, /* Aborted by the operator; share 0.  */
@@ -104,8 +104,8 @@
 
 typedef enum
 {
-  ROLLOUT_OLD,
-  ROLLOUT_NEW
+  ROLLOUT_ARM_OLD,
+  ROLLOUT_ARM_NEW
 } rollout_arm_t;
 
 /* Result of one answer.  Completion and rating may be reported in separate
--- a/packages/policy/sample.c
+++ b/packages/policy/sample.c
@@ -18,7 +18,7 @@
       double log_ms = log (sample->latency_ms);
       fields[SAMPLE_LATENCY_COUNT] = 1;
       fields[SAMPLE_LOG_LATENCY_SUM] = crdt_to_fixed_point (log_ms);
-      fields[SAMPLE_LOG_LATENCY_SQUARES]
+      fields[SAMPLE_LOG_LATENCY_SQUARE_SUM]
           = crdt_to_fixed_point (log_ms * log_ms);
     }
   if (sample->rated && !isnan (sample->rating))
@@ -26,7 +26,7 @@
       double rating = fmax (0, fmin (1, sample->rating));
       fields[SAMPLE_RATING_COUNT] = 1;
       fields[SAMPLE_RATING_SUM] = crdt_to_fixed_point (rating);
-      fields[SAMPLE_RATING_SQUARES] = crdt_to_fixed_point (rating * rating);
+      fields[SAMPLE_RATING_SQUARE_SUM] = crdt_to_fixed_point (rating * rating);
     }
 }
 
@@ -39,13 +39,13 @@
     return moments;
   switch (metric)
     {
-    case ROLLOUT_RATING:
+    case ROLLOUT_METRIC_RATING:
       moments.count = (double)sums[SAMPLE_RATING_COUNT];
       moments.sum = -(double)sums[SAMPLE_RATING_SUM] / CRDT_FIXED_POINT_ONE;
       moments.squares
-          = (double)sums[SAMPLE_RATING_SQUARES] / CRDT_FIXED_POINT_ONE;
+          = (double)sums[SAMPLE_RATING_SQUARE_SUM] / CRDT_FIXED_POINT_ONE;
       break;
-    case ROLLOUT_ERROR:
+    case ROLLOUT_METRIC_ERROR:
       moments.count = (double)sums[SAMPLE_FINISHED_COUNT];
       moments.sum = (double)sums[SAMPLE_FAILED_COUNT];
       moments.squares = moments.sum;
@@ -55,7 +55,7 @@
       moments.sum
           = (double)sums[SAMPLE_LOG_LATENCY_SUM] / CRDT_FIXED_POINT_ONE;
       moments.squares
-          = (double)sums[SAMPLE_LOG_LATENCY_SQUARES] / CRDT_FIXED_POINT_ONE;
+          = (double)sums[SAMPLE_LOG_LATENCY_SQUARE_SUM] / CRDT_FIXED_POINT_ONE;
       break;
     }
   return moments;
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -197,7 +197,7 @@
 static double
 initial_share (const trial_t *trial)
 {
-  return fmin (trial->exposure * TRIAL_INITIAL_EXPOSURE, TRIAL_SHARE_MAX);
+  return fmin (trial->exposure * TRIAL_INITIAL_EXPOSURE_PART, TRIAL_SHARE_MAX);
 }
 
 /* Return the share in TRIAL_STEP_INCREASED: what the exposure of the initial
@@ -212,7 +212,7 @@
   double share_start_ms
       = (double)trial->start_ms
         + time_limit_ms * step_length_parts[TRIAL_STEP_NO_TRAFFIC];
-  double left_ms = trial->exposure * TRIAL_EXPOSURE_USED * time_limit_ms
+  double left_ms = trial->exposure * TRIAL_STEPS_EXPOSURE_PART * time_limit_ms
                    - TRIAL_FINISH_LEAD_MS
                    - first * fmax (step_start_ms - share_start_ms, 0);
   double share_length_ms = finish_time_ms (trial) - step_start_ms;
@@ -227,8 +227,8 @@
 {
   uint32_t step = trial->step;
 
-  if (trial->phase != TRIAL_RUNNING)
-    return trial->phase == TRIAL_DONE ? 1 : 0;
+  if (trial->phase != TRIAL_PHASE_RUNNING)
+    return trial->phase == TRIAL_PHASE_DONE ? 1 : 0;
   if (step > TRIAL_STEP_NO_TRAFFIC && now_ms < trial->step_start_ms)
     step--;
   if (trial->start_ms == 0 || step == TRIAL_STEP_NO_TRAFFIC)
@@ -248,28 +248,30 @@
                   const trial_send_history_t *history)
 {
   if (history->failed_on_new)
-    return TRIAL_OLD;
+    return TRIAL_ARM_OLD;
   if (history->was_sent)
     return history->arm;
-  return trial_is_assigned (trial, key, now_ms) ? TRIAL_NEW : TRIAL_OLD;
+  return trial_is_assigned (trial, key, now_ms) ? TRIAL_ARM_NEW
+                                                : TRIAL_ARM_OLD;
 }
 
 static void
 sums_add_answer (trial_sums_t *sums, trial_outcome_t outcome)
 {
-  double weight
-      = outcome == TRIAL_CONNECTION_LOST ? TRIAL_LOST_CONNECTION_WEIGHT : 1;
+  double weight = outcome == TRIAL_OUTCOME_CONNECTION_LOST
+                      ? TRIAL_LOST_CONNECTION_WEIGHT
+                      : 1;
 
   sums->count += weight;
-  if (outcome != TRIAL_ANSWERED)
+  if (outcome != TRIAL_OUTCOME_ANSWERED)
     sums->failed += weight;
-  if (outcome == TRIAL_CONNECTION_LOST)
+  if (outcome == TRIAL_OUTCOME_CONNECTION_LOST)
     {
       sums->lost_connections += 1;
       return;
     }
   sums->total_count += 1;
-  if (outcome == TRIAL_FAILED)
+  if (outcome == TRIAL_OUTCOME_FAILED)
     sums->total_failed += 1;
 }
 
@@ -338,7 +340,7 @@
   if (ms <= 0)
     return;
   bool is_warming_up
-      = arm == TRIAL_NEW && timing == TRIAL_TIMING_FIRST_EVENT
+      = arm == TRIAL_ARM_NEW && timing == TRIAL_TIMING_FIRST_EVENT
         && trial->step == TRIAL_STEP_INITIAL
         && now_ms < trial->step_start_ms + TRIAL_WARM_UP_MS + (uint64_t)ms;
   if (usual_ms > 0 && !is_warming_up)
@@ -348,7 +350,7 @@
         sums->late_count[timing] += 1;
       trial->has_unwritten_counts = true;
     }
-  if (arm != TRIAL_OLD)
+  if (arm != TRIAL_ARM_OLD)
     return;
   loads[class].count += 1;
   loads[class].log_ms += log (ms);
@@ -649,21 +651,21 @@
   trial_sums_t sums[TRIAL_ARM_COUNT] = { 0 };
   bool has_inconclusive_cell = false;
 
-  if (trial->phase != TRIAL_RUNNING || trial->start_ms == 0)
-    return TRIAL_WAIT;
+  if (trial->phase != TRIAL_PHASE_RUNNING || trial->start_ms == 0)
+    return TRIAL_DECISION_WAIT;
   for (size_t cell = 0; cell < TRIAL_CELL_COUNT; cell++)
     {
-      if (is_bad (&all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell],
-                  reason))
-        return TRIAL_ROLL_BACK;
+      if (is_bad (&all.sums[TRIAL_ARM_OLD][cell],
+                  &all.sums[TRIAL_ARM_NEW][cell], reason))
+        return TRIAL_DECISION_ROLL_BACK;
       has_inconclusive_cell |= is_cell_inconclusive (
-          &all.sums[TRIAL_OLD][cell], &all.sums[TRIAL_NEW][cell]);
+          &all.sums[TRIAL_ARM_OLD][cell], &all.sums[TRIAL_ARM_NEW][cell]);
       for (size_t arm = 0; arm < TRIAL_ARM_COUNT && cell < TRIAL_ROUTE_CELLS;
            arm++)
         sums_add (&sums[arm], &all.sums[arm][cell]);
     }
-  if (is_bad (&sums[TRIAL_OLD], &sums[TRIAL_NEW], reason))
-    return TRIAL_ROLL_BACK;
+  if (is_bad (&sums[TRIAL_ARM_OLD], &sums[TRIAL_ARM_NEW], reason))
+    return TRIAL_DECISION_ROLL_BACK;
   double time_limit_ms = (double)trial->time_limit_ms;
   double step_min_ms = step_length_parts[trial->step] * time_limit_ms;
   /* The initial step applies from half the time limit on and is written
@@ -676,27 +678,28 @@
                           ? (double)(now_ms - trial->step_start_ms)
                           : 0;
   if (is_store_down || in_step_ms < step_min_ms)
-    return TRIAL_WAIT;
+    return TRIAL_DECISION_WAIT;
   bool is_due = (double)now_ms >= finish_time_ms (trial);
   /* A cell that is inconclusive because of a few answers may become conclusive
      until the finish is due, and is ignored before.  */
   bool is_held_back
       = (is_due && has_inconclusive_cell)
-        || !is_ready_to_advance (
-            &sums[TRIAL_OLD], &sums[TRIAL_NEW], in_step_ms, step_min_ms,
-            is_due ? TRIAL_FINAL_HOLD_STDERRS : TRIAL_HOLD_STDERRS);
+        || !is_ready_to_advance (&sums[TRIAL_ARM_OLD], &sums[TRIAL_ARM_NEW],
+                                 in_step_ms, step_min_ms,
+                                 is_due ? TRIAL_FINAL_HOLD_STDERRS
+                                        : TRIAL_HOLD_STDERRS);
   if (trial->step > TRIAL_STEP_NO_TRAFFIC && is_held_back)
     {
-      if (sums[TRIAL_NEW].count < TRIAL_ADVANCE_ANSWERS_MIN
+      if (sums[TRIAL_ARM_NEW].count < TRIAL_ADVANCE_ANSWERS_MIN
           || (double)now_ms + TRIAL_ROLLBACK_LEAD_MS
                  < (double)trial->start_ms + time_limit_ms)
-        return TRIAL_WAIT;
+        return TRIAL_DECISION_WAIT;
       buf_printf (reason,
                   "failures or latency not proven acceptable before the "
                   "time limit");
-      return TRIAL_ROLL_BACK;
+      return TRIAL_DECISION_ROLL_BACK;
     }
   if (trial->step + 1 < TRIAL_STEP_COUNT)
-    return TRIAL_ADVANCE;
-  return is_due ? TRIAL_FINISH : TRIAL_WAIT;
+    return TRIAL_DECISION_ADVANCE;
+  return is_due ? TRIAL_DECISION_FINISH : TRIAL_DECISION_WAIT;
 }
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -110,9 +110,9 @@
   X (TRIAL_STEP_INCREASED, 0.06)
 /* Part of the operators' bound on exposure that the requests of all steps make
    up together.  */
-#define TRIAL_EXPOSURE_USED 0.8
+#define TRIAL_STEPS_EXPOSURE_PART 0.8
 /* Share in TRIAL_STEP_INITIAL, as a part of the operators' bound.  */
-#define TRIAL_INITIAL_EXPOSURE 0.7
+#define TRIAL_INITIAL_EXPOSURE_PART 0.7
 /* Largest share before the version is declared good.  */
 #define TRIAL_SHARE_MAX 0.35
 
@@ -165,15 +165,15 @@
 
 typedef enum
 {
-  TRIAL_RUNNING,
-  TRIAL_DONE,
-  TRIAL_ROLLED_BACK
+  TRIAL_PHASE_RUNNING,
+  TRIAL_PHASE_DONE,
+  TRIAL_PHASE_ROLLED_BACK
 } trial_phase_t;
 
 typedef enum
 {
-  TRIAL_OLD,
-  TRIAL_NEW,
+  TRIAL_ARM_OLD,
+  TRIAL_ARM_NEW,
   TRIAL_ARM_COUNT
 } trial_arm_t;
 
@@ -260,9 +260,11 @@
 
 typedef enum
 {
-  TRIAL_ANSWERED,
-  TRIAL_FAILED, /* The upstream answered with a failure, or timed out.  */
-  TRIAL_CONNECTION_LOST /* The connection was lost, or the instance is gone. */
+  TRIAL_OUTCOME_ANSWERED,
+  TRIAL_OUTCOME_FAILED, /* The upstream answered with a failure, or timed out.
+                         */
+  TRIAL_OUTCOME_CONNECTION_LOST /* The connection was lost, or the instance is
+                                   gone. */
 } trial_outcome_t;
 
 /* Count the outcome of a send on a route with hash ROUTE.  WAIT_MS is the time
@@ -294,11 +296,11 @@
 
 typedef enum
 {
-  TRIAL_WAIT,      /* Nothing changes yet.  */
-  TRIAL_ADVANCE,   /* The next step may start.  */
-  TRIAL_ROLL_BACK, /* The version is bad; all requests return to the old
-                      one.  */
-  TRIAL_FINISH     /* The version is good; the old one may stop.  */
+  TRIAL_DECISION_WAIT,      /* Nothing changes yet.  */
+  TRIAL_DECISION_ADVANCE,   /* The next step may start.  */
+  TRIAL_DECISION_ROLL_BACK, /* The version is bad; all requests return to the
+                      old one.  */
+  TRIAL_DECISION_FINISH     /* The version is good; the old one may stop.  */
 } trial_decision_t;
 
 /* Decide on the counts of all processes.  If the version is bad, append the
--- a/packages/sidecar/attempt.c
+++ b/packages/sidecar/attempt.c
@@ -79,11 +79,11 @@
 {
   if (attempts == NULL)
     return;
-  while (!list_empty (&attempts->live))
+  while (!list_is_empty (&attempts->live))
     free_attempt (CONTAINER_OF (attempts->live.next, attempt_t, link));
-  while (!list_empty (&attempts->ended))
+  while (!list_is_empty (&attempts->ended))
     free_attempt (CONTAINER_OF (attempts->ended.next, attempt_t, link));
-  while (!list_empty (&attempts->brief))
+  while (!list_is_empty (&attempts->brief))
     free_attempt (CONTAINER_OF (attempts->brief.next, attempt_t, link));
   map_destroy (attempts->by_id);
   map_destroy (attempts->by_request);
@@ -242,12 +242,12 @@
 {
   uint64_t now_ms = clock_ms (attempts->clock);
 
-  while (!list_empty (list))
+  while (!list_is_empty (list))
     {
       attempt_t *oldest = CONTAINER_OF (list->next, attempt_t, link);
       bool old = now_ms - oldest->ended_ms >= keep_ms;
       if ((!old && attempts->bytes <= attempts->bytes_max)
-          || !list_empty (&oldest->fetchers))
+          || !list_is_empty (&oldest->fetchers))
         return;
       forget (attempts, oldest);
     }
--- a/packages/sidecar/held.c
+++ b/packages/sidecar/held.c
@@ -75,7 +75,7 @@
   while (map_next (held->writers, &cursor, NULL, &value))
     {
       writer_t *writer = value;
-      while (!list_empty (&writer->bills))
+      while (!list_is_empty (&writer->bills))
         free_bill (held, CONTAINER_OF (writer->bills.next, held_bill_t, link));
       free (writer);
     }
@@ -228,7 +228,7 @@
   while (map_next (held->writers, &cursor, &name, &value))
     {
       writer_t *writer = value;
-      if (!is_gone (held, writer) || !list_empty (&writer->bills))
+      if (!is_gone (held, writer) || !list_is_empty (&writer->bills))
         continue;
       map_remove (held->writers, name);
       free (writer);
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -211,9 +211,9 @@
          const wire_submit_args_t *args)
 {
   static const queue_priority_t priorities[]
-      = { [WIRE_PRIORITY_LOW] = QUEUE_LOW,
-          [WIRE_PRIORITY_NORMAL] = QUEUE_NORMAL,
-          [WIRE_PRIORITY_HIGH] = QUEUE_HIGH };
+      = { [WIRE_PRIORITY_LOW] = QUEUE_PRIORITY_LOW,
+          [WIRE_PRIORITY_NORMAL] = QUEUE_PRIORITY_NORMAL,
+          [WIRE_PRIORITY_HIGH] = QUEUE_PRIORITY_HIGH };
   queue_waiter_t *evicted = NULL;
   queue_job_t job
       = { .team = str_from (attempt->team),
@@ -501,9 +501,9 @@
   *highest = args->fence;
   buf_t body = BUF_NULL;
   buf_printf (&body, "{\"order\":\"");
-  buf_append_json (&body, str_from (args->kind));
+  buf_append_json_escaped (&body, str_from (args->kind));
   buf_printf (&body, "\",\"subject\":\"");
-  buf_append_json (&body, subject);
+  buf_append_json_escaped (&body, subject);
   buf_printf (&body, "\",\"fence\":%llu}", (unsigned long long)args->fence);
   const httpc_header_t type
       = { STR ("content-type"), STR ("application/json") };
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -55,7 +55,7 @@
 static bool
 is_orphan (const attempt_t *attempt, uint64_t now_ms)
 {
-  return attempt->idempotent && list_empty (&attempt->fetchers)
+  return attempt->idempotent && list_is_empty (&attempt->fetchers)
          && now_ms - attempt->touched_ms >= ORPHAN_MS;
 }
 
@@ -192,16 +192,16 @@
 }
 
 size_t
-sidecar_in_hand (const sidecar_t *sidecar)
+sidecar_count_unfinished (const sidecar_t *sidecar)
 {
   return sidecar->running + queue_waiting_count (sidecar->queue)
          + attempts_undelivered (sidecar->attempts) + held_left (sidecar);
 }
 
 bool
-sidecar_idle (const sidecar_t *sidecar)
+sidecar_is_idle (const sidecar_t *sidecar)
 {
-  return list_empty (attempts_live (sidecar->attempts));
+  return list_is_empty (attempts_live (sidecar->attempts));
 }
 
 static void
--- a/packages/sidecar/sidecar.h
+++ b/packages/sidecar/sidecar.h
@@ -21,7 +21,7 @@
 {
   vh_code_t (*learn) (void *arg, str_t update);
   bool (*delta_from) (void *arg, uint64_t have, buf_t *update);
-} sidecar_host_t;
+} sidecar_callbacks_t;
 
 /* Everything is borrowed and must outlive the sidecar.  */
 typedef struct
@@ -32,7 +32,7 @@
   const settings_t *settings;
   const upstream_settings_t *upstream;
   uint64_t seed;
-  const sidecar_host_t *host;
+  const sidecar_callbacks_t *host;
   void *arg;
 } sidecar_options_t;
 
@@ -43,9 +43,9 @@
 void sidecar_drain (sidecar_t *sidecar);
 /* Tell whether nothing is in hand: no attempt runs or waits, and every
    answer was taken.  */
-bool sidecar_idle (const sidecar_t *sidecar);
+bool sidecar_is_idle (const sidecar_t *sidecar);
 /* Number of attempts running or waiting.  */
-size_t sidecar_in_hand (const sidecar_t *sidecar);
+size_t sidecar_count_unfinished (const sidecar_t *sidecar);
 void sidecar_destroy (sidecar_t *sidecar);
 rpc_node_t *sidecar_node (sidecar_t *sidecar);
 uint64_t sidecar_revision (const sidecar_t *sidecar);
--- a/packages/sidecar/usage.c
+++ b/packages/sidecar/usage.c
@@ -21,7 +21,7 @@
       while (begin > 0 && stream.ptr[begin - 1] != '\n')
         begin--;
       str_t line = str_make (stream.ptr + begin, end - begin);
-      if (str_starts (line, STR ("data: "))
+      if (str_starts_with (line, STR ("data: "))
           && memmem (line.ptr, line.len, mark, sizeof mark - 1) != NULL)
         return str_make (line.ptr + 6, line.len - 6);
       end = begin > 0 ? begin - 1 : 0;
--- a/packages/storage/http.c
+++ b/packages/storage/http.c
@@ -297,7 +297,7 @@
   /* A reply that cannot be read may stand for an effect.  */
   if (code == VH_OK && revision == 0)
     code = VH_E_STORE_LATE;
-  call->cb.txn (call->arg, code, revision, json_get_plain (json, "conflict"));
+  call->cb.txn (call->arg, code, revision, json_get_utf8 (json, "conflict"));
   json_decref (json);
 }
 
@@ -310,7 +310,7 @@
   call->is_write = true;
   call->repeatable = txn->token.len > 0;
   buf_append_str (&call->path, STR ("/v1/txn"));
-  json_write (json_from_txn (txn), &call->body);
+  json_write_and_free (json_from_txn (txn), &call->body);
 }
 
 static void
@@ -318,9 +318,9 @@
 {
   json_t *json = parse (body);
   buf_t scratch = BUF_NULL;
-  row_t row
-      = { json_get_plain (json, "key"), json_get_str (json, "value", &scratch),
-          json_get_u64 (json, "version") };
+  row_t row = { json_get_utf8 (json, "key"),
+                json_get_bytes (json, "value", &scratch),
+                json_get_u64 (json, "version") };
 
   if (code == VH_OK && row.version == 0)
     code = VH_E_STORE_DOWN;
@@ -337,8 +337,8 @@
 
   call->cb.get = cb;
   buf_append_str (&call->path, STR ("/v1/get"));
-  json_put_str (json, "key", key);
-  json_write (json, &call->body);
+  json_put_bytes (json, "key", key);
+  json_write_and_free (json, &call->body);
 }
 
 static void
@@ -355,8 +355,8 @@
   for (size_t i = 0; i < count; i++)
     {
       const json_t *row = json_array_get (list, i);
-      rows[i] = (row_t){ json_get_plain (row, "key"),
-                         json_get_str (row, "value", &scratch[i]),
+      rows[i] = (row_t){ json_get_utf8 (row, "key"),
+                         json_get_bytes (row, "value", &scratch[i]),
                          json_get_u64 (row, "version") };
     }
   call->cb.scan (call->arg, code, rows, count,
@@ -377,10 +377,10 @@
 
   call->cb.scan = cb;
   buf_append_str (&call->path, STR ("/v1/scan"));
-  json_put_str (json, "prefix", prefix);
-  json_put_str (json, "after", after);
+  json_put_bytes (json, "prefix", prefix);
+  json_put_bytes (json, "after", after);
   json_object_set_new (json, "limit", json_integer ((json_int_t)limit));
-  json_write (json, &call->body);
+  json_write_and_free (json, &call->body);
 }
 
 /* Append NAME, percent-encoded, to the path of an object.  */
@@ -484,10 +484,10 @@
   call->breaker = &((http_t *)platform)->rating;
   call->cb.rate = cb;
   buf_append_str (&call->path, STR ("/v1/rate"));
-  json_put_str (json, "task", task);
-  json_put_str (json, "question", question);
-  json_put_str (json, "answer", answer);
-  json_write (json, &call->body);
+  json_put_bytes (json, "task", task);
+  json_put_bytes (json, "question", question);
+  json_put_bytes (json, "answer", answer);
+  json_write_and_free (json, &call->body);
 }
 
 static void
@@ -495,7 +495,7 @@
 {
   http_t *http = (http_t *)platform;
 
-  while (!list_empty (&http->calls))
+  while (!list_is_empty (&http->calls))
     {
       call_t *call = CONTAINER_OF (http->calls.next, call_t, link);
       if (call->out != NULL)
--- a/packages/storage/json.c
+++ b/packages/storage/json.c
@@ -7,7 +7,7 @@
 static const char *const instance_states[] = { "live", "leaving", "gone" };
 
 void
-json_put_str (json_t *object, const char *name, str_t s)
+json_put_bytes (json_t *object, const char *name, str_t s)
 {
   json_t *string = json_stringn (s.len > 0 ? s.ptr : "", s.len);
 
@@ -26,7 +26,7 @@
 }
 
 str_t
-json_get_plain (const json_t *object, const char *name)
+json_get_utf8 (const json_t *object, const char *name)
 {
   const json_t *string = json_object_get (object, name);
 
@@ -34,15 +34,15 @@
 }
 
 str_t
-json_get_str (const json_t *object, const char *name, buf_t *scratch)
+json_get_bytes (const json_t *object, const char *name, buf_t *scratch)
 {
-  str_t plain = json_get_plain (object, name);
+  str_t plain = json_get_utf8 (object, name);
 
   if (plain.ptr != NULL)
     return plain;
   buf_t key = BUF_NULL;
   buf_printf (&key, "%s-hex%c", name, '\0');
-  str_t hex = json_get_plain (object, key.ptr);
+  str_t hex = json_get_utf8 (object, key.ptr);
   buf_free (&key);
   if (hex.len == 0 || hex.len % 2 != 0)
     return STR_NULL;
@@ -72,7 +72,7 @@
   for (size_t i = 0; i < txn->condition_count; i++)
     {
       json_t *condition = json_object ();
-      json_put_str (condition, "key", txn->conditions[i].key);
+      json_put_bytes (condition, "key", txn->conditions[i].key);
       json_object_set_new (
           condition, "version",
           json_integer ((json_int_t)txn->conditions[i].version));
@@ -81,15 +81,15 @@
   for (size_t i = 0; i < txn->write_count; i++)
     {
       json_t *write = json_object ();
-      json_put_str (write, "key", txn->writes[i].key);
+      json_put_bytes (write, "key", txn->writes[i].key);
       if (txn->writes[i].is_delete)
         json_object_set_new (write, "delete", json_true ());
       else
-        json_put_str (write, "value", txn->writes[i].value);
+        json_put_bytes (write, "value", txn->writes[i].value);
       json_array_append_new (writes, write);
     }
   if (txn->token.len > 0)
-    json_put_str (json, "token", txn->token);
+    json_put_bytes (json, "token", txn->token);
   json_object_set_new (json, "conditions", conditions);
   json_object_set_new (json, "writes", writes);
   return json;
@@ -112,7 +112,7 @@
   for (size_t i = 0; i < condition_count; i++)
     {
       const json_t *item = json_array_get (conditions, i);
-      condition[i].key = json_get_plain (item, "key");
+      condition[i].key = json_get_utf8 (item, "key");
       condition[i].version = json_get_u64 (item, "version");
       if (condition[i].key.len == 0)
         goto done;
@@ -120,14 +120,14 @@
   for (size_t i = 0; i < write_count; i++)
     {
       const json_t *item = json_array_get (writes, i);
-      write[i].key = json_get_plain (item, "key");
-      write[i].value = json_get_str (item, "value", &scratch[i]);
+      write[i].key = json_get_utf8 (item, "key");
+      write[i].value = json_get_bytes (item, "value", &scratch[i]);
       write[i].is_delete = json_is_true (json_object_get (item, "delete"));
       if (write[i].key.len == 0)
         goto done;
     }
   const txn_t borrowed = { condition, condition_count, write, write_count,
-                           json_get_plain (json, "token") };
+                           json_get_utf8 (json, "token") };
   txn = txn_copy (&borrowed);
 
 done:
@@ -144,8 +144,8 @@
 {
   json_t *json = json_object ();
 
-  json_put_str (json, "key", row->key);
-  json_put_str (json, "value", row->value);
+  json_put_bytes (json, "key", row->key);
+  json_put_bytes (json, "value", row->value);
   json_object_set_new (json, "version",
                        json_integer ((json_int_t)row->version));
   return json;
@@ -156,12 +156,12 @@
 {
   json_t *json = json_object ();
 
-  json_put_str (json, "name", row->name);
-  json_put_str (json, "role", row->role);
-  json_put_str (json, "zone", row->zone);
-  json_put_str (json, "region", row->region);
-  json_put_str (json, "address", row->address);
-  json_put_str (json, "serves", row->serves);
+  json_put_bytes (json, "name", row->name);
+  json_put_bytes (json, "role", row->role);
+  json_put_bytes (json, "zone", row->zone);
+  json_put_bytes (json, "region", row->region);
+  json_put_bytes (json, "address", row->address);
+  json_put_bytes (json, "serves", row->serves);
   json_object_set_new (json, "state",
                        json_string (instance_states[row->state]));
   return json;
@@ -170,14 +170,14 @@
 bool
 json_to_instance (const json_t *json, instance_row_t *row)
 {
-  str_t state = json_get_plain (json, "state");
-
-  *row = (instance_row_t){ .name = json_get_plain (json, "name"),
-                           .role = json_get_plain (json, "role"),
-                           .zone = json_get_plain (json, "zone"),
-                           .region = json_get_plain (json, "region"),
-                           .address = json_get_plain (json, "address"),
-                           .serves = json_get_plain (json, "serves") };
+  str_t state = json_get_utf8 (json, "state");
+
+  *row = (instance_row_t){ .name = json_get_utf8 (json, "name"),
+                           .role = json_get_utf8 (json, "role"),
+                           .zone = json_get_utf8 (json, "zone"),
+                           .region = json_get_utf8 (json, "region"),
+                           .address = json_get_utf8 (json, "address"),
+                           .serves = json_get_utf8 (json, "serves") };
   for (int i = INSTANCE_LIVE; i <= INSTANCE_GONE; i++)
     if (str_eq (state, str_from (instance_states[i])))
       {
@@ -188,7 +188,7 @@
 }
 
 void
-json_write (json_t *json, buf_t *out)
+json_write_and_free (json_t *json, buf_t *out)
 {
   char *text = json_dumps (json, JSON_COMPACT);
 
--- a/packages/storage/memory.c
+++ b/packages/storage/memory.c
@@ -84,8 +84,8 @@
 {
   uint64_t revision;
   str_t conflict;
-  vh_code_t code = table_txn (memory->table, call->txn, uv_now (memory->loop),
-                              &revision, &conflict);
+  vh_code_t code = table_execute (memory->table, call->txn,
+                                  uv_now (memory->loop), &revision, &conflict);
 
   call->cb.txn (call->arg, code, revision, conflict);
 }
@@ -140,8 +140,8 @@
   instance_row_t *rows;
   uint64_t sequence;
   bool full;
-  size_t count = instance_list_read (memory->instances, call->after, &rows,
-                                     &sequence, &full);
+  size_t count = instance_list_get_changes (memory->instances, call->after,
+                                            &rows, &sequence, &full);
 
   call->cb.instances (call->arg, VH_OK, sequence, full, rows, count);
   free (rows);
@@ -171,7 +171,8 @@
       run_instances (memory, call);
       break;
     case CALL_RATE:
-      call->cb.rate (call->arg, VH_OK, rating_of (call_bytes (call)));
+      call->cb.rate (call->arg, VH_OK,
+                     rating_parse_marker (call_bytes (call)));
       break;
     }
 }
@@ -361,7 +362,7 @@
 }
 
 void
-platform_memory_instance (platform_t *platform, const instance_row_t *row)
+platform_memory_put_instance (platform_t *platform, const instance_row_t *row)
 {
   instance_list_put (((memory_t *)platform)->instances, row);
 }
--- a/packages/storage/storage.h
+++ b/packages/storage/storage.h
@@ -127,8 +127,8 @@
 /* Everything in this process's memory, for newcomers and tests.  */
 platform_t *platform_memory_create (uv_loop_t *loop);
 /* Add or change an instance of the in-memory list.  */
-void platform_memory_instance (platform_t *platform,
-                               const instance_row_t *row);
+void platform_memory_put_instance (platform_t *platform,
+                                   const instance_row_t *row);
 
 /* The platform's HTTP/JSON interface (docs/PLATFORM-CONTRACT.md) at ADDRESS
    (HOST:PORT, numeric).  Each call ends within TIMEOUT_MS.  Calls that may
--- a/packages/storage/table.c
+++ b/packages/storage/table.c
@@ -256,8 +256,8 @@
 }
 
 vh_code_t
-table_txn (table_t *table, const txn_t *txn, uint64_t now_ms,
-           uint64_t *revision, str_t *conflict_key)
+table_execute (table_t *table, const txn_t *txn, uint64_t now_ms,
+               uint64_t *revision, str_t *conflict_key)
 {
   expire_outcomes (table, now_ms);
   outcome_t *earlier
@@ -310,12 +310,13 @@
   /* AFTER excludes a row of that very key; the bare prefix does not.  */
   if (past_prefix && after.len == 0 && prefix.len == 0)
     node = table->head->next[0];
-  while (node != NULL && count < limit && str_starts (node_key (node), prefix))
+  while (node != NULL && count < limit
+         && str_starts_with (node_key (node), prefix))
     {
       rows[count++] = node_row (node);
       node = node->next[0];
     }
-  *more = node != NULL && str_starts (node_key (node), prefix);
+  *more = node != NULL && str_starts_with (node_key (node), prefix);
   return count;
 }
 
@@ -450,8 +451,9 @@
 }
 
 size_t
-instance_list_read (const instance_list_t *list, uint64_t after,
-                    instance_row_t **rows, uint64_t *sequence, bool *full)
+instance_list_get_changes (const instance_list_t *list, uint64_t after,
+                           instance_row_t **rows, uint64_t *sequence,
+                           bool *full)
 {
   size_t count = 0;
 
@@ -470,7 +472,7 @@
 }
 
 double
-rating_of (str_t answer)
+rating_parse_marker (str_t answer)
 {
   static const char marker[] = "quality=";
   const char *at = answer.len > 0 ? memmem (answer.ptr, answer.len, marker,
--- a/packages/storage/table.h
+++ b/packages/storage/table.h
@@ -15,8 +15,8 @@
 /* Run TXN at NOW_MS.  Return VH_OK and the rows' new version in *REVISION,
    or VH_E_CONFLICT and in *CONFLICT_KEY the first condition that failed.  A
    token that is remembered gets its first outcome and changes nothing.  */
-vh_code_t table_txn (table_t *table, const txn_t *txn, uint64_t now_ms,
-                     uint64_t *revision, str_t *conflict_key);
+vh_code_t table_execute (table_t *table, const txn_t *txn, uint64_t now_ms,
+                         uint64_t *revision, str_t *conflict_key);
 /* Fill *ROW, borrowed until the next write; false when there is none.  */
 bool table_get (const table_t *table, str_t key, row_t *row);
 /* Fill ROWS with at most LIMIT rows that start with PREFIX and come after
@@ -33,12 +33,12 @@
 void instance_list_put (instance_list_t *list, const instance_row_t *row);
 /* Point *ROWS, for the caller to free, at the changes after AFTER; return
    their count.  *FULL when AFTER is 0 or unknown.  */
-size_t instance_list_read (const instance_list_t *list, uint64_t after,
-                           instance_row_t **rows, uint64_t *sequence,
-                           bool *full);
+size_t instance_list_get_changes (const instance_list_t *list, uint64_t after,
+                                  instance_row_t **rows, uint64_t *sequence,
+                                  bool *full);
 
 /* Return the rating that a marker `quality=X' in ANSWER asks for, 0.5
    without one.  */
-double rating_of (str_t answer);
+double rating_parse_marker (str_t answer);
 
 #endif
--- a/packages/wire/http_exchange.c
+++ b/packages/wire/http_exchange.c
@@ -29,7 +29,7 @@
   uv_tcp_t tcp;
   uv_connect_t connect;
   uv_write_t write;
-  bound_t connect_timeout;
+  peer_timer_t connect_timeout;
   unsigned open_handles;
   http_exchange_events_t events;
   void *arg;
@@ -74,7 +74,7 @@
   if (exchange->closed)
     return;
   exchange->closed = true;
-  bound_close (&exchange->connect_timeout, on_handle_released);
+  peer_timer_close (&exchange->connect_timeout, on_handle_released);
   uv_close ((uv_handle_t *)&exchange->tcp, on_tcp_closed);
 }
 
@@ -300,7 +300,7 @@
       finish (exchange, VH_E_CONNECT);
       return;
     }
-  bound_stop (&exchange->connect_timeout);
+  peer_timer_stop (&exchange->connect_timeout);
   exchange->connected = true;
   uv_tcp_nodelay (&exchange->tcp, 1);
   if (!exchange->paused)
@@ -340,17 +340,18 @@
   exchange->request = *request;
   *request = BUF_NULL;
   uv_tcp_init (loop, &exchange->tcp);
-  bound_init (&exchange->connect_timeout, loop, on_connect_timeout, exchange);
+  peer_timer_init (&exchange->connect_timeout, loop, on_connect_timeout,
+                   exchange);
   exchange->tcp.data = exchange;
   exchange->connect.data = exchange;
   exchange->open_handles = 2;
-  bound_start (&exchange->connect_timeout, connect_ms);
+  peer_timer_start (&exchange->connect_timeout, connect_ms);
   int status = uv_tcp_connect (&exchange->connect, &exchange->tcp,
                                (struct sockaddr *)&addr, on_connected);
   /* All events are delivered on a later turn of the loop; the connect timeout
      reports this failure.  */
   if (status != 0)
-    bound_start (&exchange->connect_timeout, 0);
+    peer_timer_start (&exchange->connect_timeout, 0);
   return exchange;
 }
 
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -546,7 +546,7 @@
   buf_append (&stream->out, record, len);
   stream->queued_total += len;
   stream->node->stats.bytes_out += len;
-  if (list_empty (&stream->unflushed))
+  if (list_is_empty (&stream->unflushed))
     list_append (&stream->node->unflushed, &stream->unflushed);
 }
 
@@ -627,7 +627,7 @@
 {
   rpc_node_t *node = flusher->data;
 
-  while (!list_empty (&node->unflushed))
+  while (!list_is_empty (&node->unflushed))
     {
       rpc_stream_t *stream
           = CONTAINER_OF (node->unflushed.next, rpc_stream_t, unflushed);
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -150,7 +150,7 @@
 {
   size_t count = peer->call_count;
 
-  while (count-- > 0 && !list_empty (&peer->calls))
+  while (count-- > 0 && !list_is_empty (&peer->calls))
     {
       rpc_call_t *call = CONTAINER_OF (peer->calls.next, rpc_call_t, link);
       finish_call (call, call->send_count > 0 ? VH_E_CLOSED : VH_E_CONNECT,
@@ -387,7 +387,7 @@
      this peer, or of another peer during a sweep.  */
   peer->destroyed = true;
   abandon_connection (peer);
-  while (!list_empty (&peer->calls))
+  while (!list_is_empty (&peer->calls))
     finish_call (CONTAINER_OF (peer->calls.next, rpc_call_t, link),
                  VH_E_CANCELLED, NULL);
 }
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -367,9 +367,9 @@
     .drain_grace_ms = 500,
     .drain_timeout_ms = 5000,
     .config_max_age_ms = 3500,
-    .registration_grace_ms = 2000,
-    .retry_ratio = 0.9,
-    .retry_fixed_budget = 50,
+    .expired_registration_grace_ms = 2000,
+    .retries_per_request = 0.9,
+    .fixed_retries_per_window = 50,
     .retry_window_ms = 10000,
     .cold_factor = 1.5,
     .cold_slack = 5,
@@ -379,7 +379,7 @@
                     .poor_value_ratio = 0.05,
                     .confidence_stddev = 5 },
   };
-  static const act_t answer[] = { ACT_ANSWER };
+  static const fake_action_t answer[] = { ACT_RESPOND };
   char id[32];
 
   memset (f, 0, sizeof *f);
--- a/tests/loop_wait.h
+++ b/tests/loop_wait.h
@@ -55,7 +55,7 @@
   while (0)
 
 static inline void
-loop_wait_pass (loop_wait_t *wait, uint64_t ms)
+loop_wait_for_ms (loop_wait_t *wait, uint64_t ms)
 {
   uint64_t till = uv_now (wait->loop) + ms;
 
--- a/tests/standins/answer.c
+++ b/tests/standins/answer.c
@@ -89,9 +89,9 @@
   size_t start = slash != NULL ? (size_t)(slash - path.ptr) + 1 : 0;
 
   buf_append_str (out, STR ("{\"method\":\""));
-  buf_append_json (out, method);
+  buf_append_json_escaped (out, method);
   buf_append_str (out, STR ("\",\"file\":\""));
-  buf_append_json (out, str_make (path.ptr + start, path.len - start));
+  buf_append_json_escaped (out, str_make (path.ptr + start, path.len - start));
   buf_printf (out, "\",\"body_bytes\":%zu,\"receipt\":\"%016" PRIx64 "\"}",
               body.len, str_hash (body, 2));
 }
@@ -160,7 +160,7 @@
     {
       str_t prefix = STR ("data: ");
       str_t line = str_trim (str_cut (rest, '\n', &rest));
-      if (!str_starts (line, prefix))
+      if (!str_starts_with (line, prefix))
         continue;
       line = str_make (line.ptr + prefix.len, line.len - prefix.len);
       if (str_eq (line, STR ("[DONE]")))
--- a/tests/standins/loadgen.c
+++ b/tests/standins/loadgen.c
@@ -474,7 +474,7 @@
   if (options->target_count == 0)
     return NULL;
   for (size_t i = 0; i < options->target_count; i++)
-    if (!str_starts (options->targets[i], STR ("127.")))
+    if (!str_starts_with (options->targets[i], STR ("127.")))
       return NULL;
   load = mem_zalloc (sizeof *load);
   load->loop = loop;
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -285,7 +285,7 @@
   if (index == 0)
     buf_append_str (out, STR ("\"role\":\"assistant\","));
   buf_append_str (out, STR ("\"content\":\""));
-  buf_append_json (out, buf_str (&text));
+  buf_append_json_escaped (out, buf_str (&text));
   buf_append_str (out, STR ("\"},\"finish_reason\":null}]}\n\n"));
   buf_free (&text);
 }
@@ -308,7 +308,7 @@
   append_id (run, out);
   buf_append_str (out, STR (",\"choices\":[{\"index\":0,\"message\":{"
                             "\"role\":\"assistant\",\"content\":\""));
-  buf_append_json (out, buf_str (&run->text));
+  buf_append_json_escaped (out, buf_str (&run->text));
   buf_append_str (out, STR ("\"},\"finish_reason\":\"stop\"}],"));
   append_usage (run, out);
   buf_append_char (out, '}');
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -176,7 +176,7 @@
 {
   buf_t body = BUF_NULL;
 
-  json_write (json, &body);
+  json_write_and_free (json, &body);
   reply (standin, req, standin->faults.slow_ms, status, true, &body);
 }
 
@@ -249,8 +249,8 @@
     }
   standin->counts.txns++;
   standin->counts.writes += txn->write_count;
-  vh_code_t code = table_txn (standin->table, txn, uv_now (standin->loop),
-                              &revision, &conflict);
+  vh_code_t code = table_execute (standin->table, txn, uv_now (standin->loop),
+                                  &revision, &conflict);
   if (rng_double (&standin->rng) < standin->faults.lost_reply_share)
     lose_reply (standin, req);
   else if (code == VH_OK)
@@ -260,7 +260,7 @@
     {
       standin->counts.conflicts++;
       json_t *conflict_json = json_object ();
-      json_put_str (conflict_json, "conflict", conflict);
+      json_put_bytes (conflict_json, "conflict", conflict);
       reply_json (standin, req, 409, conflict_json);
     }
   txn_free (txn);
@@ -274,7 +274,7 @@
 
   if (json == NULL)
     return;
-  if (table_get (standin->table, json_get_plain (json, "key"), &row))
+  if (table_get (standin->table, json_get_utf8 (json, "key"), &row))
     reply_json (standin, req, 200, json_from_row (&row));
   else
     reply_error (standin, req, 404, "no such row");
@@ -294,8 +294,8 @@
     limit = MAX_SCAN_ROWS;
   row_t *rows = mem_alloc ((limit + 1) * sizeof *rows);
   size_t count
-      = table_scan (standin->table, json_get_plain (json, "prefix"),
-                    json_get_plain (json, "after"), limit, rows, &has_more);
+      = table_scan (standin->table, json_get_utf8 (json, "prefix"),
+                    json_get_utf8 (json, "after"), limit, rows, &has_more);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (list, json_from_row (&rows[i]));
@@ -345,8 +345,8 @@
 
   standin->counts.instances++;
   str_to_u64 (httpd_query_param (req, STR ("after")), &after);
-  size_t count = instance_list_read (standin->instances, after, &rows,
-                                     &sequence, &is_full);
+  size_t count = instance_list_get_changes (standin->instances, after, &rows,
+                                            &sequence, &is_full);
   json_t *list = json_array ();
   for (size_t i = 0; i < count; i++)
     json_array_append_new (list, json_from_instance (&rows[i]));
@@ -435,13 +435,13 @@
   json_t *json = parse_json_body (req);
   if (json == NULL)
     return;
-  double score = rating_of (json_get_plain (json, "answer"));
+  double score = rating_parse_marker (json_get_utf8 (json, "answer"));
   json_decref (json);
   score += (rng_double (&standin->rng) * 2 - 1) * faults->rating_noise;
   score = score < 0 ? 0 : score > 1 ? 1 : score;
   if (faults->rating == RATING_INVERTED)
     score = 1 - score;
-  json_write (json_pack ("{s:f}", "score", score), &body);
+  json_write_and_free (json_pack ("{s:f}", "score", score), &body);
   reply (standin, req,
          faults->rating == RATING_SLOW ? faults->rating_slow_ms : 0, 200, true,
          &body);
@@ -454,7 +454,7 @@
 set_enum (const json_t *json, const char *name, const char *const *choices,
           int *value)
 {
-  str_t text = json_get_plain (json, name);
+  str_t text = json_get_utf8 (json, name);
 
   if (text.ptr == NULL)
     return json_object_get (json, name) == NULL;
@@ -534,7 +534,7 @@
 #undef X
   json_object_set_new (json, "rows",
                        json_integer ((json_int_t)table_size (standin->table)));
-  json_write (json, &body);
+  json_write_and_free (json, &body);
   reply (standin, req, 0, 200, true, &body);
 }
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -93,7 +93,7 @@
       for (int i = 0; i < TEAMS; i++)
         for (due[i] += rates[i] * STEP_US / 500000.0 * rng_double (&rng);
              due[i] >= COST; due[i] -= COST)
-          send_request (i, QUEUE_NORMAL);
+          send_request (i, QUEUE_PRIORITY_NORMAL);
     }
 }
 
@@ -200,11 +200,12 @@
       /* Each priority is half of the demand, and half of the demand can be
          served.  */
       if (i % 2 == 0 && i > 5000)
-        high += send_request (0, QUEUE_HIGH) == VH_OK;
+        high += send_request (0, QUEUE_PRIORITY_HIGH) == VH_OK;
       else if (i > 5000)
-        low += send_request (0, QUEUE_LOW) == VH_OK;
+        low += send_request (0, QUEUE_PRIORITY_LOW) == VH_OK;
       else
-        send_request (0, i % 2 == 0 ? QUEUE_HIGH : QUEUE_LOW);
+        send_request (0,
+                      i % 2 == 0 ? QUEUE_PRIORITY_HIGH : QUEUE_PRIORITY_LOW);
     }
   ck_assert_int_ge (high, 2400);
   ck_assert_int_le (low, 700);
@@ -279,7 +280,8 @@
   for (int i = 0; i < 3000; i++)
     {
       clock_manual_advance_us (manual_clock, 1000);
-      if (admission_decide (admission, names[0], 8, QUEUE_NORMAL) == VH_OK)
+      if (admission_decide (admission, names[0], 8, QUEUE_PRIORITY_NORMAL)
+          == VH_OK)
         admission_record_result (admission, 4, true);
     }
   ck_assert (admission_is_limiting (admission));
--- a/tests/test_base.c
+++ b/tests/test_base.c
@@ -42,7 +42,7 @@
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     ck_assert_msg (
-        str_glob (str_from (cases[i].glob), str_from (cases[i].text))
+        str_matches_glob (str_from (cases[i].glob), str_from (cases[i].text))
             == cases[i].match,
         "%s against %s", cases[i].glob, cases[i].text);
 }
@@ -107,9 +107,9 @@
 
 START_TEST (codes_are_unique)
 {
-  for (size_t i = 0; code_at (i) != NULL; i++)
+  for (size_t i = 0; code_info_at (i) != NULL; i++)
     for (size_t j = 0; j < i; j++)
-      ck_assert_int_ne (code_at (i)->code, code_at (j)->code);
+      ck_assert_int_ne (code_info_at (i)->code, code_info_at (j)->code);
 }
 END_TEST
 
--- a/tests/test_bound.c
+++ b/tests/test_bound.c
@@ -17,7 +17,7 @@
   uv_pipe_t reader;
   uv_pipe_t writer;
   uv_write_t write;
-  bound_t bound;
+  peer_timer_t bound;
   int fired;
   int fired_unread; /* The bound came while bytes lay unread.  */
   int reads;
@@ -59,7 +59,7 @@
   if (got <= 0)
     return;
   f->reads++;
-  bound_stop (&f->bound);
+  peer_timer_stop (&f->bound);
 }
 
 static void
@@ -76,13 +76,13 @@
   uv_pipe_open (&f->writer, ends[1]);
   f->reader.data = f;
   uv_read_start ((uv_stream_t *)&f->reader, on_alloc, on_read);
-  bound_init (&f->bound, &f->loop, on_bound, f);
+  peer_timer_init (&f->bound, &f->loop, on_bound, f);
 }
 
 static void
 teardown (fixture_t *f)
 {
-  bound_close (&f->bound, on_closed);
+  peer_timer_close (&f->bound, on_closed);
   uv_close ((uv_handle_t *)&f->reader, NULL);
   uv_close ((uv_handle_t *)&f->writer, NULL);
   uv_run (&f->loop, UV_RUN_DEFAULT);
@@ -128,7 +128,7 @@
   uv_buf_t byte = uv_buf_init ((char *)"x", 1);
 
   setup (&f);
-  bound_start (&f.bound, WAIT_MS);
+  peer_timer_start (&f.bound, WAIT_MS);
   ck_assert_int_eq (uv_try_write ((uv_stream_t *)&f.writer, &byte, 1), 1);
   stay_busy ();
   turn (&f, WAIT_MS * 3);
@@ -144,13 +144,13 @@
   fixture_t f;
 
   setup (&f);
-  bound_start (&f.bound, WAIT_MS);
+  peer_timer_start (&f.bound, WAIT_MS);
   turn (&f, WAIT_MS / 2);
   ck_assert_int_eq (f.fired, 0);
   turn (&f, WAIT_MS * 3);
   ck_assert_int_eq (f.fired, 1);
-  bound_start (&f.bound, 0);
-  bound_stop (&f.bound);
+  peer_timer_start (&f.bound, 0);
+  peer_timer_stop (&f.bound);
   turn (&f, WAIT_MS);
   ck_assert_int_eq (f.fired, 1);
   teardown (&f);
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -52,7 +52,7 @@
 total_rate (const burn_t *b, burn_kind_t kind, burn_window_t window,
             uint64_t now_ms)
 {
-  return burn_rate (b, 0, kind, BURN_ALL, STR_NULL, window, now_ms).rate;
+  return burn_rate (b, 0, kind, BURN_SPLIT_ALL, STR_NULL, window, now_ms).rate;
 }
 
 START_TEST (burn_rate_of_a_kind_is_wrong)
@@ -74,28 +74,30 @@
       s.cost = 6;
       burn_observe (b, &s, START_MS);
     }
-  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_5M, START_MS), 2,
-                           1e-9);
-  ck_assert_double_eq_tol (total_rate (b, BURN_FIRST_TOKEN, BURN_1H, START_MS),
-                           40 / 98.0 / 0.1, 1e-9);
   ck_assert_double_eq_tol (
-      total_rate (b, BURN_BETWEEN_TOKENS, BURN_6H, START_MS), 10 / 98.0 / 0.1,
-      1e-9);
-  ck_assert_double_eq_tol (total_rate (b, BURN_QUALITY, BURN_3D, START_MS),
+      total_rate (b, BURN_KIND_ANSWERED, BURN_5M, START_MS), 2, 1e-9);
+  ck_assert_double_eq_tol (
+      total_rate (b, BURN_KIND_FIRST_TOKEN, BURN_1H, START_MS),
+      40 / 98.0 / 0.1, 1e-9);
+  ck_assert_double_eq_tol (
+      total_rate (b, BURN_KIND_BETWEEN_TOKENS, BURN_6H, START_MS),
+      10 / 98.0 / 0.1, 1e-9);
+  ck_assert_double_eq_tol (
+      total_rate (b, BURN_KIND_QUALITY, BURN_3D, START_MS), 1.5, 1e-6);
+  ck_assert_double_eq_tol (total_rate (b, BURN_KIND_COST, BURN_3D, START_MS),
                            1.5, 1e-6);
-  ck_assert_double_eq_tol (total_rate (b, BURN_COST, BURN_3D, START_MS), 1.5,
-                           1e-6);
-  ck_assert_double_eq_tol (burn_budget_left (b, 0, BURN_QUALITY, START_MS),
-                           -0.5, 1e-6);
+  ck_assert_double_eq_tol (
+      burn_budget_left (b, 0, BURN_KIND_QUALITY, START_MS), -0.5, 1e-6);
   /* The second objective has no budget for cost, and the samples are not of
      its team.  */
-  ck_assert_double_eq (
-      burn_rate (b, 1, BURN_COST, BURN_ALL, STR_NULL, BURN_3D, START_MS).rate,
-      0);
-  ck_assert_double_eq (
-      burn_rate (b, 1, BURN_ANSWERED, BURN_ALL, STR_NULL, BURN_3D, START_MS)
-          .count,
-      0);
+  ck_assert_double_eq (burn_rate (b, 1, BURN_KIND_COST, BURN_SPLIT_ALL,
+                                  STR_NULL, BURN_3D, START_MS)
+                           .rate,
+                       0);
+  ck_assert_double_eq (burn_rate (b, 1, BURN_KIND_ANSWERED, BURN_SPLIT_ALL,
+                                  STR_NULL, BURN_3D, START_MS)
+                           .count,
+                       0);
   burn_destroy (b);
 }
 END_TEST
@@ -108,12 +110,12 @@
   burn_observe (b, &s, START_MS);
   s.rating = 0.5;
   burn_observe_rating (b, &s, START_MS + MINUTE_MS);
-  burn_rate_t r = burn_rate (b, 0, BURN_QUALITY, BURN_VERSION, STR ("small@1"),
-                             BURN_1H, START_MS + MINUTE_MS);
+  burn_rate_t r = burn_rate (b, 0, BURN_KIND_QUALITY, BURN_SPLIT_VERSION,
+                             STR ("small@1"), BURN_1H, START_MS + MINUTE_MS);
   ck_assert_double_eq (r.count, 1);
   ck_assert_double_eq_tol (r.rate, 2.5, 1e-6);
-  ck_assert_double_eq (burn_rate (b, 0, BURN_ANSWERED, BURN_ALL, STR_NULL,
-                                  BURN_1H, START_MS + MINUTE_MS)
+  ck_assert_double_eq (burn_rate (b, 0, BURN_KIND_ANSWERED, BURN_SPLIT_ALL,
+                                  STR_NULL, BURN_1H, START_MS + MINUTE_MS)
                            .count,
                        1);
   burn_destroy (b);
@@ -136,15 +138,15 @@
                    || (now / 1000) % 5 != 0;
       burn_observe (b, &s, now);
     }
-  ck_assert_double_eq (total_rate (b, BURN_ANSWERED, BURN_5M, end), 0);
-  ck_assert_double_eq (total_rate (b, BURN_ANSWERED, BURN_1H, end), 0);
-  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_6H, end),
+  ck_assert_double_eq (total_rate (b, BURN_KIND_ANSWERED, BURN_5M, end), 0);
+  ck_assert_double_eq (total_rate (b, BURN_KIND_ANSWERED, BURN_1H, end), 0);
+  ck_assert_double_eq_tol (total_rate (b, BURN_KIND_ANSWERED, BURN_6H, end),
                            120 / 21600.0 / 0.01, 0.03);
-  ck_assert_double_eq_tol (total_rate (b, BURN_ANSWERED, BURN_3D, end),
+  ck_assert_double_eq_tol (total_rate (b, BURN_KIND_ANSWERED, BURN_3D, end),
                            120 / 259200.0 / 0.01, 0.003);
   /* 80 hours later the outage is in no window.  */
   ck_assert_double_eq (
-      total_rate (b, BURN_ANSWERED, BURN_3D, end + 80 * HOUR_MS), 0);
+      total_rate (b, BURN_KIND_ANSWERED, BURN_3D, end + 80 * HOUR_MS), 0);
   burn_destroy (b);
 }
 END_TEST
@@ -175,16 +177,18 @@
   buf_t text = BUF_NULL;
 
   observe_one_bad_version (b, START_MS);
-  ck_assert_double_eq_tol (burn_rate (b, 0, BURN_ANSWERED, BURN_VERSION,
-                                      STR ("small@2"), BURN_1H, START_MS)
+  ck_assert_double_eq_tol (burn_rate (b, 0, BURN_KIND_ANSWERED,
+                                      BURN_SPLIT_VERSION, STR ("small@2"),
+                                      BURN_1H, START_MS)
                                .rate,
                            50, 1e-6);
-  ck_assert_double_eq (burn_rate (b, 0, BURN_ANSWERED, BURN_VERSION,
+  ck_assert_double_eq (burn_rate (b, 0, BURN_KIND_ANSWERED, BURN_SPLIT_VERSION,
                                   STR ("small@1"), BURN_1H, START_MS)
                            .rate,
                        0);
-  ck_assert_double_eq_tol (burn_rate (b, 1, BURN_ANSWERED, BURN_ZONE,
-                                      STR ("nairobi-b"), BURN_1H, START_MS)
+  ck_assert_double_eq_tol (burn_rate (b, 1, BURN_KIND_ANSWERED,
+                                      BURN_SPLIT_ZONE, STR ("nairobi-b"),
+                                      BURN_1H, START_MS)
                                .rate,
                            5, 1e-6);
   burn_sample_t smaller_harm = good_sample ();
@@ -474,18 +478,18 @@
       s.team = str_make (name, (size_t)len);
       burn_observe (b, &s, START_MS);
     }
-  ck_assert_double_eq (
-      burn_rate (b, 0, BURN_ANSWERED, BURN_ALL, STR_NULL, BURN_1H, START_MS)
-          .count,
-      2000);
-  burn_rate_t other = burn_rate (b, 0, BURN_ANSWERED, BURN_TEAM, STR ("other"),
-                                 BURN_1H, START_MS);
+  ck_assert_double_eq (burn_rate (b, 0, BURN_KIND_ANSWERED, BURN_SPLIT_ALL,
+                                  STR_NULL, BURN_1H, START_MS)
+                           .count,
+                       2000);
+  burn_rate_t other = burn_rate (b, 0, BURN_KIND_ANSWERED, BURN_SPLIT_TEAM,
+                                 STR ("other"), BURN_1H, START_MS);
   ck_assert_double_gt (other.count, 2000 - BURN_SERIES_MAX);
   for (int i = 0; i < 2000; i++)
     {
       int len = snprintf (name, sizeof name, "team-%d", i);
       named_count
-          += burn_rate (b, 0, BURN_ANSWERED, BURN_TEAM,
+          += burn_rate (b, 0, BURN_KIND_ANSWERED, BURN_SPLIT_TEAM,
                         str_make (name, (size_t)len), BURN_1H, START_MS)
                  .count;
     }
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -54,15 +54,15 @@
     size_t first;
     cascade_reason_t reason;
   } cases[] = {
-    { 0.5, 30000, CASCADE_PREFER_COST, 0, CASCADE_R_CHEAPEST },
-    { 0.74, 30000, CASCADE_PREFER_COST, 0, CASCADE_R_CHEAPEST },
-    { 0.75, 30000, CASCADE_PREFER_COST, 1, CASCADE_R_CHEAPEST },
-    { 0.9, 30000, CASCADE_PREFER_COST, 2, CASCADE_R_CHEAPEST },
-    { 0.9, 30000, CASCADE_PREFER_LATENCY, 2, CASCADE_R_FASTEST },
-    { 0.8, 30000, CASCADE_PREFER_LATENCY, 1, CASCADE_R_FASTEST },
-    { 0.97, 30000, CASCADE_PREFER_COST, 2, CASCADE_R_NO_BOUND },
-    { 0.9, 1500, CASCADE_PREFER_COST, 1, CASCADE_R_DEADLINE },
-    { 0.9, 300, CASCADE_PREFER_COST, 0, CASCADE_R_TOO_LATE },
+    { 0.5, 30000, CASCADE_PREFER_COST, 0, CASCADE_REASON_CHEAPEST },
+    { 0.74, 30000, CASCADE_PREFER_COST, 0, CASCADE_REASON_CHEAPEST },
+    { 0.75, 30000, CASCADE_PREFER_COST, 1, CASCADE_REASON_CHEAPEST },
+    { 0.9, 30000, CASCADE_PREFER_COST, 2, CASCADE_REASON_CHEAPEST },
+    { 0.9, 30000, CASCADE_PREFER_LATENCY, 2, CASCADE_REASON_FASTEST },
+    { 0.8, 30000, CASCADE_PREFER_LATENCY, 1, CASCADE_REASON_FASTEST },
+    { 0.97, 30000, CASCADE_PREFER_COST, 2, CASCADE_REASON_NO_BOUND },
+    { 0.9, 1500, CASCADE_PREFER_COST, 1, CASCADE_REASON_DEADLINE },
+    { 0.9, 300, CASCADE_PREFER_COST, 0, CASCADE_REASON_TOO_LATE },
   };
   cascade_candidate_t candidates[3];
   cascade_t *c = cascade_create (1);
@@ -81,7 +81,7 @@
       ck_assert_msg (plan.reason == cases[i].reason, "case %zu: %s", i,
                      cascade_reason_code (plan.reason));
     }
-  ck_assert_uint_eq (cascade_reason_count (c, CASCADE_R_CHEAPEST), 4);
+  ck_assert_uint_eq (cascade_reason_count (c, CASCADE_REASON_CHEAPEST), 4);
   candidates[0].latency_ms = 1200;
   cascade_request_t fast = make_request (candidates, 3, 0.7);
   ck_assert_uint_eq (cascade_plan (c, &rng, &fast, START_MS).first, 0);
@@ -92,7 +92,7 @@
                     CASCADE_NONE);
   cascade_request_t one = make_request (candidates, 1, 0.9);
   ck_assert_int_eq (cascade_plan (c, &rng, &one, START_MS).reason,
-                    CASCADE_R_SINGLE_VERSION);
+                    CASCADE_REASON_SINGLE_VERSION);
   cascade_destroy (c);
 }
 END_TEST
@@ -131,7 +131,7 @@
   cascade_request_t r = make_request (candidates, 3, 0.92);
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_TWO_STAGE);
-  ck_assert_int_eq (plan.reason, CASCADE_R_TWO_STAGE);
+  ck_assert_int_eq (plan.reason, CASCADE_REASON_TWO_STAGE);
   ck_assert_uint_eq (plan.first, 0);
   ck_assert_uint_eq (plan.second, 2);
   ck_assert_double_gt (plan.threshold, 0.55);
@@ -183,7 +183,7 @@
   cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
   ck_assert_int_eq (plan.kind, CASCADE_DIRECT);
   ck_assert_uint_eq (plan.first, 2);
-  ck_assert_int_ne (plan.reason, CASCADE_R_EXPLORE);
+  ck_assert_int_ne (plan.reason, CASCADE_REASON_EXPLORE);
 
   r.explore_cost_share = 0;
   r.deadline_left_ms = 30000;
@@ -214,11 +214,11 @@
   cascade_request_t r = make_request (candidates, 3, 0.99);
   r.is_rater_available = false;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
-                    CASCADE_R_RATER_DOWN);
+                    CASCADE_REASON_RATER_DOWN);
   r.is_rater_available = true;
   r.streaming = true;
   ck_assert_int_eq (cascade_plan (c, &rng, &r, START_MS).reason,
-                    CASCADE_R_STREAMING);
+                    CASCADE_REASON_STREAMING);
   for (int i = 0; i < CASCADE_REASON_COUNT; i++)
     ck_assert_uint_gt (strlen (cascade_reason_sentence ((cascade_reason_t)i)),
                        10);
@@ -249,8 +249,9 @@
       cascade_plan_t plan = cascade_plan (c, &rng, &r, START_MS);
       base += 15;
       extra += plan.cost - 15;
-      explored += plan.reason == CASCADE_R_EXPLORE;
-      if (plan.reason == CASCADE_R_EXPLORE && plan.kind == CASCADE_TWO_STAGE)
+      explored += plan.reason == CASCADE_REASON_EXPLORE;
+      if (plan.reason == CASCADE_REASON_EXPLORE
+          && plan.kind == CASCADE_TWO_STAGE)
         {
           ck_assert_double_ge (plan.threshold, 0.9);
           ck_assert_uint_eq (plan.second, 2);
@@ -262,7 +263,7 @@
   r.deadline_left_ms = 2500;
   for (int i = 0; i < REQUESTS; i++)
     ck_assert_int_ne (cascade_plan (c, &rng, &r, START_MS).reason,
-                      CASCADE_R_EXPLORE);
+                      CASCADE_REASON_EXPLORE);
   cascade_destroy (c);
 }
 END_TEST
@@ -308,7 +309,7 @@
   static const char *const names[3] = { "small@1", "medium@1", "large@1" };
   static const double priors[3] = { 0.6, 0.7, 0.8 };
   cascade_t *c = cascade_create (seed + 1);
-  quality_t *q = quality_create (seed + 1, &QUALITY_SAMPLING_DEFAULT);
+  quality_t *q = quality_create (seed + 1, &QUALITY_SAMPLING_DEFAULTS);
   rng_t rng = rng_make (seed);
   uint64_t now = START_MS;
   double quality = 0;
--- a/tests/test_confstore.c
+++ b/tests/test_confstore.c
@@ -397,7 +397,7 @@
   buf_append_char (&text, '\0');
   apply (&f, f.a, text.ptr, "amina", 0);
   ck_assert (confstore_write_update (f.a, 0, &update));
-  ck_assert (str_starts (buf_str (&update), STR ("text 1 ")));
+  ck_assert (str_starts_with (buf_str (&update), STR ("text 1 ")));
   ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   size_t full_update_len = update.len;
   text.len--;
@@ -410,7 +410,7 @@
     }
   update.len = 0;
   ck_assert (confstore_write_update (f.a, 1, &update));
-  ck_assert (str_starts (buf_str (&update), STR ("delta 2 ")));
+  ck_assert (str_starts_with (buf_str (&update), STR ("delta 2 ")));
   ck_assert_uint_lt (update.len, full_update_len / 4);
   ck_assert_int_eq (confstore_receive_update (f.b, buf_str (&update)), VH_OK);
   ck_assert_uint_eq (confstore_revision (f.b), 4);
--- a/tests/test_dialect.c
+++ b/tests/test_dialect.c
@@ -195,7 +195,7 @@
       str_t element;
       ck_assert (
           jsonlist_find (str_from (cases[i].text), STR ("list"), &list));
-      str_t rest = jsonlist_inside (list);
+      str_t rest = jsonlist_elements (list);
       for (size_t j = 0; j < 4 && cases[i].elements[j] != NULL; j++)
         {
           ck_assert (jsonlist_next (&rest, &element));
@@ -221,7 +221,7 @@
       size_t count = 0;
       if (!jsonlist_find (str_make (whole, len), STR ("list"), &list))
         continue;
-      str_t rest = jsonlist_inside (list);
+      str_t rest = jsonlist_elements (list);
       while (jsonlist_next (&rest, &element))
         ck_assert_uint_le (++count, 2);
     }
--- a/tests/test_eventlog.c
+++ b/tests/test_eventlog.c
@@ -33,19 +33,19 @@
   f->read_end = ends[0];
   fcntl (f->read_end, F_SETFL, O_NONBLOCK);
   f->clock = clock_manual_create (1000);
-  eventlog_source (STR ("entry-1"), f->clock);
-  eventlog_hold (false);
+  eventlog_set_source (STR ("entry-1"), f->clock);
+  eventlog_set_buffered (false);
 }
 
 static void
 teardown (fixture_t *f)
 {
-  eventlog_hold (false);
+  eventlog_set_buffered (false);
   eventlog_flush ();
   dup2 (f->saved, STDOUT_FILENO);
   close (f->saved);
   close (f->read_end);
-  eventlog_source (STR (""), NULL);
+  eventlog_set_source (STR (""), NULL);
   clock_manual_destroy (f->clock);
 }
 
@@ -70,9 +70,9 @@
   char text[1024];
 
   setup (&f);
-  log_event (EVENT_REFUSED, field_text (FIELD_ID, STR ("a b=\"c\"\nx")),
-             field_number (FIELD_STATUS, 503),
-             field_text (FIELD_REASON, STR ("full")));
+  log_event (EVENT_REFUSED, log_field_text (FIELD_ID, STR ("a b=\"c\"\nx")),
+             log_field_number (FIELD_STATUS, 503),
+             log_field_text (FIELD_REASON, STR ("full")));
   drain (&f, text, sizeof text);
   teardown (&f);
   ck_assert_str_eq (text,
@@ -93,12 +93,12 @@
   setup (&f);
   for (int i = 0; i < FLOOD; i++)
     {
-      log_event (EVENT_SENT, field_number (FIELD_COUNT, (uint64_t)i));
+      log_event (EVENT_SENT, log_field_number (FIELD_COUNT, (uint64_t)i));
       if (i == FLOOD / 2)
-        log_event (EVENT_ZONE_OUT, field_text (FIELD_ZONE, STR ("z")));
+        log_event (EVENT_ZONE_OUT, log_field_text (FIELD_ZONE, STR ("z")));
     }
   clock_manual_advance_us (f.clock, 1000000);
-  log_event (EVENT_SENT, field_number (FIELD_COUNT, 0));
+  log_event (EVENT_SENT, log_field_number (FIELD_COUNT, 0));
   drain (&f, text, sizeof text);
   teardown (&f);
   for (const char *at = text; (at = strstr (at, "event=request.sent")) != NULL;
@@ -120,19 +120,19 @@
 {
   fixture_t f;
   static char text[1 << 20];
-  uint64_t before = eventlog_dropped ();
+  uint64_t before = eventlog_dropped_lines ();
 
   setup (&f);
   for (int second = 0; second < 100; second++)
     {
       for (int i = 0; i < 100; i++)
-        log_event (EVENT_REFUSED, field_text (FIELD_ID, STR ("a")),
-                   field_text (FIELD_REASON, STR ("full")));
+        log_event (EVENT_REFUSED, log_field_text (FIELD_ID, STR ("a")),
+                   log_field_text (FIELD_REASON, STR ("full")));
       clock_manual_advance_us (f.clock, 1000000);
     }
-  uint64_t dropped = eventlog_dropped () - before;
+  uint64_t dropped = eventlog_dropped_lines () - before;
   ck_assert_uint_gt (drain (&f, text, sizeof text), 4096);
-  log_event (EVENT_ZONE_BACK, field_text (FIELD_ZONE, STR ("z")));
+  log_event (EVENT_ZONE_BACK, log_field_text (FIELD_ZONE, STR ("z")));
   drain (&f, text, sizeof text);
   teardown (&f);
   ck_assert_uint_gt (dropped, 1000);
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -18,13 +18,13 @@
   size_t sum = 0;
 
   for (size_t i = 0; i < f->upstream_count; i++)
-    sum += fake_upstream_requests (f->upstreams[i]);
+    sum += fake_upstream_request_count (f->upstreams[i]);
   return sum;
 }
 
 /* Make all upstreams respond with ACT.  */
 static void
-script_all (gateway_fixture_t *f, act_t act)
+script_all (gateway_fixture_t *f, fake_action_t act)
 {
   for (size_t i = 0; i < f->upstream_count; i++)
     fake_upstream_script (f->upstreams[i], &act, 1);
@@ -53,7 +53,7 @@
   ck_assert (caller_response_contains (&caller, "by up-0"));
   ck_assert (caller_response_contains (&caller,
                                        "vanillahook-answer-mac: mac-of-up-0"));
-  const char *forwarded = fake_upstream_last (f.upstreams[0]);
+  const char *forwarded = fake_upstream_last_request (f.upstreams[0]);
   ck_assert_ptr_nonnull (strstr (forwarded, "POST /read/a?b=1 HTTP/1.1\r\n"));
   ck_assert_ptr_nonnull (strstr (forwarded, "vanillahook-team: coast\r\n"));
   ck_assert_ptr_nonnull (
@@ -105,8 +105,8 @@
    upstream, and the caller must receive 502 with the outcome `unknown'.  */
 START_TEST (non_idempotent_request_is_sent_once)
 {
-  static const act_t acts[]
-      = { ACT_RESET, ACT_SHORT, ACT_FOREIGN, ACT_NO_MAC };
+  static const fake_action_t acts[]
+      = { ACT_RESET, ACT_TRUNCATE_BODY, ACT_OTHER_ATTEMPT_ID, ACT_NO_MAC };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -131,7 +131,7 @@
    Retry-After.  */
 START_TEST (request_not_run_is_retried_or_refused)
 {
-  static const act_t shed[] = { ACT_SHED };
+  static const fake_action_t shed[] = { ACT_REFUSE_NOT_RUN };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -145,7 +145,7 @@
       ck_assert (caller_response_contains (&caller, "by up-1"));
       caller_free (&f, &caller);
     }
-  script_all (&f, ACT_SHED);
+  script_all (&f, ACT_REFUSE_NOT_RUN);
   gateway_fixture_request (&f, &caller, "POST", "/book/", REQUEST_HEADERS,
                            "pay");
   ck_assert_int_eq (caller_status (&caller), 503);
@@ -164,7 +164,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 3);
-  script_all (&f, ACT_SHED);
+  script_all (&f, ACT_REFUSE_NOT_RUN);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
   ck_assert_uint_eq (count_upstream_requests (&f), 3);
@@ -178,8 +178,9 @@
    message authentication code.  The other upstream must answer.  */
 START_TEST (idempotent_request_is_retried)
 {
-  static const act_t acts[]
-      = { ACT_ERROR, ACT_RESET, ACT_SHORT, ACT_FOREIGN, ACT_NO_MAC };
+  static const fake_action_t acts[]
+      = { ACT_ERROR, ACT_RESET, ACT_TRUNCATE_BODY, ACT_OTHER_ATTEMPT_ID,
+          ACT_NO_MAC };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -205,7 +206,7 @@
    each event once, in one response.  */
 START_TEST (interrupted_stream_is_resumed)
 {
-  static const act_t acts[] = { ACT_STREAM_BREAK, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_CUT_IN_EVENT, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -224,8 +225,8 @@
     }
   ck_assert (!caller_response_contains (&caller, "ha\r\n"));
   ck_assert (caller_response_contains (&caller, "\r\n0\r\n\r\n"));
-  ck_assert_ptr_nonnull (
-      strstr (fake_upstream_last (f.upstreams[0]), "Last-Event-Id: 2\r\n"));
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
+                                 "Last-Event-Id: 2\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -236,7 +237,7 @@
    stalled call must be cancelled.  */
 START_TEST (stalled_stream_is_resumed)
 {
-  static const act_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -247,7 +248,7 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   ck_assert (caller_response_contains (&caller, "data: e5\n"));
   ck_assert (caller_response_contains (&caller, "\r\n0\r\n\r\n"));
-  gateway_fixture_wait (&f, fake_upstream_abandoned (f.upstreams[0]) == 1);
+  gateway_fixture_wait (&f, fake_upstream_abort_count (f.upstreams[0]) == 1);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -258,7 +259,7 @@
    there, because another engine would have to repeat the work.  */
 START_TEST (stream_stays_at_busy_engine)
 {
-  static const act_t acts[] = { ACT_STREAM_PAUSE };
+  static const fake_action_t acts[] = { ACT_STREAM_PAUSE };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -286,8 +287,8 @@
   script_all (&f, ACT_STREAM_PAUSE);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
-  first_index = fake_upstream_requests (f.upstreams[0]) > 0 ? 0 : 1;
-  fake_upstream_vanish (f.upstreams[first_index]);
+  first_index = fake_upstream_request_count (f.upstreams[0]) > 0 ? 0 : 1;
+  fake_upstream_go_silent (f.upstreams[first_index]);
   uint64_t start_ms = uv_hrtime () / 1000000;
   gateway_fixture_wait (&f, count_upstream_requests (&f) == 2);
   ck_assert_uint_lt (uv_hrtime () / 1000000 - start_ms, PAUSE_MS + 200);
@@ -306,7 +307,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  script_all (&f, ACT_SILENT);
+  script_all (&f, ACT_NO_RESPONSE);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_request (&f, &caller, "POST", "/chat/",
                            REQUEST_HEADERS "vanillahook-deadline-ms: 560\r\n",
@@ -338,7 +339,7 @@
     caller_start (&f, &other_callers[i], "POST", "/chat/", REQUEST_HEADERS,
                   "{}");
   gateway_fixture_wait (&f, count_upstream_requests (&f) == OTHER_CALLERS);
-  script_all (&f, ACT_STREAM_BREAK);
+  script_all (&f, ACT_STREAM_CUT_IN_EVENT);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
   run_loop_for (&f, 100);
@@ -364,7 +365,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  script_all (&f, ACT_STREAM_BREAK);
+  script_all (&f, ACT_STREAM_CUT_IN_EVENT);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -382,7 +383,8 @@
    must not cause a second send.  */
 START_TEST (low_confidence_escalates_to_larger_model)
 {
-  static const act_t acts[] = { ACT_STREAM_DOUBT, ACT_STREAM };
+  static const fake_action_t acts[]
+      = { ACT_STREAM_LOW_CONFIDENCE, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -393,13 +395,13 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   ck_assert (!caller_response_contains (&caller, "confidence"));
   ck_assert_uint_eq (count_upstream_requests (&f), 2);
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-model: large\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
   ck_assert_uint_eq (count_upstream_requests (&f), 3);
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-model: small\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
@@ -417,9 +419,9 @@
   gateway_fixture_setup (&f, 1);
   gateway_fixture_request (&f, &caller, "POST", "/chat/",
                            REQUEST_HEADERS "vanillahook-urgency: 0\r\n", "{}");
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-urgency: 3\r\n"));
-  ck_assert_ptr_null (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_null (strstr (fake_upstream_last_request (f.upstreams[0]),
                               "vanillahook-urgency: 0\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
@@ -477,7 +479,7 @@
    call to the upstream must be cancelled at once, not at the deadline.  */
 START_TEST (disconnect_cancels_upstream_request)
 {
-  static const act_t acts[] = { ACT_SILENT, ACT_STREAM_STALL };
+  static const fake_action_t acts[] = { ACT_NO_RESPONSE, ACT_STREAM_STALL };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -489,8 +491,8 @@
       gateway_fixture_wait (&f, count_upstream_requests (&f) == i + 1);
       caller_disconnect (&caller);
       uint64_t left_ms = uv_now (&f.loop);
-      gateway_fixture_wait (&f,
-                            fake_upstream_abandoned (f.upstreams[0]) == i + 1);
+      gateway_fixture_wait (&f, fake_upstream_abort_count (f.upstreams[0])
+                                    == i + 1);
       ck_assert_uint_lt (uv_now (&f.loop) - left_ms, 400);
       caller_free (&f, &caller);
     }
@@ -507,7 +509,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  script_all (&f, ACT_STREAM_BIG);
+  script_all (&f, ACT_STREAM_BIG_EVENT);
   for (size_t i = 0; i < 4; i++)
     {
       caller_start_without_reading (&f, &caller, "/chat/", REQUEST_HEADERS);
@@ -531,7 +533,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  script_all (&f, ACT_SILENT);
+  script_all (&f, ACT_NO_RESPONSE);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_request (&f, &caller, "POST", "/book/", REQUEST_HEADERS,
                            "pay");
@@ -810,7 +812,7 @@
    period and then rejected as not run, and the stop must finish by itself.  */
 START_TEST (planned_stop_aborts_no_request)
 {
-  static const act_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
   gateway_fixture_t f;
   caller_t stream;
   caller_t caller;
@@ -871,7 +873,7 @@
    after the first half of the time limit, and the roll-out must finish.  */
 START_TEST (working_version_is_rolled_out)
 {
-  static const act_t stream[] = { ACT_STREAM };
+  static const fake_action_t stream[] = { ACT_STREAM };
   gateway_fixture_t f;
 
   gateway_fixture_setup (&f, 2);
@@ -881,9 +883,10 @@
   fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 running");
-  size_t count_before = fake_upstream_requests (f.upstreams[1]);
+  size_t count_before = fake_upstream_request_count (f.upstreams[1]);
   request_until_status (&f, "v2 done");
-  ck_assert_uint_gt (fake_upstream_requests (f.upstreams[1]), count_before);
+  ck_assert_uint_gt (fake_upstream_request_count (f.upstreams[1]),
+                     count_before);
   gateway_fixture_teardown (&f);
 }
 END_TEST
@@ -928,8 +931,8 @@
    failed requests are sent again to the old version.  */
 START_TEST (failing_version_is_rolled_back)
 {
-  static const act_t stream[] = { ACT_STREAM };
-  static const act_t error[] = { ACT_ERROR };
+  static const fake_action_t stream[] = { ACT_STREAM };
+  static const fake_action_t error[] = { ACT_ERROR };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -942,7 +945,7 @@
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 taken-back");
   ck_assert_uint_eq (failed_request_count, 0);
-  size_t sent_before = fake_upstream_requests (f.upstreams[1]);
+  size_t sent_before = fake_upstream_request_count (f.upstreams[1]);
   ck_assert_uint_gt (sent_before, 0);
   /* The limit on requests a second to one upstream applies to all callers
      together, so wait until it allows requests again.  */
@@ -954,7 +957,8 @@
       ck_assert_int_eq (caller_status (&caller), 200);
       caller_free (&f, &caller);
     }
-  ck_assert_uint_eq (fake_upstream_requests (f.upstreams[1]), sent_before);
+  ck_assert_uint_eq (fake_upstream_request_count (f.upstreams[1]),
+                     sent_before);
   gateway_fixture_teardown (&f);
 }
 END_TEST
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -362,7 +362,7 @@
 
   if (!f->over_http)
     {
-      platform_memory_instance (f->platform, &row);
+      platform_memory_put_instance (f->platform, &row);
       return;
     }
   buf_printf (&body,
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -127,7 +127,7 @@
   count = start_requests (&f, 60, used);
   ck_assert_uint_gt (count, 2);
   for (size_t i = 0; i < count; i++)
-    ck_assert_uint_lt (upstream_running (used[i]), 40);
+    ck_assert_uint_lt (upstream_running_count (used[i]), 40);
   teardown (&f);
   teardown (&other);
 }
@@ -208,7 +208,8 @@
   str_t id = upstream_id (choose (&other));
   ck_assert (str_eq (id, upstream_id (used[0]))
              || str_eq (id, upstream_id (used[1])));
-  while (upstream_running (used[0]) + upstream_running (used[1]) < 2 * 64)
+  while (upstream_running_count (used[0]) + upstream_running_count (used[1])
+         < 2 * 64)
     pool_request_started (f.pool, choose (&f), 0);
   upstream_t *third = choose (&f);
   ck_assert (third != used[0] && third != used[1]);
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -26,7 +26,7 @@
 static quality_t *
 make_quality (uint64_t writer)
 {
-  return quality_create (writer, &QUALITY_SAMPLING_DEFAULT);
+  return quality_create (writer, &QUALITY_SAMPLING_DEFAULTS);
 }
 
 static bool
@@ -280,7 +280,7 @@
     }
   quality_write (a, true, &delayed_message);
   send_state (a, true, b, later);
-  quality_fold_epochs (b, 7, later);
+  quality_compact (b, 7, later);
   send_state (b, false, c, later);
   quality_merge (c, buf_str (&delayed_message), later);
   quality_merge (b, buf_str (&delayed_message), later);
@@ -317,8 +317,8 @@
   for (int i = 0; i < 50; i++)
     quality_add_rating (writer, task, version, 0.8, START_MS);
   send_state (writer, true, new_holder, START_MS);
-  quality_fold_epochs (old_holder, 7, later);
-  quality_fold_epochs (new_holder, 8, later);
+  quality_compact (old_holder, 7, later);
+  quality_compact (new_holder, 8, later);
   for (int order = 0; order < 2; order++)
     {
       quality_t *receiver = make_quality (4);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -74,7 +74,7 @@
 static job_t *
 push_normal (int team, uint32_t cost)
 {
-  return push_job (team, cost, QUEUE_NORMAL, QUEUE_NO_DEADLINE);
+  return push_job (team, cost, QUEUE_PRIORITY_NORMAL, QUEUE_NO_DEADLINE);
 }
 
 static job_t *
@@ -245,7 +245,7 @@
     {
       job_t *job = &jobs[job_count++];
       queue_job_t description
-          = { str_from (name), 100, QUEUE_NORMAL, QUEUE_NO_DEADLINE };
+          = { str_from (name), 100, QUEUE_PRIORITY_NORMAL, QUEUE_NO_DEADLINE };
       queue_waiter_t *evicted;
 
       name[5] = (char)('0' + i % 10);
@@ -259,18 +259,18 @@
 
 START_TEST (priority_orders_jobs_within_team_only)
 {
-  job_t *low = push_job (0, 10, QUEUE_LOW, QUEUE_NO_DEADLINE);
-  job_t *normal = push_job (0, 10, QUEUE_NORMAL, QUEUE_NO_DEADLINE);
-  job_t *high = push_job (0, 10, QUEUE_HIGH, QUEUE_NO_DEADLINE);
+  job_t *low = push_job (0, 10, QUEUE_PRIORITY_LOW, QUEUE_NO_DEADLINE);
+  job_t *normal = push_job (0, 10, QUEUE_PRIORITY_NORMAL, QUEUE_NO_DEADLINE);
+  job_t *high = push_job (0, 10, QUEUE_PRIORITY_HIGH, QUEUE_NO_DEADLINE);
   uint64_t served[3] = { 0 };
 
   ck_assert_ptr_eq (pop_job (), high);
   ck_assert_ptr_eq (pop_job (), normal);
   ck_assert_ptr_eq (pop_job (), low);
   for (int i = 0; i < 100; i++)
-    push_job (0, 10, QUEUE_HIGH, QUEUE_NO_DEADLINE);
+    push_job (0, 10, QUEUE_PRIORITY_HIGH, QUEUE_NO_DEADLINE);
   for (int i = 0; i < 100; i++)
-    push_job (1, 10, QUEUE_LOW, QUEUE_NO_DEADLINE);
+    push_job (1, 10, QUEUE_PRIORITY_LOW, QUEUE_NO_DEADLINE);
   serve (100, served);
   ck_assert_uint_ge (served[1], 480);
 }
@@ -278,16 +278,17 @@
 
 START_TEST (low_priority_is_not_starved)
 {
-  job_t *low = push_job (0, 10, QUEUE_LOW, QUEUE_NO_DEADLINE);
+  job_t *low = push_job (0, 10, QUEUE_PRIORITY_LOW, QUEUE_NO_DEADLINE);
   uint64_t start_us = clock_us (manual_clock);
 
   while (low->waiting)
     {
-      push_job (0, 10, QUEUE_HIGH, QUEUE_NO_DEADLINE);
+      push_job (0, 10, QUEUE_PRIORITY_HIGH, QUEUE_NO_DEADLINE);
       run_job (pop_job (), 10);
     }
   ck_assert_uint_le (clock_us (manual_clock) - start_us,
-                     (QUEUE_LOW * QUEUE_REORDER_MAX_MS + 100) * 1000ul);
+                     (QUEUE_PRIORITY_LOW * QUEUE_REORDER_MAX_MS + 100)
+                         * 1000ul);
 }
 END_TEST
 
@@ -397,7 +398,7 @@
   serve (1, served);
   deadline_us = clock_us (manual_clock) + jobs_us (10);
   for (int i = 0; i < 30; i++)
-    if (push_job (0, SHORT_COST, QUEUE_NORMAL, deadline_us) != NULL)
+    if (push_job (0, SHORT_COST, QUEUE_PRIORITY_NORMAL, deadline_us) != NULL)
       accepted++;
   /* Ten jobs fit at most; the wait may take half of the slack of nine jobs. */
   ck_assert_int_ge (accepted, 4);
@@ -429,7 +430,7 @@
                      waiting_us);
   ck_assert_uint_le (queue_estimate_wait_us (queue, teams[1], SHORT_COST),
                      jobs_us (3));
-  ck_assert_ptr_nonnull (push_job (1, SHORT_COST, QUEUE_NORMAL,
+  ck_assert_ptr_nonnull (push_job (1, SHORT_COST, QUEUE_PRIORITY_NORMAL,
                                    clock_us (manual_clock) + jobs_us (6)));
   serve (2, served);
   ck_assert_uint_eq (served[1], SHORT_COST);
@@ -455,7 +456,7 @@
   serve (1, served);
   push_normal (0, SHORT_COST);
   push_normal (0, SHORT_COST);
-  late_job = push_job (0, SHORT_COST, QUEUE_NORMAL,
+  late_job = push_job (0, SHORT_COST, QUEUE_PRIORITY_NORMAL,
                        clock_us (manual_clock) + jobs_us (8));
   ck_assert_ptr_nonnull (late_job);
   pop_job ();
--- a/tests/test_rollout.c
+++ b/tests/test_rollout.c
@@ -70,7 +70,7 @@
 {
   static const double means[TASKS] = { 0.9, 0.8, 0.6 };
   bool is_affected
-      = arm == ROLLOUT_NEW
+      = arm == ROLLOUT_ARM_NEW
         && (sim->regression.task < 0 || sim->regression.task == task);
   double error = 0.005 + (is_affected ? sim->regression.error : 0);
   double rating = means[task] + 0.15 * draw_normal (&sim->rng);
@@ -95,7 +95,7 @@
 simulate_request (simulation_t *sim)
 {
   bool is_new = rollout_is_assigned (sim->run, rng_u64 (&sim->rng));
-  rollout_arm_t arm = is_new ? ROLLOUT_NEW : ROLLOUT_OLD;
+  rollout_arm_t arm = is_new ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
   int task = draw_task (sim);
 
   rollout_count_exposure (sim->run, arm, sim->now_ms);
@@ -258,7 +258,7 @@
   sim.is_rating_down = true;
   while (sim.requests < REQUESTS_MAX)
     simulate_request (&sim);
-  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_STARVED);
+  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_CAP_REACHED);
   ck_assert_uint_eq (rollout_exposed_count (sim.run), cap);
   ck_assert (!rollout_is_assigned (sim.run, 12345));
   ck_assert (rollout_resume (sim.run));
@@ -268,7 +268,7 @@
   ck_assert_uint_eq (rollout_exposed_count (sim.run), 2 * cap);
   /* A pause before the resume must not reduce the cap that the resume
      grants.  */
-  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_STARVED);
+  ck_assert_int_eq (rollout_phase (sim.run), ROLLOUT_PHASE_CAP_REACHED);
   ck_assert (rollout_pause (sim.run));
   sim.is_rating_down = false;
   ck_assert (rollout_resume (sim.run));
@@ -289,7 +289,7 @@
 
   for (int i = 0; i < REQUESTS_MAX; i++)
     if (rollout_is_assigned (run, rng_u64 (&rng)))
-      rollout_count_exposure (run, ROLLOUT_NEW, START_MS + (uint64_t)i);
+      rollout_count_exposure (run, ROLLOUT_ARM_NEW, START_MS + (uint64_t)i);
   ck_assert_uint_eq (rollout_exposed_count (run), rollout_exposure_cap (run));
   rollout_destroy (run);
 }
@@ -386,7 +386,7 @@
       rollout_run_t *run = writers[m % WRITERS];
       for (int i = 0; i < 20; i++)
         {
-          rollout_arm_t arm = i % 2 == 0 ? ROLLOUT_NEW : ROLLOUT_OLD;
+          rollout_arm_t arm = i % 2 == 0 ? ROLLOUT_ARM_NEW : ROLLOUT_ARM_OLD;
           rollout_sample_t s = { .finished = true,
                                  .latency_ms = 500 + 10 * i,
                                  .rated = true,
@@ -408,8 +408,8 @@
     rollout_merge (shuffled, buf_str (&messages[m]), START_MS);
   ck_assert (has_same_state (ordered, shuffled));
   ck_assert_uint_eq (rollout_exposed_count (shuffled), EXPOSED);
-  ck_assert_uint_eq (rollout_estimate (shuffled, ROLLOUT_RATING).count_new,
-                     EXPOSED);
+  ck_assert_uint_eq (
+      rollout_estimate (shuffled, ROLLOUT_METRIC_RATING).count_new, EXPOSED);
   for (int m = 0; m < MESSAGES; m++)
     buf_free (&messages[m]);
   for (int i = 0; i < WRITERS; i++)
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -43,7 +43,7 @@
                                .address = STR ("127.0.0.1:1"),
                                .state = state };
 
-  platform_memory_instance (f->base.memory, &row);
+  platform_memory_put_instance (f->base.memory, &row);
 }
 
 /* Poll the list, assert that the events since the last call are EVENTS, and
@@ -177,7 +177,7 @@
 
   setup (&f);
   roster_report_draining (f.roster, STR ("r-1"), true);
-  platform_memory_instance (f.base.memory, &row);
+  platform_memory_put_instance (f.base.memory, &row);
   assert_events (&f, STR ("~r-1:draining ~r-1:up "));
   ck_assert (str_eq (roster_find (f.roster, STR ("r-1"))->address,
                      STR ("127.0.0.2:1")));
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -288,7 +288,7 @@
   start_sync (&f);
   WAIT_FOR (&f, f.value_len == 100);
   /* Reach the end of the wait of a watch call.  */
-  loop_wait_pass (&f.wait, 1200);
+  loop_wait_for_ms (&f.wait, 1200);
   store_put (&f, LARGE_BYTES);
   uint64_t start_ms = uv_now (&f.loop);
   WAIT_FOR (&f, f.value_len == LARGE_BYTES);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -71,7 +71,7 @@
 static void
 run_for (fixture_t *f, uint64_t ms)
 {
-  loop_wait_pass (&f->wait, ms);
+  loop_wait_for_ms (&f->wait, ms);
 }
 
 static void
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -240,7 +240,7 @@
     }
   for (int i = 0; i < GATEWAYS; i++)
     LOOP_WAIT (&f->wait, strcmp (f->gateways[i].value, "one") == 0);
-  loop_wait_pass (&f->wait, 500);
+  loop_wait_for_ms (&f->wait, 500);
 }
 
 static void
@@ -291,7 +291,7 @@
 {
   for (uint64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += 100)
     {
-      loop_wait_pass (&f->wait, 100);
+      loop_wait_for_ms (&f->wait, 100);
       for (int i = 0; i < GATEWAYS; i++)
         if (f->gateways[i].peer_rows != NULL)
           ck_assert_uint_lt (table_sync_age_ms (f->gateways[i].sync),
@@ -326,7 +326,7 @@
   setup (&f);
   fake_rows_set_down (f.store, true);
   size_t calls_before = fake_rows_call_count (f.store);
-  loop_wait_pass (&f.wait, OUTAGE_S * 1000);
+  loop_wait_for_ms (&f.wait, OUTAGE_S * 1000);
   ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before,
                      OUTAGE_S * 30);
   fake_rows_set_down (f.store, false);
@@ -377,7 +377,7 @@
   run_trusted (&f, 6000);
   f.gateways[0].refusing_store.is_refusing = false;
   f.gateways[1].refusing_store.is_refusing = false;
-  loop_wait_pass (&f.wait, 4000);
+  loop_wait_for_ms (&f.wait, 4000);
   ck_assert_uint_lt (propagate (&f, "three"), 1000);
   teardown (&f);
 }
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -43,7 +43,7 @@
 {
   char listen[40];
 
-  *port = harness_port (harness);
+  *port = harness_find_free_port (harness);
   snprintf (listen, sizeof listen, "--listen=%s:%u", harness_host (harness),
             *port);
   proc_t *proc = harness_start (harness, program + 6, program, listen,
@@ -233,7 +233,7 @@
 START_TEST (service_keeps_run_counts_across_restart)
 {
   uint16_t port;
-  const char *counts = harness_path (harness, "counts");
+  const char *counts = harness_file_path (harness, "counts");
   char option[300];
 
   snprintf (option, sizeof option, "--count-file=%s", counts);
@@ -271,7 +271,7 @@
   char target_option[40];
   char control_option[40];
 
-  *control_port = harness_port (harness);
+  *control_port = harness_find_free_port (harness);
   snprintf (target_option, sizeof target_option, "--target=%s:%u",
             harness_host (harness), target);
   snprintf (control_option, sizeof control_option, "--control=%s:%u",
@@ -386,7 +386,7 @@
       = harness_start (harness, "client", "tests/standin_client", target,
                        "--requests=20", "--service=x", NULL);
   ck_assert_int_eq (proc_wait (client, WAIT_MS), 0);
-  proc_output (client, false, &output);
+  proc_read_output (client, false, &output);
   ck_assert_ptr_nonnull (memmem (output.ptr, output.len, "whole 0\n", 8));
   ck_assert_ptr_nonnull (
       memmem (output.ptr, output.len, "end upstream_cut 20\n", 20));
