--- a/tests/test_trial.c
+++ b/tests/test_trial.c
@@ -83,16 +83,18 @@
           result.requests++;
           result.new_requests += is_new;
           trial_outcome_t failure = version->loses_connection && is_new
-                                        ? TRIAL_CONNECTION_LOST
-                                        : TRIAL_FAILED;
+                                        ? TRIAL_OUTCOME_CONNECTION_LOST
+                                        : TRIAL_OUTCOME_FAILED;
           trial_observe (
-              trial, is_new ? TRIAL_NEW : TRIAL_OLD, route,
-              rng_double (&rng) < failure_share ? failure : TRIAL_ANSWERED,
+              trial, is_new ? TRIAL_ARM_NEW : TRIAL_ARM_OLD, route,
+              rng_double (&rng) < failure_share ? failure
+                                                : TRIAL_OUTCOME_ANSWERED,
               is_bad ? wait_ms * version->latency_factor : wait_ms, false);
         }
       for (int i = 0;
            ms == version->crash_ms && ms > 0 && i < CRASH_LOST_REQUESTS; i++)
-        trial_observe (trial, TRIAL_NEW, 0, TRIAL_CONNECTION_LOST, 0, false);
+        trial_observe (trial, TRIAL_ARM_NEW, 0, TRIAL_OUTCOME_CONNECTION_LOST,
+                       0, false);
       if (ms == TIME_LIMIT_MS / 2 - TICK_MS)
         result.share_at_half = trial_share (trial, now_ms);
       if (ms % 1000 != 0)
@@ -100,18 +102,18 @@
       trial_decay (trial);
       switch (trial_decide (trial, now_ms, is_store_down, &reason))
         {
-        case TRIAL_WAIT:
+        case TRIAL_DECISION_WAIT:
           break;
-        case TRIAL_ADVANCE:
+        case TRIAL_DECISION_ADVANCE:
           trial_set_progress (trial, START_MS, trial_step (trial) + 1,
                               now_ms + TRIAL_STEP_NOTICE_MS);
           break;
-        case TRIAL_ROLL_BACK:
-          result.phase = TRIAL_ROLLED_BACK;
+        case TRIAL_DECISION_ROLL_BACK:
+          result.phase = TRIAL_PHASE_ROLLED_BACK;
           result.end_ms = ms;
           goto finished;
-        case TRIAL_FINISH:
-          result.phase = TRIAL_DONE;
+        case TRIAL_DECISION_FINISH:
+          result.phase = TRIAL_PHASE_DONE;
           result.end_ms = ms;
           goto finished;
         }
@@ -132,7 +134,7 @@
     {
       result_t result = run_rollout (&good, seed);
       ck_assert_double_eq (result.share_at_half, 0);
-      if (result.phase == TRIAL_ROLLED_BACK)
+      if (result.phase == TRIAL_PHASE_ROLLED_BACK)
         rolled_back++;
       else
         ck_assert_uint_le (result.end_ms, TIME_LIMIT_MS);
@@ -164,7 +166,7 @@
     for (uint64_t seed = 1; seed <= 50; seed++)
       {
         result_t result = run_rollout (&bad[i], seed);
-        ck_assert_msg (result.phase == TRIAL_ROLLED_BACK,
+        ck_assert_msg (result.phase == TRIAL_PHASE_ROLLED_BACK,
                        "version %zu, seed %d", i, (int)seed);
         ck_assert_msg (result.new_requests < 0.15 * 80 * 24 + 30,
                        "version %zu, seed %d: new version got %u requests", i,
@@ -185,7 +187,7 @@
   int done = 0;
 
   for (uint64_t seed = 1; seed <= 200; seed++)
-    done += run_rollout (&bad, seed).phase == TRIAL_DONE;
+    done += run_rollout (&bad, seed).phase == TRIAL_PHASE_DONE;
   /* The version gets about a dozen requests on this route; with a chance of
      one in fifty at most one of them fails.  */
   ck_assert_int_le (done, 8);
@@ -207,14 +209,17 @@
       buf_t reason = BUF_NULL;
       trial_set_progress (trial, START_MS, TRIAL_STEP_INCREASED, START_MS);
       for (int i = 0; i < 400; i++)
-        trial_observe (trial, TRIAL_OLD, (uint64_t)i % 2, TRIAL_ANSWERED, 50,
-                       false);
+        trial_observe (trial, TRIAL_ARM_OLD, (uint64_t)i % 2,
+                       TRIAL_OUTCOME_ANSWERED, 50, false);
       for (int i = 0; i < 40; i++)
-        trial_observe (trial, TRIAL_NEW, 0, TRIAL_ANSWERED, 50, false);
+        trial_observe (trial, TRIAL_ARM_NEW, 0, TRIAL_OUTCOME_ANSWERED, 50,
+                       false);
       for (int i = 0; i < answers; i++)
-        trial_observe (trial, TRIAL_NEW, 1, TRIAL_ANSWERED, 50, false);
+        trial_observe (trial, TRIAL_ARM_NEW, 1, TRIAL_OUTCOME_ANSWERED, 50,
+                       false);
       ck_assert_int_eq (trial_decide (trial, end_ms, false, &reason),
-                        answers > 0 ? TRIAL_FINISH : TRIAL_ROLL_BACK);
+                        answers > 0 ? TRIAL_DECISION_FINISH
+                                    : TRIAL_DECISION_ROLL_BACK);
       buf_free (&reason);
       trial_destroy (trial);
     }
@@ -239,7 +244,7 @@
                 .bad_route = -1,
                 .requests_per_tick = requests_per_s_values[i] };
         result_t result = run_rollout (&no_visible_fault, seed);
-        if (result.phase == TRIAL_ROLLED_BACK)
+        if (result.phase == TRIAL_PHASE_ROLLED_BACK)
           continue;
         ck_assert_uint_le (result.end_ms, TIME_LIMIT_MS);
         double ticks_after_end
@@ -260,22 +265,23 @@
     {
       trial_t *trial
           = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
-      trial_decision_t decision = TRIAL_WAIT;
+      trial_decision_t decision = TRIAL_DECISION_WAIT;
       rng_t rng = rng_make (seed);
       buf_t reason = BUF_NULL;
       trial_set_progress (trial, START_MS, TRIAL_STEP_INCREASED, START_MS);
-      for (int i = 0; i < 1200 && decision == TRIAL_WAIT; i++)
+      for (int i = 0; i < 1200 && decision == TRIAL_DECISION_WAIT; i++)
         {
-          trial_arm_t arm = i % 2 == 0 ? TRIAL_NEW : TRIAL_OLD;
+          trial_arm_t arm = i % 2 == 0 ? TRIAL_ARM_NEW : TRIAL_ARM_OLD;
           bool is_loaded = i / 2 % 8 == 0;
           bool is_failure
-              = arm == TRIAL_NEW && is_loaded && rng_double (&rng) < 0.4;
+              = arm == TRIAL_ARM_NEW && is_loaded && rng_double (&rng) < 0.4;
           trial_observe (trial, arm, rng_below (&rng, TRIAL_ROUTE_CELLS),
-                         is_failure ? TRIAL_FAILED : TRIAL_ANSWERED, 60,
-                         is_loaded);
+                         is_failure ? TRIAL_OUTCOME_FAILED
+                                    : TRIAL_OUTCOME_ANSWERED,
+                         60, is_loaded);
           decision = trial_decide (trial, START_MS + 1, false, &reason);
         }
-      ck_assert_int_eq (decision, TRIAL_ROLL_BACK);
+      ck_assert_int_eq (decision, TRIAL_DECISION_ROLL_BACK);
       buf_free (&reason);
       trial_destroy (trial);
     }
@@ -291,15 +297,15 @@
   for (int i = 0; i < requests_per_s; i++)
     {
       bool is_new = trial_is_assigned (trial, rng_u64 (rng), now_ms);
-      trial_arm_t arm = is_new ? TRIAL_NEW : TRIAL_OLD;
+      trial_arm_t arm = is_new ? TRIAL_ARM_NEW : TRIAL_ARM_OLD;
       uint32_t load = (uint32_t)(8 + rng_below (rng, 25));
       double jitter = 0.8 + 0.5 * rng_double (rng);
       double gap_ms = (20 + load) * jitter * (is_new ? latency_factor : 1);
       /* One first event in ten waits behind a long prompt.  */
       double first_ms = 60 + (rng_below (rng, 10) == 0 ? 500 : 0);
       uint64_t route = rng_below (rng, TRIAL_ROUTE_CELLS);
-      trial_observe (trial, arm, route, TRIAL_ANSWERED, (uint64_t)first_ms,
-                     false);
+      trial_observe (trial, arm, route, TRIAL_OUTCOME_ANSWERED,
+                     (uint64_t)first_ms, false);
       trial_observe_timing (trial, arm, route, TRIAL_TIMING_FIRST_EVENT, load,
                             first_ms, now_ms);
       trial_observe_timing (trial, arm, route, TRIAL_TIMING_EVENT_GAP, load,
@@ -318,12 +324,12 @@
   trial_t *trial
       = trial_create (STR ("llm"), STR ("v2"), 1, TIME_LIMIT_MS, EXPOSURE);
   rng_t rng = rng_make (seed);
-  trial_phase_t phase = TRIAL_RUNNING;
+  trial_phase_t phase = TRIAL_PHASE_RUNNING;
   buf_t reason = BUF_NULL;
 
   *new_requests = 0;
   trial_set_progress (trial, START_MS, 0, START_MS);
-  for (uint64_t ms = 0; ms <= TIME_LIMIT_MS && phase == TRIAL_RUNNING;
+  for (uint64_t ms = 0; ms <= TIME_LIMIT_MS && phase == TRIAL_PHASE_RUNNING;
        ms += 1000)
     {
       uint64_t now_ms = START_MS + ms;
@@ -331,13 +337,13 @@
       observe_second (trial, &rng, requests_per_s, latency_factor, now_ms);
       trial_decay (trial);
       trial_decision_t decision = trial_decide (trial, now_ms, false, &reason);
-      if (decision == TRIAL_ADVANCE)
+      if (decision == TRIAL_DECISION_ADVANCE)
         trial_set_progress (trial, START_MS, trial_step (trial) + 1,
                             now_ms + TRIAL_STEP_NOTICE_MS);
-      else if (decision == TRIAL_ROLL_BACK)
-        phase = TRIAL_ROLLED_BACK;
-      else if (decision == TRIAL_FINISH)
-        phase = TRIAL_DONE;
+      else if (decision == TRIAL_DECISION_ROLL_BACK)
+        phase = TRIAL_PHASE_ROLLED_BACK;
+      else if (decision == TRIAL_DECISION_FINISH)
+        phase = TRIAL_PHASE_DONE;
     }
   buf_free (&reason);
   trial_destroy (trial);
@@ -362,13 +368,13 @@
           double new_requests;
           ck_assert_int_eq (run_slow_rollout (requests_per_s_values[i], 4,
                                               seed, &new_requests),
-                            TRIAL_ROLLED_BACK);
+                            TRIAL_PHASE_ROLLED_BACK);
           ck_assert_double_lt (
               new_requests,
               0.15 * requests_per_s_values[i] * TIME_LIMIT_MS / 1000 + 30);
           rolled_back += run_slow_rollout (requests_per_s_values[i], 1, seed,
                                            &new_requests)
-                         == TRIAL_ROLLED_BACK;
+                         == TRIAL_PHASE_ROLLED_BACK;
         }
       ck_assert_msg (rolled_back <= 1,
                      "%d of 100 rolled back at %d requests a second",
@@ -390,21 +396,23 @@
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   for (int i = 0; i < 200; i++)
     {
-      trial_observe (trial, TRIAL_OLD, 1, TRIAL_ANSWERED, 50, false);
-      trial_observe_timing (trial, TRIAL_OLD, 1, TRIAL_TIMING_FIRST_EVENT, 4,
-                            50, after_warm_up_ms);
+      trial_observe (trial, TRIAL_ARM_OLD, 1, TRIAL_OUTCOME_ANSWERED, 50,
+                     false);
+      trial_observe_timing (trial, TRIAL_ARM_OLD, 1, TRIAL_TIMING_FIRST_EVENT,
+                            4, 50, after_warm_up_ms);
     }
   for (int i = 0; i < 30; i++)
     {
-      trial_observe (trial, TRIAL_NEW, 1, TRIAL_ANSWERED, 50, false);
-      trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
-                            i % 4 == 0 ? 500 : 50, after_warm_up_ms);
+      trial_observe (trial, TRIAL_ARM_NEW, 1, TRIAL_OUTCOME_ANSWERED, 50,
+                     false);
+      trial_observe_timing (trial, TRIAL_ARM_NEW, 1, TRIAL_TIMING_FIRST_EVENT,
+                            4, i % 4 == 0 ? 500 : 50, after_warm_up_ms);
     }
   const uint64_t last_ms = START_MS + TIME_LIMIT_MS - TRIAL_ROLLBACK_LEAD_MS;
   ck_assert_int_eq (trial_decide (trial, last_ms - 1, false, &reason),
-                    TRIAL_WAIT);
+                    TRIAL_DECISION_WAIT);
   ck_assert_int_eq (trial_decide (trial, last_ms, false, &reason),
-                    TRIAL_ROLL_BACK);
+                    TRIAL_DECISION_ROLL_BACK);
   buf_free (&reason);
   trial_destroy (trial);
 }
@@ -423,13 +431,14 @@
   for (uint64_t ms = 0; ms < 2000; ms += 5)
     {
       uint64_t now_ms = START_MS + ms;
-      trial_observe_timing (trial, TRIAL_OLD, 1, TRIAL_TIMING_FIRST_EVENT, 4,
-                            50, now_ms);
+      trial_observe_timing (trial, TRIAL_ARM_OLD, 1, TRIAL_TIMING_FIRST_EVENT,
+                            4, 50, now_ms);
       if (ms % 50 == 0)
-        trial_observe_timing (trial, TRIAL_NEW, 1, TRIAL_TIMING_FIRST_EVENT, 4,
+        trial_observe_timing (trial, TRIAL_ARM_NEW, 1,
+                              TRIAL_TIMING_FIRST_EVENT, 4,
                               ms < 1000 ? 400 : 50, now_ms);
       ck_assert_int_eq (trial_decide (trial, now_ms, false, &reason),
-                        TRIAL_WAIT);
+                        TRIAL_DECISION_WAIT);
     }
   buf_free (&reason);
   trial_destroy (trial);
@@ -449,7 +458,7 @@
   int rolled_back = 0;
 
   for (uint64_t seed = 1; seed <= 200; seed++)
-    rolled_back += run_rollout (&good, seed).phase == TRIAL_ROLLED_BACK;
+    rolled_back += run_rollout (&good, seed).phase == TRIAL_PHASE_ROLLED_BACK;
   ck_assert_int_le (rolled_back, 4);
 }
 END_TEST
@@ -464,7 +473,7 @@
                            .bad_route = -1 };
 
   for (uint64_t seed = 1; seed <= 200; seed++)
-    ck_assert_int_eq (run_rollout (&bad, seed).phase, TRIAL_ROLLED_BACK);
+    ck_assert_int_eq (run_rollout (&bad, seed).phase, TRIAL_PHASE_ROLLED_BACK);
 }
 END_TEST
 
@@ -494,8 +503,8 @@
     for (uint64_t seed = 1; seed <= 100; seed++)
       {
         result_t result = run_rollout (&bad[i], seed);
-        ck_assert_msg (result.phase != TRIAL_DONE, "version %zu, seed %d", i,
-                       (int)seed);
+        ck_assert_msg (result.phase != TRIAL_PHASE_DONE,
+                       "version %zu, seed %d", i, (int)seed);
       }
 }
 END_TEST
@@ -517,10 +526,10 @@
                             .outage_until_ms = 23000 };
   result_t result = run_rollout (&bad, 1);
 
-  ck_assert_int_eq (result.phase, TRIAL_ROLLED_BACK);
+  ck_assert_int_eq (result.phase, TRIAL_PHASE_ROLLED_BACK);
   ck_assert_uint_lt (result.new_requests, 100);
   result = run_rollout (&good, 1);
-  ck_assert_int_eq (result.phase, TRIAL_DONE);
+  ck_assert_int_eq (result.phase, TRIAL_PHASE_DONE);
   ck_assert_uint_gt (result.end_ms, 23000 + 3 * TRIAL_STEP_MS_MIN);
 }
 END_TEST
@@ -539,18 +548,18 @@
 
   trial_set_progress (trial, START_MS, TRIAL_STEP_NO_TRAFFIC, START_MS);
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
-                    TRIAL_OLD);
-  history = (trial_send_history_t){ .was_sent = true, .arm = TRIAL_OLD };
+                    TRIAL_ARM_OLD);
+  history = (trial_send_history_t){ .was_sent = true, .arm = TRIAL_ARM_OLD };
   trial_set_progress (trial, START_MS, TRIAL_STEP_INITIAL, START_MS);
   ck_assert (trial_is_assigned (trial, key, START_MS));
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
-                    TRIAL_OLD);
-  history.arm = TRIAL_NEW;
+                    TRIAL_ARM_OLD);
+  history.arm = TRIAL_ARM_NEW;
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
-                    TRIAL_NEW);
+                    TRIAL_ARM_NEW);
   history.failed_on_new = true;
   ck_assert_int_eq (trial_choose_arm (trial, key, START_MS, &history),
-                    TRIAL_OLD);
+                    TRIAL_ARM_OLD);
   trial_destroy (trial);
 }
 END_TEST
@@ -569,16 +578,16 @@
   trial_set_progress (receiver, START_MS, 1, START_MS);
   for (int i = 0; i < 40; i++)
     {
-      trial_observe (sender, TRIAL_OLD, 1, false, 100, false);
-      trial_observe (sender, TRIAL_NEW, 1, i % 2 == 0, 100, false);
+      trial_observe (sender, TRIAL_ARM_OLD, 1, false, 100, false);
+      trial_observe (sender, TRIAL_ARM_NEW, 1, i % 2 == 0, 100, false);
     }
   ck_assert_int_eq (trial_decide (receiver, START_MS, false, &reason),
-                    TRIAL_WAIT);
+                    TRIAL_DECISION_WAIT);
   trial_write (sender, true, &text);
   ck_assert_int_eq (
       trial_merge (receiver, STR ("one"), false, buf_str (&text)), VH_OK);
   ck_assert_int_eq (trial_decide (receiver, START_MS, true, &reason),
-                    TRIAL_ROLL_BACK);
+                    TRIAL_DECISION_ROLL_BACK);
   ck_assert_int_eq (trial_merge (receiver, STR ("one"), false, STR ("7 x")),
                     VH_E_PROTOCOL);
   buf_free (&text);
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -286,7 +286,7 @@
     simulate_minute (&sim);
   ck_assert (degradation_get_alarm (sim.degradation, STR ("small@1"), &metric,
                                     &since_ms));
-  ck_assert_int_eq (metric, ROLLOUT_ERROR);
+  ck_assert_int_eq (metric, ROLLOUT_METRIC_ERROR);
   degradation_write (sim.degradation, false, &bytes);
   ck_assert_int_eq (degradation_merge (receiver, buf_str (&bytes), sim.now_ms),
                     VH_OK);
