--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -12,7 +12,7 @@
 
 #include "cluster.h"
 #include "standins/common.h"
-#include "standins/load.h"
+#include "standins/loadgen.h"
 #include "standins/samples.h"
 
 #include <argtable2.h>
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -95,8 +95,8 @@
   runner_t *runner = mem_zalloc (sizeof *runner);
 
   runner->options = *options;
-  runner->options.finished = on_finished;
-  runner->options.over = on_load_ended;
+  runner->options.on_result = on_finished;
+  runner->options.on_complete = on_load_ended;
   runner->options.arg = runner;
   uv_loop_init (&runner->loop);
   runner->load = loadgen_create (&runner->loop, &runner->options);
@@ -142,15 +142,15 @@
     {
       const loadgen_result_t *result = &runner->records[i].result;
       counts.finished++;
-      counts.complete += result->whole;
-      counts.mismatched += result->wrong;
+      counts.complete += result->is_complete;
+      counts.mismatched += result->has_wrong_body;
       counts.transport_failed += result->code != VH_OK;
-      if (result->whole)
+      if (result->is_complete)
         {
           if (result->total_us > counts.longest_request_us)
             counts.longest_request_us = result->total_us;
-          if (result->between_us > counts.longest_gap_us)
-            counts.longest_gap_us = result->between_us;
+          if (result->max_chunk_gap_us > counts.longest_gap_us)
+            counts.longest_gap_us = result->max_chunk_gap_us;
         }
       else if (str_eq (result->outcome, STR ("not-run")))
         counts.not_run++;
@@ -168,17 +168,18 @@
   for (size_t i = 0; i < runner->count && limit > 0; i++)
     {
       const loadgen_result_t *result = &runner->records[i].result;
-      if (result->whole && !result->wrong)
+      if (result->is_complete && !result->has_wrong_body)
         continue;
       limit--;
       fprintf (stderr,
                "request %" PRIu64 " %s%s sends=%u status=%d end=%s "
                "outcome=%.*s%s after=%" PRIu64 "ms: %.*s\n",
                result->number, result->is_service ? "service" : "chat",
-               result->streamed ? " streamed" : "", result->sends,
+               result->is_streamed ? " streamed" : "", result->send_count,
                result->status, code_info (result->code)->type,
-               STR_ARG (result->outcome), result->wrong ? " WRONG" : "",
-               result->total_us / 1000, STR_ARG (result->body));
+               STR_ARG (result->outcome),
+               result->has_wrong_body ? " WRONG" : "", result->total_us / 1000,
+               STR_ARG (result->body));
     }
 }
 
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -4,7 +4,7 @@
 #ifndef TESTS_RUNNER_H
 #define TESTS_RUNNER_H
 
-#include "standins/load.h"
+#include "standins/loadgen.h"
 
 typedef struct runner runner_t;
 
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -4,7 +4,7 @@
    compare figures of the same run.  */
 
 #include "cluster.h"
-#include "standins/load.h"
+#include "standins/loadgen.h"
 #include "standins/samples.h"
 #include "suite.h"
 
