--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -47,8 +47,8 @@
   target_load_t *target_load = arg;
 
   target_load->finished++;
-  target_load->failed += !result->whole;
-  target_load->wrong += result->wrong;
+  target_load->failed += !result->is_complete;
+  target_load->wrong += result->has_wrong_body;
   samples_add (&target_load->latency, result->total_us);
 }
 
@@ -76,8 +76,8 @@
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
-          .finished = on_request_finished,
-          .over = on_load_over,
+          .on_result = on_request_finished,
+          .on_complete = on_load_over,
           .arg = target_load };
   uv_loop_t loop;
 
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -435,20 +435,20 @@
   for (size_t i = 0; (record = runner_record_at (runner, i)) != NULL; i++)
     {
       const loadgen_result_t *result = &record->result;
-      if (result->wrong)
+      if (result->has_wrong_body)
         report_violation (chaos, COMPLETE_RESPONSES, "%.*s",
                           STR_ARG (result->key));
-      if (result->whole && !result->is_service
+      if (result->is_complete && !result->is_service
           && !str_starts_with (result->version, STR ("draft-small@")))
         report_violation (chaos, ONLY_PERMITTED_VERSIONS, "%.*s",
                           STR_ARG (result->version));
       if (!result->is_service)
         continue;
       json_int_t runs = count_runs (chaos->cluster, result->key);
-      if (runs > 1 || (result->whole && runs == 0))
+      if (runs > 1 || (result->is_complete && runs == 0))
         report_violation (chaos, RUN_AT_MOST_ONCE, "%.*s ran %d times",
                           STR_ARG (result->key), (int)runs);
-      if (runs > 0 && !result->whole
+      if (runs > 0 && !result->is_complete
           && str_eq (result->outcome, STR ("not-run")))
         report_violation (chaos, NOT_RUN_IS_TRUE, "%.*s",
                           STR_ARG (result->key));
@@ -546,7 +546,7 @@
     }
   loadgen_options_t options = { .targets = targets,
                                 .target_count = cluster->entry_count,
-                                .health = health,
+                                .health_addresses = health,
                                 .concurrency = 6,
                                 .duration_ms = (uint64_t)SECONDS_MAX * 1000,
                                 .seed = seed,
@@ -557,7 +557,7 @@
                                 .max_tokens = 20,
                                 .prompt_bytes = 60,
                                 .timeout_ms = 8000,
-                                .resends = 5 };
+                                .max_resends = 5 };
   /* Wait until the requests of cluster_create are billed.  */
   harness_sleep_ms (SETTLE_MS);
   json_int_t before = read_billed_requests (cluster);
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -30,7 +30,7 @@
   loadgen_options_t options;
   pthread_t thread;
   uv_loop_t loop;
-  load_t *load;
+  loadgen_t *load;
   bool has_ended;
   bool is_joined;
   atomic_size_t finished;
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -85,7 +85,7 @@
                                    JSON_TYPE, str_from (body), WAIT_MS);
   ck_assert (answer_parse_stream (buf_str (&http.body), &resumed));
   ck_assert (answer_parse_stream (buf_str (&direct.body), &expected));
-  ck_assert (!resumed.error);
+  ck_assert (!resumed.has_error);
   ck_assert_uint_eq (expected.tokens, STREAM_TOKENS);
   ck_assert_msg (str_eq (buf_str (&resumed.text), buf_str (&expected.text)),
                  "resumed text: %.*s", STR_ARG (buf_str (&resumed.text)));
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -81,8 +81,8 @@
   load_run_t *results = arg;
 
   results->finished++;
-  results->mismatched += result->wrong;
-  if (result->whole)
+  results->mismatched += result->has_wrong_body;
+  if (result->is_complete)
     {
       results->complete++;
       results->late += result->total_us
@@ -92,7 +92,7 @@
   else if (str_eq (result->outcome, STR ("not-run")))
     {
       results->refused++;
-      results->no_retry_after += !result->retry_after;
+      results->no_retry_after += !result->has_retry_after;
       samples_add (&results->refused_us, result->total_us);
     }
   else
@@ -124,8 +124,8 @@
                                     .prompt_bytes = 64,
                                     .deadline_ms = DEADLINE_MS,
                                     .timeout_ms = WAIT_MS,
-                                    .finished = on_finished,
-                                    .over = on_load_ended } };
+                                    .on_result = on_finished,
+                                    .on_complete = on_load_ended } };
 }
 
 static void
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -83,7 +83,7 @@
 {
   return (loadgen_options_t){ .targets = targets,
                               .target_count = cluster->entry_count,
-                              .health = health,
+                              .health_addresses = health,
                               .concurrency = 8,
                               .duration_ms = 60000,
                               .seed = 1,
@@ -103,7 +103,7 @@
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
   options.key_prefix = STR ("pay");
-  options.resends = 3;
+  options.max_resends = 3;
   options.timeout_ms = 5000;
   return options;
 }
@@ -241,7 +241,7 @@
   loadgen_options_t load = chat_load_options ();
   load.api_key = STR (CLUSTER_OTHER_API_KEY);
   load.model = STR ("draft");
-  load.requests = 200;
+  load.max_requests = 200;
   json_int_t large = count_version_runs ("draft-large@7");
   json_int_t small = count_version_runs ("draft-small@4");
   runner = runner_start (&load);
@@ -435,7 +435,7 @@
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("bill");
-  load.resends = 3;
+  load.max_resends = 3;
   runner = runner_start (&load);
   continue_load (1000);
   proc_signal (cluster->entries[1].proc, SIGTERM);
@@ -612,7 +612,7 @@
       json_int_t runs = count_runs (result->key);
       ck_assert_msg (runs <= 1, "%.*s ran %d times", STR_ARG (result->key),
                      (int)runs);
-      if (result->whole)
+      if (result->is_complete)
         ck_assert_msg (runs == 1, "%.*s completed, but ran %d times",
                        STR_ARG (result->key), (int)runs);
       else if (str_eq (result->outcome, STR ("not-run")))
@@ -622,7 +622,7 @@
         ck_assert_msg (!is_answer_required,
                        "%.*s neither completed nor refused",
                        STR_ARG (result->key));
-      ck_assert (!result->wrong);
+      ck_assert (!result->has_wrong_body);
     }
 }
 
@@ -655,7 +655,7 @@
   start_cluster (&options);
   loadgen_options_t load = service_load_options ();
   load.deadline_ms = 2500;
-  load.resends = 0;
+  load.max_resends = 0;
   runner = runner_start (&load);
   continue_load (400);
   for (size_t i = 0; i < cluster->upstream_count; i++)
