--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -83,7 +83,7 @@
 
   target_load->is_over = false;
   uv_loop_init (&loop);
-  load_t *load = loadgen_create (&loop, &options);
+  loadgen_t *load = loadgen_create (&loop, &options);
   while (!target_load->is_over)
     uv_run (&loop, UV_RUN_ONCE);
   loadgen_destroy (load);
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -159,7 +159,7 @@
 run_loads (load_run_t *results, unsigned count)
 {
   uv_loop_t loop;
-  load_t *loads[LOADS_MAX];
+  loadgen_t *loads[LOADS_MAX];
   char address[64];
   str_t target;
   unsigned unfinished_loads = count;
