--- a/packages/policy/admission.c
+++ b/packages/policy/admission.c
@@ -82,12 +82,12 @@
   free (admission);
 }
 
-/* Return the state of team NAME, which is created on first use.  Team names
-   come from the configuration, so their number is bounded.  */
+/* Return the state of team TEAM_NAME, which is created on first use.  Team
+   names come from the configuration, so their number is bounded.  */
 static team_t *
-find_team (admission_t *admission, str_t name)
+find_team (admission_t *admission, str_t team_name)
 {
-  team_t *team = map_get (admission->teams_by_name, name);
+  team_t *team = map_get (admission->teams_by_name, team_name);
 
   if (team != NULL)
     return team;
@@ -95,15 +95,15 @@
   team->weight = 1;
   for (int priority = 0; priority < PRIORITY_COUNT; priority++)
     team->demands[priority].admitted_share = 1;
-  map_put (admission->teams_by_name, name, team);
+  map_put (admission->teams_by_name, team_name, team);
   list_append (&admission->teams, &team->list_node);
   return team;
 }
 
 void
-admission_set_weight (admission_t *admission, str_t name, uint32_t weight)
+admission_set_weight (admission_t *admission, str_t team_name, uint32_t weight)
 {
-  find_team (admission, name)->weight = weight > 0 ? weight : 1;
+  find_team (admission, team_name)->weight = weight > 0 ? weight : 1;
 }
 
 /* Return the moving average RATE of an amount per second, updated by the last
@@ -273,10 +273,10 @@
 }
 
 vh_code_t
-admission_decide (admission_t *admission, str_t name, uint32_t cost,
+admission_decide (admission_t *admission, str_t team_name, uint32_t cost,
                   queue_priority_t priority)
 {
-  team_t *team = find_team (admission, name);
+  team_t *team = find_team (admission, team_name);
   demand_t *demand = &team->demands[priority];
 
   update_shares (admission);
@@ -313,9 +313,9 @@
 }
 
 uint32_t
-admission_retry_after_s (admission_t *admission, str_t name)
+admission_retry_after_s (admission_t *admission, str_t team_name)
 {
-  const team_t *team = find_team (admission, name);
+  const team_t *team = find_team (admission, team_name);
   double span_s = 0;
 
   if (team->admitted_cost_per_s > 0)
@@ -327,9 +327,9 @@
 }
 
 double
-admission_admitted_share (admission_t *admission, str_t name)
+admission_admitted_share (admission_t *admission, str_t team_name)
 {
-  const team_t *team = find_team (admission, name);
+  const team_t *team = find_team (admission, team_name);
 
   return team->demand_cost_per_s > 0
              ? team->admitted_cost_per_s / team->demand_cost_per_s
--- a/packages/policy/admission.h
+++ b/packages/policy/admission.h
@@ -70,14 +70,15 @@
 /* Free ADMISSION, which may be NULL.  */
 void admission_destroy (admission_t *admission);
 
-/* Set the weight of TEAM.  The default is 1, and 0 counts as 1.  */
-void admission_set_weight (admission_t *admission, str_t team,
+/* Set the weight of team TEAM_NAME.  The default is 1, and 0 counts as 1.  */
+void admission_set_weight (admission_t *admission, str_t team_name,
                            uint32_t weight);
 
-/* Decide on a request of TEAM with estimated COST.  Return VH_OK when the
-   request is admitted, or VH_E_TEAM_SHARE when the team is above its share. */
-vh_code_t admission_decide (admission_t *admission, str_t team, uint32_t cost,
-                            queue_priority_t priority);
+/* Decide on a request of team TEAM_NAME with estimated COST.  Return VH_OK
+   when the request is admitted, or VH_E_TEAM_SHARE when the team is above its
+   share.  */
+vh_code_t admission_decide (admission_t *admission, str_t team_name,
+                            uint32_t cost, queue_priority_t priority);
 
 /* Record that a sidecar accepted or refused a dispatched request of COST.
    ACCEPTED is false when the sidecar was full or could not meet the
@@ -89,12 +90,13 @@
    (balance_pressure).  */
 void admission_set_pressure (admission_t *admission, double pressure);
 
-/* Return the Retry-After value for a refused request of TEAM, in seconds,
-   drawn at random on each call.  */
-uint32_t admission_retry_after_s (admission_t *admission, str_t team);
+/* Return the Retry-After value for a refused request of team TEAM_NAME, in
+   seconds, drawn at random on each call.  */
+uint32_t admission_retry_after_s (admission_t *admission, str_t team_name);
 
-/* Return the share of TEAM's demand that is currently admitted, 0 to 1.  */
-double admission_admitted_share (admission_t *admission, str_t team);
+/* Return the share of the demand of team TEAM_NAME that is currently admitted,
+   0 to 1.  */
+double admission_admitted_share (admission_t *admission, str_t team_name);
 /* Return whether the demand exceeds the capacity of the fleet.  */
 bool admission_is_limiting (const admission_t *admission);
 
--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -848,9 +848,11 @@
 
 /* Return the less loaded of two upstreams drawn at random from the subset of
    ZONE_POOL.  A draw that finds no free slot is repeated a few times, because
-   with half of the pool full every fourth pair is full.  If marks and earlier
-   attempts of the request exclude all upstreams drawn, the whole subset is
-   examined.  */
+   with half of the pool full every fourth pair is full.  If all upstreams
+   drawn are excluded (draining, ejected, disabled, unreachable or already
+   tried for the request), the first selectable upstream of the subset is
+   returned.  A subset of one or two upstreams is examined whole, without a
+   draw.  */
 static candidate_t
 choose_best_of_two (const balance_t *balance, const selection_t *selection,
                     const zone_pool_t *zone_pool)
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -262,8 +262,8 @@
 }
 
 static void
-set_request_fields (const burn_objective_t *settings,
-                    const burn_sample_t *sample, int64_t *fields)
+fill_fields_from_sample (const burn_objective_t *settings,
+                         const burn_sample_t *sample, int64_t *fields)
 {
   fields[FIELD_REQUESTS] = 1;
   fields[FIELD_UNANSWERED] = !sample->answered;
@@ -292,7 +292,7 @@
       int64_t fields[FIELDS] = { 0 };
       if (!covers_team (o, sample->team))
         continue;
-      set_request_fields (&o->settings, sample, fields);
+      fill_fields_from_sample (&o->settings, sample, fields);
       add_to_splits (b, o, sample, fields, now_ms);
     }
 }
@@ -433,7 +433,7 @@
 {
   const objective_entry_t *objective;
   burn_kind_t kind;
-  const series_t *all_names;
+  const series_t *total_series;
   burn_rate_t rates[BURN_WINDOW_COUNT];
   const char *state;
 } report_line_t;
@@ -449,12 +449,12 @@
     return false;
   line->objective = o;
   line->kind = kind;
-  line->all_names
+  line->total_series
       = series_find (b, series_hash (o->hash, BURN_SPLIT_ALL, STR ("all")));
-  if (line->all_names == NULL)
+  if (line->total_series == NULL)
     return false;
   for (int w = 0; w < BURN_WINDOW_COUNT; w++)
-    line->rates[w] = series_rate (b, &o->settings, kind, line->all_names,
+    line->rates[w] = series_rate (b, &o->settings, kind, line->total_series,
                                   (burn_window_t)w, now_ms);
   line->state = "ok";
   if (line->rates[BURN_6H].rate > BURN_TICKET_RATE_MIN
@@ -707,7 +707,7 @@
       int64_t fields[FIELDS];
       uint64_t ago = PLOT_HOURS - 1 - h;
       uint64_t epoch = last > ago ? last - ago : 0;
-      sum_epochs (b, line->all_names, TIER_HOUR, epoch, epoch, fields);
+      sum_epochs (b, line->total_series, TIER_HOUR, epoch, epoch, fields);
       hours[h] = rate_from_sums (fields, line->kind, budget);
       rate_max = fmax (rate_max,
                        fmin (hours[h].rate * 1.1, 2 * BURN_PAGE_RATE_MIN));
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -1,9 +1,9 @@
 /* Burn rates of service-level objectives: how fast each error budget is spent.
 
-   Load pattern: an objective is in danger, and the operator must see it early,
-   with the team, model, version or zone that causes most of the harm.  Without
-   this module a mean over the day hides an hour of failures, and an alert on
-   any failure is raised so often that it is ignored.
+   Load pattern: an objective is about to be missed, and the operator must see
+   that early, with the team, model, version or zone that causes most of the
+   harm.  Without this module a mean over the day hides an hour of failures,
+   and an alert on any failure is raised so often that it is ignored.
 
    Each objective has a budget, the share (or amount) of harm that it allows.
    The burn rate is harm divided by budget: at 1 the budget is spent exactly,
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -90,12 +90,12 @@
                                    .epoch_ms = CASCADE_EPOCH_MS,
                                    .epochs = CASCADE_EPOCHS,
                                    .fields = FIELDS,
-                                   .keys_max = CASCADE_KEYS_MAX,
+                                   .keys_max = CASCADE_BIN_KEYS_MAX,
                                    .cells_max = CASCADE_CELLS_MAX };
   cascade_t *c = mem_zalloc (sizeof *c);
 
   c->rating_crdt = crdt_create (&options);
-  c->cache = mem_zalloc (CASCADE_KEYS_MAX * sizeof *c->cache);
+  c->cache = mem_zalloc (CASCADE_BIN_KEYS_MAX * sizeof *c->cache);
   for (int age = 0; age <= CASCADE_EPOCHS; age++)
     c->epoch_decay[age]
         = exp2 (-(double)age * CASCADE_EPOCH_MS / QUALITY_HALF_LIFE_MS);
@@ -267,8 +267,10 @@
    from the answer and not from noise; the prior is a half.  */
 typedef struct
 {
-  double mean_rating; /* Mean first rating of the audited answers.  */
-  double mean_audit;  /* Expected audit rating at MEAN_RATING.  */
+  /* Mean first rating of the audited answers, computed from the centres of
+     the bins and including the prior.  */
+  double mean_first_rating;
+  double mean_audit; /* Expected audit rating at MEAN_FIRST_RATING.  */
   double slope;
 } regression_t;
 
@@ -277,19 +279,19 @@
 {
   double weight = QUALITY_PRIOR_WEIGHT + curve->audit_count;
   regression_t line
-      = { .mean_rating = QUALITY_PRIOR_WEIGHT * mean,
+      = { .mean_first_rating = QUALITY_PRIOR_WEIGHT * mean,
           .mean_audit
           = (QUALITY_PRIOR_WEIGHT * mean + curve->audit_sum) / weight };
   double cross_product_sum = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE * 0.5;
   double square_sum = SLOPE_PRIOR_WEIGHT * QUALITY_PRIOR_VARIANCE;
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
-    line.mean_rating += curve->bins[b].audit_count * bin_center (b);
-  line.mean_rating /= weight;
+    line.mean_first_rating += curve->bins[b].audit_count * bin_center (b);
+  line.mean_first_rating /= weight;
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
       const decayed_sums_t *bin = &curve->bins[b];
-      double x = bin_center (b) - line.mean_rating;
+      double x = bin_center (b) - line.mean_first_rating;
       cross_product_sum
           += x * (bin->audit_sum - bin->audit_count * line.mean_audit);
       square_sum += x * x * bin->audit_count;
@@ -310,8 +312,8 @@
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
       const decayed_sums_t *bin = &curve->bins[b];
-      double prior
-          = line.mean_audit + line.slope * (bin_center (b) - line.mean_rating);
+      double prior = line.mean_audit
+                     + line.slope * (bin_center (b) - line.mean_first_rating);
       out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
                                   bin->audit_square_sum,
                                   fmax (0, fmin (1, prior)), variance);
@@ -327,8 +329,10 @@
 } outcome_t;
 
 static outcome_t
-compute_outcome (const curve_t *first, const quality_bound_t *first_bins,
-                 const quality_bound_t *second_bins, size_t threshold_bin)
+compute_outcome (const curve_t *first,
+                 const quality_bound_t *first_quality_by_bin,
+                 const quality_bound_t *second_quality_by_first_bin,
+                 size_t threshold_bin)
 {
   double mean = 0;
   double mean_of_squares = 0;
@@ -337,8 +341,9 @@
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const quality_bound_t *q
-          = b < threshold_bin ? &second_bins[b] : &first_bins[b];
+      const quality_bound_t *q = b < threshold_bin
+                                     ? &second_quality_by_first_bin[b]
+                                     : &first_quality_by_bin[b];
       double share
           = first->bins[b].first_rating_count / first->first_rating_count;
       double error = (q->mean - q->lower) / QUALITY_Z_ONE_SIDED_95;
@@ -381,10 +386,12 @@
                    / (1 + audit_count / AUDIT_HALVING_COUNT));
 }
 
-/* Return whether the answer of FIRST, its rating and the answer of SECOND fit
-   in the time of the request.  */
+/* Return whether a cascade of FIRST and SECOND can run: the rating service is
+   available, both answers and the rating fit in the time budget, and for a
+   stream the first answer and its rating fit in the time allowed for the first
+   byte.  */
 static bool
-is_pair_in_time (const planning_t *d, size_t first, size_t second)
+is_cascade_possible (const planning_t *d, size_t first, size_t second)
 {
   const cascade_request_t *r = d->request;
   double first_rated_ms
@@ -401,8 +408,8 @@
    version.  */
 static void
 compute_second_posteriors (const curve_t *second_curve,
-                           const quality_bound_t *first_bins, double mean,
-                           quality_bound_t *out)
+                           const quality_bound_t *first_quality_by_bin,
+                           double mean, quality_bound_t *out)
 {
   double variance = pooled_variance (second_curve);
 
@@ -411,7 +418,7 @@
       const decayed_sums_t *bin = &second_curve->bins[b];
       /* The prior assumes that requests that are hard for the cheap version
          are harder than the average for the strong version too.  */
-      double prior = fmin (mean, 0.5 * (mean + first_bins[b].mean));
+      double prior = fmin (mean, 0.5 * (mean + first_quality_by_bin[b].mean));
       prior = (QUALITY_PRIOR_WEIGHT * prior + second_curve->audit_sum)
               / (QUALITY_PRIOR_WEIGHT + second_curve->audit_count);
       out[b] = quality_posterior (bin->audit_count, bin->audit_sum,
@@ -445,8 +452,8 @@
   const cascade_request_t *r = d->request;
   const cascade_candidate_t *a = candidate_at (d, first);
   const cascade_candidate_t *b = candidate_at (d, second);
-  quality_bound_t first_bins[CASCADE_BINS];
-  quality_bound_t second_bins[CASCADE_BINS];
+  quality_bound_t first_quality_by_bin[CASCADE_BINS];
+  quality_bound_t second_quality_by_first_bin[CASCADE_BINS];
   curve_t first_curve, second_curve;
 
   compute_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
@@ -455,15 +462,17 @@
     return false;
   compute_curve (d->cascade, curve_hash (r->task, a->version, b->version),
                  d->now_ms, &second_curve);
-  compute_first_posteriors (&first_curve, a->quality.mean, first_bins);
-  compute_second_posteriors (&second_curve, first_bins, b->quality.mean,
-                             second_bins);
-  outcome_t previous
-      = compute_outcome (&first_curve, first_bins, second_bins, 0);
+  compute_first_posteriors (&first_curve, a->quality.mean,
+                            first_quality_by_bin);
+  compute_second_posteriors (&second_curve, first_quality_by_bin,
+                             b->quality.mean, second_quality_by_first_bin);
+  outcome_t previous = compute_outcome (&first_curve, first_quality_by_bin,
+                                        second_quality_by_first_bin, 0);
   for (size_t threshold_bin = 1; threshold_bin < CASCADE_BINS; threshold_bin++)
     {
-      outcome_t outcome = compute_outcome (&first_curve, first_bins,
-                                           second_bins, threshold_bin);
+      outcome_t outcome
+          = compute_outcome (&first_curve, first_quality_by_bin,
+                             second_quality_by_first_bin, threshold_bin);
       double bound = outcome_bound (&outcome, side);
       double previous_bound = outcome_bound (&previous, side);
       if (bound < r->target)
@@ -571,15 +580,14 @@
 }
 
 /* Return whether a cascade of any two candidates, the cheaper one first, is
-   possible in the time of the request.  Otherwise store the reason in
-   *OBSTACLE.  */
+   possible (is_cascade_possible).  Otherwise store the reason in *OBSTACLE. */
 static bool
-has_pair_in_time (const planning_t *d, cascade_reason_t *obstacle)
+has_possible_cascade (const planning_t *d, cascade_reason_t *obstacle)
 {
   for (size_t i = 0; i < d->candidate_count; i++)
     for (size_t j = 0; j < d->candidate_count; j++)
       if (candidate_at (d, i)->cost < candidate_at (d, j)->cost
-          && is_pair_in_time (d, i, j))
+          && is_cascade_possible (d, i, j))
         return true;
   if (!d->request->is_rater_available)
     *obstacle = CASCADE_REASON_RATER_DOWN;
@@ -616,7 +624,7 @@
       {
         cascade_plan_t plan;
         if (candidate_at (d, i)->cost >= candidate_at (d, j)->cost
-            || !is_pair_in_time (d, i, j)
+            || !is_cascade_possible (d, i, j)
             || !find_pair_plan (d, i, j, BOUND_LOWER, &plan)
             || (found && !is_preferred (d, &plan, best)))
           continue;
@@ -663,16 +671,16 @@
 
   return (second == d->strongest || b->quality.lower >= d->request->target)
          && candidate_at (d, first)->cost < b->cost
-         && is_pair_in_time (d, first, second);
+         && is_cascade_possible (d, first, second);
 }
 
-/* Return the share of the answers of FIRST whose rating is below the target; 1
-   when there are too few ratings.  */
+/* Return the share of the answers of FIRST whose rating is below the target or
+   in the same bin; 1 when there are too few ratings.  */
 static double
-share_below_target (const planning_t *d, size_t first)
+share_up_to_target_bin (const planning_t *d, size_t first)
 {
   size_t target_bin = bin_of (d->request->target);
-  double below_count = 0;
+  double up_to_target_count = 0;
   curve_t first_curve;
 
   compute_curve (d->cascade,
@@ -682,8 +690,8 @@
   if (first_curve.first_rating_count < CURVE_RATINGS_MIN)
     return 1;
   for (size_t b = 0; b <= target_bin; b++)
-    below_count += first_curve.bins[b].first_rating_count;
-  return below_count / first_curve.first_rating_count;
+    up_to_target_count += first_curve.bins[b].first_rating_count;
+  return up_to_target_count / first_curve.first_rating_count;
 }
 
 /* Store an exploring plan in *PLAN: a cascade of a cheaper version and a more
@@ -712,7 +720,7 @@
         plan->is_audited = true;
         plan->cost
             += 2 * d->request->rating_cost
-               + share_below_target (d, i)
+               + share_up_to_target_bin (d, i)
                      * (candidate_at (d, j)->cost + d->request->rating_cost);
         plan->latency_ms
             += d->request->rating_latency_ms + candidate_at (d, j)->latency_ms;
@@ -780,7 +788,7 @@
     return make_direct_plan (d, 0, CASCADE_REASON_SINGLE_VERSION);
   if (d->strongest == SIZE_MAX)
     return make_direct_plan (d, find_fastest (d), CASCADE_REASON_TOO_LATE);
-  bool can_escalate = has_pair_in_time (d, &obstacle);
+  bool can_escalate = has_possible_cascade (d, &obstacle);
   cascade_plan_t best;
   bool found = find_best_plan (d, &best);
   if (!found)
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -48,7 +48,8 @@
   CASCADE_CANDIDATES_MAX = 16,
   CASCADE_EPOCH_MS = 60 * 60 * 1000,
   CASCADE_EPOCHS = 24,
-  CASCADE_KEYS_MAX = 2048,
+  /* Largest number of bins of all learned curves together.  */
+  CASCADE_BIN_KEYS_MAX = 2048,
   CASCADE_CELLS_MAX = 32768
 };
 
--- a/packages/policy/crdt.c
+++ b/packages/policy/crdt.c
@@ -586,7 +586,7 @@
 typedef struct
 {
   /* The compacted epochs with their generations, and all bytes after them.  */
-  str_t compacted;
+  str_t bytes_from_compacted_epochs;
   uint64_t compacted_count;
   str_t cells;
   uint64_t cell_count;
@@ -605,7 +605,7 @@
       || epoch_ms != crdt->options.epoch_ms
       || !crdt_read_varint (&bytes, &message->compacted_count))
     return false;
-  message->compacted = bytes;
+  message->bytes_from_compacted_epochs = bytes;
   for (uint64_t i = 0; i < message->compacted_count; i++)
     if (!crdt_read_varint (&bytes, &skipped)
         || !crdt_read_varint (&bytes, &skipped))
@@ -636,7 +636,7 @@
 static uint64_t
 message_generation (const message_t *message, uint64_t epoch)
 {
-  str_t rest = message->compacted;
+  str_t rest = message->bytes_from_compacted_epochs;
   uint64_t compacted_epoch = 0;
   uint64_t generation = 0;
 
@@ -650,7 +650,7 @@
 static void
 merge_compacted (crdt_t *crdt, const message_t *message, uint64_t now_epoch)
 {
-  str_t rest = message->compacted;
+  str_t rest = message->bytes_from_compacted_epochs;
   uint64_t epoch = 0;
   uint64_t generation = 0;
 
--- a/packages/policy/crdt.h
+++ b/packages/policy/crdt.h
@@ -83,8 +83,8 @@
 
 /* Append the state to OUT: all of it, or with OWN_ONLY only this writer's
    cells of the last CRDT_RECENT_EPOCHS, for peers.  Older cells were sent in
-   earlier messages; a peer that was away reads the whole state from the store.
-   Equal states give equal bytes.  */
+   earlier messages; a peer that missed them reads the whole state from the
+   store.  Equal states give equal bytes.  */
 void crdt_write (const crdt_t *crdt, bool own_only, buf_t *out);
 /* Return whether crdt_merge would accept BYTES.  */
 bool crdt_is_valid (const crdt_t *crdt, str_t bytes);
--- a/packages/policy/degradation.c
+++ b/packages/policy/degradation.c
@@ -60,13 +60,14 @@
   /* Moments of the usual values.  */
   deviation_moments_t reference;
   double log_likelihood_sum; /* Sum of log-likelihood ratios; not below 0.  */
-  /* Sums since the CUSUM was last 0: answers of this series, and their shifts;
-     answers of this series in the epochs in which other versions had answers,
-     and the shifts of the other versions in these epochs.  */
+  /* Sums over the epochs since the CUSUM was last 0: answers of this series;
+     shift of this series times its answers; answers of this series in the
+     epochs in which other versions had answers; shift of the other versions
+     in these epochs, times the answers of this series.  */
   double own_answer_count;
-  double own_shift_sum;
+  double own_weighted_shift_sum;
   double compared_answer_count;
-  double other_shift_sum;
+  double other_weighted_shift_sum;
   uint32_t shared_shift_epochs; /* Epochs above the threshold in which other
                                    versions shifted as well.  */
   /* Moments of the current epoch.  */
@@ -290,8 +291,9 @@
       && others->shift_sum / others->answer_count >= 0.5 * cusum->shift)
     return false;
   return cusum->compared_answer_count <= 0
-         || cusum->other_shift_sum / cusum->compared_answer_count
-                < 0.5 * cusum->own_shift_sum / cusum->own_answer_count;
+         || cusum->other_weighted_shift_sum / cusum->compared_answer_count
+                < 0.5 * cusum->own_weighted_shift_sum
+                      / cusum->own_answer_count;
 }
 
 /* Add the current epoch, CUSUM->epoch_moments, to CUSUM, or only to its
@@ -313,8 +315,8 @@
   if (cusum->log_likelihood_sum <= 0)
     {
       cusum->log_likelihood_sum = 0;
-      cusum->own_answer_count = cusum->own_shift_sum
-          = cusum->compared_answer_count = cusum->other_shift_sum = 0;
+      cusum->own_answer_count = cusum->own_weighted_shift_sum
+          = cusum->compared_answer_count = cusum->other_weighted_shift_sum = 0;
       cusum->shared_shift_epochs = 0;
     }
   else
@@ -322,14 +324,16 @@
       cusum->log_likelihood_sum
           = fmin (cusum->log_likelihood_sum, 2 * DEGRADATION_CUSUM_THRESHOLD);
       cusum->own_answer_count += cusum->epoch_moments.count;
-      cusum->own_shift_sum += cusum->epoch_moments.count * cusum->shift;
+      cusum->own_weighted_shift_sum
+          += cusum->epoch_moments.count * cusum->shift;
       /* The shift of the other versions is weighted by this series' answers,
          so that an epoch has the same weight in both sums.  */
       if (others->answer_count > 0)
         {
           cusum->compared_answer_count += cusum->epoch_moments.count;
-          cusum->other_shift_sum += cusum->epoch_moments.count
-                                    * others->shift_sum / others->answer_count;
+          cusum->other_weighted_shift_sum += cusum->epoch_moments.count
+                                             * others->shift_sum
+                                             / others->answer_count;
         }
     }
   if (cusum->log_likelihood_sum
@@ -391,8 +395,8 @@
     return false;
   d->evaluated_epoch = now_epoch;
   /* Evaluate all epochs kept again from the first one, so that measurements
-     that arrived late or from other processes count in their epoch and all
-     processes find the same.  */
+     that arrived late or from other processes count in their epoch, and
+     all processes with the same sums raise the same alarms.  */
   memset (d->cusums, 0, sizeof d->cusums);
   uint64_t epoch = crdt_first_epoch (d->sample_crdt);
   for (; epoch < now_epoch; epoch++)
--- a/packages/policy/degradation.h
+++ b/packages/policy/degradation.h
@@ -8,11 +8,12 @@
    version, task class and metric, over epochs of DEGRADATION_EPOCH_MS.  The
    reference is the slow mean of the same series.  Ratings and the logarithm of
    latency are taken as Gaussian, errors as Bernoulli.  With an exact
-   reference, DEGRADATION_CUSUM_THRESHOLD gives in theory e^20 answers to a
-   false alarm, more than a year at ten requests a second.  A drop of 0.05 in
-   ratings with a standard deviation of 0.15 is detected after about 360
-   ratings, a drop of 0.3 after about 35.  The result is a function of the sums
-   of the last DEGRADATION_EPOCHS, so that all processes find the same.
+   reference, DEGRADATION_CUSUM_THRESHOLD of 20 lets on average e^20 answers
+   pass before a false alarm in theory, more than a year at ten requests a
+   second.  A drop of 0.05 in ratings with a standard deviation of 0.15 is
+   detected after about 360 ratings, a drop of 0.3 after about 35.  The result
+   is a function of the sums of the last DEGRADATION_EPOCHS, so that all
+   processes with the same sums raise the same alarms.
 
    An alarm is raised only if the other versions changed less than half as much
    since the change began: no version is at fault when the rating service
--- a/packages/policy/drain.c
+++ b/packages/policy/drain.c
@@ -7,7 +7,7 @@
 struct drain
 {
   clock_iface_t *clock;
-  uint32_t grace_ms;
+  uint32_t announce_ms;
   uint32_t timeout_ms;
   drain_state_t state;
   uint64_t start_ms;
@@ -15,12 +15,12 @@
 };
 
 drain_t *
-drain_create (uint32_t grace_ms, uint32_t timeout_ms, clock_iface_t *clock)
+drain_create (uint32_t announce_ms, uint32_t timeout_ms, clock_iface_t *clock)
 {
   drain_t *drain = mem_zalloc (sizeof *drain);
 
   drain->clock = clock;
-  drain->grace_ms = grace_ms > 0 ? grace_ms : DRAIN_GRACE_MS;
+  drain->announce_ms = announce_ms > 0 ? announce_ms : DRAIN_ANNOUNCE_MS;
   drain->timeout_ms = timeout_ms > 0 ? timeout_ms : DRAIN_TIMEOUT_MS;
   return drain;
 }
@@ -50,7 +50,8 @@
 drain_state_t
 drain_update (drain_t *drain, uint32_t unfinished)
 {
-  if (drain->state == DRAIN_ANNOUNCED && elapsed_ms (drain) >= drain->grace_ms)
+  if (drain->state == DRAIN_ANNOUNCED
+      && elapsed_ms (drain) >= drain->announce_ms)
     drain->state = DRAIN_DRAINING;
   if (drain->state == DRAIN_DRAINING && unfinished == 0)
     drain->state = DRAIN_DONE;
@@ -85,8 +86,8 @@
 
   if (drain->state == DRAIN_SERVING || drain->state == DRAIN_DONE)
     return UINT64_MAX;
-  if (drain->state == DRAIN_ANNOUNCED && drain->grace_ms < next_ms)
-    next_ms = drain->grace_ms;
+  if (drain->state == DRAIN_ANNOUNCED && drain->announce_ms < next_ms)
+    next_ms = drain->announce_ms;
   since_start_ms = elapsed_ms (drain);
   return next_ms > since_start_ms ? next_ms - since_start_ms : 0;
 }
--- a/packages/policy/drain.h
+++ b/packages/policy/drain.h
@@ -10,8 +10,11 @@
    that an operator who signals twice aborts no request.  A timeout ends the
    shutdown in any case.
 
-   - DRAIN_GRACE_MS 5000: load balancers probe the health of a process every
-     second or two, and take it out after three failed probes.
+   - DRAIN_ANNOUNCE_MS 5000: length of the announced state, in which requests
+     are still accepted.  Load balancers probe the health of a process every
+     second or two, and stop sending after three failed probes, so 5 s cover
+     probes up to 1.6 s apart; with 2 s between probes, requests can still
+     arrive for up to a second afterwards.
    - DRAIN_TIMEOUT_MS 600000: a request for a draft takes minutes, but none has
      taken ten.  */
 
@@ -24,7 +27,7 @@
 
 enum
 {
-  DRAIN_GRACE_MS = 5000,
+  DRAIN_ANNOUNCE_MS = 5000,
   DRAIN_TIMEOUT_MS = 600000
 };
 
@@ -38,10 +41,10 @@
   DRAIN_DONE
 } drain_state_t;
 
-/* GRACE_MS is the length of the announced state and TIMEOUT_MS the longest
-   shutdown, both from the first signal; 0 selects DRAIN_GRACE_MS or
+/* ANNOUNCE_MS is the length of the announced state and TIMEOUT_MS the longest
+   shutdown, both from the first signal; 0 selects DRAIN_ANNOUNCE_MS or
    DRAIN_TIMEOUT_MS.  CLOCK is borrowed.  */
-drain_t *drain_create (uint32_t grace_ms, uint32_t timeout_ms,
+drain_t *drain_create (uint32_t announce_ms, uint32_t timeout_ms,
                        clock_iface_t *clock);
 void drain_destroy (drain_t *drain);
 
--- a/packages/policy/escalation.h
+++ b/packages/policy/escalation.h
@@ -39,9 +39,9 @@
      their number.
 
    When the engines are under pressure, which shows in the time to the first
-   event relative to the objective, the confidence counts for more and fewer
-   answers are escalated.  Otherwise the second answers would fill the
-   engines.  */
+   event relative to the objective, up to ESCALATION_PRESSURE_POINTS_MAX points
+   are added to each confidence, so that fewer answers are escalated.
+   Otherwise the second answers would fill the engines.  */
 
 #ifndef POLICY_ESCALATION_H
 #define POLICY_ESCALATION_H
--- a/packages/policy/fanout.h
+++ b/packages/policy/fanout.h
@@ -10,10 +10,10 @@
      gateways below it, then by a hash of the name.  Two gateways with
      different lists may both read from the store for a while.
    - In a fleet of up to FANOUT_SMALL_FLEET_MAX gateways all others read from
-     the root, the first in rank.  In a larger fleet they read from the first
-     of their availability zone, its head, and the heads read from the root, so
-     that no gateway serves more others than its zone has gateways or the fleet
-     has zones.
+     the root, the first in rank.  In a larger fleet each gateway reads from
+     the first gateway in rank of its own availability zone, called the head of
+     the zone, and the heads read from the root, so that no gateway serves more
+     others than its zone has gateways or the fleet has zones.
    - A gateway that does not respond is not used as a source for
      FANOUT_SILENT_BACKOFF_MS.  If it is in another zone, no gateway of any
      other zone is used for FANOUT_OWN_ZONE_ONLY_MS, because the network
@@ -42,8 +42,8 @@
      used as a source: it has just started, or lost the store briefly.  */
   FANOUT_NOT_READY_BACKOFF_MS = 500,
   FANOUT_OWN_ZONE_ONLY_MS = 10000,
-  /* Time for which a gateway that got no response from the store leaves the
-     reading to others.  */
+  /* Time for which a gateway that got no response from the store does not act
+     as the root, so that another gateway reads from the store.  */
   FANOUT_STORE_BACKOFF_MS = 1500,
   FANOUT_PROBE_INTERVAL_PER_GATEWAY_MS = 50,
   /* Longest interval between probes of an unavailable store, well below the
@@ -92,7 +92,8 @@
 /* Record whether the store responded to a call of this gateway.  */
 void fanout_store_call_ended (fanout_t *fanout, bool responded);
 /* Return whether this gateway may call the store although its source reported
-   an outage.  A call that is allowed counts towards the probe interval.  */
+   an outage.  The result is always true while the store is reachable;
+   otherwise a permitted call starts a new probe interval.  */
 bool fanout_may_probe_store (fanout_t *fanout);
 /* Return whether the store responded to this gateway within the last
    FANOUT_PROBE_INTERVAL_MAX_MS.  */
--- a/packages/policy/limit.h
+++ b/packages/policy/limit.h
@@ -1,9 +1,9 @@
 /* Adaptive concurrency limit of one upstream.
 
-   Load pattern: an upstream that was just started, or whose caches went cold
-   in service, fails under the load that a warm upstream carries.  Without a
-   limit every request is sent on at once, all requests slow down together, and
-   the first responses arrive after their callers have timed out.
+   Load pattern: an upstream that was just started, or that lost its caches
+   while in service, fails under the load that a warm upstream carries.
+   Without a limit every request is sent on at once, all requests slow down
+   together, and the first responses arrive after their callers have timed out.
 
    The limit works like the congestion window of a transport protocol.  A slot
    is the permission to run one request.  The limit is the number of slots.  A
@@ -31,7 +31,8 @@
      three consecutive samples of three times the best latency.  A full batch
      never gets that slow, because the limit is cut long before, and one
      unusual job gives one sample only.  A wrong reset to LIMIT_INITIAL_SLOTS
-     costs a few rounds; a missed one costs a batch of time-outs.
+     costs a few rounds; a necessary reset that is missing makes a batch of
+     requests time out.
    - LIMIT_CONSECUTIVE_ERRORS 3: one error may come from a malformed request;
      three consecutive errors are attributed to the upstream.
    - LIMIT_BEST_LATENCY_SMOOTHING 0.3: smoothing weight of a lower best
--- a/packages/policy/outlier.c
+++ b/packages/policy/outlier.c
@@ -18,8 +18,8 @@
   uint32_t sample_count;
   uint32_t consecutive_errors;
   uint32_t trial_successes;
-  uint32_t ejection_count; /* Number of ejections since the length of an
-                              ejection was reset.  */
+  /* Number of ejections since the length of an ejection was reset.  */
+  uint32_t ejections_since_reset;
   double error_rate;      /* Moving average of the share of failed responses, 0
                              to 1.  */
   double unit_latency_us; /* Moving average of the latency per unit of cost,
@@ -133,13 +133,14 @@
     return;
   if (member->state == OUTLIER_ACTIVE
       && now - member->active_since_ms >= OUTLIER_EJECTION_RESET_MS)
-    member->ejection_count = 0;
-  for (uint32_t i = 0;
-       i < member->ejection_count && length_ms < OUTLIER_EJECTION_MAX_MS; i++)
+    member->ejections_since_reset = 0;
+  for (uint32_t i = 0; i < member->ejections_since_reset
+                       && length_ms < OUTLIER_EJECTION_MAX_MS;
+       i++)
     length_ms *= 2;
   if (length_ms > OUTLIER_EJECTION_MAX_MS)
     length_ms = OUTLIER_EJECTION_MAX_MS;
-  member->ejection_count++;
+  member->ejections_since_reset++;
   member->ejected_until_ms = now + length_ms;
   set_state (outlier, member, OUTLIER_EJECTED);
 }
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -19,8 +19,10 @@
 
    - POISON_KEYS_MAX 4096 of 48 bytes: a crash is recorded for all requests
      that an upstream runs, some dozens, under two keys each, so there is room
-     for about thirty crashes at a time.  When there is no room, the record
-     that expires first is dropped, records of refused requests last.
+     for about thirty crashes at a time.  Keys are stored in small sets by
+     hash.  When the set of a new key is full, one key of the set is dropped
+     with its records: an expired key first, then the key with the fewest
+     crashes, and among these the key that expires first.
    - POISON_EXPIRY_MS 3600000: resends arrive within minutes; after an hour the
      upstream's software may have changed.  */
 
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -183,8 +183,8 @@
 /* Return the mean of epoch I, clipped to QUALITY_CLIP_DISTANCE around the
    median of the other epochs; the variance of the epoch is kept.  Clipping
    bounds the effect of a rating service that is temporarily wrong, which shows
-   as a simultaneous jump of all versions.  The median follows only when half
-   of the votes have moved.  */
+   as a simultaneous jump of all versions.  The weighted median changes only
+   when epochs with half of the total weight have changed.  */
 static double
 clipped_mean (const epoch_stats_t *epochs, size_t count, size_t i)
 {
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -24,9 +24,9 @@
    The mean of an epoch that lies far from the weighted median of the other
    epochs is clipped to a distance of QUALITY_CLIP_DISTANCE, so that a rating
    service that is wrong for an hour moves the posterior by a bounded amount.
-   A version that really changed moves the median once its epochs hold half of
-   the votes; a sudden change is to be detected during the roll-out (rollout.h)
-   and in service (degradation.h).  */
+   When a version really changes, the weighted median changes only when epochs
+   with half of the total weight have changed; a sudden change is to be
+   detected during the roll-out (rollout.h) and in service (degradation.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -140,7 +140,7 @@
 /* Return the normal posterior of the mean of COUNT values with the given SUM
    and sum of squares SQUARE_SUM.  The prior counts as QUALITY_PRIOR_WEIGHT
    values with mean PRIOR and VARIANCE.  */
-quality_bound_t quality_posterior (double count, double sum, double squares,
+quality_bound_t quality_posterior (double count, double sum, double square_sum,
                                    double prior, double variance);
 
 #endif
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -119,7 +119,7 @@
 /* Return a new queue, owned by the caller.  CONFIG may be NULL for the
    defaults.  CLOCK is borrowed and must outlive the queue.  */
 queue_t *queue_create (const queue_config_t *config, clock_iface_t *clock);
-/* Free QUEUE.  The entries of waiting jobs stay the callers'.  */
+/* Free QUEUE.  The callers still own the entries of waiting jobs.  */
 void queue_destroy (queue_t *queue);
 
 /* Set the weight of TEAM.  The default is 1, and 0 counts as 1.  */
@@ -135,8 +135,8 @@
                       const queue_job_t *job, queue_waiter_t **evicted);
 
 /* Remove and return the job to run next, or NULL when no waiting job may run.
-   The job counts as running until queue_done or queue_cancel.  Call
-   queue_pop_expired until NULL first.  */
+   The job counts as running until queue_done or queue_cancel.  Before each
+   call, queue_pop_expired must be called until it returns NULL.  */
 queue_waiter_t *queue_pop (queue_t *queue);
 
 /* Record that the running job WAITER ended after SERVICE_US at a cost of
@@ -145,8 +145,9 @@
 void queue_done (queue_t *queue, queue_waiter_t *waiter, uint64_t service_us,
                  uint32_t used_cost);
 
-/* Remove WAITER, waiting or running, from the queue in O(log n).  The service
-   of a running job is not recorded.  */
+/* Remove WAITER, waiting or running, from the queue in O(log n).  A running
+   job stays charged with its estimated cost, and its service time is not
+   sampled.  */
 void queue_cancel (queue_t *queue, queue_waiter_t *waiter);
 
 /* Remove and return a job that can no longer meet its deadline, to be refused
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -199,9 +199,9 @@
     {
     case ROLLOUT_PHASE_COMPLETE:
       return 1;
+    /* Each process also enforces the cap, on its merged exposure count,
+       because there may be no lease holder to stop the step.  */
     case ROLLOUT_PHASE_RUNNING:
-    /* Bounds the exposure while there is no lease holder: each process stops
-       at the cap by itself.  */
     case ROLLOUT_PHASE_PAUSED:
       if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
         return 0;
@@ -266,7 +266,7 @@
 {
   double weight;
   /* Sum of the strata's differences, each times its weight.  */
-  double difference;
+  double weighted_difference_sum;
   double variance_factor_new; /* Sum over the strata of weight^2 / count of the
                                  new version's answers.  */
   double variance_factor_old; /* Sum over the strata of weight^2 / count of the
@@ -294,7 +294,8 @@
     return;
   double weight = new->count * old->count / (new->count + old->count);
   s->weight += weight;
-  s->difference += weight * (new->sum / new->count - old->sum / old->count);
+  s->weighted_difference_sum
+      += weight * (new->sum / new->count - old->sum / old->count);
   s->variance_factor_new += weight * weight / new->count;
   s->variance_factor_old += weight * weight / old->count;
   pool_moments (&s->pooled_new, new);
@@ -390,7 +391,7 @@
         / (s.weight * s.weight);
   double half_width
       = confidence_half_width (variance, metrics[metric].scale, alpha);
-  e.difference = s.difference / s.weight;
+  e.difference = s.weighted_difference_sum / s.weight;
   e.lower = e.difference - half_width;
   e.upper = e.difference + half_width;
   return e;
--- a/packages/policy/rollout.h
+++ b/packages/policy/rollout.h
@@ -43,9 +43,10 @@
 /* State of one run of one roll-out.  */
 typedef struct rollout_run rollout_run_t;
 
-/* Probability that a version as good as the old one is halted.  The users'
-   bound is 1 in 20; the rest is reserve for estimating the variance from the
-   answers (plug-in variance).  */
+/* Largest probability of halting a version whose harm is within the margins.
+   The users' bound is 1 in 20; the value is lower because the variance is
+   estimated from the answers (plug-in variance), which adds an error that the
+   bound of the test does not include.  */
 #define ROLLOUT_ALPHA 0.02
 
 /* X (symbol, name, margin, scale).  A difference up to MARGIN does not count
--- a/packages/policy/trial.h
+++ b/packages/policy/trial.h
@@ -20,11 +20,14 @@
    - A step advances only while the store answers: during an outage of the
      store the measurements of other processes cannot arrive, so the share must
      not rise.
-   - Answers of both versions are counted in cells by route.  The counts of all
-     processes are added up on the way to the process that reads the store for
-     the others, which decides.  Counts decay with a half-life of about 4 s, so
-     that the good answers of a version that fails later do not hide its
-     failures.
+   - Answers of both versions are counted in cells: one for each of
+     TRIAL_ROUTE_CELLS groups of routes, by hash, and one for loaded instances.
+     Each process sends its counts, added to those that it received, to the
+     process through which it reads the store.  The process that reads the
+     store directly thus has the counts of all processes, and decides.  Counts
+     of answers and failures decay with a half-life of about 4 s, counts of
+     late times with one of about 13 s, so that the good answers of a version
+     that fails later do not hide its failures.
    - An instance that crashes ends all its requests, at each process: a single
      crash looks like many failures of the version.  A lost connection
      therefore has the weight TRIAL_LOST_CONNECTION_WEIGHT, with which a
@@ -32,9 +35,10 @@
    - A version may fail only on loaded instances, and its answers from the
      other instances would hide that, so answers of loaded instances also count
      in a cell of their own.
-   - A version that is still held back by the measurements shortly before the
-     time limit is rolled back, because the measurements that hold the version
-     back count against it.
+   - A version that still may not advance shortly before the time limit is
+     rolled back: its failures or late times exceed the old version's by too
+     little to call the version bad, but by more than a version that gets all
+     requests may have, or a busy cell has hardly any of its answers.
    - A version is bad when in one cell the share of its answers that failed
      exceeds the old version's by TRIAL_FAILURE_EXCESS and by
      TRIAL_FAILURE_STDERRS standard errors, over TRIAL_ANSWERS_MIN answers; or
@@ -99,9 +103,10 @@
    TRIAL_FINAL_STDERRS standard errors.  */
 #define TRIAL_FINAL_EXCESS 0.13
 #define TRIAL_FINAL_STDERRS 2.0
-/* In a cell with at least TRIAL_BUSY_CELL_ANSWERS answers of the old version,
-   the new one needs at least TRIAL_BUSY_CELL_NEW_MIN before it is declared
-   good.  */
+/* In a cell (a group of routes, or the loaded instances) that has counted at
+   least TRIAL_BUSY_CELL_ANSWERS answers of the old version since the start,
+   the new version needs at least TRIAL_BUSY_CELL_NEW_MIN answers before it is
+   declared good.  */
 #define TRIAL_BUSY_CELL_ANSWERS 100.0
 #define TRIAL_BUSY_CELL_NEW_MIN 2.0
 #define TRIAL_ADVANCE_ANSWERS_MIN 4.0
@@ -230,9 +235,9 @@
 /* Set whether the row in the store holds a final phase.  */
 void trial_set_final_phase_stored (trial_t *trial, bool is_final_phase_stored);
 bool trial_is_final_phase_stored (const trial_t *trial);
-/* Take over the row in the store: the time at which a process first saw the
-   order, the step, and the time from which the step applies, by the store's
-   clock.  */
+/* Set the progress from the row in the store: the time at which a process
+   first saw the order, the step, and the time from which the step applies, by
+   the store's clock.  */
 void trial_set_progress (trial_t *trial, uint64_t start_ms, uint32_t step,
                          uint64_t step_start_ms);
 /* Return the time at which a process first saw the order, by the store's
@@ -284,7 +289,9 @@
 void trial_observe_timing (trial_t *trial, trial_arm_t arm, uint64_t route,
                            trial_timing_t timing, uint32_t load, double ms,
                            uint64_t now_ms);
-/* Decay all counts; to be called once a second.  */
+/* Multiply each sum by its decay factor (TRIAL_SUMS and
+   TRIAL_TIMING_DECAY_PER_S); totals do not decay.  The caller must call this
+   once a second.  */
 void trial_decay (trial_t *trial);
 
 /* Append the message to the other processes: this process's counts and, with
