--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -304,7 +304,7 @@
    version's answers.  */
 static void
 compute_first_posteriors (const curve_t *curve, double mean,
-                          quality_bound_t *out)
+                          quality_posterior_t *out)
 {
   regression_t line = fit_line (curve, mean);
   double variance = pooled_variance (curve);
@@ -330,8 +330,8 @@
 
 static outcome_t
 compute_outcome (const curve_t *first,
-                 const quality_bound_t *first_quality_by_bin,
-                 const quality_bound_t *second_quality_by_first_bin,
+                 const quality_posterior_t *first_quality_by_bin,
+                 const quality_posterior_t *second_quality_by_first_bin,
                  size_t threshold_bin)
 {
   double mean = 0;
@@ -341,9 +341,9 @@
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const quality_bound_t *q = b < threshold_bin
-                                     ? &second_quality_by_first_bin[b]
-                                     : &first_quality_by_bin[b];
+      const quality_posterior_t *q = b < threshold_bin
+                                         ? &second_quality_by_first_bin[b]
+                                         : &first_quality_by_bin[b];
       double share
           = first->bins[b].first_rating_count / first->first_rating_count;
       double error = (q->mean - q->lower) / QUALITY_Z_ONE_SIDED_95;
@@ -408,8 +408,8 @@
    version.  */
 static void
 compute_second_posteriors (const curve_t *second_curve,
-                           const quality_bound_t *first_quality_by_bin,
-                           double mean, quality_bound_t *out)
+                           const quality_posterior_t *first_quality_by_bin,
+                           double mean, quality_posterior_t *out)
 {
   double variance = pooled_variance (second_curve);
 
@@ -452,8 +452,8 @@
   const cascade_request_t *r = d->request;
   const cascade_candidate_t *a = candidate_at (d, first);
   const cascade_candidate_t *b = candidate_at (d, second);
-  quality_bound_t first_quality_by_bin[CASCADE_BINS];
-  quality_bound_t second_quality_by_first_bin[CASCADE_BINS];
+  quality_posterior_t first_quality_by_bin[CASCADE_BINS];
+  quality_posterior_t second_quality_by_first_bin[CASCADE_BINS];
   curve_t first_curve, second_curve;
 
   compute_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
