--- a/packages/policy/balance.c
+++ b/packages/policy/balance.c
@@ -40,8 +40,8 @@
    line holds two upstreams.  */
 typedef struct
 {
-  float other_load;       /* Load of other gateways in the last report.  */
-  float penalty;          /* Load added for failures at PENALTY_TICK.  */
+  float other_gateways_load; /* Load of other gateways in the last report.  */
+  float penalty;             /* Load added for failures at PENALTY_TICK.  */
   uint32_t reported_tick; /* Tick at which the last load report was made.  */
   uint32_t penalty_tick;  /* Tick at which PENALTY was last raised.  */
   uint32_t ramp_tick;     /* Tick at which the ramp started.  */
@@ -90,8 +90,9 @@
 {
   char *name;
   uint32_t name_len;
-  float mean_other_load; /* Mean load per slot that gateways other than this
-                            one cause, as reported.  */
+  /* Mean load per slot that gateways other than this one cause, as
+     reported.  */
+  float mean_other_gateways_load;
   float mean_load; /* Mean load per slot of all gateways, as reported.  */
   uint32_t reported_tick;  /* Tick at which the last load report arrived.  */
   zone_pool_t *zone_pools; /* Indexed by zone number.  */
@@ -724,17 +725,18 @@
   update_slots (state, load->slots);
   state->flags |= FLAG_REPORTED;
   state->reported_tick = tick;
-  state->other_load = load->in_flight > state->in_flight
-                          ? (float)(load->in_flight - state->in_flight)
-                          : 0;
+  state->other_gateways_load
+      = load->in_flight > state->in_flight
+            ? (float)(load->in_flight - state->in_flight)
+            : 0;
   for (uint32_t i = 0; i < details->pool_count; i++)
     {
       upstream_pool_t *pool = &balance->pools[details->pools[i]];
       float slots = state->slots;
 
-      pool->mean_other_load
-          += POOL_AVERAGE_WEIGHT
-             * (state->other_load / slots - pool->mean_other_load);
+      pool->mean_other_gateways_load += POOL_AVERAGE_WEIGHT
+                                        * (state->other_gateways_load / slots
+                                           - pool->mean_other_gateways_load);
       pool->mean_load += POOL_AVERAGE_WEIGHT
                          * ((float)load->in_flight / slots - pool->mean_load);
       pool->reported_tick = now_ticks;
@@ -778,7 +780,7 @@
 load_with_request (const selection_t *selection, upstream_state_t *state)
 {
   float effective_slots = (float)state->average_slots_16ths / FIXED_POINT_ONE;
-  float other_load = 0;
+  float other_gateways_load = 0;
   float load = (float)state->in_flight + 1;
   uint32_t age_ticks = selection->now_ticks - state->reported_tick;
 
@@ -788,13 +790,15 @@
   if ((state->flags & FLAG_REPORTED) != 0)
     effective_slots += weigh_by_age (state->slots - effective_slots, age_ticks,
                                      BALANCE_REPORT_HALF_MS);
-  other_load = selection->pool->mean_other_load * effective_slots;
+  other_gateways_load
+      = selection->pool->mean_other_gateways_load * effective_slots;
   if ((state->flags & FLAG_REPORTED) != 0)
-    other_load += weigh_by_age (state->other_load - other_load, age_ticks,
-                                BALANCE_REPORT_HALF_MS);
+    other_gateways_load
+        += weigh_by_age (state->other_gateways_load - other_gateways_load,
+                         age_ticks, BALANCE_REPORT_HALF_MS);
   effective_slots *= (float)selection->traffic_share;
-  if (other_load > 0)
-    load += other_load;
+  if (other_gateways_load > 0)
+    load += other_gateways_load;
   if (state->penalty > 0)
     load += decayed_penalty (state, selection->now_ticks);
   if ((state->flags & FLAG_RAMPING) != 0)
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -145,10 +145,11 @@
   sample[FIELD_FIRST_RATING_COUNT] = is_first;
   if (!isnan (audit))
     {
-      double clipped = fmax (0, fmin (1, audit));
+      double clipped_audit = fmax (0, fmin (1, audit));
       sample[FIELD_AUDIT_COUNT] = 1;
-      sample[FIELD_AUDIT_SUM] = crdt_to_fixed_point (clipped);
-      sample[FIELD_AUDIT_SQUARES] = crdt_to_fixed_point (clipped * clipped);
+      sample[FIELD_AUDIT_SUM] = crdt_to_fixed_point (clipped_audit);
+      sample[FIELD_AUDIT_SQUARES]
+          = crdt_to_fixed_point (clipped_audit * clipped_audit);
     }
   int key = crdt_key_find_or_add (c->rating_crdt,
                                   bin_hash (curve, bin_of (rating)));
--- a/packages/policy/limit.c
+++ b/packages/policy/limit.c
@@ -16,8 +16,8 @@
   uint32_t in_flight;
   double slow_start_threshold; /* Slots at which slow start ends.  */
   bool in_slow_start;
-  bool is_best_warm;   /* Whether BEST_UNIT_LATENCY_US was measured on a warm
-                          engine.  */
+  /* Whether BEST_UNIT_LATENCY_US was measured on a warm engine.  */
+  bool is_best_latency_warm;
   double slot_time_us; /* Integral of the used slots over the time of this
                           round.  */
   uint64_t slot_time_until_us; /* Time up to which SLOT_TIME_US is counted.  */
@@ -88,7 +88,7 @@
          once.  */
       limit->slow_start_threshold
           = limit->in_slow_start ? limit->slots / 2 : limit->slots;
-      limit->is_best_warm = true;
+      limit->is_best_latency_warm = true;
     }
   limit->slots = limit->initial_slots;
   limit->in_slow_start = true;
@@ -146,7 +146,7 @@
 static double
 doubling_utilization (const limit_t *limit)
 {
-  return limit->is_best_warm && limit->slots < LIMIT_SMALL_SLOTS
+  return limit->is_best_latency_warm && limit->slots < LIMIT_SMALL_SLOTS
              ? LIMIT_GROWTH_UTILIZATION
              : LIMIT_DOUBLE_UTILIZATION;
 }
@@ -166,7 +166,7 @@
     {
       limit->in_slow_start = true;
       limit->slow_start_threshold = limit->max_slots;
-      limit->is_best_warm = true;
+      limit->is_best_latency_warm = true;
     }
   if (limit->best_unit_latency_us == 0)
     limit->best_unit_latency_us = mean_us;
@@ -280,7 +280,7 @@
   limit->last_drift_us = clock_us (limit->clock);
   reset_to_start (limit);
   limit->slow_start_threshold = limit->max_slots;
-  limit->is_best_warm = false;
+  limit->is_best_latency_warm = false;
 }
 
 uint32_t
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -15,7 +15,7 @@
    reads no instance of another service.  */
 typedef struct
 {
-  upstream_t **items;
+  upstream_t **upstreams;
   size_t count;
   size_t capacity;
 } service_group_t;
@@ -107,10 +107,10 @@
   if (group->count == group->capacity)
     {
       group->capacity = group->capacity > 0 ? 2 * group->capacity : 8;
-      group->items
-          = mem_realloc (group->items, group->capacity * sizeof *group->items);
+      group->upstreams = mem_realloc (
+          group->upstreams, group->capacity * sizeof *group->upstreams);
     }
-  group->items[group->count++] = upstream;
+  group->upstreams[group->count++] = upstream;
   upstream->group = group;
 }
 
@@ -118,9 +118,9 @@
 service_group_remove (service_group_t *group, const upstream_t *upstream)
 {
   for (size_t i = 0; i < group->count; i++)
-    if (group->items[i] == upstream)
+    if (group->upstreams[i] == upstream)
       {
-        group->items[i] = group->items[--group->count];
+        group->upstreams[i] = group->upstreams[--group->count];
         return;
       }
 }
@@ -155,7 +155,7 @@
   void *group;
   while (map_next (pool->groups, &cursor, &key, &group))
     {
-      free (((service_group_t *)group)->items);
+      free (((service_group_t *)group)->upstreams);
       free (group);
     }
   map_destroy (pool->groups);
@@ -481,7 +481,7 @@
 
   for (size_t i = 0; i < group->count; i++)
     {
-      const upstream_t *upstream = group->items[i];
+      const upstream_t *upstream = group->upstreams[i];
       if (!is_eligible (upstream, criteria, version_hash, now_ms))
         continue;
       sum += load_of (upstream, now_ms);
@@ -507,12 +507,13 @@
    those examined so far.  */
 typedef struct
 {
-  upstream_t *own_zone; /* Instance with the highest hash in the zone of this
-                           gateway; NULL for none.  */
-  uint64_t own_zone_hash;
+  /* Instance with the highest hash in the zone of this gateway; NULL for
+     none.  */
+  upstream_t *highest_in_own_zone;
+  uint64_t highest_hash_in_own_zone;
   /* Instance with the highest hash in all zones; NULL for none.  */
-  upstream_t *best;
-  uint64_t best_hash;
+  upstream_t *highest;
+  uint64_t highest_hash;
 } affinity_choice_t;
 
 /* Update AFFINITY if UPSTREAM has a higher rendezvous hash for the affinity
@@ -530,16 +531,17 @@
 
   if (criteria->affinity_key == 0 || load_of (upstream, now_ms) > max_load)
     return;
-  if (affinity->best == NULL || hash > affinity->best_hash)
+  if (affinity->highest == NULL || hash > affinity->highest_hash)
     {
-      affinity->best = upstream;
-      affinity->best_hash = hash;
+      affinity->highest = upstream;
+      affinity->highest_hash = hash;
     }
   if (is_own_zone
-      && (affinity->own_zone == NULL || hash > affinity->own_zone_hash))
+      && (affinity->highest_in_own_zone == NULL
+          || hash > affinity->highest_hash_in_own_zone))
     {
-      affinity->own_zone = upstream;
-      affinity->own_zone_hash = hash;
+      affinity->highest_in_own_zone = upstream;
+      affinity->highest_hash_in_own_zone = hash;
     }
 }
 
@@ -567,9 +569,10 @@
   untried_criteria.tried_count = 0;
   uint64_t *hashes = mem_alloc (group->count * sizeof *hashes);
   for (size_t i = 0; i < group->count; i++)
-    if (is_eligible (group->items[i], &untried_criteria, version_hash, now_ms)
-        && now_ms >= group->items[i]->ejected_until_ms)
-      hashes[count++] = group->items[i]->id_hash;
+    if (is_eligible (group->upstreams[i], &untried_criteria, version_hash,
+                     now_ms)
+        && now_ms >= group->upstreams[i]->ejected_until_ms)
+      hashes[count++] = group->upstreams[i]->id_hash;
   qsort (hashes, count, sizeof *hashes, compare_hashes);
   uint64_t bound = count > criteria->max_instances
                        ? hashes[criteria->max_instances - 1]
@@ -599,7 +602,7 @@
 
   for (size_t i = 0; i < group->count; i++)
     {
-      upstream_t *upstream = group->items[i];
+      upstream_t *upstream = group->upstreams[i];
       if (!is_eligible (upstream, criteria, version_hash, now_ms)
           || (!include_ejected && now_ms < upstream->ejected_until_ms)
           || upstream->id_hash > max_id_hash)
@@ -616,9 +619,9 @@
         least_loaded = upstream;
       lowest_cost = cost;
     }
-  if (affinity.own_zone != NULL)
-    return affinity.own_zone;
-  return affinity.best != NULL ? affinity.best : least_loaded;
+  if (affinity.highest_in_own_zone != NULL)
+    return affinity.highest_in_own_zone;
+  return affinity.highest != NULL ? affinity.highest : least_loaded;
 }
 
 vh_code_t
@@ -654,19 +657,21 @@
   size_t count = 0;
 
   for (size_t i = 0; i < group->count && count < max_count; i++)
-    count += is_eligible (group->items[i], &criteria, version_hash, now_ms);
+    count
+        += is_eligible (group->upstreams[i], &criteria, version_hash, now_ms);
   return count;
 }
 
 void
-pool_request_started (pool_t *pool, upstream_t *upstream, uint32_t prompt)
+pool_request_started (pool_t *pool, upstream_t *upstream,
+                      uint32_t prompt_tokens)
 {
   if (upstream->running_count == 0)
     upstream->last_data_ms = clock_ms (pool->clock);
   upstream->is_unreachable = false;
   upstream->refs++;
   upstream->running_count++;
-  upstream->pending_prompt_tokens += prompt;
+  upstream->pending_prompt_tokens += prompt_tokens;
   upstream->send_times[upstream->send_time_index] = clock_ms (pool->clock);
   upstream->send_time_index
       = (upstream->send_time_index + 1) % POOL_SEND_TIMES_MAX;
@@ -732,19 +737,19 @@
 }
 
 void
-pool_prompt_processed (upstream_t *upstream, uint32_t prompt)
+pool_prompt_processed (upstream_t *upstream, uint32_t prompt_tokens)
 {
-  upstream->pending_prompt_tokens -= prompt;
+  upstream->pending_prompt_tokens -= prompt_tokens;
 }
 
 void
-pool_request_finished (pool_t *pool, upstream_t *upstream, uint32_t prompt,
-                       send_outcome_t outcome)
+pool_request_finished (pool_t *pool, upstream_t *upstream,
+                       uint32_t prompt_tokens, send_outcome_t outcome)
 {
   uint64_t now_ms = clock_ms (pool->clock);
 
   upstream->running_count--;
-  upstream->pending_prompt_tokens -= prompt;
+  upstream->pending_prompt_tokens -= prompt_tokens;
   if (outcome == SEND_OK)
     {
       upstream->consecutive_failures = 0;
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -179,17 +179,17 @@
    MAX_COUNT if there are more.  VERSION is the version on trial.  */
 size_t pool_count_instances (pool_t *pool, str_t service, version_arm_t arm,
                              str_t version, size_t max_count);
-/* Count a request with PROMPT prompt tokens as sent to UPSTREAM, and take a
-   reference to UPSTREAM that pool_request_finished releases.  */
+/* Count a request with PROMPT_TOKENS prompt tokens as sent to UPSTREAM, and
+   take a reference to UPSTREAM that pool_request_finished releases.  */
 void pool_request_started (pool_t *pool, upstream_t *upstream,
-                           uint32_t prompt);
-/* Count PROMPT prompt tokens as processed, at the first response event of a
-   request.  */
-void pool_prompt_processed (upstream_t *upstream, uint32_t prompt);
-/* Count a request as finished with OUTCOME.  PROMPT is its number of prompt
-   tokens, or 0 if pool_prompt_processed was called for the request.  */
+                           uint32_t prompt_tokens);
+/* Count PROMPT_TOKENS prompt tokens as processed, at the first response event
+   of a request.  */
+void pool_prompt_processed (upstream_t *upstream, uint32_t prompt_tokens);
+/* Count a request as finished with OUTCOME.  PROMPT_TOKENS is its number of
+   prompt tokens, or 0 if pool_prompt_processed was called for the request.  */
 void pool_request_finished (pool_t *pool, upstream_t *upstream,
-                            uint32_t prompt, send_outcome_t outcome);
+                            uint32_t prompt_tokens, send_outcome_t outcome);
 /* Record that data was received from UPSTREAM.  */
 void pool_data_received (pool_t *pool, upstream_t *upstream);
 /* Return the time, in ms, at which UPSTREAM must be probed if no data arrives
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -59,7 +59,8 @@
 {
   double share;      /* Largest share of the answers, such as 0.05.  */
   double rate_per_s; /* Most requests to the rating service per second.  */
-  double burst;      /* Most requests to the rating service at once.  */
+  double burst; /* Largest number of requests sent to the rating service at
+                   once.  */
   /* Number of decayed ratings of a version above which its share falls.  */
   uint32_t enough_ratings;
   double share_min; /* Least share, for a version with many ratings.  */
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -56,9 +56,10 @@
   uint64_t sequence;
   uint64_t phase;
   uint64_t step;
-  uint64_t exposure_base; /* Requests sent to the new version when the step
-                             began or its cap was last granted.  */
-  uint64_t metric;        /* Metric that caused a halt.  */
+  /* Number of requests that had been sent to the new version when the step
+     began or its cap was last granted.  */
+  uint64_t exposure_at_step_start;
+  uint64_t metric;    /* Metric that caused a halt.  */
   uint64_t task_hash; /* Hash of the task class that caused a halt; 0 if the
                          test that pools all task classes caused the halt.  */
   uint64_t harm_ppm;  /* Estimated difference at a halt, in millionths; its
@@ -188,7 +189,7 @@
   uint64_t step = r->decision.step;
 
   return step < ROLLOUT_STEP_COUNT
-             ? r->decision.exposure_base + steps[step].exposure_cap
+             ? r->decision.exposure_at_step_start + steps[step].exposure_cap
              : UINT64_MAX;
 }
 
@@ -487,7 +488,7 @@
   if (is_step_proven (r))
     {
       r->decision.step++;
-      r->decision.exposure_base = rollout_exposed_count (r);
+      r->decision.exposure_at_step_start = rollout_exposed_count (r);
       set_phase (r, r->decision.step == ROLLOUT_STEP_COUNT
                         ? ROLLOUT_PHASE_COMPLETE
                         : ROLLOUT_PHASE_RUNNING);
@@ -519,7 +520,7 @@
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return false;
   if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
-    r->decision.exposure_base = rollout_exposed_count (r);
+    r->decision.exposure_at_step_start = rollout_exposed_count (r);
   set_phase (r, ROLLOUT_PHASE_RUNNING);
   return true;
 }
@@ -605,10 +606,11 @@
 rollout_write (const rollout_run_t *r, bool own_only, buf_t *out)
 {
   const decision_t *d = &r->decision;
-  const uint64_t values[] = { FORMAT,      r->salt,      d->sequence,
-                              d->phase,    d->step,      d->exposure_base,
-                              d->metric,   d->task_hash, d->harm_ppm,
-                              d->lower_ppm };
+  const uint64_t values[]
+      = { FORMAT,      r->salt,      d->sequence,
+          d->phase,    d->step,      d->exposure_at_step_start,
+          d->metric,   d->task_hash, d->harm_ppm,
+          d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
     crdt_write_varint (out, values[i]);
@@ -626,9 +628,10 @@
 static bool
 read_decision (str_t *rest, decision_t *d)
 {
-  uint64_t *const values[]
-      = { &d->sequence, &d->phase,     &d->step,     &d->exposure_base,
-          &d->metric,   &d->task_hash, &d->harm_ppm, &d->lower_ppm };
+  uint64_t *const values[] = { &d->sequence, &d->phase,
+                               &d->step,     &d->exposure_at_step_start,
+                               &d->metric,   &d->task_hash,
+                               &d->harm_ppm, &d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
     if (!crdt_read_varint (rest, values[i]))
--- a/packages/policy/trial.c
+++ b/packages/policy/trial.c
@@ -262,13 +262,13 @@
 static void
 sums_add_outcome (trial_sums_t *sums, trial_outcome_t outcome)
 {
-  double weight = outcome == TRIAL_OUTCOME_CONNECTION_LOST
-                      ? TRIAL_LOST_CONNECTION_WEIGHT
-                      : 1;
+  double answer_weight = outcome == TRIAL_OUTCOME_CONNECTION_LOST
+                             ? TRIAL_LOST_CONNECTION_WEIGHT
+                             : 1;
 
-  sums->count += weight;
+  sums->count += answer_weight;
   if (outcome != TRIAL_OUTCOME_ANSWERED)
-    sums->failed += weight;
+    sums->failed += answer_weight;
   if (outcome == TRIAL_OUTCOME_CONNECTION_LOST)
     {
       sums->lost_connections += 1;
