--- a/packages/policy/balance.h
+++ b/packages/policy/balance.h
@@ -106,8 +106,10 @@
 /* The load that a sidecar reports for its upstream.  */
 typedef struct
 {
-  uint32_t in_flight; /* Running requests plus queue_load of waiting ones.  */
-  uint32_t slots;     /* Number of requests that it runs concurrently.  */
+  uint32_t in_flight; /* Running requests plus the load of the waiting
+                         requests (queue_load).  */
+  uint32_t slots;     /* Number of requests that the upstream runs
+                         concurrently.  */
 } balance_load_t;
 
 typedef struct
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -96,7 +96,7 @@
 typedef struct
 {
   str_t name;
-  str_t team; /* Empty for all teams.  */
+  str_t team; /* Team that the objective covers; empty for all teams.  */
   /* Required share of answered requests, such as 0.999.  */
   double answered_share;
   uint64_t first_token_ms;
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -21,7 +21,7 @@
   /* Most ratings of an epoch that count in the median.  Without the bound a
      rating service that is wrong and answers at many times its usual rate
      would determine the median.  */
-  EPOCH_VOTES_MAX = 20
+  EPOCH_MEDIAN_RATINGS_MAX = 20
 };
 
 typedef struct
@@ -114,9 +114,10 @@
 typedef struct
 {
   double mean;
-  double weight; /* Number of ratings after decay.  */
-  double votes;  /* Weight of the epoch in the median of the epochs' means.  */
-  double rating_count; /* Number of ratings before decay.  */
+  double weight;        /* Number of ratings after decay.  */
+  double median_weight; /* Weight of the epoch in the median of the epochs'
+                           means.  */
+  double rating_count;  /* Number of ratings before decay.  */
   double square_sum;
 } epoch_stats_t;
 
@@ -125,15 +126,15 @@
 static double
 median_of_others (const epoch_stats_t *epochs, size_t count, size_t skip)
 {
-  double total_votes = 0;
-  double votes = 0;
+  double total_weight = 0;
+  double summed_weight = 0;
 
   for (size_t i = 0; i < count; i++)
-    total_votes += i != skip ? epochs[i].votes : 0;
+    total_weight += i != skip ? epochs[i].median_weight : 0;
   for (size_t i = 0; i < count; i++)
     {
-      votes += i != skip ? epochs[i].votes : 0;
-      if (votes >= total_votes / 2 && i != skip)
+      summed_weight += i != skip ? epochs[i].median_weight : 0;
+      if (summed_weight >= total_weight / 2 && i != skip)
         return epochs[i].mean;
     }
   return epochs[skip].mean;
@@ -171,7 +172,7 @@
         .mean
         = (double)sums[FIELD_RATING_SUM] / CRDT_FIXED_POINT_ONE / rating_count,
         .weight = decay * rating_count,
-        .votes = decay * fmin (rating_count, EPOCH_VOTES_MAX),
+        .median_weight = decay * fmin (rating_count, EPOCH_MEDIAN_RATINGS_MAX),
         .rating_count = rating_count,
         .square_sum = (double)sums[FIELD_RATING_SQUARES] / CRDT_FIXED_POINT_ONE
       };
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -41,7 +41,9 @@
 {
   QUALITY_PRIOR_WEIGHT = 4,
   QUALITY_EPOCH_MS = 30 * 60 * 1000,
-  QUALITY_EPOCHS = 48, /* One day; older ratings weigh less than 1/16.  */
+  /* Number of epochs kept, which is one day; older ratings would weigh less
+     than 1/16.  */
+  QUALITY_EPOCHS = 48,
   QUALITY_HALF_LIFE_MS = 6 * 60 * 60 * 1000,
   QUALITY_SERIES_MAX = 512, /* Most pairs of a task class and a version.  */
   QUALITY_CELLS_MAX = 32768
