--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -34,8 +34,8 @@
   ck_assert_uint_eq (drain_ms_to_next_state (drain), UINT64_MAX);
   ck_assert (drain_start (drain));
   ck_assert (!drain_is_healthy (drain));
-  /* The grace period applies to an idle process too, because the load balancer
-     still sends requests.  */
+  /* The announced state applies to an idle process too, because the load
+     balancer still sends requests.  */
   ck_assert_int_eq (drain_update (drain, 0), DRAIN_ANNOUNCED);
   ck_assert (drain_accepts_requests (drain));
   ck_assert_uint_eq (drain_ms_to_next_state (drain), 1000);
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST (timeout_below_the_grace_period)
+START_TEST (timeout_shorter_than_the_announced_state)
 {
   drain_t *short_drain = drain_create (1000, 200, test_clock);
 
@@ -108,7 +108,7 @@
   tcase_add_test (tcase, shutdown_passes_all_states);
   tcase_add_test (tcase, second_signal_has_no_effect);
   tcase_add_test (tcase, timeout_ends_the_shutdown_and_counts_unfinished);
-  tcase_add_test (tcase, timeout_below_the_grace_period);
+  tcase_add_test (tcase, timeout_shorter_than_the_announced_state);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
