--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -48,7 +48,8 @@
   CASCADE_CANDIDATES_MAX = 16,
   CASCADE_EPOCH_MS = 60 * 60 * 1000,
   CASCADE_EPOCHS = 24,
-  CASCADE_KEYS_MAX = 2048,
+  /* Largest number of bins of all learned curves together.  */
+  CASCADE_BIN_KEYS_MAX = 2048,
   CASCADE_CELLS_MAX = 32768
 };
 
@@ -115,7 +116,7 @@
 {
   str_t version;
   double cost;                 /* Expected cost of the request.  */
-  quality_posterior_t quality; /* Quality for the task class of the request. */
+  quality_posterior_t quality; /* Quality for the request's task class.  */
   /* Time to the full answer, such as the 95th percentile.  */
   double latency_ms;
 } cascade_candidate_t;
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -24,9 +24,9 @@
    The mean of an epoch that lies far from the weighted median of the other
    epochs is clipped to a distance of QUALITY_CLIP_DISTANCE, so that a rating
    service that is wrong for an hour moves the posterior by a bounded amount.
-   A version that really changed moves the median once its epochs hold half of
-   the votes; a sudden change is to be detected during the roll-out (rollout.h)
-   and in service (degradation.h).  */
+   When a version really changes, the weighted median changes only when epochs
+   with half of the total weight have changed; a sudden change is to be
+   detected during the roll-out (rollout.h) and in service (degradation.h).  */
 
 #ifndef POLICY_QUALITY_H
 #define POLICY_QUALITY_H
@@ -41,7 +41,9 @@
 {
   QUALITY_PRIOR_WEIGHT = 4,
   QUALITY_EPOCH_MS = 30 * 60 * 1000,
-  QUALITY_EPOCHS = 48, /* One day; older ratings weigh less than 1/16.  */
+  /* Number of epochs kept, which is one day; older ratings would weigh less
+     than 1/16.  */
+  QUALITY_EPOCHS = 48,
   QUALITY_HALF_LIFE_MS = 6 * 60 * 60 * 1000,
   QUALITY_SERIES_MAX = 512, /* Most pairs of a task class and a version.  */
   QUALITY_CELLS_MAX = 32768
@@ -59,7 +61,8 @@
 {
   double share;      /* Largest share of the answers, such as 0.05.  */
   double rate_per_s; /* Most requests to the rating service per second.  */
-  double burst;      /* Most requests to the rating service at once.  */
+  double burst; /* Largest number of requests sent to the rating service at
+                   once.  */
   /* Number of decayed ratings of a version above which its share falls.  */
   uint32_t enough_ratings;
   double share_min; /* Least share, for a version with many ratings.  */
@@ -141,7 +144,7 @@
    and sum of squares SQUARE_SUM.  The prior counts as QUALITY_PRIOR_WEIGHT
    values with mean PRIOR and VARIANCE.  */
 quality_posterior_t quality_posterior (double count, double sum,
-                                       double squares, double prior,
+                                       double square_sum, double prior,
                                        double variance);
 
 #endif
--- a/packages/policy/rollout.c
+++ b/packages/policy/rollout.c
@@ -56,9 +56,10 @@
   uint64_t sequence;
   uint64_t phase;
   uint64_t step;
-  uint64_t exposure_base; /* Requests sent to the new version when the step
-                             began or its cap was last granted.  */
-  uint64_t metric;        /* Metric that caused a halt.  */
+  /* Number of requests that had been sent to the new version when the step
+     began or its cap was last granted.  */
+  uint64_t exposure_at_step_start;
+  uint64_t metric;    /* Metric that caused a halt.  */
   uint64_t task_hash; /* Hash of the task class that caused a halt; 0 if the
                          test that pools all task classes caused the halt.  */
   uint64_t harm_ppm;  /* Estimated difference at a halt, in millionths; its
@@ -188,7 +189,7 @@
   uint64_t step = r->decision.step;
 
   return step < ROLLOUT_STEP_COUNT
-             ? r->decision.exposure_base + steps[step].exposure_cap
+             ? r->decision.exposure_at_step_start + steps[step].exposure_cap
              : UINT64_MAX;
 }
 
@@ -199,9 +200,9 @@
     {
     case ROLLOUT_PHASE_COMPLETE:
       return 1;
+    /* Each process also enforces the cap, on its merged exposure count,
+       because there may be no lease holder to stop the step.  */
     case ROLLOUT_PHASE_RUNNING:
-    /* Bounds the exposure while there is no lease holder: each process stops
-       at the cap by itself.  */
     case ROLLOUT_PHASE_PAUSED:
       if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
         return 0;
@@ -266,7 +267,7 @@
 {
   double weight;
   /* Sum of the strata's differences, each times its weight.  */
-  double difference;
+  double weighted_difference_sum;
   double variance_factor_new; /* Sum over the strata of weight^2 / count of the
                                  new version's answers.  */
   double variance_factor_old; /* Sum over the strata of weight^2 / count of the
@@ -294,7 +295,8 @@
     return;
   double weight = new->count * old->count / (new->count + old->count);
   s->weight += weight;
-  s->difference += weight * (new->sum / new->count - old->sum / old->count);
+  s->weighted_difference_sum
+      += weight * (new->sum / new->count - old->sum / old->count);
   s->variance_factor_new += weight * weight / new->count;
   s->variance_factor_old += weight * weight / old->count;
   pool_moments (&s->pooled_new, new);
@@ -390,7 +392,7 @@
         / (s.weight * s.weight);
   double half_width
       = confidence_half_width (variance, metrics[metric].scale, alpha);
-  e.difference = s.difference / s.weight;
+  e.difference = s.weighted_difference_sum / s.weight;
   e.lower = e.difference - half_width;
   e.upper = e.difference + half_width;
   return e;
@@ -486,7 +488,7 @@
   if (is_step_proven (r))
     {
       r->decision.step++;
-      r->decision.exposure_base = rollout_exposed_count (r);
+      r->decision.exposure_at_step_start = rollout_exposed_count (r);
       set_phase (r, r->decision.step == ROLLOUT_STEP_COUNT
                         ? ROLLOUT_PHASE_COMPLETE
                         : ROLLOUT_PHASE_RUNNING);
@@ -518,7 +520,7 @@
       && r->decision.phase != ROLLOUT_PHASE_PAUSED)
     return false;
   if (rollout_exposed_count (r) >= rollout_exposure_cap (r))
-    r->decision.exposure_base = rollout_exposed_count (r);
+    r->decision.exposure_at_step_start = rollout_exposed_count (r);
   set_phase (r, ROLLOUT_PHASE_RUNNING);
   return true;
 }
@@ -604,10 +606,11 @@
 rollout_write (const rollout_run_t *r, bool own_only, buf_t *out)
 {
   const decision_t *d = &r->decision;
-  const uint64_t values[] = { FORMAT,      r->salt,      d->sequence,
-                              d->phase,    d->step,      d->exposure_base,
-                              d->metric,   d->task_hash, d->harm_ppm,
-                              d->lower_ppm };
+  const uint64_t values[]
+      = { FORMAT,      r->salt,      d->sequence,
+          d->phase,    d->step,      d->exposure_at_step_start,
+          d->metric,   d->task_hash, d->harm_ppm,
+          d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
     crdt_write_varint (out, values[i]);
@@ -625,9 +628,10 @@
 static bool
 read_decision (str_t *rest, decision_t *d)
 {
-  uint64_t *const values[]
-      = { &d->sequence, &d->phase,     &d->step,     &d->exposure_base,
-          &d->metric,   &d->task_hash, &d->harm_ppm, &d->lower_ppm };
+  uint64_t *const values[] = { &d->sequence, &d->phase,
+                               &d->step,     &d->exposure_at_step_start,
+                               &d->metric,   &d->task_hash,
+                               &d->harm_ppm, &d->lower_ppm };
 
   for (size_t i = 0; i < sizeof values / sizeof values[0]; i++)
     if (!crdt_read_varint (rest, values[i]))
