--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -181,13 +181,13 @@
 }
 
 size_t
-billing_queued_count (const billing_t *billing)
+billing_queued_bill_count (const billing_t *billing)
 {
   return billing->queued_count;
 }
 
 uint64_t
-billing_dropped_count (const billing_t *billing)
+billing_dropped_bill_count (const billing_t *billing)
 {
   return billing->dropped_count;
 }
