--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -15,7 +15,7 @@
 {
   list_t link;
   uint64_t sequence;
-  size_t count;
+  size_t bill_count;
   buf_t lines; /* One JSON array per bill, each on a line.  */
 } batch_t;
 
@@ -29,9 +29,9 @@
   uv_timer_t timer;
   list_t batches; /* Oldest first; new bills are added to the last
                      one.  */
-  size_t queued_count;
-  uint64_t dropped_count;
-  bool write_pending; /* A write of the oldest batch is in progress.  */
+  size_t queued_bill_count;
+  uint64_t dropped_bill_count;
+  bool is_write_pending; /* A write of the oldest batch is in progress.  */
   bool is_flushing;
 };
 
@@ -46,7 +46,7 @@
 static void
 batch_destroy (billing_t *billing, batch_t *batch)
 {
-  billing->queued_count -= batch->count;
+  billing->queued_bill_count -= batch->bill_count;
   list_remove (&batch->link);
   buf_free (&batch->lines);
   free (batch);
@@ -66,20 +66,21 @@
   billing_t *billing = arg;
 
   (void)result;
-  billing->write_pending = false;
+  billing->is_write_pending = false;
   /* A conflict means that the row exists: an earlier write was applied and its
      reply was lost.  */
   if (code == VH_OK || code == VH_E_CONFLICT)
     batch_destroy (billing, oldest_batch (billing));
   else
     log_event (EVENT_BILLS_WRITE, log_field_number (FIELD_CODE, code),
-               log_field_number (FIELD_COUNT, billing->queued_count));
+               log_field_number (FIELD_COUNT, billing->queued_bill_count));
   const batch_t *next = oldest_batch (billing);
   uint64_t delay_ms = BILLING_INTERVAL_MS;
   if (code != VH_OK && code != VH_E_CONFLICT)
     delay_ms = WRITE_RETRY_MS;
   else if (next != NULL
-           && (billing->is_flushing || next->count >= BILLING_BATCH_BILLS))
+           && (billing->is_flushing
+               || next->bill_count >= BILLING_BATCH_BILLS))
     delay_ms = 0;
   uv_timer_start (&billing->timer, on_timer, delay_ms, 0);
 }
@@ -90,7 +91,7 @@
   batch_t *batch = oldest_batch (billing);
   buf_t key = BUF_NULL;
 
-  if (batch == NULL || billing->write_pending)
+  if (batch == NULL || billing->is_write_pending)
     return;
   /* No bills may be added to a batch once a write of the batch was started,
      because the store may apply a write that is reported as failed.  */
@@ -103,7 +104,7 @@
                          .key = buf_str (&key),
                          .value = buf_str (&batch->lines),
                          .is_conditional = true };
-  billing->write_pending = true;
+  billing->is_write_pending = true;
   billing->rows->ops->commit (billing->rows, &write, 1, WRITE_TIMEOUT_MS,
                               on_written, billing);
   buf_free (&key);
@@ -117,7 +118,7 @@
     {
       batch_t *last = CONTAINER_OF (billing->batches.prev, batch_t, link);
       if (last->sequence == billing->sequence
-          && last->count < BILLING_BATCH_BILLS)
+          && last->bill_count < BILLING_BATCH_BILLS)
         return last;
       if (last->sequence == billing->sequence)
         billing->sequence++;
@@ -134,11 +135,11 @@
 {
   batch_t *batch = oldest_batch (billing);
 
-  if (billing->write_pending)
+  if (billing->is_write_pending)
     batch = CONTAINER_OF (batch->link.next, batch_t, link);
-  billing->dropped_count += batch->count;
+  billing->dropped_bill_count += batch->bill_count;
   log_event (EVENT_BILLS_DROPPED,
-             log_field_number (FIELD_COUNT, batch->count));
+             log_field_number (FIELD_COUNT, batch->bill_count));
   batch_destroy (billing, batch);
 }
 
@@ -163,13 +164,13 @@
 void
 billing_add (billing_t *billing, const bill_t *bill)
 {
-  if (billing->queued_count >= BILLING_QUEUED_BILLS_MAX)
+  if (billing->queued_bill_count >= BILLING_QUEUED_BILLS_MAX)
     drop_oldest_batch (billing);
   batch_t *batch = open_batch (billing);
   append_bill (&batch->lines, bill);
-  batch->count++;
-  billing->queued_count++;
-  if (batch->count >= BILLING_BATCH_BILLS && !billing->write_pending)
+  batch->bill_count++;
+  billing->queued_bill_count++;
+  if (batch->bill_count >= BILLING_BATCH_BILLS && !billing->is_write_pending)
     write_oldest_batch (billing);
 }
 
@@ -183,13 +184,13 @@
 size_t
 billing_queued_count (const billing_t *billing)
 {
-  return billing->queued_count;
+  return billing->queued_bill_count;
 }
 
 uint64_t
 billing_dropped_count (const billing_t *billing)
 {
-  return billing->dropped_count;
+  return billing->dropped_bill_count;
 }
 
 billing_t *
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -1,5 +1,5 @@
-/* Writes billing records to the store, for requests to which an upstream
-   responded.
+/* Writes billing records to the store, for requests of which the caller
+   received a successful response or at least one event of a stream.
 
    Load pattern: a store that is unavailable for some time, and write replies
    that are lost.  Bills are queued in batches.  Each batch is one row whose
@@ -35,7 +35,7 @@
 
 typedef struct billing billing_t;
 
-/* Billing record of one request to which an upstream responded.  */
+/* Billing record of one request.  */
 typedef struct
 {
   str_t attempt_id;
@@ -49,8 +49,10 @@
   bool is_complete; /* The caller received the whole response.  */
 } bill_t;
 
-/* NAME identifies this process in row keys; EPOCH is unique to each start of
-   the process.  */
+/* Create a queue of bills that is written to table ROWS_BILLS every
+   BILLING_INTERVAL_MS.  NAME, which is copied, identifies this process in row
+   keys; EPOCH is unique to each start of the process.  ROWS must outlive the
+   result.  */
 billing_t *billing_create (uv_loop_t *loop, rows_t *rows, str_t name,
                            uint64_t epoch);
 /* Destroy BILLING.  Bills that are not yet written are lost.  BILLING may be
--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -14,7 +14,7 @@
 
 struct catalog
 {
-  unsigned refs;
+  unsigned ref_count;
   uint64_t revision;
   client_limits_t limits;
   map_t *services;
@@ -51,7 +51,7 @@
 {
   catalog_t *catalog = mem_zalloc (sizeof *catalog);
 
-  catalog->refs = 1;
+  catalog->ref_count = 1;
   catalog->revision = revision;
   catalog->services = map_create ();
   catalog->routes = map_create ();
@@ -63,13 +63,13 @@
 void
 catalog_ref (catalog_t *catalog)
 {
-  catalog->refs++;
+  catalog->ref_count++;
 }
 
 void
 catalog_unref (catalog_t *catalog)
 {
-  if (catalog == NULL || --catalog->refs > 0)
+  if (catalog == NULL || --catalog->ref_count > 0)
     return;
   map_destroy (catalog->services);
   map_destroy (catalog->routes);
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -12,10 +12,10 @@
 
 typedef enum
 {
-  ROUTE_IDEMPOTENT,   /* Requests may be executed more than once.  */
-  ROUTE_AT_MOST_ONCE, /* Requests are executed at most once.  */
-  /* Responses are event streams.  Requests are executed at most once, unless
-     the route is resumable.  */
+  ROUTE_IDEMPOTENT,   /* Requests may be run more than once.  */
+  ROUTE_AT_MOST_ONCE, /* Requests are run at most once.  */
+  /* Responses are event streams.  Requests are run at most once, unless the
+     route is resumable.  */
   ROUTE_STREAM
 } route_kind_t;
 
@@ -70,8 +70,8 @@
   /* Latency objective of each further event of a stream: maximum time since
      the event before.  */
   uint64_t event_gap_max_ms;
-  uint32_t attempts_max; /* Maximum number of upstreams that may execute one
-                            request.  */
+  uint32_t attempts_max; /* Maximum number of upstream sends of a request
+                            that may have run the request.  */
   uint32_t priority;     /* Priority of requests on the route; 0 is the
                             highest.  */
   bool is_public;        /* Whether clients need no API key.  */
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -85,9 +85,9 @@
 
   if (state->catalog == NULL)
     return false;
-  /* The configuration that is being loaded may revoke a key, so the
-     configuration in force is outdated from the time at which the newer one
-     arrived.  */
+  /* The configuration that is being loaded may revoke a key, so the keys of
+     the configuration in force are accepted only for another
+     config_max_age_ms / 2 after loading began.  */
   if (gateway_config_load_elapsed_ms (state) > max_age_ms / 2)
     return false;
   return table_sync_age_ms (state->operator_rows_sync) <= max_age_ms;
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -59,7 +59,8 @@
   map_t *trials;                   /* Map of service name to trial_t.  */
   map_t *retry_budgets;            /* Map of service name to send_budget_t.  */
   map_t *escalations;              /* Map of service name to escalation_t.  */
-  /* Gateway processes among which limits of the whole fleet are divided.  */
+  /* Registered gateway processes, among which the limits that all gateway
+     processes share are divided.  */
   allotment_t *allotment;
   /* Number of gateway processes that share the retry budgets.  */
   uint32_t gateway_count;
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -14,9 +14,10 @@
 {
   TABLE_COUNT = ROWS_SHARED + 1,
   TICK_MS = 100,
-  /* Longest time that a reader holds a watch call of a gateway before
-     replying.  Short compared with gateway_options_t.config_max_age_ms, up to
-     which a confirmation is accepted.  */
+  /* Longest time that a reader holds a watch call of a gateway that is not an
+     intermediate reader.  Short compared with
+     gateway_options_t.config_max_age_ms, up to which a confirmation is
+     accepted.  */
   WATCH_WAIT_MS = 700,
   /* Longest time that a reader holds a watch call of an intermediate reader.
      Shorter than WATCH_WAIT_MS, because the callers of the intermediate reader
@@ -61,7 +62,8 @@
   /* Time of the last call to a reader, in ms of the boot clock; if no reader
      was called, the time at which this struct was created.  */
   uint64_t sent_ms;
-  /* Time of the call to the store, in ms of the boot clock.  */
+  /* Time at which call_store called the store, in ms of the boot clock; 0
+     before.  */
   uint64_t store_sent_ms;
   char *reader_name; /* Name of the reader called last; NULL if none was
                         called.  */
@@ -110,7 +112,7 @@
                                       pending_call_t.  */
   list_t watches;                  /* Watch calls of other gateways; list of
                                       watch_request_t.  */
-  uv_timer_t tick;
+  uv_timer_t tick_timer;
   bool is_stopping;
 };
 
@@ -200,8 +202,12 @@
 }
 
 /* Return whether this gateway serves a call.  IS_INTERMEDIATE: the caller is
-   itself a reader for other gateways.  Rows of the store pass through at most
-   two gateways, because they age at each.  */
+   itself a reader for other gateways.
+
+   A gateway that is stopping serves no calls.  A gateway that reads from
+   another gateway serves no intermediate readers, so rows of the store pass
+   through at most two gateways on the way to a third; each adds to the age of
+   the rows.  */
 static bool
 may_serve (peer_rows_t *peer_rows, bool is_intermediate)
 {
@@ -779,9 +785,9 @@
   list_init (&peer_rows->watches);
   for (size_t i = 0; i < TABLE_COUNT; i++)
     peer_rows->caches[i] = rowcache_create (clock);
-  uv_timer_init (loop, &peer_rows->tick);
-  peer_rows->tick.data = peer_rows;
-  uv_timer_start (&peer_rows->tick, on_tick, TICK_MS, TICK_MS);
+  uv_timer_init (loop, &peer_rows->tick_timer);
+  peer_rows->tick_timer.data = peer_rows;
+  uv_timer_start (&peer_rows->tick_timer, on_tick, TICK_MS, TICK_MS);
   peer_rows->node
       = rpc_node_create (loop, clock, rng_make (seed), options->name,
                          options->keys, options->key_count, &hooks, NULL);
@@ -823,5 +829,5 @@
     rowcache_destroy (peer_rows->caches[i]);
   free (peer_rows->name);
   fanout_destroy (peer_rows->readers);
-  uv_close ((uv_handle_t *)&peer_rows->tick, on_tick_closed);
+  uv_close ((uv_handle_t *)&peer_rows->tick_timer, on_tick_closed);
 }
--- a/packages/gateway/peerrows.h
+++ b/packages/gateway/peerrows.h
@@ -6,7 +6,9 @@
    the reader of their availability zone, over ONC RPC with the same reads and
    watches.  Without readers the number of calls grows with the number of
    gateways: 730 gateways would make 3,000 calls a second, while the store
-   allows 2,000.  policy/fanout.h decides which gateway calls which.
+   allows 2,000.  policy/fanout.h decides which gateway calls which.  There,
+   the root is the gateway that reads from the store, and the head of an
+   availability zone is the reader of that zone in a large fleet.
 
    A gateway whose reader does not reply in time calls the store as well and
    uses the first of the two replies.  So a reader that crashed or hangs costs
@@ -61,8 +63,9 @@
   void (*receive) (void *arg, str_t key, str_t value);
 } peer_rows_piggyback_t;
 
-/* STORE must outlive the result; strings are copied.  Return VH_OK with *OUT
-   set, or VH_E_IO when the RPC server cannot listen.  */
+/* Start the RPC server through which this gateway shares reads of STORE with
+   other gateways.  STORE must outlive *OUT; strings are copied.  Return VH_OK,
+   or VH_E_IO if the RPC server cannot listen.  *OUT is set in both cases.  */
 vh_code_t peer_rows_create (uv_loop_t *loop, clock_iface_t *clock,
                             uint64_t seed, rows_t *store,
                             const peer_rows_options_t *options,
--- a/packages/gateway/prober.c
+++ b/packages/gateway/prober.c
@@ -22,7 +22,7 @@
   uv_tcp_t tcp;
   uv_connect_t connect;
   peer_timer_t timer;
-  unsigned open_handles;
+  unsigned open_handle_count;
 } probe_t;
 
 static void
@@ -30,7 +30,7 @@
 {
   probe_t *probe = arg;
 
-  if (--probe->open_handles > 0)
+  if (--probe->open_handle_count > 0)
     return;
   free (probe->id);
   free (probe);
@@ -95,7 +95,7 @@
   probe_t *probe = mem_zalloc (sizeof *probe);
   probe->prober = prober;
   probe->id = str_dup (id);
-  probe->open_handles = 2;
+  probe->open_handle_count = 2;
   list_append (&prober->probes, &probe->link);
   uv_tcp_init (prober->loop, &probe->tcp);
   peer_timer_init (&probe->timer, prober->loop, on_timeout, probe);
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -22,9 +22,9 @@
      objective.  Callers disconnect after about four objectives.  */
   FIRST_EVENT_TIMEOUT_OBJECTIVES = 2,
   /* Timeout between two events of a stream whose engine accepts connections,
-     in multiples of route_t.event_gap_max_ms.  At a reachable engine, the
-     remaining cause of a longer gap is that this one connection is dead.
-     Callers disconnect after a gap of eight times event_gap_max_ms.  */
+     in multiples of route_t.event_gap_max_ms.  If the engine is reachable, a
+     longer gap means that the connection of this stream is broken.  Callers
+     disconnect after a gap of eight times event_gap_max_ms.  */
   EVENT_TIMEOUT_GAPS = 3,
   /* Timeout of a connection probe.  Network latency is at most some
      milliseconds, and the kernel of a busy machine accepts connections at
@@ -36,13 +36,15 @@
   /* Urgency sent for requests of priority 0.  Engines assume urgency 5 for a
      request without the header.  */
   URGENCY_HIGHEST = 3,
-  /* Time that a response takes to reach the caller; closer to the deadline no
-     upstream is tried.  */
+  /* Assumed time that a response takes to reach the caller.  The
+     request fails instead of being sent to an upstream if no more time than
+     this is left until the deadline.  */
   RESPONSE_TRANSIT_MS = 5,
   /* Time after the start of the process in which requests wait for the first
      read of the store.  The read takes a tenth of a second; if it takes longer
      than this limit, the store is unavailable.  */
   STARTUP_WAIT_MS = 800,
+  /* Interval at which waiting requests check whether the store was read.  */
   STARTUP_POLL_MS = 10,
   /* Mean Retry-After during a planned stop.  Short, because the platform's
      load balancer already directs callers to other gateway processes.  */
@@ -130,8 +132,8 @@
   relay->upstream_request_count = upstream_running_count (relay->upstream);
   relay->is_upstream_loaded = false;
   relay->is_success = false;
-  relay->connection_lost = false;
-  relay->connect_failed = false;
+  relay->is_connection_lost = false;
+  relay->has_connect_failed = false;
   relay->send_count++;
   counter_add (state->counters.sends, 1);
   const forward_params_t params = {
@@ -191,10 +193,10 @@
 /* Return the time at which an upstream that sends no data is to be probed, or
    the send to be abandoned; UINT64_MAX if never.
 
-   A stream stays at a reachable engine until the event timeout, because
+   For a stream, a probe is due at the time given by pool_probe_due_ms.  The
+   send to a reachable engine is abandoned only at the event timeout, because
    another engine, which is as loaded, would have to repeat the work done so
-   far.  Streams of an unreachable engine are moved to another engine at
-   once.  */
+   far.  The send to an unreachable engine may be abandoned earlier.  */
 static uint64_t
 silence_check_due_ms (const relay_t *relay)
 {
@@ -264,9 +266,10 @@
         }
       if (relay_has_retry_budget (relay) && relay_has_alternative (relay))
         {
-          relay->connection_lost = upstream_is_unreachable (relay->upstream);
-          relay_send_failed (relay, relay->connection_lost ? "lost" : "silent",
-                             true);
+          relay->is_connection_lost
+              = upstream_is_unreachable (relay->upstream);
+          relay_send_failed (
+              relay, relay->is_connection_lost ? "lost" : "silent", true);
           return;
         }
       /* No retry is possible now: keep waiting for this upstream.  */
@@ -287,7 +290,7 @@
   peer_timer_start (&relay->timer, due_ms > now_ms ? due_ms - now_ms : 0);
 }
 
-/* Events of the caller's connection.  */
+/* Callbacks of the caller's connection.  */
 
 static void
 on_write_drained (void *arg)
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -69,15 +69,15 @@
   trial_t *trial = running_trial (relay);
 
   if (trial == NULL || (outcome != SEND_OK && outcome != SEND_FAILED)
-      || relay->connect_failed)
+      || relay->has_connect_failed)
     return;
   uint64_t first_response_ms = relay->phase == PHASE_RECEIVING_RESPONSE
                                    ? relay->head_received_ms - relay->sent_ms
                                    : 0;
   trial_observe (trial, relay_trial_arm (relay), route_hash (relay),
-                 outcome == SEND_OK       ? TRIAL_OUTCOME_ANSWERED
-                 : relay->connection_lost ? TRIAL_OUTCOME_CONNECTION_LOST
-                                          : TRIAL_OUTCOME_FAILED,
+                 outcome == SEND_OK          ? TRIAL_OUTCOME_ANSWERED
+                 : relay->is_connection_lost ? TRIAL_OUTCOME_CONNECTION_LOST
+                                             : TRIAL_OUTCOME_FAILED,
                  first_response_ms, relay->is_upstream_loaded);
 }
 
@@ -123,7 +123,7 @@
 {
   bool is_complete = event == EVENT_ANSWERED;
 
-  if (!is_complete && !(relay->response_started && relay->event_count > 0))
+  if (!is_complete && !(relay->has_response_started && relay->event_count > 0))
     return;
   if (relay->response_status >= 300 || relay->attrs.route == NULL)
     return;
@@ -190,7 +190,7 @@
   uint64_t retry_after_ms = 0;
 
   relay_finish_send (relay, SEND_CANCELLED);
-  if (relay->response_started)
+  if (relay->has_response_started)
     {
       relay_record_end (relay, EVENT_CUT, status, reason, 0);
       counter_add (state->counters.failed, 1);
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -12,9 +12,9 @@
   /* Size limit of the body of a response that is not streamed and therefore
      buffered.  */
   RESPONSE_BODY_BYTES_MAX = 8 << 20,
-  /* Number of events after the first over which the mean interval between
+  /* Number of events after the first of a send over which the mean gap between
      events is measured.  A mean is needed because events arrive in bursts.  */
-  INTERVAL_SAMPLE_EVENTS = 8,
+  MEAN_GAP_EVENT_COUNT = 8,
   /* Response headers beyond this number are not forwarded.  */
   RESPONSE_HEADERS_MAX = 64,
   /* Interval at which an interrupted stream looks for an upstream that can
@@ -112,7 +112,7 @@
   sse_filter_discard_partial (&relay->sse);
   bool may_resend
       = may_have_run ? relay_may_retry (relay) : relay->send_count < SENDS_MAX;
-  if (may_resend && relay->response_started)
+  if (may_resend && relay->has_response_started)
     relay_resume_stream (relay);
   else if (may_resend && take_retry (relay))
     relay_send (relay);
@@ -165,7 +165,7 @@
   httpc_header_t headers[RESPONSE_HEADERS_MAX];
   size_t count = stored_headers (relay, headers);
 
-  relay->response_started = true;
+  relay->has_response_started = true;
   if (relay->state->stopping_ms != 0)
     httpd_disable_keep_alive (relay->req);
   httpd_start_response (relay->req, relay->response_status, headers, count);
@@ -189,9 +189,10 @@
   relay_destroy (relay);
 }
 
-/* Update the pool with the load and the warm-up time in HEAD.  */
+/* Record the load in HEAD in RELAY and in the pool, and the warm-up time in
+   HEAD in the pool.  */
 static void
-update_upstream_load (relay_t *relay, const http_exchange_head_t *head)
+record_upstream_load (relay_t *relay, const http_exchange_head_t *head)
 {
   const header_names_t *names = relay->state->names;
   str_t load_header = http_exchange_header (head, names->load);
@@ -250,7 +251,7 @@
   uint64_t confidence;
   size_t larger_model;
 
-  if (relay->response_started || relay->attrs.route->model_count == 0
+  if (relay->has_response_started || relay->attrs.route->model_count == 0
       || relay->model_index + 1 >= relay->attrs.route->model_count
       || confidence_header.ptr == NULL
       || !str_to_u64 (confidence_header, &confidence)
@@ -285,8 +286,8 @@
       relay_send_failed (relay, "foreign-answer", true);
       return;
     }
-  update_upstream_load (relay, head);
-  if (relay->attrs.route->model_count > 0 && !relay->response_started)
+  record_upstream_load (relay, head);
+  if (relay->attrs.route->model_count > 0 && !relay->has_response_started)
     escalation_record_wait (
         gateway_service_escalation (relay->state, relay->attrs.service->name),
         relay_service_model_index (relay, relay->model_index),
@@ -306,7 +307,7 @@
       relay_send_failed (relay, "upstream-error", true);
       return;
     }
-  if (relay->response_started && !relay->is_success)
+  if (relay->has_response_started && !relay->is_success)
     {
       /* The upstream failed to resume the stream.  */
       relay_send_failed (relay, "resume-failed", true);
@@ -319,7 +320,7 @@
     return;
   relay->phase = PHASE_RECEIVING_RESPONSE;
   relay->head_received_ms = relay->last_activity_ms;
-  if (relay->response_started)
+  if (relay->has_response_started)
     return;
   store_response_head (relay, head);
   if (relay->attrs.route->kind == ROUTE_STREAM && relay->is_success)
@@ -341,8 +342,8 @@
           relay->unread_prompt_tokens = 0;
         }
       relay->event_count += count;
-      if (relay->send_event_count <= INTERVAL_SAMPLE_EVENTS
-          && relay->send_event_count + count > INTERVAL_SAMPLE_EVENTS)
+      if (relay->send_event_count <= MEAN_GAP_EVENT_COUNT
+          && relay->send_event_count + count > MEAN_GAP_EVENT_COUNT)
         relay_record_timing (
             relay, TRIAL_TIMING_EVENT_GAP,
             (double)(relay->last_activity_ms - relay->head_received_ms)
@@ -369,7 +370,7 @@
 
   relay->last_activity_ms = clock_ms (relay->state->clock);
   pool_data_received (relay->state->pool, relay->upstream);
-  if (relay->response_started)
+  if (relay->has_response_started)
     forward_events (relay, bytes);
   else if (relay->response_body.len + bytes.len > RESPONSE_BODY_BYTES_MAX)
     relay_send_failed (relay, "answer-too-large", true);
@@ -388,7 +389,7 @@
       /* No byte of the request was sent, so the next send does not count
          against the retry budget.  */
       relay->failure_reason = "connect";
-      relay->connect_failed = true;
+      relay->has_connect_failed = true;
       add_tried_upstream (relay);
       relay->send_count--;
       relay_finish_send (relay, SEND_FAILED);
@@ -399,10 +400,10 @@
                     RETRY_AFTER_UNAVAILABLE_MS);
       return;
     }
-  if (code == VH_OK && relay->response_started
+  if (code == VH_OK && relay->has_response_started
       && !sse_filter_at_boundary (&relay->sse))
     code = VH_E_UPSTREAM_CUT;
-  relay->connection_lost = code == VH_E_UPSTREAM_CUT;
+  relay->is_connection_lost = code == VH_E_UPSTREAM_CUT;
   if (code != VH_OK)
     {
       relay_send_failed (relay, code == VH_E_PROTOCOL ? "garbled" : "cut",
@@ -412,7 +413,7 @@
   relay_finish_send (relay, relay->is_success || relay->response_status < 500
                                 ? SEND_OK
                                 : SEND_FAILED);
-  if (!relay->response_started)
+  if (!relay->has_response_started)
     {
       send_buffered_response (relay);
       return;
--- a/packages/gateway/relayint.h
+++ b/packages/gateway/relayint.h
@@ -5,10 +5,10 @@
    relay_response.c  response of the upstream, retries and escalation
    relay_end.c       response to the caller, log line, metrics and bill
 
-   A request passes through the files in this order.  A send is one
-   transmission of the request to an upstream.  After a failed send,
-   relay_send_failed in relay_response.c calls relay_send in relay.c for the
-   next send.  */
+   A send is one transmission of the request to an upstream.  Each send starts
+   with relay_send in relay.c.  After a failed send, relay_send_failed in
+   relay_response.c sends the request again, lets an interrupted stream wait
+   for an upstream, or ends the request.  */
 
 #ifndef GATEWAY_RELAYINT_H
 #define GATEWAY_RELAYINT_H
@@ -52,8 +52,9 @@
   uint32_t first_confidence; /* Confidence, 0 to 100, of the smallest model of
                                 the route in its response; valid if MODEL_INDEX
                                 > 0.  */
-  peer_timer_t timer;        /* Timer of the next timeout, probe, poll or
-                           deadline.  */
+  /* Timer of the next timeout, probe or deadline, or of the next check in the
+     phases PHASE_AWAITING_CONFIG and PHASE_AWAITING_UPSTREAM.  */
+  peer_timer_t timer;
 
   /* State of the current send.  */
   http_exchange_t *call;
@@ -77,16 +78,16 @@
   uint32_t unread_prompt_tokens; /* Prompt tokens that the upstream has not
                                     processed yet.  */
   bool is_success;               /* The response status is 2xx.  */
-  bool connection_lost; /* The connection was closed before the end of the
+  bool is_connection_lost; /* The connection was closed before the end of the
                            response, or the upstream is unreachable.  */
-  bool connect_failed;  /* No connection was established.  */
+  bool has_connect_failed; /* No connection was established.  */
 
   /* State of all sends.  */
   const upstream_t *tried[POOL_TRIED_MAX];
   size_t tried_count;
   size_t send_count;
   size_t possible_run_count; /* Sends that an upstream may have run.  */
-  bool response_started;     /* The response head was sent to the caller.  */
+  bool has_response_started; /* The response head was sent to the caller.  */
   sse_filter_t sse;
   uint64_t event_count; /* Events sent to the caller.  */
 
@@ -96,7 +97,7 @@
   buf_t response_headers; /* Headers, each as NAME NUL VALUE NUL.  */
   buf_t response_body;
 
-  /* Further state.  */
+  /* Flow control of the response, and results of earlier sends.  */
   bool is_paused;   /* Reading from the upstream is paused, because the caller
                        reads slowly.  */
   bool was_refused; /* The last upstream reported that it did not run the
@@ -176,9 +177,9 @@
    a free slot and the retry budget allows another send.
 
    The stream waits, because the caller has received part of the response,
-   which an abort would waste.  Without waiting, a gateway process that wrongly
-   considered a healthy upstream lost aborted all its streams, as the other
-   upstreams were full at that moment.  */
+   which an abort would waste.  If streams did not wait, a gateway process that
+   wrongly considers a healthy upstream unreachable would abort all streams
+   from that upstream whenever the other upstreams are full.  */
 void relay_resume_stream (relay_t *relay);
 /* Return whether the request may be sent once more although an upstream may
    have run it.  */
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -203,9 +203,9 @@
 }
 
 /* Return whether this gateway is to write a state row now.  All gateways come
-   to the same decision at the same time.  When each gateway wrote the
-   decision, 22 gateways made 114 calls to the store in a day, of which five
-   had an effect.  WRITER_TIMEOUT_MS counts from the first call of this
+   to the same decision at the same time.  If each gateway wrote the
+   decision, 22 gateways would make 114 calls to the store in a day, of which
+   five have an effect.  WRITER_TIMEOUT_MS counts from the first call of this
    function after a state row was read.  */
 static bool
 should_write_state (rollouts_t *rollouts)
--- a/packages/gateway/rolloutsint.h
+++ b/packages/gateway/rolloutsint.h
@@ -15,7 +15,8 @@
 
 typedef struct rollouts rollouts_t;
 
-/* STATE, ROWS and PEER_ROWS must outlive the result.  PEER_ROWS is NULL if
+/* Create the state of all roll-outs, at first without any roll-out.  STATE,
+   ROWS and PEER_ROWS must outlive the result.  PEER_ROWS is NULL if
    this gateway does not share reads of the store with others.  */
 rollouts_t *rollouts_create (gateway_state_t *state, rows_t *rows,
                              peer_rows_t *peer_rows);
--- a/packages/gateway/rowcache.c
+++ b/packages/gateway/rowcache.c
@@ -30,7 +30,7 @@
   bool is_incompressible; /* VALUE is sent plain, because deflating does not
                              shorten it.  */
   uint64_t version;
-  bool deleted;
+  bool is_deleted;
   uint64_t deleted_ms; /* Time of the deletion, in ms of the boot clock.  */
 } cached_row_t;
 
@@ -129,7 +129,7 @@
   cached_row->is_incompressible = row->value.len < DEFLATE_MIN_BYTES;
   buf_append_str (&cached_row->value, row->value);
   cached_row->version = row->version;
-  cached_row->deleted = row->deleted;
+  cached_row->is_deleted = row->deleted;
   cached_row->deleted_ms = clock_boottime_ms (cache->clock);
 }
 
@@ -145,7 +145,7 @@
   while (map_next (cache->rows, &cursor, &key, &value))
     {
       cached_row_t *cached_row = value;
-      if (!cached_row->deleted
+      if (!cached_row->is_deleted
           || clock_boottime_ms (cache->clock) - cached_row->deleted_ms
                  < TOMBSTONE_TTL_MS)
         continue;
@@ -249,7 +249,7 @@
   row->plain_len
       = cached_row->is_incompressible ? 0 : (u_int)cached_row->value.len;
   row->row_version = cached_row->version;
-  row->deleted = cached_row->deleted;
+  row->deleted = cached_row->is_deleted;
 }
 
 /* Return the kept reply with the changes after version AFTER, or with the
@@ -331,7 +331,7 @@
          && count < WIRE_ROWS_MAX)
     {
       cached_row_t *cached_row = value;
-      if (is_whole ? cached_row->deleted : cached_row->version <= after)
+      if (is_whole ? cached_row->is_deleted : cached_row->version <= after)
         continue;
       encode_row (cached_row, &rows[count++]);
     }
--- a/packages/gateway/rowcache.h
+++ b/packages/gateway/rowcache.h
@@ -35,8 +35,8 @@
    store version is lower than the cached version.  */
 void rowcache_apply_result (rowcache_t *cache, const rowcache_call_t *call,
                             const rows_result_t *result);
-/* Record that the store did not reply to the last call.  The next call of
-   rowcache_apply_result clears the record.  */
+/* Record that the store did not reply to the last call.  rowcache_is_down
+   returns true until rowcache_apply_result applies a reply.  */
 void rowcache_set_down (rowcache_t *cache);
 /* Mark the table as incomplete until the next read of the whole table, because
    the store no longer has the history of changes.  */
--- a/packages/gateway/storeclock.h
+++ b/packages/gateway/storeclock.h
@@ -33,7 +33,8 @@
 
 /* Add the clock value STORE_MS from a reply of the store itself.  The call was
    sent at local time SENT_MS, and the reply arrived at local time RECEIVED_MS.
-   After a jump of the store's clock, earlier samples are dropped.  */
+   If the sample shows that the store's clock jumped, the bound is computed
+   from this sample alone.  */
 void store_clock_add_sample (store_clock_t *clock, uint64_t store_ms,
                              uint64_t sent_ms, uint64_t received_ms);
 /* Return the latest local time that is certainly no later than STORE_MS of the
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -38,11 +38,12 @@
   SHARED_TIMEOUT_SLACK_MS = 1000,
   SHARED_CALL_GAP_MS = 150,
   /* Longest retry delay for tables other than ROWS_ORDERS.  In an outage only
-     the calls for ROWS_ORDERS probe the store: 22 gateways that retried all
-     three tables made 120 calls a second.  */
+     the calls for ROWS_ORDERS probe the store: if 22 gateways retried all
+     three tables, they would make 120 calls a second.  */
   OTHER_TABLES_RETRY_MAX_MS = 4000,
-  /* Delay before a failed registration is repeated.  A gateway that is not
-     registered only lacks its part of the limits that gateways share.  */
+  /* Delay before a failed registration is repeated.  Until then this gateway
+     processes requests, but is not counted when the shared limits are
+     divided.  */
   REGISTRATION_RETRY_MS = 2000
 };
 
@@ -54,8 +55,8 @@
   loader_t *loader;
   table_sync_t *instances_sync;
   table_sync_t *shared_rows_sync;
-  uv_timer_t tick;
-  uint64_t ticks;
+  uv_timer_t tick_timer;
+  uint64_t tick_count;
   bool has_read_shared_rows; /* The shared rows were read at least once.  */
   bool has_read_instances;   /* The instances were read at least once.  */
   /* The last write of this gateway's registration succeeded.  */
@@ -75,8 +76,9 @@
 
 /* Rows written by operators (ROWS_ORDERS).  */
 
-/* Put the parsed configuration in force, whose text had LEN bytes.  Called by
-   the loader.  */
+/* Put CATALOG in force if its revision is newer than the one in force.  CODE
+   is the result of parsing the configuration text, whose length is LEN
+   bytes.  Called by the loader.  */
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
@@ -84,8 +86,8 @@
   gateway_state_t *state = sync->state;
   uint64_t parse_ms = gateway_config_load_elapsed_ms (state);
 
-  /* While a newer configuration waits to be parsed, the confirmation of the
-     keys in force continues to age.  */
+  /* While a newer configuration waits to be parsed, keep the start time, so
+     that the load time includes the wait.  */
   if (!loader_is_busy (sync->loader))
     state->config_load_started_ms = 0;
   if (code != VH_OK)
@@ -111,8 +113,8 @@
   state->catalog = catalog;
 }
 
-/* Parse the configuration in ROW.  Until the parsing ends, the confirmation of
-   the configuration in force ages from the time at which ROW was read.  */
+/* Parse the configuration in ROW.  The load time starts now, unless an earlier
+   configuration is still being parsed.  */
 static void
 parse_catalog (store_sync_t *sync, const rows_row_t *row)
 {
@@ -230,10 +232,10 @@
 /* Record that the store stopped replying to calls for a table (IS_DOWN) or
    replies again.  Registrations that expired during an outage are kept for
    gateway_options_t.expired_registration_grace_ms from the first reply for any
-   table. The reply for ROWS_INSTANCES may arrive seconds after that for
-   ROWS_ORDERS, if the call hung on a broken connection.  When the grace period
-   counted from the reply for ROWS_INSTANCES, an instance that had stopped 13 s
-   before got a request.  */
+   table.  The reply for ROWS_INSTANCES may arrive seconds after that for
+   ROWS_ORDERS, if the call hung on a broken connection.  If the grace period
+   counted from the reply for ROWS_INSTANCES, an instance that stopped 13 s
+   before could get a request.  */
 static void
 record_reachability (store_sync_t *sync, bool is_down)
 {
@@ -336,7 +338,7 @@
   divide_limits (sync);
 }
 
-/* Registration of this gateway, and the timer.  */
+/* Registration of this gateway, and the periodic tick.  */
 
 static void
 on_registration_written (void *arg, vh_code_t code,
@@ -383,7 +385,7 @@
 {
   store_sync_t *sync = timer->data;
   gateway_state_t *state = sync->state;
-  bool has_second_elapsed = ++sync->ticks % TICKS_PER_S == 0;
+  bool has_second_elapsed = ++sync->tick_count % TICKS_PER_S == 0;
 
   if (state->stopping_ms != 0 || !sync->has_read_shared_rows)
     return;
@@ -474,10 +476,10 @@
   sync->shared_rows_sync = table_sync_create (
       state->loop, state->clock, rows, rng_u64 (&state->rng), &shared_rows,
       &shared_events, sync);
-  uv_timer_init (state->loop, &sync->tick);
-  sync->tick.data = sync;
-  uv_timer_start (&sync->tick, on_tick, rng_below (&state->rng, TICK_MS) + 1,
-                  TICK_MS);
+  uv_timer_init (state->loop, &sync->tick_timer);
+  sync->tick_timer.data = sync;
+  uv_timer_start (&sync->tick_timer, on_tick,
+                  rng_below (&state->rng, TICK_MS) + 1, TICK_MS);
   return sync;
 }
 
@@ -508,5 +510,5 @@
   table_sync_destroy (sync->shared_rows_sync);
   rollouts_destroy (sync->rollouts);
   sync->rows->ops->cancel (sync->rows, sync);
-  uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
+  uv_close ((uv_handle_t *)&sync->tick_timer, on_tick_closed);
 }
