--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -21,8 +21,8 @@
   /* Longest time that the store holds a watch call for ROWS_ORDERS.  A revoked
      key must be refused within seconds, and a confirmation gets as old as two
      such waits and a timeout.  */
-  ORDERS_WAIT_MS = 1500,
-  ORDERS_TIMEOUT_SLACK_MS = 500,
+  OPERATOR_ROWS_WAIT_MS = 1500,
+  OPERATOR_ROWS_TIMEOUT_SLACK_MS = 500,
   /* Longest time that the store holds a watch call for ROWS_INSTANCES.  The
      store reports a removed instance at once, so this wait only limits the
      time until a dead connection is detected.  */
@@ -443,12 +443,12 @@
 store_sync_create (gateway_state_t *state, rows_t *rows,
                    peer_rows_t *peer_rows)
 {
-  static const table_sync_options_t orders
+  static const table_sync_options_t operator_rows
       = { .table = ROWS_ORDERS,
           .name = "orders",
-          .wait_ms = ORDERS_WAIT_MS,
-          .timeout_slack_ms = ORDERS_TIMEOUT_SLACK_MS };
-  static const table_sync_events_t order_events
+          .wait_ms = OPERATOR_ROWS_WAIT_MS,
+          .timeout_slack_ms = OPERATOR_ROWS_TIMEOUT_SLACK_MS };
+  static const table_sync_events_t operator_events
       = { on_operator_row_put, on_operator_row_removed,
           on_operator_rows_synced, on_operator_rows_reachability };
   static const table_sync_options_t shared_rows
@@ -468,9 +468,9 @@
   sync->rollouts = rollouts_create (state, rows, peer_rows);
   sync->loader = loader_create (state->loop, state->dialect->read_catalog,
                                 on_catalog, sync);
-  state->operator_rows_sync = table_sync_create (state->loop, state->clock,
-                                                 rows, rng_u64 (&state->rng),
-                                                 &orders, &order_events, sync);
+  state->operator_rows_sync = table_sync_create (
+      state->loop, state->clock, rows, rng_u64 (&state->rng), &operator_rows,
+      &operator_events, sync);
   /* Read at the same time as ROWS_ORDERS: this table lists the gateways, one
      of which is the reader through which ROWS_ORDERS is read.  */
   sync->shared_rows_sync = table_sync_create (
