--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -182,13 +182,13 @@
 }
 
 size_t
-billing_queued_count (const billing_t *billing)
+billing_queued_bill_count (const billing_t *billing)
 {
   return billing->queued_bill_count;
 }
 
 uint64_t
-billing_dropped_count (const billing_t *billing)
+billing_dropped_bill_count (const billing_t *billing)
 {
   return billing->dropped_bill_count;
 }
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -64,7 +64,7 @@
 void billing_flush (billing_t *billing);
 /* Return the number of bills that are queued, and the number of bills dropped
    so far.  */
-size_t billing_queued_count (const billing_t *billing);
-uint64_t billing_dropped_count (const billing_t *billing);
+size_t billing_queued_bill_count (const billing_t *billing);
+uint64_t billing_dropped_bill_count (const billing_t *billing);
 
 #endif
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -21,7 +21,7 @@
 
 enum
 {
-  ROUTE_SPLITS_MAX = 8,
+  ROUTE_SERVICES_MAX = 8,
   ROUTE_MODELS_MAX = 8,
   SERVICE_MODELS_MAX = 32
 };
@@ -55,7 +55,7 @@
 {
   str_t service;
   uint32_t weight;
-} route_split_t;
+} weighted_service_t;
 
 typedef struct
 {
@@ -77,7 +77,7 @@
   bool is_public;        /* Whether clients need no API key.  */
   /* Whether an interrupted stream may be resumed at another upstream.  */
   bool is_resumable;
-  route_split_t splits[ROUTE_SPLITS_MAX];
+  weighted_service_t splits[ROUTE_SERVICES_MAX];
   size_t split_count;
   /* Names of the models that may run a request, smallest first.  */
   str_t models[ROUTE_MODELS_MAX];
--- a/packages/gateway/gateway.c
+++ b/packages/gateway/gateway.c
@@ -170,10 +170,10 @@
              "1: the readiness check succeeds.", is_ready (gateway));
   set_gauge (gateway, "vanillahook_gateway_bills_waiting", "",
              "Bills not yet written.",
-             (double)billing_queued_count (state->billing));
+             (double)billing_queued_bill_count (state->billing));
   set_gauge (gateway, "vanillahook_gateway_bills_dropped", "",
              "Bills dropped because the queue was full.",
-             (double)billing_dropped_count (state->billing));
+             (double)billing_dropped_bill_count (state->billing));
   set_gauge (gateway, "vanillahook_log_dropped_lines", "",
              "Log lines dropped by the rate limit or a full buffer.",
              (double)eventlog_dropped_lines ());
@@ -370,7 +370,7 @@
   else if (elapsed_ms < DRAIN_DURATION_MIN_MS
            || httpd_unwritten_responses (gateway->caller_server) > 0)
     return;
-  else if (billing_queued_count (state->billing) > 0)
+  else if (billing_queued_bill_count (state->billing) > 0)
     {
       /* No request is left, so no more bills are added.  */
       billing_flush (state->billing);
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -50,7 +50,7 @@
   const header_names_t *names;
   str_t ready_path; /* Path of the readiness check by the platform's load
                        balancer.  */
-  /* Return the kind of the row KEY in table ROWS_ORDERS.  Set *NAME to the
+  /* Return the kind of the row KEY in table ROWS_OPERATOR.  Set *NAME to the
      availability zone or service in the key.  */
   operator_row_kind_t (*operator_row_kind) (str_t key, str_t *name);
   /* Parse a configuration.  Callable from any thread.  PAUSE, which may be
--- a/packages/gateway/gatewayint.h
+++ b/packages/gateway/gatewayint.h
@@ -64,7 +64,7 @@
   allotment_t *allotment;
   /* Number of gateway processes that share the retry budgets.  */
   uint32_t gateway_count;
-  table_sync_t *operator_rows_sync; /* Synchronises table ROWS_ORDERS, which
+  table_sync_t *operator_rows_sync; /* Synchronises table ROWS_OPERATOR, which
                                        contains the configuration.  */
   gateway_counters_t counters;
   metrics_t *metrics;
@@ -96,7 +96,7 @@
 /* Return the part of row key KEY before its first slash.  *REST is the part
    after the slash, empty if there is no slash.  */
 static inline str_t
-row_key_prefix (str_t key, str_t *rest)
+row_key_first_segment (str_t key, str_t *rest)
 {
   str_t kind = str_cut (key, '/', rest);
 
--- a/packages/gateway/peerrows.c
+++ b/packages/gateway/peerrows.c
@@ -374,9 +374,9 @@
 
   pending->store_state = STORE_CALLED;
   pending->store_sent_ms = boot_ms (peer_rows);
-  /* Use a shorter wait, so that ROWS_ORDERS is confirmed often at a reader,
+  /* Use a shorter wait, so that ROWS_OPERATOR is confirmed often at a reader,
      and a gateway whose reader failed soon calls a reader again.  */
-  if ((pending->table == ROWS_ORDERS || pending->reader_name != NULL)
+  if ((pending->table == ROWS_OPERATOR || pending->reader_name != NULL)
       && map_size (peer_rows->gateways) > 0 && wait_ms > STORE_WATCH_WAIT_MS)
     wait_ms = STORE_WATCH_WAIT_MS;
   if (pending->is_read)
--- a/packages/gateway/rollouts.c
+++ b/packages/gateway/rollouts.c
@@ -166,7 +166,7 @@
   str_t rest;
   str_t gateway;
 
-  if (!str_eq (row_key_prefix (key, &rest), STR ("evidence")))
+  if (!str_eq (row_key_first_segment (key, &rest), STR ("evidence")))
     return;
   str_t service = str_cut (rest, '/', &gateway);
   trial_t *trial = map_get (rollouts->state->trials, service);
--- a/packages/gateway/rows.h
+++ b/packages/gateway/rows.h
@@ -22,8 +22,8 @@
 
 typedef enum
 {
-  ROWS_ORDERS,    /* Configuration and other rows written by operators; read
-                     only.  */
+  ROWS_OPERATOR,  /* Configuration and other rows written by operators; read
+                   only.  */
   ROWS_INSTANCES, /* Registrations of upstream instances; read only.  */
   ROWS_STATUS,    /* Status reports of gateways to operators.  */
   ROWS_SHARED,    /* Rows that gateways share with each other.  */
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -1,5 +1,5 @@
 /* Synchronises a gateway with the platform's store: reads the configuration
-   and other rows written by operators (ROWS_ORDERS), the upstream instances
+   and other rows written by operators (ROWS_OPERATOR), the upstream instances
    and the other gateways, and registers this gateway.  Roll-outs are carried
    out in rollouts.c.  */
 
@@ -18,9 +18,9 @@
      its time limit.  */
   TICK_MS = 250,
   TICKS_PER_S = 4,
-  /* Longest time that the store holds a watch call for ROWS_ORDERS.  A revoked
-     key must be refused within seconds, and a confirmation gets as old as two
-     such waits and a timeout.  */
+  /* Longest time that the store holds a watch call for ROWS_OPERATOR.  A
+     revoked key must be refused within seconds, and a confirmation gets as old
+     as two such waits and a timeout.  */
   OPERATOR_ROWS_WAIT_MS = 1500,
   OPERATOR_ROWS_TIMEOUT_SLACK_MS = 500,
   /* Longest time that the store holds a watch call for ROWS_INSTANCES.  The
@@ -37,9 +37,9 @@
   SHARED_WAIT_MS = 8000,
   SHARED_TIMEOUT_SLACK_MS = 1000,
   SHARED_CALL_GAP_MS = 150,
-  /* Longest retry delay for tables other than ROWS_ORDERS.  In an outage only
-     the calls for ROWS_ORDERS probe the store: if 22 gateways retried all
-     three tables, they would make 120 calls a second.  */
+  /* Longest retry delay for tables other than ROWS_OPERATOR.  In an outage
+     only the calls for ROWS_OPERATOR probe the store: if 22 gateways retried
+     all three tables, they would make 120 calls a second.  */
   OTHER_TABLES_RETRY_MAX_MS = 4000,
   /* Delay before a failed registration is repeated.  Until then this gateway
      processes requests, but is not counted when the shared limits are
@@ -74,7 +74,7 @@
   rollouts_t *rollouts;
 };
 
-/* Rows written by operators (ROWS_ORDERS).  */
+/* Rows written by operators (ROWS_OPERATOR).  */
 
 /* Put CATALOG in force if its revision is newer than the one in force.  CODE
    is the result of parsing the configuration text, whose length is LEN
@@ -233,7 +233,7 @@
    replies again.  Registrations that expired during an outage are kept for
    gateway_options_t.expired_registration_grace_ms from the first reply for any
    table.  The reply for ROWS_INSTANCES may arrive seconds after that for
-   ROWS_ORDERS, if the call hung on a broken connection.  If the grace period
+   ROWS_OPERATOR, if the call hung on a broken connection.  If the grace period
    counted from the reply for ROWS_INSTANCES, an instance that stopped 13 s
    before could get a request.  */
 static void
@@ -275,7 +275,7 @@
 {
   store_sync_t *sync = arg;
   str_t rest;
-  str_t kind = row_key_prefix (row->key, &rest);
+  str_t kind = row_key_first_segment (row->key, &rest);
 
   if (str_eq (kind, STR ("rollout")))
     rollouts_apply_state_row (sync->rollouts, rest, row);
@@ -297,7 +297,7 @@
   store_sync_t *sync = arg;
   str_t rest;
 
-  if (str_eq (row_key_prefix (key, &rest), STR ("entry")))
+  if (str_eq (row_key_first_segment (key, &rest), STR ("entry")))
     {
       allotment_remove (sync->state->allotment, rest);
       if (sync->peer_rows != NULL)
@@ -399,7 +399,8 @@
 
 /* Start of the synchronisation of each table, and its end.  */
 
-/* Start to synchronise the instances after the first read of ROWS_ORDERS.  If
+/* Start to synchronise the instances after the first read of ROWS_OPERATOR.
+   If
    the requests for roll-outs were not known yet, instances of a new version
    would be treated as those of the old version.  */
 static void
@@ -444,7 +445,7 @@
                    peer_rows_t *peer_rows)
 {
   static const table_sync_options_t operator_rows
-      = { .table = ROWS_ORDERS,
+      = { .table = ROWS_OPERATOR,
           .name = "orders",
           .wait_ms = OPERATOR_ROWS_WAIT_MS,
           .timeout_slack_ms = OPERATOR_ROWS_TIMEOUT_SLACK_MS };
@@ -471,8 +472,8 @@
   state->operator_rows_sync = table_sync_create (
       state->loop, state->clock, rows, rng_u64 (&state->rng), &operator_rows,
       &operator_events, sync);
-  /* Read at the same time as ROWS_ORDERS: this table lists the gateways, one
-     of which is the reader through which ROWS_ORDERS is read.  */
+  /* Read at the same time as ROWS_OPERATOR: this table lists the gateways, one
+     of which is the reader through which ROWS_OPERATOR is read.  */
   sync->shared_rows_sync = table_sync_create (
       state->loop, state->clock, rows, rng_u64 (&state->rng), &shared_rows,
       &shared_events, sync);
--- a/tests/fake_rows.c
+++ b/tests/fake_rows.c
@@ -330,7 +330,7 @@
 fake_rows_set_stale_version (fake_rows_t *fake, uint64_t version)
 {
   fake->stale_version = version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
+  for (rows_table_t table = ROWS_OPERATOR; table <= ROWS_SHARED; table++)
     reply_to_watches (fake, table);
 }
 
@@ -345,7 +345,7 @@
 {
   fake->version++;
   fake->history_floor = fake->version;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
+  for (rows_table_t table = ROWS_OPERATOR; table <= ROWS_SHARED; table++)
     reply_to_watches (fake, table);
 }
 
@@ -353,7 +353,7 @@
 fake_rows_advance_clock (fake_rows_t *fake, uint64_t ms)
 {
   fake->advanced_ms += ms;
-  for (rows_table_t table = ROWS_ORDERS; table <= ROWS_SHARED; table++)
+  for (rows_table_t table = ROWS_OPERATOR; table <= ROWS_SHARED; table++)
     reply_to_watches (fake, table);
 }
 
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -387,7 +387,7 @@
   loop_wait_init (&f->wait, &f->loop, WAIT_TIMEOUT_MS);
   f->rows = fake_rows_create (&f->loop);
   fake_rows_set_down (f->rows, true);
-  fake_rows_put (f->rows, ROWS_ORDERS, "catalog", "1 key-1");
+  fake_rows_put (f->rows, ROWS_OPERATOR, "catalog", "1 key-1");
   for (size_t i = 0; i < count; i++)
     {
       snprintf (id, sizeof id, "up-%zu", i);
--- a/tests/test_billing.c
+++ b/tests/test_billing.c
@@ -131,10 +131,10 @@
   uint64_t start_ms = uv_now (&f->loop);
 
   billing_flush (f->bills);
-  while (billing_queued_count (f->bills) > 0
+  while (billing_queued_bill_count (f->bills) > 0
          && uv_now (&f->loop) - start_ms < FLUSH_TIMEOUT_MS)
     uv_run (&f->loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (billing_queued_count (f->bills), 0);
+  ck_assert_uint_eq (billing_queued_bill_count (f->bills), 0);
 }
 
 /* A write is applied, its reply is lost, and more bills are added before the
@@ -152,7 +152,7 @@
     uv_run (&f.loop, UV_RUN_ONCE);
   add_bills (&f, 5);
   f.store.next_code = VH_OK;
-  while (billing_queued_count (f.bills) > 5)
+  while (billing_queued_bill_count (f.bills) > 5)
     uv_run (&f.loop, UV_RUN_ONCE);
   f.store.next_code = VH_OK;
   flush_and_wait (&f);
@@ -174,19 +174,22 @@
   add_bills (&f, 3 * BILLING_BATCH_BILLS);
   while (f.store.commit_count < 2)
     uv_run (&f.loop, UV_RUN_ONCE);
-  ck_assert_uint_eq (billing_queued_count (f.bills), 3 * BILLING_BATCH_BILLS);
+  ck_assert_uint_eq (billing_queued_bill_count (f.bills),
+                     3 * BILLING_BATCH_BILLS);
   while (uv_is_active ((uv_handle_t *)&f.store.timer))
     uv_run (&f.loop, UV_RUN_ONCE);
   f.store.applies_writes = true;
   f.store.next_code = VH_OK;
   flush_and_wait (&f);
   ck_assert_uint_eq (stored_bill_count (&f), 3 * BILLING_BATCH_BILLS);
-  ck_assert_uint_eq (billing_dropped_count (f.bills), 0);
+  ck_assert_uint_eq (billing_dropped_bill_count (f.bills), 0);
   f.store.next_code = VH_E_STORE_DOWN;
   f.store.applies_writes = false;
   add_bills (&f, BILLING_QUEUED_BILLS_MAX + 1);
-  ck_assert_uint_eq (billing_dropped_count (f.bills), BILLING_BATCH_BILLS);
-  ck_assert_uint_le (billing_queued_count (f.bills), BILLING_QUEUED_BILLS_MAX);
+  ck_assert_uint_eq (billing_dropped_bill_count (f.bills),
+                     BILLING_BATCH_BILLS);
+  ck_assert_uint_le (billing_queued_bill_count (f.bills),
+                     BILLING_QUEUED_BILLS_MAX);
   teardown (&f);
 }
 END_TEST
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -554,7 +554,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_put (f.rows, ROWS_ORDERS, "catalog", "2 key-2");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "catalog", "2 key-2");
   run_loop_for (&f, 100);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 401);
@@ -578,7 +578,7 @@
 
   gateway_fixture_setup (&f, 1);
   uint64_t count_before = fake_rows_version (f.rows);
-  fake_rows_put (f.rows, ROWS_ORDERS, "catalog", "2 key-2");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "catalog", "2 key-2");
   run_loop_for (&f, 100);
   fake_rows_set_stale_version (f.rows, count_before);
   fake_rows_drop_history (f.rows);
@@ -686,7 +686,7 @@
   for (size_t i = 0; i < sizeof text - 1; i++)
     text[i] = i < sizeof head - 1 ? head[i] : 'x';
   gateway_fixture_setup (&f, 1);
-  fake_rows_put (f.rows, ROWS_ORDERS, "catalog", text);
+  fake_rows_put (f.rows, ROWS_OPERATOR, "catalog", text);
   run_loop_for (&f, 300);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -764,13 +764,13 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  fake_rows_put (f.rows, ROWS_ORDERS, "zone/zone-a", "");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "zone/zone-a", "");
   run_loop_for (&f, 100);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
   ck_assert_uint_eq (count_upstream_requests (&f), 0);
   caller_free (&f, &caller);
-  fake_rows_remove (f.rows, ROWS_ORDERS, "zone/zone-a");
+  fake_rows_remove (f.rows, ROWS_OPERATOR, "zone/zone-a");
   run_loop_for (&f, 100);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -791,9 +791,9 @@
   fake_rows_put (f.rows, ROWS_INSTANCES, "app-9", "garbage");
   fake_rows_put (f.rows, ROWS_INSTANCES, "app-8",
                  "app nowhere zone-a v1 ready");
-  fake_rows_put (f.rows, ROWS_ORDERS, "catalog", "garbage");
-  fake_rows_put (f.rows, ROWS_ORDERS, "rollout/app", "garbage");
-  fake_rows_put (f.rows, ROWS_ORDERS, "unheard-of", "garbage");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "catalog", "garbage");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "rollout/app", "garbage");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "unheard-of", "garbage");
   run_loop_for (&f, 100);
   for (int i = 0; i < 4; i++)
     {
@@ -879,7 +879,7 @@
   fake_upstream_script (f.upstreams[0], stream, 1);
   fake_upstream_script (f.upstreams[1], stream, 1);
   gateway_fixture_register (&f, 1, "v2", "ready");
-  fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 running");
   size_t count_before = fake_upstream_requests (f.upstreams[1]);
@@ -908,7 +908,7 @@
   run_loop_for (&f, 500);
   uint64_t ordered_ms = fake_rows_now_ms (f.rows);
   fake_rows_set_refusing_writes (f.rows, true);
-  fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, WRITE_DELAY_MS);
   ck_assert_ptr_null (fake_rows_get (f.rows, ROWS_SHARED, "rollout/llm"));
   fake_rows_set_refusing_writes (f.rows, false);
@@ -939,7 +939,7 @@
   fake_upstream_script (f.upstreams[1], error, 1);
   failed_request_count = 0;
   gateway_fixture_register (&f, 1, "v2", "ready");
-  fake_rows_put (f.rows, ROWS_ORDERS, "rollout/llm", "llm v2 12000");
+  fake_rows_put (f.rows, ROWS_OPERATOR, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 taken-back");
   ck_assert_uint_eq (failed_request_count, 0);
--- a/tests/test_rows.c
+++ b/tests/test_rows.c
@@ -257,7 +257,7 @@
 static void
 start_sync (fixture_t *f)
 {
-  static const table_sync_options_t options = { .table = ROWS_ORDERS,
+  static const table_sync_options_t options = { .table = ROWS_OPERATOR,
                                                 .name = "orders",
                                                 .wait_ms = 1500,
                                                 .timeout_slack_ms = 500 };
@@ -326,7 +326,8 @@
 
   setup (&f, LARGE_BYTES);
   narrow_link_stall_after (f.link, BYTES_PASSED);
-  f.rows->ops->read (f.rows, ROWS_ORDERS, STR (""), TIMEOUT_MS, on_result, &f);
+  f.rows->ops->read (f.rows, ROWS_OPERATOR, STR (""), TIMEOUT_MS, on_result,
+                     &f);
   WAIT_FOR (&f,
             narrow_link_forwarded_bytes (f.link) == BYTES_PASSED || f.is_done);
   uint64_t stopped_ms = uv_now (&f.loop);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -77,7 +77,7 @@
 static void
 fleet_gateway_start (fixture_t *f, int index)
 {
-  static const table_sync_options_t sync_options = { .table = ROWS_ORDERS,
+  static const table_sync_options_t sync_options = { .table = ROWS_OPERATOR,
                                                      .name = "orders",
                                                      .wait_ms = 1500,
                                                      .timeout_slack_ms = 500 };
@@ -135,7 +135,7 @@
   uv_loop_init (&f->loop);
   loop_wait_init (&f->wait, &f->loop, WAIT_LIMIT_MS);
   f->store = fake_rows_create (&f->loop);
-  fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
+  fake_rows_put (f->store, ROWS_OPERATOR, "a", "one");
   for (int i = 0; i < GATEWAYS; i++)
     fleet_gateway_start (f, i);
   connect_all (f);
@@ -222,12 +222,12 @@
   size_t calls_before = fake_rows_call_count (f.store);
   run_for (&f, 3000);
   ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 5);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
     WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
-  fake_rows_remove (f.store, ROWS_ORDERS, "a");
+  fake_rows_remove (f.store, ROWS_OPERATOR, "a");
   for (int i = 0; i < GATEWAYS; i++)
     WAIT_FOR (&f, f.gateways[i].is_removed);
   teardown (&f);
@@ -250,7 +250,7 @@
   ck_assert_uint_le (fake_rows_call_count (f.store) - calls_before, 5);
   fleet_gateway_stop (&f.gateways[crashed]);
   WAIT_FOR (&f, count_readers (&f) == GATEWAYS - 1);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
     if (i != crashed)
@@ -286,7 +286,7 @@
         }
       start_all (&f);
       ck_assert_int_eq (wait_for_reader (&f), widest);
-      fake_rows_put (f.store, ROWS_ORDERS, "a", text);
+      fake_rows_put (f.store, ROWS_OPERATOR, "a", text);
       for (int i = 0; i < GATEWAYS; i++)
         WAIT_FOR (&f, f.gateways[i].value_len == BYTES);
       teardown (&f);
@@ -319,7 +319,7 @@
   wait_for_reader (&f);
   run_for (&f, 1000);
   size_t calls_before = fake_rows_call_count (f.store);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", text);
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", text);
   for (int i = 0; i < GATEWAYS; i++)
     {
       WAIT_FOR (&f, f.gateways[i].value_len == BYTES);
@@ -349,9 +349,9 @@
   int reader = wait_for_reader (&f);
   run_for (&f, 1000);
   narrow_link_stall_after (f.narrow_links[reader], 0);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", "two");
   WAIT_FOR (&f, strcmp (f.gateways[reader].value, "two") == 0);
-  fake_rows_set_stalled (f.store, ROWS_ORDERS, true);
+  fake_rows_set_stalled (f.store, ROWS_OPERATOR, true);
   run_for (&f, BUSY_MS);
   narrow_link_stall_after (f.narrow_links[reader], SIZE_MAX);
   uint64_t start_ms = uv_now (&f.loop);
@@ -359,7 +359,7 @@
     WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
   ck_assert_uint_lt (uv_now (&f.loop) - start_ms, 500);
   ck_assert_int_eq (count_readers (&f), 1);
-  fake_rows_set_stalled (f.store, ROWS_ORDERS, false);
+  fake_rows_set_stalled (f.store, ROWS_OPERATOR, false);
   teardown (&f);
 }
 END_TEST
@@ -374,7 +374,7 @@
   run_for (&f, 500);
   int crashed = wait_for_reader (&f);
   fleet_gateway_stop (&f.gateways[crashed]);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
     if (i != crashed)
@@ -428,7 +428,7 @@
   run_for (&f, 500);
   int stopped = wait_for_reader (&f);
   peer_rows_stop_serving (f.gateways[stopped].peer_rows);
-  fake_rows_put (f.store, ROWS_ORDERS, "a", "two");
+  fake_rows_put (f.store, ROWS_OPERATOR, "a", "two");
   uint64_t start_ms = uv_now (&f.loop);
   for (int i = 0; i < GATEWAYS; i++)
     WAIT_FOR (&f, strcmp (f.gateways[i].value, "two") == 0);
--- a/tests/test_share_fleet.c
+++ b/tests/test_share_fleet.c
@@ -204,7 +204,7 @@
   f->store = fake_rows_create (&f->loop);
   f->down_store = fake_rows_create (&f->loop);
   fake_rows_set_down (f->down_store, true);
-  fake_rows_put (f->store, ROWS_ORDERS, "a", "one");
+  fake_rows_put (f->store, ROWS_OPERATOR, "a", "one");
   for (int i = 0; i < GATEWAYS; i++)
     fleet_gateway_start (f, i);
   for (int i = 0; i < GATEWAYS; i++)
@@ -220,7 +220,7 @@
       }
   for (int i = 0; i < GATEWAYS; i++)
     {
-      static const table_sync_options_t orders = { .table = ROWS_ORDERS,
+      static const table_sync_options_t orders = { .table = ROWS_OPERATOR,
                                                    .name = "orders",
                                                    .wait_ms = 1500,
                                                    .timeout_slack_ms = 500 };
@@ -280,7 +280,7 @@
 {
   uint64_t start_ms = uv_now (&f->loop);
 
-  fake_rows_put (f->store, ROWS_ORDERS, "a", value);
+  fake_rows_put (f->store, ROWS_OPERATOR, "a", value);
   for (int i = 0; i < GATEWAYS; i++)
     LOOP_WAIT (&f->wait, f->gateways[i].peer_rows == NULL
                              || strcmp (f->gateways[i].value, value) == 0);
