--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -106,7 +106,7 @@
           snprintf (prefix, sizeof prefix, "/r%d/", i);
           const route_t route = { .name = str_from (prefix),
                                   .host = STR ("desk.example"),
-                                  .prefix = str_from (prefix) };
+                                  .path_prefix = str_from (prefix) };
           catalog_add_route (catalog, &route);
         }
       points_add (&memory, sizes[s], heap_bytes () - heap);
--- a/packages/gateway/billing.c
+++ b/packages/gateway/billing.c
@@ -157,8 +157,8 @@
       buf_append_str (out, STR ("\","));
     }
   buf_printf (out, "%u,%llu,%u,%d]\n", bill->prompt_tokens,
-              (unsigned long long)bill->events, bill->possible_run_count,
-              bill->is_complete);
+              (unsigned long long)bill->stream_event_count,
+              bill->possible_run_count, bill->is_complete);
 }
 
 void
--- a/packages/gateway/billing.h
+++ b/packages/gateway/billing.h
@@ -43,7 +43,7 @@
   str_t route;
   str_t model; /* Model that ran the request; empty for a plain service.  */
   uint32_t prompt_tokens;
-  uint64_t events; /* Events of the stream sent to the caller.  */
+  uint64_t stream_event_count; /* Events of the stream sent to the caller.  */
   /* Number of sends that an upstream may have run.  */
   uint32_t possible_run_count;
   bool is_complete; /* The caller received the whole response.  */
--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -115,16 +115,16 @@
   buf_t key = BUF_NULL;
   vh_code_t code = VH_E_BAD_CONFIG;
 
-  append_route_key (&key, route->host, route->prefix);
+  append_route_key (&key, route->host, route->path_prefix);
   if (map_get (catalog->routes, buf_str (&key)) != NULL)
     goto done;
   route_t *copy = alloc_owned (catalog, sizeof *copy);
   *copy = *route;
   copy->name = copy_str (catalog, route->name);
   copy->host = copy_str (catalog, route->host);
-  copy->prefix = copy_str (catalog, route->prefix);
-  for (size_t i = 0; i < copy->split_count; i++)
-    copy->splits[i].service = copy_str (catalog, copy->splits[i].service);
+  copy->path_prefix = copy_str (catalog, route->path_prefix);
+  for (size_t i = 0; i < copy->service_count; i++)
+    copy->services[i].service = copy_str (catalog, copy->services[i].service);
   for (size_t i = 0; i < copy->model_count; i++)
     copy->models[i] = copy_str (catalog, copy->models[i]);
   map_put (catalog->routes, buf_str (&key), copy);
--- a/packages/gateway/catalog.h
+++ b/packages/gateway/catalog.h
@@ -61,7 +61,7 @@
 {
   str_t name;
   str_t host;
-  str_t prefix; /* Path prefix; begins and ends with a slash.  */
+  str_t path_prefix; /* Path prefix; begins and ends with a slash.  */
   route_kind_t kind;
   uint64_t timeout_ms; /* Maximum time from the arrival of a request to the end
                           of its response.  */
@@ -70,15 +70,15 @@
   /* Latency objective of each further event of a stream: maximum time since
      the event before.  */
   uint64_t event_gap_max_ms;
-  uint32_t attempts_max; /* Maximum number of upstream sends of a request
+  uint32_t possible_runs_max; /* Maximum number of upstream sends of a request
                             that may have run the request.  */
-  uint32_t priority;     /* Priority of requests on the route; 0 is the
-                            highest.  */
-  bool is_public;        /* Whether clients need no API key.  */
+  uint32_t priority;          /* Priority of requests on the route; 0 is the
+                                 highest.  */
+  bool is_public;             /* Whether clients need no API key.  */
   /* Whether an interrupted stream may be resumed at another upstream.  */
   bool is_resumable;
-  weighted_service_t splits[ROUTE_SERVICES_MAX];
-  size_t split_count;
+  weighted_service_t services[ROUTE_SERVICES_MAX];
+  size_t service_count;
   /* Names of the models that may run a request, smallest first.  */
   str_t models[ROUTE_MODELS_MAX];
   size_t model_count;
--- a/packages/gateway/relay.c
+++ b/packages/gateway/relay.c
@@ -168,7 +168,8 @@
 may_switch_upstream (const relay_t *relay)
 {
   return relay_may_retry (relay)
-         && relay->possible_run_count + 1 < relay->attrs.route->attempts_max
+         && relay->possible_run_count + 1
+                < relay->attrs.route->possible_runs_max
          && !relay->is_paused;
 }
 
--- a/packages/gateway/relay_end.c
+++ b/packages/gateway/relay_end.c
@@ -133,7 +133,7 @@
     .route = relay->attrs.route->name,
     .model = relay_model_name (relay, STR ("")),
     .prompt_tokens = relay->attrs.prompt_tokens,
-    .events = relay->event_count,
+    .stream_event_count = relay->event_count,
     .possible_run_count = (uint32_t)relay->possible_run_count + 1,
     .is_complete = is_complete,
   };
--- a/packages/gateway/relay_response.c
+++ b/packages/gateway/relay_response.c
@@ -26,7 +26,7 @@
 relay_may_retry (const relay_t *relay)
 {
   return relay->attrs.is_repeatable
-         && relay->possible_run_count < relay->attrs.route->attempts_max
+         && relay->possible_run_count < relay->attrs.route->possible_runs_max
          && relay->send_count < SENDS_MAX;
 }
 
@@ -257,7 +257,7 @@
       || !str_to_u64 (confidence_header, &confidence)
       || (larger_model = relay_choose_larger_model (relay, confidence))
              == relay->model_index
-      || relay->possible_run_count + 1 >= relay->attrs.route->attempts_max
+      || relay->possible_run_count + 1 >= relay->attrs.route->possible_runs_max
       || !take_retry (relay))
     return false;
   counter_add (relay->state->counters.escalations, 1);
--- a/packages/gateway/request_attrs.c
+++ b/packages/gateway/request_attrs.c
@@ -57,17 +57,17 @@
   uint64_t weight_sum = 0;
   size_t index = 0;
 
-  for (size_t i = 0; i < route->split_count; i++)
-    weight_sum += route->splits[i].weight;
+  for (size_t i = 0; i < route->service_count; i++)
+    weight_sum += route->services[i].weight;
   if (weight_sum > 0)
     {
       uint64_t offset = attrs->session_hash % weight_sum;
-      while (offset >= route->splits[index].weight)
-        offset -= route->splits[index++].weight;
+      while (offset >= route->services[index].weight)
+        offset -= route->services[index++].weight;
     }
-  attrs->service = route->split_count > 0 ? catalog_find_service (
-                       attrs->catalog, route->splits[index].service)
-                                          : NULL;
+  attrs->service = route->service_count > 0 ? catalog_find_service (
+                       attrs->catalog, route->services[index].service)
+                                            : NULL;
 }
 
 /* Parse the request headers.  Return VH_OK or VH_E_BAD_HEADER.  */
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -400,8 +400,7 @@
 /* Start of the synchronisation of each table, and its end.  */
 
 /* Start to synchronise the instances after the first read of ROWS_OPERATOR.
-   If
-   the requests for roll-outs were not known yet, instances of a new version
+   If the requests for roll-outs were not known yet, instances of a new version
    would be treated as those of the old version.  */
 static void
 on_operator_rows_synced (void *arg, bool is_full_read)
--- a/tests/test_catalog.c
+++ b/tests/test_catalog.c
@@ -8,7 +8,7 @@
 {
   return (route_t){ .name = str_from (name),
                     .host = str_from (host),
-                    .prefix = str_from (prefix) };
+                    .path_prefix = str_from (prefix) };
 }
 
 START_TEST (longest_prefix_of_the_host_is_selected)
