--- a/packages/gateway/loader.c
+++ b/packages/gateway/loader.c
@@ -41,8 +41,8 @@
   uv_sleep (PAUSE_MS);
 }
 
-/* Parse the text on a thread of the pool.  The loop does not access these
-   fields before on_work_done.  */
+/* Parse loader->text on a thread of the pool.  The loop does not access the
+   fields text, catalog and code before on_work_done.  */
 static void
 on_work (uv_work_t *work)
 {
--- a/packages/gateway/peerrows.h
+++ b/packages/gateway/peerrows.h
@@ -6,8 +6,8 @@
    the reader of their availability zone, over ONC RPC with the same reads and
    watches.  Without readers the number of calls grows with the number of
    gateways: 730 gateways would make 3,000 calls a second, while the store
-   allows 2,000.  policy/fanout.h decides which gateway calls which.  There,
-   the root is the gateway that reads from the store, and the head of an
+   allows 2,000.  policy/fanout.h decides which gateway calls which.  In that
+   file, the root is the gateway that reads from the store, and the head of an
    availability zone is the reader of that zone in a large fleet.
 
    A gateway whose reader does not reply in time calls the store as well and
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -164,7 +164,7 @@
   pool_set_zone_disabled (sync->state->pool, name, false);
 }
 
-/* Instances.  */
+/* Registrations of upstream instances (ROWS_INSTANCES).  */
 
 static void
 on_instance_put (void *arg, const rows_row_t *row)
