--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -33,7 +33,7 @@
 
 #define CHAT "/v1/chat/completions"
 #define AUTH                                                                  \
-  "authorization: Bearer " CLUSTER_KEY "\r\n"                                 \
+  "authorization: Bearer " CLUSTER_API_KEY "\r\n"                             \
   "content-type: application/json\r\n"
 
 typedef struct
@@ -140,7 +140,7 @@
 static bool
 in_force (bench_t *bench)
 {
-  return cluster_in_force (bench->cluster, bench->revision);
+  return cluster_has_revision (bench->cluster, bench->revision);
 }
 
 static rawhttp_t
@@ -172,9 +172,9 @@
 static void
 store_outage (bench_t *bench, bool gone)
 {
-  if (!cluster_fault (bench->cluster, bench->cluster->platform_port, "/faults",
-                      gone ? "{\"outage\":\"refuse\"}"
-                           : "{\"outage\":\"none\"}"))
+  if (!cluster_post_json (
+          bench->cluster, bench->cluster->platform_port, "/faults",
+          gone ? "{\"outage\":\"refuse\"}" : "{\"outage\":\"none\"}"))
     fail (bench, "store", "the platform takes no faults");
 }
 
@@ -186,7 +186,7 @@
 {
   const race_t race = { in_force, poll_head, PROCESSES, HEAD_POLL_MS };
 
-  if (!cluster_edit (bench->cluster, section, key, value))
+  if (!cluster_set_configuration_key (bench->cluster, section, key, value))
     {
       fail (bench, name, "the change was not accepted");
       return;
@@ -206,11 +206,13 @@
 {
   bool held;
 
-  WAIT_UNTIL (cluster_edit (bench->cluster, section, key, value), LIMIT_MS,
-              &held);
+  WAIT_UNTIL (
+      cluster_set_configuration_key (bench->cluster, section, key, value),
+      LIMIT_MS, &held);
   if (held)
-    WAIT_UNTIL (cluster_in_force (bench->cluster, bench->cluster->revision),
-                LIMIT_MS, &held);
+    WAIT_UNTIL (
+        cluster_has_revision (bench->cluster, bench->cluster->revision),
+        LIMIT_MS, &held);
   if (!held)
     fail (bench, section, "was not put back");
 }
@@ -225,7 +227,7 @@
     {
       const cluster_upstream_t *up = &bench->cluster->upstreams[i];
       if (!up->is_service && (zone == NULL || strcmp (up->zone, zone) == 0))
-        total += cluster_stat (bench->cluster, up->port, "total");
+        total += cluster_read_stat (bench->cluster, up->port, "total");
     }
   return total;
 }
@@ -367,16 +369,17 @@
   if (gone)
     store_outage (bench, true);
   if (listed)
-    cluster_list_upstream (bench->cluster, bench->leaving, "leaving");
+    cluster_set_upstream_state (bench->cluster, bench->leaving, "leaving");
   else
     proc_signal (bench->leaving->sidecar, SIGTERM);
   run_race (bench, name, listed ? &list_race : &health_race);
   if (gone)
     store_outage (bench, false);
   json_int_t before
-      = cluster_stat (bench->cluster, bench->leaving->port, "total");
+      = cluster_read_stat (bench->cluster, bench->leaving->port, "total");
   call_all (bench, "draft-small@3", 200);
-  if (cluster_stat (bench->cluster, bench->leaving->port, "total") != before)
+  if (cluster_read_stat (bench->cluster, bench->leaving->port, "total")
+      != before)
     fail (bench, name, "the departing upstream got new work");
 }
 
@@ -389,9 +392,9 @@
     {
       const cluster_upstream_t *up = &bench->cluster->upstreams[i];
       if (!up->is_service
-          && cluster_stat (bench->cluster, up->port, "running") > 0)
-        return cluster_fault (bench->cluster, up->proxy_control, "/fault",
-                              "{\"silence\":\"both\"}");
+          && cluster_read_stat (bench->cluster, up->port, "running") > 0)
+        return cluster_post_json (bench->cluster, up->proxy_control, "/fault",
+                                  "{\"silence\":\"both\"}");
     }
   return false;
 }
@@ -442,16 +445,16 @@
 {
   const cluster_t *cluster = bench->cluster;
 
-  use->bytes
-      += sign
-         * (cluster_metric (cluster, admin, "vanillahook_rpc_bytes_out_total")
-            + cluster_metric (cluster, admin,
-                              "vanillahook_rpc_bytes_in_total"));
+  use->bytes += sign
+                * (cluster_read_metric (cluster, admin,
+                                        "vanillahook_rpc_bytes_out_total")
+                   + cluster_read_metric (cluster, admin,
+                                          "vanillahook_rpc_bytes_in_total"));
   use->control_bytes
       += sign
-         * cluster_metric (cluster, admin,
-                           "vanillahook_rpc_control_bytes_out_total");
-  use->cpu_us += sign * (double)proc_cpu_us (proc);
+         * cluster_read_metric (cluster, admin,
+                                "vanillahook_rpc_control_bytes_out_total");
+  use->cpu_us += sign * (double)proc_read_cpu_us (proc);
 }
 
 /* Add SIGN times what entries, sidecars and engines have used.  */
@@ -468,7 +471,7 @@
     {
       const cluster_upstream_t *up = &cluster->upstreams[i];
       add_use (bench, up->sidecar, up->admin, sign, sidecars);
-      engines->cpu_us += sign * (double)proc_cpu_us (up->proc);
+      engines->cpu_us += sign * (double)proc_read_cpu_us (up->proc);
     }
 }
 
@@ -567,8 +570,8 @@
   seconds->ival[0] = 8;
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
-  standin_args (argc, argv, argtable,
-                "Measures a fleet of 3 entries and 26 sidecars.");
+  standin_parse_args (argc, argv, argtable,
+                      "Measures a fleet of 3 entries and 26 sidecars.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_fleet: 1 to %d seconds\n", SECONDS_MAX);
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -41,7 +41,7 @@
 } side_t;
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   side_t *side = arg;
 
@@ -61,14 +61,14 @@
 static void
 run_load (side_t *side, uint64_t ms, double rate, uint64_t seed)
 {
-  const load_options_t options
+  const loadgen_options_t options
       = { .targets = &side->target,
           .target_count = 1,
           .concurrency = rate > 0 ? HALF_CONCURRENCY : FULL_CONCURRENCY,
           .rate = rate,
           .duration_ms = ms,
           .seed = seed,
-          .api_key = STR (CLUSTER_KEY),
+          .api_key = STR (CLUSTER_API_KEY),
           .model = STR ("draft-small@3"),
           .max_tokens = ANSWER_TOKENS,
           .prompt_bytes = 64,
@@ -79,10 +79,10 @@
 
   side->over = false;
   uv_loop_init (&loop);
-  load_t *load = load_create (&loop, &options);
+  load_t *load = loadgen_create (&loop, &options);
   while (!side->over)
     uv_run (&loop, UV_RUN_ONCE);
-  load_destroy (load);
+  loadgen_destroy (load);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
 }
@@ -119,13 +119,13 @@
 measure_throughput (side_t *side, const proc_t *proc, uint64_t ms,
                     uint64_t seed, double *rate)
 {
-  uint64_t cpu = proc_cpu_us (proc);
+  uint64_t cpu = proc_read_cpu_us (proc);
   uint64_t began = harness_now_ms ();
 
   side_reset (side);
   run_load (side, ms, 0, seed);
   double seconds = (double)(harness_now_ms () - began) / 1000;
-  double busy = (double)(proc_cpu_us (proc) - cpu) / 1e6;
+  double busy = (double)(proc_read_cpu_us (proc) - cpu) / 1e6;
   *rate = (double)side->finished / seconds;
   return busy > 0 ? (double)side->finished / busy : 0;
 }
@@ -231,8 +231,8 @@
   seconds->ival[0] = 8;
   seed->ival[0] = 1;
   pattern->sval[0] = "*";
-  standin_args (argc, argv, argtable,
-                "Measures what the path adds to straight calls.");
+  standin_parse_args (argc, argv, argtable,
+                      "Measures what the path adds to straight calls.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "bench_path: 1 to %d seconds\n", SECONDS_MAX);
--- a/bench/model.c
+++ b/bench/model.c
@@ -323,7 +323,7 @@
 engine_speed (const model_t *m, const upstream_t *u)
 {
   double slots = engine_slots (m, u);
-  double speed = MODEL_SPEED;
+  double speed = MODEL_SLOT_UNITS_PER_S;
 
   if (is_cold (m, u))
     speed *= COLD_SPEED;
@@ -576,16 +576,16 @@
   int n = m->upstream_count;
   int best = -1;
 
-  if (m->pattern->plain == PLAIN_ROUND_ROBIN || request->affinity == 0)
+  if (m->pattern->plain == BASELINE_ROUND_ROBIN || request->affinity == 0)
     do
       entry->turn = (entry->turn + 1) % n;
     while (!in_service (m, entry->turn));
-  if (m->pattern->plain == PLAIN_ROUND_ROBIN)
+  if (m->pattern->plain == BASELINE_ROUND_ROBIN)
     return &m->upstreams[entry->turn];
-  if (m->pattern->plain == PLAIN_HASH && request->affinity != 0)
+  if (m->pattern->plain == BASELINE_PREFIX_HASH && request->affinity != 0)
     return &m->upstreams[(request->affinity * 0x9e3779b97f4a7c15u >> 32)
                          % (uint64_t)n];
-  if (m->pattern->plain == PLAIN_HASH)
+  if (m->pattern->plain == BASELINE_PREFIX_HASH)
     return &m->upstreams[entry->turn];
   for (int k = 0; k < n; k++)
     {
@@ -778,8 +778,8 @@
 schedule_arrival (model_t *m)
 {
   const pattern_t *p = m->pattern;
-  double rate = current_load (m) * p->upstreams * p->slots * MODEL_SPEED
-                / mean_cost (p);
+  double rate = current_load (m) * p->upstreams * p->slots
+                * MODEL_SLOT_UNITS_PER_S / mean_cost (p);
 
   schedule (m, &m->arrival, ARRIVAL,
             m->now + 1 + seconds_us (exponential (&m->rng, 1 / rate)));
--- a/bench/model.h
+++ b/bench/model.h
@@ -24,16 +24,16 @@
   MODEL_UPSTREAMS_MAX = 64,
   MODEL_ZONES = 3,
   /* Units of cost that a warm slot does in a second.  */
-  MODEL_SPEED = 100
+  MODEL_SLOT_UNITS_PER_S = 100
 };
 
 /* How the plain side chooses.  */
 typedef enum
 {
-  PLAIN_ROUND_ROBIN,
-  PLAIN_LEAST_REPORTED,
-  PLAIN_HASH
-} plain_t;
+  BASELINE_ROUND_ROBIN,
+  BASELINE_LEAST_REPORTED,
+  BASELINE_PREFIX_HASH
+} baseline_selection_t;
 
 /* X (field, default, what it says).  Times are in seconds.  */
 #define PATTERN_FIELDS(X)                                                     \
@@ -67,7 +67,7 @@
 typedef struct
 {
   str_t name;
-  plain_t plain;
+  baseline_selection_t plain;
 #define X(field, value, text) double field;
   PATTERN_FIELDS (X)
 #undef X
--- a/bench/patterns.c
+++ b/bench/patterns.c
@@ -2,7 +2,7 @@
 
 #include "model.h"
 
-#define DEFAULTS .plain = PLAIN_ROUND_ROBIN, PATTERN_FIELDS (X)
+#define DEFAULTS .plain = BASELINE_ROUND_ROBIN, PATTERN_FIELDS (X)
 #define X(field, value, text) .field = (value),
 
 /* Later designators take the place of the defaults.  */
@@ -16,7 +16,7 @@
   { DEFAULTS.name = STR ("burst"), .load = 0.5, .burst = 10 },
   { DEFAULTS.name = STR ("hot-team"), .load = 1.2, .hot_team = 0.5 },
   { DEFAULTS.name = STR ("hot-prefix"), .load = 0.9, .hot_prefix = 0.5,
-    .plain = PLAIN_HASH },
+    .plain = BASELINE_PREFIX_HASH },
   { DEFAULTS.name = STR ("slow-upstream"), .load = 0.8, .slow = 1 },
   { DEFAULTS.name = STR ("fail-fast"), .load = 0.8, .failing = 1 },
   { DEFAULTS.name = STR ("long-short"), .load = 0.9, .long_work = 0.5,
@@ -32,7 +32,7 @@
   { DEFAULTS.name = STR ("zone"), .load = 0.6, .zone_out = 15, .zone_in = 35,
     .cold_for = 3 },
   { DEFAULTS.name = STR ("stale-reports"), .load = 0.8, .lag = 10,
-    .plain = PLAIN_LEAST_REPORTED },
+    .plain = BASELINE_LEAST_REPORTED },
 };
 
 static const pattern_t plain = { DEFAULTS.name = STR ("plain") };
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -88,9 +88,9 @@
 };
 
 static str_t
-make_key (char *buf, const char *row_kind, uint64_t revision)
+make_key (char *buf, const char *row_key_prefix, uint64_t revision)
 {
-  int len = snprintf (buf, KEY_SIZE, "conf/%s/%012llu", row_kind,
+  int len = snprintf (buf, KEY_SIZE, "conf/%s/%012llu", row_key_prefix,
                       (unsigned long long)revision);
 
   return str_make (buf, (size_t)len);
--- a/packages/entry/learn.c
+++ b/packages/entry/learn.c
@@ -421,7 +421,7 @@
   degradation_write (entry->degradation, own_only, &bytes);
   append_row (out, "watch", STR ("-"), 0, &bytes);
   bytes.len = 0;
-  burn_write (entry->burn, own_only, &bytes);
+  burn_write_state (entry->burn, own_only, &bytes);
   append_row (out, "burn", STR ("-"), 0, &bytes);
   bytes.len = 0;
   guard_write (entry, &bytes);
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -207,7 +207,7 @@
               - (now_ms - sync->store_recovered_ms);
   log_event (EVENT_UNLISTED, log_field_text (FIELD_UPSTREAM, key),
              log_field_number (FIELD_KEEP_MS, keep_ms));
-  pool_remove (state->pool, key, keep_ms);
+  pool_unregister (state->pool, key, keep_ms);
 }
 
 /* Set is_initialized, which allows requests to be processed, once all tables
--- a/packages/policy/burn.c
+++ b/packages/policy/burn.c
@@ -871,7 +871,7 @@
 }
 
 void
-burn_write (const burn_t *b, bool own_only, buf_t *out)
+burn_write_state (const burn_t *b, bool own_only, buf_t *out)
 {
   const series_t *sorted[BURN_SERIES_MAX];
 
--- a/packages/policy/burn.h
+++ b/packages/policy/burn.h
@@ -174,7 +174,7 @@
 void burn_write_html (const burn_t *burn, uint64_t now_ms, buf_t *out);
 
 /* Write, merge and compact the state, as in crdt.h.  */
-void burn_write (const burn_t *burn, bool own_only, buf_t *out);
+void burn_write_state (const burn_t *burn, bool own_only, buf_t *out);
 vh_code_t burn_merge (burn_t *burn, str_t bytes, uint64_t now_ms);
 void burn_compact (burn_t *burn, uint64_t generation, uint64_t now_ms);
 
--- a/packages/policy/cascade.c
+++ b/packages/policy/cascade.c
@@ -302,7 +302,7 @@
    version's answers.  */
 static void
 compute_first_posteriors (const curve_t *curve, double mean,
-                          quality_bound_t *out)
+                          quality_posterior_t *out)
 {
   regression_t line = fit_line (curve, mean);
   double variance = pooled_variance (curve);
@@ -327,8 +327,8 @@
 } outcome_t;
 
 static outcome_t
-compute_outcome (const curve_t *first, const quality_bound_t *first_bins,
-                 const quality_bound_t *second_bins, size_t threshold_bin)
+compute_outcome (const curve_t *first, const quality_posterior_t *first_bins,
+                 const quality_posterior_t *second_bins, size_t threshold_bin)
 {
   double mean = 0;
   double mean_of_squares = 0;
@@ -337,7 +337,7 @@
 
   for (size_t b = 0; b < CASCADE_BINS; b++)
     {
-      const quality_bound_t *q
+      const quality_posterior_t *q
           = b < threshold_bin ? &second_bins[b] : &first_bins[b];
       double share
           = first->bins[b].first_rating_count / first->first_rating_count;
@@ -401,8 +401,8 @@
    version.  */
 static void
 compute_second_posteriors (const curve_t *second_curve,
-                           const quality_bound_t *first_bins, double mean,
-                           quality_bound_t *out)
+                           const quality_posterior_t *first_bins, double mean,
+                           quality_posterior_t *out)
 {
   double variance = pooled_variance (second_curve);
 
@@ -445,8 +445,8 @@
   const cascade_request_t *r = d->request;
   const cascade_candidate_t *a = candidate_at (d, first);
   const cascade_candidate_t *b = candidate_at (d, second);
-  quality_bound_t first_bins[CASCADE_BINS];
-  quality_bound_t second_bins[CASCADE_BINS];
+  quality_posterior_t first_bins[CASCADE_BINS];
+  quality_posterior_t second_bins[CASCADE_BINS];
   curve_t first_curve, second_curve;
 
   compute_curve (d->cascade, curve_hash (r->task, a->version, STR_NULL),
--- a/packages/policy/cascade.h
+++ b/packages/policy/cascade.h
@@ -114,8 +114,8 @@
 typedef struct
 {
   str_t version;
-  double cost;             /* Expected cost of the request.  */
-  quality_bound_t quality; /* Quality for the task class of the request.  */
+  double cost;                 /* Expected cost of the request.  */
+  quality_posterior_t quality; /* Quality for the task class of the request. */
   /* Time to the full answer, such as the 95th percentile.  */
   double latency_ms;
 } cascade_candidate_t;
--- a/packages/policy/pool.c
+++ b/packages/policy/pool.c
@@ -322,7 +322,7 @@
 }
 
 void
-pool_remove (pool_t *pool, str_t id, uint64_t keep_ms)
+pool_unregister (pool_t *pool, str_t id, uint64_t keep_ms)
 {
   upstream_t *upstream = map_get (pool->by_id, id);
 
--- a/packages/policy/pool.h
+++ b/packages/policy/pool.h
@@ -159,7 +159,7 @@
 /* Handle the end of the registration of instance ID.  The instance remains
    selectable for KEEP_MS, because registrations also expire while the store is
    unavailable; with 0 it is removed immediately.  */
-void pool_remove (pool_t *pool, str_t id, uint64_t keep_ms);
+void pool_unregister (pool_t *pool, str_t id, uint64_t keep_ms);
 /* Set whether VERSION of SERVICE is withdrawn.  A withdrawn version gets no
    requests, whichever version is on trial.  */
 void pool_set_version_withdrawn (pool_t *pool, str_t service, str_t version,
--- a/packages/policy/quality.c
+++ b/packages/policy/quality.c
@@ -94,7 +94,7 @@
   return crdt_add (q->rating_crdt, key, now_ms, sample);
 }
 
-quality_bound_t
+quality_posterior_t
 quality_posterior (double count, double sum, double square_sum, double prior,
                    double variance)
 {
@@ -107,8 +107,8 @@
       += fmax (0, square_sum - 2 * mean * sum + count * mean * mean);
   double half_width
       = QUALITY_Z_ONE_SIDED_95 * sqrt (squared_deviations / weight / weight);
-  return (quality_bound_t){ mean, fmax (0, mean - half_width),
-                            fmin (1, mean + half_width), count };
+  return (quality_posterior_t){ mean, fmax (0, mean - half_width),
+                                fmin (1, mean + half_width), count };
 }
 
 typedef struct
@@ -236,7 +236,7 @@
   return cache;
 }
 
-quality_bound_t
+quality_posterior_t
 quality_estimate (quality_t *q, str_t task, str_t version, double prior,
                   uint64_t now_ms)
 {
@@ -271,7 +271,8 @@
 quality_should_rate (quality_t *q, rng_t *rng, str_t task, str_t version,
                      uint64_t now_ms)
 {
-  quality_bound_t estimate = quality_estimate (q, task, version, 0.5, now_ms);
+  quality_posterior_t estimate
+      = quality_estimate (q, task, version, 0.5, now_ms);
   const quality_sampling_t *s = &q->sampling;
   double share = s->share;
 
--- a/packages/policy/quality.h
+++ b/packages/policy/quality.h
@@ -81,7 +81,7 @@
   double lower;  /* Lower one-sided 95% bound.  */
   double upper;  /* Upper one-sided 95% bound.  */
   double weight; /* Number of ratings after decay; 0 for the prior alone.  */
-} quality_bound_t;
+} quality_posterior_t;
 
 /* Return new quality estimates without ratings, owned by the caller.  WRITER
    is unique to each start of each process (see crdt.h).  */
@@ -99,9 +99,9 @@
 
 /* Return the posterior of VERSION for TASK; PRIOR is the rating expected
    before any rating was added.  */
-quality_bound_t quality_estimate (quality_t *quality, str_t task,
-                                  str_t version, double prior,
-                                  uint64_t now_ms);
+quality_posterior_t quality_estimate (quality_t *quality, str_t task,
+                                      str_t version, double prior,
+                                      uint64_t now_ms);
 
 /* Return whether to send an answer of VERSION to the rating service.  The
    probability is the configured share, less for a version with many ratings,
@@ -140,7 +140,8 @@
 /* Return the normal posterior of the mean of COUNT values with the given SUM
    and sum of squares SQUARE_SUM.  The prior counts as QUALITY_PRIOR_WEIGHT
    values with mean PRIOR and VARIANCE.  */
-quality_bound_t quality_posterior (double count, double sum, double squares,
-                                   double prior, double variance);
+quality_posterior_t quality_posterior (double count, double sum,
+                                       double squares, double prior,
+                                       double variance);
 
 #endif
--- a/tests/chaos.c
+++ b/tests/chaos.c
@@ -106,7 +106,7 @@
 static void
 heal_dead (chaos_t *chaos)
 {
-  if (!proc_running (chaos->broken))
+  if (!proc_is_running (chaos->broken))
     proc_restart (chaos->broken);
 }
 
@@ -156,8 +156,9 @@
 fault_links (chaos_t *chaos, const char *body)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
-    cluster_fault (chaos->cluster, chaos->cluster->upstreams[i].proxy_control,
-                   "/fault", body);
+    cluster_post_json (chaos->cluster,
+                       chaos->cluster->upstreams[i].proxy_control, "/fault",
+                       body);
 }
 
 static void
@@ -179,8 +180,8 @@
 static void
 fault_store (chaos_t *chaos, const char *body)
 {
-  cluster_fault (chaos->cluster, chaos->cluster->platform_port, "/faults",
-                 body);
+  cluster_post_json (chaos->cluster, chaos->cluster->platform_port, "/faults",
+                     body);
 }
 
 static void
@@ -226,15 +227,15 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (strcmp (cluster->upstreams[i].zone, zone) == 0)
-      sum += cluster_stat (cluster, cluster->upstreams[i].port, "total");
+      sum += cluster_read_stat (cluster, cluster->upstreams[i].port, "total");
   return sum;
 }
 
 static void
 withdraw (chaos_t *chaos)
 {
-  chaos->withdrawn = cluster_edit (chaos->cluster, "version draft-small@4",
-                                   "state", "withdrawn");
+  chaos->withdrawn = cluster_set_configuration_key (
+      chaos->cluster, "version draft-small@4", "state", "withdrawn");
 }
 
 static void
@@ -248,13 +249,14 @@
   json_int_t after = version_runs (chaos->cluster, "draft-small@4");
   if (after > before)
     violate (chaos, WITHDRAWN, "%d new runs", (int)(after - before));
-  cluster_edit (chaos->cluster, "version draft-small@4", "state", "serving");
+  cluster_set_configuration_key (chaos->cluster, "version draft-small@4",
+                                 "state", "serving");
 }
 
 static void
 zone_out (chaos_t *chaos)
 {
-  chaos->zone_out = cluster_edit (
+  chaos->zone_out = cluster_set_configuration_key (
       chaos->cluster, "availability-zone nairobi-b", "state", "out");
 }
 
@@ -269,7 +271,8 @@
   json_int_t after = zone_runs (chaos->cluster, "nairobi-b");
   if (after > before)
     violate (chaos, ZONE_OUT, "%d new runs", (int)(after - before));
-  cluster_edit (chaos->cluster, "availability-zone nairobi-b", "state", "in");
+  cluster_set_configuration_key (chaos->cluster, "availability-zone nairobi-b",
+                                 "state", "in");
 }
 
 /* One request that ends each engine that runs it, sent again by its
@@ -292,14 +295,14 @@
 heal_upstreams (chaos_t *chaos)
 {
   for (size_t i = 0; i < chaos->cluster->upstream_count; i++)
-    if (!proc_running (chaos->cluster->upstreams[i].proc))
+    if (!proc_is_running (chaos->cluster->upstreams[i].proc))
       proc_restart (chaos->cluster->upstreams[i].proc);
 }
 
 static void
 restart_planned (chaos_t *chaos, proc_t *proc)
 {
-  if (!proc_running (proc))
+  if (!proc_is_running (proc))
     return;
   proc_signal (proc, SIGCONT);
   proc_signal (proc, SIGTERM);
@@ -347,7 +350,8 @@
 
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      uint64_t now = cluster_revision_at (cluster, cluster->entries[i].admin);
+      uint64_t now
+          = cluster_read_revision (cluster, cluster->entries[i].admin);
       if (now > 0 && now < chaos->revisions[i])
         violate (chaos, NO_REVERT, "%s: %" PRIu64 " after %" PRIu64,
                  cluster->entries[i].name, now, chaos->revisions[i]);
@@ -420,7 +424,7 @@
 
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       if (result->wrong)
         violate (chaos, WHOLE, "%.*s", STR_ARG (result->key));
       if (result->whole && !result->is_service
@@ -496,7 +500,8 @@
   heal_upstreams (chaos);
   for (size_t i = 0; i < cluster->entry_count; i++)
     proc_signal (cluster->entries[i].proc, SIGCONT);
-  WAIT_UNTIL (cluster_in_force (cluster, cluster->revision), WAIT_MS, &held);
+  WAIT_UNTIL (cluster_has_revision (cluster, cluster->revision), WAIT_MS,
+              &held);
   for (size_t i = 0; i < cluster->entry_count && held; i++)
     WAIT_UNTIL (cluster_ready (cluster, cluster->entries[i].admin), WAIT_MS,
                 &held);
@@ -521,20 +526,20 @@
       targets[i] = str_from (text[2 * i]);
       health[i] = str_from (text[2 * i + 1]);
     }
-  load_options_t options = { .targets = targets,
-                             .target_count = cluster->entry_count,
-                             .health = health,
-                             .concurrency = 6,
-                             .duration_ms = (uint64_t)SECONDS_MAX * 1000,
-                             .seed = seed,
-                             .stream_share = 0.5,
-                             .api_key = STR (CLUSTER_KEY),
-                             .model = STR ("draft-small"),
-                             .key_prefix = STR ("chat"),
-                             .max_tokens = 20,
-                             .prompt_bytes = 60,
-                             .timeout_ms = 8000,
-                             .resends = 5 };
+  loadgen_options_t options = { .targets = targets,
+                                .target_count = cluster->entry_count,
+                                .health = health,
+                                .concurrency = 6,
+                                .duration_ms = (uint64_t)SECONDS_MAX * 1000,
+                                .seed = seed,
+                                .stream_share = 0.5,
+                                .api_key = STR (CLUSTER_API_KEY),
+                                .model = STR ("draft-small"),
+                                .key_prefix = STR ("chat"),
+                                .max_tokens = 20,
+                                .prompt_bytes = 60,
+                                .timeout_ms = 8000,
+                                .resends = 5 };
   /* The bills of the fleet's own first calls are written by then.  */
   harness_sleep_ms (SETTLE_MS);
   json_int_t before = billed (cluster);
@@ -603,7 +608,7 @@
 
   seed->ival[0] = 1;
   seconds->ival[0] = 30;
-  standin_args (argc, argv, argtable, "Load with faults, all checked.");
+  standin_parse_args (argc, argv, argtable, "Load with faults, all checked.");
   if (seconds->ival[0] < 1 || seconds->ival[0] > SECONDS_MAX)
     {
       fprintf (stderr, "chaos: 1 to %d seconds\n", SECONDS_MAX);
--- a/tests/cluster.c
+++ b/tests/cluster.c
@@ -38,8 +38,8 @@
 static void
 append_lists (buf_t *out)
 {
-  append_team (out, "coast-office", "grants", CLUSTER_KEY);
-  append_team (out, "mosque-fund", "drafts", CLUSTER_OTHER_KEY);
+  append_team (out, "coast-office", "grants", CLUSTER_API_KEY);
+  append_team (out, "mosque-fund", "drafts", CLUSTER_OTHER_API_KEY);
   buf_append_str (out,
                   STR ("[plan grants]\n"
                        "allow = draft-small@*, draft-large@7, "
@@ -82,8 +82,8 @@
 {
   char args[3][64];
 
-  *port = harness_port (cluster->harness);
-  *control = harness_port (cluster->harness);
+  *port = harness_find_free_port (cluster->harness);
+  *control = harness_find_free_port (cluster->harness);
   snprintf (args[0], sizeof args[0], "--listen=%s:%u", cluster->host, *port);
   snprintf (args[1], sizeof args[1], "--target=%s:%u", cluster->host, target);
   snprintf (args[2], sizeof args[2], "--control=%s:%u", cluster->host,
@@ -97,7 +97,7 @@
 {
   char listen[64];
 
-  cluster->platform_port = harness_port (cluster->harness);
+  cluster->platform_port = harness_find_free_port (cluster->harness);
   snprintf (listen, sizeof listen, "--listen=%s:%u", cluster->host,
             cluster->platform_port);
   cluster->platform = harness_start (cluster->harness, "platform",
@@ -124,9 +124,9 @@
   snprintf (up->zone, sizeof up->zone, "%s", zone_of (cluster, number));
   up->is_service = is_service;
   up->serves = serves;
-  up->port = harness_port (cluster->harness);
-  up->admin = harness_port (cluster->harness);
-  up->rpc = harness_port (cluster->harness);
+  up->port = harness_find_free_port (cluster->harness);
+  up->admin = harness_find_free_port (cluster->harness);
+  up->rpc = harness_find_free_port (cluster->harness);
 }
 
 static void
@@ -149,9 +149,9 @@
       cluster_entry_t *entry = &cluster->entries[i];
       snprintf (entry->name, sizeof entry->name, "entry-%zu", i + 1);
       snprintf (entry->zone, sizeof entry->zone, "%s", zone_of (cluster, i));
-      entry->port = harness_port (cluster->harness);
-      entry->admin = harness_port (cluster->harness);
-      entry->rpc = harness_port (cluster->harness);
+      entry->port = harness_find_free_port (cluster->harness);
+      entry->admin = harness_find_free_port (cluster->harness);
+      entry->rpc = harness_find_free_port (cluster->harness);
     }
 }
 
@@ -186,7 +186,7 @@
 
   snprintf (file, sizeof file, "%s.ini", name);
   const char *path
-      = harness_write (cluster->harness, file, buf_str (settings));
+      = harness_write_file (cluster->harness, file, buf_str (settings));
   return harness_start (cluster->harness, name, "bin/vanillahookd",
                         "--settings", path, NULL);
 }
@@ -247,7 +247,7 @@
       char file[64];
       snprintf (file, sizeof file, "%s.counts", up->name);
       snprintf (counts, sizeof counts, "--count-file=%s",
-                harness_path (cluster->harness, file));
+                harness_file_path (cluster->harness, file));
       args[count++] = counts;
       args[count++] = o->service_arg;
       up->proc = harness_start_list (cluster->harness, up->name,
@@ -307,7 +307,7 @@
               "\"region\":\"nairobi\",\"address\":\"%s:%u\","
               "\"serves\":\"%s\",\"state\":\"%s\"}%c",
               name, role, zone, cluster->host, port, serves, state, '\0');
-  cluster_fault (cluster, cluster->platform_port, "/instances", body.ptr);
+  cluster_post_json (cluster, cluster->platform_port, "/instances", body.ptr);
   buf_free (&body);
 }
 
@@ -320,8 +320,8 @@
 }
 
 void
-cluster_list_upstream (cluster_t *cluster, const cluster_upstream_t *up,
-                       const char *state)
+cluster_set_upstream_state (cluster_t *cluster, const cluster_upstream_t *up,
+                            const char *state)
 {
   list_instance (cluster, up->name, "sidecar", up->zone, up->proxy_port,
                  up->is_service                    ? "service:" CLUSTER_SERVICE
@@ -332,8 +332,8 @@
 }
 
 bool
-cluster_fault (const cluster_t *cluster, uint16_t port, const char *path,
-               const char *body)
+cluster_post_json (const cluster_t *cluster, uint16_t port, const char *path,
+                   const char *body)
 {
   rawhttp_t http = rawhttp_call (cluster->host, port, "POST", path,
                                  "content-type: application/json\r\n",
@@ -372,8 +372,8 @@
 }
 
 bool
-cluster_edit (cluster_t *cluster, const char *section, const char *key,
-              const char *value)
+cluster_set_configuration_key (cluster_t *cluster, const char *section,
+                               const char *key, const char *value)
 {
   buf_t text = BUF_NULL;
   bool done = false;
@@ -396,7 +396,7 @@
 }
 
 uint64_t
-cluster_revision_at (const cluster_t *cluster, uint16_t admin)
+cluster_read_revision (const cluster_t *cluster, uint16_t admin)
 {
   json_t *root
       = rawhttp_json (cluster->host, admin, "/admin/configuration", NULL);
@@ -408,15 +408,16 @@
 }
 
 bool
-cluster_in_force (cluster_t *cluster, uint64_t revision)
+cluster_has_revision (cluster_t *cluster, uint64_t revision)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (proc_running (cluster->entries[i].proc)
-        && cluster_revision_at (cluster, cluster->entries[i].admin) < revision)
+    if (proc_is_running (cluster->entries[i].proc)
+        && cluster_read_revision (cluster, cluster->entries[i].admin)
+               < revision)
       return false;
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (proc_running (cluster->upstreams[i].sidecar)
-        && cluster_revision_at (cluster, cluster->upstreams[i].admin)
+    if (proc_is_running (cluster->upstreams[i].sidecar)
+        && cluster_read_revision (cluster, cluster->upstreams[i].admin)
                < revision)
       return false;
   return true;
@@ -454,7 +455,7 @@
   char headers[160];
 
   snprintf (headers, sizeof headers,
-            "authorization: Bearer " CLUSTER_KEY "\r\n"
+            "authorization: Bearer " CLUSTER_API_KEY "\r\n"
             "idempotency-key: ready-%zu\r\n",
             entry);
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[entry].port,
@@ -496,7 +497,7 @@
   for (size_t i = 0; i < cluster->entry_count; i++)
     cluster_list_entry (cluster, &cluster->entries[i], "live");
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    cluster_list_upstream (cluster, &cluster->upstreams[i], "live");
+    cluster_set_upstream_state (cluster, &cluster->upstreams[i], "live");
   for (size_t i = 0; i < cluster->entry_count; i++)
     start_entry (cluster, &cluster->entries[i]);
   for (size_t i = 0; i < cluster->upstream_count; i++)
@@ -542,7 +543,7 @@
 }
 
 json_int_t
-cluster_stat (const cluster_t *cluster, uint16_t port, const char *name)
+cluster_read_stat (const cluster_t *cluster, uint16_t port, const char *name)
 {
   json_t *root = rawhttp_json (cluster->host, port, "/stats", NULL);
   json_int_t value = json_integer_value (json_object_get (root, name));
@@ -570,7 +571,7 @@
 
   buf_printf (&all,
               "content-type: application/json\r\n"
-              "authorization: Bearer " CLUSTER_KEY "\r\n%s%c",
+              "authorization: Bearer " CLUSTER_API_KEY "\r\n%s%c",
               headers != NULL ? headers : "", '\0');
   rawhttp_t http = rawhttp_call (cluster->host, cluster->entries[entry].port,
                                  "POST", "/v1/chat/completions", all.ptr,
@@ -580,7 +581,8 @@
 }
 
 double
-cluster_metric (const cluster_t *cluster, uint16_t admin, const char *name)
+cluster_read_metric (const cluster_t *cluster, uint16_t admin,
+                     const char *name)
 {
   rawhttp_t http = rawhttp_call (cluster->host, admin, "GET", "/metrics", NULL,
                                  STR_NULL, START_WAIT_MS);
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -15,8 +15,8 @@
   CLUSTER_ZONES = 3
 };
 
-#define CLUSTER_KEY "coast-office-key"
-#define CLUSTER_OTHER_KEY "mosque-fund-key"
+#define CLUSTER_API_KEY "coast-office-key"
+#define CLUSTER_OTHER_API_KEY "mosque-fund-key"
 #define CLUSTER_SERVICE "disbursements"
 
 typedef struct
@@ -94,13 +94,13 @@
                    uint64_t if_revision, uint64_t *revision);
 /* Change KEY of [SECTION] in the lists in force, trying each entry, and set
    cluster->revision.  Return false when no entry took it.  */
-bool cluster_edit (cluster_t *cluster, const char *section, const char *key,
-                   const char *value);
+bool cluster_set_configuration_key (cluster_t *cluster, const char *section,
+                                    const char *key, const char *value);
 /* Revision in force at the process whose operators' port is ADMIN; 0 when it
    does not say.  */
-uint64_t cluster_revision_at (const cluster_t *cluster, uint16_t admin);
+uint64_t cluster_read_revision (const cluster_t *cluster, uint16_t admin);
 /* Tell whether every process that runs has REVISION or a later one.  */
-bool cluster_in_force (cluster_t *cluster, uint64_t revision);
+bool cluster_has_revision (cluster_t *cluster, uint64_t revision);
 /* Tell whether the process at ADMIN says that it takes work.  */
 bool cluster_ready (const cluster_t *cluster, uint16_t admin);
 
@@ -108,17 +108,17 @@
    list.  */
 void cluster_list_entry (cluster_t *cluster, const cluster_entry_t *entry,
                          const char *state);
-void cluster_list_upstream (cluster_t *cluster,
-                            const cluster_upstream_t *upstream,
-                            const char *state);
+void cluster_set_upstream_state (cluster_t *cluster,
+                                 const cluster_upstream_t *upstream,
+                                 const char *state);
 /* Set faults of the platform, or of a proxy by its control port, or controls
    of an upstream.  Return false when it did not answer.  */
-bool cluster_fault (const cluster_t *cluster, uint16_t port, const char *path,
-                    const char *body);
+bool cluster_post_json (const cluster_t *cluster, uint16_t port,
+                        const char *path, const char *body);
 
 /* Member NAME of the upstream's /stats, or of its "runs".  */
-json_int_t cluster_stat (const cluster_t *cluster, uint16_t port,
-                         const char *name);
+json_int_t cluster_read_stat (const cluster_t *cluster, uint16_t port,
+                              const char *name);
 json_int_t cluster_runs (const cluster_t *cluster, uint16_t port,
                          const char *request_id);
 
@@ -129,7 +129,7 @@
                         uint64_t wait_ms);
 /* Value of counter or gauge NAME, summed over its labels, at ADMIN; -1 when
    it is not there.  */
-double cluster_metric (const cluster_t *cluster, uint16_t admin,
-                       const char *name);
+double cluster_read_metric (const cluster_t *cluster, uint16_t admin,
+                            const char *name);
 
 #endif
--- a/tests/fake_upstream.c
+++ b/tests/fake_upstream.c
@@ -21,7 +21,7 @@
   uv_tcp_t listener;
   bool vanished;
   uint16_t port;
-  act_t acts[ACTS_MAX];
+  fake_action_t acts[ACTS_MAX];
   size_t act_count;
   size_t act_at;
   size_t requests;
@@ -170,43 +170,43 @@
 }
 
 static void
-conn_stream (conn_t *conn, act_t act, buf_t *out)
+conn_stream (conn_t *conn, fake_action_t act, buf_t *out)
 {
   uint64_t after = 0;
 
   str_to_u64 (request_header (conn, "last-event-id"), &after);
   start_head (conn, "200 OK", out);
-  if (act == ACT_STREAM_DOUBT)
+  if (act == ACT_STREAM_LOW_CONFIDENCE)
     buf_printf (out, "%.*s: 10\r\n",
                 STR_ARG (header_names_default.confidence));
   buf_append_str (out, STR ("Transfer-Encoding: chunked\r\n\r\n"));
-  bool whole
-      = act == ACT_STREAM || act == ACT_STREAM_DOUBT || act == ACT_STREAM_BIG;
-  if (act == ACT_STREAM_BIG)
+  bool whole = act == ACT_STREAM || act == ACT_STREAM_LOW_CONFIDENCE
+               || act == ACT_STREAM_BIG_EVENT;
+  if (act == ACT_STREAM_BIG_EVENT)
     append_big_event (out);
   else
     append_events (after, whole ? EVENTS : 2, out);
   if (whole)
     buf_append_str (out, STR ("0\r\n\r\n"));
-  else if (act == ACT_STREAM_BREAK)
+  else if (act == ACT_STREAM_CUT_IN_EVENT)
     append_chunk (out, "id: 3\ndata: ha");
   conn_send (conn, out);
   conn->answered = act != ACT_STREAM_STALL && act != ACT_STREAM_PAUSE;
   if (act == ACT_STREAM_PAUSE)
     uv_timer_start (&conn->timer, on_pause_over, PAUSE_MS, 0);
-  if (act == ACT_STREAM_BREAK)
+  if (act == ACT_STREAM_CUT_IN_EVENT)
     conn_close (conn, false);
 }
 
 static void
-conn_answer (conn_t *conn, act_t act)
+conn_answer (conn_t *conn, fake_action_t act)
 {
   fake_upstream_t *upstream = conn->upstream;
   buf_t out = BUF_NULL;
 
   switch (act)
     {
-    case ACT_ANSWER:
+    case ACT_RESPOND:
       start_head (conn, "200 OK", &out);
       buf_printf (&out, "Content-Length: %zu\r\n\r\nby %s",
                   3 + strlen (upstream->id), upstream->id);
@@ -215,16 +215,16 @@
       start_head (conn, "500 Oops", &out);
       buf_append_str (&out, STR ("Content-Length: 4\r\n\r\noops"));
       break;
-    case ACT_SHED:
+    case ACT_REFUSE_NOT_RUN:
       buf_printf (&out,
                   "HTTP/1.1 503 Full\r\n%.*s: 1\r\nContent-Length: 0\r\n\r\n",
                   STR_ARG (header_names_default.not_run));
       break;
-    case ACT_SHORT:
+    case ACT_TRUNCATE_BODY:
       start_head (conn, "200 OK", &out);
       buf_append_str (&out, STR ("Content-Length: 100\r\n\r\nhalf"));
       break;
-    case ACT_FOREIGN:
+    case ACT_OTHER_ATTEMPT_ID:
       buf_printf (&out,
                   "HTTP/1.1 200 OK\r\n%.*s: another\r\n%.*s: m\r\n"
                   "Content-Length: 5\r\n\r\nother",
@@ -235,7 +235,7 @@
       buf_append_str (&out,
                       STR ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"));
       break;
-    case ACT_SILENT:
+    case ACT_NO_RESPONSE:
       goto done;
     case ACT_RESET:
       conn->answered = true;
@@ -247,7 +247,7 @@
     }
   conn->answered = true;
   conn_send (conn, &out);
-  if (act == ACT_SHORT)
+  if (act == ACT_TRUNCATE_BODY)
     conn_close (conn, false);
 done:
   buf_free (&out);
@@ -299,7 +299,7 @@
   upstream->last.len = 0;
   buf_append_str (&upstream->last, buf_str (&conn->input));
   buf_append_char (&upstream->last, '\0');
-  act_t act = upstream->acts[upstream->act_at];
+  fake_action_t act = upstream->acts[upstream->act_at];
   if (upstream->act_at + 1 < upstream->act_count)
     upstream->act_at++;
   conn_answer (conn, act);
@@ -359,7 +359,7 @@
 }
 
 void
-fake_upstream_vanish (fake_upstream_t *upstream)
+fake_upstream_go_silent (fake_upstream_t *upstream)
 {
   upstream->vanished = true;
   uv_close ((uv_handle_t *)&upstream->listener, NULL);
@@ -368,7 +368,7 @@
 }
 
 void
-fake_upstream_script (fake_upstream_t *upstream, const act_t *acts,
+fake_upstream_script (fake_upstream_t *upstream, const fake_action_t *acts,
                       size_t count)
 {
   memcpy (upstream->acts, acts, count * sizeof *acts);
@@ -377,19 +377,19 @@
 }
 
 size_t
-fake_upstream_requests (const fake_upstream_t *upstream)
+fake_upstream_request_count (const fake_upstream_t *upstream)
 {
   return upstream->requests;
 }
 
 const char *
-fake_upstream_last (const fake_upstream_t *upstream)
+fake_upstream_last_request (const fake_upstream_t *upstream)
 {
   return upstream->last.ptr;
 }
 
 size_t
-fake_upstream_abandoned (const fake_upstream_t *upstream)
+fake_upstream_abort_count (const fake_upstream_t *upstream)
 {
   return upstream->abandoned;
 }
--- a/tests/fuzz_entry.c
+++ b/tests/fuzz_entry.c
@@ -50,7 +50,7 @@
 
   ck_assert_int_eq (http.status, 200);
   rawhttp_close (&http);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
 }
 
 /* Complete requests with a damaged body: each is answered, and an answer with
@@ -64,10 +64,11 @@
   for (int i = 0; i < INPUT_COUNT; i++)
     {
       mutate (&rng, STR (chat_body), &body);
-      rawhttp_t http = rawhttp_call (
-          cluster->host, cluster->entries[0].port, "POST",
-          "/v1/chat/completions", "authorization: Bearer " CLUSTER_KEY "\r\n",
-          buf_str (&body), WAIT_MS);
+      rawhttp_t http
+          = rawhttp_call (cluster->host, cluster->entries[0].port, "POST",
+                          "/v1/chat/completions",
+                          "authorization: Bearer " CLUSTER_API_KEY "\r\n",
+                          buf_str (&body), WAIT_MS);
       ck_assert_msg (http.status >= 200, "body %d got no answer", i);
       if (http.status >= 400 && http.status < 500)
         {
@@ -95,7 +96,7 @@
 
   buf_printf (&request,
               "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\n"
-              "authorization: Bearer " CLUSTER_KEY "\r\n"
+              "authorization: Bearer " CLUSTER_API_KEY "\r\n"
               "idempotency-key: fuzz-1\r\nvanillahook-deadline-ms: 2000\r\n"
               "vanillahook-session: draft-small@3~runner-1~00\r\n"
               "vanillahook-priority: high\r\ncontent-length: %zu\r\n\r\n%s",
--- a/tests/gateway_fixture.c
+++ b/tests/gateway_fixture.c
@@ -379,7 +379,7 @@
                     .poor_value_ratio = 0.05,
                     .confidence_stddev = 5 },
   };
-  static const act_t answer[] = { ACT_ANSWER };
+  static const fake_action_t answer[] = { ACT_RESPOND };
   char id[32];
 
   memset (f, 0, sizeof *f);
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -170,7 +170,7 @@
 }
 
 uint16_t
-harness_port (harness_t *harness)
+harness_find_free_port (harness_t *harness)
 {
   for (int tries = 0; tries < LAST_PORT - FIRST_PORT; tries++)
     {
@@ -184,7 +184,7 @@
 }
 
 const char *
-harness_path (harness_t *harness, const char *name)
+harness_file_path (harness_t *harness, const char *name)
 {
   path_t *path = mem_zalloc (sizeof *path);
   buf_t text = BUF_NULL;
@@ -196,9 +196,9 @@
 }
 
 const char *
-harness_write (harness_t *harness, const char *name, str_t text)
+harness_write_file (harness_t *harness, const char *name, str_t text)
 {
-  const char *path = harness_path (harness, name);
+  const char *path = harness_file_path (harness, name);
   FILE *file = fopen (path, "we");
 
   if (file == NULL || fwrite (text.ptr, 1, text.len, file) != text.len
@@ -313,7 +313,7 @@
 }
 
 bool
-proc_running (proc_t *proc)
+proc_is_running (proc_t *proc)
 {
   int status;
 
@@ -329,7 +329,7 @@
 void
 proc_restart (proc_t *proc)
 {
-  if (proc_running (proc))
+  if (proc_is_running (proc))
     abort ();
   /* What the run before wrote would be taken for the new one's.  */
   unlink (proc->paths[0]);
@@ -351,7 +351,7 @@
 }
 
 void
-proc_output (const proc_t *proc, bool is_stderr, buf_t *out)
+proc_read_output (const proc_t *proc, bool is_stderr, buf_t *out)
 {
   read_file (proc->paths[is_stderr], out);
 }
@@ -384,8 +384,8 @@
   while (running && harness_now_ms () < end)
     {
       buf_t text = BUF_NULL;
-      running = proc_running (proc);
-      proc_output (proc, false, &text);
+      running = proc_is_running (proc);
+      proc_read_output (proc, false, &text);
       uint16_t port = find_number (buf_str (&text), str_from (word));
       buf_free (&text);
       if (port != 0)
@@ -399,7 +399,7 @@
 proc_signal (proc_t *proc, int signum)
 {
   /* Not reaped yet, so the number cannot be another process's.  */
-  if (proc_running (proc))
+  if (proc_is_running (proc))
     kill (proc->pid, signum);
 }
 
@@ -408,7 +408,7 @@
 {
   uint64_t end = harness_now_ms () + wait_ms;
 
-  while (proc_running (proc) && harness_now_ms () < end)
+  while (proc_is_running (proc) && harness_now_ms () < end)
     harness_sleep_ms (5);
   return proc->running ? -1 : proc->status;
 }
@@ -422,7 +422,7 @@
 }
 
 uint64_t
-proc_cpu_us (const proc_t *proc)
+proc_read_cpu_us (const proc_t *proc)
 {
   buf_t path = BUF_NULL;
   buf_t text = BUF_NULL;
@@ -451,7 +451,7 @@
 {
   buf_t text = BUF_NULL;
 
-  proc_output (proc, true, &text);
+  proc_read_output (proc, true, &text);
   size_t skip = text.len > TAIL_BYTES ? text.len - TAIL_BYTES : 0;
   if (text.len > 0)
     fprintf (stderr, "--- %s (pid %d) said:\n%.*s\n", proc->name,
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -23,12 +23,13 @@
 /* The loopback address of this harness, such as 127.64.3.9.  */
 const char *harness_host (const harness_t *harness);
 /* Return a port of that address that nothing listens on.  */
-uint16_t harness_port (harness_t *harness);
+uint16_t harness_find_free_port (harness_t *harness);
 /* Write TEXT to file NAME in the folder; return its path, which lives as
    long as HARNESS.  */
-const char *harness_write (harness_t *harness, const char *name, str_t text);
+const char *harness_write_file (harness_t *harness, const char *name,
+                                str_t text);
 /* Return the path of NAME in the folder.  */
-const char *harness_path (harness_t *harness, const char *name);
+const char *harness_file_path (harness_t *harness, const char *name);
 
 /* Start PROGRAM, a path under the build folder such as tests/standin_engine,
    with the further arguments up to NULL.  NAME is for messages.  */
@@ -43,12 +44,12 @@
 pid_t proc_pid (const proc_t *proc);
 const char *proc_name (const proc_t *proc);
 /* Tell whether it still runs; reaps it when not.  */
-bool proc_running (proc_t *proc);
+bool proc_is_running (proc_t *proc);
 /* Wait until its standard output has the line "WORD NUMBER"; return the
    number, or 0 when it ended or WAIT_MS passed.  */
 uint16_t proc_wait_port (proc_t *proc, const char *word, uint64_t wait_ms);
 /* Append what it wrote to standard output or standard error to OUT.  */
-void proc_output (const proc_t *proc, bool is_stderr, buf_t *out);
+void proc_read_output (const proc_t *proc, bool is_stderr, buf_t *out);
 void proc_signal (proc_t *proc, int signum);
 /* Wait for its end; return its exit status, 256 plus the number of the signal
    that ended it, or -1 when WAIT_MS passed.  */
@@ -56,7 +57,7 @@
 /* SIGKILL and reap.  */
 void proc_kill (proc_t *proc);
 /* Processor time used so far, in microseconds.  */
-uint64_t proc_cpu_us (const proc_t *proc);
+uint64_t proc_read_cpu_us (const proc_t *proc);
 
 /* Monotonic milliseconds.  */
 uint64_t harness_now_ms (void);
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -27,7 +27,7 @@
 
 struct runner
 {
-  load_options_t options;
+  loadgen_options_t options;
   pthread_t thread;
   uv_loop_t loop;
   load_t *load;
@@ -48,7 +48,7 @@
 }
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   runner_t *runner = arg;
 
@@ -90,7 +90,7 @@
 }
 
 runner_t *
-runner_start (const load_options_t *options)
+runner_start (const loadgen_options_t *options)
 {
   runner_t *runner = mem_zalloc (sizeof *runner);
 
@@ -99,7 +99,7 @@
   runner->options.over = on_over;
   runner->options.arg = runner;
   uv_loop_init (&runner->loop);
-  runner->load = load_create (&runner->loop, &runner->options);
+  runner->load = loadgen_create (&runner->loop, &runner->options);
   if (runner->load == NULL
       || pthread_create (&runner->thread, NULL, run, runner) != 0)
     abort ();
@@ -111,11 +111,11 @@
 {
   if (runner->joined)
     return;
-  load_stop (runner->load);
+  loadgen_stop (runner->load);
   pthread_join (runner->thread, NULL);
   runner->joined = true;
   /* Only now: a load that reached its end may still be told to stop.  */
-  load_destroy (runner->load);
+  loadgen_destroy (runner->load);
   uv_run (&runner->loop, UV_RUN_DEFAULT);
   uv_loop_close (&runner->loop);
 }
@@ -139,7 +139,7 @@
 
   for (size_t i = 0; i < runner->count; i++)
     {
-      const load_result_t *result = &runner->records[i].result;
+      const loadgen_result_t *result = &runner->records[i].result;
       tally.finished++;
       tally.whole += result->whole;
       tally.wrong += result->wrong;
@@ -166,7 +166,7 @@
 {
   for (size_t i = 0; i < runner->count && limit > 0; i++)
     {
-      const load_result_t *result = &runner->records[i].result;
+      const loadgen_result_t *result = &runner->records[i].result;
       if (result->whole && !result->wrong)
         continue;
       limit--;
@@ -189,7 +189,7 @@
   runner_stop (runner);
   for (size_t i = 0; i < runner->count; i++)
     {
-      const load_result_t *result = &runner->records[i].result;
+      const loadgen_result_t *result = &runner->records[i].result;
       free ((char *)result->key.ptr);
       free ((char *)result->request_id.ptr);
       free ((char *)result->outcome.ptr);
--- a/tests/runner.h
+++ b/tests/runner.h
@@ -12,7 +12,7 @@
    only the end is kept.  */
 typedef struct
 {
-  load_result_t result;
+  loadgen_result_t result;
   uint64_t ended_ms; /* As harness_now_ms has it.  */
 } record_t;
 
@@ -30,7 +30,7 @@
 } tally_t;
 
 /* Start; the strings of OPTIONS must outlive the runner.  */
-runner_t *runner_start (const load_options_t *options);
+runner_t *runner_start (const loadgen_options_t *options);
 /* Start no more requests and wait for those in hand; may be called again.  */
 void runner_stop (runner_t *runner);
 /* Requests finished so far, while it runs.  */
--- a/tests/standins/answer.c
+++ b/tests/standins/answer.c
@@ -19,7 +19,7 @@
         "stone", "drift",  "tile",  "shed" };
 
 void
-answer_prompt (const json_t *messages, buf_t *out)
+answer_append_prompt (const json_t *messages, buf_t *out)
 {
   size_t index;
   json_t *message;
@@ -59,7 +59,7 @@
 }
 
 void
-answer_token (const answer_t *answer, uint32_t index, buf_t *out)
+answer_append_token (const answer_t *answer, uint32_t index, buf_t *out)
 {
   if (index == 0)
     {
@@ -73,14 +73,14 @@
 }
 
 void
-answer_text (const answer_t *answer, buf_t *out)
+answer_append_text (const answer_t *answer, buf_t *out)
 {
   for (uint32_t i = 0; i < answer->tokens; i++)
-    answer_token (answer, i, out);
+    answer_append_token (answer, i, out);
 }
 
 void
-answer_service (str_t method, str_t path, str_t body, buf_t *out)
+answer_append_service (str_t method, str_t path, str_t body, buf_t *out)
 {
   const char *slash = memrchr (path.ptr, '/', path.len);
   size_t start = slash != NULL ? (size_t)(slash - path.ptr) + 1 : 0;
@@ -99,7 +99,7 @@
   buf_t want = BUF_NULL;
   bool same;
 
-  answer_text (answer, &want);
+  answer_append_text (answer, &want);
   same = text.len == want.len && text.len >= ANSWER_MARKER_LEN
          && memcmp (text.ptr, "quality=", strlen ("quality=")) == 0
          && memcmp (text.ptr + ANSWER_MARKER_LEN, want.ptr + ANSWER_MARKER_LEN,
@@ -111,7 +111,7 @@
 
 /* Take what ROOT, an event or a whole answer, tells besides its text.  */
 static void
-read_common (const json_t *root, reading_t *reading)
+read_common (const json_t *root, parsed_answer_t *reading)
 {
   const json_t *model = json_object_get (root, "model");
   const json_t *usage = json_object_get (root, "usage");
@@ -130,7 +130,7 @@
 /* Take the text under PART of the first choice of ROOT; return whether there
    was one.  */
 static bool
-read_text (const json_t *root, const char *part, reading_t *reading)
+read_text (const json_t *root, const char *part, parsed_answer_t *reading)
 {
   const json_t *choice = json_array_get (json_object_get (root, "choices"), 0);
   const json_t *content
@@ -144,7 +144,7 @@
 }
 
 bool
-answer_read_stream (str_t body, reading_t *reading)
+answer_parse_stream (str_t body, parsed_answer_t *reading)
 {
   str_t rest = body;
   bool done = false;
@@ -170,7 +170,7 @@
 }
 
 bool
-answer_read_whole (str_t body, reading_t *reading)
+answer_parse_json (str_t body, parsed_answer_t *reading)
 {
   json_t *root = json_loadb (body.ptr, body.len, 0, NULL);
   bool found = read_text (root, "message", reading);
@@ -181,7 +181,7 @@
 }
 
 void
-answer_reading_free (reading_t *reading)
+parsed_answer_free (parsed_answer_t *reading)
 {
   buf_free (&reading->text);
   buf_free (&reading->version);
--- a/tests/standins/common.c
+++ b/tests/standins/common.c
@@ -16,7 +16,7 @@
 };
 
 void
-standin_args (int argc, char **argv, void **argtable, const char *what)
+standin_parse_args (int argc, char **argv, void **argtable, const char *what)
 {
   int last = 0;
 
--- a/tests/standins/common.h
+++ b/tests/standins/common.h
@@ -13,7 +13,8 @@
 /* Parse the command line into ARGTABLE, whose last entry is END and whose
    first is HELP (arg_lit_t).  Print the help and exit 0 when asked for it,
    complain and exit 2 when something is wrong.  */
-void standin_args (int argc, char **argv, void **argtable, const char *what);
+void standin_parse_args (int argc, char **argv, void **argtable,
+                         const char *what);
 
 /* Serve ADDRESS with HANDLER; exit 1 when it cannot be had.  */
 httpd_t *standin_listen (uv_loop_t *loop, const char *address,
--- a/tests/standins/load.c
+++ b/tests/standins/load.c
@@ -31,7 +31,7 @@
 {
   list_t link;
   load_t *load;
-  load_result_t result;
+  loadgen_result_t result;
   size_t target;
   unsigned refusals; /* Targets that took no connection, in a row.  */
   uint64_t last_us;
@@ -59,7 +59,7 @@
 struct load
 {
   uv_loop_t *loop;
-  const load_options_t *options;
+  const loadgen_options_t *options;
   httpc_t **clients;
   health_t *health; /* One for each target.  */
   uv_timer_t check; /* Until the next question to all.  */
@@ -114,7 +114,7 @@
 static bool
 is_done (const load_t *load)
 {
-  const load_options_t *o = load->options;
+  const loadgen_options_t *o = load->options;
 
   return load->stopped || (o->requests > 0 && load->issued >= o->requests)
          || (o->duration_ms > 0
@@ -137,13 +137,13 @@
 static void
 check_chat (request_t *request)
 {
-  reading_t reading = { 0 };
+  parsed_answer_t reading = { 0 };
   buf_t prompt = BUF_NULL;
-  load_result_t *result = &request->result;
+  loadgen_result_t *result = &request->result;
   str_t received = buf_str (&request->received);
 
-  result->whole = result->streamed ? answer_read_stream (received, &reading)
-                                   : answer_read_whole (received, &reading);
+  result->whole = result->streamed ? answer_parse_stream (received, &reading)
+                                   : answer_parse_json (received, &reading);
   result->tokens = reading.tokens;
   buf_append_str (&prompt, STR ("user\n"));
   buf_append_str (&prompt, buf_str (&request->prompt));
@@ -154,7 +154,7 @@
       = result->whole && !answer_matches (&answer, buf_str (&reading.text));
   buf_append_str (&request->version, buf_str (&reading.version));
   buf_free (&prompt);
-  answer_reading_free (&reading);
+  parsed_answer_free (&reading);
 }
 
 static void
@@ -162,8 +162,8 @@
 {
   buf_t want = BUF_NULL;
 
-  answer_service (STR ("POST"), buf_str (&request->path),
-                  buf_str (&request->body), &want);
+  answer_append_service (STR ("POST"), buf_str (&request->path),
+                         buf_str (&request->body), &want);
   request->result.whole = true;
   request->result.wrong
       = !str_eq (buf_str (&want), buf_str (&request->received));
@@ -174,7 +174,7 @@
 request_finish (request_t *request, vh_code_t code)
 {
   load_t *load = request->load;
-  load_result_t *result = &request->result;
+  loadgen_result_t *result = &request->result;
 
   result->code = code;
   result->request_id = buf_str (&request->request_id);
@@ -256,7 +256,7 @@
 {
   request_t *request = arg;
   load_t *load = request->load;
-  const load_options_t *o = load->options;
+  const loadgen_options_t *o = load->options;
 
   /* A balancer passes a refused connection on to the next entry.  */
   if (code == VH_E_CONNECT && ++request->refusals < o->target_count)
@@ -281,7 +281,7 @@
 request_send (request_t *request)
 {
   static const httpc_events_t events = { on_head, on_chunk, on_done };
-  const load_options_t *o = request->load->options;
+  const loadgen_options_t *o = request->load->options;
   httpc_header_t headers[MAX_HEADERS];
   size_t count = 0;
   buf_t authorization = BUF_NULL;
@@ -322,7 +322,7 @@
 static void
 make_chat (request_t *request)
 {
-  const load_options_t *o = request->load->options;
+  const loadgen_options_t *o = request->load->options;
   rng_t rng = rng_make (o->seed ^ (request->result.number << 20));
 
   buf_printf (&request->prompt, "%" PRIu64 " survey", request->result.number);
@@ -341,7 +341,7 @@
 static void
 make_service_call (request_t *request)
 {
-  const load_options_t *o = request->load->options;
+  const loadgen_options_t *o = request->load->options;
 
   buf_printf (&request->path, "/services/%.*s/approve-%" PRIu64,
               STR_ARG (o->service), request->result.number);
@@ -352,7 +352,7 @@
 static void
 issue (load_t *load)
 {
-  const load_options_t *o = load->options;
+  const loadgen_options_t *o = load->options;
   request_t *request = mem_zalloc (sizeof *request);
 
   request->load = load;
@@ -386,7 +386,7 @@
 static uint64_t
 due (const load_t *load)
 {
-  const load_options_t *o = load->options;
+  const loadgen_options_t *o = load->options;
   double seconds = (double)(now_us () - load->started_us) / 1e6;
 
   return o->rate > 0 ? (uint64_t)(seconds * o->rate) + 1 : UINT64_MAX;
@@ -442,7 +442,7 @@
 }
 
 load_t *
-load_create (uv_loop_t *loop, const load_options_t *options)
+loadgen_create (uv_loop_t *loop, const loadgen_options_t *options)
 {
   load_t *load;
 
@@ -481,13 +481,13 @@
 }
 
 void
-load_stop (load_t *load)
+loadgen_stop (load_t *load)
 {
   load->stopped = true;
 }
 
 void
-load_destroy (load_t *load)
+loadgen_destroy (load_t *load)
 {
   if (load == NULL)
     return;
--- a/tests/standins/load.h
+++ b/tests/standins/load.h
@@ -34,7 +34,7 @@
   uint64_t first_us;   /* To the first byte of the body.  */
   uint64_t between_us; /* Longest wait between two pieces.  */
   uint64_t total_us;
-} load_result_t;
+} loadgen_result_t;
 
 typedef struct
 {
@@ -59,18 +59,18 @@
   uint64_t deadline_ms; /* 0: none is sent.  */
   uint64_t timeout_ms;
   unsigned resends; /* With the same key, after an unclear end.  */
-  void (*finished) (void *arg, const load_result_t *result);
+  void (*finished) (void *arg, const loadgen_result_t *result);
   void (*over) (void *arg); /* The last request is finished.  */
   void *arg;
-} load_options_t;
+} loadgen_options_t;
 
 /* Start; OPTIONS and its strings must outlive the load.  Return NULL when a
    target is no loopback address.  */
-load_t *load_create (uv_loop_t *loop, const load_options_t *options);
+load_t *loadgen_create (uv_loop_t *loop, const loadgen_options_t *options);
 /* Start no more requests; OVER is called when those in hand are done.  May
    be called from any thread.  */
-void load_stop (load_t *load);
+void loadgen_stop (load_t *load);
 /* Release LOAD after OVER was called.  */
-void load_destroy (load_t *load);
+void loadgen_destroy (load_t *load);
 
 #endif
--- a/tests/standins/standin_client.c
+++ b/tests/standins/standin_client.c
@@ -53,7 +53,7 @@
 }
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   report_t *report = arg;
   char status[16];
@@ -125,7 +125,7 @@
 
 /* Run the load of OPTIONS to its end.  Return the exit status.  */
 static int
-run (load_options_t *options)
+run (loadgen_options_t *options)
 {
   uv_loop_t loop;
   report_t report = { .counts = map_create () };
@@ -135,7 +135,7 @@
   options->over = on_over;
   options->arg = &report;
   uv_loop_init (&loop);
-  load_t *load = load_create (&loop, options);
+  load_t *load = loadgen_create (&loop, options);
   if (load == NULL)
     {
       fprintf (stderr, "standin_client: targets must be 127.x.x.x:PORT\n");
@@ -144,7 +144,7 @@
   while (!report.over)
     uv_run (&loop, UV_RUN_ONCE);
   print_report (&report, (double)(uv_hrtime () - started) / 1e9);
-  load_destroy (load);
+  loadgen_destroy (load);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
   report_free (&report);
@@ -212,7 +212,8 @@
   tokens->ival[0] = 16;
   prompt->ival[0] = 64;
   deadline->ival[0] = 0;
-  standin_args (argc, argv, argtable, "A load client, for loopback only.");
+  standin_parse_args (argc, argv, argtable,
+                      "A load client, for loopback only.");
   if (requests->count == 0 && seconds->count == 0)
     requests->ival[0] = 100;
   if (service_share->count == 0)
@@ -226,24 +227,25 @@
     }
   for (int i = 0; i < targets->count; i++)
     target_names[i] = str_from (targets->sval[i]);
-  load_options_t options = { .targets = target_names,
-                             .target_count = (size_t)targets->count,
-                             .concurrency = (size_t)concurrency->ival[0],
-                             .rate = rate->dval[0],
-                             .requests = (uint64_t)requests->ival[0],
-                             .duration_ms = (uint64_t)seconds->ival[0] * 1000,
-                             .seed = (uint64_t)seed->ival[0],
-                             .stream_share = stream->dval[0],
-                             .service_share = service_share->dval[0],
-                             .api_key = str_from (key->sval[0]),
-                             .model = str_from (model->sval[0]),
-                             .service = str_from (service->sval[0]),
-                             .session = str_from (session->sval[0]),
-                             .key_prefix = str_from (keys->sval[0]),
-                             .max_tokens = (uint32_t)tokens->ival[0],
-                             .prompt_bytes = (size_t)prompt->ival[0],
-                             .deadline_ms = (uint64_t)deadline->ival[0],
-                             .resends = (unsigned)resends->ival[0] };
+  loadgen_options_t options
+      = { .targets = target_names,
+          .target_count = (size_t)targets->count,
+          .concurrency = (size_t)concurrency->ival[0],
+          .rate = rate->dval[0],
+          .requests = (uint64_t)requests->ival[0],
+          .duration_ms = (uint64_t)seconds->ival[0] * 1000,
+          .seed = (uint64_t)seed->ival[0],
+          .stream_share = stream->dval[0],
+          .service_share = service_share->dval[0],
+          .api_key = str_from (key->sval[0]),
+          .model = str_from (model->sval[0]),
+          .service = str_from (service->sval[0]),
+          .session = str_from (session->sval[0]),
+          .key_prefix = str_from (keys->sval[0]),
+          .max_tokens = (uint32_t)tokens->ival[0],
+          .prompt_bytes = (size_t)prompt->ival[0],
+          .deadline_ms = (uint64_t)deadline->ival[0],
+          .resends = (unsigned)resends->ival[0] };
   int status = run (&options);
   arg_freetable (argtable, sizeof argtable / sizeof argtable[0]);
   return status;
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -270,7 +270,7 @@
 {
   buf_t text = BUF_NULL;
 
-  answer_token (&run->answer, index, &text);
+  answer_append_token (&run->answer, index, &text);
   buf_append_str (out, STR ("data: {\"object\":\"chat.completion.chunk\","));
   append_id (run, out);
   buf_append_str (out, STR (",\"choices\":[{\"index\":0,\"delta\":{"));
@@ -370,7 +370,7 @@
       if (run->stream)
         append_event (run, run->next, &out);
       else
-        answer_token (&run->answer, run->next, &run->text);
+        answer_append_token (&run->answer, run->next, &run->text);
       run->next++;
       if ((engine.cut_after > 0 && run->next >= engine.cut_after)
           || (engine.die_after > 0 && run->next >= engine.die_after))
@@ -488,7 +488,7 @@
   if (max_tokens == 0)
     max_tokens = json_count (root, "max_tokens");
   count_run (httpd_header (req, STR ("vanillahook-request-id")));
-  answer_prompt (json_object_get (root, "messages"), &prompt);
+  answer_append_prompt (json_object_get (root, "messages"), &prompt);
   version->runs++;
   run->req = req;
   run->version = version;
@@ -804,8 +804,8 @@
   cache_lag->ival[0] = 500;
   cache_gap->ival[0] = 7;
   cache_blocks->ival[0] = 0;
-  standin_args (argc, argv, argtable,
-                "A model engine that batches continuously.");
+  standin_parse_args (argc, argv, argtable,
+                      "A model engine that batches continuously.");
   list_init (&engine.runs);
   engine.loop = uv_default_loop ();
   engine.counts = map_create ();
--- a/tests/standins/standin_proxy.c
+++ b/tests/standins/standin_proxy.c
@@ -465,7 +465,8 @@
 
   address->sval[0] = "127.0.0.1:0";
   control_address->sval[0] = "127.0.0.1:0";
-  standin_args (argc, argv, argtable, "A TCP proxy that injects faults.");
+  standin_parse_args (argc, argv, argtable,
+                      "A TCP proxy that injects faults.");
   proxy.loop = uv_default_loop ();
   proxy.next_id = 1;
   list_init (&proxy.links);
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -219,8 +219,8 @@
   count_run (id);
   keep_run (id);
   service.running++;
-  answer_service (httpd_method (req), httpd_path (req), httpd_body (req),
-                  &body);
+  answer_append_service (httpd_method (req), httpd_path (req),
+                         httpd_body (req), &body);
   if (service.delay_ms == 0 && !service.hang)
     {
       answer (req, buf_str (&body));
@@ -266,8 +266,8 @@
 
   address->sval[0] = "127.0.0.1:0";
   delay->ival[0] = 0;
-  standin_args (argc, argv, argtable,
-                "A plain service that counts runs per request id.");
+  standin_parse_args (argc, argv, argtable,
+                      "A plain service that counts runs per request id.");
   service.loop = uv_default_loop ();
   service.runs = map_create ();
   service.count_file = -1;
--- a/tests/test_burn.c
+++ b/tests/test_burn.c
@@ -353,8 +353,8 @@
   buf_t left = BUF_NULL;
   buf_t right = BUF_NULL;
 
-  burn_write (a, false, &left);
-  burn_write (b, false, &right);
+  burn_write_state (a, false, &left);
+  burn_write_state (b, false, &right);
   bool same = str_eq (buf_str (&left), buf_str (&right));
   buf_free (&left);
   buf_free (&right);
@@ -395,7 +395,7 @@
           burn_observe (single_process, &s, now);
         }
       messages[m] = BUF_NULL;
-      burn_write (writers[m % WRITERS], true, &messages[m]);
+      burn_write_state (writers[m % WRITERS], true, &messages[m]);
     }
   uint64_t end = START_MS + MESSAGES * MINUTE_MS;
   for (int m = 0; m < MESSAGES; m++)
@@ -412,7 +412,7 @@
   ck_assert (str_eq (buf_str (&left), buf_str (&right)));
   burn_t *copied = create_burn (53);
   buf_t copied_state = BUF_NULL;
-  burn_write (ordered, false, &copied_state);
+  burn_write_state (ordered, false, &copied_state);
   burn_merge (copied, buf_str (&copied_state), end);
   buf_free (&copied_state);
   burn_compact (shuffled, 9, end + 3 * HOUR_MS);
@@ -452,8 +452,8 @@
   burn_observe (a, &t, START_MS);
   burn_observe (b, &t, START_MS);
   burn_observe (b, &s, START_MS);
-  burn_write (a, true, &from_a);
-  burn_write (b, true, &from_b);
+  burn_write_state (a, true, &from_a);
+  burn_write_state (b, true, &from_b);
   burn_merge (a, buf_str (&from_b), START_MS);
   burn_merge (b, buf_str (&from_a), START_MS);
   ck_assert (has_same_state (a, b));
--- a/tests/test_cascade.c
+++ b/tests/test_cascade.c
@@ -10,10 +10,10 @@
 
 #define START_MS ((uint64_t)1700000000000)
 
-static quality_bound_t
+static quality_posterior_t
 bound (double mean, double half)
 {
-  return (quality_bound_t){ mean, mean - half, mean + half, 400 };
+  return (quality_posterior_t){ mean, mean - half, mean + half, 400 };
 }
 
 /* Store three versions with many ratings: small, medium and large.  */
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 
 #define CHAT "/v1/chat/completions"
-#define AUTH "authorization: Bearer " CLUSTER_KEY "\r\n"
+#define AUTH "authorization: Bearer " CLUSTER_API_KEY "\r\n"
 #define JSON_TYPE "content-type: application/json\r\n"
 
 enum
@@ -50,7 +50,7 @@
 busy_upstream (void)
 {
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    if (cluster_stat (cluster, cluster->upstreams[i].port, "running") > 0)
+    if (cluster_read_stat (cluster, cluster->upstreams[i].port, "running") > 0)
       return &cluster->upstreams[i];
   return NULL;
 }
@@ -63,8 +63,8 @@
   static const char body[]
       = "{\"model\":\"draft-small@3\",\"stream\":true,\"max_tokens\":120,"
         "\"messages\":[{\"role\":\"user\",\"content\":\"a long roof\"}]}";
-  reading_t ours = { 0 };
-  reading_t own = { 0 };
+  parsed_answer_t ours = { 0 };
+  parsed_answer_t own = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
@@ -82,16 +82,16 @@
                                   : &cluster->upstreams[0];
   rawhttp_t straight = rawhttp_call (cluster->host, other->port, "POST", CHAT,
                                      JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &ours));
-  ck_assert (answer_read_stream (buf_str (&straight.body), &own));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &ours));
+  ck_assert (answer_parse_stream (buf_str (&straight.body), &own));
   ck_assert (!ours.error);
   ck_assert_uint_eq (own.tokens, STREAM_TOKENS);
   ck_assert_msg (str_eq (buf_str (&ours.text), buf_str (&own.text)),
                  "ours: %.*s", STR_ARG (buf_str (&ours.text)));
   rawhttp_close (&http);
   rawhttp_close (&straight);
-  answer_reading_free (&ours);
-  answer_reading_free (&own);
+  parsed_answer_free (&ours);
+  parsed_answer_free (&own);
   passed = true;
 }
 END_TEST
@@ -130,7 +130,7 @@
 
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      if (!proc_running (cluster->entries[i].proc))
+      if (!proc_is_running (cluster->entries[i].proc))
         continue;
       for (int k = 0; k < 10; k++)
         {
@@ -155,9 +155,9 @@
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
       buf_t log = BUF_NULL;
-      proc_output (cluster->entries[i].proc, true, &log);
+      proc_read_output (cluster->entries[i].proc, true, &log);
       buf_append_char (&log, '\0');
-      if (proc_running (cluster->entries[i].proc)
+      if (proc_is_running (cluster->entries[i].proc)
           && strstr (log.ptr, "steps the roll-outs now") != NULL)
         found = (int)i;
       buf_free (&log);
@@ -181,17 +181,17 @@
     {
       snprintf (control, sizeof control,
                 "{\"quality\":{\"draft-small@4\":0.3}}");
-      ck_assert (cluster_fault (cluster, cluster->upstreams[i].port,
-                                "/control", control));
+      ck_assert (cluster_post_json (cluster, cluster->upstreams[i].port,
+                                    "/control", control));
     }
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@4", "state", "rolling-out"));
-  ck_assert (cluster_edit (cluster, "rollout draft-small@4", "over",
-                           "draft-small@3"));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                            "state", "rolling-out"));
+  ck_assert (cluster_set_configuration_key (cluster, "rollout draft-small@4",
+                                            "over", "draft-small@3"));
   while (harness_now_ms () < end_ms && strcmp (state, "halted") != 0)
     {
       send_some (round++);
-      size_t asked = proc_running (cluster->entries[0].proc) ? 0 : 1;
+      size_t asked = proc_is_running (cluster->entries[0].proc) ? 0 : 1;
       read_rollout (asked, state, sizeof state, &shown);
       int leader = leading_entry ();
       if (!killed && shown >= 2 && leader >= 0)
@@ -206,7 +206,7 @@
   /* Every entry that runs knows it and shows the version no more.  */
   for (size_t i = 0; i < cluster->entry_count; i++)
     {
-      if (!proc_running (cluster->entries[i].proc))
+      if (!proc_is_running (cluster->entries[i].proc))
         continue;
       do
         {
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -18,13 +18,13 @@
   size_t sum = 0;
 
   for (size_t i = 0; i < f->upstream_count; i++)
-    sum += fake_upstream_requests (f->upstreams[i]);
+    sum += fake_upstream_request_count (f->upstreams[i]);
   return sum;
 }
 
 /* Make all upstreams respond with ACT.  */
 static void
-script_all (gateway_fixture_t *f, act_t act)
+script_all (gateway_fixture_t *f, fake_action_t act)
 {
   for (size_t i = 0; i < f->upstream_count; i++)
     fake_upstream_script (f->upstreams[i], &act, 1);
@@ -53,7 +53,7 @@
   ck_assert (caller_response_contains (&caller, "by up-0"));
   ck_assert (caller_response_contains (&caller,
                                        "vanillahook-answer-mac: mac-of-up-0"));
-  const char *forwarded = fake_upstream_last (f.upstreams[0]);
+  const char *forwarded = fake_upstream_last_request (f.upstreams[0]);
   ck_assert_ptr_nonnull (strstr (forwarded, "POST /read/a?b=1 HTTP/1.1\r\n"));
   ck_assert_ptr_nonnull (strstr (forwarded, "vanillahook-team: coast\r\n"));
   ck_assert_ptr_nonnull (
@@ -105,8 +105,8 @@
    upstream, and the caller must receive 502 with the outcome `unknown'.  */
 START_TEST (non_idempotent_request_is_sent_once)
 {
-  static const act_t acts[]
-      = { ACT_RESET, ACT_SHORT, ACT_FOREIGN, ACT_NO_MAC };
+  static const fake_action_t acts[]
+      = { ACT_RESET, ACT_TRUNCATE_BODY, ACT_OTHER_ATTEMPT_ID, ACT_NO_MAC };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -131,7 +131,7 @@
    Retry-After.  */
 START_TEST (request_not_run_is_retried_or_refused)
 {
-  static const act_t shed[] = { ACT_SHED };
+  static const fake_action_t shed[] = { ACT_REFUSE_NOT_RUN };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -145,7 +145,7 @@
       ck_assert (caller_response_contains (&caller, "by up-1"));
       caller_free (&f, &caller);
     }
-  script_all (&f, ACT_SHED);
+  script_all (&f, ACT_REFUSE_NOT_RUN);
   gateway_fixture_request (&f, &caller, "POST", "/book/", REQUEST_HEADERS,
                            "pay");
   ck_assert_int_eq (caller_status (&caller), 503);
@@ -164,7 +164,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 3);
-  script_all (&f, ACT_SHED);
+  script_all (&f, ACT_REFUSE_NOT_RUN);
   gateway_fixture_request (&f, &caller, "GET", "/read/", REQUEST_HEADERS, "");
   ck_assert_int_eq (caller_status (&caller), 503);
   ck_assert_uint_eq (count_upstream_requests (&f), 3);
@@ -179,8 +179,9 @@
    upstream.  */
 START_TEST (idempotent_request_is_retried)
 {
-  static const act_t acts[]
-      = { ACT_ERROR, ACT_RESET, ACT_SHORT, ACT_FOREIGN, ACT_NO_MAC };
+  static const fake_action_t acts[]
+      = { ACT_ERROR, ACT_RESET, ACT_TRUNCATE_BODY, ACT_OTHER_ATTEMPT_ID,
+          ACT_NO_MAC };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -206,7 +207,7 @@
    each event once, in one response.  */
 START_TEST (interrupted_stream_is_resumed)
 {
-  static const act_t acts[] = { ACT_STREAM_BREAK, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_CUT_IN_EVENT, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -225,8 +226,8 @@
     }
   ck_assert (!caller_response_contains (&caller, "ha\r\n"));
   ck_assert (caller_response_contains (&caller, "\r\n0\r\n\r\n"));
-  ck_assert_ptr_nonnull (
-      strstr (fake_upstream_last (f.upstreams[0]), "Last-Event-Id: 2\r\n"));
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
+                                 "Last-Event-Id: 2\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -237,7 +238,7 @@
    stalled call must be cancelled.  */
 START_TEST (stalled_stream_is_resumed)
 {
-  static const act_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -248,7 +249,7 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   ck_assert (caller_response_contains (&caller, "data: e5\n"));
   ck_assert (caller_response_contains (&caller, "\r\n0\r\n\r\n"));
-  gateway_fixture_wait (&f, fake_upstream_abandoned (f.upstreams[0]) == 1);
+  gateway_fixture_wait (&f, fake_upstream_abort_count (f.upstreams[0]) == 1);
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
 }
@@ -259,7 +260,7 @@
    there, because another engine would have to repeat the work.  */
 START_TEST (stream_stays_at_busy_engine)
 {
-  static const act_t acts[] = { ACT_STREAM_PAUSE };
+  static const fake_action_t acts[] = { ACT_STREAM_PAUSE };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -287,8 +288,8 @@
   script_all (&f, ACT_STREAM_PAUSE);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
-  first_index = fake_upstream_requests (f.upstreams[0]) > 0 ? 0 : 1;
-  fake_upstream_vanish (f.upstreams[first_index]);
+  first_index = fake_upstream_request_count (f.upstreams[0]) > 0 ? 0 : 1;
+  fake_upstream_go_silent (f.upstreams[first_index]);
   uint64_t start_ms = uv_hrtime () / 1000000;
   gateway_fixture_wait (&f, count_upstream_requests (&f) == 2);
   ck_assert_uint_lt (uv_hrtime () / 1000000 - start_ms, PAUSE_MS + 200);
@@ -307,7 +308,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  script_all (&f, ACT_SILENT);
+  script_all (&f, ACT_NO_RESPONSE);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_request (&f, &caller, "POST", "/chat/",
                            REQUEST_HEADERS "vanillahook-deadline-ms: 560\r\n",
@@ -339,7 +340,7 @@
     caller_start (&f, &other_callers[i], "POST", "/chat/", REQUEST_HEADERS,
                   "{}");
   gateway_fixture_wait (&f, count_upstream_requests (&f) == OTHER_CALLERS);
-  script_all (&f, ACT_STREAM_BREAK);
+  script_all (&f, ACT_STREAM_CUT_IN_EVENT);
   caller_start (&f, &caller, "POST", "/chat/", REQUEST_HEADERS, "{}");
   gateway_fixture_wait (&f, caller_response_contains (&caller, "data: e2\n"));
   run_loop_for (&f, 100);
@@ -365,7 +366,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  script_all (&f, ACT_STREAM_BREAK);
+  script_all (&f, ACT_STREAM_CUT_IN_EVENT);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
   ck_assert_int_eq (caller_status (&caller), 200);
@@ -383,7 +384,8 @@
    model must not cause a second send.  */
 START_TEST (low_confidence_escalates_to_larger_model)
 {
-  static const act_t acts[] = { ACT_STREAM_DOUBT, ACT_STREAM };
+  static const fake_action_t acts[]
+      = { ACT_STREAM_LOW_CONFIDENCE, ACT_STREAM };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -394,13 +396,13 @@
   ck_assert_int_eq (caller_status (&caller), 200);
   ck_assert (!caller_response_contains (&caller, "confidence"));
   ck_assert_uint_eq (count_upstream_requests (&f), 2);
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-model: large\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_request (&f, &caller, "POST", "/chat/", REQUEST_HEADERS,
                            "{}");
   ck_assert_uint_eq (count_upstream_requests (&f), 3);
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-model: small\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
@@ -418,9 +420,9 @@
   gateway_fixture_setup (&f, 1);
   gateway_fixture_request (&f, &caller, "POST", "/chat/",
                            REQUEST_HEADERS "vanillahook-urgency: 0\r\n", "{}");
-  ck_assert_ptr_nonnull (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_nonnull (strstr (fake_upstream_last_request (f.upstreams[0]),
                                  "vanillahook-urgency: 3\r\n"));
-  ck_assert_ptr_null (strstr (fake_upstream_last (f.upstreams[0]),
+  ck_assert_ptr_null (strstr (fake_upstream_last_request (f.upstreams[0]),
                               "vanillahook-urgency: 0\r\n"));
   caller_free (&f, &caller);
   gateway_fixture_teardown (&f);
@@ -478,7 +480,7 @@
    call to the upstream must be cancelled at once, not at the deadline.  */
 START_TEST (disconnect_cancels_upstream_request)
 {
-  static const act_t acts[] = { ACT_SILENT, ACT_STREAM_STALL };
+  static const fake_action_t acts[] = { ACT_NO_RESPONSE, ACT_STREAM_STALL };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -490,8 +492,8 @@
       gateway_fixture_wait (&f, count_upstream_requests (&f) == i + 1);
       caller_disconnect (&caller);
       uint64_t disconnected_ms = uv_now (&f.loop);
-      gateway_fixture_wait (&f,
-                            fake_upstream_abandoned (f.upstreams[0]) == i + 1);
+      gateway_fixture_wait (&f, fake_upstream_abort_count (f.upstreams[0])
+                                    == i + 1);
       ck_assert_uint_lt (uv_now (&f.loop) - disconnected_ms, 400);
       caller_free (&f, &caller);
     }
@@ -508,7 +510,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 1);
-  script_all (&f, ACT_STREAM_BIG);
+  script_all (&f, ACT_STREAM_BIG_EVENT);
   for (size_t i = 0; i < 4; i++)
     {
       caller_start_without_reading (&f, &caller, "/chat/", REQUEST_HEADERS);
@@ -532,7 +534,7 @@
   caller_t caller;
 
   gateway_fixture_setup (&f, 2);
-  script_all (&f, ACT_SILENT);
+  script_all (&f, ACT_NO_RESPONSE);
   uint64_t start_ms = uv_now (&f.loop);
   gateway_fixture_request (&f, &caller, "POST", "/book/", REQUEST_HEADERS,
                            "pay");
@@ -811,7 +813,7 @@
    period and then rejected as not run, and the stop must finish by itself.  */
 START_TEST (planned_stop_aborts_no_request)
 {
-  static const act_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
+  static const fake_action_t acts[] = { ACT_STREAM_STALL, ACT_STREAM };
   gateway_fixture_t f;
   caller_t stream;
   caller_t caller;
@@ -872,7 +874,7 @@
    after the first half of the time limit, and the roll-out must finish.  */
 START_TEST (working_version_is_rolled_out)
 {
-  static const act_t stream[] = { ACT_STREAM };
+  static const fake_action_t stream[] = { ACT_STREAM };
   gateway_fixture_t f;
 
   gateway_fixture_setup (&f, 2);
@@ -882,9 +884,10 @@
   fake_rows_put (f.rows, ROWS_OPERATOR, "rollout/llm", "llm v2 12000");
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 running");
-  size_t count_before = fake_upstream_requests (f.upstreams[1]);
+  size_t count_before = fake_upstream_request_count (f.upstreams[1]);
   request_until_status (&f, "v2 done");
-  ck_assert_uint_gt (fake_upstream_requests (f.upstreams[1]), count_before);
+  ck_assert_uint_gt (fake_upstream_request_count (f.upstreams[1]),
+                     count_before);
   gateway_fixture_teardown (&f);
 }
 END_TEST
@@ -929,8 +932,8 @@
    failed requests are sent again to the old version.  */
 START_TEST (failing_version_is_rolled_back)
 {
-  static const act_t stream[] = { ACT_STREAM };
-  static const act_t error[] = { ACT_ERROR };
+  static const fake_action_t stream[] = { ACT_STREAM };
+  static const fake_action_t error[] = { ACT_ERROR };
   gateway_fixture_t f;
   caller_t caller;
 
@@ -943,7 +946,7 @@
   run_loop_for (&f, 100);
   request_until_status (&f, "v2 taken-back");
   ck_assert_uint_eq (failed_request_count, 0);
-  size_t sent_before = fake_upstream_requests (f.upstreams[1]);
+  size_t sent_before = fake_upstream_request_count (f.upstreams[1]);
   ck_assert_uint_gt (sent_before, 0);
   /* The limit on requests a second to one upstream applies to all callers
      together, so wait until it allows requests again.  */
@@ -955,7 +958,8 @@
       ck_assert_int_eq (caller_status (&caller), 200);
       caller_free (&f, &caller);
     }
-  ck_assert_uint_eq (fake_upstream_requests (f.upstreams[1]), sent_before);
+  ck_assert_uint_eq (fake_upstream_request_count (f.upstreams[1]),
+                     sent_before);
   gateway_fixture_teardown (&f);
 }
 END_TEST
--- a/tests/test_load.c
+++ b/tests/test_load.c
@@ -100,7 +100,7 @@
       CHECK (pair.plain.unfairness > 0.3);
       CHECK (pair.ours.quiet_answered > 0.99);
       CHECK (pair.ours.quiet_p99_ms < 2500);
-      CHECK (pair.ours.goodput > 0.85 * 20 * 8 * MODEL_SPEED);
+      CHECK (pair.ours.goodput > 0.85 * 20 * 8 * MODEL_SLOT_UNITS_PER_S);
     }
 }
 END_TEST
@@ -330,7 +330,7 @@
 
       check_common (&pair, seed, 0.02);
       CHECK (pair.ours.goodput > pair.plain.goodput);
-      CHECK (pair.ours.goodput > 0.9 * 20 * 8 * MODEL_SPEED);
+      CHECK (pair.ours.goodput > 0.9 * 20 * 8 * MODEL_SLOT_UNITS_PER_S);
       CHECK (pair.ours.quiet_answered > 0.98);
     }
 }
--- a/tests/test_load_real.c
+++ b/tests/test_load_real.c
@@ -33,7 +33,7 @@
 /* What the callers of one load received.  */
 typedef struct
 {
-  load_options_t options;
+  loadgen_options_t options;
   uv_loop_t *loop;
   unsigned *left;
   uint64_t finished;
@@ -74,7 +74,7 @@
 }
 
 static void
-on_finished (void *arg, const load_result_t *result)
+on_finished (void *arg, const loadgen_result_t *result)
 {
   callers_t *callers = arg;
 
@@ -173,12 +173,12 @@
       callers[i].options.targets = &target;
       callers[i].options.target_count = 1;
       callers[i].options.arg = &callers[i];
-      loads[i] = load_create (&loop, &callers[i].options);
+      loads[i] = loadgen_create (&loop, &callers[i].options);
       ck_assert_ptr_nonnull (loads[i]);
     }
   uv_run (&loop, UV_RUN_DEFAULT);
   for (unsigned i = 0; i < count; i++)
-    load_destroy (loads[i]);
+    loadgen_destroy (loads[i]);
   uv_run (&loop, UV_RUN_DEFAULT);
   uv_loop_close (&loop);
   for (unsigned i = 0; i < count; i++)
@@ -194,7 +194,7 @@
 static callers_t
 run_steady (double rate, uint64_t duration_ms)
 {
-  callers_t callers = callers_make (CLUSTER_KEY, rate, 1000, duration_ms);
+  callers_t callers = callers_make (CLUSTER_API_KEY, rate, 1000, duration_ms);
 
   run_callers (&callers, 1);
   return callers;
@@ -204,8 +204,8 @@
 static double
 begun (size_t index)
 {
-  return (double)cluster_stat (cluster, cluster->upstreams[index].port,
-                               "total");
+  return (double)cluster_read_stat (cluster, cluster->upstreams[index].port,
+                                    "total");
 }
 
 static double
@@ -235,7 +235,7 @@
   callers_t steady = run_steady (0.75 * BURST_CAPACITY, 3000);
   callers_free (&steady);
   callers_t burst
-      = callers_make (CLUSTER_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
+      = callers_make (CLUSTER_API_KEY, 10 * BURST_CAPACITY, 4000, BURST_MS);
   run_callers (&burst, 1);
   return burst;
 }
@@ -287,8 +287,8 @@
   start_cluster (FAULT_ENGINES, "limit-start = 2\nlimit-max = 8\n", NULL);
   callers_t before = run_steady (FAULT_RATE, 2000);
   callers_free (&before);
-  ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
-                            control));
+  ck_assert (cluster_post_json (cluster, cluster->upstreams[0].port,
+                                "/control", control));
   double all = begun_all ();
   double own = begun (0);
   *callers = run_steady (FAULT_RATE, FAULT_MS);
@@ -336,8 +336,8 @@
   start_cluster (2, "limit-start = 2\nlimit-max = 32\n", NULL);
   callers_t warm = run_steady (25, 2000);
   callers_free (&warm);
-  callers_t callers[] = { callers_make (CLUSTER_OTHER_KEY, 5, 50, 4000),
-                          callers_make (CLUSTER_KEY, 200, 2000, 4000) };
+  callers_t callers[] = { callers_make (CLUSTER_OTHER_API_KEY, 5, 50, 4000),
+                          callers_make (CLUSTER_API_KEY, 200, 2000, 4000) };
 
   run_callers (callers, 2);
   double quiet = (double)callers[0].whole / (double)callers[0].finished;
@@ -392,8 +392,8 @@
 {
   start_cluster (3, "limit-start = 2\nlimit-max = 8\n", NULL);
   callers_t warm = run_steady (COLD_RATE, 2000);
-  ck_assert (cluster_fault (cluster, cluster->upstreams[0].port, "/control",
-                            "{\"cold_ms\":2000}"));
+  ck_assert (cluster_post_json (cluster, cluster->upstreams[0].port,
+                                "/control", "{\"cold_ms\":2000}"));
   callers_t cold = run_steady (COLD_RATE, 4000);
 
   ck_assert (warm.whole >= 0.97 * warm.finished);
--- a/tests/test_path.c
+++ b/tests/test_path.c
@@ -11,7 +11,7 @@
 #include <sys/socket.h>
 
 #define CHAT "/v1/chat/completions"
-#define AUTH "authorization: Bearer " CLUSTER_KEY "\r\n"
+#define AUTH "authorization: Bearer " CLUSTER_API_KEY "\r\n"
 #define JSON_TYPE "content-type: application/json\r\n"
 #define CHAT_BODY(model, fields)                                              \
   "{\"model\":\"" model "\"," fields                                          \
@@ -88,15 +88,15 @@
   static const char body[]
       = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":40,");
   const cluster_upstream_t *engine = find_upstream ("small-1");
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
 
   rawhttp_t http
       = rawhttp_start (cluster->host, cluster->entries[0].port, "POST", CHAT,
                        AUTH JSON_TYPE, str_from (body));
   /* The first event arrives while the engine still generates the answer.  */
   ck_assert (rawhttp_read_body (&http, 1, WAIT_MS));
-  ck_assert_int_eq (cluster_stat (cluster, engine->port, "running"), 1);
+  ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "running"), 1);
   ck_assert (rawhttp_read_all (&http, WAIT_MS));
   ck_assert_int_eq (http.status, 200);
   check_header (&http, "vanillahook-outcome", "answered");
@@ -106,15 +106,15 @@
                                  17, "text/event-stream", 17));
   rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
                                    JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_stream (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   ck_assert_uint_eq (through_entry.tokens, 40);
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   passed = true;
 }
 END_TEST
@@ -123,21 +123,21 @@
 {
   static const char body[] = CHAT_BODY ("draft-large", "\"max_tokens\":5,");
   const cluster_upstream_t *engine = find_upstream ("large-1");
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
 
   rawhttp_t http = cluster_chat (cluster, 0, NULL, body, WAIT_MS);
   ck_assert_int_eq (http.status, 200);
   rawhttp_t direct = rawhttp_call (cluster->host, engine->port, "POST", CHAT,
                                    JSON_TYPE, str_from (body), WAIT_MS);
-  ck_assert (answer_read_whole (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_whole (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_json (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_json (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   passed = true;
 }
 END_TEST
@@ -158,20 +158,20 @@
 {
   const cluster_upstream_t *service = find_upstream ("desk-1");
   buf_t want = BUF_NULL;
-  json_int_t before = cluster_stat (cluster, service->port, "total");
+  json_int_t before = cluster_read_stat (cluster, service->port, "total");
 
   rawhttp_t one = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (one.status, 200);
   check_header (&one, "vanillahook-outcome", "answered");
-  answer_service (STR ("POST"), STR ("/approve-1"), STR ("{\"amount\":1}"),
-                  &want);
+  answer_append_service (STR ("POST"), STR ("/approve-1"),
+                         STR ("{\"amount\":1}"), &want);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&want)));
   rawhttp_t two = call_service ("k-1", "{\"amount\":1}");
   ck_assert_int_eq (two.status, 200);
   ck_assert (str_eq (buf_str (&one.body), buf_str (&two.body)));
   rawhttp_t other = call_service ("k-1", "{\"amount\":2}");
   ck_assert_int_eq (other.status, 422);
-  ck_assert_int_eq (cluster_stat (cluster, service->port, "total"),
+  ck_assert_int_eq (cluster_read_stat (cluster, service->port, "total"),
                     before + 1);
   rawhttp_close (&one);
   rawhttp_close (&two);
@@ -187,8 +187,9 @@
   {
     const char *headers;
     bool large;
-  } cases[] = { { AUTH, true },
-                { "authorization: Bearer " CLUSTER_OTHER_KEY "\r\n", false } };
+  } cases[]
+      = { { AUTH, true },
+          { "authorization: Bearer " CLUSTER_OTHER_API_KEY "\r\n", false } };
 
   for (size_t i = 0; i < 2; i++)
     {
@@ -218,9 +219,9 @@
                       "\"stream\":true,\"max_tokens\":2000,")));
 
   ck_assert (rawhttp_read_body (&http, 1, WAIT_MS));
-  ck_assert_int_eq (cluster_stat (cluster, engine->port, "running"), 1);
+  ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "running"), 1);
   rawhttp_close (&http);
-  WAIT_FOR (cluster_stat (cluster, engine->port, "running") == 0, 3000);
+  WAIT_FOR (cluster_read_stat (cluster, engine->port, "running") == 0, 3000);
   passed = true;
 }
 END_TEST
@@ -252,10 +253,11 @@
   { "unknown model", "POST", CHAT, AUTH JSON_TYPE, CHAT_BODY ("nonesuch", ""),
     404, 203 },
   { "model not allowed", "POST", CHAT,
-    "authorization: Bearer " CLUSTER_OTHER_KEY "\r\n" JSON_TYPE,
+    "authorization: Bearer " CLUSTER_OTHER_API_KEY "\r\n" JSON_TYPE,
     CHAT_BODY ("draft-large@7", ""), 403, 202 },
   { "service not allowed", "POST", "/services/" CLUSTER_SERVICE "/x",
-    "authorization: Bearer " CLUSTER_OTHER_KEY "\r\nidempotency-key: k\r\n",
+    "authorization: Bearer " CLUSTER_OTHER_API_KEY
+    "\r\nidempotency-key: k\r\n",
     "{}", 403, 202 },
   { "no idempotency key", "POST", "/services/" CLUSTER_SERVICE "/x", AUTH,
     "{}", 400, 107 },
@@ -352,7 +354,7 @@
   json_int_t sum = 0;
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    sum += cluster_stat (cluster, cluster->upstreams[i].port, "total");
+    sum += cluster_read_stat (cluster, cluster->upstreams[i].port, "total");
   return sum;
 }
 
@@ -364,7 +366,7 @@
   check_long_key ();
   check_large_body ();
   ck_assert_int_eq (count_all_runs (), before);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
   rawhttp_t http = cluster_chat (cluster, 0, NULL,
                                  CHAT_BODY ("draft-small", ""), WAIT_MS);
   ck_assert_int_eq (http.status, 200);
@@ -392,12 +394,12 @@
       buf_t stderr_text = BUF_NULL;
       buf_t want = BUF_NULL;
       const char *path
-          = harness_write (harness, "bad.ini", str_from (cases[i].text));
+          = harness_write_file (harness, "bad.ini", str_from (cases[i].text));
       proc_t *proc
           = harness_start (harness, "bad", "bin/vanillahookd", "--settings",
                            path, i % 2 == 0 ? NULL : "--check", NULL);
       ck_assert_int_eq (proc_wait (proc, WAIT_MS), EXIT_BAD_SETTINGS);
-      proc_output (proc, true, &stderr_text);
+      proc_read_output (proc, true, &stderr_text);
       buf_append_char (&stderr_text, '\0');
       buf_printf (&want, "vanillahookd: %s%s%c", path, cases[i].want, '\0');
       ck_assert_msg (strstr (stderr_text.ptr, want.ptr) != NULL,
@@ -414,13 +416,13 @@
 START_TEST (standalone_process_fails_with_a_minimal_engine)
 {
   const char *host = harness_host (harness);
-  uint16_t engine = harness_port (harness);
-  uint16_t port = harness_port (harness);
-  uint16_t admin = harness_port (harness);
+  uint16_t engine = harness_find_free_port (harness);
+  uint16_t port = harness_find_free_port (harness);
+  uint16_t admin = harness_find_free_port (harness);
   buf_t text = BUF_NULL;
   char listen[64];
-  reading_t through_entry = { 0 };
-  reading_t from_engine = { 0 };
+  parsed_answer_t through_entry = { 0 };
+  parsed_answer_t from_engine = { 0 };
   static const char body[]
       = CHAT_BODY ("draft-small@3", "\"stream\":true,\"max_tokens\":30,");
 
@@ -429,7 +431,7 @@
       = harness_start (harness, "engine", "tests/standin_engine", listen,
                        "--minimal", "--version=draft-small@3:0.7", NULL);
   ck_assert_uint_eq (proc_wait_port (proc, "listening", WAIT_MS), engine);
-  harness_write (
+  harness_write_file (
       harness, "lists.ini",
       STR ("[team coast-office]\nplan = grants\n"
            "key-sha256 = 38ec9e443bcea4ca8a5a4ef967cbe59f4b502f5c5119750ea29c"
@@ -445,7 +447,7 @@
               "serves = draft-small@3\n",
               host, admin, host, port, host, engine);
   const char *path
-      = harness_write (harness, "standalone.ini", buf_str (&text));
+      = harness_write_file (harness, "standalone.ini", buf_str (&text));
   harness_start (harness, "standalone", "bin/vanillahookd", "--settings", path,
                  NULL);
   bool is_ready;
@@ -459,14 +461,14 @@
   ck_assert (is_ready);
   rawhttp_t direct = rawhttp_call (host, engine, "POST", CHAT, JSON_TYPE,
                                    str_from (body), WAIT_MS);
-  ck_assert (answer_read_stream (buf_str (&http.body), &through_entry));
-  ck_assert (answer_read_stream (buf_str (&direct.body), &from_engine));
+  ck_assert (answer_parse_stream (buf_str (&http.body), &through_entry));
+  ck_assert (answer_parse_stream (buf_str (&direct.body), &from_engine));
   ck_assert (
       str_eq (buf_str (&through_entry.text), buf_str (&from_engine.text)));
   rawhttp_close (&http);
   rawhttp_close (&direct);
-  answer_reading_free (&through_entry);
-  answer_reading_free (&from_engine);
+  parsed_answer_free (&through_entry);
+  parsed_answer_free (&from_engine);
   buf_free (&text);
   passed = true;
 }
@@ -500,7 +502,7 @@
 
   check_partial_requests ();
   ck_assert_int_eq (count_all_runs (), before);
-  ck_assert (proc_running (cluster->entries[0].proc));
+  ck_assert (proc_is_running (cluster->entries[0].proc));
   passed = true;
 }
 END_TEST
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -287,7 +287,7 @@
   setup (&f, 1);
   upstream_t *running = choose (&f);
   pool_request_started (f.pool, running, 100);
-  pool_remove (f.pool, STR ("i-0"), 2000);
+  pool_unregister (f.pool, STR ("i-0"), 2000);
   ck_assert_ptr_eq (choose (&f), running);
   clock_manual_advance_us (f.clock, 2000000);
   ck_assert_int_eq (pool_select (f.pool, &f.criteria, &upstream),
--- a/tests/test_promises.c
+++ b/tests/test_promises.c
@@ -78,27 +78,27 @@
 }
 
 /* Chat load on all entries; the test changes what it needs.  */
-static load_options_t
+static loadgen_options_t
 chat_load (void)
 {
-  return (load_options_t){ .targets = targets,
-                           .target_count = cluster->entry_count,
-                           .health = health,
-                           .concurrency = 8,
-                           .duration_ms = 60000,
-                           .seed = 1,
-                           .stream_share = 0.5,
-                           .api_key = STR (CLUSTER_KEY),
-                           .model = STR ("draft-small"),
-                           .max_tokens = 10,
-                           .prompt_bytes = 40,
-                           .timeout_ms = WAIT_MS };
-}
-
-static load_options_t
+  return (loadgen_options_t){ .targets = targets,
+                              .target_count = cluster->entry_count,
+                              .health = health,
+                              .concurrency = 8,
+                              .duration_ms = 60000,
+                              .seed = 1,
+                              .stream_share = 0.5,
+                              .api_key = STR (CLUSTER_API_KEY),
+                              .model = STR ("draft-small"),
+                              .max_tokens = 10,
+                              .prompt_bytes = 40,
+                              .timeout_ms = WAIT_MS };
+}
+
+static loadgen_options_t
 service_load (void)
 {
-  load_options_t options = chat_load ();
+  loadgen_options_t options = chat_load ();
 
   options.service_share = 1;
   options.service = STR (CLUSTER_SERVICE);
@@ -141,7 +141,7 @@
 
   for (size_t i = 0; i < cluster->upstream_count; i++)
     if (zone == NULL || strcmp (cluster->upstreams[i].zone, zone) == 0)
-      sum += cluster_stat (cluster, cluster->upstreams[i].port, "total");
+      sum += cluster_read_stat (cluster, cluster->upstreams[i].port, "total");
   return sum;
 }
 
@@ -226,14 +226,14 @@
     {
       rawhttp_t http = rawhttp_call (
           cluster->host, cluster->entries[i % 2].port, "POST", CHAT,
-          "authorization: Bearer " CLUSTER_OTHER_KEY "\r\n",
+          "authorization: Bearer " CLUSTER_OTHER_API_KEY "\r\n",
           str_from (refused[i]), WAIT_MS);
       check_refused (&http, 403, VH_E_NOT_ALLOWED);
       rawhttp_close (&http);
     }
   ck_assert_int_eq (zone_runs (NULL), before);
-  load_options_t load = chat_load ();
-  load.api_key = STR (CLUSTER_OTHER_KEY);
+  loadgen_options_t load = chat_load ();
+  load.api_key = STR (CLUSTER_OTHER_API_KEY);
   load.model = STR ("draft");
   load.requests = 200;
   json_int_t large = version_runs ("draft-large@7");
@@ -243,8 +243,9 @@
   check_all_whole ();
   ck_assert_int_eq (version_runs ("draft-large@7"), large);
   ck_assert_int_eq (version_runs ("draft-small@4"), small);
-  ck_assert (cluster_edit (cluster, "plan grants", "allow", "draft-small@*"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  ck_assert (cluster_set_configuration_key (cluster, "plan grants", "allow",
+                                            "draft-small@*"));
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), FEW_SECONDS_MS);
   for (size_t i = 0; i < 2; i++)
     check_chat_refused (i, ASK ("draft-large@7", ""), 403, VH_E_NOT_ALLOWED);
   ck_assert_int_eq (version_runs ("draft-large@7"), large);
@@ -261,16 +262,16 @@
   static const char body[] = ASK ("draft-small@3", "");
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.target_count = 1;
   runner = runner_start (&load);
   load_for (300);
   proc_signal (cluster->entries[1].proc, SIGSTOP);
   rawhttp_t late = rawhttp_start (
       cluster->host, cluster->entries[1].port, "POST", CHAT,
-      "authorization: Bearer " CLUSTER_KEY "\r\n", str_from (body));
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@3", "state", "withdrawn"));
+      "authorization: Bearer " CLUSTER_API_KEY "\r\n", str_from (body));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@3",
+                                            "state", "withdrawn"));
   harness_sleep_ms (FEW_SECONDS_MS);
   json_int_t before = version_runs ("draft-small@3");
   check_chat_refused (0, body, 409, VH_E_WITHDRAWN);
@@ -291,7 +292,7 @@
 session_call (size_t entry, buf_t *token)
 {
   buf_t header = BUF_NULL;
-  reading_t reading = { 0 };
+  parsed_answer_t reading = { 0 };
 
   if (token->len > 0)
     buf_printf (&header, "vanillahook-session: %.*s\r\n",
@@ -301,13 +302,13 @@
                                  ASK ("draft-small", ""), WAIT_MS);
   ck_assert_msg (http.status == 200, "%d: %.*s", http.status,
                  STR_ARG (buf_str (&http.body)));
-  ck_assert (answer_read_whole (buf_str (&http.body), &reading));
+  ck_assert (answer_parse_json (buf_str (&http.body), &reading));
   str_t next = rawhttp_header (&http, "vanillahook-session");
   ck_assert_uint_gt (next.len, 0);
   token->len = 0;
   buf_append_str (token, next);
   char *version = str_dup (buf_str (&reading.version));
-  answer_reading_free (&reading);
+  parsed_answer_free (&reading);
   rawhttp_close (&http);
   buf_free (&header);
   return version;
@@ -334,18 +335,19 @@
           proc_restart (upstream ("small-1")->sidecar);
         }
       if (i == 20)
-        ck_assert (cluster_edit (cluster, "rollout draft-small@4", "over",
-                                 "draft-small@3"));
+        ck_assert (cluster_set_configuration_key (
+            cluster, "rollout draft-small@4", "over", "draft-small@3"));
       char *version = session_call (i % 3, &token);
       ck_assert_str_eq (version, first);
       free (version);
     }
   snprintf (section, sizeof section, "version %s", first);
   if (strcmp (first, "draft-small@4") == 0)
-    ck_assert (
-        cluster_edit (cluster, "rollout draft-small@4", "state", "aborted"));
-  ck_assert (cluster_edit (cluster, section, "state", "withdrawn"));
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+    ck_assert (cluster_set_configuration_key (cluster, "rollout draft-small@4",
+                                              "state", "aborted"));
+  ck_assert (
+      cluster_set_configuration_key (cluster, section, "state", "withdrawn"));
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), FEW_SECONDS_MS);
   char *moved = session_call (0, &token);
   ck_assert_str_ne (moved, first);
   for (size_t i = 0; i < 6; i++)
@@ -391,7 +393,7 @@
 bills_are (json_int_t requests)
 {
   for (size_t i = 0; i < cluster->entry_count; i++)
-    if (proc_running (cluster->entries[i].proc)
+    if (proc_is_running (cluster->entries[i].proc)
         && read_bill (i).requests != requests)
       return false;
   return true;
@@ -413,9 +415,9 @@
     read_bill (i);
   harness_sleep_ms (SETTLE_MS);
   bill_t before = read_bill (0);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"lost_reply_share\":0.3}"));
-  load_options_t load = chat_load ();
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"lost_reply_share\":0.3}"));
+  loadgen_options_t load = chat_load ();
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
   load.key_prefix = STR ("bill");
@@ -427,8 +429,8 @@
   load_for (500);
   proc_kill (cluster->entries[2].proc);
   load_for (500);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"lost_reply_share\":0}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"lost_reply_share\":0}"));
   proc_restart (cluster->entries[2].proc);
   load_for (1000);
   runner_stop (runner);
@@ -460,7 +462,7 @@
 
   start_cluster (&options);
   cluster_upstream_t *engine = upstream ("small-1");
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.concurrency = 48;
   runner = runner_start (&load);
   harness_sleep_ms (5000);
@@ -472,12 +474,13 @@
   for (int i = 0; i < 35; i++)
     {
       harness_sleep_ms (100);
-      ck_assert_int_eq (cluster_stat (cluster, engine->port, "refused"), 0);
+      ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "refused"),
+                        0);
       /* A cold engine falls over above a quarter of twice 16.  */
-      ck_assert_int_le (cluster_stat (cluster, engine->port, "max_running"),
-                        8);
+      ck_assert_int_le (
+          cluster_read_stat (cluster, engine->port, "max_running"), 8);
     }
-  WAIT_FOR (cluster_stat (cluster, engine->port, "total") > 20, WAIT_MS);
+  WAIT_FOR (cluster_read_stat (cluster, engine->port, "total") > 20, WAIT_MS);
   runner_stop (runner);
   ck_assert_uint_eq (runner_tally (runner).wrong, 0);
   passed = true;
@@ -493,18 +496,18 @@
   static const char zone[] = "nairobi-b";
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   runner = runner_start (&load);
   load_for (500);
   ck_assert_int_gt (zone_runs (zone), 0);
-  ck_assert (
-      cluster_edit (cluster, "availability-zone nairobi-b", "state", "out"));
+  ck_assert (cluster_set_configuration_key (
+      cluster, "availability-zone nairobi-b", "state", "out"));
   harness_sleep_ms (FEW_SECONDS_MS);
   json_int_t before = zone_runs (zone);
   load_for (SETTLE_MS);
   ck_assert_int_eq (zone_runs (zone), before);
-  ck_assert (
-      cluster_edit (cluster, "availability-zone nairobi-b", "state", "in"));
+  ck_assert (cluster_set_configuration_key (
+      cluster, "availability-zone nairobi-b", "state", "in"));
   WAIT_FOR (zone_runs (zone) > before, WAIT_MS);
   check_all_whole ();
   passed = true;
@@ -548,21 +551,22 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.max_tokens = 50;
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
       load_for (800);
       for (size_t i = 0; i < cluster->upstream_count; i++)
-        ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                                  "/fault", fault->body));
+        ck_assert (cluster_post_json (cluster,
+                                      cluster->upstreams[i].proxy_control,
+                                      "/fault", fault->body));
       harness_sleep_ms (1000);
       if (fault->lasting)
         for (size_t i = 0; i < cluster->upstream_count; i++)
-          ck_assert (
-              cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                             "/fault", "{\"cut_after\":0,\"delay_ms\":0}"));
+          ck_assert (cluster_post_json (
+              cluster, cluster->upstreams[i].proxy_control, "/fault",
+              "{\"cut_after\":0,\"delay_ms\":0}"));
     }
   load_for (2500);
   check_all_whole ();
@@ -581,7 +585,7 @@
 
   for (size_t i = 0; (record = runner_at (runner, i)) != NULL; i++)
     {
-      const load_result_t *result = &record->result;
+      const loadgen_result_t *result = &record->result;
       json_int_t runs = runs_of (result->key);
       ck_assert_msg (runs <= 1, "%.*s ran %d times", STR_ARG (result->key),
                      (int)runs);
@@ -623,17 +627,17 @@
                                       .service_arg = "--delay-ms=30" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  loadgen_options_t load = service_load ();
   load.deadline_ms = 2500;
   load.resends = 0;
   runner = runner_start (&load);
   load_for (400);
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    ck_assert (cluster_fault (cluster, cluster->upstreams[i].proxy_control,
-                              "/fault", refusal_faults[_i].body));
+    ck_assert (cluster_post_json (cluster, cluster->upstreams[i].proxy_control,
+                                  "/fault", refusal_faults[_i].body));
   harness_sleep_ms (3000);
   for (size_t i = 0; i < cluster->upstream_count; i++)
-    ck_assert (cluster_fault (
+    ck_assert (cluster_post_json (
         cluster, cluster->upstreams[i].proxy_control, "/fault",
         "{\"refuse\":false,\"silence\":\"none\",\"cut_after\":0}"));
   harness_sleep_ms (1500);
@@ -681,22 +685,23 @@
       proc_signal (cluster->entries[0].proc, SIGCONT);
       break;
     case SERVICE_CUTS:
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"cut\"}");
+      cluster_post_json (cluster, desk->port, "/control", "{\"die\":\"cut\"}");
       harness_sleep_ms (500);
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"no\"}");
+      cluster_post_json (cluster, desk->port, "/control", "{\"die\":\"no\"}");
       break;
     case SERVICE_DIES:
-      cluster_fault (cluster, desk->port, "/control", "{\"die\":\"exit\"}");
+      cluster_post_json (cluster, desk->port, "/control",
+                         "{\"die\":\"exit\"}");
       proc_wait (desk->proc, WAIT_MS);
       harness_sleep_ms (300);
       proc_restart (desk->proc);
       break;
     case STORE_LOSES_REPLIES:
-      cluster_fault (cluster, cluster->platform_port, "/faults",
-                     "{\"lost_reply_share\":0.5}");
+      cluster_post_json (cluster, cluster->platform_port, "/faults",
+                         "{\"lost_reply_share\":0.5}");
       harness_sleep_ms (2000);
-      cluster_fault (cluster, cluster->platform_port, "/faults",
-                     "{\"lost_reply_share\":0}");
+      cluster_post_json (cluster, cluster->platform_port, "/faults",
+                         "{\"lost_reply_share\":0}");
       break;
     case ONCE_FAULTS:
       break;
@@ -716,7 +721,7 @@
                                       .service_arg = "--delay-ms=20" };
 
   start_cluster (&options);
-  load_options_t load = service_load ();
+  loadgen_options_t load = service_load ();
   runner = runner_start (&load);
   for (int round = 0; round < 2; round++)
     {
@@ -744,17 +749,18 @@
 
   start_cluster (&options);
   engine = upstream ("small-2");
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   runner = runner_start (&load);
   load_for (500);
   if (_i == 0)
-    cluster_list_upstream (cluster, engine, "leaving");
+    cluster_set_upstream_state (cluster, engine, "leaving");
   else
     proc_signal (engine->sidecar, SIGTERM);
   harness_sleep_ms (FEW_SECONDS_MS);
-  json_int_t before = cluster_stat (cluster, engine->port, "total");
+  json_int_t before = cluster_read_stat (cluster, engine->port, "total");
   load_for (SETTLE_MS);
-  ck_assert_int_eq (cluster_stat (cluster, engine->port, "total"), before);
+  ck_assert_int_eq (cluster_read_stat (cluster, engine->port, "total"),
+                    before);
   check_all_whole ();
   passed = true;
 }
@@ -772,7 +778,7 @@
                                       .engine_args = { "--token-ms=20" } };
 
   start_cluster (&options);
-  load_options_t load = chat_load ();
+  loadgen_options_t load = chat_load ();
   load.max_tokens = 50;
   load.service_share = 0.3;
   load.service = STR (CLUSTER_SERVICE);
@@ -820,9 +826,9 @@
             = &cluster->upstreams[is_entry ? 0 : i - cluster->entry_count];
         proc_t *proc = is_entry ? cluster->entries[i].proc : up->sidecar;
         uint16_t admin = is_entry ? cluster->entries[i].admin : up->admin;
-        if (!proc_running (proc))
+        if (!proc_is_running (proc))
           continue;
-        uint64_t now = cluster_revision_at (cluster, admin);
+        uint64_t now = cluster_read_revision (cluster, admin);
         /* 0: it has only just started and has none in force yet.  */
         ck_assert_msg (now >= seen[i] || now == 0,
                        "%s went from %" PRIu64 " to %" PRIu64,
@@ -846,18 +852,18 @@
 
   start_cluster (&options);
   uint64_t old = cluster->revision;
-  ck_assert (
-      cluster_edit (cluster, "version draft-small@4", "state", "withdrawn"));
+  ck_assert (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                            "state", "withdrawn"));
   uint64_t began = harness_now_ms ();
   ck_assert_uint_gt (cluster->revision, old);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), FEW_SECONDS_MS);
   printf ("in force everywhere after %" PRIu64 " ms\n",
           harness_now_ms () - began);
   ck_assert_int_eq (
       cluster_apply (cluster, 1, cluster->lists.ptr, old, &beaten), 409);
   watch_revisions (seen, 200);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"outage\":\"silent\"}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"outage\":\"silent\"}"));
   proc_kill (cluster->entries[2].proc);
   proc_kill (upstream ("small-1")->sidecar);
   proc_restart (cluster->entries[2].proc);
@@ -867,16 +873,16 @@
                     503);
   watch_revisions (seen, 2000);
   /* Started during the outage, they learn it from their peers.  */
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), WAIT_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), WAIT_MS);
   check_chat_refused (2, ASK ("draft-small@4", ""), 409, VH_E_WITHDRAWN);
-  ck_assert (cluster_fault (cluster, cluster->platform_port, "/faults",
-                            "{\"outage\":\"none\"}"));
+  ck_assert (cluster_post_json (cluster, cluster->platform_port, "/faults",
+                                "{\"outage\":\"none\"}"));
   bool held;
-  WAIT_UNTIL (
-      cluster_edit (cluster, "version draft-small@4", "state", "serving"),
-      WAIT_MS, &held);
+  WAIT_UNTIL (cluster_set_configuration_key (cluster, "version draft-small@4",
+                                             "state", "serving"),
+              WAIT_MS, &held);
   ck_assert (held);
-  WAIT_FOR (cluster_in_force (cluster, cluster->revision), FEW_SECONDS_MS);
+  WAIT_FOR (cluster_has_revision (cluster, cluster->revision), FEW_SECONDS_MS);
   watch_revisions (seen, 500);
   passed = true;
 }
--- a/tests/test_quality.c
+++ b/tests/test_quality.c
@@ -57,7 +57,7 @@
 START_TEST (posterior_is_prior_without_ratings)
 {
   quality_t *q = make_quality (1);
-  quality_bound_t b
+  quality_posterior_t b
       = quality_estimate (q, STR ("draft"), STR ("small@1"), 0.7, START_MS);
 
   ck_assert_double_eq_tol (b.mean, 0.7, 1e-9);
@@ -95,7 +95,7 @@
             }
           /* Only the average of the priors over all seeds is correct.  */
           double prior = 0.55 + 0.4 * rng_double (&rng);
-          quality_bound_t b = quality_posterior (
+          quality_posterior_t b = quality_posterior (
               counts[c], sum, squares, prior, QUALITY_PRIOR_VARIANCE);
           missed += b.lower > 0.75;
         }
@@ -138,17 +138,18 @@
 
   for (int i = 0; i < 400; i++)
     quality_add_rating (q, task, version, rating_near (&rng, 0.9), START_MS);
-  quality_bound_t before = quality_estimate (q, task, version, 0.6, START_MS);
+  quality_posterior_t before
+      = quality_estimate (q, task, version, 0.6, START_MS);
   double width = before.mean - before.lower;
   for (int hour = 6; hour <= 23; hour += 6)
     {
-      quality_bound_t b = quality_estimate (
+      quality_posterior_t b = quality_estimate (
           q, task, version, 0.6, START_MS + (uint64_t)hour * HOUR_MS);
       ck_assert_double_gt (b.mean - b.lower, width * 1.2);
       ck_assert_double_eq_tol (b.mean, before.mean, 0.06);
       width = b.mean - b.lower;
     }
-  quality_bound_t forgotten
+  quality_posterior_t forgotten
       = quality_estimate (q, task, version, 0.6, START_MS + 30 * HOUR_MS);
   ck_assert_double_eq (forgotten.weight, 0);
   ck_assert_double_eq_tol (forgotten.mean, 0.6, 1e-9);
@@ -174,7 +175,8 @@
   for (int half_hour = 0; half_hour < 2; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 300; i++)
       quality_add_rating (q, task, version, 0, now);
-  quality_bound_t during_fault = quality_estimate (q, task, version, 0.6, now);
+  quality_posterior_t during_fault
+      = quality_estimate (q, task, version, 0.6, now);
   ck_assert_double_gt (during_fault.mean, 0.9 - QUALITY_CLIP_DISTANCE);
   for (int half_hour = 0; half_hour < 12; half_hour++, now += HOUR_MS / 2)
     for (int i = 0; i < 60; i++)
@@ -194,7 +196,7 @@
   ck_assert (!quality_add_rating (q, task, version, NAN, START_MS));
   ck_assert (quality_add_rating (q, task, version, 1e12, START_MS));
   ck_assert (quality_add_rating (q, task, version, -INFINITY, START_MS));
-  quality_bound_t b = quality_estimate (q, task, version, 0.5, START_MS);
+  quality_posterior_t b = quality_estimate (q, task, version, 0.5, START_MS);
   ck_assert_double_eq_tol (b.mean, 0.5, 1e-6);
   quality_destroy (q);
 }
@@ -245,8 +247,8 @@
       for (int m = MESSAGES - 1; m >= 0; m--)
         quality_merge (shuffled, buf_str (&messages[m]), START_MS);
       ck_assert (same_state (ordered, shuffled));
-      quality_bound_t b = quality_estimate (shuffled, STR ("draft"),
-                                            STR ("small@1"), 0.5, START_MS);
+      quality_posterior_t b = quality_estimate (
+          shuffled, STR ("draft"), STR ("small@1"), 0.5, START_MS);
       ck_assert_double_eq_tol (b.weight, count, 1e-9);
       ck_assert_double_eq_tol (b.mean,
                                (sum + 0.5 * QUALITY_PRIOR_WEIGHT)
@@ -287,7 +289,7 @@
   send_state (b, false, a, later);
   ck_assert (same_state (a, b));
   ck_assert (same_state (b, c));
-  quality_bound_t bound
+  quality_posterior_t bound
       = quality_estimate (c, STR ("draft"), STR ("small@1"), 0.7, START_MS);
   ck_assert_double_eq_tol (bound.weight, 200, 1e-9);
   ck_assert_double_eq_tol (bound.mean, 0.7, 1e-6);
--- a/tests/test_standins.c
+++ b/tests/test_standins.c
@@ -41,7 +41,7 @@
 {
   char listen[40];
 
-  *port = harness_port (harness);
+  *port = harness_find_free_port (harness);
   snprintf (listen, sizeof listen, "--listen=%s:%u", harness_host (harness),
             *port);
   proc_t *proc
@@ -224,7 +224,7 @@
 START_TEST (service_counts_outlive_it)
 {
   uint16_t port;
-  const char *counts = harness_path (harness, "counts");
+  const char *counts = harness_file_path (harness, "counts");
   char option[300];
 
   snprintf (option, sizeof option, "--count-file=%s", counts);
@@ -261,7 +261,7 @@
   char at[40];
   char controls[40];
 
-  *control_port = harness_port (harness);
+  *control_port = harness_find_free_port (harness);
   snprintf (at, sizeof at, "--target=%s:%u", harness_host (harness), target);
   snprintf (controls, sizeof controls, "--control=%s:%u",
             harness_host (harness), *control_port);
@@ -348,7 +348,7 @@
   ck_assert_int_eq (proc_wait (client, WAIT_MS), 0);
   answer_t answer = answer_make (STR ("draft@3"), 0.8, STR ("user\nhi\n"), 4);
   buf_t text = BUF_NULL;
-  answer_text (&answer, &text);
+  answer_append_text (&answer, &text);
   ck_assert (answer_matches (&answer, buf_str (&text)));
   text.ptr[text.len - 1] ^= 1;
   ck_assert (!answer_matches (&answer, buf_str (&text)));
@@ -374,7 +374,7 @@
       = harness_start (harness, "client", "tests/standin_client", target,
                        "--requests=20", "--service=x", NULL);
   ck_assert_int_eq (proc_wait (client, WAIT_MS), 0);
-  proc_output (client, false, &said);
+  proc_read_output (client, false, &said);
   ck_assert_ptr_nonnull (memmem (said.ptr, said.len, "whole 0\n", 8));
   ck_assert_ptr_nonnull (
       memmem (said.ptr, said.len, "end upstream_cut 20\n", 20));
--- a/tests/test_tls.c
+++ b/tests/test_tls.c
@@ -46,7 +46,7 @@
   char *text;
   long len = BIO_get_mem_data (bio, &text);
   const char *path
-      = harness_write (harness, name, str_make (text, (size_t)len));
+      = harness_write_file (harness, name, str_make (text, (size_t)len));
 
   BIO_free (bio);
   return path;
@@ -117,8 +117,8 @@
    request must be answered while the two files are being replaced.  */
 START_TEST (renewed_certificate_is_loaded)
 {
-  uint16_t port = harness_port (harness);
-  uint16_t admin = harness_port (harness);
+  uint16_t port = harness_find_free_port (harness);
+  uint16_t admin = harness_find_free_port (harness);
   const char *host = harness_host (harness);
   const char *cert, *key;
   char name[64];
@@ -133,7 +133,7 @@
               "[upstream r]\nupstream = %s:1\nserves = m@1\n",
               host, admin, host, port, cert, key, host);
   const char *settings
-      = harness_write (harness, "standalone.ini", buf_str (&text));
+      = harness_write_file (harness, "standalone.ini", buf_str (&text));
   buf_free (&text);
   proc_t *daemon = harness_start (harness, "standalone", "bin/vanillahookd",
                                   "--settings", settings, NULL);
@@ -148,7 +148,7 @@
       harness_sleep_ms (STEP_MS);
     }
   ck_assert_str_eq (name, "two");
-  ck_assert (proc_running (daemon));
+  ck_assert (proc_is_running (daemon));
   passed = true;
 }
 END_TEST
