--- a/packages/gateway/catalog.c
+++ b/packages/gateway/catalog.c
@@ -14,7 +14,7 @@
 
 struct catalog
 {
-  unsigned refs;
+  unsigned ref_count;
   uint64_t revision;
   client_limits_t limits;
   map_t *services;
@@ -51,7 +51,7 @@
 {
   catalog_t *catalog = mem_zalloc (sizeof *catalog);
 
-  catalog->refs = 1;
+  catalog->ref_count = 1;
   catalog->revision = revision;
   catalog->services = map_create ();
   catalog->routes = map_create ();
@@ -63,13 +63,13 @@
 void
 catalog_ref (catalog_t *catalog)
 {
-  catalog->refs++;
+  catalog->ref_count++;
 }
 
 void
 catalog_unref (catalog_t *catalog)
 {
-  if (catalog == NULL || --catalog->refs > 0)
+  if (catalog == NULL || --catalog->ref_count > 0)
     return;
   map_destroy (catalog->services);
   map_destroy (catalog->routes);
@@ -115,16 +115,16 @@
   buf_t key = BUF_NULL;
   vh_code_t code = VH_E_BAD_CONFIG;
 
-  append_route_key (&key, route->host, route->prefix);
+  append_route_key (&key, route->host, route->path_prefix);
   if (map_get (catalog->routes, buf_str (&key)) != NULL)
     goto done;
   route_t *copy = alloc_owned (catalog, sizeof *copy);
   *copy = *route;
   copy->name = copy_str (catalog, route->name);
   copy->host = copy_str (catalog, route->host);
-  copy->prefix = copy_str (catalog, route->prefix);
-  for (size_t i = 0; i < copy->split_count; i++)
-    copy->splits[i].service = copy_str (catalog, copy->splits[i].service);
+  copy->path_prefix = copy_str (catalog, route->path_prefix);
+  for (size_t i = 0; i < copy->service_count; i++)
+    copy->services[i].service = copy_str (catalog, copy->services[i].service);
   for (size_t i = 0; i < copy->model_count; i++)
     copy->models[i] = copy_str (catalog, copy->models[i]);
   map_put (catalog->routes, buf_str (&key), copy);
--- a/packages/gateway/storesync.c
+++ b/packages/gateway/storesync.c
@@ -21,8 +21,8 @@
   /* Longest time that the store holds a watch call for ROWS_OPERATOR.  A
      revoked key must be refused within seconds, and a confirmation gets as old
      as two such waits and a timeout.  */
-  ORDERS_WAIT_MS = 1500,
-  ORDERS_TIMEOUT_SLACK_MS = 500,
+  OPERATOR_ROWS_WAIT_MS = 1500,
+  OPERATOR_ROWS_TIMEOUT_SLACK_MS = 500,
   /* Longest time that the store holds a watch call for ROWS_INSTANCES.  The
      store reports a removed instance at once, so this wait only limits the
      time until a dead connection is detected.  */
@@ -38,11 +38,12 @@
   SHARED_TIMEOUT_SLACK_MS = 1000,
   SHARED_CALL_GAP_MS = 150,
   /* Longest retry delay for tables other than ROWS_OPERATOR.  In an outage
-     only the calls for ROWS_OPERATOR probe the store: 22 gateways that retried
-     all three tables made 120 calls a second.  */
+     only the calls for ROWS_OPERATOR probe the store: if 22 gateways retried
+     all three tables, they would make 120 calls a second.  */
   OTHER_TABLES_RETRY_MAX_MS = 4000,
-  /* Delay before a failed registration is repeated.  A gateway that is not
-     registered only lacks its part of the limits that gateways share.  */
+  /* Delay before a failed registration is repeated.  Until then this gateway
+     processes requests, but is not counted when the shared limits are
+     divided.  */
   REGISTRATION_RETRY_MS = 2000
 };
 
@@ -54,8 +55,8 @@
   loader_t *loader;
   table_sync_t *instances_sync;
   table_sync_t *shared_rows_sync;
-  uv_timer_t tick;
-  uint64_t ticks;
+  uv_timer_t tick_timer;
+  uint64_t tick_count;
   bool has_read_shared_rows; /* The shared rows were read at least once.  */
   bool has_read_instances;   /* The instances were read at least once.  */
   /* The last write of this gateway's registration succeeded.  */
@@ -75,8 +76,9 @@
 
 /* Rows written by operators (ROWS_OPERATOR).  */
 
-/* Put the parsed configuration in force, whose text had LEN bytes.  Called by
-   the loader.  */
+/* Put CATALOG in force if its revision is newer than the one in force.  CODE
+   is the result of parsing the configuration text, whose length is LEN
+   bytes.  Called by the loader.  */
 static void
 on_catalog (void *arg, vh_code_t code, catalog_t *catalog, size_t len)
 {
@@ -84,8 +86,8 @@
   gateway_state_t *state = sync->state;
   uint64_t parse_ms = gateway_config_load_elapsed_ms (state);
 
-  /* While a newer configuration waits to be parsed, the confirmation of the
-     keys in force continues to age.  */
+  /* While a newer configuration waits to be parsed, keep the start time, so
+     that the load time includes the wait.  */
   if (!loader_is_busy (sync->loader))
     state->config_load_started_ms = 0;
   if (code != VH_OK)
@@ -111,8 +113,8 @@
   state->catalog = catalog;
 }
 
-/* Parse the configuration in ROW.  Until the parsing ends, the confirmation of
-   the configuration in force ages from the time at which ROW was read.  */
+/* Parse the configuration in ROW.  The load time starts now, unless an earlier
+   configuration is still being parsed.  */
 static void
 parse_catalog (store_sync_t *sync, const rows_row_t *row)
 {
@@ -162,7 +164,7 @@
   pool_set_zone_disabled (sync->state->pool, name, false);
 }
 
-/* Instances.  */
+/* Registrations of upstream instances (ROWS_INSTANCES).  */
 
 static void
 on_instance_put (void *arg, const rows_row_t *row)
@@ -230,10 +232,10 @@
 /* Record that the store stopped replying to calls for a table (IS_DOWN) or
    replies again.  Registrations that expired during an outage are kept for
    gateway_options_t.expired_registration_grace_ms from the first reply for any
-   table. The reply for ROWS_INSTANCES may arrive seconds after that for
-   ROWS_OPERATOR, if the call hung on a broken connection.  When the grace
-   period counted from the reply for ROWS_INSTANCES, an instance that had
-   stopped 13 s before got a request.  */
+   table.  The reply for ROWS_INSTANCES may arrive seconds after that for
+   ROWS_OPERATOR, if the call hung on a broken connection.  If the grace period
+   counted from the reply for ROWS_INSTANCES, an instance that stopped 13 s
+   before could get a request.  */
 static void
 record_reachability (store_sync_t *sync, bool is_down)
 {
@@ -336,7 +338,7 @@
   divide_limits (sync);
 }
 
-/* Registration of this gateway, and the timer.  */
+/* Registration of this gateway, and the periodic tick.  */
 
 static void
 on_registration_written (void *arg, vh_code_t code,
@@ -383,7 +385,7 @@
 {
   store_sync_t *sync = timer->data;
   gateway_state_t *state = sync->state;
-  bool has_second_elapsed = ++sync->ticks % TICKS_PER_S == 0;
+  bool has_second_elapsed = ++sync->tick_count % TICKS_PER_S == 0;
 
   if (state->stopping_ms != 0 || !sync->has_read_shared_rows)
     return;
@@ -397,8 +399,8 @@
 
 /* Start of the synchronisation of each table, and its end.  */
 
-/* Start to synchronise the instances after the first read of ROWS_OPERATOR. If
-   the requests for roll-outs were not known yet, instances of a new version
+/* Start to synchronise the instances after the first read of ROWS_OPERATOR.
+   If the requests for roll-outs were not known yet, instances of a new version
    would be treated as those of the old version.  */
 static void
 on_operator_rows_synced (void *arg, bool is_full_read)
@@ -441,12 +443,12 @@
 store_sync_create (gateway_state_t *state, rows_t *rows,
                    peer_rows_t *peer_rows)
 {
-  static const table_sync_options_t orders
+  static const table_sync_options_t operator_rows
       = { .table = ROWS_OPERATOR,
           .name = "orders",
-          .wait_ms = ORDERS_WAIT_MS,
-          .timeout_slack_ms = ORDERS_TIMEOUT_SLACK_MS };
-  static const table_sync_events_t order_events
+          .wait_ms = OPERATOR_ROWS_WAIT_MS,
+          .timeout_slack_ms = OPERATOR_ROWS_TIMEOUT_SLACK_MS };
+  static const table_sync_events_t operator_events
       = { on_operator_row_put, on_operator_row_removed,
           on_operator_rows_synced, on_operator_rows_reachability };
   static const table_sync_options_t shared_rows
@@ -466,18 +468,18 @@
   sync->rollouts = rollouts_create (state, rows, peer_rows);
   sync->loader = loader_create (state->loop, state->dialect->read_catalog,
                                 on_catalog, sync);
-  state->operator_rows_sync = table_sync_create (state->loop, state->clock,
-                                                 rows, rng_u64 (&state->rng),
-                                                 &orders, &order_events, sync);
+  state->operator_rows_sync = table_sync_create (
+      state->loop, state->clock, rows, rng_u64 (&state->rng), &operator_rows,
+      &operator_events, sync);
   /* Read at the same time as ROWS_OPERATOR: this table lists the gateways, one
      of which is the reader through which ROWS_OPERATOR is read.  */
   sync->shared_rows_sync = table_sync_create (
       state->loop, state->clock, rows, rng_u64 (&state->rng), &shared_rows,
       &shared_events, sync);
-  uv_timer_init (state->loop, &sync->tick);
-  sync->tick.data = sync;
-  uv_timer_start (&sync->tick, on_tick, rng_below (&state->rng, TICK_MS) + 1,
-                  TICK_MS);
+  uv_timer_init (state->loop, &sync->tick_timer);
+  sync->tick_timer.data = sync;
+  uv_timer_start (&sync->tick_timer, on_tick,
+                  rng_below (&state->rng, TICK_MS) + 1, TICK_MS);
   return sync;
 }
 
@@ -508,5 +510,5 @@
   table_sync_destroy (sync->shared_rows_sync);
   rollouts_destroy (sync->rollouts);
   sync->rows->ops->cancel (sync->rows, sync);
-  uv_close ((uv_handle_t *)&sync->tick, on_tick_closed);
+  uv_close ((uv_handle_t *)&sync->tick_timer, on_tick_closed);
 }
