--- a/packages/base/code.h
+++ b/packages/base/code.h
@@ -125,7 +125,8 @@
    not in the table.  */
 const code_info_t *code_info (vh_code_t code);
 /* Append the JSON error object for CODE that API clients receive.  OUTCOME is
-   "not-run" or "unknown".  */
+   "not-run" if the request was certainly not executed, or "unknown" if it may
+   have been.  */
 void code_write_error (vh_code_t code, const char *outcome, buf_t *out);
 /* Return entry INDEX of the table, or NULL past the end.  */
 const code_info_t *code_info_at (size_t index);
--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -70,7 +70,7 @@
   const char *values[OPTION_COUNT]; /* NULL for flags and absent options.  */
   uint64_t if_revision;
   uint64_t timeout_ms;
-  uint64_t limit;
+  uint64_t revision_limit;
   char *key; /* The operators' key; NULL if none was provided.  */
 } cli_t;
 
--- a/packages/cli/edits.c
+++ b/packages/cli/edits.c
@@ -123,8 +123,8 @@
 /* Set the state of the zone or instance named on the command line.  KIND is
    the section's kind.  */
 static cli_exit_code_t
-edit_state (change_t *change, const configuration_t *current, buf_t *text,
-            const char *kind)
+edit_section_state (change_t *change, const configuration_t *current,
+                    buf_t *text, const char *kind)
 {
   str_t action = str_from (change->cli->operands[0]);
   str_t name = str_from (change->cli->operands[1]);
@@ -140,13 +140,13 @@
 static cli_exit_code_t
 edit_zone (change_t *change, const configuration_t *current, buf_t *text)
 {
-  return edit_state (change, current, text, "availability-zone");
+  return edit_section_state (change, current, text, "availability-zone");
 }
 
 static cli_exit_code_t
 edit_instance (change_t *change, const configuration_t *current, buf_t *text)
 {
-  return edit_state (change, current, text, "instance");
+  return edit_section_state (change, current, text, "instance");
 }
 
 static cli_exit_code_t
--- a/packages/cli/options.c
+++ b/packages/cli/options.c
@@ -288,7 +288,7 @@
 
   *code = CLI_USAGE_ERROR;
   cli->timeout_ms = WAIT_TIMEOUT_DEFAULT_MS;
-  cli->limit = HISTORY_LIMIT_DEFAULT;
+  cli->revision_limit = HISTORY_LIMIT_DEFAULT;
   parser_init (&parser, cli->verb);
   int errors = arg_parse (argc, argv, parser.table);
   if (!copy_values (cli, &parser))
@@ -311,7 +311,7 @@
              && parse_number_option (cli, OPTION_TIMEOUT_MS,
                                      WAIT_TIMEOUT_MAX_MS, &cli->timeout_ms)
              && parse_number_option (cli, OPTION_LIMIT, HISTORY_LIMIT_MAX,
-                                     &cli->limit);
+                                     &cli->revision_limit);
   if (is_valid && (cli->verb->options >> OPTION_ENTRY & 1) != 0)
     is_valid = (cli->entry_count > 0 || add_default_entries (cli))
                && load_key (cli);
--- a/packages/cli/report.c
+++ b/packages/cli/report.c
@@ -11,27 +11,27 @@
 
 /* Write today's date in UTC as YYYY-MM-DD.  */
 static void
-write_today (char *day, size_t size)
+write_today (char *date, size_t size)
 {
   time_t now = time (NULL);
   struct tm utc;
 
   gmtime_r (&now, &utc);
-  strftime (day, size, "%Y-%m-%d", &utc);
+  strftime (date, size, "%Y-%m-%d", &utc);
 }
 
-/* Return whether DAY is a date of the form YYYY-MM-DD.  */
+/* Return whether DATE is a date of the form YYYY-MM-DD.  */
 static bool
-is_valid_day (const char *day)
+is_valid_date (const char *date)
 {
   struct tm parsed = { 0 };
-  const char *end = strptime (day, "%Y-%m-%d", &parsed);
+  const char *end = strptime (date, "%Y-%m-%d", &parsed);
 
-  return strlen (day) == 10 && end != NULL && *end == '\0';
+  return strlen (date) == 10 && end != NULL && *end == '\0';
 }
 
 static void
-print_bill (const json_t *rows, const char *day)
+print_bill (const json_t *rows, const char *date)
 {
   const json_t *row;
   size_t index;
@@ -67,7 +67,7 @@
   table_add_cell (&table, "%llu", (unsigned long long)requests);
   table_add_cell (&table, "%llu", (unsigned long long)tokens);
   table_add_cell (&table, "%.3f", cost);
-  printf ("bill of %s\n\n", day);
+  printf ("bill of %s\n\n", date);
   table_print (&table);
   table_free (&table);
 }
@@ -76,25 +76,25 @@
 run_bill (cli_t *cli)
 {
   char today[DAY_BYTES];
-  const char *day = cli->values[OPTION_DAY];
+  const char *date = cli->values[OPTION_DAY];
   buf_t path = BUF_NULL;
   reply_t reply;
 
   write_today (today, sizeof today);
-  if (day == NULL)
-    day = today;
-  if (!is_valid_day (day))
+  if (date == NULL)
+    date = today;
+  if (!is_valid_date (date))
     {
-      cli_print_error ("--day cannot be `%s' (write YYYY-MM-DD)", day);
+      cli_print_error ("--day cannot be `%s' (write YYYY-MM-DD)", date);
       return CLI_USAGE_ERROR;
     }
   client_t *client = client_create (cli);
-  buf_printf (&path, "/admin/report/bill?day=%s", day);
+  buf_printf (&path, "/admin/report/bill?day=%s", date);
   cli_exit_code_t code = client_get (client, path.ptr, &reply);
   if (code == CLI_OK && cli->has_option[OPTION_JSON])
     reply_print (&reply);
   else if (code == CLI_OK)
-    print_bill (reply.json, day);
+    print_bill (reply.json, date);
   reply_free (&reply);
   client_destroy (client);
   buf_free (&path);
--- a/packages/cli/status.c
+++ b/packages/cli/status.c
@@ -11,7 +11,7 @@
   str_t zone;
   str_t state;
   size_t processes;
-  size_t live;
+  size_t live_processes;
   size_t lagging;
   uint64_t in_flight;
   uint64_t limit;
@@ -107,7 +107,7 @@
       item = status->peers[i];
       zone_load_t *zone = status_get_zone (status, json_str (item, "zone"));
       zone->processes++;
-      zone->live += str_eq (json_str (item, "state"), STR ("live"));
+      zone->live_processes += str_eq (json_str (item, "state"), STR ("live"));
       zone->lagging += json_u64 (item, "revision") < status->revision;
       zone->in_flight += json_u64 (item, "in_flight");
       zone->limit += json_u64 (item, "limit");
@@ -205,7 +205,7 @@
       table_add_cell (&table, "%.*s", STR_ARG (zone->zone));
       table_add_cell (&table, "%.*s", STR_ARG (zone->state));
       table_add_cell (&table, "%zu", zone->processes);
-      table_add_cell (&table, "%zu", zone->live);
+      table_add_cell (&table, "%zu", zone->live_processes);
       table_add_cell (&table, "%zu", zone->lagging);
       add_load_cell (&table, zone->in_flight, zone->limit);
       table_add_cell (&table, "%llu", (unsigned long long)zone->queue);
--- a/packages/cli/view.c
+++ b/packages/cli/view.c
@@ -96,7 +96,7 @@
   size_t index;
 
   buf_printf (&path, "/admin/history?limit=%llu",
-              (unsigned long long)cli->limit);
+              (unsigned long long)cli->revision_limit);
   cli_exit_code_t code = client_get (client, path.ptr, &reply);
   if (code == CLI_OK && cli->has_option[OPTION_JSON])
     reply_print (&reply);
--- a/packages/conf/settings.c
+++ b/packages/conf/settings.c
@@ -335,9 +335,10 @@
   pub->extra_send_window_s = 10;
   pub->cold_factor = 1;
   pub->rollout_share_max = 0.1;
-  /* The users pay for a good response of rank 0, 1 and 2, respectively, 0.45
-     to 0.56, 0.25 to 0.28 and 0.14 to 0.17 for 1,000 units of size; three
-     tenths of that if it is late and a twentieth if it is poor.  */
+  /* For 1,000 units of size, the users pay 0.45 to 0.56 for a good response of
+     rank 0, 0.25 to 0.28 for rank 1 and 0.14 to 0.17 for rank 2.  A late
+     response is paid at 30% of the price of a good response of the same rank,
+     and a poor response at 5%.  */
   pub->good_answer_value = 0.55;
   pub->value_factor_per_rank = 0.5;
   pub->late_value_share = 0.3;
--- a/packages/conf/settings.h
+++ b/packages/conf/settings.h
@@ -87,7 +87,8 @@
   uint64_t response_retention_ms;
   /* Largest total size of the kept responses.  */
   uint64_t retained_bytes_max;
-  /* Time without data from the upstream after which a request fails.  */
+  /* Time without data from the upstream after which a request fails, in
+     ms.  */
   uint64_t upstream_timeout_ms;
 } upstream_settings_t;
 
--- a/packages/control/claims.h
+++ b/packages/control/claims.h
@@ -24,8 +24,8 @@
    that claim.  The caller still gets VH_E_STORE_LATE, because the store could
    not say whether an earlier submission has claimed the id.  The process
    continues to resolve the transaction; if the row was written, the process
-   marks the row as abandoned, and any process may then take the row over on
-   the condition that its version is unchanged.  */
+   writes into the row that the claim is abandoned, and any process may then
+   take the row over on the condition that its version is unchanged.  */
 
 #ifndef CONTROL_CLAIMS_H
 #define CONTROL_CLAIMS_H
@@ -75,9 +75,10 @@
 /* Claim the request ID; CB is called within about TIMEOUT_MS.  */
 void claims_acquire (claims_t *claims, str_t id, uint64_t timeout_ms,
                      claims_cb_t cb, void *arg);
-/* Record OUTCOME for ID, which this process must hold.  The write is retried
-   until the store has accepted it.  Return VH_OK, VH_E_NOT_FOUND if this
-   process does not hold ID, or VH_E_FULL if the write queue is full.  */
+/* Record OUTCOME, the result of the request as JSON text, for ID, which this
+   process must hold.  The write is retried until the store has accepted it.
+   Return VH_OK, VH_E_NOT_FOUND if this process does not hold ID, or VH_E_FULL
+   if the write queue is full.  */
 vh_code_t claims_record_outcome (claims_t *claims, str_t id, str_t outcome);
 /* Release the claim on ID, whose request was never dispatched, so that other
    processes may claim ID.  The return values are those of
--- a/packages/control/confstore.c
+++ b/packages/control/confstore.c
@@ -59,7 +59,7 @@
 {
   list_t link;
   confstore_t *conf;
-  size_t limit;
+  size_t revision_limit;
   confstore_history_cb_t cb;
   void *arg;
 } history_t;
@@ -667,20 +667,21 @@
     }
   store_scan (history->conf->store, DELTA_PREFIX,
               make_key (key, "delta",
-                        head_revision > history->limit
-                            ? head_revision - history->limit
+                        head_revision > history->revision_limit
+                            ? head_revision - history->revision_limit
                             : 0),
-              history->limit, on_history_rows, history);
+              history->revision_limit, on_history_rows, history);
 }
 
 void
-confstore_history (confstore_t *conf, size_t limit, confstore_history_cb_t cb,
-                   void *arg)
+confstore_history (confstore_t *conf, size_t revision_limit,
+                   confstore_history_cb_t cb, void *arg)
 {
   history_t *history = mem_zalloc (sizeof *history);
 
   history->conf = conf;
-  history->limit = limit < HISTORY_MAX ? limit : HISTORY_MAX;
+  history->revision_limit
+      = revision_limit < HISTORY_MAX ? revision_limit : HISTORY_MAX;
   history->cb = cb;
   history->arg = arg;
   list_append (&conf->histories, &history->link);
--- a/packages/control/confstore.h
+++ b/packages/control/confstore.h
@@ -79,8 +79,8 @@
 void confstore_apply (confstore_t *conf, str_t text, str_t who,
                       uint64_t if_revision, confstore_apply_cb_t cb,
                       void *arg);
-/* Read the last LIMIT changes.  */
-void confstore_history (confstore_t *conf, size_t limit,
+/* Read the last REVISION_LIMIT changes.  */
+void confstore_history (confstore_t *conf, size_t revision_limit,
                         confstore_history_cb_t cb, void *arg);
 
 /* Handle TEXT, which a peer sent as REVISION.  Return true if it became the
--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -73,7 +73,7 @@
 typedef struct
 {
   bool is_step_pending;
-  uint64_t next_step_ms;
+  uint64_t next_compaction_step_ms;
   uint64_t days_back; /* Day to compact, in days before today.  */
   buf_t last_key;
   size_t rows_to_remove; /* Number of rows that the pending transaction
@@ -751,13 +751,14 @@
   buf_t prefix = BUF_NULL;
 
   if (ledger->options.lease == NULL || compaction->is_step_pending
-      || now < compaction->next_step_ms
+      || now < compaction->next_compaction_step_ms
       || !lease_is_held (ledger->options.lease))
     return;
   compaction->is_step_pending = true;
-  compaction->next_step_ms = now + ledger->options.compact_interval_ms;
+  compaction->next_compaction_step_ms
+      = now + ledger->options.compact_interval_ms;
   if (compaction->idle_steps >= IDLE_STEPS)
-    compaction->next_step_ms
+    compaction->next_compaction_step_ms
         += ledger->options.compact_interval_ms * IDLE_INTERVAL_FACTOR;
   format_day (day, clock_realtime_ms (ledger->env.clock)
                        - compaction->days_back * DAY_S * 1000ull);
--- a/packages/storage/json.h
+++ b/packages/storage/json.h
@@ -1,5 +1,5 @@
-/* JSON encoding of rows, transactions and instances, as specified in
-   docs/PLATFORM-CONTRACT.md; used by the HTTP client and by the tests'
+/* JSON encoding and decoding of rows, transactions and instances, as specified
+   in docs/PLATFORM-CONTRACT.md; used by the HTTP client and by the tests'
    stand-in server.  */
 
 #ifndef STORAGE_JSON_H
--- a/packages/wire/deflate.h
+++ b/packages/wire/deflate.h
@@ -1,4 +1,4 @@
-/* Compression of texts that entries send to each other.  */
+/* Compression and decompression of texts that entries send to each other.  */
 
 #ifndef WIRE_DEFLATE_H
 #define WIRE_DEFLATE_H
--- a/packages/wire/http_exchange.h
+++ b/packages/wire/http_exchange.h
@@ -1,11 +1,11 @@
 /* One HTTP/1.1 request and its response on a connection of their own.
 
-   The server may have closed an idle connection, stopped responding on it or
-   written to it.  A request sent on such a connection is lost, without any way
-   to know whether the server executed it, and bytes left from an earlier
-   response can be mistaken for the response.  A new connection for each
-   request excludes all of this; it costs one round trip and three system
-   calls.
+   Connections are not reused.  The server may close an idle connection, stop
+   responding on it or write to it.  A request sent on a reused connection may
+   then be lost, without any way to know whether the server executed it, and
+   bytes left from an earlier response can be mistaken for the response.  A new
+   connection for each request excludes all of this; it costs one round trip
+   and three system calls.
 
    Unlike httpc, this client distinguishes a response without a length that
    ended from one that was reset, and reports whether any byte of the request
@@ -57,7 +57,9 @@
 void http_exchange_cancel (http_exchange_t *exchange);
 /* Return whether the server may have received any byte of the request.  */
 bool http_exchange_was_sent (const http_exchange_t *exchange);
-/* Stop and restart reading, so that a slow reader slows the server down.  */
+/* Stop and restart reading from the server.  While reading is stopped, TCP
+   flow control limits the rate of a server whose response is consumed slowly.
+ */
 void http_exchange_pause (http_exchange_t *exchange);
 void http_exchange_resume (http_exchange_t *exchange);
 
--- a/packages/wire/httpd.c
+++ b/packages/wire/httpd.c
@@ -92,8 +92,8 @@
   h2o_req_t *h2o; /* NULL once h2o has released the request.  */
   disposal_guard_t *guard;
   buf_t pending;   /* Bytes not passed to h2o yet.  */
-  buf_t writing;   /* Bytes passed to h2o that the socket has not accepted.  */
-  bool is_writing; /* h2o is writing WRITING.  */
+  buf_t writing;   /* Bytes of the response that h2o is writing.  */
+  bool is_writing; /* h2o is writing the bytes of WRITING.  */
   bool started;
   bool is_last;  /* PENDING ends the response.  */
   bool aborted;  /* Aborted while h2o was writing.  */
--- a/packages/wire/rpc.h
+++ b/packages/wire/rpc.h
@@ -27,25 +27,27 @@
 /* X (procedure, argument type, result type, rpc_transfer_size_t: whether the
    call or the reply may take longer to transfer than the call's timeout).  */
 #define RPC_PROCS(X)                                                          \
-  X (WIRE_PING, wire_ping_args_t, wire_ping_res_t, RPC_SMALL)                 \
-  X (WIRE_SUBMIT, wire_submit_args_t, wire_answer_t, RPC_SMALL)               \
-  X (WIRE_FETCH, wire_fetch_args_t, wire_answer_t, RPC_SMALL)                 \
-  X (WIRE_CANCEL, wire_attempt_args_t, wire_code_res_t, RPC_SMALL)            \
-  X (WIRE_FENCE, wire_attempt_args_t, wire_code_res_t, RPC_SMALL)             \
-  X (WIRE_RECALL, wire_recall_args_t, wire_recall_res_t, RPC_SMALL)           \
+  X (WIRE_PING, wire_ping_args_t, wire_ping_res_t, RPC_TRANSFER_SMALL)        \
+  X (WIRE_SUBMIT, wire_submit_args_t, wire_answer_t, RPC_TRANSFER_SMALL)      \
+  X (WIRE_FETCH, wire_fetch_args_t, wire_answer_t, RPC_TRANSFER_SMALL)        \
+  X (WIRE_CANCEL, wire_attempt_args_t, wire_code_res_t, RPC_TRANSFER_SMALL)   \
+  X (WIRE_FENCE, wire_attempt_args_t, wire_code_res_t, RPC_TRANSFER_SMALL)    \
+  X (WIRE_RECALL, wire_recall_args_t, wire_recall_res_t, RPC_TRANSFER_SMALL)  \
   X (WIRE_CONFIG_PUSH, wire_config_push_args_t, wire_code_res_t,              \
-     RPC_LARGE_CALL)                                                          \
+     RPC_TRANSFER_LARGE_CALL)                                                 \
   X (WIRE_CONFIG_PULL, wire_config_pull_args_t, wire_config_pull_res_t,       \
-     RPC_LARGE_REPLY)                                                         \
+     RPC_TRANSFER_LARGE_REPLY)                                                \
   X (WIRE_BILLS_HOLD, wire_bills_hold_args_t, wire_code_res_t,                \
-     RPC_LARGE_CALL)                                                          \
-  X (WIRE_BILLS_DROP, wire_bills_drop_args_t, wire_code_res_t, RPC_SMALL)     \
+     RPC_TRANSFER_LARGE_CALL)                                                 \
+  X (WIRE_BILLS_DROP, wire_bills_drop_args_t, wire_code_res_t,                \
+     RPC_TRANSFER_SMALL)                                                      \
   X (WIRE_BILLS_TAKE, wire_bills_take_args_t, wire_bills_take_res_t,          \
-     RPC_LARGE_REPLY)                                                         \
-  X (WIRE_EVIDENCE, wire_evidence_args_t, wire_evidence_res_t, RPC_SMALL)     \
-  X (WIRE_ORDER, wire_order_args_t, wire_code_res_t, RPC_SMALL)               \
-  X (WIRE_STATUS, wire_attempt_args_t, wire_status_res_t, RPC_SMALL)          \
-  X (WIRE_ROWS, wire_rows_args_t, wire_rows_res_t, RPC_LARGE_REPLY)
+     RPC_TRANSFER_LARGE_REPLY)                                                \
+  X (WIRE_EVIDENCE, wire_evidence_args_t, wire_evidence_res_t,                \
+     RPC_TRANSFER_SMALL)                                                      \
+  X (WIRE_ORDER, wire_order_args_t, wire_code_res_t, RPC_TRANSFER_SMALL)      \
+  X (WIRE_STATUS, wire_attempt_args_t, wire_status_res_t, RPC_TRANSFER_SMALL) \
+  X (WIRE_ROWS, wire_rows_args_t, wire_rows_res_t, RPC_TRANSFER_LARGE_REPLY)
 
 typedef struct rpc_node rpc_node_t;
 typedef struct rpc_server rpc_server_t;
@@ -123,7 +125,7 @@
 /* Release REQUEST, which this process does not serve, without a reply.  */
 void rpc_drop (rpc_request_t *request);
 
-/* State of a peer as its last connections show it.  */
+/* State of a remote process, inferred from the latest connections to it.  */
 typedef enum
 {
   RPC_DOWN, /* Not connected yet, connecting failed, or connection lost.  */
--- a/packages/wire/rpccodec.c
+++ b/packages/wire/rpccodec.c
@@ -96,9 +96,9 @@
 }
 
 static void
-on_sweep (uv_timer_t *timer)
+on_peer_check_timer (uv_timer_t *timer)
 {
-  rpc_peers_sweep (timer->data);
+  rpc_peers_check (timer->data);
 }
 
 static void flush_streams (uv_prepare_t *flusher);
@@ -132,15 +132,15 @@
   list_init (&node->peers);
   list_init (&node->unflushed);
   uv_prepare_init (loop, &node->flusher);
-  uv_timer_init (loop, &node->sweep_timer);
+  uv_timer_init (loop, &node->peer_check_timer);
   node->flusher.data = node;
-  node->sweep_timer.data = node;
+  node->peer_check_timer.data = node;
   node->open_handles = 2;
   uv_prepare_start (&node->flusher, flush_streams);
-  uv_timer_start (&node->sweep_timer, on_sweep, RPC_SWEEP_INTERVAL_MS,
-                  RPC_SWEEP_INTERVAL_MS);
+  uv_timer_start (&node->peer_check_timer, on_peer_check_timer,
+                  RPC_PEER_CHECK_INTERVAL_MS, RPC_PEER_CHECK_INTERVAL_MS);
   uv_unref ((uv_handle_t *)&node->flusher);
-  uv_unref ((uv_handle_t *)&node->sweep_timer);
+  uv_unref ((uv_handle_t *)&node->peer_check_timer);
   return node;
 }
 
@@ -151,13 +151,14 @@
     return;
   rpc_peers_free_destroyed (node);
   uv_close ((uv_handle_t *)&node->flusher, on_handle_closed);
-  uv_close ((uv_handle_t *)&node->sweep_timer, on_handle_closed);
+  uv_close ((uv_handle_t *)&node->peer_check_timer, on_handle_closed);
 }
 
 void
-rpc_node_schedule_sweep (rpc_node_t *node)
+rpc_node_schedule_peer_check (rpc_node_t *node)
 {
-  uv_timer_start (&node->sweep_timer, on_sweep, 0, RPC_SWEEP_INTERVAL_MS);
+  uv_timer_start (&node->peer_check_timer, on_peer_check_timer, 0,
+                  RPC_PEER_CHECK_INTERVAL_MS);
 }
 
 const rpc_stats_t *
@@ -296,17 +297,17 @@
 static bool
 verify_mac (rpc_node_t *node, char *record, size_t len, size_t mac_offset)
 {
-  char claimed[WIRE_MAC_LEN];
-  char computed[WIRE_MAC_LEN];
+  char received_mac[WIRE_MAC_LEN];
+  char computed_mac[WIRE_MAC_LEN];
 
   if (node->mac_count == 0)
     return true;
-  memcpy (claimed, record + mac_offset, sizeof claimed);
-  memset (record + mac_offset, 0, sizeof claimed);
+  memcpy (received_mac, record + mac_offset, sizeof received_mac);
+  memset (record + mac_offset, 0, sizeof received_mac);
   for (size_t i = 0; i < node->mac_count; i++)
     {
-      mac_compute (&node->macs[i], record, len, computed);
-      if (CRYPTO_memcmp (claimed, computed, sizeof claimed) == 0)
+      mac_compute (&node->macs[i], record, len, computed_mac);
+      if (CRYPTO_memcmp (received_mac, computed_mac, sizeof received_mac) == 0)
         return true;
     }
   return false;
@@ -551,7 +552,7 @@
 }
 
 size_t
-rpc_stream_unsent (const rpc_stream_t *stream)
+rpc_stream_unacknowledged_bytes (const rpc_stream_t *stream)
 {
   uv_os_fd_t fd;
   int unacknowledged = 0;
--- a/packages/wire/rpcint.h
+++ b/packages/wire/rpcint.h
@@ -8,7 +8,8 @@
 
 enum
 {
-  RPC_SWEEP_INTERVAL_MS = 50,
+  /* Interval of rpc_peers_check.  */
+  RPC_PEER_CHECK_INTERVAL_MS = 50,
   /* Largest record, in bytes; a larger one closes the connection.  */
   RPC_RECORD_MAX_BYTES = 8 << 20,
   RPC_RECORD_MARK_LEN = 4,
@@ -19,9 +20,9 @@
    timeout.  */
 typedef enum
 {
-  RPC_SMALL, /* None.  */
-  RPC_LARGE_CALL,
-  RPC_LARGE_REPLY
+  RPC_TRANSFER_SMALL, /* Neither the call nor the reply.  */
+  RPC_TRANSFER_LARGE_CALL,
+  RPC_TRANSFER_LARGE_REPLY
 } rpc_transfer_size_t;
 
 typedef struct
@@ -56,7 +57,7 @@
   /* Streams with bytes to write, flushed once per turn of the loop.  */
   list_t unflushed;
   uv_prepare_t flusher;
-  uv_timer_t sweep_timer;
+  uv_timer_t peer_check_timer;
   unsigned open_handles;
   bool destroyed;
   rpc_stats_t stats;
@@ -90,9 +91,9 @@
 /* Queue RECORD of LEN bytes, including its record mark.  The bytes are written
    on this turn of the loop.  */
 void rpc_stream_send (rpc_stream_t *stream, const char *record, size_t len);
-/* Return the number of queued bytes that the remote kernel has not
-   acknowledged yet.  */
-size_t rpc_stream_unsent (const rpc_stream_t *stream);
+/* Return the number of bytes passed to rpc_stream_send that the remote kernel
+   has not acknowledged yet.  */
+size_t rpc_stream_unacknowledged_bytes (const rpc_stream_t *stream);
 /* Close the connection without calling ON_ENDED.  ON_RELEASE is called on a
    later turn of the loop.  */
 void rpc_stream_close (rpc_stream_t *stream);
@@ -121,12 +122,12 @@
                       rpc_head_t *head);
 void rpc_head_free (rpc_head_t *head);
 
-/* Send the pings that are due and time out calls and connections, for all
-   peers of NODE.  */
-void rpc_peers_sweep (rpc_node_t *node);
+/* For each peer of NODE, send a ping if one is due, end timed-out calls and
+   replace or close a connection that timed out.  */
+void rpc_peers_check (rpc_node_t *node);
 /* Free the peers of NODE for which rpc_peer_destroy was called.  */
 void rpc_peers_free_destroyed (rpc_node_t *node);
-/* Run rpc_peers_sweep on the next turn of the loop.  */
-void rpc_node_schedule_sweep (rpc_node_t *node);
+/* Run rpc_peers_check on the next turn of the loop.  */
+void rpc_node_schedule_peer_check (rpc_node_t *node);
 
 #endif
--- a/packages/wire/rpcpeer.c
+++ b/packages/wire/rpcpeer.c
@@ -9,10 +9,10 @@
 {
   /* A connection with calls in flight is pinged when nothing was received for
      BUSY_CONNECTION_PING_AFTER_MS, and replaced when the ping was not answered
-     for another SILENCE_TIMEOUT_MS, twice as long.  With the sweep interval
-     this takes 1.25 s, less than the 2 s within which a call must be sent on a
-     new connection.  Stalls of the loop shorter than SILENCE_TIMEOUT_MS do not
-     cause a needless replacement.  */
+     for another SILENCE_TIMEOUT_MS, twice as long.  With the interval of
+     rpc_peers_check this takes 1.25 s, less than the 2 s within which a call
+     must be sent on a new connection.  Stalls of the loop shorter than
+     SILENCE_TIMEOUT_MS do not cause a needless replacement.  */
   BUSY_CONNECTION_PING_AFTER_MS = 400,
   SILENCE_TIMEOUT_MS = 800,
   CONNECT_TIMEOUT_MS = 800,
@@ -78,7 +78,8 @@
   size_t len;
   uint64_t deadline_ms;
   unsigned send_count; /* Number of connections on which the call was sent.  */
-  bool fails_on_sweep; /* The next sweep reports VH_E_CONNECT.  */
+  /* The next rpc_peers_check ends the call with VH_E_CONNECT.  */
+  bool fails_on_next_check;
   rpc_cb_t cb;
   void *arg;
 };
@@ -353,7 +354,7 @@
   if (uv_tcp_connect (&connection->connect, &connection->stream.tcp,
                       (struct sockaddr *)&peer->addr, on_connected)
       != 0)
-    /* The next sweep treats the connection as timed out.  */
+    /* The next rpc_peers_check treats the connection as timed out.  */
     connection->started_ms = 0;
 }
 
@@ -383,8 +384,8 @@
 {
   if (peer == NULL || peer->destroyed)
     return;
-  /* The memory is freed by the next sweep: the caller may be a callback of
-     this peer, or of another peer during a sweep.  */
+  /* The next rpc_peers_check frees the memory: the caller may be a callback
+     of this peer, or of another peer during rpc_peers_check.  */
   peer->destroyed = true;
   abandon_connection (peer);
   while (!list_is_empty (&peer->calls))
@@ -431,7 +432,7 @@
   call->cb = cb;
   call->arg = arg;
   call->len = rpc_encode_call (node, call->xid, proc, args);
-  call->fails_on_sweep = call->len == 0;
+  call->fails_on_next_check = call->len == 0;
   call->record = str_dup (str_make (node->scratch, call->len));
   if (peer->call_count >= peer->table_size)
     table_grow (peer);
@@ -442,11 +443,11 @@
   if (peer->connection != NULL && peer->connection->is_connected)
     send_call (peer, call);
   else if (peer->connection == NULL && now_ms < peer->retry_at_ms)
-    call->fails_on_sweep = true;
+    call->fails_on_next_check = true;
   else if (peer->connection == NULL)
     start_connection (peer);
-  if (call->fails_on_sweep)
-    rpc_node_schedule_sweep (node);
+  if (call->fails_on_next_check)
+    rpc_node_schedule_peer_check (node);
   return call;
 }
 
@@ -471,16 +472,17 @@
 static size_t
 update_acknowledged (peer_connection_t *connection, uint64_t now_ms)
 {
-  size_t unsent = rpc_stream_unsent (&connection->stream);
+  size_t unacknowledged
+      = rpc_stream_unacknowledged_bytes (&connection->stream);
   size_t queued = connection->stream.queued_total;
-  size_t acknowledged = queued > unsent ? queued - unsent : 0;
+  size_t acknowledged = queued > unacknowledged ? queued - unacknowledged : 0;
 
   if (acknowledged > connection->acknowledged)
     {
       connection->acknowledged = acknowledged;
       connection->acknowledged_ms = now_ms;
     }
-  return unsent;
+  return unacknowledged;
 }
 
 /* Return whether bytes of CONNECTION were acknowledged within the last
@@ -559,11 +561,11 @@
     return false;
   switch (rpc_proc_info (call->proc)->transfer_size)
     {
-    case RPC_SMALL:
+    case RPC_TRANSFER_SMALL:
       break;
-    case RPC_LARGE_CALL:
+    case RPC_TRANSFER_LARGE_CALL:
       return is_output_progressing (connection, now_ms);
-    case RPC_LARGE_REPLY:
+    case RPC_TRANSFER_LARGE_REPLY:
       return connection->stream.in.len > 0
              && now_ms - connection->stream.received_ms < SILENCE_TIMEOUT_MS;
     }
@@ -578,7 +580,7 @@
   LIST_EACH (at, &peer->calls)
     {
       rpc_call_t *call = CONTAINER_OF (at, rpc_call_t, link);
-      if (!call->fails_on_sweep
+      if (!call->fails_on_next_check
           && (now_ms < call->deadline_ms || rpc_call_is_transferring (call)))
         continue;
       finish_call (call, call->send_count > 0 ? VH_E_TIMEOUT : VH_E_CONNECT,
@@ -591,8 +593,9 @@
 static void
 check_calls (rpc_peer_t *peer, uint64_t now_ms)
 {
-  /* A callback may start a call that fails immediately again.  Such a call
-     waits for the next sweep; otherwise this loop might never end.  */
+  /* The callback of a failed call may start a new call that also fails at
+     once.  The new call is ended by the next rpc_peers_check; otherwise this
+     loop might never end.  */
   for (size_t due = peer->call_count; due > 0; due--)
     if (!end_due_call (peer, now_ms))
       return;
@@ -619,7 +622,7 @@
 }
 
 void
-rpc_peers_sweep (rpc_node_t *node)
+rpc_peers_check (rpc_node_t *node)
 {
   uint64_t now_ms = clock_ms (node->clock);
 
