--- a/packages/control/ledger.c
+++ b/packages/control/ledger.c
@@ -50,7 +50,7 @@
 typedef struct
 {
   list_t link;
-  char day[DAY_TEXT_SIZE];
+  char date[DAY_TEXT_SIZE];
   uint64_t created_ms;
   buf_t key; /* Row key; empty until the batch is sealed.  */
   billset_t *bills;
@@ -60,7 +60,7 @@
 {
   list_t link;
   ledger_t *ledger;
-  buf_t day;
+  buf_t date;
   /* Whether the large rows are being read, which come after the small
      rows.  */
   bool reads_large_rows;
@@ -110,13 +110,13 @@
 }
 
 static void
-format_day (char *day, uint64_t at_ms)
+format_date (char *date, uint64_t at_ms)
 {
   time_t seconds = (time_t)(at_ms / 1000);
   struct tm tm;
 
   gmtime_r (&seconds, &tm);
-  strftime (day, DAY_TEXT_SIZE, "%Y-%m-%d", &tm);
+  strftime (date, DAY_TEXT_SIZE, "%Y-%m-%d", &tm);
 }
 
 static void
@@ -128,16 +128,16 @@
 }
 
 static batch_t *
-get_open_batch (ledger_t *ledger, const char *day)
+get_open_batch (ledger_t *ledger, const char *date)
 {
   LIST_EACH (at, &ledger->open_batches)
     {
       batch_t *batch = CONTAINER_OF (at, batch_t, link);
-      if (strcmp (batch->day, day) == 0)
+      if (strcmp (batch->date, date) == 0)
         return batch;
     }
   batch_t *batch = mem_zalloc (sizeof *batch);
-  snprintf (batch->day, sizeof batch->day, "%s", day);
+  snprintf (batch->date, sizeof batch->date, "%s", date);
   batch->created_ms = now_ms (ledger);
   batch->bills = billset_create ();
   list_append (&ledger->open_batches, &batch->link);
@@ -147,7 +147,7 @@
 static void
 seal_batch (ledger_t *ledger, batch_t *batch)
 {
-  buf_printf (&batch->key, "ledger/%s/%.*s/%.*s/%08llu", batch->day,
+  buf_printf (&batch->key, "ledger/%s/%.*s/%.*s/%08llu", batch->date,
               STR_ARG (buf_str (&ledger->writer)),
               STR_ARG (buf_str (&ledger->epoch)),
               (unsigned long long)++ledger->sequence);
@@ -334,7 +334,7 @@
 report_free (report_t *report)
 {
   billset_destroy (report->bills);
-  buf_free (&report->day);
+  buf_free (&report->date);
   buf_free (&report->last_key);
   free (report);
 }
@@ -390,7 +390,7 @@
 vh_code_t
 ledger_add_all (ledger_t *ledger, const ledger_bill_t *bills, size_t count)
 {
-  char day[DAY_TEXT_SIZE];
+  char date[DAY_TEXT_SIZE];
 
   if (ledger->pending_count + count > ledger->options.pending_bills_max)
     {
@@ -399,8 +399,8 @@
     }
   for (size_t i = 0; i < count; i++)
     {
-      format_day (day, bills[i].created_at_ms);
-      batch_t *batch = get_open_batch (ledger, day);
+      format_date (date, bills[i].created_at_ms);
+      batch_t *batch = get_open_batch (ledger, date);
       size_t size_before = billset_size (batch->bills);
       billset_add (batch->bills, &bills[i]);
       ledger->pending_count += billset_size (batch->bills) - size_before;
@@ -544,7 +544,7 @@
 
   buf_append_str (&prefix, report->reads_large_rows ? LARGE_ROW_PREFIX
                                                     : SMALL_ROW_PREFIX);
-  buf_append_str (&prefix, buf_str (&report->day));
+  buf_append_str (&prefix, buf_str (&report->date));
   buf_append_char (&prefix, '/');
   store_scan (report->ledger->store, buf_str (&prefix),
               buf_str (&report->last_key), REPORT_PAGE_ROWS, on_report_page,
@@ -553,7 +553,7 @@
 }
 
 void
-ledger_report (ledger_t *ledger, str_t day, ledger_report_cb_t cb, void *arg)
+ledger_report (ledger_t *ledger, str_t date, ledger_report_cb_t cb, void *arg)
 {
   report_t *report = mem_zalloc (sizeof *report);
 
@@ -564,7 +564,7 @@
   report->cb = cb;
   report->arg = arg;
   report->bills = billset_create ();
-  buf_append_str (&report->day, day);
+  buf_append_str (&report->date, date);
   list_append (&ledger->reports, &report->link);
   read_report_page (report);
 }
@@ -747,7 +747,7 @@
 {
   compaction_t *compaction = &ledger->compaction;
   uint64_t now = now_ms (ledger);
-  char day[DAY_TEXT_SIZE];
+  char date[DAY_TEXT_SIZE];
   buf_t prefix = BUF_NULL;
 
   if (ledger->options.lease == NULL || compaction->is_step_pending
@@ -760,9 +760,9 @@
   if (compaction->idle_steps >= IDLE_STEPS)
     compaction->next_compaction_step_ms
         += ledger->options.compact_interval_ms * IDLE_INTERVAL_FACTOR;
-  format_day (day, clock_realtime_ms (ledger->env.clock)
-                       - compaction->days_back * DAY_S * 1000ull);
-  buf_printf (&prefix, "%s%s/", SMALL_ROW_PREFIX.ptr, day);
+  format_date (date, clock_realtime_ms (ledger->env.clock)
+                         - compaction->days_back * DAY_S * 1000ull);
+  buf_printf (&prefix, "%s%s/", SMALL_ROW_PREFIX.ptr, date);
   store_scan (ledger->store, buf_str (&prefix),
               buf_str (&compaction->last_key), COMPACT_PAGE_ROWS,
               on_compaction_page, ledger);
--- a/packages/control/ledger.h
+++ b/packages/control/ledger.h
@@ -115,9 +115,9 @@
                                     const ledger_report_line_t *lines,
                                     size_t count);
 
-/* Report the bills in the store for the UTC day DAY (YYYY-MM-DD).  Pending
+/* Report the bills in the store for the UTC day DATE (YYYY-MM-DD).  Pending
    bills are not included.  */
-void ledger_report (ledger_t *ledger, str_t day, ledger_report_cb_t cb,
+void ledger_report (ledger_t *ledger, str_t date, ledger_report_cb_t cb,
                     void *arg);
 
 #endif
--- a/packages/daemon/admin.c
+++ b/packages/daemon/admin.c
@@ -356,7 +356,7 @@
 typedef struct
 {
   store_call_t *call;
-  char day[16]; /* Day of the report, as YYYY-MM-DD.  */
+  char date[16]; /* Day of the report, as YYYY-MM-DD.  */
 } bill_report_t;
 
 static void
@@ -379,7 +379,7 @@
                     "\"requests\":%llu,\"tokens\":%llu,\"cost\":%.6f}",
                     i > 0 ? "," : "", STR_ARG (lines[i].team),
                     STR_ARG (lines[i].model), STR_ARG (lines[i].version),
-                    report->day, (unsigned long long)lines[i].requests,
+                    report->date, (unsigned long long)lines[i].requests,
                     (unsigned long long)lines[i].tokens, lines[i].cost);
       buf_append_str (&body, STR ("]\n"));
       httpd_reply_json (req, 200, buf_str (&body));
@@ -392,19 +392,19 @@
 serve_bill (process_t *process, httpd_req_t *req)
 {
   bill_report_t *report = mem_zalloc (sizeof *report);
-  str_t day = httpd_query_param (req, STR ("day"));
+  str_t date = httpd_query_param (req, STR ("day"));
   time_t now = (time_t)(clock_realtime_ms (process->clock) / 1000);
   struct tm utc;
 
-  strftime (report->day, sizeof report->day, "%Y-%m-%d",
+  strftime (report->date, sizeof report->date, "%Y-%m-%d",
             gmtime_r (&now, &utc));
-  if (day.len == 10)
-    memcpy (report->day, day.ptr, day.len);
+  if (date.len == 10)
+    memcpy (report->date, date.ptr, date.len);
   report->call = store_call_start (req);
   /* Pending bills of this process are written now, so that at the latest the
      next report includes them.  */
   ledger_flush (process->ledger);
-  ledger_report (process->ledger, str_from (report->day), on_bill_report,
+  ledger_report (process->ledger, str_from (report->date), on_bill_report,
                  report);
 }
 
