--- a/packages/entry/answer.c
+++ b/packages/entry/answer.c
@@ -46,9 +46,10 @@
   buf_free (&body);
 }
 
-/* End REQUEST with error CODE and OUTCOME.  */
+/* Answer REQUEST with error CODE, then end REQUEST.  OUTCOME is the value of
+   the vanillahook-outcome header: "not-run" or "unknown".  */
 static void
-send_error (request_t *request, vh_code_t code, const char *outcome)
+end_with_error (request_t *request, vh_code_t code, const char *outcome)
 {
   httpd_req_t *http = request->http;
   str_t id = str_from (request->request_id);
@@ -98,7 +99,7 @@
   objective_request_ended (request, code);
   counter_add (request->entry->counters.refused, 1);
   set_retry_after (request, code);
-  send_error (request, code, "not-run");
+  end_with_error (request, code, "not-run");
   return FILTER_DONE;
 }
 
@@ -113,7 +114,7 @@
   claim_record (request);
   objective_request_ended (request, code);
   counter_add (request->entry->counters.unknown_outcomes, 1);
-  send_error (request, code, "unknown");
+  end_with_error (request, code, "unknown");
 }
 
 /* Headers of an answer, and the values that are generated for them.  */
@@ -151,7 +152,7 @@
   choose_write_session_token (request, &headers->session);
   add_header (headers, STR ("vanillahook-session"),
               buf_str (&headers->session));
-  if (request->session_moved)
+  if (request->session_version_unusable)
     add_header (headers, STR ("vanillahook-session-moved"), STR ("withdrawn"));
   if (request->explain)
     {
--- a/packages/entry/choose.c
+++ b/packages/entry/choose.c
@@ -157,8 +157,9 @@
   if (version == NULL
       || !snapshot_allows (request->snapshot, request->team, version)
       || learn_is_rollout_stopped (request->entry, version))
-    request->session_moved = true;
-  request->session_version = request->session_moved ? NULL : version;
+    request->session_version_unusable = true;
+  request->session_version
+      = request->session_version_unusable ? NULL : version;
   return FILTER_CONTINUE;
 }
 
--- a/packages/entry/dispatch.c
+++ b/packages/entry/dispatch.c
@@ -489,8 +489,9 @@
                                  on_answer, request);
 }
 
+/* Return whether a WIRE_FETCH call of the attempt may be sent now.  */
 static bool
-can_fetch (const request_t *request)
+can_send_fetch (const request_t *request)
 {
   const entry_attempt_t *attempt = &request->attempt;
 
@@ -503,7 +504,7 @@
 {
   uint64_t left_ms = remaining_ms (request);
 
-  if (!can_fetch (request))
+  if (!can_send_fetch (request))
     return;
   if (request->answer_started && request->http != NULL
       && httpd_buffered_bytes (request->http) > CALLER_BACKLOG_MAX_BYTES)
@@ -933,7 +934,7 @@
     count_acceptance (request);
   /* A slow caller delays the fetches.  An empty fetch keeps the sidecar from
      expiring the attempt.  */
-  if (request->retry_at_ms == 0 && can_fetch (request)
+  if (request->retry_at_ms == 0 && can_send_fetch (request)
       && now_ms - request->attempt.last_fetch_ms >= ATTEMPT_KEEPALIVE_MS)
     send_fetch (request, 0, 0);
   if (request->retry_at_ms == 0 || now_ms < request->retry_at_ms)
--- a/packages/entry/entry.c
+++ b/packages/entry/entry.c
@@ -32,7 +32,7 @@
 on_context (void *arg, rpc_peer_t *peer, const wire_context_t *context)
 {
   if (peer != NULL)
-    fleet_on_context (arg, peer, context);
+    fleet_on_peer_context (arg, peer, context);
 }
 
 static const rpc_hooks_t rpc_hooks = { fill_context, on_context };
--- a/packages/entry/entryint.h
+++ b/packages/entry/entryint.h
@@ -51,7 +51,8 @@
   bool leaving;              /* Set by the instance list of the platform.  */
   bool draining;             /* Reported by the process itself.  */
   bool config_push_pending;  /* A WIRE_CONFIG_PUSH call is in flight.  */
-  bool unreachable;          /* The connection is down or silent.  */
+  bool unreachable;          /* The connection is down, or the member does
+                                not respond.  */
   bool keep_connected;       /* The entry keeps a connection to the member.  */
   bool bill_fetch_pending;   /* A WIRE_BILLS_TAKE call is in flight.  */
   upstream_id_t upstream_id; /* Id at the balancer; 0 for an entry.  */
@@ -161,7 +162,9 @@
   char *session_token; /* As sent by the caller, or NULL.  */
   const version_t *session_version;
   char *session_instance;
-  bool session_moved; /* The version of the session is not usable.  */
+  /* The version of the session is unknown, not requested, not allowed for the
+     team, or its roll-out is stopped.  */
+  bool session_version_unusable;
   /* Version selection.  */
   const version_t *candidates[CANDIDATES_MAX];
   size_t candidate_count;
@@ -197,7 +200,8 @@
   bool fence_pending;
   bool claim_pending;    /* The callback of claims_acquire is outstanding.  */
   bool holds_claim;      /* The claim is held and its outcome not recorded.  */
-  vh_code_t claim_error; /* Answered if no sidecar has the attempt.  */
+  vh_code_t claim_error; /* Error for the caller if no sidecar has an
+                            attempt of the request.  */
   list_t recalls;        /* WIRE_RECALL calls in flight.  */
   bool recall_incomplete; /* A sidecar did not answer a WIRE_RECALL call.  */
   bool rating_pending;    /* The callback of a rating is outstanding.  */
@@ -349,8 +353,9 @@
                                        const version_t *chosen);
 /* Tell whether this request avoids VERSION because of a degradation alarm.  */
 bool learn_is_avoided (const request_t *request, const version_t *version);
-/* Configuration NEXT replaces LAST (NULL before the first).  Clears the alarm
-   of a withdrawn version that the operator puts back into service.  */
+/* Clear the degradation alarm of each version that is withdrawn in
+   configuration LAST and no longer in NEXT, which replaces LAST.  LAST is NULL
+   if NEXT is the first configuration.  */
 void learn_config_changed (entry_t *entry, const snapshot_t *last,
                            const snapshot_t *next);
 /* Tell whether the roll-out of VERSION is halted or aborted.  */
@@ -363,10 +368,17 @@
 /* Append the learned evidence as rows, for peers and for the store; OWN_ONLY:
    leave out what other entries contributed.  */
 void learn_write (entry_t *entry, bool own_only, buf_t *out);
+/* Merge the evidence in ROWS, which learn_write wrote; rows from the first
+   malformed one on are ignored.  */
 void learn_merge (entry_t *entry, str_t rows);
+/* Update the degradation alarms and exchange evidence with one connected
+   entry, drawn at random, if the exchange interval has passed.  */
 void learn_tick (entry_t *entry, uint64_t now_ms);
-/* Exchange evidence with all connected entries at once.  */
+/* Exchange evidence with every connected entry now, without waiting for the
+   exchange interval.  */
 void learn_broadcast (entry_t *entry);
+/* Append the roll-outs and the degradation alarms as the JSON members
+   "rollouts" and "alarms".  */
 void learn_status (entry_t *entry, buf_t *out);
 void learn_destroy (entry_t *entry);
 
@@ -379,6 +391,8 @@
 leader_t *leader_create (entry_t *entry);
 void leader_destroy (leader_t *leader);
 void leader_tick (leader_t *leader, uint64_t now_ms);
+/* Return the lease that an entry needs for the leader's duties; owned by
+   LEADER.  */
 lease_t *leader_lease (leader_t *leader);
 
 /* claim.c */
@@ -390,6 +404,7 @@
 void claim_release (request_t *request);
 /* Cancel the WIRE_RECALL calls in flight.  */
 void claim_cancel_recalls (request_t *request);
+/* Create ENTRY->claims, which uses the lease of ENTRY->leader.  */
 void claim_init (entry_t *entry);
 
 /* guard.c */
@@ -401,20 +416,24 @@
 void guard_upstream_crashed (request_t *request, uint64_t crash_id);
 /* Record a crash that a sidecar reports.  */
 void guard_record_crash (entry_t *entry, const wire_suspect_t *suspect);
-/* Append, and merge, the crash records that entries exchange.  */
+/* Append the crash records, for an exchange of evidence.  */
 void guard_write (const entry_t *entry, buf_t *out);
+/* Merge crash records that guard_write wrote; lines from the first malformed
+   one on are ignored.  */
 void guard_merge (entry_t *entry, str_t bytes);
 
 /* peering.c */
-/* Send MEMBER, which has revision HAVE, the update to the revision in force.
-   Does nothing while another push to MEMBER is in flight.  */
-void peering_push_config (member_t *member, uint64_t have);
+/* Send MEMBER the update from KNOWN_REVISION, the revision that MEMBER has, to
+   the revision of this entry.  Does nothing while another push to MEMBER is in
+   flight.  */
+void peering_push_config (member_t *member, uint64_t known_revision);
 /* Tell whether this entry ranks first for MEMBER among the entries that it
    is connected to; that entry pushes a new configuration at once.  */
 bool peering_ranks_first (const member_t *member);
 /* Fetch the later configuration of MEMBER.  */
 void peering_pull_config (member_t *member);
-/* Fetch the bills that the sidecar MEMBER holds for entries that are gone.  */
+/* Fetch from the sidecar MEMBER the bills of entries that MEMBER considers
+   dead.  */
 void peering_fetch_orphaned_bills (member_t *member);
 /* Handle a procedure that a peer calls; ARG is the entry.  */
 void peering_serve (void *arg, rpc_request_t *request, uint32_t proc,
@@ -432,9 +451,10 @@
                           bool ok, uint64_t latency_us, uint32_t units);
 void fleet_tick (entry_t *entry, uint64_t now_ms);
 void fleet_config_changed (entry_t *entry);
-/* Process the CONTEXT of a message received from PEER.  */
-void fleet_on_context (entry_t *entry, rpc_peer_t *peer,
-                       const wire_context_t *context);
+/* Process CONTEXT, the sender's revision, load and state, which each RPC
+   message of PEER contains.  */
+void fleet_on_peer_context (entry_t *entry, rpc_peer_t *peer,
+                            const wire_context_t *context);
 void fleet_destroy (entry_t *entry);
 /* Drop a reference to MEMBER; a removed member is freed with the last one.  */
 void fleet_member_unref (member_t *member);
--- a/packages/entry/fleet.c
+++ b/packages/entry/fleet.c
@@ -191,7 +191,8 @@
   return true;
 }
 
-/* Update the targets and the marks of MEMBER at the balancer.  */
+/* Update the served targets and the BALANCE_ marks (draining, unreachable,
+   disabled) of MEMBER at the balancer.  */
 static void
 update_balancer (member_t *member)
 {
@@ -376,8 +377,8 @@
 }
 
 void
-fleet_on_context (entry_t *entry, rpc_peer_t *peer,
-                  const wire_context_t *context)
+fleet_on_peer_context (entry_t *entry, rpc_peer_t *peer,
+                       const wire_context_t *context)
 {
   member_t *member = rpc_peer_arg (peer);
   uint64_t own_revision
@@ -570,7 +571,7 @@
 size_t
 entry_zone_rank (const entry_t *entry)
 {
-  uint64_t own_revision = duty_priority (entry, entry->settings->name);
+  uint64_t own_priority = duty_priority (entry, entry->settings->name);
   size_t rank = 0;
   size_t cursor = 0;
   void *value;
@@ -581,7 +582,7 @@
       if (member->is_entry && !member->unreachable && !member->draining
           && !member->leaving
           && str_eq (str_from (member->zone), entry->settings->zone)
-          && duty_priority (entry, str_from (member->name)) > own_revision)
+          && duty_priority (entry, str_from (member->name)) > own_priority)
         rank++;
     }
   return rank;
--- a/packages/entry/peering.c
+++ b/packages/entry/peering.c
@@ -32,15 +32,15 @@
 }
 
 void
-peering_push_config (member_t *member, uint64_t have)
+peering_push_config (member_t *member, uint64_t known_revision)
 {
   entry_t *entry = member->entry;
   buf_t update = BUF_NULL;
 
   if (member->config_push_pending || entry->snapshot == NULL)
     return;
-  if (entry->options.callbacks->build_config_update (entry->options.arg, have,
-                                                     &update))
+  if (entry->options.callbacks->build_config_update (entry->options.arg,
+                                                     known_revision, &update))
     {
       wire_config_push_args_t args
           = { .update = { (u_int)update.len, update.ptr } };
--- a/packages/sidecar/attempt.h
+++ b/packages/sidecar/attempt.h
@@ -1,7 +1,8 @@
 /* Attempts of one sidecar and their answers.
 
    An attempt is one try of a request at this upstream.  The bytes of its
-   answer are kept until the answer expires or the store is full.  So a FETCH
+   answer are kept until the answer expires, or until the kept answers exceed
+   their limit in bytes and the answer is the oldest ended one.  So a FETCH
    that is repeated, delayed or sent by another connection gets the same bytes
    for the same offset, and a request id that is sent again gets the recorded
    outcome instead of a second execution.  */
--- a/packages/sidecar/bill_backup.c
+++ b/packages/sidecar/bill_backup.c
@@ -225,7 +225,7 @@
 }
 
 void
-bill_backup_expire (bill_backup_t *backup)
+bill_backup_remove_dead_entry (bill_backup_t *backup)
 {
   size_t cursor = 0;
   str_t entry_id;
--- a/packages/sidecar/serve.c
+++ b/packages/sidecar/serve.c
@@ -254,8 +254,9 @@
                                     .wait_ms = args->wait_ms };
 
   counter_add (sidecar->counters.submitted, 1);
-  /* The call was meant for an earlier sidecar process, which may have started
-     the attempt; this process has no record of it.  */
+  /* The call was addressed to an earlier process of this sidecar, which may
+     have started the attempt.  The reply is VH_E_NO_ATTEMPT, as this process
+     has no record of the attempt.  */
   if (args->epoch != 0 && args->epoch != rpc_node_epoch (sidecar->node))
     {
       reply_refusal (request, VH_E_NO_ATTEMPT);
@@ -591,9 +592,9 @@
       break;
     case WIRE_EVIDENCE:
       {
-        wire_evidence_res_t none;
-        memset (&none, 0, sizeof none);
-        rpc_reply (request, &none);
+        wire_evidence_res_t empty_reply;
+        memset (&empty_reply, 0, sizeof empty_reply);
+        rpc_reply (request, &empty_reply);
         break;
       }
     default:
--- a/packages/sidecar/sidecar.c
+++ b/packages/sidecar/sidecar.c
@@ -85,7 +85,7 @@
   LIST_EACH (at, attempts_active (sidecar->attempts))
     maintain_attempt (sidecar, CONTAINER_OF (at, attempt_t, link), now_ms);
   attempts_expire (sidecar->attempts);
-  bill_backup_expire (sidecar->bill_backup);
+  bill_backup_remove_dead_entry (sidecar->bill_backup);
   sidecar_dispatch (sidecar);
 }
 
--- a/packages/sidecar/sidecarint.h
+++ b/packages/sidecar/sidecarint.h
@@ -131,8 +131,10 @@
    them in BILLS; their strings are borrowed.  Return their number.  */
 size_t bill_backup_adopt (bill_backup_t *backup, str_t entry_id,
                           size_t max_count, wire_bill_t *bills);
-/* Remove the record of one dead entry that has no bills left.  */
-void bill_backup_expire (bill_backup_t *backup);
+/* Remove the record of one entry that is considered dead and has no bills
+   left, if there is one.  Called periodically, as a call removes at most one
+   record.  */
+void bill_backup_remove_dead_entry (bill_backup_t *backup);
 size_t bill_backup_count (const bill_backup_t *backup);
 
 #endif
--- a/packages/sidecar/upstream.c
+++ b/packages/sidecar/upstream.c
@@ -430,7 +430,9 @@
   free (headers);
 }
 
-/* Return whether ATTEMPT may run at the same time as the running attempts.  */
+/* Return whether ATTEMPT may start beside the running attempts.  A suspect of
+   an upstream crash starts only while no other suspect and no non-idempotent
+   attempt runs; a non-idempotent attempt only while no suspect runs.  */
 static bool
 can_run_now (const sidecar_t *sidecar, const attempt_t *attempt)
 {
