--- a/tests/standins.cmake
+++ b/tests/standins.cmake
@@ -1,4 +1,4 @@
-# What the stand-ins share, and the tests that know their answers.
+# Library shared by the stand-in servers, and the tests of their answers.
 add_library (vh_standins STATIC standins/common.c standins/answer.c
   standins/loadgen.c standins/samples.c)
 target_include_directories (vh_standins PUBLIC ${CMAKE_SOURCE_DIR}/tests)
